--- a/bench/fleet_owner.cpp
+++ b/bench/fleet_owner.cpp
@@ -21,7 +21,7 @@
 #include <thread>
 #include <vector>
 
-#include "fleet/fellow.hpp"
+#include "fleet/agent.hpp"
 #include "lab/arena.hpp"
 #include "lab/world.hpp"
 
--- a/lab/book.hpp
+++ b/lab/book.hpp
@@ -1,4 +1,4 @@
-// A registry as a Fellow's deals see it: records, one revision, transactions, a history to watch, and backups
+// A registry as an Agent's deals see it: records, one revision, transactions, a history to watch, and backups
 // to go back to. In memory, for models; the stand-in on sockets is lab/registry.
 #pragma once
 
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "fleet/fellow.hpp"
+#include "fleet/agent.hpp"
 
 namespace irismux::lab {
 
--- a/lab/explore.cpp
+++ b/lab/explore.cpp
@@ -7,7 +7,7 @@
 #include <optional>
 #include <unordered_set>
 
-#include "fleet/fellow.hpp"
+#include "fleet/agent.hpp"
 #include "lab/book.hpp"
 
 namespace irismux::lab {
@@ -43,7 +43,7 @@
     MemberName name;
     double rate = 1;
     Ports ports;
-    std::unique_ptr<Fellow> fellow;
+    std::unique_ptr<Agent> agent;
     bool stopped = false, cut = false;
     int life = 0;
     std::string kept;
@@ -57,7 +57,7 @@
         : name(o.name),
           rate(o.rate),
           ports(o.ports),
-          fellow(o.fellow ? std::make_unique<Fellow>(*o.fellow, ports, ports) : nullptr),
+          agent(o.agent ? std::make_unique<Agent>(*o.agent, ports, ports) : nullptr),
           stopped(o.stopped),
           cut(o.cut),
           life(o.life),
@@ -132,7 +132,7 @@
 
     void look() {
         int acting = 0;
-        for (const auto& n : nodes) acting += n->fellow && n->fellow->may_act(n->clock(tick), the_duty);
+        for (const auto& n : nodes) acting += n->agent && n->agent->may_act(n->clock(tick), the_duty);
         if (acting > 1) broken = "two may act at once";
     }
 
@@ -143,44 +143,44 @@
         n.ports = {};
         n.told = {};
         n.history = -1;
-        Person person{n.name, Mark{n.name.raw() + std::to_string(n.life)}, "1", n.former};
-        person.answer_in = Span::micros(tick_us);
-        person.spread = false;
-        n.fellow = std::make_unique<Fellow>(
-            n.ports, n.ports, Articles{"x", Span::micros(tick_us * ticks_a_term), drift}, person, 1);
-        if (!n.kept.empty()) n.fellow->fence().kept_was(n.kept);
-        n.fellow->duties_are(n.clock(tick), {the_duty});
-        n.fellow->start(n.clock(tick));
+        MemberIdentity identity{n.name, Mark{n.name.raw() + std::to_string(n.life)}, "1", n.former};
+        identity.answer_in = Span::micros(tick_us);
+        identity.spread = false;
+        n.agent = std::make_unique<Agent>(
+            n.ports, n.ports, Articles{"x", Span::micros(tick_us * ticks_a_term), drift}, identity, 1);
+        if (!n.kept.empty()) n.agent->fence().kept_was(n.kept);
+        n.agent->duties_are(n.clock(tick), {the_duty});
+        n.agent->start(n.clock(tick));
     }
 
     // One process through one tick; a fault takes the first deal that it has out.
     void play(Node& n, Fault fault) {
         const Instant now = n.clock(tick);
         if (fault == Fault::die) {
-            n.kept = n.fellow->fence().kept();
-            n.former = n.fellow->start_no();
-            n.fellow.reset();
+            n.kept = n.agent->fence().kept();
+            n.former = n.agent->start_no();
+            n.agent.reset();
             return;
         }
         if (fault == Fault::stop) n.stopped = true;
         if (fault == Fault::cut) n.cut = true;
-        if (!n.fellow || n.stopped) return;
+        if (!n.agent || n.stopped) return;
         if (n.answer) {
             const Book::Outcome o = *std::exchange(n.answer, std::nullopt);
-            n.fellow->on_dealt(now, o.at, o.held, o.shown);
+            n.agent->on_dealt(now, o.at, o.held, o.shown);
         }
         if (!n.cut && (n.history != history || n.told < book.revision())) {
             const bool whole = n.history != history || book.forgotten(n.told);
             const auto list = whole ? book.all() : book.changes(n.told, book.revision());
             n.history = history;
             n.told = book.revision();
-            if (whole || !list.empty()) n.fellow->on_records(now, book.revision(), list, whole);
+            if (whole || !list.empty()) n.agent->on_records(now, book.revision(), list, whole);
         }
-        if (n.ports.wake_at <= now) n.fellow->on_wake(now);
-        if (n.fellow->may_begin(now, the_duty))
-            n.fellow->work(now, the_duty, Key{"work/d"},
-                           std::to_string(n.fellow->epoch_of(the_duty).raw()) + '/' + n.name.raw() + '/' +
-                               std::to_string(n.fellow->start_no().raw()));
+        if (n.ports.wake_at <= now) n.agent->on_wake(now);
+        if (n.agent->may_begin(now, the_duty))
+            n.agent->work(now, the_duty, Key{"work/d"},
+                          std::to_string(n.agent->epoch_of(the_duty).raw()) + '/' + n.name.raw() + '/' +
+                              std::to_string(n.agent->start_no().raw()));
         for (int k = 0; k < deals_a_tick && n.ports.asked && !n.cut; ++k) {
             const Deal deal = *std::exchange(n.ports.asked, std::nullopt);
             const Fault f = std::exchange(fault, Fault::none);
@@ -196,7 +196,7 @@
                 n.answer = o;
                 return;
             }
-            n.fellow->on_dealt(now, o.at, o.held, o.shown);
+            n.agent->on_dealt(now, o.at, o.held, o.shown);
         }
         n.ports.asked.reset();
     }
@@ -206,7 +206,7 @@
         for (const auto& n : nodes) {
             all += (n->stopped ? "s" : "r") + std::string(n->cut ? "c" : "l") + (n->answer ? "a" : "-") +
                    std::to_string(n->history == history ? (n->told < book.revision() ? 1 : 2) : 0);
-            all += n->fellow ? n->fellow->picture(n->clock(tick)) : n->kept + std::to_string(n->former.raw());
+            all += n->agent ? n->agent->picture(n->clock(tick)) : n->kept + std::to_string(n->former.raw());
             all += '\n';
         }
         for (const auto& [key, value] : book.records()) all += key.raw() + value;
@@ -242,7 +242,7 @@
         }
         // Of a fleet in which nobody acts nothing could break.
         if (std::none_of(root->nodes.begin(), root->nodes.end(),
-                         [&](const auto& n) { return n->fellow->may_act(n->clock(root->tick), the_duty); })) {
+                         [&](const auto& n) { return n->agent->may_act(n->clock(root->tick), the_duty); })) {
             found_.path.push_back("nobody owns the duty at rest");
             return found_;
         }
@@ -305,12 +305,12 @@
     void turns(const std::shared_ptr<State>& c, std::size_t n = 0) {
         if (n == c->nodes.size()) return with_faults(c);
         Node& node = *c->nodes[n];
-        if (node.stopped || node.cut || !node.fellow) {
+        if (node.stopped || node.cut || !node.agent) {
             auto other = std::make_shared<State>(*c);
-            other->told += node.name.raw() + (node.fellow ? " goes on; " : " starts; ");
+            other->told += node.name.raw() + (node.agent ? " goes on; " : " starts; ");
             Node& again = *other->nodes[n];
             again.stopped = again.cut = false;
-            if (!again.fellow) other->begin(again);
+            if (!again.agent) other->begin(again);
             turns(other, n + 1);
         }
         turns(c, n + 1);
@@ -321,7 +321,7 @@
         if (c->faults_left == 0) return;
         for (std::size_t n = 0; n < c->nodes.size(); ++n)
             for (const Fault f : faults)
-                if (c->nodes[n]->fellow && !c->nodes[n]->stopped && !(f == Fault::cut && c->nodes[n]->cut))
+                if (c->nodes[n]->agent && !c->nodes[n]->stopped && !(f == Fault::cut && c->nodes[n]->cut))
                     end(c, n, f);
     }
 
--- a/lab/explore.hpp
+++ b/lab/explore.hpp
@@ -1,4 +1,4 @@
-// Every interleaving of a few Fellows and a bounded number of faults: from a fleet at rest, tick by tick,
+// Every interleaving of a few Agents and a bounded number of faults: from a fleet at rest, tick by tick,
 // each state once, breadth first, so that the first broken guarantee comes with a shortest path to it.
 //
 // A tick is an eighth of a term. In a tick each process that runs hears the watch, has its deals settled and
--- a/lab/world.cpp
+++ b/lab/world.cpp
@@ -20,7 +20,7 @@
     World& world;
     std::size_t no;
     MemberName name;
-    std::unique_ptr<Fellow> fellow;
+    std::unique_ptr<Agent> agent;
     double rate = 1;
     bool stopped = false, cut_out = false, cut_in = false;
     std::uint64_t ask = 0;   // the deal at hand
@@ -52,7 +52,7 @@
     void remark(std::string_view) override {}
     // Runs at once, or when a stopped process goes on; never for a former one.
     void when_running(std::function<void()> then) {
-        if (!fellow) return;
+        if (!agent) return;
         if (stopped)
             waiting.push_back(std::move(then));
         else
@@ -85,13 +85,13 @@
     n.stopped = n.cut_in = n.cut_out = n.telling = false;
     n.told = {};
     n.history = 0;
-    Person person{n.name, Mark{n.name.raw() + '.' + std::to_string(n.life)}, "1", n.former};
-    person.answer_in = ms * 300;
-    person.spread = shape_.spread;
-    n.fellow = std::make_unique<Fellow>(n, n, articles_, person, chance_());
-    if (!n.kept.empty()) n.fellow->fence().kept_was(n.kept);
-    n.fellow->duties_are(n.clock(), {duties_.begin(), duties_.end()});
-    n.fellow->start(n.clock());
+    MemberIdentity identity{n.name, Mark{n.name.raw() + '.' + std::to_string(n.life)}, "1", n.former};
+    identity.answer_in = ms * 300;
+    identity.spread = shape_.spread;
+    n.agent = std::make_unique<Agent>(n, n, articles_, identity, chance_());
+    if (!n.kept.empty()) n.agent->fence().kept_was(n.kept);
+    n.agent->duties_are(n.clock(), {duties_.begin(), duties_.end()});
+    n.agent->start(n.clock());
     tell(n);
 }
 
@@ -101,10 +101,10 @@
 
 void World::kill(std::size_t member) {
     Node& n = *nodes_[member];
-    if (!n.fellow) return;
-    n.kept = n.fellow->fence().kept();
-    n.former = n.fellow->start_no();
-    n.fellow.reset();
+    if (!n.agent) return;
+    n.kept = n.agent->fence().kept();
+    n.former = n.agent->start_no();
+    n.agent.reset();
     ++n.life;
     n.waiting.clear();
 }
@@ -115,12 +115,12 @@
     Node& n = *nodes_[member];
     n.stopped = false;
     for (const auto& then : std::exchange(n.waiting, {}))
-        if (n.fellow && !n.stopped) then();
+        if (n.agent && !n.stopped) then();
 }
 
 void World::revive(std::size_t member) {
     Node& n = *nodes_[member];
-    if (!n.fellow) return start(member);
+    if (!n.agent) return start(member);
     n.cut_in = n.cut_out = n.telling = false;
     go_on(member);
     tell(n);
@@ -128,7 +128,7 @@
 
 void World::wake(Node& n) {
     n.when_running([this, &n] {
-        n.fellow->on_wake(n.clock());
+        n.agent->on_wake(n.clock());
         check(false);
     });
 }
@@ -195,7 +195,7 @@
     at(now_ + delay(troubles_.late), [this, &n, life, history, ask, o] {
         if (n.life != life || history != histories_) return;
         n.when_running([this, &n, ask, o] {
-            if (n.ask == ask) n.fellow->on_dealt(n.clock(), o.at, o.held, o.shown);
+            if (n.ask == ask) n.agent->on_dealt(n.clock(), o.at, o.held, o.shown);
             check(false);
         });
     });
@@ -205,7 +205,7 @@
 void World::order(const DutyName& duty, const Holder& holder) {
     Node& n = *nodes_[chance_() % nodes_.size()];
     at(now_ + articles_.term * (3 * part()), [this, &n, duty, holder] {
-        if (!n.fellow || n.stopped || !n.fellow->accepts(duty, holder)) return;
+        if (!n.agent || n.stopped || !n.agent->accepts(duty, holder)) return;
         EpochNo& heeded = heeded_[{n.no, duty}];
         if (holder.epoch < heeded)
             broken.push_back(n.name.raw() + " heeds epoch " + std::to_string(holder.epoch.raw()) + " after " +
@@ -216,7 +216,7 @@
 
 // The watch: everything up to some revision after a while, in order.
 void World::tell(Node& n) {
-    if (n.telling || !n.fellow) return;
+    if (n.telling || !n.agent) return;
     n.telling = true;
     const std::uint64_t life = n.life;
     at(now_ + delay(troubles_.late / 4), [this, &n, life] {
@@ -231,7 +231,7 @@
             const std::vector<Entry> list = whole ? book_.all() : book_.changes(n.told, book_.revision());
             n.history = histories_ + 1;
             n.told = book_.revision();
-            if (whole || !list.empty()) n.fellow->on_records(n.clock(), book_.revision(), list, whole);
+            if (whole || !list.empty()) n.agent->on_records(n.clock(), book_.revision(), list, whole);
             check(false);
         });
     });
@@ -248,10 +248,10 @@
             n.telling = false;
             tell(n);
         }
-        if (n.fellow && !n.stopped && chance(t.stop * share)) n.stopped = true;
+        if (n.agent && !n.stopped && chance(t.stop * share)) n.stopped = true;
         if (n.stopped && t.stop > 0 && chance(share / 8)) go_on(n.no);
-        if (n.fellow && chance(t.crash * share)) kill(n.no);
-        if (!n.fellow && t.crash > 0 && chance(share / 5)) start(n.no);
+        if (n.agent && chance(t.crash * share)) kill(n.no);
+        if (!n.agent && t.crash > 0 && chance(share / 5)) start(n.no);
     }
     if (chance(t.restore * share)) back(articles_.term * (1 + 2 * part()));
 }
@@ -320,11 +320,11 @@
                 next_work_ = now_ + work_every;
                 for (const auto& n : nodes_)
                     for (const DutyName& d : duties_)
-                        if (shape_.works && n->fellow && !n->stopped && n->fellow->may_begin(n->clock(), d))
-                            n->fellow->work(
+                        if (shape_.works && n->agent && !n->stopped && n->agent->may_begin(n->clock(), d))
+                            n->agent->work(
                                 n->clock(), d, Key{"work/" + d.raw() + '/' + std::to_string(++works_ % 8)},
-                                d.raw() + '/' + std::to_string(n->fellow->epoch_of(d).raw()) + '/' +
-                                    n->name.raw() + '/' + std::to_string(n->fellow->start_no().raw()));
+                                d.raw() + '/' + std::to_string(n->agent->epoch_of(d).raw()) + '/' +
+                                    n->name.raw() + '/' + std::to_string(n->agent->start_no().raw()));
             }
             continue;
         }
@@ -339,7 +339,7 @@
 
 std::optional<std::size_t> World::owner(std::size_t duty) const {
     for (const auto& n : nodes_)
-        if (n->fellow && n->fellow->may_act(n->clock(), duties_[duty])) return n->no;
+        if (n->agent && n->agent->may_act(n->clock(), duties_[duty])) return n->no;
     return std::nullopt;
 }
 
@@ -356,7 +356,7 @@
     for (std::size_t d = 0; d < duties_.size(); ++d) {
         std::optional<std::size_t> first;
         for (const auto& n : nodes_) {
-            if (!n->fellow || !n->fellow->may_act(n->clock(), duties_[d])) continue;
+            if (!n->agent || !n->agent->may_act(n->clock(), duties_[d])) continue;
             if (first)
                 broken.push_back("m" + std::to_string(*first) + " and " + n->name.raw() + " may act on " +
                                  duties_[d].raw() + " at " + std::to_string(now_.seconds() - 1000));
@@ -371,8 +371,8 @@
 std::string World::picture() const {
     std::string all;
     for (const auto& n : nodes_)
-        all += n->name.raw() + (n->fellow ? (n->stopped ? " stopped\n" : " up\n") : " down\n") +
-               (n->fellow ? n->fellow->picture(n->clock()) : "") + "\n";
+        all += n->name.raw() + (n->agent ? (n->stopped ? " stopped\n" : " up\n") : " down\n") +
+               (n->agent ? n->agent->picture(n->clock()) : "") + "\n";
     for (const auto& [key, value] : book_.records()) all += key.raw() + ' ' + value + '\n';
     return all;
 }
--- a/lab/world.hpp
+++ b/lab/world.hpp
@@ -1,4 +1,4 @@
-// A whole fleet in virtual time, from one seed: Fellows whose clocks drift, round one registry, with messages
+// A whole fleet in virtual time, from one seed: Agents whose clocks drift, round one registry, with messages
 // that are lost, late and repeated, processes that stop, die and start anew, links that are cut, and a
 // registry that goes back to a backup. After every event the guarantees are checked, from the registry's own
 // ledger and by asking every process, stopped ones too, what it would do at that instant.
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "fleet/fellow.hpp"
+#include "fleet/agent.hpp"
 #include "lab/book.hpp"
 
 namespace irismux::lab {
--- a/src/fleet/fellow.cpp
+++ b/src/fleet/agent.cpp
@@ -1,4 +1,4 @@
-#include "fleet/fellow.hpp"
+#include "fleet/agent.hpp"
 
 #include <algorithm>
 
@@ -43,19 +43,19 @@
            answer * 4;
 }
 
-Fellow::Fellow(Asks& asks, Hears& hears, const Articles& articles, Person person, std::uint64_t seed)
+Agent::Agent(Asks& asks, Hears& hears, const Articles& articles, MemberIdentity identity, std::uint64_t seed)
     : asks_(asks),
       hears_(hears),
       articles_(articles),
-      person_(std::move(person)),
+      identity_(std::move(identity)),
       chance_(static_cast<std::uint_fast32_t>(seed ^ (seed >> 32))),
-      membership_(articles, person_.name) {}
+      membership_(articles, identity_.name) {}
 
-Fellow::Fellow(const Fellow& o, Asks& asks, Hears& hears)
+Agent::Agent(const Agent& o, Asks& asks, Hears& hears)
     : asks_(asks),
       hears_(hears),
       articles_(o.articles_),
-      person_(o.person_),
+      identity_(o.identity_),
       chance_(o.chance_),
       membership_(o.membership_),
       duties_(o.duties_),
@@ -90,18 +90,18 @@
 // --- what happens ----------------------------------------------------------------------------------------
 
 // All that start at once, as after a loss of power, do not ask at once.
-void Fellow::start(Instant now) {
+void Agent::start(Instant now) {
     started_ = true;
-    if (person_.spread) next_ = now + membership_.round() * (start_of_round * part());
+    if (identity_.spread) next_ = now + membership_.round() * (start_of_round * part());
     go_on(now);
 }
 
-void Fellow::leave(Instant now) {
+void Agent::leave(Instant now) {
     leaving_ = true;
     go_on(now);
 }
 
-void Fellow::duties_are(Instant now, const std::set<DutyName>& names) {
+void Agent::duties_are(Instant now, const std::set<DutyName>& names) {
     if (!duties_.are(names)) hears_.remark("there are more duties than this gateway can follow");
     std::vector<DutyName> over;
     for (auto& [name, d] : duties_.all()) {
@@ -116,14 +116,14 @@
     go_on(now);
 }
 
-void Fellow::marks_are(Instant now, std::set<CacheId> caches) {
+void Agent::marks_are(Instant now, std::set<CacheId> caches) {
     while (caches.size() > most_marks) caches.erase(std::prev(caches.end()));
     marks_ = std::move(caches);
     go_on(now);
 }
 
-void Fellow::on_records(Instant now, registry::Revision at, const std::vector<Entry>& records,
-                        bool whole_list) {
+void Agent::on_records(Instant now, registry::Revision at, const std::vector<Entry>& records,
+                       bool whole_list) {
     if (whole_list) {
         std::set<MemberName> members;
         std::set<DutyName> duties;
@@ -142,7 +142,7 @@
     go_on(now);
 }
 
-void Fellow::on_dealt(Instant now, registry::Revision at, bool held, const std::vector<Entry>& shown) {
+void Agent::on_dealt(Instant now, registry::Revision at, bool held, const std::vector<Entry>& shown) {
     const Step step = std::exchange(step_, Step::none);
     if (step == Step::none) return;
     silences_ = 0;
@@ -156,12 +156,12 @@
     }
     if (held && step != Step::look) learn(now, at, out_.writes);
     learn(now, at, shown);
-    if (!held && membership_.in() && shows(shown, key_of_beat(person_.name)))
-        own_sign_shown(now, shown_of(shown, key_of_beat(person_.name)));
+    if (!held && membership_.in() && shows(shown, key_of_beat(identity_.name)))
+        own_sign_shown(now, shown_of(shown, key_of_beat(identity_.name)));
     if (step == Step::look) {
         // Starts of that name, whether or not their records still stand, were given below the registry's
         // revision.
-        person_.former = std::max(person_.former, StartNo{at.raw()});
+        identity_.former = std::max(identity_.former, StartNo{at.raw()});
         looked(now, shown);
     }
     if (step == Step::publish && held) record_ = out_.writes.front().second;
@@ -173,7 +173,7 @@
     go_on(now);
 }
 
-void Fellow::on_no_answer(Instant now) {
+void Agent::on_no_answer(Instant now) {
     const Step step = std::exchange(step_, Step::none);
     if (step == Step::none) return;
     if (step == Step::work) work_over(Done::unknown);
@@ -185,14 +185,14 @@
     go_on(now);
 }
 
-void Fellow::on_wake(Instant now) {
+void Agent::on_wake(Instant now) {
     if (step_ != Step::none && now >= due_) return on_no_answer(now);
     go_on(now);
 }
 
 // --- what is known ---------------------------------------------------------------------------------------
 
-void Fellow::learn(Instant now, registry::Revision at, const std::vector<Entry>& shown) {
+void Agent::learn(Instant now, registry::Revision at, const std::vector<Entry>& shown) {
     const bool hold = membership_.others().size() <= looked_at + doubted_at_most;
     for (const auto& [key, text] : shown) {
         if (const auto m = member_of(key)) membership_.record(now, at, *m, text);
@@ -210,7 +210,7 @@
         if (const auto m = beat_of(key)) membership_.beat(now, *m, text, hold);
 }
 
-void Fellow::duty_learnt(const DutyName& name, const Duties::Duty& d) {
+void Agent::duty_learnt(const DutyName& name, const Duties::Duty& d) {
     if (d.text && !d.record)
         return hears_.remark("the record of duty " + name.raw() +
                              " can't be read: it is left alone until an operator has mended it");
@@ -230,10 +230,10 @@
 }
 
 // What a deal that failed shows of our own sign of life: a later one of ours landed, or we are out.
-void Fellow::own_sign_shown(Instant now, const Text& text) {
+void Agent::own_sign_shown(Instant now, const Text& text) {
     if (text == sign_) return;
     const auto read = text ? read_beat(*text) : std::nullopt;
-    const bool ours = read && read->mark == person_.mark && read->start == start_;
+    const bool ours = read && read->mark == identity_.mark && read->start == start_;
     if (ours && read->beat > membership_.last()) {
         sign_ = text;
         return membership_.confirmed(now, read->beat);
@@ -241,7 +241,7 @@
     out(now, ours ? "the registry has gone back: joining anew" : "evicted: joining anew");
 }
 
-void Fellow::out(Instant now, std::string_view why) {
+void Agent::out(Instant now, std::string_view why) {
     membership_.out();
     membership_.forget_waits();
     former_.reset();
@@ -254,7 +254,7 @@
 
 // --- what is to be done ----------------------------------------------------------------------------------
 
-void Fellow::go_on(Instant now) {
+void Agent::go_on(Instant now) {
     judge(now);
     if (!started_) return;
     if (step_ == Step::none && now >= next_) {
@@ -263,7 +263,7 @@
         } else if (leaving_) {
             say(now, Step::leave,
                 {{own_sign()},
-                 {{key_of_member(person_.name), std::nullopt}, {key_of_beat(person_.name), std::nullopt}},
+                 {{key_of_member(identity_.name), std::nullopt}, {key_of_beat(identity_.name), std::nullopt}},
                  {}});
         } else if (now >= next_beat_) {
             beat(now);
@@ -281,34 +281,34 @@
     asks_.wake(std::max(at, now + Span::micros(1)));
 }
 
-void Fellow::say(Instant now, Step step, Deal deal) {
+void Agent::say(Instant now, Step step, Deal deal) {
     step_ = step;
     out_ = std::move(deal);
-    due_ = now + person_.answer_in;
+    due_ = now + identity_.answer_in;
     asks_.deal(out_);
 }
 
-void Fellow::rest(Instant now) {
+void Agent::rest(Instant now) {
     const double doubled = 1 << std::min(silences_++, most_doublings);
-    const double drawn = person_.spread ? part() : 1.0;
+    const double drawn = identity_.spread ? part() : 1.0;
     next_ = now + membership_.round() * (pause_of_round * doubled * (0.5 + drawn / 2));
 }
 
-double Fellow::part() {
+double Agent::part() {
     return static_cast<double>(chance_()) / static_cast<double>(std::ranlux24_base::max());
 }
 
 // --- out, and in -----------------------------------------------------------------------------------------
 
-void Fellow::settle_in(Instant now) {
-    say(now, Step::look, {{}, {}, {about_key(), key_of_member(person_.name), key_of_beat(person_.name)}});
+void Agent::settle_in(Instant now) {
+    say(now, Step::look, {{}, {}, {about_key(), key_of_member(identity_.name), key_of_beat(identity_.name)}});
 }
 
-void Fellow::looked(Instant now, const std::vector<Entry>& shown) {
+void Agent::looked(Instant now, const std::vector<Entry>& shown) {
     const std::string articles = write(articles_);
     const Text& about = shown_of(shown, about_key());
-    const Text& member = shown_of(shown, key_of_member(person_.name));
-    const Text& sign = shown_of(shown, key_of_beat(person_.name));
+    const Text& member = shown_of(shown, key_of_member(identity_.name));
+    const Text& sign = shown_of(shown, key_of_beat(identity_.name));
     next_ = now + membership_.round();
     const auto say_once = [&](const std::string& why) {
         if (std::exchange(said_, why) != why) hears_.remark(why);
@@ -319,11 +319,11 @@
                         ": this gateway stays out");
     if (!member && !sign) return join(now, member, sign);
     const auto read = member ? read_member(*member) : std::nullopt;
-    if (read) person_.former = std::max(person_.former, read->start);
-    if (read && read->mark == person_.mark) {
+    if (read) identity_.former = std::max(identity_.former, read->start);
+    if (read && read->mark == identity_.mark) {
         // A join of ours has landed whose answer was lost; or the registry has gone back to a former one.
         const auto beat = sign ? read_beat(*sign) : std::nullopt;
-        if (!join_out_ || read->start != start_ || !beat || beat->mark != person_.mark)
+        if (!join_out_ || read->start != start_ || !beat || beat->mark != identity_.mark)
             return join(now, member, sign);
         join_out_ = false;
         sign_ = sign;
@@ -333,7 +333,7 @@
     const std::pair<Text, Text> seen{member, sign};
     if (former_ != seen) {
         if (former_ && former_->first == member)
-            say_once("the name " + person_.name.raw() +
+            say_once("the name " + identity_.name.raw() +
                      " is held by another living gateway: this one stays out until that has left");
         former_ = seen;
         former_since_ = now;
@@ -342,26 +342,28 @@
     }
 }
 
-MemberRecord Fellow::own_record() const { return {start_, person_.mark, person_.version, refused_, marks_}; }
+MemberRecord Agent::own_record() const {
+    return {start_, identity_.mark, identity_.version, refused_, marks_};
+}
 
-void Fellow::join(Instant now, const Text& member, const Text& sign) {
-    start_ = person_.former = StartNo{person_.former.raw() + 1};
+void Agent::join(Instant now, const Text& member, const Text& sign) {
+    start_ = identity_.former = StartNo{identity_.former.raw() + 1};
     record_ = write(own_record());
     beat_out_ = last_beat_ = BeatNo{last_beat_.raw() + 1};
     join_out_ = true;
     duties_.forget_given_up();
     next_ = now;
     membership_.sent(now, beat_out_);
-    const Key own = key_of_member(person_.name), beat = key_of_beat(person_.name);
+    const Key own = key_of_member(identity_.name), beat = key_of_beat(identity_.name);
     say(now, Step::join,
         {{{about_key(), write(articles_)}, {own, member}, {beat, sign}},
-         {{own, record_}, {beat, write(BeatRecord{start_, person_.mark, beat_out_})}},
+         {{own, record_}, {beat, write(BeatRecord{start_, identity_.mark, beat_out_})}},
          {}});
 }
 
-void Fellow::beat(Instant now) {
+void Agent::beat(Instant now) {
     Span pause = membership_.round();
-    if (person_.spread) pause = pause * (1 - spread_of_round * part());
+    if (identity_.spread) pause = pause * (1 - spread_of_round * part());
     next_beat_ = now + pause;
     beat_out_ = last_beat_ = BeatNo{last_beat_.raw() + 1};
     membership_.sent(now, beat_out_);
@@ -369,11 +371,11 @@
     shown.insert(shown.end(), unsure_.begin(), unsure_.end());
     say(now, Step::beat,
         {{own_sign()},
-         {{key_of_beat(person_.name), write(BeatRecord{start_, person_.mark, beat_out_})}},
+         {{key_of_beat(identity_.name), write(BeatRecord{start_, identity_.mark, beat_out_})}},
          std::move(shown)});
 }
 
-std::vector<Key> Fellow::signs_to_look_at(Instant now) {
+std::vector<Key> Agent::signs_to_look_at(Instant now) {
     const auto& others = membership_.others();
     std::set<Key> keys;
     for (const auto& [name, o] : others)
@@ -390,16 +392,16 @@
 
 // --- duties ----------------------------------------------------------------------------------------------
 
-bool Fellow::named(const Duties::Duty& d) const {
-    return membership_.in() && d.record && d.record->owner == person_.name && d.record->start == start_;
+bool Agent::named(const Duties::Duty& d) const {
+    return membership_.in() && d.record && d.record->owner == identity_.name && d.record->start == start_;
 }
 
 // Whether the record, heeded as it may be, makes it this member's.
-bool Fellow::holds(Instant now, const Duties::Duty& d) const {
+bool Agent::holds(Instant now, const Duties::Duty& d) const {
     return named(d) && d.wanted && d.record->epoch > d.given_up && !membership_.listening(now);
 }
 
-Grounds Fellow::grounds(Instant now, const DutyName& name, const Duties::Duty& d) const {
+Grounds Agent::grounds(Instant now, const DutyName& name, const Duties::Duty& d) const {
     Grounds g;
     g.named = holds(now, d);
     g.in_term = membership_.in_term(now) && !leaving_;
@@ -408,46 +410,46 @@
     return g;
 }
 
-bool Fellow::may_act(Instant now, const DutyName& name) const {
+bool Agent::may_act(Instant now, const DutyName& name) const {
     const auto it = duties_.all().find(name);
     return it != duties_.all().end() && holds(now, it->second) && membership_.in_term(now) && !leaving_;
 }
 
-bool Fellow::may_begin(Instant now, const DutyName& name) const {
+bool Agent::may_begin(Instant now, const DutyName& name) const {
     return may_act(now, name) && !membership_.near_end(now);
 }
 
-EpochNo Fellow::epoch_of(const DutyName& name) const {
+EpochNo Agent::epoch_of(const DutyName& name) const {
     const auto it = duties_.all().find(name);
     return it != duties_.all().end() && it->second.record ? it->second.record->epoch : EpochNo{};
 }
 
 // Nobody owns it: it was never owned or given up, or its owner is a member no more.
-bool Fellow::free(const Duties::Duty& d) const {
+bool Agent::free(const Duties::Duty& d) const {
     if (!d.known || (d.text && !d.record)) return false;
     if (!d.record || d.record->owner.raw().empty()) return true;
-    if (d.record->owner == person_.name) return !named(d) || d.record->epoch <= d.given_up;
+    if (d.record->owner == identity_.name) return !named(d) || d.record->epoch <= d.given_up;
     return !is_member({d.record->owner, d.record->start});
 }
 
-bool Fellow::is_member(const Instance& who) const {
-    if (who.name == person_.name) return membership_.in() && who.start == start_;
+bool Agent::is_member(const Instance& who) const {
+    if (who.name == identity_.name) return membership_.in() && who.start == start_;
     const auto it = membership_.others().find(who.name);
     return it != membership_.others().end() && (!it->second.readable || it->second.member.start == who.start);
 }
 
-std::size_t Fellow::place(Instant now, const DutyName& name, const Duties::Duty& d, bool settled) const {
+std::size_t Agent::place(Instant now, const DutyName& name, const Duties::Duty& d, bool settled) const {
     const bool aside = d.aside && *d.aside == self();
     std::size_t ahead = 0;
     for (const auto& [other, o] : membership_.others()) {
         if (membership_.suspected(o) || (settled && !membership_.settled(now, o))) continue;
         if (d.aside && d.aside->name == other && is_member(*d.aside)) continue;
-        ahead += aside || Duties::ahead(name, other, person_.name);
+        ahead += aside || Duties::ahead(name, other, identity_.name);
     }
     return ahead;
 }
 
-EpochNo Fellow::refused_elsewhere(const DutyName& name) const {
+EpochNo Agent::refused_elsewhere(const DutyName& name) const {
     EpochNo highest;
     for (const auto& [who, o] : membership_.others())
         if (const auto it = o.member.refuses.find(name); it != o.member.refuses.end())
@@ -455,12 +457,12 @@
     return highest;
 }
 
-EpochNo Fellow::above(const DutyName& name, const Duties::Duty& d) const {
+EpochNo Agent::above(const DutyName& name, const Duties::Duty& d) const {
     const EpochNo standing = d.record ? d.record->epoch : floor_ ? read_floor(*floor_) : EpochNo{};
     return EpochNo{std::max({standing, d.given_up, fence_.highest(name), refused_elsewhere(name)}).raw() + 1};
 }
 
-void Fellow::judge(Instant now) {
+void Agent::judge(Instant now) {
     for (auto& [name, d] : duties_.all()) {
         if (!free(d))
             d.free_since.reset();
@@ -472,7 +474,7 @@
     }
 }
 
-bool Fellow::next_duty(Instant now) {
+bool Agent::next_duty(Instant now) {
     if (membership_.listening(now)) return false;
     for (auto& [name, d] : duties_.all()) {
         if (!d.wanted) {
@@ -493,12 +495,12 @@
     return false;
 }
 
-void Fellow::claim(Instant now, const DutyName& name, const Duties::Duty& d) {
+void Agent::claim(Instant now, const DutyName& name, const Duties::Duty& d) {
     Deal deal{{own_sign(), {key_of_duty(name), d.text}},
-              {{key_of_duty(name), write(DutyRecord{above(name, d), person_.name, start_})}},
+              {{key_of_duty(name), write(DutyRecord{above(name, d), identity_.name, start_})}},
               {}};
     // The registry itself must know its owner as gone.
-    if (d.record && !d.record->owner.raw().empty() && d.record->owner != person_.name) {
+    if (d.record && !d.record->owner.raw().empty() && d.record->owner != identity_.name) {
         const auto it = membership_.others().find(d.record->owner);
         deal.holds.push_back({key_of_member(d.record->owner),
                               it == membership_.others().end() ? Text{} : Text{it->second.text}});
@@ -510,7 +512,7 @@
 }
 
 // From here on nothing is done under that epoch, whatever comes of the deal.
-void Fellow::give_up(Instant now, const DutyName& name, Duties::Duty& d) {
+void Agent::give_up(Instant now, const DutyName& name, Duties::Duty& d) {
     d.given_up = d.record->epoch;
     if (d.wanted) next_yield_ = now + membership_.round();
     judge(now);
@@ -523,7 +525,7 @@
 
 // --- evictions, refusals, work ---------------------------------------------------------------------------
 
-bool Fellow::next_eviction(Instant now) {
+bool Agent::next_eviction(Instant now) {
     if (membership_.listening(now)) return false;
     for (const auto& [name, o] : membership_.others()) {
         if (!membership_.evictable(o)) continue;
@@ -537,29 +539,29 @@
     return false;
 }
 
-bool Fellow::next_publication(Instant now) {
+bool Agent::next_publication(Instant now) {
     const std::string wanted = write(own_record());
     if (record_ == wanted || now < next_publication_) return false;
     next_publication_ =
         now + membership_.round() * std::max(1.0, static_cast<double>(membership_.others().size()) /
                                                       static_cast<double>(heard_a_round));
-    const Key own = key_of_member(person_.name);
+    const Key own = key_of_member(identity_.name);
     say(now, Step::publish, {{own_sign(), {own, record_}}, {{own, wanted}}, {}});
     return true;
 }
 
-bool Fellow::work(Instant now, const DutyName& duty, const Key& key, const std::string& value) {
+bool Agent::work(Instant now, const DutyName& duty, const Key& key, const std::string& value) {
     return work(now, duty, key, Chore{{}, {{key, value}}});
 }
 
-bool Fellow::work(Instant now, const DutyName& duty, const Key& key, Chore chore) {
+bool Agent::work(Instant now, const DutyName& duty, const Key& key, Chore chore) {
     if (!may_begin(now, duty) || works_.size() >= most_works) return false;
     works_.push_back({duty, key, std::move(chore)});
     go_on(now);
     return true;
 }
 
-bool Fellow::next_work(Instant now) {
+bool Agent::next_work(Instant now) {
     while (!works_.empty() && !may_act(now, works_.front().duty)) work_over(Done::refused);
     if (works_.empty()) return false;
     const Work& w = works_.front();
@@ -570,13 +572,13 @@
     return true;
 }
 
-void Fellow::work_over(Done done) {
+void Agent::work_over(Done done) {
     const Work work = works_.front();
     works_.pop_front();
     hears_.work_told(work.duty, work.key, done);
 }
 
-std::string Fellow::picture(Instant now) const {
+std::string Agent::picture(Instant now) const {
     const auto rel = [&](Instant t) {
         return std::to_string(std::max((t - now).micros(), std::int64_t{-1})) + ' ';
     };
--- a/src/fleet/fellow.hpp
+++ b/src/fleet/agent.hpp
@@ -37,7 +37,7 @@
     std::vector<Key> shows;
 };
 
-// What a Fellow asks of its carrier. Each deal replaces the one before: answers to a former one must not be
+// What an Agent asks of its carrier. Each deal replaces the one before: answers to a former one must not be
 // told. Answers never come from within a call.
 class Asks {
 public:
@@ -64,7 +64,7 @@
 };
 
 // A gateway's own part of the fleet's table.
-struct Person {
+struct MemberIdentity {
     MemberName name;
     Mark mark;            // drawn anew at each start
     std::string version;  // of the program
@@ -78,11 +78,11 @@
 // looked at whole; in larger ones a look comes by chance, and each round without one adds a round.
 Span longest_without_owner(const Articles& articles, Span answer, std::size_t places);
 
-class Fellow {
+class Agent {
 public:
-    Fellow(Asks& asks, Hears& hears, const Articles& articles, Person person, std::uint64_t seed);
+    Agent(Asks& asks, Hears& hears, const Articles& articles, MemberIdentity identity, std::uint64_t seed);
     // The same at this instant, with other ports: for those who explore what may come of it.
-    Fellow(const Fellow& as_is, Asks& asks, Hears& hears);
+    Agent(const Agent& as_is, Asks& asks, Hears& hears);
 
     void start(Instant now);
     void leave(Instant now);  // stops acting, then takes its records away
@@ -111,7 +111,7 @@
     const Duties& duties() const { return duties_; }
     Fence& fence() { return fence_; }
     StartNo start_no() const { return start_; }
-    Instance self() const { return {person_.name, start_}; }
+    Instance self() const { return {identity_.name, start_}; }
     const Text& floor() const { return floor_; }
     // Whether that very instance is a member, as far as is known; those that can't be read are.
     bool is_member(const Instance&) const;
@@ -155,13 +155,13 @@
     // Of this member in the duty's order, over those that are counted on; 0 is the first.
     std::size_t place(Instant now, const DutyName&, const Duties::Duty&, bool settled) const;
     std::vector<Key> signs_to_look_at(Instant now);
-    Entry own_sign() const { return {key_of_beat(person_.name), sign_}; }
+    Entry own_sign() const { return {key_of_beat(identity_.name), sign_}; }
     MemberRecord own_record() const;
 
     Asks& asks_;
     Hears& hears_;
     Articles articles_;
-    Person person_;
+    MemberIdentity identity_;
     std::ranlux24_base chance_;
     Membership membership_;
     Duties duties_;
--- a/src/fleet/roll.hpp
+++ b/src/fleet/roll.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "fleet/fellow.hpp"
+#include "fleet/agent.hpp"
 
 namespace irismux::fleet {
 
--- a/src/fleet/station.cpp
+++ b/src/fleet/station.cpp
@@ -45,14 +45,14 @@
       gate_(gate),
       settings_(settings),
       followed_(followed(settings.registry)),
-      fellow_((open_store(), *this), *this, settings.articles, person(version), mixed_with_chance(seed)),
-      vigil_(*this, settings.look_every, fellow_.membership().round()),
-      sweep_(settings.sweep_every, fellow_.membership().wait() * 2),
+      agent_((open_store(), *this), *this, settings.articles, identity(version), mixed_with_chance(seed)),
+      vigil_(*this, settings.look_every, agent_.membership().round()),
+      sweep_(settings.sweep_every, agent_.membership().wait() * 2),
       asker_(loop, *this, settings_.registry),
       member_(seed % settings.registry.members.size()),
       client_(loop, *this, followed_, mixed_with_chance(seed), registry::Sort::plain) {
     if (store_)
-        if (const auto seen = store_->read(seen_name); seen && !fellow_.fence().kept_was(*seen))
+        if (const auto seen = store_->read(seen_name); seen && !agent_.fence().kept_was(*seen))
             gate_.fleet_says(
                 "what was kept of epochs seen can't be read: lower ones are refused from now on only", true);
 }
@@ -70,8 +70,9 @@
     store_ = std::move(std::get<Store>(opened));
 }
 
-Person Station::person(const std::string& version) {
-    Person p{settings_.name, Mark{drawn_mark()}, version, {}, settings_.registry.pace.answer_in, true};
+MemberIdentity Station::identity(const std::string& version) {
+    MemberIdentity p{
+        settings_.name, Mark{drawn_mark()}, version, {}, settings_.registry.pace.answer_in, true};
     if (const auto start = store_ ? store_->read(start_name) : std::nullopt)
         p.former = StartNo{std::atoll(start->c_str())};
     return p;
@@ -92,7 +93,7 @@
 
 void Station::start() {
     know_duties();
-    fellow_.start(clock());
+    agent_.start(clock());
     client_.start();
     go_on();
     keep();
@@ -101,24 +102,22 @@
 void Station::leave() {
     keep();
     store_.reset();
-    fellow_.leave(clock());
+    agent_.leave(clock());
 }
 
 void Station::marked(const CacheId& cache, bool is) {
     vigil_.marked(cache, is);
     // Where looks are not permitted the Router's own trial was the look.
     later([this, cache, is] {
-        if (!is) vigil_.looked(clock(), cache, true, fellow_);
-        fellow_.marks_are(clock(), vigil_.marks());
+        if (!is) vigil_.looked(clock(), cache, true, agent_);
+        agent_.marks_are(clock(), vigil_.marks());
         know_duties();
     });
 }
 
-void Station::probed(const CacheId& cache, bool answered) {
-    vigil_.looked(clock(), cache, answered, fellow_);
-}
+void Station::probed(const CacheId& cache, bool answered) { vigil_.looked(clock(), cache, answered, agent_); }
 
-bool Station::may_look(const CacheId& cache) const { return vigil_.may_go(clock(), cache, fellow_); }
+bool Station::may_look(const CacheId& cache) const { return vigil_.may_go(clock(), cache, agent_); }
 
 // --- deals -----------------------------------------------------------------------------------------------
 
@@ -158,7 +157,7 @@
         for (const Key& key : d.shows) show(key);
     else
         for (const auto& [key, text] : d.holds) show(key);
-    fellow_.on_dealt(clock(), settled.from.revision, settled.held, shown);
+    agent_.on_dealt(clock(), settled.from.revision, settled.held, shown);
     go_on();
 }
 
@@ -166,14 +165,14 @@
     asker_.hang_up();
     next_member();
     if (!std::exchange(out_, std::nullopt)) return;
-    fellow_.on_no_answer(clock());
+    agent_.on_no_answer(clock());
     go_on();
 }
 
 void Station::wake(Instant at) {
     loop_.forget(wake_);
     wake_ = loop_.at(by_loop(at), [this] {
-        fellow_.on_wake(clock());
+        agent_.on_wake(clock());
         go_on();
     });
 }
@@ -187,13 +186,13 @@
         entries.emplace_back(Key{c.record.key.raw()}, c.deleted ? Text{} : Text{c.record.value});
     roll_.show(entries, all);
     told_ = at;
-    fellow_.on_records(clock(), at, entries, all);
+    agent_.on_records(clock(), at, entries, all);
     for (const auto& [key, text] : entries)
         if (const auto cache = finding_of(key))
             if (const auto f = text ? read_finding(*text) : std::nullopt) {
                 const DutyName duty = watch_over(*cache);
-                if (fellow_.accepts(duty, {f->epoch, f->by.name, f->by.start}))
-                    vigil_.found(clock(), *cache, *f, fellow_);
+                if (agent_.accepts(duty, {f->epoch, f->by.name, f->by.start}))
+                    vigil_.found(clock(), *cache, *f, agent_);
             }
     know_duties();
     go_on();
@@ -209,15 +208,15 @@
 
 void Station::know_duties() {
     std::set<DutyName> now_known{sweeping()};
-    for (const CacheId& c : vigil_.watched(fellow_)) now_known.insert(watch_over(c));
+    for (const CacheId& c : vigil_.watched(agent_)) now_known.insert(watch_over(c));
     if (now_known == duties_) return;
     std::vector<Entry> records;
     for (const DutyName& d : now_known)
         if (!duties_.contains(d) && told_ > registry::Revision{})
             for (const Key& key : {key_of_duty(d), key_of_aside(d)}) records.emplace_back(key, roll_.at(key));
     duties_ = now_known;
-    fellow_.duties_are(clock(), duties_);
-    if (!records.empty()) fellow_.on_records(clock(), told_, records, false);
+    agent_.duties_are(clock(), duties_);
+    if (!records.empty()) agent_.on_records(clock(), told_, records, false);
 }
 
 // --- duties ----------------------------------------------------------------------------------------------
@@ -226,11 +225,11 @@
 void Station::go_on() {
     loop_.forget(go_on_);
     const Instant now = clock();
-    vigil_.tick(now, fellow_);
+    vigil_.tick(now, agent_);
     Instant due = vigil_.due();
-    if (fellow_.may_begin(now, sweeping())) {
-        if (auto chore = sweep_.next(now, roll_, fellow_))
-            if (!fellow_.work(now, sweeping(), swept_key(), std::move(*chore)))
+    if (agent_.may_begin(now, sweeping())) {
+        if (auto chore = sweep_.next(now, roll_, agent_))
+            if (!agent_.work(now, sweeping(), swept_key(), std::move(*chore)))
                 sweep_.told(now, Done::refused);
         if (sweep_.due() > now) due = std::min(due, sweep_.due());
     }
@@ -251,7 +250,7 @@
     later([this, cache] {
         // A turn lies between, and a stop may have: the term is judged again right before the first byte.
         if (!may_look(cache)) return;
-        if (!gate_.look(cache)) vigil_.not_permitted(clock(), cache, fellow_);
+        if (!gate_.look(cache)) vigil_.not_permitted(clock(), cache, agent_);
     });
 }
 
@@ -265,11 +264,11 @@
     loop_.forget(keep_);
     keep_ = loop_.at(loop_.now() + keep_every, [this] { keep(); });
     if (!store_) return;
-    const std::string now_seen = fellow_.fence().kept() + std::to_string(fellow_.start_no().raw());
+    const std::string now_seen = agent_.fence().kept() + std::to_string(agent_.start_no().raw());
     if (now_seen == kept_) return;
-    auto why = store_->write(seen_name, fellow_.fence().kept());
-    if (!why && fellow_.start_no() > StartNo{})
-        why = store_->write(start_name, std::to_string(fellow_.start_no().raw()));
+    auto why = store_->write(seen_name, agent_.fence().kept());
+    if (!why && agent_.start_no() > StartNo{})
+        why = store_->write(start_name, std::to_string(agent_.start_no().raw()));
     if (why && !std::exchange(not_kept_, true)) gate_.fleet_says("epochs seen are " + *why, true);
     if (why) return;
     not_kept_ = false;
--- a/src/fleet/station.hpp
+++ b/src/fleet/station.hpp
@@ -1,4 +1,4 @@
-// Carries a Fellow, and the duties that it may own, between the registry and the gateway, on the loop.
+// Carries an Agent, and the duties that it may own, between the registry and the gateway, on the loop.
 // Decides nothing: what is due and what it means is asked of the cores.
 //
 // The clock is CLOCK_BOOTTIME: it counts time during which the machine sleeps.
@@ -10,7 +10,7 @@
 #include <set>
 #include <string>
 
-#include "fleet/fellow.hpp"
+#include "fleet/agent.hpp"
 #include "fleet/roll.hpp"
 #include "fleet/settings.hpp"
 #include "fleet/sweep.hpp"
@@ -55,7 +55,7 @@
     // Asked at the first byte of a look that has waited: whether the term still covers it.
     bool may_look(const CacheId& cache) const;
 
-    const Fellow& fellow() const { return fellow_; }
+    const Agent& agent() const { return agent_; }
 
 private:
     // Asks
@@ -86,14 +86,14 @@
     void know_duties();
     void keep();
     void open_store();
-    Person person(const std::string& version);
+    MemberIdentity identity(const std::string& version);
 
     Loop& loop_;
     Gate& gate_;
     Settings settings_;
     std::optional<Store> store_;
     registry::Settings followed_;
-    Fellow fellow_;
+    Agent agent_;
     Vigil vigil_;
     Sweep sweep_;
     Roll roll_;
--- a/src/fleet/sweep.cpp
+++ b/src/fleet/sweep.cpp
@@ -6,23 +6,23 @@
 
 // What takes that record away if it is litter, and what must still be so when it lands.
 std::optional<Chore> Sweep::removal(const Key& key, const std::string& text, const Roll& roll,
-                                    const Fellow& fellow) const {
+                                    const Agent& agent) const {
     const Entry as_is{key, text}, away{key, std::nullopt};
     const auto gone = [&](const Instance& who) -> std::optional<Entry> {
-        if (fellow.is_member(who)) return std::nullopt;
+        if (agent.is_member(who)) return std::nullopt;
         const Key member = key_of_member(who.name);
         return Entry{member, roll.at(member)};
     };
     if (const auto duty = duty_of(key); duty && watched_by(*duty)) {
         const auto record = read_duty(text);
-        if (!record || fellow.duties().all().contains(*duty)) return std::nullopt;
-        Chore c{{as_is, {floor_key(), fellow.floor()}}, {away}};
+        if (!record || agent.duties().all().contains(*duty)) return std::nullopt;
+        Chore c{{as_is, {floor_key(), agent.floor()}}, {away}};
         if (!record->owner.raw().empty()) {
             const auto owner = gone({record->owner, record->start});
             if (!owner) return std::nullopt;
             c.holds.push_back(*owner);
         }
-        const EpochNo floor = fellow.floor() ? read_floor(*fellow.floor()) : EpochNo{};
+        const EpochNo floor = agent.floor() ? read_floor(*agent.floor()) : EpochNo{};
         if (record->epoch > floor) c.writes.emplace_back(floor_key(), write_floor(record->epoch));
         return c;
     }
@@ -41,11 +41,11 @@
 }
 
 // Once a pass: what has lain there for long enough.
-void Sweep::look_over(Instant now, const Roll& roll, const Fellow& fellow) {
+void Sweep::look_over(Instant now, const Roll& roll, const Agent& agent) {
     std::map<Key, Lying> lying;
     ready_.clear();
     for (const auto& [key, text] : roll.records()) {
-        if (!removal(key, text, roll, fellow)) continue;
+        if (!removal(key, text, roll, agent)) continue;
         const auto known = litter_.find(key);
         const bool same = known != litter_.end() && known->second.text == text;
         const Instant since = same ? known->second.since : now;
@@ -56,28 +56,28 @@
     looked_over_ = true;
 }
 
-std::optional<Chore> Sweep::next(Instant now, const Roll& roll, const Fellow& fellow) {
+std::optional<Chore> Sweep::next(Instant now, const Roll& roll, const Agent& agent) {
     if (out_ || now < next_) return std::nullopt;
     const Text former = roll.at(swept_key());
     Swept place = former ? read_swept(*former).value_or(Swept{}) : Swept{};
     // A successor goes on with the pass that it finds; what the one before has dealt with is not there any
     // more.
-    if (!looked_over_) look_over(now, roll, fellow);
+    if (!looked_over_) look_over(now, roll, agent);
     std::optional<Chore> chore;
     Key at;
     while (!ready_.empty() && !chore) {
         at = *ready_.begin();
         ready_.erase(ready_.begin());
         const Text text = roll.at(at);
-        if (text && at.raw() > place.behind) chore = removal(at, *text, roll, fellow);
+        if (text && at.raw() > place.behind) chore = removal(at, *text, roll, agent);
     }
     ends_pass_ = !chore;
     if (!chore) chore.emplace();
     place.taken += !ends_pass_;
     place.pass += ends_pass_;
     place.behind = ends_pass_ ? "" : at.raw();
-    place.epoch = fellow.epoch_of(sweeping());
-    place.by = fellow.self();
+    place.epoch = agent.epoch_of(sweeping());
+    place.by = agent.self();
     chore->writes.emplace_back(swept_key(), write(place));
     out_ = true;
     return chore;
--- a/src/fleet/sweep.hpp
+++ b/src/fleet/sweep.hpp
@@ -15,7 +15,7 @@
 #include <set>
 #include <string>
 
-#include "fleet/fellow.hpp"
+#include "fleet/agent.hpp"
 #include "fleet/roll.hpp"
 
 namespace irismux::fleet {
@@ -28,16 +28,16 @@
     Sweep(Span every, Span rests) : every_(every), rests_(rests) {}
 
     // What to write next, if anything is due. One chore is out at a time; its end is told.
-    std::optional<Chore> next(Instant now, const Roll& roll, const Fellow& fellow);
+    std::optional<Chore> next(Instant now, const Roll& roll, const Agent& agent);
     void told(Instant now, Done done);
     Instant due() const { return next_; }
 
 private:
     std::optional<Chore> removal(const Key& key, const std::string& text, const Roll& roll,
-                                 const Fellow& fellow) const;
+                                 const Agent& agent) const;
 
     Span every_, rests_;
-    void look_over(Instant now, const Roll& roll, const Fellow& fellow);
+    void look_over(Instant now, const Roll& roll, const Agent& agent);
 
     bool out_ = false, ends_pass_ = false;
     Instant next_;
--- a/src/fleet/vigil.cpp
+++ b/src/fleet/vigil.cpp
@@ -23,10 +23,10 @@
     if (!is) well_.erase(cache);
 }
 
-const std::set<CacheId>& Vigil::watched(const Fellow& fellow) {
+const std::set<CacheId>& Vigil::watched(const Agent& agent) {
     std::map<CacheId, std::size_t> held;
     for (const CacheId& c : marks_) ++held[c];
-    for (const auto& [name, o] : fellow.membership().others())
+    for (const auto& [name, o] : agent.membership().others())
         for (const CacheId& c : o.member.marks) ++held[c];
     std::set<CacheId> now_watched;
     for (const auto& [cache, times] : held)
@@ -37,7 +37,7 @@
     return watched_;
 }
 
-void Vigil::found(Instant now, const CacheId& cache, const Finding& f, const Fellow& fellow) {
+void Vigil::found(Instant now, const CacheId& cache, const Finding& f, const Agent& agent) {
     if (!marks_.contains(cache)) return;
     if (!f.well) {
         well_.erase(cache);
@@ -46,35 +46,35 @@
     if (f.looks < well_after || !well_.insert(cache).second) return;
     // One after the other, so that what comes back is not met by all at once.
     std::vector<MemberName> others;
-    for (const auto& [name, o] : fellow.membership().others())
+    for (const auto& [name, o] : agent.membership().others())
         if (o.member.marks.contains(cache)) others.push_back(name);
-    const auto place = static_cast<double>(Duties::place(watch_over(cache), fellow.self().name, others));
+    const auto place = static_cast<double>(Duties::place(watch_over(cache), agent.self().name, others));
     looks_.trial_from(cache, now + look_every_ * (place / static_cast<double>(others.size() + 1)));
 }
 
-bool Vigil::may_go(Instant now, const CacheId& cache, const Fellow& fellow) const {
+bool Vigil::may_go(Instant now, const CacheId& cache, const Agent& agent) const {
     const auto it = looks_out_.find(cache);
-    return it != looks_out_.end() && it->second.out && fellow.may_act(now, watch_over(cache));
+    return it != looks_out_.end() && it->second.out && agent.may_act(now, watch_over(cache));
 }
 
-void Vigil::not_permitted(Instant now, const CacheId& cache, Fellow& fellow) {
+void Vigil::not_permitted(Instant now, const CacheId& cache, Agent& agent) {
     if (marks_.contains(cache))
         looks_.trial_from(cache, now);
     else
-        looked(now, cache, true, fellow);
+        looked(now, cache, true, agent);
 }
 
-void Vigil::tick(Instant now, Fellow& fellow) {
+void Vigil::tick(Instant now, Agent& agent) {
     due_ = now + round_;
     for (const CacheId& cache : watched_) {
         const DutyName duty = watch_over(cache);
-        if (!fellow.may_begin(now, duty)) {
+        if (!agent.may_begin(now, duty)) {
             looks_out_.erase(cache);
             continue;
         }
         Look& l = looks_out_[cache];
         if (now >= l.next) {
-            looked(now, cache, false, fellow);
+            looked(now, cache, false, agent);
             l.next = now + look_every_;
             l.out = true;
             looks_.look(cache);
@@ -84,16 +84,16 @@
 }
 
 // The finding is judged and written under the term as it is now, not as it was when the look went out.
-void Vigil::looked(Instant now, const CacheId& cache, bool well, Fellow& fellow) {
+void Vigil::looked(Instant now, const CacheId& cache, bool well, Agent& agent) {
     const auto it = looks_out_.find(cache);
     if (it == looks_out_.end() || !std::exchange(it->second.out, false)) return;
     const DutyName duty = watch_over(cache);
     Finding& last = it->second.last;
     last.looks = last.well == well ? std::min(last.looks + 1, most_counted) : 1;
     last.well = well;
-    last.epoch = fellow.epoch_of(duty);
-    last.by = fellow.self();
-    fellow.work(now, duty, key_of_finding(cache), write(last));
+    last.epoch = agent.epoch_of(duty);
+    last.by = agent.self();
+    agent.work(now, duty, key_of_finding(cache), write(last));
 }
 
 }  // namespace irismux::fleet
--- a/src/fleet/vigil.hpp
+++ b/src/fleet/vigil.hpp
@@ -15,7 +15,7 @@
 #include <optional>
 #include <set>
 
-#include "fleet/fellow.hpp"
+#include "fleet/agent.hpp"
 #include "fleet/roll.hpp"
 
 namespace irismux::fleet {
@@ -36,16 +36,16 @@
     void marked(const CacheId&, bool);
     const std::set<CacheId>& marks() const { return marks_; }
     // The caches to be watched over, by what the members publish.
-    const std::set<CacheId>& watched(const Fellow& fellow);
+    const std::set<CacheId>& watched(const Agent& agent);
     // A finding that the watch shows, as soon as it does.
-    void found(Instant now, const CacheId&, const Finding&, const Fellow& fellow);
-    void looked(Instant now, const CacheId&, bool well, Fellow& fellow);
+    void found(Instant now, const CacheId&, const Finding&, const Agent& agent);
+    void looked(Instant now, const CacheId&, bool well, Agent& agent);
     // Whether a look that was asked for may still go out.
-    bool may_go(Instant now, const CacheId&, const Fellow& fellow) const;
+    bool may_go(Instant now, const CacheId&, const Agent& agent) const;
     // Looks are not permitted there: the gateway's own lookups are the look.
-    void not_permitted(Instant now, const CacheId&, Fellow& fellow);
+    void not_permitted(Instant now, const CacheId&, Agent& agent);
     // Sends the looks that are due; one whose end has not been told by then was not answered.
-    void tick(Instant now, Fellow& fellow);
+    void tick(Instant now, Agent& agent);
     Instant due() const { return due_; }
 
 private:
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -129,12 +129,13 @@
     std::vector<Deal> said;
     std::vector<std::string> remarks;
     std::function<void(Done)> worked = [](Done) {};
-    std::unique_ptr<Fellow> fellow;
+    std::unique_ptr<Agent> agent;
 
     void start(const std::string& name, const Articles& a, const std::string& mark = "k") {
-        fellow = std::make_unique<Fellow>(*this, *this, a, Person{MemberName{name}, Mark{mark}, "1", {}}, 5);
-        fellow->duties_are(now, {DutyName{"d"}});
-        fellow->start(now);
+        agent = std::make_unique<Agent>(*this, *this, a,
+                                        MemberIdentity{MemberName{name}, Mark{mark}, "1", {}}, 5);
+        agent->duties_are(now, {DutyName{"d"}});
+        agent->start(now);
     }
     void put(const std::string& key, const std::string& value) { book.settle({{}, {{Key{key}, value}}, {}}); }
     void run(
@@ -143,10 +144,10 @@
             each();
             for (int k = 0; k < 4 && out; ++k) {
                 const auto o = book.settle(*std::exchange(out, std::nullopt));
-                fellow->on_dealt(now, o.at, o.held, o.shown);
+                agent->on_dealt(now, o.at, o.held, o.shown);
             }
-            fellow->on_records(now, book.revision(), book.all(), true);
-            fellow->on_wake(now);
+            agent->on_records(now, book.revision(), book.all(), true);
+            agent->on_wake(now);
         }
     }
     bool remarked(const std::string& part) const {
@@ -171,7 +172,7 @@
     EXPECT_EQ(book.records(), before);
     EXPECT_EQ(remarks.size(), 1u);
     EXPECT_TRUE(remarked("other articles"));
-    EXPECT_FALSE(fellow->may_act(now, DutyName{"d"}));
+    EXPECT_FALSE(agent->may_act(now, DutyName{"d"}));
 }
 
 TEST_F(Alone, ANameThatALivingGatewayHoldsIsRefusedInPlainWordsAndTakenOnceItHasGone) {
@@ -180,11 +181,11 @@
     std::int64_t beats = 1;
     start("m", articles());
     run(ms * 20'000, [&] { put("beat/m", write(BeatRecord{StartNo{4}, Mark{"other"}, BeatNo{++beats}})); });
-    EXPECT_FALSE(fellow->membership().in());
+    EXPECT_FALSE(agent->membership().in());
     EXPECT_TRUE(remarked("held by another living gateway"));
     run(ms * 20'000);
-    EXPECT_TRUE(fellow->may_act(now, DutyName{"d"}));
-    EXPECT_GT(fellow->start_no(), StartNo{4});
+    EXPECT_TRUE(agent->may_act(now, DutyName{"d"}));
+    EXPECT_GT(agent->start_no(), StartNo{4});
 }
 
 TEST_F(Alone, ADutyWhoseRecordCannotBeReadIsLeftAloneAndOnesNobodyKnowsStay) {
@@ -192,8 +193,8 @@
     put("duty/newer", write(DutyRecord{EpochNo{3}, MemberName{"gone"}, StartNo{1}}));
     start("m", articles());
     run(ms * 30'000);
-    EXPECT_TRUE(fellow->membership().in());
-    EXPECT_FALSE(fellow->may_act(now, DutyName{"d"}));
+    EXPECT_TRUE(agent->membership().in());
+    EXPECT_FALSE(agent->may_act(now, DutyName{"d"}));
     EXPECT_TRUE(remarked("can't be read"));
     EXPECT_EQ(book.records().at(Key{"duty/d"}), "{\"format\":9}");
     EXPECT_EQ(read_duty(book.records().at(Key{"duty/newer"}))->owner, MemberName{"gone"});
@@ -201,14 +202,14 @@
 
 TEST_F(Alone, ARegistryThatHasGoneBackIsRefusedUntilTheEpochHasJumped) {
     start("m", articles());
-    fellow->accepts(DutyName{"d"}, {EpochNo{40}, MemberName{"x"}, StartNo{1}});
+    agent->accepts(DutyName{"d"}, {EpochNo{40}, MemberName{"x"}, StartNo{1}});
     put("duty/d", write(DutyRecord{EpochNo{7}, MemberName{"y"}, StartNo{1}}));
     run(ms * 2'000);
     EXPECT_TRUE(remarked("has gone back"));
     EXPECT_EQ(read_member(book.records().at(Key{"member/m"}))->refuses.at(DutyName{"d"}), EpochNo{40});
     run(ms * 30'000);
-    EXPECT_TRUE(fellow->may_act(now, DutyName{"d"}));
-    EXPECT_EQ(fellow->epoch_of(DutyName{"d"}), EpochNo{41});
+    EXPECT_TRUE(agent->may_act(now, DutyName{"d"}));
+    EXPECT_EQ(agent->epoch_of(DutyName{"d"}), EpochNo{41});
 }
 
 // It may live: as long as it gives signs its duties are left to it; then it is evicted as anybody.
@@ -219,21 +220,21 @@
     int sign = 0;
     run(ms * 30'000, [&] {
         put("beat/x", "newer " + std::to_string(++sign));
-        EXPECT_FALSE(fellow->may_act(now, DutyName{"d"}));
+        EXPECT_FALSE(agent->may_act(now, DutyName{"d"}));
     });
     EXPECT_LT(said.size(), 400u);  // one a step of the clock at most, and one a sixteenth of a round
     run(ms * 12'000);
-    EXPECT_TRUE(fellow->may_act(now, DutyName{"d"}));
-    EXPECT_EQ(fellow->epoch_of(DutyName{"d"}), EpochNo{4});
+    EXPECT_TRUE(agent->may_act(now, DutyName{"d"}));
+    EXPECT_EQ(agent->epoch_of(DutyName{"d"}), EpochNo{4});
     EXPECT_FALSE(book.records().contains(Key{"member/x"}));
 }
 
 TEST_F(Alone, WhoHasLeftActsNoMoreAndLeavesNoRecord) {
     start("m", articles());
     run(ms * 20'000);
-    ASSERT_TRUE(fellow->may_act(now, DutyName{"d"}));
-    fellow->leave(now);
-    EXPECT_FALSE(fellow->may_act(now, DutyName{"d"}));
+    ASSERT_TRUE(agent->may_act(now, DutyName{"d"}));
+    agent->leave(now);
+    EXPECT_FALSE(agent->may_act(now, DutyName{"d"}));
     run(ms * 2'000);
     EXPECT_FALSE(book.records().contains(Key{"member/m"}));
     EXPECT_FALSE(book.records().contains(Key{"beat/m"}));
@@ -244,23 +245,23 @@
 TEST_F(Alone, WhatIsNotWantedIsGivenUpAndSweptAndItsEpochsDoNotComeAgain) {
     const DutyName w = watch_over(CacheId{"c"});
     start("m", articles());
-    fellow->duties_are(now, {sweeping(), w});
+    agent->duties_are(now, {sweeping(), w});
     run(ms * 20'000);
-    ASSERT_TRUE(fellow->may_act(now, w));
+    ASSERT_TRUE(agent->may_act(now, w));
     const std::string ours = book.records().at(key_of_duty(w));
-    const EpochNo before = fellow->epoch_of(w);
-    put(key_of_finding(CacheId{"c"}).raw(), write(Finding{before, fellow->self(), false, 3}));
+    const EpochNo before = agent->epoch_of(w);
+    put(key_of_finding(CacheId{"c"}).raw(), write(Finding{before, agent->self(), false, 3}));
     put(key_of_aside(w).raw(), write(Instance{MemberName{"gone"}, StartNo{3}}));
-    fellow->duties_are(now, {sweeping()});
-    EXPECT_FALSE(fellow->may_act(now, w));
+    agent->duties_are(now, {sweeping()});
+    EXPECT_FALSE(agent->may_act(now, w));
     run(ms * 200);
     EXPECT_EQ(read_duty(book.records().at(key_of_duty(w)))->owner, MemberName{});
-    fellow->duties_are(now, {sweeping(), w});
-    fellow->on_records(now, registry::Revision{1}, {{key_of_duty(w), ours}}, false);
-    EXPECT_FALSE(fellow->may_act(now, w));
-    fellow->duties_are(now, {sweeping()});
+    agent->duties_are(now, {sweeping(), w});
+    agent->on_records(now, registry::Revision{1}, {{key_of_duty(w), ours}}, false);
+    EXPECT_FALSE(agent->may_act(now, w));
+    agent->duties_are(now, {sweeping()});
 
-    Sweep sweep(ms * 1000, fellow->membership().wait() * 2);
+    Sweep sweep(ms * 1000, agent->membership().wait() * 2);
     worked = [&](Done done) { sweep.told(now, done); };
     std::optional<Instant> gone;
     const Instant from = now;
@@ -268,12 +269,11 @@
         Roll roll;
         roll.show(book.all(), true);
         if (!gone && !book.records().contains(key_of_finding(CacheId{"c"}))) gone = now;
-        if (auto chore = sweep.next(now, roll, *fellow))
-            if (!fellow->work(now, sweeping(), swept_key(), std::move(*chore)))
-                sweep.told(now, Done::refused);
+        if (auto chore = sweep.next(now, roll, *agent))
+            if (!agent->work(now, sweeping(), swept_key(), std::move(*chore))) sweep.told(now, Done::refused);
     });
     ASSERT_TRUE(gone);
-    EXPECT_GE(*gone - from, fellow->membership().wait() * 2);
+    EXPECT_GE(*gone - from, agent->membership().wait() * 2);
     EXPECT_FALSE(book.records().contains(key_of_duty(w)));
     EXPECT_FALSE(book.records().contains(key_of_aside(w)));
     EXPECT_GE(read_floor(book.records().at(floor_key())), before);
@@ -281,10 +281,10 @@
     // Nobody who claims it remembers: only the registry does.
     worked = [](Done) {};
     start("n", articles());
-    fellow->duties_are(now, {sweeping(), w});
+    agent->duties_are(now, {sweeping(), w});
     run(ms * 20'000);
-    ASSERT_TRUE(fellow->may_act(now, w));
-    EXPECT_GT(fellow->epoch_of(w), before);
+    ASSERT_TRUE(agent->may_act(now, w));
+    EXPECT_GT(agent->epoch_of(w), before);
 }
 
 // --- the watch over a cache ------------------------------------------------------------------------------
@@ -303,7 +303,7 @@
         if (is) m.marks.insert(c);
         put("member/" + name, write(m));
         put("beat/" + name, write(BeatRecord{StartNo{1}, Mark{name}, BeatNo{++signs}}));
-        fellow->on_records(now, book.revision(), book.all(), true);
+        agent->on_records(now, book.revision(), book.all(), true);
     }
     std::int64_t signs = 0;
 };
@@ -311,60 +311,60 @@
 TEST_F(Watching, ItBeginsWithTheSecondMarkAndEndsWithTheLast) {
     start("m", articles());
     vigil.marked(c, true);
-    EXPECT_TRUE(vigil.watched(*fellow).empty());
+    EXPECT_TRUE(vigil.watched(*agent).empty());
     others_mark("x", true);
-    EXPECT_EQ(vigil.watched(*fellow), std::set<CacheId>{c});
+    EXPECT_EQ(vigil.watched(*agent), std::set<CacheId>{c});
     vigil.marked(c, false);
-    EXPECT_EQ(vigil.watched(*fellow), std::set<CacheId>{c});
+    EXPECT_EQ(vigil.watched(*agent), std::set<CacheId>{c});
     others_mark("x", false);
-    EXPECT_TRUE(vigil.watched(*fellow).empty());
+    EXPECT_TRUE(vigil.watched(*agent).empty());
 }
 
 TEST_F(Watching, ItsOwnerLooksAtAPaceAndWritesUnderItsEpochWhatItSaw) {
     start("m", articles());
     vigil.marked(c, true);
-    fellow->duties_are(now, {watch_over(c)});
+    agent->duties_are(now, {watch_over(c)});
     int step = 0;
     const auto finding = [&] { return read_finding(book.records().at(key_of_finding(c))); };
     run(ms * 20'000, [&] {
         others_mark("x", true);
-        vigil.watched(*fellow);
-        vigil.tick(now, *fellow);
-        if (++step % 2) vigil.looked(now, CacheId{"unknown"}, true, *fellow);
+        vigil.watched(*agent);
+        vigil.tick(now, *agent);
+        if (++step % 2) vigil.looked(now, CacheId{"unknown"}, true, *agent);
     });
-    ASSERT_TRUE(fellow->may_act(now, watch_over(c)));
+    ASSERT_TRUE(agent->may_act(now, watch_over(c)));
     for (std::size_t n = 1; n < looks.size(); ++n) EXPECT_GE(looks[n] - looks[n - 1], ms * 500);
     // Never answered.
     EXPECT_FALSE(finding()->well);
     EXPECT_GT(finding()->looks, 5);
-    EXPECT_EQ(finding()->epoch, fellow->epoch_of(watch_over(c)));
+    EXPECT_EQ(finding()->epoch, agent->epoch_of(watch_over(c)));
     const std::size_t before = looks.size();
     run(ms * 3'000, [&] {
         others_mark("x", true);
-        vigil.tick(now, *fellow);
-        if (looks.size() > before) vigil.looked(now, c, true, *fellow);
+        vigil.tick(now, *agent);
+        if (looks.size() > before) vigil.looked(now, c, true, *agent);
     });
     EXPECT_TRUE(finding()->well);
     EXPECT_GE(finding()->looks, 2);
     // One that was asked for within the term, and would go out after a stop that outlasted it.
-    vigil.tick(now + ms * 500, *fellow);
-    EXPECT_TRUE(vigil.may_go(now + ms * 500, c, *fellow));
-    EXPECT_FALSE(vigil.may_go(now + ms * 5'000, c, *fellow));
+    vigil.tick(now + ms * 500, *agent);
+    EXPECT_TRUE(vigil.may_go(now + ms * 500, c, *agent));
+    EXPECT_FALSE(vigil.may_go(now + ms * 5'000, c, *agent));
     const std::size_t told = trials.size();
-    vigil.not_permitted(now, c, *fellow);
+    vigil.not_permitted(now, c, *agent);
     EXPECT_EQ(trials.size(), told + 1);
 }
 
 TEST_F(Watching, ASilentCachePutsTrialsOffAndAWellOneBringsThemForwardOneAfterTheOther) {
     start("m", articles());
-    vigil.found(now, c, {EpochNo{1}, {MemberName{"x"}, StartNo{1}}, false, 1}, *fellow);
+    vigil.found(now, c, {EpochNo{1}, {MemberName{"x"}, StartNo{1}}, false, 1}, *agent);
     EXPECT_TRUE(trials.empty()) << "it is not marked here";
     vigil.marked(c, true);
-    vigil.found(now, c, {EpochNo{1}, {MemberName{"x"}, StartNo{1}}, false, 1}, *fellow);
+    vigil.found(now, c, {EpochNo{1}, {MemberName{"x"}, StartNo{1}}, false, 1}, *agent);
     ASSERT_EQ(trials.size(), 1u);
     EXPECT_EQ(trials[0].second - trials[0].first, ms * 1250);
     for (std::int64_t looked = 1; looked < 5; ++looked) {
-        vigil.found(now, c, {EpochNo{1}, {MemberName{"x"}, StartNo{1}}, true, looked}, *fellow);
+        vigil.found(now, c, {EpochNo{1}, {MemberName{"x"}, StartNo{1}}, true, looked}, *agent);
         EXPECT_EQ(trials.size(), looked < 2 ? 1u : 2u) << "at the second answer, and once";
     }
     ASSERT_EQ(trials.size(), 2u);
@@ -378,7 +378,7 @@
         for (const char* other : {"a", "b", "m"})
             if (std::string(other) != name) others_mark(other, true);
         put("member/" + std::string(name), "");
-        vigil.found(now, c, {EpochNo{1}, {MemberName{"x"}, StartNo{1}}, true, 2}, *fellow);
+        vigil.found(now, c, {EpochNo{1}, {MemberName{"x"}, StartNo{1}}, true, 2}, *agent);
         instants.insert(trials.back().second - now);
     }
     EXPECT_EQ(instants.size(), 3u);
@@ -437,7 +437,7 @@
 TEST_F(Late, AWorkIsNotWrittenOnceTheDutyOrTheMembershipHasGone) {
     caught("duty/d");
     run(ms * 1'000);
-    ASSERT_TRUE(fellow->work(now, DutyName{"d"}, Key{"work/1"}, "w"));
+    ASSERT_TRUE(agent->work(now, DutyName{"d"}, Key{"work/1"}, "w"));
     run(ms * 2'000);
     const Deal work = last("work/1");
     EXPECT_FALSE(lands(work, "duty/d", write(DutyRecord{EpochNo{5}, MemberName{"y"}, StartNo{1}})));
