--- a/lab/arena.cpp
+++ b/lab/arena.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <fstream>
 
-#include "fleet/station.hpp"
+#include "fleet/fleet_client.hpp"
 
 namespace irismux::lab {
 
--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -7,8 +7,8 @@
 #include <variant>
 
 #include "cli/talk.hpp"
+#include "fleet/fleet_client.hpp"
 #include "fleet/membership.hpp"
-#include "fleet/station.hpp"
 
 namespace irismux::cli {
 namespace {
--- a/src/fleet/station.cpp
+++ b/src/fleet/fleet_client.cpp
@@ -1,4 +1,4 @@
-#include "fleet/station.hpp"
+#include "fleet/fleet_client.hpp"
 
 #include <time.h>
 
@@ -40,9 +40,10 @@
 }
 std::string watched_prefix(const std::string& prefix) { return prefix + std::string(roll); }
 
-Station::Station(Loop& loop, Gate& gate, const Settings& settings, std::string version, std::uint64_t seed)
+FleetClient::FleetClient(Loop& loop, GatewayPort& gateway, const Settings& settings, std::string version,
+                         std::uint64_t seed)
     : loop_(loop),
-      gate_(gate),
+      gateway_(gateway),
       settings_(settings),
       followed_(followed(settings.registry)),
       agent_((open_store(), *this), *this, settings.articles, identity(version), mixed_with_chance(seed)),
@@ -53,24 +54,24 @@
       client_(loop, *this, followed_, mixed_with_chance(seed), registry::Sort::plain) {
     if (store_)
         if (const auto seen = store_->read(seen_name); seen && !agent_.fence().kept_was(*seen))
-            gate_.fleet_says(
+            gateway_.on_fleet_message(
                 "what was kept of epochs seen can't be read: lower ones are refused from now on only", true);
 }
 
-Station::~Station() {
+FleetClient::~FleetClient() {
     *alive_ = false;
     for (const auto& alarm : {wake_, go_on_, keep_}) loop_.forget(alarm);
 }
 
-void Station::open_store() {
+void FleetClient::open_store() {
     if (settings_.keep_in.empty()) return;
     auto opened = Store::open(settings_.keep_in, most_stored);
     if (const auto* why = std::get_if<std::string>(&opened))
-        return gate_.fleet_says("epochs seen are not kept: " + *why, true);
+        return gateway_.on_fleet_message("epochs seen are not kept: " + *why, true);
     store_ = std::move(std::get<Store>(opened));
 }
 
-MemberIdentity Station::identity(const std::string& version) {
+MemberIdentity FleetClient::identity(const std::string& version) {
     MemberIdentity p{
         settings_.name, Mark{drawn_mark()}, version, {}, settings_.registry.pace.answer_in, true};
     if (const auto start = store_ ? store_->read(start_name) : std::nullopt)
@@ -78,20 +79,20 @@
     return p;
 }
 
-Instant Station::clock() const {
+Instant FleetClient::clock() const {
     timespec t{};
     ::clock_gettime(CLOCK_BOOTTIME, &t);
     return Instant{} + Span::micros(static_cast<std::int64_t>(t.tv_sec) * 1'000'000 + t.tv_nsec / 1000);
 }
 
 // Not from within the call that asks for it; never once the station is gone.
-void Station::later(std::function<void()> then) {
+void FleetClient::later(std::function<void()> then) {
     loop_.soon([alive = std::weak_ptr<bool>(alive_), then = std::move(then)] {
         if (alive.lock()) then();
     });
 }
 
-void Station::start() {
+void FleetClient::start() {
     know_duties();
     agent_.start(clock());
     client_.start();
@@ -99,13 +100,13 @@
     keep();
 }
 
-void Station::leave() {
+void FleetClient::leave() {
     keep();
     store_.reset();
     agent_.leave(clock());
 }
 
-void Station::marked(const CacheId& cache, bool is) {
+void FleetClient::marked(const CacheId& cache, bool is) {
     vigil_.marked(cache, is);
     // Where looks are not permitted the Router's own trial was the look.
     later([this, cache, is] {
@@ -115,13 +116,15 @@
     });
 }
 
-void Station::probed(const CacheId& cache, bool answered) { vigil_.looked(clock(), cache, answered, agent_); }
+void FleetClient::probed(const CacheId& cache, bool answered) {
+    vigil_.looked(clock(), cache, answered, agent_);
+}
 
-bool Station::may_look(const CacheId& cache) const { return vigil_.may_go(clock(), cache, agent_); }
+bool FleetClient::may_probe(const CacheId& cache) const { return vigil_.may_go(clock(), cache, agent_); }
 
 // --- deals -----------------------------------------------------------------------------------------------
 
-void Station::deal(const Deal& d) {
+void FleetClient::deal(const Deal& d) {
     // One that has not been answered: its member may hang.
     if (out_) next_member();
     out_ = d;
@@ -134,11 +137,11 @@
     asker_.ask(member_, registry::etcd::settle(holds, writes, shows), false);
 }
 
-void Station::next_member() {
+void FleetClient::next_member() {
     member_ = registry::MemberNo{(member_.raw() + 1) % settings_.registry.members.size()};
 }
 
-void Station::replied(int status, const std::string& body) {
+void FleetClient::replied(int status, const std::string& body) {
     const auto read = registry::etcd::read_settled(status, body, settings_.registry.prefix);
     if (const auto* wrong = std::get_if<registry::etcd::Problem>(&read)) {
         if (wrong->fault == registry::etcd::Fault::refused && asker_.with_a_new_token()) return;
@@ -161,7 +164,7 @@
     go_on();
 }
 
-void Station::broke(const char*) {
+void FleetClient::broke(const char*) {
     asker_.hang_up();
     next_member();
     if (!std::exchange(out_, std::nullopt)) return;
@@ -169,7 +172,7 @@
     go_on();
 }
 
-void Station::wake(Instant at) {
+void FleetClient::wake(Instant at) {
     loop_.forget(wake_);
     wake_ = loop_.at(by_loop(at), [this] {
         agent_.on_wake(clock());
@@ -179,8 +182,8 @@
 
 // --- what the watch shows --------------------------------------------------------------------------------
 
-void Station::records_told(Instant, registry::Revision at, const std::vector<registry::Change>& changes,
-                           bool all) {
+void FleetClient::records_told(Instant, registry::Revision at, const std::vector<registry::Change>& changes,
+                               bool all) {
     std::vector<Entry> entries;
     for (const auto& c : changes)
         entries.emplace_back(Key{c.record.key.raw()}, c.deleted ? Text{} : Text{c.record.value});
@@ -198,15 +201,15 @@
     go_on();
 }
 
-void Station::sight_told(Instant, registry::Sight sight, Instant) {
+void FleetClient::sight_told(Instant, registry::Sight sight, Instant) {
     const bool blind = sight == registry::Sight::blind;
     if (std::exchange(blind_, blind) != blind)
-        gate_.fleet_says(blind ? "the registry says nothing: what is known of the fleet ages"
-                               : "the registry is heard again",
-                         blind);
+        gateway_.on_fleet_message(blind ? "the registry says nothing: what is known of the fleet ages"
+                                        : "the registry is heard again",
+                                  blind);
 }
 
-void Station::know_duties() {
+void FleetClient::know_duties() {
     std::set<DutyName> now_known{sweeping()};
     for (const CacheId& c : vigil_.watched(agent_)) now_known.insert(watch_over(c));
     if (now_known == duties_) return;
@@ -222,7 +225,7 @@
 // --- duties ----------------------------------------------------------------------------------------------
 
 // What has become due, by the cores' own terms.
-void Station::go_on() {
+void FleetClient::go_on() {
     loop_.forget(go_on_);
     const Instant now = clock();
     vigil_.tick(now, agent_);
@@ -236,31 +239,31 @@
     go_on_ = loop_.at(by_loop(due), [this] { go_on(); });
 }
 
-void Station::tenancy_told(const DutyName& duty, Tenancy tenancy, EpochNo epoch) {
-    gate_.duty_told(duty, tenancy, epoch);
+void FleetClient::tenancy_told(const DutyName& duty, Tenancy tenancy, EpochNo epoch) {
+    gateway_.on_duty_state(duty, tenancy, epoch);
 }
 
-void Station::work_told(const DutyName& duty, const Key&, Done done) {
+void FleetClient::work_told(const DutyName& duty, const Key&, Done done) {
     if (duty == sweeping()) sweep_.told(clock(), done);
 }
 
-void Station::remark(std::string_view plain_line) { gate_.fleet_says(plain_line, true); }
+void FleetClient::remark(std::string_view plain_line) { gateway_.on_fleet_message(plain_line, true); }
 
-void Station::look(const CacheId& cache) {
+void FleetClient::look(const CacheId& cache) {
     later([this, cache] {
         // A turn lies between, and a stop may have: the term is judged again right before the first byte.
-        if (!may_look(cache)) return;
-        if (!gate_.look(cache)) vigil_.not_permitted(clock(), cache, agent_);
+        if (!may_probe(cache)) return;
+        if (!gateway_.send_probe(cache)) vigil_.not_permitted(clock(), cache, agent_);
     });
 }
 
-void Station::trial_from(const CacheId& cache, Instant at) {
-    later([this, cache, at] { gate_.trial_from(cache, by_loop(at)); });
+void FleetClient::trial_from(const CacheId& cache, Instant at) {
+    later([this, cache, at] { gateway_.trial_from(cache, by_loop(at)); });
 }
 
 // --- what outlives the process ---------------------------------------------------------------------------
 
-void Station::keep() {
+void FleetClient::keep() {
     loop_.forget(keep_);
     keep_ = loop_.at(loop_.now() + keep_every, [this] { keep(); });
     if (!store_) return;
@@ -269,7 +272,7 @@
     auto why = store_->write(seen_name, agent_.fence().kept());
     if (!why && agent_.start_no() > StartNo{})
         why = store_->write(start_name, std::to_string(agent_.start_no().raw()));
-    if (why && !std::exchange(not_kept_, true)) gate_.fleet_says("epochs seen are " + *why, true);
+    if (why && !std::exchange(not_kept_, true)) gateway_.on_fleet_message("epochs seen are " + *why, true);
     if (why) return;
     not_kept_ = false;
     kept_ = now_seen;
--- a/src/fleet/station.hpp
+++ b/src/fleet/fleet_client.hpp
@@ -21,15 +21,15 @@
 namespace irismux::fleet {
 
 // The gateway, as its station needs it. Not called from within a call of the station's.
-class Gate {
+class GatewayPort {
 public:
-    virtual ~Gate() = default;
+    virtual ~GatewayPort() = default;
     // Asks the cache for a sign of life, where that is permitted; the end is told by probed(). False: it is
     // not.
-    virtual bool look(const CacheId&) = 0;
+    virtual bool send_probe(const CacheId&) = 0;
     virtual void trial_from(const CacheId&, Instant by_loop) = 0;
-    virtual void duty_told(const DutyName&, Tenancy, EpochNo) = 0;  // of this gateway
-    virtual void fleet_says(std::string_view plain_line, bool trouble) = 0;
+    virtual void on_duty_state(const DutyName&, Tenancy, EpochNo) = 0;  // of this gateway
+    virtual void on_fleet_message(std::string_view plain_line, bool trouble) = 0;
 };
 
 // Where the records lie, behind the fleet's prefix. Signs of life stand apart: the watch passes them over.
@@ -37,14 +37,15 @@
 Key key_at(const std::string& path);
 std::string watched_prefix(const std::string& prefix);
 
-class Station final : private Asks,
-                      private Hears,
-                      private Looks,
-                      private registry::Replies,
-                      private registry::Knows {
+class FleetClient final : private Asks,
+                          private Hears,
+                          private Looks,
+                          private registry::Replies,
+                          private registry::Knows {
 public:
-    Station(Loop& loop, Gate& gate, const Settings& settings, std::string version, std::uint64_t seed);
-    ~Station() override;
+    FleetClient(Loop& loop, GatewayPort& gateway, const Settings& settings, std::string version,
+                std::uint64_t seed);
+    ~FleetClient() override;
 
     void start();
     // Stops acting, takes its records away, and lets go of its store, which a successor may open.
@@ -53,7 +54,7 @@
     void gone(const CacheId& cache) { marked(cache, false); }
     void probed(const CacheId&, bool answered);
     // Asked at the first byte of a look that has waited: whether the term still covers it.
-    bool may_look(const CacheId& cache) const;
+    bool may_probe(const CacheId& cache) const;
 
     const Agent& agent() const { return agent_; }
 
@@ -89,7 +90,7 @@
     MemberIdentity identity(const std::string& version);
 
     Loop& loop_;
-    Gate& gate_;
+    GatewayPort& gateway_;
     Settings settings_;
     std::optional<Store> store_;
     registry::Settings followed_;
--- a/src/process/host.cpp
+++ b/src/process/host.cpp
@@ -96,14 +96,14 @@
 
 Host::~Host() {
     loop_.forget(keep_);
-    loop_.forget(station_left_);
+    loop_.forget(fleet_client_left_);
 }
 
 void Host::serve() {
     front_.listen(Poco::Net::SocketAddress(listen_));
     board_.poll();
     if (registry_) registry_->start();
-    if (station_) station_->start();
+    if (fleet_client_) fleet_client_->start();
 }
 
 // The list that was kept serves at once, marked as old, until the registry tells.
@@ -152,7 +152,7 @@
         end_fleet();
         fleet_settings_ = parts.fleet;
         if (fleet_settings_) start_fleet();
-        if (station_) station_->start();
+        if (fleet_client_) fleet_client_->start();
     }
     if (parts.registry == registry_settings_) return;
     registry_settings_ = parts.registry;
@@ -176,7 +176,7 @@
     leaving_since_ = loop_.now();
     leave_by_ =
         leaving_since_ + std::min(longest_deadline_, longest_waited_for) + work_after_leave * (1 - end_part);
-    if (station_) station_->leave();
+    if (fleet_client_) fleet_client_->leave();
     log::write(log::Level::info, "leaving: " + std::to_string(held()) + " lookups at work");
     guarded_flag(in_router_, [&] { router_.on_leaving(loop_.now(), leave_by_); });
     for (auto& [id, h] : exchanges_) expire_at(id, leave_by_);
@@ -352,31 +352,31 @@
 void Host::start_fleet() {
     fleet::Settings c = *fleet_settings_;
     if (c.name.raw().empty()) c.name = fleet::MemberName{name_};
-    station_ =
-        std::make_unique<fleet::Station>(loop_, static_cast<fleet::Gate&>(*this), c, IRISMUX_VERSION, seed_);
+    fleet_client_ = std::make_unique<fleet::FleetClient>(loop_, static_cast<fleet::GatewayPort&>(*this), c,
+                                                         IRISMUX_VERSION, seed_);
 }
 
 void Host::end_fleet() {
-    if (!station_) return;
-    station_->leave();
-    leaving_station_ = std::move(station_);
-    loop_.forget(station_left_);
-    station_left_ = loop_.at(loop_.now() + fleet_settings_->registry.pace.answer_in,
-                             [this] { leaving_station_.reset(); });
+    if (!fleet_client_) return;
+    fleet_client_->leave();
+    leaving_fleet_client_ = std::move(fleet_client_);
+    loop_.forget(fleet_client_left_);
+    fleet_client_left_ = loop_.at(loop_.now() + fleet_settings_->registry.pace.answer_in,
+                                  [this] { leaving_fleet_client_.reset(); });
 }
 
 void Host::marked(const CacheId& cache, bool is) {
-    if (station_) station_->marked(cache, is);
+    if (fleet_client_) fleet_client_->marked(cache, is);
 }
 
-bool Host::look(const CacheId& cache) {
+bool Host::send_probe(const CacheId& cache) {
     const Peer* const peer = roster_.find(cache);
     if (!peer || !looks_at_.any) return false;
     const Listing& l = peer->listing;
     const bool edge =
         l.location == looks_at_.here && l.machine != looks_at_.parent && l.machine != looks_at_.origin;
     if (!edge && !looks_at_.direct) return false;
-    caches_.probe(cache, [this, cache] { return station_ && station_->may_look(cache); });
+    caches_.probe(cache, [this, cache] { return fleet_client_ && fleet_client_->may_probe(cache); });
     return true;
 }
 
@@ -384,17 +384,17 @@
     guarded_flag(in_router_, [&] { router_.on_trial_from(loop_.now(), cache, at); });
 }
 
-void Host::duty_told(const fleet::DutyName& duty, fleet::Tenancy tenancy, fleet::EpochNo epoch) {
+void Host::on_duty_state(const fleet::DutyName& duty, fleet::Tenancy tenancy, fleet::EpochNo epoch) {
     log::event(tenancy == fleet::Tenancy::lost ? log::Level::warning : log::Level::info, "duty",
                {{"duty", duty.raw()}, {"tenancy", fleet::word_of(tenancy)}, {"epoch", epoch.raw()}});
 }
 
-void Host::fleet_says(std::string_view plain_line, bool trouble) {
+void Host::on_fleet_message(std::string_view plain_line, bool trouble) {
     log::write(trouble ? log::Level::warning : log::Level::info, "fleet: " + std::string(plain_line));
 }
 
 void Host::probed(const ProbeAnswer& a) {
-    if (station_) station_->probed(a.cache, a.outcome == Outcome::completed);
+    if (fleet_client_) fleet_client_->probed(a.cache, a.outcome == Outcome::completed);
     guarded_flag(in_router_, [&] { router_.on_probe(loop_.now(), a); });
 }
 
@@ -427,7 +427,7 @@
     for (const auto& [l, address] : lines) listings.push_back(l);
     guarded_flag(in_router_, [&] { router_.on_list(loop_.now(), listings, complete); });
     for (const Listing& l : listings)
-        if (station_ && l.phase == Phase::gone) station_->gone(l.cache);
+        if (fleet_client_ && l.phase == Phase::gone) fleet_client_->gone(l.cache);
     caches_.close_unlisted();
 }
 
--- a/src/process/host.hpp
+++ b/src/process/host.hpp
@@ -5,7 +5,7 @@
 #include <memory>
 #include <vector>
 
-#include "fleet/station.hpp"
+#include "fleet/fleet_client.hpp"
 #include "process/configuration.hpp"
 #include "process/parts.hpp"
 #include "registry/client.hpp"
@@ -24,7 +24,7 @@
                    private Ends,
                    private Told,
                    private registry::Knows,
-                   private fleet::Gate {
+                   private fleet::GatewayPort {
 public:
     Host(Loop& loop, const Configuration& configuration, const Parts& parts = {});
     ~Host() override;
@@ -51,11 +51,11 @@
     void note_down(std::string_view) override;
     void marked(const CacheId&, bool) override;
 
-    // fleet::Gate
-    bool look(const CacheId&) override;
+    // fleet::GatewayPort
+    bool send_probe(const CacheId&) override;
     void trial_from(const CacheId&, Instant) override;
-    void duty_told(const fleet::DutyName&, fleet::Tenancy, fleet::EpochNo) override;
-    void fleet_says(std::string_view plain_line, bool trouble) override;
+    void on_duty_state(const fleet::DutyName&, fleet::Tenancy, fleet::EpochNo) override;
+    void on_fleet_message(std::string_view plain_line, bool trouble) override;
     void start_fleet();
     void end_fleet();
 
@@ -115,8 +115,8 @@
         std::optional<MachineId> parent, origin;
     };
     LooksAt looks_at_;
-    std::unique_ptr<fleet::Station> station_, leaving_station_;
-    Loop::Alarm station_left_{};
+    std::unique_ptr<fleet::FleetClient> fleet_client_, leaving_fleet_client_;
+    Loop::Alarm fleet_client_left_{};
     Router router_;
     bool in_router_ = false;
     std::map<LookupId, Held> exchanges_;
