--- a/src/fleet/fleet_client.cpp
+++ b/src/fleet/fleet_client.cpp
@@ -47,7 +47,7 @@
       settings_(settings),
       followed_(followed(settings.registry)),
       agent_((open_store(), *this), *this, settings.articles, identity(version), mixed_with_chance(seed)),
-      vigil_(*this, settings.look_every, agent_.membership().round()),
+      health_watch_(*this, settings.look_every, agent_.membership().round()),
       sweep_(settings.sweep_every, agent_.membership().wait() * 2),
       asker_(loop, *this, settings_.registry),
       member_(seed % settings.registry.members.size()),
@@ -107,20 +107,22 @@
 }
 
 void FleetClient::marked(const CacheId& cache, bool is) {
-    vigil_.marked(cache, is);
+    health_watch_.marked(cache, is);
     // Where looks are not permitted the Router's own trial was the look.
     later([this, cache, is] {
-        if (!is) vigil_.looked(clock(), cache, true, agent_);
-        agent_.marks_are(clock(), vigil_.marks());
+        if (!is) health_watch_.on_probe_done(clock(), cache, true, agent_);
+        agent_.marks_are(clock(), health_watch_.marks());
         know_duties();
     });
 }
 
 void FleetClient::probed(const CacheId& cache, bool answered) {
-    vigil_.looked(clock(), cache, answered, agent_);
+    health_watch_.on_probe_done(clock(), cache, answered, agent_);
 }
 
-bool FleetClient::may_probe(const CacheId& cache) const { return vigil_.may_go(clock(), cache, agent_); }
+bool FleetClient::may_probe(const CacheId& cache) const {
+    return health_watch_.may_probe(clock(), cache, agent_);
+}
 
 // --- deals -----------------------------------------------------------------------------------------------
 
@@ -195,7 +197,7 @@
             if (const auto f = text ? read_finding(*text) : std::nullopt) {
                 const DutyName duty = watch_over(*cache);
                 if (agent_.accepts(duty, {f->epoch, f->by.name, f->by.start}))
-                    vigil_.found(clock(), *cache, *f, agent_);
+                    health_watch_.on_probe_result(clock(), *cache, *f, agent_);
             }
     know_duties();
     go_on();
@@ -211,7 +213,7 @@
 
 void FleetClient::know_duties() {
     std::set<DutyName> now_known{sweeping()};
-    for (const CacheId& c : vigil_.watched(agent_)) now_known.insert(watch_over(c));
+    for (const CacheId& c : health_watch_.watched(agent_)) now_known.insert(watch_over(c));
     if (now_known == duties_) return;
     std::vector<Entry> records;
     for (const DutyName& d : now_known)
@@ -228,8 +230,8 @@
 void FleetClient::go_on() {
     loop_.forget(go_on_);
     const Instant now = clock();
-    vigil_.tick(now, agent_);
-    Instant due = vigil_.due();
+    health_watch_.tick(now, agent_);
+    Instant due = health_watch_.due();
     if (agent_.may_begin(now, sweeping())) {
         if (auto chore = sweep_.next(now, roll_, agent_))
             if (!agent_.work(now, sweeping(), swept_key(), std::move(*chore)))
@@ -249,11 +251,11 @@
 
 void FleetClient::remark(std::string_view plain_line) { gateway_.on_fleet_message(plain_line, true); }
 
-void FleetClient::look(const CacheId& cache) {
+void FleetClient::send_probe(const CacheId& cache) {
     later([this, cache] {
         // A turn lies between, and a stop may have: the term is judged again right before the first byte.
         if (!may_probe(cache)) return;
-        if (!gateway_.send_probe(cache)) vigil_.not_permitted(clock(), cache, agent_);
+        if (!gateway_.send_probe(cache)) health_watch_.not_permitted(clock(), cache, agent_);
     });
 }
 
--- a/src/fleet/fleet_client.hpp
+++ b/src/fleet/fleet_client.hpp
@@ -11,10 +11,10 @@
 #include <string>
 
 #include "fleet/agent.hpp"
+#include "fleet/health_watch.hpp"
 #include "fleet/roll.hpp"
 #include "fleet/settings.hpp"
 #include "fleet/sweep.hpp"
-#include "fleet/vigil.hpp"
 #include "registry/client.hpp"
 #include "store/store.hpp"
 
@@ -39,7 +39,7 @@
 
 class FleetClient final : private Asks,
                           private Hears,
-                          private Looks,
+                          private ProbePort,
                           private registry::Replies,
                           private registry::Knows {
 public:
@@ -67,7 +67,7 @@
     void work_told(const DutyName&, const Key&, Done) override;
     void remark(std::string_view plain_line) override;
     // Looks
-    void look(const CacheId&) override;
+    void send_probe(const CacheId&) override;
     void trial_from(const CacheId&, Instant) override;
     // registry::Replies, of deals
     void replied(int status, const std::string& body) override;
@@ -95,7 +95,7 @@
     std::optional<Store> store_;
     registry::Settings followed_;
     Agent agent_;
-    Vigil vigil_;
+    HealthWatch health_watch_;
     Sweep sweep_;
     Roll roll_;
     registry::Revision told_;
--- a/src/fleet/vigil.cpp
+++ b/src/fleet/health_watch.cpp
@@ -1,4 +1,4 @@
-#include "fleet/vigil.hpp"
+#include "fleet/health_watch.hpp"
 
 #include <algorithm>
 
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void Vigil::marked(const CacheId& cache, bool is) {
+void HealthWatch::marked(const CacheId& cache, bool is) {
     if (is)
         marks_.insert(cache);
     else
@@ -23,7 +23,7 @@
     if (!is) well_.erase(cache);
 }
 
-const std::set<CacheId>& Vigil::watched(const Agent& agent) {
+const std::set<CacheId>& HealthWatch::watched(const Agent& agent) {
     std::map<CacheId, std::size_t> held;
     for (const CacheId& c : marks_) ++held[c];
     for (const auto& [name, o] : agent.membership().others())
@@ -33,15 +33,15 @@
         if ((times >= watched_by_least || watched_.contains(cache)) && now_watched.size() < most_watched)
             now_watched.insert(cache);
     watched_ = std::move(now_watched);
-    std::erase_if(looks_out_, [&](const auto& l) { return !watched_.contains(l.first); });
+    std::erase_if(probes_, [&](const auto& l) { return !watched_.contains(l.first); });
     return watched_;
 }
 
-void Vigil::found(Instant now, const CacheId& cache, const Finding& f, const Agent& agent) {
+void HealthWatch::on_probe_result(Instant now, const CacheId& cache, const Finding& f, const Agent& agent) {
     if (!marks_.contains(cache)) return;
     if (!f.well) {
         well_.erase(cache);
-        return looks_.trial_from(cache, now + look_every_ * counts_for);
+        return port_.trial_from(cache, now + look_every_ * counts_for);
     }
     if (f.looks < well_after || !well_.insert(cache).second) return;
     // One after the other, so that what comes back is not met by all at once.
@@ -49,44 +49,44 @@
     for (const auto& [name, o] : agent.membership().others())
         if (o.member.marks.contains(cache)) others.push_back(name);
     const auto place = static_cast<double>(Duties::place(watch_over(cache), agent.self().name, others));
-    looks_.trial_from(cache, now + look_every_ * (place / static_cast<double>(others.size() + 1)));
+    port_.trial_from(cache, now + look_every_ * (place / static_cast<double>(others.size() + 1)));
 }
 
-bool Vigil::may_go(Instant now, const CacheId& cache, const Agent& agent) const {
-    const auto it = looks_out_.find(cache);
-    return it != looks_out_.end() && it->second.out && agent.may_act(now, watch_over(cache));
+bool HealthWatch::may_probe(Instant now, const CacheId& cache, const Agent& agent) const {
+    const auto it = probes_.find(cache);
+    return it != probes_.end() && it->second.out && agent.may_act(now, watch_over(cache));
 }
 
-void Vigil::not_permitted(Instant now, const CacheId& cache, Agent& agent) {
+void HealthWatch::not_permitted(Instant now, const CacheId& cache, Agent& agent) {
     if (marks_.contains(cache))
-        looks_.trial_from(cache, now);
+        port_.trial_from(cache, now);
     else
-        looked(now, cache, true, agent);
+        on_probe_done(now, cache, true, agent);
 }
 
-void Vigil::tick(Instant now, Agent& agent) {
+void HealthWatch::tick(Instant now, Agent& agent) {
     due_ = now + round_;
     for (const CacheId& cache : watched_) {
         const DutyName duty = watch_over(cache);
         if (!agent.may_begin(now, duty)) {
-            looks_out_.erase(cache);
+            probes_.erase(cache);
             continue;
         }
-        Look& l = looks_out_[cache];
+        Probe& l = probes_[cache];
         if (now >= l.next) {
-            looked(now, cache, false, agent);
+            on_probe_done(now, cache, false, agent);
             l.next = now + look_every_;
             l.out = true;
-            looks_.look(cache);
+            port_.send_probe(cache);
         }
         due_ = std::min(due_, l.next);
     }
 }
 
 // The finding is judged and written under the term as it is now, not as it was when the look went out.
-void Vigil::looked(Instant now, const CacheId& cache, bool well, Agent& agent) {
-    const auto it = looks_out_.find(cache);
-    if (it == looks_out_.end() || !std::exchange(it->second.out, false)) return;
+void HealthWatch::on_probe_done(Instant now, const CacheId& cache, bool well, Agent& agent) {
+    const auto it = probes_.find(cache);
+    if (it == probes_.end() || !std::exchange(it->second.out, false)) return;
     const DutyName duty = watch_over(cache);
     Finding& last = it->second.last;
     last.looks = last.well == well ? std::min(last.looks + 1, most_counted) : 1;
--- a/src/fleet/vigil.hpp
+++ b/src/fleet/health_watch.hpp
@@ -20,17 +20,18 @@
 
 namespace irismux::fleet {
 
-class Looks {
+class ProbePort {
 public:
-    virtual ~Looks() = default;
-    virtual void look(const CacheId&) = 0;  // asks the cache for a sign of life; the end is told by looked()
+    virtual ~ProbePort() = default;
+    virtual void send_probe(
+        const CacheId&) = 0;  // asks the cache for a sign of life; the end is told by looked()
     virtual void trial_from(const CacheId&, Instant) = 0;  // by the watch's clock
 };
 
-class Vigil {
+class HealthWatch {
 public:
-    Vigil(Looks& looks, Span look_every, Span round)
-        : looks_(looks), look_every_(look_every), round_(round) {}
+    HealthWatch(ProbePort& port, Span look_every, Span round)
+        : port_(port), look_every_(look_every), round_(round) {}
 
     // The own Router's marks.
     void marked(const CacheId&, bool);
@@ -38,10 +39,10 @@
     // The caches to be watched over, by what the members publish.
     const std::set<CacheId>& watched(const Agent& agent);
     // A finding that the watch shows, as soon as it does.
-    void found(Instant now, const CacheId&, const Finding&, const Agent& agent);
-    void looked(Instant now, const CacheId&, bool well, Agent& agent);
+    void on_probe_result(Instant now, const CacheId&, const Finding&, const Agent& agent);
+    void on_probe_done(Instant now, const CacheId&, bool well, Agent& agent);
     // Whether a look that was asked for may still go out.
-    bool may_go(Instant now, const CacheId&, const Agent& agent) const;
+    bool may_probe(Instant now, const CacheId&, const Agent& agent) const;
     // Looks are not permitted there: the gateway's own lookups are the look.
     void not_permitted(Instant now, const CacheId&, Agent& agent);
     // Sends the looks that are due; one whose end has not been told by then was not answered.
@@ -49,18 +50,18 @@
     Instant due() const { return due_; }
 
 private:
-    struct Look {
+    struct Probe {
         Instant next;
         bool out = false;
         Finding last;
     };
 
-    Looks& looks_;
+    ProbePort& port_;
     Span look_every_, round_;
     std::set<CacheId> marks_;
-    std::set<CacheId> watched_;          // as many as members may mark
-    std::map<CacheId, Look> looks_out_;  // of the watches that are ours
-    std::set<CacheId> well_;             // said to be well, and that was told to the Router
+    std::set<CacheId> watched_;        // as many as members may mark
+    std::map<CacheId, Probe> probes_;  // of the watches that are ours
+    std::set<CacheId> well_;           // said to be well, and that was told to the Router
     Instant due_;
 };
 
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -2,8 +2,8 @@
 // few.
 #include <gtest/gtest.h>
 
+#include "fleet/health_watch.hpp"
 #include "fleet/sweep.hpp"
-#include "fleet/vigil.hpp"
 #include "lab/book.hpp"
 #include "lab/world.hpp"
 
@@ -289,14 +289,14 @@
 
 // --- the watch over a cache ------------------------------------------------------------------------------
 
-class Watching : public Alone, public Looks {
+class Watching : public Alone, public ProbePort {
 protected:
     const CacheId c{"c"};
-    Vigil vigil{*this, ms * 500, ms * 1000};
+    HealthWatch health_watch{*this, ms * 500, ms * 1000};
     std::vector<Instant> looks;
     std::vector<std::pair<Instant, Instant>> trials;  // when it was told, and from when on
 
-    void look(const CacheId&) override { looks.push_back(now); }
+    void send_probe(const CacheId&) override { looks.push_back(now); }
     void trial_from(const CacheId&, Instant at) override { trials.emplace_back(now, at); }
     void others_mark(const std::string& name, bool is) {
         MemberRecord m{StartNo{1}, Mark{name}, "1", {}};
@@ -310,27 +310,27 @@
 
 TEST_F(Watching, ItBeginsWithTheSecondMarkAndEndsWithTheLast) {
     start("m", articles());
-    vigil.marked(c, true);
-    EXPECT_TRUE(vigil.watched(*agent).empty());
+    health_watch.marked(c, true);
+    EXPECT_TRUE(health_watch.watched(*agent).empty());
     others_mark("x", true);
-    EXPECT_EQ(vigil.watched(*agent), std::set<CacheId>{c});
-    vigil.marked(c, false);
-    EXPECT_EQ(vigil.watched(*agent), std::set<CacheId>{c});
+    EXPECT_EQ(health_watch.watched(*agent), std::set<CacheId>{c});
+    health_watch.marked(c, false);
+    EXPECT_EQ(health_watch.watched(*agent), std::set<CacheId>{c});
     others_mark("x", false);
-    EXPECT_TRUE(vigil.watched(*agent).empty());
+    EXPECT_TRUE(health_watch.watched(*agent).empty());
 }
 
 TEST_F(Watching, ItsOwnerLooksAtAPaceAndWritesUnderItsEpochWhatItSaw) {
     start("m", articles());
-    vigil.marked(c, true);
+    health_watch.marked(c, true);
     agent->duties_are(now, {watch_over(c)});
     int step = 0;
     const auto finding = [&] { return read_finding(book.records().at(key_of_finding(c))); };
     run(ms * 20'000, [&] {
         others_mark("x", true);
-        vigil.watched(*agent);
-        vigil.tick(now, *agent);
-        if (++step % 2) vigil.looked(now, CacheId{"unknown"}, true, *agent);
+        health_watch.watched(*agent);
+        health_watch.tick(now, *agent);
+        if (++step % 2) health_watch.on_probe_done(now, CacheId{"unknown"}, true, *agent);
     });
     ASSERT_TRUE(agent->may_act(now, watch_over(c)));
     for (std::size_t n = 1; n < looks.size(); ++n) EXPECT_GE(looks[n] - looks[n - 1], ms * 500);
@@ -341,30 +341,31 @@
     const std::size_t before = looks.size();
     run(ms * 3'000, [&] {
         others_mark("x", true);
-        vigil.tick(now, *agent);
-        if (looks.size() > before) vigil.looked(now, c, true, *agent);
+        health_watch.tick(now, *agent);
+        if (looks.size() > before) health_watch.on_probe_done(now, c, true, *agent);
     });
     EXPECT_TRUE(finding()->well);
     EXPECT_GE(finding()->looks, 2);
     // One that was asked for within the term, and would go out after a stop that outlasted it.
-    vigil.tick(now + ms * 500, *agent);
-    EXPECT_TRUE(vigil.may_go(now + ms * 500, c, *agent));
-    EXPECT_FALSE(vigil.may_go(now + ms * 5'000, c, *agent));
+    health_watch.tick(now + ms * 500, *agent);
+    EXPECT_TRUE(health_watch.may_probe(now + ms * 500, c, *agent));
+    EXPECT_FALSE(health_watch.may_probe(now + ms * 5'000, c, *agent));
     const std::size_t told = trials.size();
-    vigil.not_permitted(now, c, *agent);
+    health_watch.not_permitted(now, c, *agent);
     EXPECT_EQ(trials.size(), told + 1);
 }
 
 TEST_F(Watching, ASilentCachePutsTrialsOffAndAWellOneBringsThemForwardOneAfterTheOther) {
     start("m", articles());
-    vigil.found(now, c, {EpochNo{1}, {MemberName{"x"}, StartNo{1}}, false, 1}, *agent);
+    health_watch.on_probe_result(now, c, {EpochNo{1}, {MemberName{"x"}, StartNo{1}}, false, 1}, *agent);
     EXPECT_TRUE(trials.empty()) << "it is not marked here";
-    vigil.marked(c, true);
-    vigil.found(now, c, {EpochNo{1}, {MemberName{"x"}, StartNo{1}}, false, 1}, *agent);
+    health_watch.marked(c, true);
+    health_watch.on_probe_result(now, c, {EpochNo{1}, {MemberName{"x"}, StartNo{1}}, false, 1}, *agent);
     ASSERT_EQ(trials.size(), 1u);
     EXPECT_EQ(trials[0].second - trials[0].first, ms * 1250);
     for (std::int64_t looked = 1; looked < 5; ++looked) {
-        vigil.found(now, c, {EpochNo{1}, {MemberName{"x"}, StartNo{1}}, true, looked}, *agent);
+        health_watch.on_probe_result(now, c, {EpochNo{1}, {MemberName{"x"}, StartNo{1}}, true, looked},
+                                     *agent);
         EXPECT_EQ(trials.size(), looked < 2 ? 1u : 2u) << "at the second answer, and once";
     }
     ASSERT_EQ(trials.size(), 2u);
@@ -373,12 +374,12 @@
     std::set<Span> instants;
     for (const char* name : {"a", "b", "m"}) {
         start(name, articles());
-        vigil.marked(c, false);
-        vigil.marked(c, true);
+        health_watch.marked(c, false);
+        health_watch.marked(c, true);
         for (const char* other : {"a", "b", "m"})
             if (std::string(other) != name) others_mark(other, true);
         put("member/" + std::string(name), "");
-        vigil.found(now, c, {EpochNo{1}, {MemberName{"x"}, StartNo{1}}, true, 2}, *agent);
+        health_watch.on_probe_result(now, c, {EpochNo{1}, {MemberName{"x"}, StartNo{1}}, true, 2}, *agent);
         instants.insert(trials.back().second - now);
     }
     EXPECT_EQ(instants.size(), 3u);
