--- a/lab/arena.cpp
+++ b/lab/arena.cpp
@@ -241,7 +241,7 @@
                               words(it->second) + " and " + words(by));
         }
         std::optional<Written> w;
-        if (const auto s = key == swept_key() ? read_swept(*value) : std::nullopt)
+        if (const auto s = key == collection_progress_key() ? read_collection_progress(*value) : std::nullopt)
             w = Written{t.at, "sweep", s->epoch, s->by, t.held};
         if (const auto c = finding_of(key))
             if (const auto f = read_finding(*value))
--- a/lab/world.cpp
+++ b/lab/world.cpp
@@ -48,7 +48,7 @@
         });
     }
     void tenancy_told(const DutyName&, Tenancy, EpochNo) override {}
-    void work_told(const DutyName&, const Key&, Done) override {}
+    void work_told(const DutyName&, const Key&, WriteOutcome) override {}
     void remark(std::string_view) override {}
     // Runs at once, or when a stopped process goes on; never for a former one.
     void when_running(std::function<void()> then) {
--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -139,8 +139,8 @@
                     if (const auto f = read_finding(*seen))
                         std::cout << (f->well ? " answered " : " silent ") << f->looks << " times in a row";
         });
-        if (const Text swept = text_of(all, swept_key()))
-            if (const auto s = read_swept(*swept))
+        if (const Text swept = text_of(all, collection_progress_key()))
+            if (const auto s = read_collection_progress(*swept))
                 std::cout << "swept " << s->taken << " records in " << s->pass << " passes\n";
         return 0;
     });
--- a/src/fleet/agent.cpp
+++ b/src/fleet/agent.cpp
@@ -146,7 +146,7 @@
     const Step step = std::exchange(step_, Step::none);
     if (step == Step::none) return;
     silences_ = 0;
-    if (step == Step::work) work_over(held ? Done::written : Done::refused);
+    if (step == Step::work) work_over(held ? WriteOutcome::written : WriteOutcome::refused);
     // The order matters: a sign of life that has landed says for how long we are in before duties are judged.
     if (step == Step::join) join_out_ = false;
     if (held && (step == Step::join || step == Step::beat)) {
@@ -176,7 +176,7 @@
 void Agent::on_no_answer(Instant now) {
     const Step step = std::exchange(step_, Step::none);
     if (step == Step::none) return;
-    if (step == Step::work) work_over(Done::unknown);
+    if (step == Step::work) work_over(WriteOutcome::unknown);
     for (const Entry& e : out_.writes)
         if (unsure_.size() < doubted_at_most && (duty_of(e.first) || member_of(e.first)))
             unsure_.insert(e.first);
@@ -247,7 +247,7 @@
     former_.reset();
     join_out_ = false;
     unsure_.clear();
-    for (const Work& w : std::exchange(works_, {})) hears_.work_told(w.duty, w.key, Done::refused);
+    for (const Work& w : std::exchange(works_, {})) hears_.work_told(w.duty, w.key, WriteOutcome::refused);
     hears_.remark(why);
     judge(now);
 }
@@ -551,28 +551,28 @@
 }
 
 bool Agent::work(Instant now, const DutyName& duty, const Key& key, const std::string& value) {
-    return work(now, duty, key, Chore{{}, {{key, value}}});
+    return work(now, duty, key, FencedWrite{{}, {{key, value}}});
 }
 
-bool Agent::work(Instant now, const DutyName& duty, const Key& key, Chore chore) {
+bool Agent::work(Instant now, const DutyName& duty, const Key& key, FencedWrite write_request) {
     if (!may_begin(now, duty) || works_.size() >= most_works) return false;
-    works_.push_back({duty, key, std::move(chore)});
+    works_.push_back({duty, key, std::move(write_request)});
     go_on(now);
     return true;
 }
 
 bool Agent::next_work(Instant now) {
-    while (!works_.empty() && !may_act(now, works_.front().duty)) work_over(Done::refused);
+    while (!works_.empty() && !may_act(now, works_.front().duty)) work_over(WriteOutcome::refused);
     if (works_.empty()) return false;
     const Work& w = works_.front();
     const Duties::Duty& d = duties_.all().at(w.duty);
-    Deal deal{{own_sign(), {key_of_duty(w.duty), d.text}}, w.chore.writes, {}};
-    deal.holds.insert(deal.holds.end(), w.chore.holds.begin(), w.chore.holds.end());
+    Deal deal{{own_sign(), {key_of_duty(w.duty), d.text}}, w.write_request.writes, {}};
+    deal.holds.insert(deal.holds.end(), w.write_request.holds.begin(), w.write_request.holds.end());
     say(now, Step::work, std::move(deal));
     return true;
 }
 
-void Agent::work_over(Done done) {
+void Agent::work_over(WriteOutcome done) {
     const Work work = works_.front();
     works_.pop_front();
     hears_.work_told(work.duty, work.key, done);
--- a/src/fleet/agent.hpp
+++ b/src/fleet/agent.hpp
@@ -47,19 +47,19 @@
 };
 
 // What is written on behalf of the fleet, and what must be so besides the writer's owning the duty.
-struct Chore {
+struct FencedWrite {
     std::vector<Entry> holds;
     std::vector<Entry> writes;
 };
 
-enum class Done { written, refused, unknown };
+enum class WriteOutcome { written, refused, unknown };
 
 // Who is told what comes of it.
 class Hears {
 public:
     virtual ~Hears() = default;
     virtual void tenancy_told(const DutyName&, Tenancy, EpochNo) = 0;
-    virtual void work_told(const DutyName&, const Key&, Done) = 0;
+    virtual void work_told(const DutyName&, const Key&, WriteOutcome) = 0;
     virtual void remark(std::string_view plain_line) = 0;
 };
 
@@ -105,7 +105,7 @@
     // Written if the duty is still ours when it lands; the answer is told. False: not ours, or too many wait.
     bool work(Instant now, const DutyName&, const Key&, const std::string& value);
     // As above; the answer names the key.
-    bool work(Instant now, const DutyName&, const Key&, Chore chore);
+    bool work(Instant now, const DutyName&, const Key&, FencedWrite write_request);
 
     const Membership& membership() const { return membership_; }
     const Duties& duties() const { return duties_; }
@@ -122,7 +122,7 @@
     struct Work {
         DutyName duty;
         Key key;
-        Chore chore;
+        FencedWrite write_request;
     };
 
     void go_on(Instant now);
@@ -131,7 +131,7 @@
     bool next_eviction(Instant now);
     bool next_publication(Instant now);
     bool next_work(Instant now);
-    void work_over(Done done);
+    void work_over(WriteOutcome done);
     void say(Instant now, Step step, Deal deal);
     void look(Instant now);
     void join(Instant now, const Text& member, const Text& beat);
--- a/src/fleet/fleet_client.cpp
+++ b/src/fleet/fleet_client.cpp
@@ -48,7 +48,7 @@
       followed_(followed(settings.registry)),
       agent_((open_store(), *this), *this, settings.articles, identity(version), mixed_with_chance(seed)),
       health_watch_(*this, settings.look_every, agent_.membership().round()),
-      sweep_(settings.sweep_every, agent_.membership().wait() * 2),
+      garbage_collector_(settings.sweep_every, agent_.membership().wait() * 2),
       asker_(loop, *this, settings_.registry),
       member_(seed % settings.registry.members.size()),
       client_(loop, *this, followed_, mixed_with_chance(seed), registry::Sort::plain) {
@@ -212,7 +212,7 @@
 }
 
 void FleetClient::know_duties() {
-    std::set<DutyName> now_known{sweeping()};
+    std::set<DutyName> now_known{garbage_collection_duty()};
     for (const CacheId& c : health_watch_.watched(agent_)) now_known.insert(watch_over(c));
     if (now_known == duties_) return;
     std::vector<Entry> records;
@@ -232,11 +232,12 @@
     const Instant now = clock();
     health_watch_.tick(now, agent_);
     Instant due = health_watch_.due();
-    if (agent_.may_begin(now, sweeping())) {
-        if (auto chore = sweep_.next(now, roll_, agent_))
-            if (!agent_.work(now, sweeping(), swept_key(), std::move(*chore)))
-                sweep_.told(now, Done::refused);
-        if (sweep_.due() > now) due = std::min(due, sweep_.due());
+    if (agent_.may_begin(now, garbage_collection_duty())) {
+        if (auto write_request = garbage_collector_.next(now, roll_, agent_))
+            if (!agent_.work(now, garbage_collection_duty(), collection_progress_key(),
+                             std::move(*write_request)))
+                garbage_collector_.told(now, WriteOutcome::refused);
+        if (garbage_collector_.due() > now) due = std::min(due, garbage_collector_.due());
     }
     go_on_ = loop_.at(by_loop(due), [this] { go_on(); });
 }
@@ -245,8 +246,8 @@
     gateway_.on_duty_state(duty, tenancy, epoch);
 }
 
-void FleetClient::work_told(const DutyName& duty, const Key&, Done done) {
-    if (duty == sweeping()) sweep_.told(clock(), done);
+void FleetClient::work_told(const DutyName& duty, const Key&, WriteOutcome done) {
+    if (duty == garbage_collection_duty()) garbage_collector_.told(clock(), done);
 }
 
 void FleetClient::remark(std::string_view plain_line) { gateway_.on_fleet_message(plain_line, true); }
--- a/src/fleet/fleet_client.hpp
+++ b/src/fleet/fleet_client.hpp
@@ -11,10 +11,10 @@
 #include <string>
 
 #include "fleet/agent.hpp"
+#include "fleet/garbage_collector.hpp"
 #include "fleet/health_watch.hpp"
 #include "fleet/roll.hpp"
 #include "fleet/settings.hpp"
-#include "fleet/sweep.hpp"
 #include "registry/client.hpp"
 #include "store/store.hpp"
 
@@ -64,7 +64,7 @@
     void wake(Instant at) override;
     // Hears
     void tenancy_told(const DutyName&, Tenancy, EpochNo) override;
-    void work_told(const DutyName&, const Key&, Done) override;
+    void work_told(const DutyName&, const Key&, WriteOutcome) override;
     void remark(std::string_view plain_line) override;
     // Looks
     void send_probe(const CacheId&) override;
@@ -96,7 +96,7 @@
     registry::Settings followed_;
     Agent agent_;
     HealthWatch health_watch_;
-    Sweep sweep_;
+    GarbageCollector garbage_collector_;
     Roll roll_;
     registry::Revision told_;
     std::set<DutyName> duties_;
--- a/src/fleet/sweep.cpp
+++ b/src/fleet/garbage_collector.cpp
@@ -1,12 +1,12 @@
-#include "fleet/sweep.hpp"
+#include "fleet/garbage_collector.hpp"
 
 namespace irismux::fleet {
 
-DutyName sweeping() { return DutyName{"sweep"}; }
+DutyName garbage_collection_duty() { return DutyName{"sweep"}; }
 
 // What takes that record away if it is litter, and what must still be so when it lands.
-std::optional<Chore> Sweep::removal(const Key& key, const std::string& text, const Roll& roll,
-                                    const Agent& agent) const {
+std::optional<FencedWrite> GarbageCollector::removal(const Key& key, const std::string& text,
+                                                     const Roll& roll, const Agent& agent) const {
     const Entry as_is{key, text}, away{key, std::nullopt};
     const auto gone = [&](const Instance& who) -> std::optional<Entry> {
         if (agent.is_member(who)) return std::nullopt;
@@ -16,7 +16,7 @@
     if (const auto duty = duty_of(key); duty && watched_by(*duty)) {
         const auto record = read_duty(text);
         if (!record || agent.duties().all().contains(*duty)) return std::nullopt;
-        Chore c{{as_is, {floor_key(), agent.floor()}}, {away}};
+        FencedWrite c{{as_is, {floor_key(), agent.floor()}}, {away}};
         if (!record->owner.raw().empty()) {
             const auto owner = gone({record->owner, record->start});
             if (!owner) return std::nullopt;
@@ -30,18 +30,18 @@
         const auto who = read_aside(text);
         if (!who) return std::nullopt;
         const auto member = gone(*who);
-        return member ? std::optional(Chore{{as_is, *member}, {away}}) : std::nullopt;
+        return member ? std::optional(FencedWrite{{as_is, *member}, {away}}) : std::nullopt;
     }
     if (const auto cache = finding_of(key)) {
         const Key duty = key_of_duty(watch_over(*cache));
         if (roll.at(duty)) return std::nullopt;
-        return Chore{{as_is, {duty, std::nullopt}}, {away}};
+        return FencedWrite{{as_is, {duty, std::nullopt}}, {away}};
     }
     return std::nullopt;
 }
 
 // Once a pass: what has lain there for long enough.
-void Sweep::look_over(Instant now, const Roll& roll, const Agent& agent) {
+void GarbageCollector::look_over(Instant now, const Roll& roll, const Agent& agent) {
     std::map<Key, Lying> lying;
     ready_.clear();
     for (const auto& [key, text] : roll.records()) {
@@ -56,36 +56,37 @@
     looked_over_ = true;
 }
 
-std::optional<Chore> Sweep::next(Instant now, const Roll& roll, const Agent& agent) {
+std::optional<FencedWrite> GarbageCollector::next(Instant now, const Roll& roll, const Agent& agent) {
     if (out_ || now < next_) return std::nullopt;
-    const Text former = roll.at(swept_key());
-    Swept place = former ? read_swept(*former).value_or(Swept{}) : Swept{};
+    const Text former = roll.at(collection_progress_key());
+    CollectionProgress place =
+        former ? read_collection_progress(*former).value_or(CollectionProgress{}) : CollectionProgress{};
     // A successor goes on with the pass that it finds; what the one before has dealt with is not there any
     // more.
     if (!looked_over_) look_over(now, roll, agent);
-    std::optional<Chore> chore;
+    std::optional<FencedWrite> write_request;
     Key at;
-    while (!ready_.empty() && !chore) {
+    while (!ready_.empty() && !write_request) {
         at = *ready_.begin();
         ready_.erase(ready_.begin());
         const Text text = roll.at(at);
-        if (text && at.raw() > place.behind) chore = removal(at, *text, roll, agent);
+        if (text && at.raw() > place.behind) write_request = removal(at, *text, roll, agent);
     }
-    ends_pass_ = !chore;
-    if (!chore) chore.emplace();
+    ends_pass_ = !write_request;
+    if (!write_request) write_request.emplace();
     place.taken += !ends_pass_;
     place.pass += ends_pass_;
     place.behind = ends_pass_ ? "" : at.raw();
-    place.epoch = agent.epoch_of(sweeping());
+    place.epoch = agent.epoch_of(garbage_collection_duty());
     place.by = agent.self();
-    chore->writes.emplace_back(swept_key(), write(place));
+    write_request->writes.emplace_back(collection_progress_key(), write(place));
     out_ = true;
-    return chore;
+    return write_request;
 }
 
 // What was refused or may not have landed is looked for again in the next pass, from the records as they are
 // then.
-void Sweep::told(Instant now, Done) {
+void GarbageCollector::told(Instant now, WriteOutcome) {
     out_ = false;
     if (!ends_pass_) return;
     looked_over_ = false;
--- a/src/fleet/sweep.hpp
+++ b/src/fleet/garbage_collector.hpp
@@ -20,21 +20,21 @@
 
 namespace irismux::fleet {
 
-DutyName sweeping();  // the duty's name
+DutyName garbage_collection_duty();  // the duty's name
 
-class Sweep {
+class GarbageCollector {
 public:
     // A pass begins `every` after the one before, as this owner sees it.
-    Sweep(Span every, Span rests) : every_(every), rests_(rests) {}
+    GarbageCollector(Span every, Span rests) : every_(every), rests_(rests) {}
 
     // What to write next, if anything is due. One chore is out at a time; its end is told.
-    std::optional<Chore> next(Instant now, const Roll& roll, const Agent& agent);
-    void told(Instant now, Done done);
+    std::optional<FencedWrite> next(Instant now, const Roll& roll, const Agent& agent);
+    void told(Instant now, WriteOutcome done);
     Instant due() const { return next_; }
 
 private:
-    std::optional<Chore> removal(const Key& key, const std::string& text, const Roll& roll,
-                                 const Agent& agent) const;
+    std::optional<FencedWrite> removal(const Key& key, const std::string& text, const Roll& roll,
+                                       const Agent& agent) const;
 
     Span every_, rests_;
     void look_over(Instant now, const Roll& roll, const Agent& agent);
--- a/src/fleet/records.cpp
+++ b/src/fleet/records.cpp
@@ -57,7 +57,7 @@
 Key key_of_beat(const MemberName& m) { return Key{std::string(beats) + m.raw()}; }
 Key key_of_duty(const DutyName& d) { return Key{std::string(duties) + d.raw()}; }
 Key floor_key() { return Key{"floor"}; }
-Key swept_key() { return Key{"swept"}; }
+Key collection_progress_key() { return Key{"swept"}; }
 Key key_of_aside(const DutyName& d) { return Key{std::string(asides) + d.raw()}; }
 Key key_of_finding(const CacheId& c) { return Key{std::string(findings) + c.raw()}; }
 std::optional<DutyName> aside_of(const Key& key) { return behind<DutyName>(key, asides); }
@@ -101,7 +101,7 @@
     return o.dump();
 }
 
-std::string write(const Swept& s) {
+std::string write(const CollectionProgress& s) {
     json o = {{"epoch", s.epoch.raw()}, {"pass", s.pass}, {"taken", s.taken}, {"behind", s.behind}};
     put(o, s.by);
     return o.dump();
@@ -152,13 +152,13 @@
     return Finding{EpochNo{*epoch}, *by, well->get<bool>(), number_or_none(o, "looks")};
 }
 
-std::optional<Swept> read_swept(std::string_view bytes) {
+std::optional<CollectionProgress> read_collection_progress(std::string_view bytes) {
     const json o = object_of(bytes);
     const auto epoch = number(o, "epoch");
     const auto by = instance(o);
     if (!epoch || !by) return std::nullopt;
-    return Swept{EpochNo{*epoch}, *by, number_or_none(o, "pass"), number_or_none(o, "taken"),
-                 text(o, "behind").value_or("")};
+    return CollectionProgress{EpochNo{*epoch}, *by, number_or_none(o, "pass"), number_or_none(o, "taken"),
+                              text(o, "behind").value_or("")};
 }
 
 EpochNo read_floor(std::string_view bytes) { return EpochNo{number_or_none(object_of(bytes), "epoch")}; }
--- a/src/fleet/records.hpp
+++ b/src/fleet/records.hpp
@@ -77,7 +77,7 @@
     std::int64_t looks = 0;  // in a row that ended so
 };
 // Where the sweeping stands, for whoever goes on with it.
-struct Swept {
+struct CollectionProgress {
     EpochNo epoch;
     Instance by;
     std::int64_t pass = 0, taken = 0;  // passes begun; records taken away, by all owners together
@@ -86,7 +86,7 @@
 
 Key about_key();
 Key floor_key();
-Key swept_key();
+Key collection_progress_key();
 Key key_of_aside(const DutyName&);
 Key key_of_finding(const CacheId&);
 std::optional<DutyName> aside_of(const Key&);
@@ -108,14 +108,14 @@
 std::string write(const DutyRecord&);
 std::string write(const Instance&);
 std::string write(const Finding&);
-std::string write(const Swept&);
+std::string write(const CollectionProgress&);
 std::string write_floor(EpochNo);
 std::optional<MemberRecord> read_member(std::string_view);
 std::optional<BeatRecord> read_beat(std::string_view);
 std::optional<DutyRecord> read_duty(std::string_view);
 std::optional<Instance> read_aside(std::string_view);
 std::optional<Finding> read_finding(std::string_view);
-std::optional<Swept> read_swept(std::string_view);
+std::optional<CollectionProgress> read_collection_progress(std::string_view);
 EpochNo read_floor(std::string_view);  // zero: it can't be read
 
 }  // namespace irismux::fleet
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -2,8 +2,8 @@
 // few.
 #include <gtest/gtest.h>
 
+#include "fleet/garbage_collector.hpp"
 #include "fleet/health_watch.hpp"
-#include "fleet/sweep.hpp"
 #include "lab/book.hpp"
 #include "lab/world.hpp"
 
@@ -128,7 +128,7 @@
     std::optional<Deal> out;
     std::vector<Deal> said;
     std::vector<std::string> remarks;
-    std::function<void(Done)> worked = [](Done) {};
+    std::function<void(WriteOutcome)> worked = [](WriteOutcome) {};
     std::unique_ptr<Agent> agent;
 
     void start(const std::string& name, const Articles& a, const std::string& mark = "k") {
@@ -160,7 +160,7 @@
     }
     void wake(Instant) override {}
     void tenancy_told(const DutyName&, Tenancy, EpochNo) override {}
-    void work_told(const DutyName&, const Key&, Done done) override { worked(done); }
+    void work_told(const DutyName&, const Key&, WriteOutcome done) override { worked(done); }
     void remark(std::string_view line) override { remarks.emplace_back(line); }
 };
 
@@ -245,43 +245,45 @@
 TEST_F(Alone, WhatIsNotWantedIsGivenUpAndSweptAndItsEpochsDoNotComeAgain) {
     const DutyName w = watch_over(CacheId{"c"});
     start("m", articles());
-    agent->duties_are(now, {sweeping(), w});
+    agent->duties_are(now, {garbage_collection_duty(), w});
     run(ms * 20'000);
     ASSERT_TRUE(agent->may_act(now, w));
     const std::string ours = book.records().at(key_of_duty(w));
     const EpochNo before = agent->epoch_of(w);
     put(key_of_finding(CacheId{"c"}).raw(), write(Finding{before, agent->self(), false, 3}));
     put(key_of_aside(w).raw(), write(Instance{MemberName{"gone"}, StartNo{3}}));
-    agent->duties_are(now, {sweeping()});
+    agent->duties_are(now, {garbage_collection_duty()});
     EXPECT_FALSE(agent->may_act(now, w));
     run(ms * 200);
     EXPECT_EQ(read_duty(book.records().at(key_of_duty(w)))->owner, MemberName{});
-    agent->duties_are(now, {sweeping(), w});
+    agent->duties_are(now, {garbage_collection_duty(), w});
     agent->on_records(now, registry::Revision{1}, {{key_of_duty(w), ours}}, false);
     EXPECT_FALSE(agent->may_act(now, w));
-    agent->duties_are(now, {sweeping()});
+    agent->duties_are(now, {garbage_collection_duty()});
 
-    Sweep sweep(ms * 1000, agent->membership().wait() * 2);
-    worked = [&](Done done) { sweep.told(now, done); };
+    GarbageCollector sweep(ms * 1000, agent->membership().wait() * 2);
+    worked = [&](WriteOutcome done) { sweep.told(now, done); };
     std::optional<Instant> gone;
     const Instant from = now;
     run(ms * 30'000, [&] {
         Roll roll;
         roll.show(book.all(), true);
         if (!gone && !book.records().contains(key_of_finding(CacheId{"c"}))) gone = now;
-        if (auto chore = sweep.next(now, roll, *agent))
-            if (!agent->work(now, sweeping(), swept_key(), std::move(*chore))) sweep.told(now, Done::refused);
+        if (auto write_request = sweep.next(now, roll, *agent))
+            if (!agent->work(now, garbage_collection_duty(), collection_progress_key(),
+                             std::move(*write_request)))
+                sweep.told(now, WriteOutcome::refused);
     });
     ASSERT_TRUE(gone);
     EXPECT_GE(*gone - from, agent->membership().wait() * 2);
     EXPECT_FALSE(book.records().contains(key_of_duty(w)));
     EXPECT_FALSE(book.records().contains(key_of_aside(w)));
     EXPECT_GE(read_floor(book.records().at(floor_key())), before);
-    EXPECT_EQ(read_swept(book.records().at(swept_key()))->taken, 3);
+    EXPECT_EQ(read_collection_progress(book.records().at(collection_progress_key()))->taken, 3);
     // Nobody who claims it remembers: only the registry does.
-    worked = [](Done) {};
+    worked = [](WriteOutcome) {};
     start("n", articles());
-    agent->duties_are(now, {sweeping(), w});
+    agent->duties_are(now, {garbage_collection_duty(), w});
     run(ms * 20'000);
     ASSERT_TRUE(agent->may_act(now, w));
     EXPECT_GT(agent->epoch_of(w), before);
