--- a/lab/explore.cpp
+++ b/lab/explore.cpp
@@ -34,7 +34,7 @@
     Instant wake_at;
     void deal(const Deal& d) override { asked = d; }
     void wake(Instant at) override { wake_at = at; }
-    void tenancy_told(const DutyName&, Tenancy, EpochNo) override {}
+    void on_lease_state(const DutyName&, LeaseState, EpochNo) override {}
     void work_told(const DutyName&, const Key&, WriteOutcome) override {}
     void remark(std::string_view) override {}
 };
--- a/lab/world.cpp
+++ b/lab/world.cpp
@@ -47,7 +47,7 @@
             if (born == life && mine == wake_no) world.wake(*this);
         });
     }
-    void tenancy_told(const DutyName&, Tenancy, EpochNo) override {}
+    void on_lease_state(const DutyName&, LeaseState, EpochNo) override {}
     void work_told(const DutyName&, const Key&, WriteOutcome) override {}
     void remark(std::string_view) override {}
     // Runs at once, or when a stopped process goes on; never for a former one.
--- a/src/fleet/agent.cpp
+++ b/src/fleet/agent.cpp
@@ -108,8 +108,8 @@
         if (d.wanted) continue;
         // From here on nothing is done under its epoch; the record is given up in turn.
         if (named(d)) d.given_up = std::max(d.given_up, d.record->epoch);
-        if (d.tenure.tenancy() != Tenancy::idle) hears_.tenancy_told(name, Tenancy::idle, EpochNo{});
-        d.tenure = Tenure{};
+        if (d.lease.state() != LeaseState::idle) hears_.on_lease_state(name, LeaseState::idle, EpochNo{});
+        d.lease = Lease{};
         if (!named(d)) over.push_back(name);
     }
     for (const DutyName& name : over) duties_.let_go(name);
@@ -401,8 +401,8 @@
     return named(d) && d.wanted && d.record->epoch > d.given_up && !membership_.listening(now);
 }
 
-Grounds Agent::grounds(Instant now, const DutyName& name, const Duties::Duty& d) const {
-    Grounds g;
+LeaseConditions Agent::lease_conditions(Instant now, const DutyName& name, const Duties::Duty& d) const {
+    LeaseConditions g;
     g.named = holds(now, d);
     g.in_term = membership_.in_term(now) && !leaving_;
     g.near_end = membership_.near_end(now);
@@ -468,9 +468,9 @@
             d.free_since.reset();
         else if (!d.free_since)
             d.free_since = now;
-        const Tenancy before = d.tenure.tenancy();
-        const Tenancy after = d.tenure.enter(grounds(now, name, d));
-        if (after != before && d.wanted) hears_.tenancy_told(name, after, epoch_of(name));
+        const LeaseState before = d.lease.state();
+        const LeaseState after = d.lease.enter(lease_conditions(now, name, d));
+        if (after != before && d.wanted) hears_.on_lease_state(name, after, epoch_of(name));
     }
 }
 
@@ -596,8 +596,8 @@
         if (o.looked) all += o.sign.value_or("-") + ' ' + age(o.sign_since) + age(o.sign_last);
     }
     for (const auto& [name, d] : duties_.all()) {
-        all += '\n' + name.raw() + ' ' + std::string(word_of(d.tenure.tenancy())) +
-               (d.known ? " k " : " u ") + d.text.value_or("-") + std::to_string(d.given_up.raw());
+        all += '\n' + name.raw() + ' ' + std::string(word_of(d.lease.state())) + (d.known ? " k " : " u ") +
+               d.text.value_or("-") + std::to_string(d.given_up.raw());
         if (d.free_since) all += ' ' + age(*d.free_since);
     }
     all += '\n' + fence_.kept();
--- a/src/fleet/agent.hpp
+++ b/src/fleet/agent.hpp
@@ -1,5 +1,5 @@
 // One gateway among its fellows: joins, gives signs of life, evicts those that give none, claims, hands on
-// and gives up duties, and writes on behalf of the fleet. Round Membership, Tenure, Fence and Duties; no I/O,
+// and gives up duties, and writes on behalf of the fleet. Round Membership, Lease, Fence and Duties; no I/O,
 // no clock: the instant is that of the gateway's own steady clock and comes with each call.
 //
 // One deal with the registry is out at a time. A deal is a transaction: it compares, and writes only if all
@@ -58,7 +58,7 @@
 class Hears {
 public:
     virtual ~Hears() = default;
-    virtual void tenancy_told(const DutyName&, Tenancy, EpochNo) = 0;
+    virtual void on_lease_state(const DutyName&, LeaseState, EpochNo) = 0;
     virtual void work_told(const DutyName&, const Key&, WriteOutcome) = 0;
     virtual void remark(std::string_view plain_line) = 0;
 };
@@ -146,7 +146,7 @@
     void judge(Instant now);
     void rest(Instant now);
     double part();  // by chance, up to 1
-    Grounds grounds(Instant now, const DutyName&, const Duties::Duty&) const;
+    LeaseConditions lease_conditions(Instant now, const DutyName&, const Duties::Duty&) const;
     bool named(const Duties::Duty&) const;
     bool free(const Duties::Duty&) const;
     EpochNo above(const DutyName&, const Duties::Duty&) const;
--- a/src/fleet/duties.hpp
+++ b/src/fleet/duties.hpp
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
+#include "fleet/lease.hpp"
 #include "fleet/membership.hpp"
-#include "fleet/tenure.hpp"
 
 namespace irismux::fleet {
 
@@ -24,7 +24,7 @@
         std::optional<Instance> aside;      // who is to leave it to others
         std::optional<Instant> free_since;  // nobody owns it, as far as is known
         EpochNo given_up;                   // records that name us up to here are not heeded
-        Tenure tenure;
+        Lease lease;
     };
 
     // Records of duties that nobody here knows are left alone. False: there are too many, and some are not
--- a/src/fleet/fleet_client.cpp
+++ b/src/fleet/fleet_client.cpp
@@ -242,8 +242,8 @@
     go_on_ = loop_.at(by_loop(due), [this] { go_on(); });
 }
 
-void FleetClient::tenancy_told(const DutyName& duty, Tenancy tenancy, EpochNo epoch) {
-    gateway_.on_duty_state(duty, tenancy, epoch);
+void FleetClient::on_lease_state(const DutyName& duty, LeaseState state, EpochNo epoch) {
+    gateway_.on_duty_state(duty, state, epoch);
 }
 
 void FleetClient::work_told(const DutyName& duty, const Key&, WriteOutcome done) {
--- a/src/fleet/tenure.hpp
+++ b/src/fleet/lease.hpp
@@ -15,24 +15,24 @@
 
 namespace irismux::fleet {
 
-enum class Tenancy { idle, seeking, owning, resting, lost };
-std::string_view word_of(Tenancy);
+enum class LeaseState { idle, seeking, owning, resting, lost };
+std::string_view word_of(LeaseState);
 
 // What decides, all at one instant of the member's own clock.
-struct Grounds {
+struct LeaseConditions {
     bool named = false;  // the newest record known names this very instance
     bool in_term = false;
     bool near_end = false;
     bool wanted = false;  // by the order of the members
 };
 
-class Tenure {
+class Lease {
 public:
-    Tenancy tenancy() const { return tenancy_; }
-    Tenancy enter(const Grounds& grounds);
+    LeaseState state() const { return state_; }
+    LeaseState enter(const LeaseConditions& lease_conditions);
 
 private:
-    Tenancy tenancy_ = Tenancy::idle;
+    LeaseState state_ = LeaseState::idle;
 };
 
 }  // namespace irismux::fleet
--- a/src/process/host.cpp
+++ b/src/process/host.cpp
@@ -384,9 +384,9 @@
     guarded_flag(in_router_, [&] { router_.on_trial_from(loop_.now(), cache, at); });
 }
 
-void Host::on_duty_state(const fleet::DutyName& duty, fleet::Tenancy tenancy, fleet::EpochNo epoch) {
-    log::event(tenancy == fleet::Tenancy::lost ? log::Level::warning : log::Level::info, "duty",
-               {{"duty", duty.raw()}, {"tenancy", fleet::word_of(tenancy)}, {"epoch", epoch.raw()}});
+void Host::on_duty_state(const fleet::DutyName& duty, fleet::LeaseState state, fleet::EpochNo epoch) {
+    log::event(state == fleet::LeaseState::lost ? log::Level::warning : log::Level::info, "duty",
+               {{"duty", duty.raw()}, {"tenancy", fleet::word_of(state)}, {"epoch", epoch.raw()}});
 }
 
 void Host::on_fleet_message(std::string_view plain_line, bool trouble) {
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -70,17 +70,17 @@
 }
 
 TEST(Fleet, TheTableOfATenure) {
-    const Grounds mine{.named = true, .in_term = true},
+    const LeaseConditions mine{.named = true, .in_term = true},
         near{.named = true, .in_term = true, .near_end = true}, lapsed{.named = true},
         wanted{.in_term = true, .wanted = true}, none{.in_term = true}, out{.wanted = true};
-    const std::vector<std::pair<Grounds, Tenancy>> steps = {
-        {none, Tenancy::idle},    {out, Tenancy::idle},     {wanted, Tenancy::seeking},
-        {mine, Tenancy::owning},  {near, Tenancy::resting}, {mine, Tenancy::owning},
-        {near, Tenancy::resting}, {lapsed, Tenancy::lost},  {lapsed, Tenancy::lost},
-        {mine, Tenancy::owning},  {wanted, Tenancy::lost},  {wanted, Tenancy::seeking},
-        {none, Tenancy::idle},    {mine, Tenancy::owning},  {none, Tenancy::lost},
-        {none, Tenancy::idle}};
-    Tenure t;
+    const std::vector<std::pair<LeaseConditions, LeaseState>> steps = {
+        {none, LeaseState::idle},    {out, LeaseState::idle},     {wanted, LeaseState::seeking},
+        {mine, LeaseState::owning},  {near, LeaseState::resting}, {mine, LeaseState::owning},
+        {near, LeaseState::resting}, {lapsed, LeaseState::lost},  {lapsed, LeaseState::lost},
+        {mine, LeaseState::owning},  {wanted, LeaseState::lost},  {wanted, LeaseState::seeking},
+        {none, LeaseState::idle},    {mine, LeaseState::owning},  {none, LeaseState::lost},
+        {none, LeaseState::idle}};
+    Lease t;
     for (std::size_t n = 0; n < steps.size(); ++n) EXPECT_EQ(t.enter(steps[n].first), steps[n].second) << n;
 }
 
@@ -159,7 +159,7 @@
         said.push_back(d);
     }
     void wake(Instant) override {}
-    void tenancy_told(const DutyName&, Tenancy, EpochNo) override {}
+    void on_lease_state(const DutyName&, LeaseState, EpochNo) override {}
     void work_told(const DutyName&, const Key&, WriteOutcome done) override { worked(done); }
     void remark(std::string_view line) override { remarks.emplace_back(line); }
 };
