--- a/src/fleet/fleet_client.cpp
+++ b/src/fleet/fleet_client.cpp
@@ -189,7 +189,7 @@
     std::vector<Entry> entries;
     for (const auto& c : changes)
         entries.emplace_back(Key{c.record.key.raw()}, c.deleted ? Text{} : Text{c.record.value});
-    roll_.show(entries, all);
+    record_mirror_.apply(entries, all);
     told_ = at;
     agent_.on_records(clock(), at, entries, all);
     for (const auto& [key, text] : entries)
@@ -218,7 +218,8 @@
     std::vector<Entry> records;
     for (const DutyName& d : now_known)
         if (!duties_.contains(d) && told_ > registry::Revision{})
-            for (const Key& key : {key_of_duty(d), key_of_aside(d)}) records.emplace_back(key, roll_.at(key));
+            for (const Key& key : {key_of_duty(d), key_of_aside(d)})
+                records.emplace_back(key, record_mirror_.at(key));
     duties_ = now_known;
     agent_.duties_are(clock(), duties_);
     if (!records.empty()) agent_.on_records(clock(), told_, records, false);
@@ -233,7 +234,7 @@
     health_watch_.tick(now, agent_);
     Instant due = health_watch_.due();
     if (agent_.may_begin(now, garbage_collection_duty())) {
-        if (auto write_request = garbage_collector_.next(now, roll_, agent_))
+        if (auto write_request = garbage_collector_.next(now, record_mirror_, agent_))
             if (!agent_.work(now, garbage_collection_duty(), collection_progress_key(),
                              std::move(*write_request)))
                 garbage_collector_.told(now, WriteOutcome::refused);
--- a/src/fleet/fleet_client.hpp
+++ b/src/fleet/fleet_client.hpp
@@ -13,7 +13,7 @@
 #include "fleet/agent.hpp"
 #include "fleet/garbage_collector.hpp"
 #include "fleet/health_watch.hpp"
-#include "fleet/roll.hpp"
+#include "fleet/record_mirror.hpp"
 #include "fleet/settings.hpp"
 #include "registry/client.hpp"
 #include "store/store.hpp"
@@ -97,7 +97,7 @@
     Agent agent_;
     HealthWatch health_watch_;
     GarbageCollector garbage_collector_;
-    Roll roll_;
+    RecordMirror record_mirror_;
     registry::Revision told_;
     std::set<DutyName> duties_;
     registry::Asker asker_;
--- a/src/fleet/garbage_collector.cpp
+++ b/src/fleet/garbage_collector.cpp
@@ -6,12 +6,13 @@
 
 // What takes that record away if it is litter, and what must still be so when it lands.
 std::optional<FencedWrite> GarbageCollector::removal(const Key& key, const std::string& text,
-                                                     const Roll& roll, const Agent& agent) const {
+                                                     const RecordMirror& record_mirror,
+                                                     const Agent& agent) const {
     const Entry as_is{key, text}, away{key, std::nullopt};
     const auto gone = [&](const Instance& who) -> std::optional<Entry> {
         if (agent.is_member(who)) return std::nullopt;
         const Key member = key_of_member(who.name);
-        return Entry{member, roll.at(member)};
+        return Entry{member, record_mirror.at(member)};
     };
     if (const auto duty = duty_of(key); duty && watched_by(*duty)) {
         const auto record = read_duty(text);
@@ -34,18 +35,18 @@
     }
     if (const auto cache = finding_of(key)) {
         const Key duty = key_of_duty(watch_over(*cache));
-        if (roll.at(duty)) return std::nullopt;
+        if (record_mirror.at(duty)) return std::nullopt;
         return FencedWrite{{as_is, {duty, std::nullopt}}, {away}};
     }
     return std::nullopt;
 }
 
 // Once a pass: what has lain there for long enough.
-void GarbageCollector::look_over(Instant now, const Roll& roll, const Agent& agent) {
+void GarbageCollector::look_over(Instant now, const RecordMirror& record_mirror, const Agent& agent) {
     std::map<Key, Lying> lying;
     ready_.clear();
-    for (const auto& [key, text] : roll.records()) {
-        if (!removal(key, text, roll, agent)) continue;
+    for (const auto& [key, text] : record_mirror.records()) {
+        if (!removal(key, text, record_mirror, agent)) continue;
         const auto known = litter_.find(key);
         const bool same = known != litter_.end() && known->second.text == text;
         const Instant since = same ? known->second.since : now;
@@ -56,21 +57,22 @@
     looked_over_ = true;
 }
 
-std::optional<FencedWrite> GarbageCollector::next(Instant now, const Roll& roll, const Agent& agent) {
+std::optional<FencedWrite> GarbageCollector::next(Instant now, const RecordMirror& record_mirror,
+                                                  const Agent& agent) {
     if (out_ || now < next_) return std::nullopt;
-    const Text former = roll.at(collection_progress_key());
+    const Text former = record_mirror.at(collection_progress_key());
     CollectionProgress place =
         former ? read_collection_progress(*former).value_or(CollectionProgress{}) : CollectionProgress{};
     // A successor goes on with the pass that it finds; what the one before has dealt with is not there any
     // more.
-    if (!looked_over_) look_over(now, roll, agent);
+    if (!looked_over_) look_over(now, record_mirror, agent);
     std::optional<FencedWrite> write_request;
     Key at;
     while (!ready_.empty() && !write_request) {
         at = *ready_.begin();
         ready_.erase(ready_.begin());
-        const Text text = roll.at(at);
-        if (text && at.raw() > place.behind) write_request = removal(at, *text, roll, agent);
+        const Text text = record_mirror.at(at);
+        if (text && at.raw() > place.behind) write_request = removal(at, *text, record_mirror, agent);
     }
     ends_pass_ = !write_request;
     if (!write_request) write_request.emplace();
--- a/src/fleet/garbage_collector.hpp
+++ b/src/fleet/garbage_collector.hpp
@@ -16,7 +16,7 @@
 #include <string>
 
 #include "fleet/agent.hpp"
-#include "fleet/roll.hpp"
+#include "fleet/record_mirror.hpp"
 
 namespace irismux::fleet {
 
@@ -28,16 +28,16 @@
     GarbageCollector(Span every, Span rests) : every_(every), rests_(rests) {}
 
     // What to write next, if anything is due. One chore is out at a time; its end is told.
-    std::optional<FencedWrite> next(Instant now, const Roll& roll, const Agent& agent);
+    std::optional<FencedWrite> next(Instant now, const RecordMirror& record_mirror, const Agent& agent);
     void told(Instant now, WriteOutcome done);
     Instant due() const { return next_; }
 
 private:
-    std::optional<FencedWrite> removal(const Key& key, const std::string& text, const Roll& roll,
-                                       const Agent& agent) const;
+    std::optional<FencedWrite> removal(const Key& key, const std::string& text,
+                                       const RecordMirror& record_mirror, const Agent& agent) const;
 
     Span every_, rests_;
-    void look_over(Instant now, const Roll& roll, const Agent& agent);
+    void look_over(Instant now, const RecordMirror& record_mirror, const Agent& agent);
 
     bool out_ = false, ends_pass_ = false;
     Instant next_;
--- a/src/fleet/health_watch.hpp
+++ b/src/fleet/health_watch.hpp
@@ -16,7 +16,7 @@
 #include <set>
 
 #include "fleet/agent.hpp"
-#include "fleet/roll.hpp"
+#include "fleet/record_mirror.hpp"
 
 namespace irismux::fleet {
 
--- a/src/fleet/roll.hpp
+++ b/src/fleet/record_mirror.hpp
@@ -10,11 +10,11 @@
 
 namespace irismux::fleet {
 
-class Roll {
+class RecordMirror {
 public:
     using Records = std::map<Key, std::string>;
 
-    void show(const std::vector<Entry>& changes, bool all) {
+    void apply(const std::vector<Entry>& changes, bool all) {
         if (all) records_.clear();
         for (const auto& [key, text] : changes)
             if (text)
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -266,10 +266,10 @@
     std::optional<Instant> gone;
     const Instant from = now;
     run(ms * 30'000, [&] {
-        Roll roll;
-        roll.show(book.all(), true);
+        RecordMirror record_mirror;
+        record_mirror.apply(book.all(), true);
         if (!gone && !book.records().contains(key_of_finding(CacheId{"c"}))) gone = now;
-        if (auto write_request = sweep.next(now, roll, *agent))
+        if (auto write_request = sweep.next(now, record_mirror, *agent))
             if (!agent->work(now, garbage_collection_duty(), collection_progress_key(),
                              std::move(*write_request)))
                 sweep.told(now, WriteOutcome::refused);
