--- a/lab/explore.cpp
+++ b/lab/explore.cpp
@@ -8,7 +8,7 @@
 #include <unordered_set>
 
 #include "fleet/agent.hpp"
-#include "lab/book.hpp"
+#include "lab/ledger.hpp"
 
 namespace irismux::lab {
 
@@ -50,7 +50,7 @@
     StartNo former;
     Revision told;
     int history = -1;
-    std::optional<Book::Outcome> answer;  // waits for a stopped process
+    std::optional<Ledger::Outcome> answer;  // waits for a stopped process
 
     Node() = default;
     Node(const Node& o)
@@ -83,12 +83,12 @@
 struct State {
     int tick = 0, faults_left = 0, history = 0;
     double drift = 0;
-    Book book{most_history};
+    Ledger ledger{most_history};
     std::vector<std::unique_ptr<Node>> nodes;
     std::vector<Deal> late;
     struct Backup {
         int taken = 0;
-        Book::Records records;
+        Ledger::Records records;
         Revision revision;
     };
     std::vector<std::shared_ptr<const Backup>> backups;  // one every half term
@@ -103,7 +103,7 @@
           faults_left(o.faults_left),
           history(o.history),
           drift(o.drift),
-          book(o.book),
+          ledger(o.ledger),
           late(o.late),
           backups(o.backups),
           highest(o.highest),
@@ -113,15 +113,15 @@
         for (const auto& n : o.nodes) nodes.push_back(std::make_unique<Node>(*n));
     }
 
-    Book::Outcome settle(const Deal& deal) {
-        const Book::Outcome o = book.settle(deal);
+    Ledger::Outcome settle(const Deal& deal) {
+        const Ledger::Outcome o = ledger.settle(deal);
         for (const auto& [key, value] : deal.writes) {
             if (!o.held || !value || key.raw().rfind("work/", 0) != 0) continue;
             // EPOCH/NAME/START: a member by that start, and no epoch below one that has written.
             const std::size_t a = value->find('/'), b = value->rfind('/');
             const std::int64_t epoch = std::atoll(value->c_str());
-            const auto it = book.records().find(key_of_member(MemberName{value->substr(a + 1, b - a - 1)}));
-            const auto writer = it == book.records().end() ? std::nullopt : read_member(it->second);
+            const auto it = ledger.records().find(key_of_member(MemberName{value->substr(a + 1, b - a - 1)}));
+            const auto writer = it == ledger.records().end() ? std::nullopt : read_member(it->second);
             if (!writer || writer->start.raw() != std::atoll(value->c_str() + b + 1))
                 broken = "a write by one who is no member: " + *value;
             if (epoch < highest) broken = "a write by epoch " + *value + " after " + std::to_string(highest);
@@ -166,15 +166,15 @@
         if (fault == Fault::cut) n.cut = true;
         if (!n.agent || n.stopped) return;
         if (n.answer) {
-            const Book::Outcome o = *std::exchange(n.answer, std::nullopt);
+            const Ledger::Outcome o = *std::exchange(n.answer, std::nullopt);
             n.agent->on_dealt(now, o.at, o.held, o.shown);
         }
-        if (!n.cut && (n.history != history || n.told < book.revision())) {
-            const bool whole = n.history != history || book.forgotten(n.told);
-            const auto list = whole ? book.all() : book.changes(n.told, book.revision());
+        if (!n.cut && (n.history != history || n.told < ledger.revision())) {
+            const bool whole = n.history != history || ledger.forgotten(n.told);
+            const auto list = whole ? ledger.all() : ledger.changes(n.told, ledger.revision());
             n.history = history;
-            n.told = book.revision();
-            if (whole || !list.empty()) n.agent->on_records(now, book.revision(), list, whole);
+            n.told = ledger.revision();
+            if (whole || !list.empty()) n.agent->on_records(now, ledger.revision(), list, whole);
         }
         if (n.ports.wake_at <= now) n.agent->on_wake(now);
         if (n.agent->may_begin(now, the_duty))
@@ -189,7 +189,7 @@
                 n.stopped = f == Fault::stop_sent;
                 return late.push_back(deal);
             }
-            const Book::Outcome o = settle(deal);
+            const Ledger::Outcome o = settle(deal);
             if (f == Fault::answer_lost) return;
             if (f == Fault::stop_settled) {
                 n.stopped = true;
@@ -205,11 +205,11 @@
         std::string all = std::to_string(faults_left) + ' ' + std::to_string(highest) + '\n';
         for (const auto& n : nodes) {
             all += (n->stopped ? "s" : "r") + std::string(n->cut ? "c" : "l") + (n->answer ? "a" : "-") +
-                   std::to_string(n->history == history ? (n->told < book.revision() ? 1 : 2) : 0);
+                   std::to_string(n->history == history ? (n->told < ledger.revision() ? 1 : 2) : 0);
             all += n->agent ? n->agent->picture(n->clock(tick)) : n->kept + std::to_string(n->former.raw());
             all += '\n';
         }
-        for (const auto& [key, value] : book.records()) all += key.raw() + value;
+        for (const auto& [key, value] : ledger.records()) all += key.raw() + value;
         for (const Deal& d : late)
             for (const Entry& e : d.writes) all += "late " + e.first.raw() + e.second.value_or("-");
         for (const auto& b : backups)
@@ -264,7 +264,7 @@
     static void back_up(State& s) {
         if (s.tick % (ticks_a_term / 2) != 0) return;
         s.backups.push_back(
-            std::make_shared<State::Backup>(State::Backup{s.tick, s.book.records(), s.book.revision()}));
+            std::make_shared<State::Backup>(State::Backup{s.tick, s.ledger.records(), s.ledger.revision()}));
         if (s.backups.size() > 4) s.backups.erase(s.backups.begin());
     }
 
@@ -290,7 +290,7 @@
             for (const auto& b : s->backups)
                 if (s->tick + 1 - b->taken >= ticks_a_term) {
                     auto c = fresh();
-                    c->book.restore(b->records, b->revision);
+                    c->ledger.restore(b->records, b->revision);
                     ++c->history;
                     c->highest = 0;
                     c->backups.clear();
--- a/lab/book.hpp
+++ b/lab/ledger.hpp
@@ -15,11 +15,11 @@
 using fleet::Key;
 using registry::Revision;
 
-class Book {
+class Ledger {
 public:
     using Records = std::map<Key, std::string>;
 
-    explicit Book(std::size_t most_history = 2048) : most_history_(most_history) {}
+    explicit Ledger(std::size_t most_history = 2048) : most_history_(most_history) {}
 
     struct Outcome {
         Revision at;
--- a/lab/world.cpp
+++ b/lab/world.cpp
@@ -151,7 +151,7 @@
     if (down_) return;
     ++deals;
     asked.push_back(now_);
-    const Book::Outcome o = book_.settle(deal);
+    const Ledger::Outcome o = ledger_.settle(deal);
     // The registry's ledger: what was written on behalf of the fleet, in the registry's order.
     for (const auto& [key, value] : deal.writes) {
         if (key.raw().rfind("work/", 0) == 0) ++(o.held ? written : refused);
@@ -164,8 +164,8 @@
             const std::size_t a = value->find('/', slash + 1), b = value->rfind('/');
             const MemberName who{value->substr(a + 1, b - a - 1)};
             const Holder holder{EpochNo{epoch}, who, StartNo{std::atoll(value->c_str() + b + 1)}};
-            const auto it = book_.records().find(key_of_member(who));
-            const auto writer = it == book_.records().end() ? std::nullopt : read_member(it->second);
+            const auto it = ledger_.records().find(key_of_member(who));
+            const auto writer = it == ledger_.records().end() ? std::nullopt : read_member(it->second);
             if (!writer || writer->start != holder.start)
                 broken.push_back("a write by one who is no member: " + *value);
             for (int n = 0; n < 2; ++n) order(DutyName{duty}, holder);
@@ -227,11 +227,12 @@
             return;
         }
         n.when_running([this, &n] {
-            const bool whole = n.history != histories_ + 1 || book_.forgotten(n.told);
-            const std::vector<Entry> list = whole ? book_.all() : book_.changes(n.told, book_.revision());
+            const bool whole = n.history != histories_ + 1 || ledger_.forgotten(n.told);
+            const std::vector<Entry> list =
+                whole ? ledger_.all() : ledger_.changes(n.told, ledger_.revision());
             n.history = histories_ + 1;
-            n.told = book_.revision();
-            if (whole || !list.empty()) n.agent->on_records(n.clock(), book_.revision(), list, whole);
+            n.told = ledger_.revision();
+            if (whole || !list.empty()) n.agent->on_records(n.clock(), ledger_.revision(), list, whole);
             check(false);
         });
     });
@@ -260,7 +261,7 @@
 void World::back(Span age) {
     for (auto b = backups_.rbegin(); b != backups_.rend(); ++b) {
         if (now_ - b->taken <= age) continue;
-        book_.restore(b->records, b->revision);
+        ledger_.restore(b->records, b->revision);
         ++histories_;
         highest_.clear();
         given_.clear();
@@ -314,7 +315,7 @@
                 check(true);
             } else if (now_ >= next_backup_) {
                 next_backup_ = now_ + articles_.term * 0.5;
-                backups_.push_back({now_, book_.records(), book_.revision()});
+                backups_.push_back({now_, ledger_.records(), ledger_.revision()});
                 if (backups_.size() > most_backups) backups_.erase(backups_.begin());
             } else {
                 next_work_ = now_ + work_every;
@@ -373,7 +374,7 @@
     for (const auto& n : nodes_)
         all += n->name.raw() + (n->agent ? (n->stopped ? " stopped\n" : " up\n") : " down\n") +
                (n->agent ? n->agent->picture(n->clock()) : "") + "\n";
-    for (const auto& [key, value] : book_.records()) all += key.raw() + ' ' + value + '\n';
+    for (const auto& [key, value] : ledger_.records()) all += key.raw() + ' ' + value + '\n';
     return all;
 }
 
--- a/lab/world.hpp
+++ b/lab/world.hpp
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "fleet/agent.hpp"
-#include "lab/book.hpp"
+#include "lab/ledger.hpp"
 
 namespace irismux::lab {
 
@@ -77,12 +77,12 @@
     Instant now_ = Instant::at_seconds(1000);
     std::uint64_t next_ = 0;
     std::map<std::pair<Instant, std::uint64_t>, std::function<void()>> events_;
-    Book book_;
+    Ledger ledger_;
     std::uint64_t histories_ = 0;
     bool down_ = false;
     struct Backup {
         Instant taken;
-        Book::Records records;
+        Ledger::Records records;
         Revision revision;
     };
     std::vector<Backup> backups_;
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -4,7 +4,7 @@
 
 #include "fleet/garbage_collector.hpp"
 #include "fleet/health_watch.hpp"
-#include "lab/book.hpp"
+#include "lab/ledger.hpp"
 #include "lab/world.hpp"
 
 using namespace irismux;
@@ -123,7 +123,7 @@
 // One gateway at a registry that answers at once, in steps of a tenth of a round.
 class Alone : public ::testing::Test, public Asks, public Hears {
 protected:
-    lab::Book book;
+    lab::Ledger ledger;
     Instant now = Instant::at_seconds(1);
     std::optional<Deal> out;
     std::vector<Deal> said;
@@ -137,16 +137,18 @@
         agent->duties_are(now, {DutyName{"d"}});
         agent->start(now);
     }
-    void put(const std::string& key, const std::string& value) { book.settle({{}, {{Key{key}, value}}, {}}); }
+    void put(const std::string& key, const std::string& value) {
+        ledger.settle({{}, {{Key{key}, value}}, {}});
+    }
     void run(
         Span time, const std::function<void()>& each = [] {}) {
         for (const Instant end = now + time; now < end; now = now + ms * 100) {
             each();
             for (int k = 0; k < 4 && out; ++k) {
-                const auto o = book.settle(*std::exchange(out, std::nullopt));
+                const auto o = ledger.settle(*std::exchange(out, std::nullopt));
                 agent->on_dealt(now, o.at, o.held, o.shown);
             }
-            agent->on_records(now, book.revision(), book.all(), true);
+            agent->on_records(now, ledger.revision(), ledger.all(), true);
             agent->on_wake(now);
         }
     }
@@ -166,10 +168,10 @@
 
 TEST_F(Alone, AnotherInstallationsRegistryIsLeftAlone) {
     put("about", write(Articles{"other", ms * 4000, 0.05}));
-    const auto before = book.records();
+    const auto before = ledger.records();
     start("m", articles());
     run(ms * 30'000);
-    EXPECT_EQ(book.records(), before);
+    EXPECT_EQ(ledger.records(), before);
     EXPECT_EQ(remarks.size(), 1u);
     EXPECT_TRUE(remarked("other articles"));
     EXPECT_FALSE(agent->may_act(now, DutyName{"d"}));
@@ -196,8 +198,8 @@
     EXPECT_TRUE(agent->membership().in());
     EXPECT_FALSE(agent->may_act(now, DutyName{"d"}));
     EXPECT_TRUE(remarked("can't be read"));
-    EXPECT_EQ(book.records().at(Key{"duty/d"}), "{\"format\":9}");
-    EXPECT_EQ(read_duty(book.records().at(Key{"duty/newer"}))->owner, MemberName{"gone"});
+    EXPECT_EQ(ledger.records().at(Key{"duty/d"}), "{\"format\":9}");
+    EXPECT_EQ(read_duty(ledger.records().at(Key{"duty/newer"}))->owner, MemberName{"gone"});
 }
 
 TEST_F(Alone, ARegistryThatHasGoneBackIsRefusedUntilTheEpochHasJumped) {
@@ -206,7 +208,7 @@
     put("duty/d", write(DutyRecord{EpochNo{7}, MemberName{"y"}, StartNo{1}}));
     run(ms * 2'000);
     EXPECT_TRUE(remarked("has gone back"));
-    EXPECT_EQ(read_member(book.records().at(Key{"member/m"}))->refuses.at(DutyName{"d"}), EpochNo{40});
+    EXPECT_EQ(read_member(ledger.records().at(Key{"member/m"}))->refuses.at(DutyName{"d"}), EpochNo{40});
     run(ms * 30'000);
     EXPECT_TRUE(agent->may_act(now, DutyName{"d"}));
     EXPECT_EQ(agent->epoch_of(DutyName{"d"}), EpochNo{41});
@@ -226,7 +228,7 @@
     run(ms * 12'000);
     EXPECT_TRUE(agent->may_act(now, DutyName{"d"}));
     EXPECT_EQ(agent->epoch_of(DutyName{"d"}), EpochNo{4});
-    EXPECT_FALSE(book.records().contains(Key{"member/x"}));
+    EXPECT_FALSE(ledger.records().contains(Key{"member/x"}));
 }
 
 TEST_F(Alone, WhoHasLeftActsNoMoreAndLeavesNoRecord) {
@@ -236,8 +238,8 @@
     agent->leave(now);
     EXPECT_FALSE(agent->may_act(now, DutyName{"d"}));
     run(ms * 2'000);
-    EXPECT_FALSE(book.records().contains(Key{"member/m"}));
-    EXPECT_FALSE(book.records().contains(Key{"beat/m"}));
+    EXPECT_FALSE(ledger.records().contains(Key{"member/m"}));
+    EXPECT_FALSE(ledger.records().contains(Key{"beat/m"}));
 }
 
 // A duty that is not wanted any more is given up, swept after two waits, and claimed above its floor when it
@@ -248,14 +250,14 @@
     agent->duties_are(now, {garbage_collection_duty(), w});
     run(ms * 20'000);
     ASSERT_TRUE(agent->may_act(now, w));
-    const std::string ours = book.records().at(key_of_duty(w));
+    const std::string ours = ledger.records().at(key_of_duty(w));
     const EpochNo before = agent->epoch_of(w);
     put(key_of_finding(CacheId{"c"}).raw(), write(Finding{before, agent->self(), false, 3}));
     put(key_of_aside(w).raw(), write(Instance{MemberName{"gone"}, StartNo{3}}));
     agent->duties_are(now, {garbage_collection_duty()});
     EXPECT_FALSE(agent->may_act(now, w));
     run(ms * 200);
-    EXPECT_EQ(read_duty(book.records().at(key_of_duty(w)))->owner, MemberName{});
+    EXPECT_EQ(read_duty(ledger.records().at(key_of_duty(w)))->owner, MemberName{});
     agent->duties_are(now, {garbage_collection_duty(), w});
     agent->on_records(now, registry::Revision{1}, {{key_of_duty(w), ours}}, false);
     EXPECT_FALSE(agent->may_act(now, w));
@@ -267,8 +269,8 @@
     const Instant from = now;
     run(ms * 30'000, [&] {
         RecordMirror record_mirror;
-        record_mirror.apply(book.all(), true);
-        if (!gone && !book.records().contains(key_of_finding(CacheId{"c"}))) gone = now;
+        record_mirror.apply(ledger.all(), true);
+        if (!gone && !ledger.records().contains(key_of_finding(CacheId{"c"}))) gone = now;
         if (auto write_request = sweep.next(now, record_mirror, *agent))
             if (!agent->work(now, garbage_collection_duty(), collection_progress_key(),
                              std::move(*write_request)))
@@ -276,10 +278,10 @@
     });
     ASSERT_TRUE(gone);
     EXPECT_GE(*gone - from, agent->membership().wait() * 2);
-    EXPECT_FALSE(book.records().contains(key_of_duty(w)));
-    EXPECT_FALSE(book.records().contains(key_of_aside(w)));
-    EXPECT_GE(read_floor(book.records().at(floor_key())), before);
-    EXPECT_EQ(read_collection_progress(book.records().at(collection_progress_key()))->taken, 3);
+    EXPECT_FALSE(ledger.records().contains(key_of_duty(w)));
+    EXPECT_FALSE(ledger.records().contains(key_of_aside(w)));
+    EXPECT_GE(read_floor(ledger.records().at(floor_key())), before);
+    EXPECT_EQ(read_collection_progress(ledger.records().at(collection_progress_key()))->taken, 3);
     // Nobody who claims it remembers: only the registry does.
     worked = [](WriteOutcome) {};
     start("n", articles());
@@ -305,7 +307,7 @@
         if (is) m.marks.insert(c);
         put("member/" + name, write(m));
         put("beat/" + name, write(BeatRecord{StartNo{1}, Mark{name}, BeatNo{++signs}}));
-        agent->on_records(now, book.revision(), book.all(), true);
+        agent->on_records(now, ledger.revision(), ledger.all(), true);
     }
     std::int64_t signs = 0;
 };
@@ -327,7 +329,7 @@
     health_watch.marked(c, true);
     agent->duties_are(now, {watch_over(c)});
     int step = 0;
-    const auto finding = [&] { return read_finding(book.records().at(key_of_finding(c))); };
+    const auto finding = [&] { return read_finding(ledger.records().at(key_of_finding(c))); };
     run(ms * 20'000, [&] {
         others_mark("x", true);
         health_watch.watched(*agent);
@@ -413,10 +415,10 @@
     }
     // All that it goes by is as it was, but for the one record; and as it was, it would be done.
     bool lands(const Deal& deal, const std::string& but, const std::string& now_is) {
-        lab::Book then;
+        lab::Ledger then;
         for (const auto& [key, value] : deal.holds)
             if (value) then.settle({{}, {{key, value}}, {}});
-        lab::Book same = then;
+        lab::Ledger same = then;
         EXPECT_TRUE(same.settle(deal).held);
         then.settle({{}, {{Key{but}, now_is}}, {}});
         return then.settle(deal).held;
