--- a/lab/explore.cpp
+++ b/lab/explore.cpp
@@ -18,7 +18,7 @@
 
 constexpr int ticks_a_term = 8;
 constexpr std::int64_t tick_us = 1000;
-constexpr int deals_a_tick = 4;
+constexpr int transactions_a_tick = 4;
 constexpr std::size_t most_history = 8;  // a watch that is further behind reads all anew
 const DutyName the_duty{"d"};
 
@@ -29,13 +29,13 @@
                                        "stopped", "stopped once sent", "stopped once settled", "cut off",
                                        "died"};
 
-struct Ports final : Asks, Hears {
-    std::optional<Deal> asked;
+struct Ports final : RegistryPort, AgentObserver {
+    std::optional<Transaction> asked;
     Instant wake_at;
-    void deal(const Deal& d) override { asked = d; }
-    void wake(Instant at) override { wake_at = at; }
+    void submit(const Transaction& d) override { asked = d; }
+    void schedule_wake(Instant at) override { wake_at = at; }
     void on_lease_state(const DutyName&, LeaseState, EpochNo) override {}
-    void work_told(const DutyName&, const Key&, WriteOutcome) override {}
+    void on_write_outcome(const DutyName&, const Key&, WriteOutcome) override {}
     void remark(std::string_view) override {}
 };
 
@@ -85,7 +85,7 @@
     double drift = 0;
     Ledger ledger{most_history};
     std::vector<std::unique_ptr<Node>> nodes;
-    std::vector<Deal> late;
+    std::vector<Transaction> late;
     struct Backup {
         int taken = 0;
         Ledger::Records records;
@@ -113,9 +113,9 @@
         for (const auto& n : o.nodes) nodes.push_back(std::make_unique<Node>(*n));
     }
 
-    Ledger::Outcome settle(const Deal& deal) {
-        const Ledger::Outcome o = ledger.settle(deal);
-        for (const auto& [key, value] : deal.writes) {
+    Ledger::Outcome settle(const Transaction& transaction) {
+        const Ledger::Outcome o = ledger.settle(transaction);
+        for (const auto& [key, value] : transaction.writes) {
             if (!o.held || !value || key.raw().rfind("work/", 0) != 0) continue;
             // EPOCH/NAME/START: a member by that start, and no epoch below one that has written.
             const std::size_t a = value->find('/'), b = value->rfind('/');
@@ -167,7 +167,7 @@
         if (!n.agent || n.stopped) return;
         if (n.answer) {
             const Ledger::Outcome o = *std::exchange(n.answer, std::nullopt);
-            n.agent->on_dealt(now, o.at, o.held, o.shown);
+            n.agent->on_transaction_result(now, o.at, o.held, o.shown);
         }
         if (!n.cut && (n.history != history || n.told < ledger.revision())) {
             const bool whole = n.history != history || ledger.forgotten(n.told);
@@ -181,22 +181,22 @@
             n.agent->work(now, the_duty, Key{"work/d"},
                           std::to_string(n.agent->epoch_of(the_duty).raw()) + '/' + n.name.raw() + '/' +
                               std::to_string(n.agent->start_no().raw()));
-        for (int k = 0; k < deals_a_tick && n.ports.asked && !n.cut; ++k) {
-            const Deal deal = *std::exchange(n.ports.asked, std::nullopt);
+        for (int k = 0; k < transactions_a_tick && n.ports.asked && !n.cut; ++k) {
+            const Transaction transaction = *std::exchange(n.ports.asked, std::nullopt);
             const Fault f = std::exchange(fault, Fault::none);
             if (f == Fault::request_lost) return;
             if (f == Fault::late || f == Fault::stop_sent) {
                 n.stopped = f == Fault::stop_sent;
-                return late.push_back(deal);
+                return late.push_back(transaction);
             }
-            const Ledger::Outcome o = settle(deal);
+            const Ledger::Outcome o = settle(transaction);
             if (f == Fault::answer_lost) return;
             if (f == Fault::stop_settled) {
                 n.stopped = true;
                 n.answer = o;
                 return;
             }
-            n.agent->on_dealt(now, o.at, o.held, o.shown);
+            n.agent->on_transaction_result(now, o.at, o.held, o.shown);
         }
         n.ports.asked.reset();
     }
@@ -210,7 +210,7 @@
             all += '\n';
         }
         for (const auto& [key, value] : ledger.records()) all += key.raw() + value;
-        for (const Deal& d : late)
+        for (const Transaction& d : late)
             for (const Entry& e : d.writes) all += "late " + e.first.raw() + e.second.value_or("-");
         for (const auto& b : backups)
             all += std::to_string(b->taken) + ',' + std::to_string(b->revision.raw());
@@ -280,9 +280,9 @@
         turns(fresh());
         for (std::size_t l = 0; l < s->late.size(); ++l) {
             auto c = fresh();
-            const Deal deal = c->late[l];
+            const Transaction transaction = c->late[l];
             c->late.erase(c->late.begin() + static_cast<std::ptrdiff_t>(l));
-            c->settle(deal);
+            c->settle(transaction);
             c->told += "a late request lands; ";
             turns(c);
         }
--- a/lab/ledger.cpp
+++ b/lab/ledger.cpp
@@ -9,17 +9,17 @@
 
 }  // namespace
 
-Ledger::Outcome Ledger::settle(const Deal& deal) {
+Ledger::Outcome Ledger::settle(const Transaction& transaction) {
     const auto text = [&](const Key& key) {
         const auto it = records_.find(key);
         return it == records_.end() ? fleet::Text{} : fleet::Text{it->second};
     };
     Outcome o;
-    o.held = std::all_of(deal.holds.begin(), deal.holds.end(),
+    o.held = std::all_of(transaction.compares.begin(), transaction.compares.end(),
                          [&](const Entry& e) { return text(e.first) == e.second; });
-    if (o.held && !deal.writes.empty()) {
+    if (o.held && !transaction.writes.empty()) {
         revision_ = Revision{revision_.raw() + 1};
-        for (const auto& [key, value] : deal.writes) {
+        for (const auto& [key, value] : transaction.writes) {
             if (value)
                 records_[key] = *value;
             else
@@ -32,9 +32,9 @@
         }
     }
     if (!o.held)
-        for (const Entry& e : deal.holds) o.shown.emplace_back(e.first, text(e.first));
+        for (const Entry& e : transaction.compares) o.shown.emplace_back(e.first, text(e.first));
     else
-        for (const Key& key : deal.shows) o.shown.emplace_back(key, text(key));
+        for (const Key& key : transaction.reads) o.shown.emplace_back(key, text(key));
     o.at = revision_;
     return o;
 }
--- a/lab/ledger.hpp
+++ b/lab/ledger.hpp
@@ -10,9 +10,9 @@
 
 namespace irismux::lab {
 
-using fleet::Deal;
 using fleet::Entry;
 using fleet::Key;
+using fleet::Transaction;
 using registry::Revision;
 
 class Ledger {
@@ -26,7 +26,7 @@
         bool held = false;
         std::vector<Entry> shown;
     };
-    Outcome settle(const Deal& deal);
+    Outcome settle(const Transaction& transaction);
 
     const Records& records() const { return records_; }
     Revision revision() const { return revision_; }
--- a/lab/world.cpp
+++ b/lab/world.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-struct World::Node final : public Asks, public Hears {
+struct World::Node final : public RegistryPort, public AgentObserver {
     Node(World& w, std::size_t n) : world(w), no(n), name("m" + std::to_string(n)) {}
 
     World& world;
@@ -37,18 +37,18 @@
     Instant clock() const { return Instant{} + Span::seconds(world.now_.seconds() * rate); }
     Instant real(Instant local) const { return Instant::at_seconds(local.seconds() / rate + 1e-6); }
 
-    void deal(const Deal& d) override {
+    void submit(const Transaction& d) override {
         ++ask;
-        world.dealt(*this, d);
+        world.on_submit(*this, d);
     }
-    void wake(Instant local) override {
+    void schedule_wake(Instant local) override {
         const std::uint64_t mine = ++wake_no, born = life;
         world.at(std::max(real(local), world.now_), [this, mine, born] {
             if (born == life && mine == wake_no) world.wake(*this);
         });
     }
     void on_lease_state(const DutyName&, LeaseState, EpochNo) override {}
-    void work_told(const DutyName&, const Key&, WriteOutcome) override {}
+    void on_write_outcome(const DutyName&, const Key&, WriteOutcome) override {}
     void remark(std::string_view) override {}
     // Runs at once, or when a stopped process goes on; never for a former one.
     void when_running(std::function<void()> then) {
@@ -138,22 +138,22 @@
     return chance(late) ? articles_.term * (2.5 * part()) : usual;
 }
 
-void World::dealt(Node& n, const Deal& deal) {
+void World::on_submit(Node& n, const Transaction& transaction) {
     if (n.cut_out || chance(troubles_.lose)) return;
     const std::uint64_t ask = n.ask;
     const std::size_t no = n.no;
     const int times = chance(troubles_.repeat) ? 2 : 1;
     for (int t = 0; t < times; ++t)
-        at(now_ + delay(troubles_.late), [this, no, ask, deal] { settle(no, ask, deal); });
+        at(now_ + delay(troubles_.late), [this, no, ask, transaction] { settle(no, ask, transaction); });
 }
 
-void World::settle(std::size_t member, std::uint64_t ask, const Deal& deal) {
+void World::settle(std::size_t member, std::uint64_t ask, const Transaction& transaction) {
     if (down_) return;
-    ++deals;
+    ++transactions;
     asked.push_back(now_);
-    const Ledger::Outcome o = ledger_.settle(deal);
+    const Ledger::Outcome o = ledger_.settle(transaction);
     // The registry's ledger: what was written on behalf of the fleet, in the registry's order.
-    for (const auto& [key, value] : deal.writes) {
+    for (const auto& [key, value] : transaction.writes) {
         if (key.raw().rfind("work/", 0) == 0) ++(o.held ? written : refused);
         if (!o.held || !value) continue;
         const std::size_t slash = value->find('/');
@@ -185,7 +185,7 @@
                              " given to " + it->second + " and " + who);
     }
     // Signs of life are not watched.
-    const bool watched = std::any_of(deal.writes.begin(), deal.writes.end(),
+    const bool watched = std::any_of(transaction.writes.begin(), transaction.writes.end(),
                                      [](const Entry& e) { return e.first.raw().rfind("beat/", 0) != 0; });
     if (watched && o.held)
         for (const auto& n : nodes_) tell(*n);
@@ -195,7 +195,7 @@
     at(now_ + delay(troubles_.late), [this, &n, life, history, ask, o] {
         if (n.life != life || history != histories_) return;
         n.when_running([this, &n, ask, o] {
-            if (n.ask == ask) n.agent->on_dealt(n.clock(), o.at, o.held, o.shown);
+            if (n.ask == ask) n.agent->on_transaction_result(n.clock(), o.at, o.held, o.shown);
             check(false);
         });
     });
--- a/lab/world.hpp
+++ b/lab/world.hpp
@@ -52,9 +52,10 @@
     std::string picture() const;
 
     std::vector<std::string> broken;  // guarantees, each with its instant; checked on each event
-    std::uint64_t deals = 0, written = 0, refused = 0, owners = 0;  // of the registry; owners: changes of
-    std::vector<Instant> asked;                                     // of deals as they reached the registry
-    Span longest_without;                                           // of any duty, since the last mark()
+    std::uint64_t transactions = 0, written = 0, refused = 0,
+                  owners = 0;    // of the registry; owners: changes of
+    std::vector<Instant> asked;  // of deals as they reached the registry
+    Span longest_without;        // of any duty, since the last mark()
     void mark();
 
 private:
@@ -62,8 +63,8 @@
     void at(Instant due, std::function<void()> then);
     void check(bool all);
     void trouble(const Troubles& t);
-    void dealt(Node& n, const Deal& deal);
-    void settle(std::size_t member, std::uint64_t ask, const Deal& deal);
+    void on_submit(Node& n, const Transaction& transaction);
+    void settle(std::size_t member, std::uint64_t ask, const Transaction& transaction);
     void tell(Node& n);
     void order(const fleet::DutyName& duty, const fleet::Holder& holder);
     void wake(Node& n);
--- a/src/fleet/agent.cpp
+++ b/src/fleet/agent.cpp
@@ -43,17 +43,18 @@
            answer * 4;
 }
 
-Agent::Agent(Asks& asks, Hears& hears, const Articles& articles, MemberIdentity identity, std::uint64_t seed)
-    : asks_(asks),
-      hears_(hears),
+Agent::Agent(RegistryPort& asks, AgentObserver& hears, const Articles& articles, MemberIdentity identity,
+             std::uint64_t seed)
+    : registry_(asks),
+      observer_(hears),
       articles_(articles),
       identity_(std::move(identity)),
       chance_(static_cast<std::uint_fast32_t>(seed ^ (seed >> 32))),
       membership_(articles, identity_.name) {}
 
-Agent::Agent(const Agent& o, Asks& asks, Hears& hears)
-    : asks_(asks),
-      hears_(hears),
+Agent::Agent(const Agent& o, RegistryPort& asks, AgentObserver& hears)
+    : registry_(asks),
+      observer_(hears),
       articles_(o.articles_),
       identity_(o.identity_),
       chance_(o.chance_),
@@ -102,13 +103,13 @@
 }
 
 void Agent::duties_are(Instant now, const std::set<DutyName>& names) {
-    if (!duties_.are(names)) hears_.remark("there are more duties than this gateway can follow");
+    if (!duties_.are(names)) observer_.remark("there are more duties than this gateway can follow");
     std::vector<DutyName> over;
     for (auto& [name, d] : duties_.all()) {
         if (d.wanted) continue;
         // From here on nothing is done under its epoch; the record is given up in turn.
         if (named(d)) d.given_up = std::max(d.given_up, d.record->epoch);
-        if (d.lease.state() != LeaseState::idle) hears_.on_lease_state(name, LeaseState::idle, EpochNo{});
+        if (d.lease.state() != LeaseState::idle) observer_.on_lease_state(name, LeaseState::idle, EpochNo{});
         d.lease = Lease{};
         if (!named(d)) over.push_back(name);
     }
@@ -142,7 +143,8 @@
     go_on(now);
 }
 
-void Agent::on_dealt(Instant now, registry::Revision at, bool held, const std::vector<Entry>& shown) {
+void Agent::on_transaction_result(Instant now, registry::Revision at, bool held,
+                                  const std::vector<Entry>& shown) {
     const Step step = std::exchange(step_, Step::none);
     if (step == Step::none) return;
     silences_ = 0;
@@ -212,8 +214,8 @@
 
 void Agent::duty_learnt(const DutyName& name, const Duties::Duty& d) {
     if (d.text && !d.record)
-        return hears_.remark("the record of duty " + name.raw() +
-                             " can't be read: it is left alone until an operator has mended it");
+        return observer_.remark("the record of duty " + name.raw() +
+                                " can't be read: it is left alone until an operator has mended it");
     if (!d.text) fence_.forget(name);
     if (!d.record || d.record->owner.raw().empty()) return;
     const Holder holder{d.record->epoch, d.record->owner, d.record->start};
@@ -224,9 +226,9 @@
         return;
     }
     if (refused_.size() < most_refusals || refused_.contains(name)) refused_[name] = against;
-    hears_.remark("duty " + name.raw() + " stands at epoch " + std::to_string(holder.epoch.raw()) + ", and " +
-                  std::to_string(against.raw()) +
-                  " has been seen: the registry has gone back; the owner is told to take a higher one");
+    observer_.remark("duty " + name.raw() + " stands at epoch " + std::to_string(holder.epoch.raw()) +
+                     ", and " + std::to_string(against.raw()) +
+                     " has been seen: the registry has gone back; the owner is told to take a higher one");
 }
 
 // What a deal that failed shows of our own sign of life: a later one of ours landed, or we are out.
@@ -247,8 +249,9 @@
     former_.reset();
     join_out_ = false;
     unsure_.clear();
-    for (const Work& w : std::exchange(works_, {})) hears_.work_told(w.duty, w.key, WriteOutcome::refused);
-    hears_.remark(why);
+    for (const Work& w : std::exchange(works_, {}))
+        observer_.on_write_outcome(w.duty, w.key, WriteOutcome::refused);
+    observer_.remark(why);
     judge(now);
 }
 
@@ -278,14 +281,14 @@
         at = std::min(at, std::max(next_, membership_.in() ? next_beat_ : next_));
     if (membership_.in_term(now)) at = std::min(at, membership_.end());
     if (membership_.listening(now)) at = std::min(at, membership_.listens_until());
-    asks_.wake(std::max(at, now + Span::micros(1)));
+    registry_.schedule_wake(std::max(at, now + Span::micros(1)));
 }
 
-void Agent::say(Instant now, Step step, Deal deal) {
+void Agent::say(Instant now, Step step, Transaction transaction) {
     step_ = step;
-    out_ = std::move(deal);
+    out_ = std::move(transaction);
     due_ = now + identity_.answer_in;
-    asks_.deal(out_);
+    registry_.submit(out_);
 }
 
 void Agent::rest(Instant now) {
@@ -311,7 +314,7 @@
     const Text& sign = shown_of(shown, key_of_beat(identity_.name));
     next_ = now + membership_.round();
     const auto say_once = [&](const std::string& why) {
-        if (std::exchange(said_, why) != why) hears_.remark(why);
+        if (std::exchange(said_, why) != why) observer_.remark(why);
     };
     if (!about) return say(now, Step::found, {{{about_key(), std::nullopt}}, {{about_key(), articles}}, {}});
     if (*about != articles)
@@ -470,7 +473,7 @@
             d.free_since = now;
         const LeaseState before = d.lease.state();
         const LeaseState after = d.lease.enter(lease_conditions(now, name, d));
-        if (after != before && d.wanted) hears_.on_lease_state(name, after, epoch_of(name));
+        if (after != before && d.wanted) observer_.on_lease_state(name, after, epoch_of(name));
     }
 }
 
@@ -496,19 +499,19 @@
 }
 
 void Agent::claim(Instant now, const DutyName& name, const Duties::Duty& d) {
-    Deal deal{{own_sign(), {key_of_duty(name), d.text}},
-              {{key_of_duty(name), write(DutyRecord{above(name, d), identity_.name, start_})}},
-              {}};
+    Transaction transaction{{own_sign(), {key_of_duty(name), d.text}},
+                            {{key_of_duty(name), write(DutyRecord{above(name, d), identity_.name, start_})}},
+                            {}};
     // The registry itself must know its owner as gone.
     if (d.record && !d.record->owner.raw().empty() && d.record->owner != identity_.name) {
         const auto it = membership_.others().find(d.record->owner);
-        deal.holds.push_back({key_of_member(d.record->owner),
-                              it == membership_.others().end() ? Text{} : Text{it->second.text}});
+        transaction.compares.push_back({key_of_member(d.record->owner),
+                                        it == membership_.others().end() ? Text{} : Text{it->second.text}});
     }
     // What has been swept leaves no record; its epochs are below the floor.
-    if (!d.text) deal.holds.push_back({floor_key(), floor_});
+    if (!d.text) transaction.compares.push_back({floor_key(), floor_});
     at_ = name;
-    say(now, Step::claim, std::move(deal));
+    say(now, Step::claim, std::move(transaction));
 }
 
 // From here on nothing is done under that epoch, whatever comes of the deal.
@@ -566,16 +569,17 @@
     if (works_.empty()) return false;
     const Work& w = works_.front();
     const Duties::Duty& d = duties_.all().at(w.duty);
-    Deal deal{{own_sign(), {key_of_duty(w.duty), d.text}}, w.write_request.writes, {}};
-    deal.holds.insert(deal.holds.end(), w.write_request.holds.begin(), w.write_request.holds.end());
-    say(now, Step::work, std::move(deal));
+    Transaction transaction{{own_sign(), {key_of_duty(w.duty), d.text}}, w.write_request.writes, {}};
+    transaction.compares.insert(transaction.compares.end(), w.write_request.compares.begin(),
+                                w.write_request.compares.end());
+    say(now, Step::work, std::move(transaction));
     return true;
 }
 
 void Agent::work_over(WriteOutcome done) {
     const Work work = works_.front();
     works_.pop_front();
-    hears_.work_told(work.duty, work.key, done);
+    observer_.on_write_outcome(work.duty, work.key, done);
 }
 
 std::string Agent::picture(Instant now) const {
--- a/src/fleet/agent.hpp
+++ b/src/fleet/agent.hpp
@@ -31,35 +31,35 @@
 
 // Writes only if all that it holds is so; shows those records, as they are then, and if it fails all that it
 // compared.
-struct Deal {
-    std::vector<Entry> holds;
+struct Transaction {
+    std::vector<Entry> compares;
     std::vector<Entry> writes;
-    std::vector<Key> shows;
+    std::vector<Key> reads;
 };
 
 // What an Agent asks of its carrier. Each deal replaces the one before: answers to a former one must not be
 // told. Answers never come from within a call.
-class Asks {
+class RegistryPort {
 public:
-    virtual ~Asks() = default;
-    virtual void deal(const Deal&) = 0;
-    virtual void wake(Instant at) = 0;  // one at a time
+    virtual ~RegistryPort() = default;
+    virtual void submit(const Transaction&) = 0;
+    virtual void schedule_wake(Instant at) = 0;  // one at a time
 };
 
 // What is written on behalf of the fleet, and what must be so besides the writer's owning the duty.
 struct FencedWrite {
-    std::vector<Entry> holds;
+    std::vector<Entry> compares;
     std::vector<Entry> writes;
 };
 
 enum class WriteOutcome { written, refused, unknown };
 
 // Who is told what comes of it.
-class Hears {
+class AgentObserver {
 public:
-    virtual ~Hears() = default;
+    virtual ~AgentObserver() = default;
     virtual void on_lease_state(const DutyName&, LeaseState, EpochNo) = 0;
-    virtual void work_told(const DutyName&, const Key&, WriteOutcome) = 0;
+    virtual void on_write_outcome(const DutyName&, const Key&, WriteOutcome) = 0;
     virtual void remark(std::string_view plain_line) = 0;
 };
 
@@ -80,9 +80,10 @@
 
 class Agent {
 public:
-    Agent(Asks& asks, Hears& hears, const Articles& articles, MemberIdentity identity, std::uint64_t seed);
+    Agent(RegistryPort& asks, AgentObserver& hears, const Articles& articles, MemberIdentity identity,
+          std::uint64_t seed);
     // The same at this instant, with other ports: for those who explore what may come of it.
-    Agent(const Agent& as_is, Asks& asks, Hears& hears);
+    Agent(const Agent& as_is, RegistryPort& asks, AgentObserver& hears);
 
     void start(Instant now);
     void leave(Instant now);  // stops acting, then takes its records away
@@ -93,7 +94,8 @@
     void marks_are(Instant now, std::set<CacheId> caches);
     // Records as a watch shows them; they may lag. Keys of no sort known here are passed over.
     void on_records(Instant now, registry::Revision at, const std::vector<Entry>& records, bool whole_list);
-    void on_dealt(Instant now, registry::Revision at, bool held, const std::vector<Entry>& shown);
+    void on_transaction_result(Instant now, registry::Revision at, bool held,
+                               const std::vector<Entry>& shown);
     void on_no_answer(Instant now);  // the deal may have been done, or not, or may be done yet
     void on_wake(Instant now);
 
@@ -132,7 +134,7 @@
     bool next_publication(Instant now);
     bool next_work(Instant now);
     void work_over(WriteOutcome done);
-    void say(Instant now, Step step, Deal deal);
+    void say(Instant now, Step step, Transaction transaction);
     void look(Instant now);
     void join(Instant now, const Text& member, const Text& beat);
     void beat(Instant now);
@@ -158,8 +160,8 @@
     Entry own_sign() const { return {key_of_beat(identity_.name), sign_}; }
     MemberRecord own_record() const;
 
-    Asks& asks_;
-    Hears& hears_;
+    RegistryPort& registry_;
+    AgentObserver& observer_;
     Articles articles_;
     MemberIdentity identity_;
     std::ranlux24_base chance_;
@@ -175,7 +177,7 @@
     bool started_ = false, leaving_ = false;
 
     Step step_ = Step::none;
-    Deal out_;         // the deal at hand
+    Transaction out_;  // the deal at hand
     DutyName at_;      // the duty that it is about
     BeatNo beat_out_;  // the sign of life that it carries
     Instant due_;      // no answer by then
--- a/src/fleet/fleet_client.cpp
+++ b/src/fleet/fleet_client.cpp
@@ -126,16 +126,16 @@
 
 // --- deals -----------------------------------------------------------------------------------------------
 
-void FleetClient::deal(const Deal& d) {
+void FleetClient::submit(const Transaction& d) {
     // One that has not been answered: its member may hang.
     if (out_) next_member();
     out_ = d;
     std::vector<registry::etcd::KeyValue> holds, writes;
     std::vector<std::string> shows;
     const auto path = [&](const Key& key) { return settings_.registry.prefix + path_of(key); };
-    for (const auto& [key, text] : d.holds) holds.emplace_back(path(key), text);
+    for (const auto& [key, text] : d.compares) holds.emplace_back(path(key), text);
     for (const auto& [key, text] : d.writes) writes.emplace_back(path(key), text);
-    for (const Key& key : d.shows) shows.push_back(path(key));
+    for (const Key& key : d.reads) shows.push_back(path(key));
     asker_.ask(member_, registry::etcd::settle(holds, writes, shows), false);
 }
 
@@ -151,7 +151,7 @@
     }
     if (!out_) return;
     const auto& settled = std::get<registry::etcd::Settled>(read);
-    const Deal d = *std::exchange(out_, std::nullopt);
+    const Transaction d = *std::exchange(out_, std::nullopt);
     std::vector<Entry> shown;
     const auto show = [&](const Key& key) {
         const auto it = std::find_if(settled.shown.begin(), settled.shown.end(),
@@ -159,10 +159,10 @@
         shown.emplace_back(key, it == settled.shown.end() ? Text{} : Text{it->value});
     };
     if (settled.held)
-        for (const Key& key : d.shows) show(key);
+        for (const Key& key : d.reads) show(key);
     else
-        for (const auto& [key, text] : d.holds) show(key);
-    agent_.on_dealt(clock(), settled.from.revision, settled.held, shown);
+        for (const auto& [key, text] : d.compares) show(key);
+    agent_.on_transaction_result(clock(), settled.from.revision, settled.held, shown);
     go_on();
 }
 
@@ -174,7 +174,7 @@
     go_on();
 }
 
-void FleetClient::wake(Instant at) {
+void FleetClient::schedule_wake(Instant at) {
     loop_.forget(wake_);
     wake_ = loop_.at(by_loop(at), [this] {
         agent_.on_wake(clock());
@@ -247,7 +247,7 @@
     gateway_.on_duty_state(duty, state, epoch);
 }
 
-void FleetClient::work_told(const DutyName& duty, const Key&, WriteOutcome done) {
+void FleetClient::on_write_outcome(const DutyName& duty, const Key&, WriteOutcome done) {
     if (duty == garbage_collection_duty()) garbage_collector_.told(clock(), done);
 }
 
--- a/src/fleet/fleet_client.hpp
+++ b/src/fleet/fleet_client.hpp
@@ -37,8 +37,8 @@
 Key key_at(const std::string& path);
 std::string watched_prefix(const std::string& prefix);
 
-class FleetClient final : private Asks,
-                          private Hears,
+class FleetClient final : private RegistryPort,
+                          private AgentObserver,
                           private ProbePort,
                           private registry::Replies,
                           private registry::Knows {
@@ -60,11 +60,11 @@
 
 private:
     // Asks
-    void deal(const Deal&) override;
-    void wake(Instant at) override;
+    void submit(const Transaction&) override;
+    void schedule_wake(Instant at) override;
     // Hears
     void on_lease_state(const DutyName&, LeaseState, EpochNo) override;
-    void work_told(const DutyName&, const Key&, WriteOutcome) override;
+    void on_write_outcome(const DutyName&, const Key&, WriteOutcome) override;
     void remark(std::string_view plain_line) override;
     // Looks
     void send_probe(const CacheId&) override;
@@ -101,7 +101,7 @@
     registry::Revision told_;
     std::set<DutyName> duties_;
     registry::Asker asker_;
-    std::optional<Deal> out_;
+    std::optional<Transaction> out_;
     registry::MemberNo member_;
     registry::Client client_;
     Loop::Alarm wake_{}, go_on_{}, keep_{};
--- a/src/fleet/garbage_collector.cpp
+++ b/src/fleet/garbage_collector.cpp
@@ -21,7 +21,7 @@
         if (!record->owner.raw().empty()) {
             const auto owner = gone({record->owner, record->start});
             if (!owner) return std::nullopt;
-            c.holds.push_back(*owner);
+            c.compares.push_back(*owner);
         }
         const EpochNo floor = agent.floor() ? read_floor(*agent.floor()) : EpochNo{};
         if (record->epoch > floor) c.writes.emplace_back(floor_key(), write_floor(record->epoch));
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -121,12 +121,12 @@
 }
 
 // One gateway at a registry that answers at once, in steps of a tenth of a round.
-class Alone : public ::testing::Test, public Asks, public Hears {
+class Alone : public ::testing::Test, public RegistryPort, public AgentObserver {
 protected:
     lab::Ledger ledger;
     Instant now = Instant::at_seconds(1);
-    std::optional<Deal> out;
-    std::vector<Deal> said;
+    std::optional<Transaction> out;
+    std::vector<Transaction> said;
     std::vector<std::string> remarks;
     std::function<void(WriteOutcome)> worked = [](WriteOutcome) {};
     std::unique_ptr<Agent> agent;
@@ -146,7 +146,7 @@
             each();
             for (int k = 0; k < 4 && out; ++k) {
                 const auto o = ledger.settle(*std::exchange(out, std::nullopt));
-                agent->on_dealt(now, o.at, o.held, o.shown);
+                agent->on_transaction_result(now, o.at, o.held, o.shown);
             }
             agent->on_records(now, ledger.revision(), ledger.all(), true);
             agent->on_wake(now);
@@ -156,13 +156,13 @@
         return std::any_of(remarks.begin(), remarks.end(),
                            [&](const std::string& r) { return r.find(part) != std::string::npos; });
     }
-    void deal(const Deal& d) override {
+    void submit(const Transaction& d) override {
         out = d;
         said.push_back(d);
     }
-    void wake(Instant) override {}
+    void schedule_wake(Instant) override {}
     void on_lease_state(const DutyName&, LeaseState, EpochNo) override {}
-    void work_told(const DutyName&, const Key&, WriteOutcome done) override { worked(done); }
+    void on_write_outcome(const DutyName&, const Key&, WriteOutcome done) override { worked(done); }
     void remark(std::string_view line) override { remarks.emplace_back(line); }
 };
 
@@ -397,7 +397,7 @@
     const std::string member = write(MemberRecord{StartNo{4}, Mark{"x"}, "1", {}});
 
     // A member "x" that owns "d" and gives no sign; and the deal that wrote that key.
-    Deal caught(const std::string& key) {
+    Transaction caught(const std::string& key) {
         put("member/x", member);
         put("beat/x", sign);
         put("duty/d", write(DutyRecord{EpochNo{3}, MemberName{"x"}, StartNo{4}}));
@@ -406,34 +406,34 @@
         return last(key);
     }
     // The last deal that wrote that key.
-    Deal last(const std::string& key) const {
-        const auto it = std::find_if(said.rbegin(), said.rend(), [&](const Deal& d) {
+    Transaction last(const std::string& key) const {
+        const auto it = std::find_if(said.rbegin(), said.rend(), [&](const Transaction& d) {
             return !d.writes.empty() && d.writes.back().first == Key{key};
         });
         EXPECT_NE(it, said.rend());
-        return it == said.rend() ? Deal{} : *it;
+        return it == said.rend() ? Transaction{} : *it;
     }
     // All that it goes by is as it was, but for the one record; and as it was, it would be done.
-    bool lands(const Deal& deal, const std::string& but, const std::string& now_is) {
+    bool lands(const Transaction& transaction, const std::string& but, const std::string& now_is) {
         lab::Ledger then;
-        for (const auto& [key, value] : deal.holds)
+        for (const auto& [key, value] : transaction.compares)
             if (value) then.settle({{}, {{key, value}}, {}});
         lab::Ledger same = then;
-        EXPECT_TRUE(same.settle(deal).held);
+        EXPECT_TRUE(same.settle(transaction).held);
         then.settle({{}, {{Key{but}, now_is}}, {}});
-        return then.settle(deal).held;
+        return then.settle(transaction).held;
     }
 };
 
 TEST_F(Late, AnEvictionTakesNobodyWhoHasGivenASignSince) {
-    const Deal evict = caught("beat/x");
+    const Transaction evict = caught("beat/x");
     EXPECT_FALSE(lands(evict, "beat/x", write(BeatRecord{StartNo{4}, Mark{"x"}, BeatNo{2}})));
     EXPECT_FALSE(lands(evict, "member/x", write(MemberRecord{StartNo{5}, Mark{"x2"}, "1", {}})));
     EXPECT_FALSE(lands(evict, "beat/m", write(BeatRecord{StartNo{1}, Mark{"k"}, BeatNo{1}})));
 }
 
 TEST_F(Late, AClaimTakesNothingFromAnOwnerWhoIsAMemberNorFromAnotherClaimant) {
-    const Deal claim = caught("duty/d");
+    const Transaction claim = caught("duty/d");
     EXPECT_FALSE(lands(claim, "member/x", member));
     EXPECT_FALSE(lands(claim, "duty/d", write(DutyRecord{EpochNo{4}, MemberName{"y"}, StartNo{1}})));
     EXPECT_FALSE(lands(claim, "beat/m", write(BeatRecord{StartNo{1}, Mark{"k"}, BeatNo{1}})));
@@ -444,7 +444,7 @@
     run(ms * 1'000);
     ASSERT_TRUE(agent->work(now, DutyName{"d"}, Key{"work/1"}, "w"));
     run(ms * 2'000);
-    const Deal work = last("work/1");
+    const Transaction work = last("work/1");
     EXPECT_FALSE(lands(work, "duty/d", write(DutyRecord{EpochNo{5}, MemberName{"y"}, StartNo{1}})));
     EXPECT_FALSE(lands(work, "beat/m", write(BeatRecord{StartNo{1}, Mark{"k"}, BeatNo{1}})));
 }
