--- a/bench/fleet_owner.cpp
+++ b/bench/fleet_owner.cpp
@@ -86,7 +86,7 @@
         const bool followed = a_.until([&] {
             for (std::size_t n = writes; n < a_.written.size(); ++n) {
                 const auto& w = a_.written[n];
-                if (!w.held || w.at < from || (w.epoch == before.epoch && fault_ != "registry member lost"))
+                if (!w.held || w.at < from || (w.token == before.token && fault_ != "registry member lost"))
                     continue;
                 landed = w.at;
                 return true;
@@ -102,7 +102,7 @@
         a_.pass(a_.shape.term * 0.5);
         for (std::size_t n = writes; n < a_.written.size(); ++n) {
             const auto& w = a_.written[n];
-            if (!followed || w.at <= landed || w.epoch > before.epoch || fault_ == "registry member lost")
+            if (!followed || w.at <= landed || w.token > before.token || fault_ == "registry member lost")
                 continue;
             ++counted.tried;
             counted.landed += w.held;
@@ -265,7 +265,7 @@
 
 void model(std::vector<std::size_t> sizes) {
     if (sizes.empty()) sizes = {10, 100, 1000};
-    const Articles articles{"model", ms * 12'000, 0.01};
+    const SharedConfig shared_config{"model", ms * 12'000, 0.01};
     std::printf(
         "| members | signs of life spread | requests a second at rest | worst 100 ms at rest | worst 100 ms "
         "after "
@@ -274,23 +274,23 @@
     for (const std::size_t n : sizes)
         for (const bool spread : {true, false}) {
             lab::World w(7, {.members = n, .duties = 8, .drift = 0.01, .spread = spread, .works = false},
-                         articles);
+                         shared_config);
             w.start_all();
-            w.run(articles.term * 4, {});
+            w.run(shared_config.term * 4, {});
             w.mark();
-            w.run(articles.term * 2, {});
-            const double rest = static_cast<double>(w.asked.size()) / (articles.term * 2).seconds();
+            w.run(shared_config.term * 2, {});
+            const double rest = static_cast<double>(w.asked.size()) / (shared_config.term * 2).seconds();
             const std::size_t calm = w.worst(ms * 100);
             for (std::size_t m = 0; m < n; ++m) w.kill(m);
             w.mark();
             for (std::size_t m = 0; m < n; ++m) w.start(m);
-            w.run(articles.term * 4, {});
+            w.run(shared_config.term * 4, {});
             const std::size_t restart = w.worst(ms * 100);
             w.down(true);
-            w.run(articles.term * 2, {});
+            w.run(shared_config.term * 2, {});
             w.mark();
             w.down(false);
-            w.run(articles.term * 3, {});
+            w.run(shared_config.term * 3, {});
             std::printf("| %zu | %s | %.1f | %zu | %zu | %zu | %zu |\n", n, spread ? "yes" : "no", rest, calm,
                         restart, w.worst(ms * 100), w.broken.size());
             std::fflush(stdout);
--- a/lab/arena.cpp
+++ b/lab/arena.cpp
@@ -171,12 +171,12 @@
 }
 
 std::optional<DutyRecord> Arena::duty(const std::string& name) const {
-    const auto text = record(key_of_duty(DutyName{name}).raw());
+    const auto text = record(duty_key(DutyName{name}).raw());
     return text ? read_duty(*text) : std::nullopt;
 }
 
 std::optional<MemberRecord> Arena::member(std::size_t n) const {
-    const auto text = record(key_of_member(MemberName{gateways[n].name}).raw());
+    const auto text = record(member_key(MemberName{gateways[n].name}).raw());
     return text ? read_member(*text) : std::nullopt;
 }
 
@@ -199,7 +199,7 @@
     return true;
 }
 
-std::size_t Arena::accepted(const std::string& name, std::size_t n, StartNo start) const {
+std::size_t Arena::accepted(const std::string& name, std::size_t n, Incarnation start) const {
     return static_cast<std::size_t>(std::count_if(written.begin(), written.end(), [&](const Written& w) {
         return w.held && w.duty == name && w.by == Instance{MemberName{gateways[n].name}, start};
     }));
@@ -233,32 +233,32 @@
             const auto r = read_duty(*value);
             if (!r || !t.held) continue;
             const Instance by{r->owner, r->start};
-            taken.push_back({t.at, d->raw(), r->epoch, by});
+            taken.push_back({t.at, d->raw(), r->token, by});
             if (by.name.raw().empty()) continue;
-            const auto [it, fresh] = given_.try_emplace({d->raw(), r->epoch}, by);
+            const auto [it, fresh] = given_.try_emplace({d->raw(), r->token}, by);
             if (!fresh && it->second != by)
-                broken.insert("epoch " + std::to_string(r->epoch.raw()) + " of " + d->raw() + " given to " +
+                broken.insert("epoch " + std::to_string(r->token.raw()) + " of " + d->raw() + " given to " +
                               words(it->second) + " and " + words(by));
         }
         std::optional<Written> w;
         if (const auto s = key == collection_progress_key() ? read_collection_progress(*value) : std::nullopt)
-            w = Written{t.at, "sweep", s->epoch, s->by, t.held};
-        if (const auto c = finding_of(key))
-            if (const auto f = read_finding(*value))
-                w = Written{t.at, watch_over(*c).raw(), f->epoch, f->by, t.held};
+            w = Written{t.at, "sweep", s->token, s->by, t.held};
+        if (const auto c = probed_cache_of(key))
+            if (const auto f = read_probe_result(*value))
+                w = Written{t.at, health_watch_duty(*c).raw(), f->token, f->by, t.held};
         if (!w) continue;
         written.push_back(*w);
         if (!w->held) continue;
         const auto now_owns = duty(w->duty);
-        if (!now_owns || now_owns->epoch != w->epoch || now_owns->owner != w->by.name ||
+        if (!now_owns || now_owns->token != w->token || now_owns->owner != w->by.name ||
             now_owns->start != w->by.start)
             broken.insert("a write on " + w->duty + " by " + words(w->by) + " under epoch " +
-                          std::to_string(w->epoch.raw()) + ", which does not own it");
-        EpochNo& highest = highest_[w->duty];
-        if (w->epoch < highest)
-            broken.insert("a write on " + w->duty + " by epoch " + std::to_string(w->epoch.raw()) +
+                          std::to_string(w->token.raw()) + ", which does not own it");
+        FencingToken& highest = highest_[w->duty];
+        if (w->token < highest)
+            broken.insert("a write on " + w->duty + " by epoch " + std::to_string(w->token.raw()) +
                           " after one by " + std::to_string(highest.raw()));
-        highest = std::max(highest, w->epoch);
+        highest = std::max(highest, w->token);
     }
 }
 
@@ -267,7 +267,7 @@
     looks.push_back({loop.now(), gateway, cache});
     auto& order = lookers_[cache];
     if (!order.empty() && order.back() == gateway) return;
-    const auto d = duty(watch_over(CacheId{caches[cache]->id()}).raw());
+    const auto d = duty(health_watch_duty(CacheId{caches[cache]->id()}).raw());
     const bool owns = d && d->owner.raw() == gateways[gateway].name;
     if (order.empty() || owns) {
         order.push_back(gateway);
--- a/lab/arena.hpp
+++ b/lab/arena.hpp
@@ -81,7 +81,7 @@
     struct Written {
         Instant at;
         std::string duty;
-        fleet::EpochNo epoch;
+        fleet::FencingToken token;
         fleet::Instance by;
         bool held = false;
     };
@@ -94,11 +94,11 @@
     struct Taken {
         Instant at;
         std::string duty;
-        fleet::EpochNo epoch;
+        fleet::FencingToken token;
         fleet::Instance by;  // nobody: given up
     };
     std::vector<Taken> taken;
-    std::size_t accepted(const std::string& duty, std::size_t n, fleet::StartNo start) const;
+    std::size_t accepted(const std::string& duty, std::size_t n, fleet::Incarnation start) const;
     std::set<std::string> broken;
     bool said(std::size_t n, const std::string& part_of_a_line) const;
     // What the last-named rule says of the clients: no answer twice, and in the end none owed.
@@ -120,8 +120,8 @@
     void check_look(std::size_t gateway, std::size_t cache);
     std::optional<std::size_t> number_of(const fleet::MemberName&) const;
 
-    std::map<std::string, fleet::EpochNo> highest_;
-    std::map<std::pair<std::string, fleet::EpochNo>, fleet::Instance> given_;
+    std::map<std::string, fleet::FencingToken> highest_;
+    std::map<std::pair<std::string, fleet::FencingToken>, fleet::Instance> given_;
     std::map<std::size_t, std::vector<std::size_t>> lookers_;  // of a cache, in order
     std::map<std::size_t, int> late_looks_;
     Stretches stretches_{loop};  // the last: nothing of the above may go while the loop runs
--- a/lab/explore.cpp
+++ b/lab/explore.cpp
@@ -34,7 +34,7 @@
     Instant wake_at;
     void submit(const Transaction& d) override { asked = d; }
     void schedule_wake(Instant at) override { wake_at = at; }
-    void on_lease_state(const DutyName&, LeaseState, EpochNo) override {}
+    void on_lease_state(const DutyName&, LeaseState, FencingToken) override {}
     void on_write_outcome(const DutyName&, const Key&, WriteOutcome) override {}
     void remark(std::string_view) override {}
 };
@@ -47,7 +47,7 @@
     bool stopped = false, cut = false;
     int life = 0;
     std::string kept;
-    StartNo former;
+    Incarnation former;
     Revision told;
     int history = -1;
     std::optional<Ledger::Outcome> answer;  // waits for a stopped process
@@ -119,13 +119,13 @@
             if (!o.held || !value || key.raw().rfind("work/", 0) != 0) continue;
             // EPOCH/NAME/START: a member by that start, and no epoch below one that has written.
             const std::size_t a = value->find('/'), b = value->rfind('/');
-            const std::int64_t epoch = std::atoll(value->c_str());
-            const auto it = ledger.records().find(key_of_member(MemberName{value->substr(a + 1, b - a - 1)}));
+            const std::int64_t token = std::atoll(value->c_str());
+            const auto it = ledger.records().find(member_key(MemberName{value->substr(a + 1, b - a - 1)}));
             const auto writer = it == ledger.records().end() ? std::nullopt : read_member(it->second);
             if (!writer || writer->start.raw() != std::atoll(value->c_str() + b + 1))
                 broken = "a write by one who is no member: " + *value;
-            if (epoch < highest) broken = "a write by epoch " + *value + " after " + std::to_string(highest);
-            highest = std::max(highest, epoch);
+            if (token < highest) broken = "a write by epoch " + *value + " after " + std::to_string(highest);
+            highest = std::max(highest, token);
         }
         return o;
     }
@@ -143,11 +143,11 @@
         n.ports = {};
         n.told = {};
         n.history = -1;
-        MemberIdentity identity{n.name, Mark{n.name.raw() + std::to_string(n.life)}, "1", n.former};
+        MemberIdentity identity{n.name, InstanceId{n.name.raw() + std::to_string(n.life)}, "1", n.former};
         identity.answer_in = Span::micros(tick_us);
         identity.spread = false;
         n.agent = std::make_unique<Agent>(
-            n.ports, n.ports, Articles{"x", Span::micros(tick_us * ticks_a_term), drift}, identity, 1);
+            n.ports, n.ports, SharedConfig{"x", Span::micros(tick_us * ticks_a_term), drift}, identity, 1);
         if (!n.kept.empty()) n.agent->fence().kept_was(n.kept);
         n.agent->duties_are(n.clock(tick), {the_duty});
         n.agent->start(n.clock(tick));
@@ -158,7 +158,7 @@
         const Instant now = n.clock(tick);
         if (fault == Fault::die) {
             n.kept = n.agent->fence().kept();
-            n.former = n.agent->start_no();
+            n.former = n.agent->incarnation();
             n.agent.reset();
             return;
         }
@@ -179,8 +179,8 @@
         if (n.ports.wake_at <= now) n.agent->on_wake(now);
         if (n.agent->may_begin(now, the_duty))
             n.agent->work(now, the_duty, Key{"work/d"},
-                          std::to_string(n.agent->epoch_of(the_duty).raw()) + '/' + n.name.raw() + '/' +
-                              std::to_string(n.agent->start_no().raw()));
+                          std::to_string(n.agent->token_of(the_duty).raw()) + '/' + n.name.raw() + '/' +
+                              std::to_string(n.agent->incarnation().raw()));
         for (int k = 0; k < transactions_a_tick && n.ports.asked && !n.cut; ++k) {
             const Transaction transaction = *std::exchange(n.ports.asked, std::nullopt);
             const Fault f = std::exchange(fault, Fault::none);
--- a/lab/world.cpp
+++ b/lab/world.cpp
@@ -31,7 +31,7 @@
     std::uint64_t history = 0;
     bool telling = false;
     std::string kept;
-    StartNo former;
+    Incarnation former;
     std::vector<std::function<void()>> waiting;  // for a stopped process to go on
 
     Instant clock() const { return Instant{} + Span::seconds(world.now_.seconds() * rate); }
@@ -47,7 +47,7 @@
             if (born == life && mine == wake_no) world.wake(*this);
         });
     }
-    void on_lease_state(const DutyName&, LeaseState, EpochNo) override {}
+    void on_lease_state(const DutyName&, LeaseState, FencingToken) override {}
     void on_write_outcome(const DutyName&, const Key&, WriteOutcome) override {}
     void remark(std::string_view) override {}
     // Runs at once, or when a stopped process goes on; never for a former one.
@@ -60,8 +60,8 @@
     }
 };
 
-World::World(std::uint32_t seed, const Shape& shape, const Articles& articles)
-    : shape_(shape), articles_(articles), chance_(seed) {
+World::World(std::uint32_t seed, const Shape& shape, const SharedConfig& shared_config)
+    : shape_(shape), shared_config_(shared_config), chance_(seed) {
     for (std::size_t d = 0; d < shape.duties; ++d) duties_.emplace_back("d" + std::to_string(d));
     owned_.resize(shape.duties);
     without_since_.resize(shape.duties, now_);
@@ -85,10 +85,10 @@
     n.stopped = n.cut_in = n.cut_out = n.telling = false;
     n.told = {};
     n.history = 0;
-    MemberIdentity identity{n.name, Mark{n.name.raw() + '.' + std::to_string(n.life)}, "1", n.former};
+    MemberIdentity identity{n.name, InstanceId{n.name.raw() + '.' + std::to_string(n.life)}, "1", n.former};
     identity.answer_in = ms * 300;
     identity.spread = shape_.spread;
-    n.agent = std::make_unique<Agent>(n, n, articles_, identity, chance_());
+    n.agent = std::make_unique<Agent>(n, n, shared_config_, identity, chance_());
     if (!n.kept.empty()) n.agent->fence().kept_was(n.kept);
     n.agent->duties_are(n.clock(), {duties_.begin(), duties_.end()});
     n.agent->start(n.clock());
@@ -103,7 +103,7 @@
     Node& n = *nodes_[member];
     if (!n.agent) return;
     n.kept = n.agent->fence().kept();
-    n.former = n.agent->start_no();
+    n.former = n.agent->incarnation();
     n.agent.reset();
     ++n.life;
     n.waiting.clear();
@@ -135,7 +135,7 @@
 
 Span World::delay(double late) {
     const Span usual = ms * (1 + 20 * part());
-    return chance(late) ? articles_.term * (2.5 * part()) : usual;
+    return chance(late) ? shared_config_.term * (2.5 * part()) : usual;
 }
 
 void World::on_submit(Node& n, const Transaction& transaction) {
@@ -159,29 +159,29 @@
         const std::size_t slash = value->find('/');
         if (key.raw().rfind("work/", 0) == 0) {
             const std::string duty = value->substr(0, slash);
-            const std::int64_t epoch = std::atoll(value->c_str() + slash + 1);
+            const std::int64_t token = std::atoll(value->c_str() + slash + 1);
             // DUTY/EPOCH/NAME/START: a member by that start, and no epoch below one that has written.
             const std::size_t a = value->find('/', slash + 1), b = value->rfind('/');
             const MemberName who{value->substr(a + 1, b - a - 1)};
-            const Holder holder{EpochNo{epoch}, who, StartNo{std::atoll(value->c_str() + b + 1)}};
-            const auto it = ledger_.records().find(key_of_member(who));
+            const Holder holder{FencingToken{token}, who, Incarnation{std::atoll(value->c_str() + b + 1)}};
+            const auto it = ledger_.records().find(member_key(who));
             const auto writer = it == ledger_.records().end() ? std::nullopt : read_member(it->second);
             if (!writer || writer->start != holder.start)
                 broken.push_back("a write by one who is no member: " + *value);
             for (int n = 0; n < 2; ++n) order(DutyName{duty}, holder);
-            if (epoch < highest_[duty])
-                broken.push_back("a write by epoch " + std::to_string(epoch) + " after one by " +
+            if (token < highest_[duty])
+                broken.push_back("a write by epoch " + std::to_string(token) + " after one by " +
                                  std::to_string(highest_[duty]));
-            highest_[duty] = std::max(highest_[duty], epoch);
+            highest_[duty] = std::max(highest_[duty], token);
         }
         const auto duty = duty_of(key);
         const auto record = duty ? read_duty(*value) : std::nullopt;
         if (!record || record->owner.raw().empty()) continue;
         ++owners;
         const std::string who = record->owner.raw() + '/' + std::to_string(record->start.raw());
-        const auto [it, fresh] = given_.try_emplace({duty->raw(), record->epoch.raw()}, who);
+        const auto [it, fresh] = given_.try_emplace({duty->raw(), record->token.raw()}, who);
         if (!fresh && it->second != who)
-            broken.push_back("epoch " + std::to_string(record->epoch.raw()) + " of " + duty->raw() +
+            broken.push_back("epoch " + std::to_string(record->token.raw()) + " of " + duty->raw() +
                              " given to " + it->second + " and " + who);
     }
     // Signs of life are not watched.
@@ -204,13 +204,13 @@
 // An owner's order to some member, by another way than the registry: late, out of order, from former owners.
 void World::order(const DutyName& duty, const Holder& holder) {
     Node& n = *nodes_[chance_() % nodes_.size()];
-    at(now_ + articles_.term * (3 * part()), [this, &n, duty, holder] {
+    at(now_ + shared_config_.term * (3 * part()), [this, &n, duty, holder] {
         if (!n.agent || n.stopped || !n.agent->accepts(duty, holder)) return;
-        EpochNo& heeded = heeded_[{n.no, duty}];
-        if (holder.epoch < heeded)
-            broken.push_back(n.name.raw() + " heeds epoch " + std::to_string(holder.epoch.raw()) + " after " +
+        FencingToken& heeded = heeded_[{n.no, duty}];
+        if (holder.token < heeded)
+            broken.push_back(n.name.raw() + " heeds epoch " + std::to_string(holder.token.raw()) + " after " +
                              std::to_string(heeded.raw()));
-        heeded = std::max(heeded, holder.epoch);
+        heeded = std::max(heeded, holder.token);
     });
 }
 
@@ -254,7 +254,7 @@
         if (n.agent && chance(t.crash * share)) kill(n.no);
         if (!n.agent && t.crash > 0 && chance(share / 5)) start(n.no);
     }
-    if (chance(t.restore * share)) back(articles_.term * (1 + 2 * part()));
+    if (chance(t.restore * share)) back(shared_config_.term * (1 + 2 * part()));
 }
 
 // Premise of the guarantees: a backup is more than a term old when the registry answers from it.
@@ -314,7 +314,7 @@
                 trouble(troubles);
                 check(true);
             } else if (now_ >= next_backup_) {
-                next_backup_ = now_ + articles_.term * 0.5;
+                next_backup_ = now_ + shared_config_.term * 0.5;
                 backups_.push_back({now_, ledger_.records(), ledger_.revision()});
                 if (backups_.size() > most_backups) backups_.erase(backups_.begin());
             } else {
@@ -324,8 +324,8 @@
                         if (shape_.works && n->agent && !n->stopped && n->agent->may_begin(n->clock(), d))
                             n->agent->work(
                                 n->clock(), d, Key{"work/" + d.raw() + '/' + std::to_string(++works_ % 8)},
-                                d.raw() + '/' + std::to_string(n->agent->epoch_of(d).raw()) + '/' +
-                                    n->name.raw() + '/' + std::to_string(n->agent->start_no().raw()));
+                                d.raw() + '/' + std::to_string(n->agent->token_of(d).raw()) + '/' +
+                                    n->name.raw() + '/' + std::to_string(n->agent->incarnation().raw()));
             }
             continue;
         }
--- a/lab/world.hpp
+++ b/lab/world.hpp
@@ -31,7 +31,7 @@
         bool spread = true;
         bool works = true;  // owners write on behalf of the fleet all the while
     };
-    World(std::uint32_t seed, const Shape& shape, const fleet::Articles& articles);
+    World(std::uint32_t seed, const Shape& shape, const fleet::SharedConfig& shared_config);
     ~World();
 
     void start_all();
@@ -73,7 +73,7 @@
     Span delay(double late);
 
     Shape shape_;
-    fleet::Articles articles_;
+    fleet::SharedConfig shared_config_;
     std::ranlux24_base chance_;
     Instant now_ = Instant::at_seconds(1000);
     std::uint64_t next_ = 0;
@@ -91,7 +91,8 @@
     std::vector<fleet::DutyName> duties_;
     std::map<std::string, std::int64_t> highest_;  // epoch of accepted writes, of this history
     std::map<std::pair<std::string, std::int64_t>, std::string> given_;
-    std::map<std::pair<std::size_t, fleet::DutyName>, fleet::EpochNo> heeded_;  // by each, restarts and all
+    std::map<std::pair<std::size_t, fleet::DutyName>, fleet::FencingToken>
+        heeded_;  // by each, restarts and all
     std::vector<std::optional<std::size_t>> owned_;
     std::vector<Instant> without_since_;
     Troubles troubles_;
--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -49,15 +49,15 @@
         const auto read = read_all(talk, settings.registry);
         if (const auto* problem = std::get_if<etcd::Problem>(&read)) return wrong(problem->words);
         const Records& all = std::get<Records>(read);
-        const Text about = text_of(all, about_key());
-        if (about && *about != write(settings.articles))
+        const Text about = text_of(all, shared_config_key());
+        if (about && *about != serialize(settings.shared_config))
             std::cerr << "irismux: the fleet there goes by other articles: " << *about << '\n';
         return step(talk, all);
     });
 }
 
 bool lives(const Records& all, const Instance& who) {
-    const Text member = text_of(all, key_of_member(who.name));
+    const Text member = text_of(all, member_key(who.name));
     const auto read = member ? read_member(*member) : std::nullopt;
     return member && (!read || read->start == who.start);
 }
@@ -110,13 +110,15 @@
 int fleet_members(const Settings& settings) {
     return with_records(settings, [&](Talk&, const Records& all) {
         list(all, member_of, read_member, [&](const MemberName& name, const MemberRecord& m) {
-            const Text sign = text_of(all, key_of_beat(name));
-            const auto beat = sign ? read_beat(*sign) : std::nullopt;
+            const Text sign = text_of(all, heartbeat_key(name));
+            const auto heartbeat = sign ? read_heartbeat(*sign) : std::nullopt;
             std::cout << " start " << m.start.raw() << " version " << m.version << " sign "
-                      << (beat && beat->mark == m.mark ? std::to_string(beat->beat.raw()) : "none");
+                      << (heartbeat && heartbeat->instance_id == m.instance_id
+                              ? std::to_string(heartbeat->number.raw())
+                              : "none");
             for (const CacheId& c : m.marks) std::cout << " marks " << c.raw();
-            for (const auto& [duty, epoch] : m.refuses)
-                std::cout << " refuses " << duty.raw() << " up to " << epoch.raw();
+            for (const auto& [duty, token] : m.refuses)
+                std::cout << " refuses " << duty.raw() << " up to " << token.raw();
         });
         return 0;
     });
@@ -125,19 +127,19 @@
 int fleet_duties(const Settings& settings) {
     return with_records(settings, [&](Talk&, const Records& all) {
         list(all, duty_of, read_duty, [&](const DutyName& name, const DutyRecord& d) {
-            std::cout << " epoch " << d.epoch.raw();
+            std::cout << " epoch " << d.token.raw();
             if (d.owner.raw().empty())
                 std::cout << " nobody's";
             else
                 std::cout << " owner " << d.owner.raw() << " start " << d.start.raw()
                           << (lives(all, {d.owner, d.start}) ? "" : " (gone)");
-            if (const Text aside = text_of(all, key_of_aside(name)))
-                if (const auto who = read_aside(*aside))
+            if (const Text aside = text_of(all, release_key(name)))
+                if (const auto who = read_release(*aside))
                     std::cout << " left to others by " << who->name.raw() << " start " << who->start.raw();
-            if (const auto cache = watched_by(name))
-                if (const Text seen = text_of(all, key_of_finding(*cache)))
-                    if (const auto f = read_finding(*seen))
-                        std::cout << (f->well ? " answered " : " silent ") << f->looks << " times in a row";
+            if (const auto cache = watched_cache_of(name))
+                if (const Text seen = text_of(all, probe_result_key(*cache)))
+                    if (const auto f = read_probe_result(*seen))
+                        std::cout << (f->well ? " answered " : " silent ") << f->streak << " times in a row";
         });
         if (const Text swept = text_of(all, collection_progress_key()))
             if (const auto s = read_collection_progress(*swept))
@@ -149,26 +151,26 @@
 int fleet_release(const Settings& settings, const std::string& name) {
     const DutyName duty{name};
     return with_records(settings, [&](Talk& talk, const Records& all) {
-        const Text text = text_of(all, key_of_duty(duty));
+        const Text text = text_of(all, duty_key(duty));
         const auto d = text ? read_duty(*text) : std::nullopt;
         if (!d || d->owner.raw().empty()) return wrong("nobody owns " + name);
         const Instance owner{d->owner, d->start};
         if (!lives(all, owner))
             return wrong(name + " is owned by one that has gone: another takes it by itself");
-        const Key aside = key_of_aside(duty);
-        if (const auto failed = settle(talk, settings.registry, aside, text_of(all, aside), write(owner),
-                                       {{key_of_duty(duty), text}}))
+        const Key aside = release_key(duty);
+        if (const auto failed = settle(talk, settings.registry, aside, text_of(all, aside), serialize(owner),
+                                       {{duty_key(duty), text}}))
             return *failed;
-        const Span term = settings.articles.term;
+        const Span term = settings.shared_config.term;
         for (double waited = 0; waited < waits_of_term; waited += looks_of_term) {
             const auto read = read_all(talk, settings.registry);
             const Text now = std::holds_alternative<Records>(read)
-                                 ? text_of(std::get<Records>(read), key_of_duty(duty))
+                                 ? text_of(std::get<Records>(read), duty_key(duty))
                                  : text;
             const auto next = now ? read_duty(*now) : std::nullopt;
-            if (next && !next->owner.raw().empty() && next->epoch > d->epoch && next->owner != owner.name) {
+            if (next && !next->owner.raw().empty() && next->token > d->token && next->owner != owner.name) {
                 std::cout << name << " is now owned by " << next->owner.raw() << " under epoch "
-                          << next->epoch.raw() << '\n';
+                          << next->token.raw() << '\n';
                 return 0;
             }
             std::this_thread::sleep_for(std::chrono::microseconds((term * looks_of_term).micros()));
@@ -180,7 +182,7 @@
 }
 
 int fleet_restore(const Settings& settings, const std::string& name) {
-    const Key aside = key_of_aside(DutyName{name});
+    const Key aside = release_key(DutyName{name});
     return with_records(settings, [&](Talk& talk, const Records& all) {
         const Text was = text_of(all, aside);
         if (!was) return wrong("nobody was asked to leave " + name);
--- a/src/fleet/agent.cpp
+++ b/src/fleet/agent.cpp
@@ -36,33 +36,33 @@
 
 // Its last sign of life is seen a round late at the worst, and seen unchanged for the wait a round late
 // again; then come an eviction, a claim, and the look between rounds that finds them due.
-Span longest_without_owner(const Articles& articles, Span answer, std::size_t places) {
-    const Membership m(articles, MemberName{});
+Span longest_without_owner(const SharedConfig& shared_config, Span answer, std::size_t places) {
+    const Membership m(shared_config, MemberName{});
     return m.wait() +
            m.round() * (2 + place_of_round * static_cast<double>(places) + 2 * look_round_of_round) +
            answer * 4;
 }
 
-Agent::Agent(RegistryPort& asks, AgentObserver& hears, const Articles& articles, MemberIdentity identity,
-             std::uint64_t seed)
+Agent::Agent(RegistryPort& asks, AgentObserver& hears, const SharedConfig& shared_config,
+             MemberIdentity identity, std::uint64_t seed)
     : registry_(asks),
       observer_(hears),
-      articles_(articles),
+      shared_config_(shared_config),
       identity_(std::move(identity)),
       chance_(static_cast<std::uint_fast32_t>(seed ^ (seed >> 32))),
-      membership_(articles, identity_.name) {}
+      membership_(shared_config, identity_.name) {}
 
 Agent::Agent(const Agent& o, RegistryPort& asks, AgentObserver& hears)
     : registry_(asks),
       observer_(hears),
-      articles_(o.articles_),
+      shared_config_(o.shared_config_),
       identity_(o.identity_),
       chance_(o.chance_),
       membership_(o.membership_),
       duties_(o.duties_),
       fence_(o.fence_),
       start_(o.start_),
-      last_beat_(o.last_beat_),
+      last_heartbeat_(o.last_heartbeat_),
       sign_(o.sign_),
       record_(o.record_),
       refused_(o.refused_),
@@ -71,10 +71,10 @@
       step_(o.step_),
       out_(o.out_),
       at_(o.at_),
-      beat_out_(o.beat_out_),
+      heartbeat_out_(o.heartbeat_out_),
       due_(o.due_),
       next_(o.next_),
-      next_beat_(o.next_beat_),
+      next_heartbeat_(o.next_heartbeat_),
       next_yield_(o.next_yield_),
       silences_(o.silences_),
       unsure_(o.unsure_),
@@ -108,8 +108,9 @@
     for (auto& [name, d] : duties_.all()) {
         if (d.wanted) continue;
         // From here on nothing is done under its epoch; the record is given up in turn.
-        if (named(d)) d.given_up = std::max(d.given_up, d.record->epoch);
-        if (d.lease.state() != LeaseState::idle) observer_.on_lease_state(name, LeaseState::idle, EpochNo{});
+        if (named(d)) d.given_up = std::max(d.given_up, d.record->token);
+        if (d.lease.state() != LeaseState::idle)
+            observer_.on_lease_state(name, LeaseState::idle, FencingToken{});
         d.lease = Lease{};
         if (!named(d)) over.push_back(name);
     }
@@ -151,19 +152,19 @@
     if (step == Step::work) work_over(held ? WriteOutcome::written : WriteOutcome::refused);
     // The order matters: a sign of life that has landed says for how long we are in before duties are judged.
     if (step == Step::join) join_out_ = false;
-    if (held && (step == Step::join || step == Step::beat)) {
+    if (held && (step == Step::join || step == Step::heartbeat)) {
         sign_ = out_.writes.back().second;
-        membership_.confirmed(now, beat_out_);
+        membership_.confirmed(now, heartbeat_out_);
         unsure_.clear();
     }
     if (held && step != Step::look) learn(now, at, out_.writes);
     learn(now, at, shown);
-    if (!held && membership_.in() && shows(shown, key_of_beat(identity_.name)))
-        own_sign_shown(now, shown_of(shown, key_of_beat(identity_.name)));
+    if (!held && membership_.in() && shows(shown, heartbeat_key(identity_.name)))
+        own_sign_shown(now, shown_of(shown, heartbeat_key(identity_.name)));
     if (step == Step::look) {
         // Starts of that name, whether or not their records still stand, were given below the registry's
         // revision.
-        identity_.former = std::max(identity_.former, StartNo{at.raw()});
+        identity_.last_incarnation = std::max(identity_.last_incarnation, Incarnation{at.raw()});
         looked(now, shown);
     }
     if (step == Step::publish && held) record_ = out_.writes.front().second;
@@ -183,7 +184,7 @@
         if (unsure_.size() < doubted_at_most && (duty_of(e.first) || member_of(e.first)))
             unsure_.insert(e.first);
     rest(now);
-    if (step == Step::beat) next_beat_ = next_;
+    if (step == Step::heartbeat) next_heartbeat_ = next_;
     go_on(now);
 }
 
@@ -200,16 +201,16 @@
         if (const auto m = member_of(key)) membership_.record(now, at, *m, text);
         if (const auto d = duty_of(key))
             if (duties_.record(at, *d, text)) duty_learnt(*d, duties_.all().at(*d));
-        if (const auto d = aside_of(key))
+        if (const auto d = released_duty_of(key))
             if (const auto it = duties_.all().find(*d); it != duties_.all().end())
-                it->second.aside = text ? read_aside(*text) : std::nullopt;
+                it->second.released = text ? read_release(*text) : std::nullopt;
         if (key == floor_key() && at >= floor_at_) {
             floor_ = text;
             floor_at_ = at;
         }
     }
     for (const auto& [key, text] : shown)
-        if (const auto m = beat_of(key)) membership_.beat(now, *m, text, hold);
+        if (const auto m = heartbeat_owner(key)) membership_.on_heartbeat(now, *m, text, hold);
 }
 
 void Agent::duty_learnt(const DutyName& name, const Duties::Duty& d) {
@@ -218,15 +219,15 @@
                                 " can't be read: it is left alone until an operator has mended it");
     if (!d.text) fence_.forget(name);
     if (!d.record || d.record->owner.raw().empty()) return;
-    const Holder holder{d.record->epoch, d.record->owner, d.record->start};
-    const EpochNo against = fence_.against(name, holder);
-    if (against == EpochNo{}) {
+    const Holder holder{d.record->token, d.record->owner, d.record->start};
+    const FencingToken against = fence_.against(name, holder);
+    if (against == FencingToken{}) {
         fence_.shown(name, holder);
         refused_.erase(name);
         return;
     }
     if (refused_.size() < most_refusals || refused_.contains(name)) refused_[name] = against;
-    observer_.remark("duty " + name.raw() + " stands at epoch " + std::to_string(holder.epoch.raw()) +
+    observer_.remark("duty " + name.raw() + " stands at epoch " + std::to_string(holder.token.raw()) +
                      ", and " + std::to_string(against.raw()) +
                      " has been seen: the registry has gone back; the owner is told to take a higher one");
 }
@@ -234,11 +235,11 @@
 // What a deal that failed shows of our own sign of life: a later one of ours landed, or we are out.
 void Agent::own_sign_shown(Instant now, const Text& text) {
     if (text == sign_) return;
-    const auto read = text ? read_beat(*text) : std::nullopt;
-    const bool ours = read && read->mark == identity_.mark && read->start == start_;
-    if (ours && read->beat > membership_.last()) {
+    const auto read = text ? read_heartbeat(*text) : std::nullopt;
+    const bool ours = read && read->instance_id == identity_.instance_id && read->start == start_;
+    if (ours && read->number > membership_.last()) {
         sign_ = text;
-        return membership_.confirmed(now, read->beat);
+        return membership_.confirmed(now, read->number);
     }
     out(now, ours ? "the registry has gone back: joining anew" : "evicted: joining anew");
 }
@@ -266,10 +267,10 @@
         } else if (leaving_) {
             say(now, Step::leave,
                 {{own_sign()},
-                 {{key_of_member(identity_.name), std::nullopt}, {key_of_beat(identity_.name), std::nullopt}},
+                 {{member_key(identity_.name), std::nullopt}, {heartbeat_key(identity_.name), std::nullopt}},
                  {}});
-        } else if (now >= next_beat_) {
-            beat(now);
+        } else if (now >= next_heartbeat_) {
+            send_heartbeat(now);
         } else if (membership_.in_term(now)) {
             next_work(now) || next_duty(now) || next_eviction(now) || next_publication(now);
         }
@@ -278,7 +279,7 @@
     if (step_ != Step::none)
         at = std::min(at, due_);
     else
-        at = std::min(at, std::max(next_, membership_.in() ? next_beat_ : next_));
+        at = std::min(at, std::max(next_, membership_.in() ? next_heartbeat_ : next_));
     if (membership_.in_term(now)) at = std::min(at, membership_.end());
     if (membership_.listening(now)) at = std::min(at, membership_.listens_until());
     registry_.schedule_wake(std::max(at, now + Span::micros(1)));
@@ -304,33 +305,37 @@
 // --- out, and in -----------------------------------------------------------------------------------------
 
 void Agent::settle_in(Instant now) {
-    say(now, Step::look, {{}, {}, {about_key(), key_of_member(identity_.name), key_of_beat(identity_.name)}});
+    say(now, Step::look,
+        {{}, {}, {shared_config_key(), member_key(identity_.name), heartbeat_key(identity_.name)}});
 }
 
 void Agent::looked(Instant now, const std::vector<Entry>& shown) {
-    const std::string articles = write(articles_);
-    const Text& about = shown_of(shown, about_key());
-    const Text& member = shown_of(shown, key_of_member(identity_.name));
-    const Text& sign = shown_of(shown, key_of_beat(identity_.name));
+    const std::string shared_config = serialize(shared_config_);
+    const Text& about = shown_of(shown, shared_config_key());
+    const Text& member = shown_of(shown, member_key(identity_.name));
+    const Text& sign = shown_of(shown, heartbeat_key(identity_.name));
     next_ = now + membership_.round();
     const auto say_once = [&](const std::string& why) {
         if (std::exchange(said_, why) != why) observer_.remark(why);
     };
-    if (!about) return say(now, Step::found, {{{about_key(), std::nullopt}}, {{about_key(), articles}}, {}});
-    if (*about != articles)
+    if (!about)
+        return say(now, Step::found,
+                   {{{shared_config_key(), std::nullopt}}, {{shared_config_key(), shared_config}}, {}});
+    if (*about != shared_config)
         return say_once("the fleet there goes by other articles, " + about->substr(0, 200) +
                         ": this gateway stays out");
     if (!member && !sign) return join(now, member, sign);
     const auto read = member ? read_member(*member) : std::nullopt;
-    if (read) identity_.former = std::max(identity_.former, read->start);
-    if (read && read->mark == identity_.mark) {
+    if (read) identity_.last_incarnation = std::max(identity_.last_incarnation, read->start);
+    if (read && read->instance_id == identity_.instance_id) {
         // A join of ours has landed whose answer was lost; or the registry has gone back to a former one.
-        const auto beat = sign ? read_beat(*sign) : std::nullopt;
-        if (!join_out_ || read->start != start_ || !beat || beat->mark != identity_.mark)
+        const auto heartbeat = sign ? read_heartbeat(*sign) : std::nullopt;
+        if (!join_out_ || read->start != start_ || !heartbeat ||
+            heartbeat->instance_id != identity_.instance_id)
             return join(now, member, sign);
         join_out_ = false;
         sign_ = sign;
-        return membership_.confirmed(now, beat->beat);
+        return membership_.confirmed(now, heartbeat->number);
     }
     // Somebody else has the name: our former self, which is dead, or another gateway. Only a wait tells.
     const std::pair<Text, Text> seen{member, sign};
@@ -346,35 +351,37 @@
 }
 
 MemberRecord Agent::own_record() const {
-    return {start_, identity_.mark, identity_.version, refused_, marks_};
+    return {start_, identity_.instance_id, identity_.version, refused_, marks_};
 }
 
 void Agent::join(Instant now, const Text& member, const Text& sign) {
-    start_ = identity_.former = StartNo{identity_.former.raw() + 1};
-    record_ = write(own_record());
-    beat_out_ = last_beat_ = BeatNo{last_beat_.raw() + 1};
+    start_ = identity_.last_incarnation = Incarnation{identity_.last_incarnation.raw() + 1};
+    record_ = serialize(own_record());
+    heartbeat_out_ = last_heartbeat_ = HeartbeatNumber{last_heartbeat_.raw() + 1};
     join_out_ = true;
     duties_.forget_given_up();
     next_ = now;
-    membership_.sent(now, beat_out_);
-    const Key own = key_of_member(identity_.name), beat = key_of_beat(identity_.name);
+    membership_.sent(now, heartbeat_out_);
+    const Key own = member_key(identity_.name), heartbeat = heartbeat_key(identity_.name);
     say(now, Step::join,
-        {{{about_key(), write(articles_)}, {own, member}, {beat, sign}},
-         {{own, record_}, {beat, write(BeatRecord{start_, identity_.mark, beat_out_})}},
+        {{{shared_config_key(), serialize(shared_config_)}, {own, member}, {heartbeat, sign}},
+         {{own, record_},
+          {heartbeat, serialize(HeartbeatRecord{start_, identity_.instance_id, heartbeat_out_})}},
          {}});
 }
 
-void Agent::beat(Instant now) {
+void Agent::send_heartbeat(Instant now) {
     Span pause = membership_.round();
     if (identity_.spread) pause = pause * (1 - spread_of_round * part());
-    next_beat_ = now + pause;
-    beat_out_ = last_beat_ = BeatNo{last_beat_.raw() + 1};
-    membership_.sent(now, beat_out_);
+    next_heartbeat_ = now + pause;
+    heartbeat_out_ = last_heartbeat_ = HeartbeatNumber{last_heartbeat_.raw() + 1};
+    membership_.sent(now, heartbeat_out_);
     std::vector<Key> shown = signs_to_look_at(now);
     shown.insert(shown.end(), unsure_.begin(), unsure_.end());
-    say(now, Step::beat,
+    say(now, Step::heartbeat,
         {{own_sign()},
-         {{key_of_beat(identity_.name), write(BeatRecord{start_, identity_.mark, beat_out_})}},
+         {{heartbeat_key(identity_.name),
+           serialize(HeartbeatRecord{start_, identity_.instance_id, heartbeat_out_})}},
          std::move(shown)});
 }
 
@@ -384,11 +391,11 @@
     for (const auto& [name, o] : others)
         if (others.size() <= looked_at + doubted_at_most ||
             (o.looked && now - o.sign_since > membership_.round() && keys.size() < doubted_at_most))
-            keys.insert(key_of_beat(name));
+            keys.insert(heartbeat_key(name));
     for (std::size_t n = 0; n < looked_at && keys.size() < others.size(); ++n) {
         auto it = others.begin();
         std::advance(it, static_cast<std::ptrdiff_t>(chance_() % others.size()));
-        keys.insert(key_of_beat(it->first));
+        keys.insert(heartbeat_key(it->first));
     }
     return {keys.begin(), keys.end()};
 }
@@ -401,7 +408,7 @@
 
 // Whether the record, heeded as it may be, makes it this member's.
 bool Agent::holds(Instant now, const Duties::Duty& d) const {
-    return named(d) && d.wanted && d.record->epoch > d.given_up && !membership_.listening(now);
+    return named(d) && d.wanted && d.record->token > d.given_up && !membership_.listening(now);
 }
 
 LeaseConditions Agent::lease_conditions(Instant now, const DutyName& name, const Duties::Duty& d) const {
@@ -422,16 +429,16 @@
     return may_act(now, name) && !membership_.near_end(now);
 }
 
-EpochNo Agent::epoch_of(const DutyName& name) const {
+FencingToken Agent::token_of(const DutyName& name) const {
     const auto it = duties_.all().find(name);
-    return it != duties_.all().end() && it->second.record ? it->second.record->epoch : EpochNo{};
+    return it != duties_.all().end() && it->second.record ? it->second.record->token : FencingToken{};
 }
 
 // Nobody owns it: it was never owned or given up, or its owner is a member no more.
 bool Agent::free(const Duties::Duty& d) const {
     if (!d.known || (d.text && !d.record)) return false;
     if (!d.record || d.record->owner.raw().empty()) return true;
-    if (d.record->owner == identity_.name) return !named(d) || d.record->epoch <= d.given_up;
+    if (d.record->owner == identity_.name) return !named(d) || d.record->token <= d.given_up;
     return !is_member({d.record->owner, d.record->start});
 }
 
@@ -442,27 +449,28 @@
 }
 
 std::size_t Agent::place(Instant now, const DutyName& name, const Duties::Duty& d, bool settled) const {
-    const bool aside = d.aside && *d.aside == self();
+    const bool aside = d.released && *d.released == self();
     std::size_t ahead = 0;
     for (const auto& [other, o] : membership_.others()) {
         if (membership_.suspected(o) || (settled && !membership_.settled(now, o))) continue;
-        if (d.aside && d.aside->name == other && is_member(*d.aside)) continue;
+        if (d.released && d.released->name == other && is_member(*d.released)) continue;
         ahead += aside || Duties::ahead(name, other, identity_.name);
     }
     return ahead;
 }
 
-EpochNo Agent::refused_elsewhere(const DutyName& name) const {
-    EpochNo highest;
+FencingToken Agent::refused_elsewhere(const DutyName& name) const {
+    FencingToken highest;
     for (const auto& [who, o] : membership_.others())
         if (const auto it = o.member.refuses.find(name); it != o.member.refuses.end())
             highest = std::max(highest, it->second);
     return highest;
 }
 
-EpochNo Agent::above(const DutyName& name, const Duties::Duty& d) const {
-    const EpochNo standing = d.record ? d.record->epoch : floor_ ? read_floor(*floor_) : EpochNo{};
-    return EpochNo{std::max({standing, d.given_up, fence_.highest(name), refused_elsewhere(name)}).raw() + 1};
+FencingToken Agent::above(const DutyName& name, const Duties::Duty& d) const {
+    const FencingToken standing = d.record ? d.record->token : floor_ ? read_floor(*floor_) : FencingToken{};
+    return FencingToken{
+        std::max({standing, d.given_up, fence_.highest(name), refused_elsewhere(name)}).raw() + 1};
 }
 
 void Agent::judge(Instant now) {
@@ -473,7 +481,7 @@
             d.free_since = now;
         const LeaseState before = d.lease.state();
         const LeaseState after = d.lease.enter(lease_conditions(now, name, d));
-        if (after != before && d.wanted) observer_.on_lease_state(name, after, epoch_of(name));
+        if (after != before && d.wanted) observer_.on_lease_state(name, after, token_of(name));
     }
 }
 
@@ -491,7 +499,7 @@
         }
         if (!named(d)) continue;
         // One that others refuse is taken again, above what they have seen.
-        if (refused_elsewhere(name) > d.record->epoch) return claim(now, name, d), true;
+        if (refused_elsewhere(name) > d.record->token) return claim(now, name, d), true;
         // The first in the order has it back once it has settled; one duty a round.
         if (now >= next_yield_ && place(now, name, d, true) > 0) return give_up(now, name, d), true;
     }
@@ -499,14 +507,14 @@
 }
 
 void Agent::claim(Instant now, const DutyName& name, const Duties::Duty& d) {
-    Transaction transaction{{own_sign(), {key_of_duty(name), d.text}},
-                            {{key_of_duty(name), write(DutyRecord{above(name, d), identity_.name, start_})}},
+    Transaction transaction{{own_sign(), {duty_key(name), d.text}},
+                            {{duty_key(name), serialize(DutyRecord{above(name, d), identity_.name, start_})}},
                             {}};
     // The registry itself must know its owner as gone.
     if (d.record && !d.record->owner.raw().empty() && d.record->owner != identity_.name) {
         const auto it = membership_.others().find(d.record->owner);
-        transaction.compares.push_back({key_of_member(d.record->owner),
-                                        it == membership_.others().end() ? Text{} : Text{it->second.text}});
+        transaction.compares.push_back(
+            {member_key(d.record->owner), it == membership_.others().end() ? Text{} : Text{it->second.text}});
     }
     // What has been swept leaves no record; its epochs are below the floor.
     if (!d.text) transaction.compares.push_back({floor_key(), floor_});
@@ -516,13 +524,13 @@
 
 // From here on nothing is done under that epoch, whatever comes of the deal.
 void Agent::give_up(Instant now, const DutyName& name, Duties::Duty& d) {
-    d.given_up = d.record->epoch;
+    d.given_up = d.record->token;
     if (d.wanted) next_yield_ = now + membership_.round();
     judge(now);
     at_ = name;
     say(now, Step::yield,
-        {{own_sign(), {key_of_duty(name), d.text}},
-         {{key_of_duty(name), write(DutyRecord{d.record->epoch, MemberName{}, StartNo{}})}},
+        {{own_sign(), {duty_key(name), d.text}},
+         {{duty_key(name), serialize(DutyRecord{d.record->token, MemberName{}, Incarnation{}})}},
          {}});
 }
 
@@ -532,10 +540,10 @@
     if (membership_.listening(now)) return false;
     for (const auto& [name, o] : membership_.others()) {
         if (!membership_.evictable(o)) continue;
-        const Key member = key_of_member(name), beat = key_of_beat(name);
+        const Key member = member_key(name), heartbeat = heartbeat_key(name);
         say(now, Step::evict,
-            {{own_sign(), {member, o.text}, {beat, o.sign}},
-             {{member, std::nullopt}, {beat, std::nullopt}},
+            {{own_sign(), {member, o.text}, {heartbeat, o.sign}},
+             {{member, std::nullopt}, {heartbeat, std::nullopt}},
              {}});
         return true;
     }
@@ -543,12 +551,12 @@
 }
 
 bool Agent::next_publication(Instant now) {
-    const std::string wanted = write(own_record());
+    const std::string wanted = serialize(own_record());
     if (record_ == wanted || now < next_publication_) return false;
     next_publication_ =
         now + membership_.round() * std::max(1.0, static_cast<double>(membership_.others().size()) /
                                                       static_cast<double>(heard_a_round));
-    const Key own = key_of_member(identity_.name);
+    const Key own = member_key(identity_.name);
     say(now, Step::publish, {{own_sign(), {own, record_}}, {{own, wanted}}, {}});
     return true;
 }
@@ -569,7 +577,7 @@
     if (works_.empty()) return false;
     const Work& w = works_.front();
     const Duties::Duty& d = duties_.all().at(w.duty);
-    Transaction transaction{{own_sign(), {key_of_duty(w.duty), d.text}}, w.write_request.writes, {}};
+    Transaction transaction{{own_sign(), {duty_key(w.duty), d.text}}, w.write_request.writes, {}};
     transaction.compares.insert(transaction.compares.end(), w.write_request.compares.begin(),
                                 w.write_request.compares.end());
     say(now, Step::work, std::move(transaction));
@@ -592,7 +600,7 @@
     std::string all = std::to_string(static_cast<int>(step_)) + (leaving_ ? "L" : "") +
                       (membership_.in() ? "in " : "out ") + std::to_string(start_.raw()) + ' ' +
                       rel(membership_.end()) + rel(membership_.listens_until()) + rel(next_) +
-                      rel(next_beat_) + rel(next_yield_) + rel(due_) + sign_.value_or("-") +
+                      rel(next_heartbeat_) + rel(next_yield_) + rel(due_) + sign_.value_or("-") +
                       record_.value_or("-") + std::to_string(silences_) + (join_out_ ? "j" : "");
     if (former_) all += former_->first.value_or("-") + former_->second.value_or("-") + age(former_since_);
     for (const auto& [name, o] : membership_.others()) {
--- a/src/fleet/agent.hpp
+++ b/src/fleet/agent.hpp
@@ -58,7 +58,7 @@
 class AgentObserver {
 public:
     virtual ~AgentObserver() = default;
-    virtual void on_lease_state(const DutyName&, LeaseState, EpochNo) = 0;
+    virtual void on_lease_state(const DutyName&, LeaseState, FencingToken) = 0;
     virtual void on_write_outcome(const DutyName&, const Key&, WriteOutcome) = 0;
     virtual void remark(std::string_view plain_line) = 0;
 };
@@ -66,9 +66,9 @@
 // A gateway's own part of the fleet's table.
 struct MemberIdentity {
     MemberName name;
-    Mark mark;            // drawn anew at each start
-    std::string version;  // of the program
-    StartNo former;       // the highest start that is known of that name; zero: none
+    InstanceId instance_id;        // drawn anew at each start
+    std::string version;           // of the program
+    Incarnation last_incarnation;  // the highest start that is known of that name; zero: none
     Span answer_in = Span::micros(1'000'000);
     bool spread = true;  // by chance: when signs of life go out, and whose are looked at
 };
@@ -76,12 +76,12 @@
 // For how long a duty may have no owner after its owner has stopped, while the registry answers within
 // `answer` and the members counted on before the first that can claim are `places`. Holds for fleets that are
 // looked at whole; in larger ones a look comes by chance, and each round without one adds a round.
-Span longest_without_owner(const Articles& articles, Span answer, std::size_t places);
+Span longest_without_owner(const SharedConfig& shared_config, Span answer, std::size_t places);
 
 class Agent {
 public:
-    Agent(RegistryPort& asks, AgentObserver& hears, const Articles& articles, MemberIdentity identity,
-          std::uint64_t seed);
+    Agent(RegistryPort& asks, AgentObserver& hears, const SharedConfig& shared_config,
+          MemberIdentity identity, std::uint64_t seed);
     // The same at this instant, with other ports: for those who explore what may come of it.
     Agent(const Agent& as_is, RegistryPort& asks, AgentObserver& hears);
 
@@ -101,7 +101,7 @@
 
     bool may_act(Instant now, const DutyName&) const;
     bool may_begin(Instant now, const DutyName&) const;
-    EpochNo epoch_of(const DutyName&) const;
+    FencingToken token_of(const DutyName&) const;
     // Whether an order that another gives under that epoch is to be heeded.
     bool accepts(const DutyName& duty, const Holder& holder) { return fence_.accepts(duty, holder); }
     // Written if the duty is still ours when it lands; the answer is told. False: not ours, or too many wait.
@@ -112,7 +112,7 @@
     const Membership& membership() const { return membership_; }
     const Duties& duties() const { return duties_; }
     Fence& fence() { return fence_; }
-    StartNo start_no() const { return start_; }
+    Incarnation incarnation() const { return start_; }
     Instance self() const { return {identity_.name, start_}; }
     const Text& floor() const { return floor_; }
     // Whether that very instance is a member, as far as is known; those that can't be read are.
@@ -120,7 +120,7 @@
     std::string picture(Instant now) const;  // all that it goes by, times relative to now
 
 private:
-    enum class Step { none, look, found, join, beat, publish, claim, yield, evict, work, leave };
+    enum class Step { none, look, found, join, heartbeat, publish, claim, yield, evict, work, leave };
     struct Work {
         DutyName duty;
         Key key;
@@ -136,11 +136,11 @@
     void work_over(WriteOutcome done);
     void say(Instant now, Step step, Transaction transaction);
     void look(Instant now);
-    void join(Instant now, const Text& member, const Text& beat);
-    void beat(Instant now);
+    void join(Instant now, const Text& member, const Text& heartbeat);
+    void send_heartbeat(Instant now);
     void learn(Instant now, registry::Revision at, const std::vector<Entry>& shown);
     void duty_learnt(const DutyName&, const Duties::Duty&);
-    void own_sign_shown(Instant now, const Text& beat);
+    void own_sign_shown(Instant now, const Text& heartbeat);
     void looked(Instant now, const std::vector<Entry>& shown);
     void claim(Instant now, const DutyName&, const Duties::Duty&);
     void give_up(Instant now, const DutyName&, Duties::Duty&);
@@ -151,38 +151,38 @@
     LeaseConditions lease_conditions(Instant now, const DutyName&, const Duties::Duty&) const;
     bool named(const Duties::Duty&) const;
     bool free(const Duties::Duty&) const;
-    EpochNo above(const DutyName&, const Duties::Duty&) const;
-    EpochNo refused_elsewhere(const DutyName&) const;
+    FencingToken above(const DutyName&, const Duties::Duty&) const;
+    FencingToken refused_elsewhere(const DutyName&) const;
     bool holds(Instant now, const Duties::Duty&) const;
     // Of this member in the duty's order, over those that are counted on; 0 is the first.
     std::size_t place(Instant now, const DutyName&, const Duties::Duty&, bool settled) const;
     std::vector<Key> signs_to_look_at(Instant now);
-    Entry own_sign() const { return {key_of_beat(identity_.name), sign_}; }
+    Entry own_sign() const { return {heartbeat_key(identity_.name), sign_}; }
     MemberRecord own_record() const;
 
     RegistryPort& registry_;
     AgentObserver& observer_;
-    Articles articles_;
+    SharedConfig shared_config_;
     MemberIdentity identity_;
     std::ranlux24_base chance_;
     Membership membership_;
     Duties duties_;
     Fence fence_;
 
-    StartNo start_;
-    BeatNo last_beat_;
-    Text sign_;                            // the newest of ours that the registry is known to hold
-    Text record_;                          // our member record, as last written
-    std::map<DutyName, EpochNo> refused_;  // to be published, or published already
+    Incarnation start_;
+    HeartbeatNumber last_heartbeat_;
+    Text sign_;                                 // the newest of ours that the registry is known to hold
+    Text record_;                               // our member record, as last written
+    std::map<DutyName, FencingToken> refused_;  // to be published, or published already
     bool started_ = false, leaving_ = false;
 
     Step step_ = Step::none;
-    Transaction out_;  // the deal at hand
-    DutyName at_;      // the duty that it is about
-    BeatNo beat_out_;  // the sign of life that it carries
-    Instant due_;      // no answer by then
-    Instant next_;     // nothing is asked before
-    Instant next_beat_, next_yield_;
+    Transaction out_;                // the deal at hand
+    DutyName at_;                    // the duty that it is about
+    HeartbeatNumber heartbeat_out_;  // the sign of life that it carries
+    Instant due_;                    // no answer by then
+    Instant next_;                   // nothing is asked before
+    Instant next_heartbeat_, next_yield_;
     int silences_ = 0;  // in a row
 
     std::set<Key> unsure_;  // what deals without an answer were about; shown with the next sign of life
--- a/src/fleet/duties.cpp
+++ b/src/fleet/duties.cpp
@@ -35,7 +35,7 @@
 void Duties::let_go(const DutyName& name) {
     const auto it = all_.find(name);
     if (it == all_.end()) return;
-    if (it->second.given_up > EpochNo{}) given_up_[name] = it->second.given_up;
+    if (it->second.given_up > FencingToken{}) given_up_[name] = it->second.given_up;
     all_.erase(it);
 }
 
--- a/src/fleet/duties.hpp
+++ b/src/fleet/duties.hpp
@@ -21,9 +21,9 @@
         registry::Revision at;
         bool known = false;
         bool wanted = true;                 // false: it is let go of as soon as it has been given up
-        std::optional<Instance> aside;      // who is to leave it to others
+        std::optional<Instance> released;   // who is to leave it to others
         std::optional<Instant> free_since;  // nobody owns it, as far as is known
-        EpochNo given_up;                   // records that name us up to here are not heeded
+        FencingToken given_up;              // records that name us up to here are not heeded
         Lease lease;
     };
 
@@ -49,7 +49,7 @@
 private:
     static constexpr std::size_t most = 4096;
     std::map<DutyName, Duty> all_;
-    std::map<DutyName, EpochNo> given_up_;  // of duties let go of
+    std::map<DutyName, FencingToken> given_up_;  // of duties let go of
 };
 
 }  // namespace irismux::fleet
--- a/src/fleet/fence.cpp
+++ b/src/fleet/fence.cpp
@@ -6,39 +6,39 @@
 
 using nlohmann::json;
 
-EpochNo Fence::against(const DutyName& duty, const Holder& holder) const {
+FencingToken Fence::against(const DutyName& duty, const Holder& holder) const {
     const auto it = seen_.find(duty);
-    if (it == seen_.end() || holder.epoch > it->second.epoch || holder == it->second) return EpochNo{};
-    return it->second.epoch;
+    if (it == seen_.end() || holder.token > it->second.token || holder == it->second) return FencingToken{};
+    return it->second.token;
 }
 
 bool Fence::accepts(const DutyName& duty, const Holder& holder) {
-    return (seen_.contains(duty) || holder.epoch > forgotten_) && shown(duty, holder);
+    return (seen_.contains(duty) || holder.token > forgotten_) && shown(duty, holder);
 }
 
 void Fence::forget(const DutyName& duty) {
     const auto it = seen_.find(duty);
     if (it == seen_.end()) return;
-    forgotten_ = std::max(forgotten_, it->second.epoch);
+    forgotten_ = std::max(forgotten_, it->second.token);
     seen_.erase(it);
 }
 
 bool Fence::shown(const DutyName& duty, const Holder& holder) {
-    if (holder.epoch == EpochNo{} || against(duty, holder) != EpochNo{}) return false;
+    if (holder.token == FencingToken{} || against(duty, holder) != FencingToken{}) return false;
     if (seen_.size() >= most_ && !seen_.contains(duty)) return false;
     seen_[duty] = holder;
     return true;
 }
 
-EpochNo Fence::highest(const DutyName& duty) const {
+FencingToken Fence::highest(const DutyName& duty) const {
     const auto it = seen_.find(duty);
-    return it == seen_.end() ? EpochNo{} : it->second.epoch;
+    return it == seen_.end() ? FencingToken{} : it->second.token;
 }
 
 std::string Fence::kept() const {
     json all = json::object();
-    for (const auto& [duty, h] : seen_) all[duty.raw()] = {h.epoch.raw(), h.owner.raw(), h.start.raw()};
-    if (forgotten_ > EpochNo{}) all[""] = {forgotten_.raw(), "", 0};
+    for (const auto& [duty, h] : seen_) all[duty.raw()] = {h.token.raw(), h.owner.raw(), h.start.raw()};
+    if (forgotten_ > FencingToken{}) all[""] = {forgotten_.raw(), "", 0};
     return all.dump();
 }
 
@@ -50,11 +50,11 @@
         if (!h.is_array() || h.size() != 3 || !h[0].is_number_integer() || !h[1].is_string() ||
             !h[2].is_number_integer())
             return false;
-        read[DutyName{duty}] = {EpochNo{h[0].get<std::int64_t>()}, MemberName{h[1].get<std::string>()},
-                                StartNo{h[2].get<std::int64_t>()}};
+        read[DutyName{duty}] = {FencingToken{h[0].get<std::int64_t>()}, MemberName{h[1].get<std::string>()},
+                                Incarnation{h[2].get<std::int64_t>()}};
     }
     if (const auto it = read.find(DutyName{}); it != read.end()) {
-        forgotten_ = std::max(forgotten_, it->second.epoch);
+        forgotten_ = std::max(forgotten_, it->second.token);
         read.erase(it);
     }
     for (const auto& [duty, h] : read) shown(duty, h);
--- a/src/fleet/fence.hpp
+++ b/src/fleet/fence.hpp
@@ -20,9 +20,9 @@
 namespace irismux::fleet {
 
 struct Holder {
-    EpochNo epoch;
+    FencingToken token;
     MemberName owner;
-    StartNo start;
+    Incarnation start;
     auto operator<=>(const Holder&) const = default;
 };
 
@@ -38,15 +38,15 @@
     // Its record has been swept: whoever owns it next does so above it.
     void forget(const DutyName& duty);
     // The epoch that stands against this one; zero: none does.
-    EpochNo against(const DutyName& duty, const Holder& holder) const;
-    EpochNo highest(const DutyName& duty) const;
+    FencingToken against(const DutyName& duty, const Holder& holder) const;
+    FencingToken highest(const DutyName& duty) const;
 
     std::string kept() const;               // for the store
     bool kept_was(std::string_view bytes);  // false: it can't be read, and nothing was learnt
 
 private:
     std::size_t most_;
-    EpochNo forgotten_;  // the highest of those let go of
+    FencingToken forgotten_;  // the highest of those let go of
     std::map<DutyName, Holder> seen_;
 };
 
--- a/src/fleet/fleet_client.cpp
+++ b/src/fleet/fleet_client.cpp
@@ -46,7 +46,8 @@
       gateway_(gateway),
       settings_(settings),
       followed_(followed(settings.registry)),
-      agent_((open_store(), *this), *this, settings.articles, identity(version), mixed_with_chance(seed)),
+      agent_((open_store(), *this), *this, settings.shared_config, identity(version),
+             mixed_with_chance(seed)),
       health_watch_(*this, settings.look_every, agent_.membership().round()),
       garbage_collector_(settings.sweep_every, agent_.membership().wait() * 2),
       asker_(loop, *this, settings_.registry),
@@ -73,9 +74,9 @@
 
 MemberIdentity FleetClient::identity(const std::string& version) {
     MemberIdentity p{
-        settings_.name, Mark{drawn_mark()}, version, {}, settings_.registry.pace.answer_in, true};
+        settings_.name, InstanceId{drawn_mark()}, version, {}, settings_.registry.pace.answer_in, true};
     if (const auto start = store_ ? store_->read(start_name) : std::nullopt)
-        p.former = StartNo{std::atoll(start->c_str())};
+        p.last_incarnation = Incarnation{std::atoll(start->c_str())};
     return p;
 }
 
@@ -193,10 +194,10 @@
     told_ = at;
     agent_.on_records(clock(), at, entries, all);
     for (const auto& [key, text] : entries)
-        if (const auto cache = finding_of(key))
-            if (const auto f = text ? read_finding(*text) : std::nullopt) {
-                const DutyName duty = watch_over(*cache);
-                if (agent_.accepts(duty, {f->epoch, f->by.name, f->by.start}))
+        if (const auto cache = probed_cache_of(key))
+            if (const auto f = text ? read_probe_result(*text) : std::nullopt) {
+                const DutyName duty = health_watch_duty(*cache);
+                if (agent_.accepts(duty, {f->token, f->by.name, f->by.start}))
                     health_watch_.on_probe_result(clock(), *cache, *f, agent_);
             }
     know_duties();
@@ -213,12 +214,12 @@
 
 void FleetClient::know_duties() {
     std::set<DutyName> now_known{garbage_collection_duty()};
-    for (const CacheId& c : health_watch_.watched(agent_)) now_known.insert(watch_over(c));
+    for (const CacheId& c : health_watch_.watched(agent_)) now_known.insert(health_watch_duty(c));
     if (now_known == duties_) return;
     std::vector<Entry> records;
     for (const DutyName& d : now_known)
         if (!duties_.contains(d) && told_ > registry::Revision{})
-            for (const Key& key : {key_of_duty(d), key_of_aside(d)})
+            for (const Key& key : {duty_key(d), release_key(d)})
                 records.emplace_back(key, record_mirror_.at(key));
     duties_ = now_known;
     agent_.duties_are(clock(), duties_);
@@ -243,8 +244,8 @@
     go_on_ = loop_.at(by_loop(due), [this] { go_on(); });
 }
 
-void FleetClient::on_lease_state(const DutyName& duty, LeaseState state, EpochNo epoch) {
-    gateway_.on_duty_state(duty, state, epoch);
+void FleetClient::on_lease_state(const DutyName& duty, LeaseState state, FencingToken token) {
+    gateway_.on_duty_state(duty, state, token);
 }
 
 void FleetClient::on_write_outcome(const DutyName& duty, const Key&, WriteOutcome done) {
@@ -271,11 +272,11 @@
     loop_.forget(keep_);
     keep_ = loop_.at(loop_.now() + keep_every, [this] { keep(); });
     if (!store_) return;
-    const std::string now_seen = agent_.fence().kept() + std::to_string(agent_.start_no().raw());
+    const std::string now_seen = agent_.fence().kept() + std::to_string(agent_.incarnation().raw());
     if (now_seen == kept_) return;
     auto why = store_->write(seen_name, agent_.fence().kept());
-    if (!why && agent_.start_no() > StartNo{})
-        why = store_->write(start_name, std::to_string(agent_.start_no().raw()));
+    if (!why && agent_.incarnation() > Incarnation{})
+        why = store_->write(start_name, std::to_string(agent_.incarnation().raw()));
     if (why && !std::exchange(not_kept_, true)) gateway_.on_fleet_message("epochs seen are " + *why, true);
     if (why) return;
     not_kept_ = false;
--- a/src/fleet/fleet_client.hpp
+++ b/src/fleet/fleet_client.hpp
@@ -28,7 +28,7 @@
     // not.
     virtual bool send_probe(const CacheId&) = 0;
     virtual void trial_from(const CacheId&, Instant by_loop) = 0;
-    virtual void on_duty_state(const DutyName&, LeaseState, EpochNo) = 0;  // of this gateway
+    virtual void on_duty_state(const DutyName&, LeaseState, FencingToken) = 0;  // of this gateway
     virtual void on_fleet_message(std::string_view plain_line, bool trouble) = 0;
 };
 
@@ -63,7 +63,7 @@
     void submit(const Transaction&) override;
     void schedule_wake(Instant at) override;
     // Hears
-    void on_lease_state(const DutyName&, LeaseState, EpochNo) override;
+    void on_lease_state(const DutyName&, LeaseState, FencingToken) override;
     void on_write_outcome(const DutyName&, const Key&, WriteOutcome) override;
     void remark(std::string_view plain_line) override;
     // Looks
--- a/src/fleet/garbage_collector.cpp
+++ b/src/fleet/garbage_collector.cpp
@@ -11,10 +11,10 @@
     const Entry as_is{key, text}, away{key, std::nullopt};
     const auto gone = [&](const Instance& who) -> std::optional<Entry> {
         if (agent.is_member(who)) return std::nullopt;
-        const Key member = key_of_member(who.name);
+        const Key member = member_key(who.name);
         return Entry{member, record_mirror.at(member)};
     };
-    if (const auto duty = duty_of(key); duty && watched_by(*duty)) {
+    if (const auto duty = duty_of(key); duty && watched_cache_of(*duty)) {
         const auto record = read_duty(text);
         if (!record || agent.duties().all().contains(*duty)) return std::nullopt;
         FencedWrite c{{as_is, {floor_key(), agent.floor()}}, {away}};
@@ -23,18 +23,18 @@
             if (!owner) return std::nullopt;
             c.compares.push_back(*owner);
         }
-        const EpochNo floor = agent.floor() ? read_floor(*agent.floor()) : EpochNo{};
-        if (record->epoch > floor) c.writes.emplace_back(floor_key(), write_floor(record->epoch));
+        const FencingToken floor = agent.floor() ? read_floor(*agent.floor()) : FencingToken{};
+        if (record->token > floor) c.writes.emplace_back(floor_key(), serialize_floor(record->token));
         return c;
     }
-    if (aside_of(key)) {
-        const auto who = read_aside(text);
+    if (released_duty_of(key)) {
+        const auto who = read_release(text);
         if (!who) return std::nullopt;
         const auto member = gone(*who);
         return member ? std::optional(FencedWrite{{as_is, *member}, {away}}) : std::nullopt;
     }
-    if (const auto cache = finding_of(key)) {
-        const Key duty = key_of_duty(watch_over(*cache));
+    if (const auto cache = probed_cache_of(key)) {
+        const Key duty = duty_key(health_watch_duty(*cache));
         if (record_mirror.at(duty)) return std::nullopt;
         return FencedWrite{{as_is, {duty, std::nullopt}}, {away}};
     }
@@ -79,9 +79,9 @@
     place.taken += !ends_pass_;
     place.pass += ends_pass_;
     place.behind = ends_pass_ ? "" : at.raw();
-    place.epoch = agent.epoch_of(garbage_collection_duty());
+    place.token = agent.token_of(garbage_collection_duty());
     place.by = agent.self();
-    write_request->writes.emplace_back(collection_progress_key(), write(place));
+    write_request->writes.emplace_back(collection_progress_key(), serialize(place));
     out_ = true;
     return write_request;
 }
--- a/src/fleet/health_watch.cpp
+++ b/src/fleet/health_watch.cpp
@@ -37,24 +37,26 @@
     return watched_;
 }
 
-void HealthWatch::on_probe_result(Instant now, const CacheId& cache, const Finding& f, const Agent& agent) {
+void HealthWatch::on_probe_result(Instant now, const CacheId& cache, const ProbeResult& f,
+                                  const Agent& agent) {
     if (!marks_.contains(cache)) return;
     if (!f.well) {
         well_.erase(cache);
         return port_.trial_from(cache, now + look_every_ * counts_for);
     }
-    if (f.looks < well_after || !well_.insert(cache).second) return;
+    if (f.streak < well_after || !well_.insert(cache).second) return;
     // One after the other, so that what comes back is not met by all at once.
     std::vector<MemberName> others;
     for (const auto& [name, o] : agent.membership().others())
         if (o.member.marks.contains(cache)) others.push_back(name);
-    const auto place = static_cast<double>(Duties::place(watch_over(cache), agent.self().name, others));
+    const auto place =
+        static_cast<double>(Duties::place(health_watch_duty(cache), agent.self().name, others));
     port_.trial_from(cache, now + look_every_ * (place / static_cast<double>(others.size() + 1)));
 }
 
 bool HealthWatch::may_probe(Instant now, const CacheId& cache, const Agent& agent) const {
     const auto it = probes_.find(cache);
-    return it != probes_.end() && it->second.out && agent.may_act(now, watch_over(cache));
+    return it != probes_.end() && it->second.out && agent.may_act(now, health_watch_duty(cache));
 }
 
 void HealthWatch::not_permitted(Instant now, const CacheId& cache, Agent& agent) {
@@ -67,7 +69,7 @@
 void HealthWatch::tick(Instant now, Agent& agent) {
     due_ = now + round_;
     for (const CacheId& cache : watched_) {
-        const DutyName duty = watch_over(cache);
+        const DutyName duty = health_watch_duty(cache);
         if (!agent.may_begin(now, duty)) {
             probes_.erase(cache);
             continue;
@@ -87,13 +89,13 @@
 void HealthWatch::on_probe_done(Instant now, const CacheId& cache, bool well, Agent& agent) {
     const auto it = probes_.find(cache);
     if (it == probes_.end() || !std::exchange(it->second.out, false)) return;
-    const DutyName duty = watch_over(cache);
-    Finding& last = it->second.last;
-    last.looks = last.well == well ? std::min(last.looks + 1, most_counted) : 1;
+    const DutyName duty = health_watch_duty(cache);
+    ProbeResult& last = it->second.last;
+    last.streak = last.well == well ? std::min(last.streak + 1, most_counted) : 1;
     last.well = well;
-    last.epoch = agent.epoch_of(duty);
+    last.token = agent.token_of(duty);
     last.by = agent.self();
-    agent.work(now, duty, key_of_finding(cache), write(last));
+    agent.work(now, duty, probe_result_key(cache), serialize(last));
 }
 
 }  // namespace irismux::fleet
--- a/src/fleet/health_watch.hpp
+++ b/src/fleet/health_watch.hpp
@@ -39,7 +39,7 @@
     // The caches to be watched over, by what the members publish.
     const std::set<CacheId>& watched(const Agent& agent);
     // A finding that the watch shows, as soon as it does.
-    void on_probe_result(Instant now, const CacheId&, const Finding&, const Agent& agent);
+    void on_probe_result(Instant now, const CacheId&, const ProbeResult&, const Agent& agent);
     void on_probe_done(Instant now, const CacheId&, bool well, Agent& agent);
     // Whether a look that was asked for may still go out.
     bool may_probe(Instant now, const CacheId&, const Agent& agent) const;
@@ -53,7 +53,7 @@
     struct Probe {
         Instant next;
         bool out = false;
-        Finding last;
+        ProbeResult last;
     };
 
     ProbePort& port_;
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -12,27 +12,27 @@
 
 }  // namespace
 
-Membership::Membership(const Articles& a, MemberName self)
+Membership::Membership(const SharedConfig& a, MemberName self)
     : self_(std::move(self)),
       term_(a.term * (1 - a.drift)),
       wait_(a.term * (1 + a.drift)),
       round_(a.term * round_of_term),
       rest_(a.term * rest_of_term) {}
 
-void Membership::sent(Instant now, BeatNo beat) {
+void Membership::sent(Instant now, HeartbeatNumber heartbeat) {
     if (sent_.size() >= most_sent) sent_.erase(sent_.begin());
-    sent_[beat] = now;
+    sent_[heartbeat] = now;
 }
 
-void Membership::confirmed(Instant now, BeatNo beat) {
-    const auto it = sent_.find(beat);
+void Membership::confirmed(Instant now, HeartbeatNumber heartbeat) {
+    const auto it = sent_.find(heartbeat);
     // One so old that its sending is forgotten lengthens nothing.
     const bool lapsed = !in_ || it == sent_.end() || it->second >= end_;
     in_ = true;
-    confirmed_ = beat;
+    confirmed_ = heartbeat;
     if (it != sent_.end()) end_ = std::max(end_, it->second + term_);
     if (lapsed) listen_until_ = now + wait_;
-    sent_.erase(sent_.begin(), sent_.upper_bound(beat));
+    sent_.erase(sent_.begin(), sent_.upper_bound(heartbeat));
 }
 
 bool Membership::record(Instant now, registry::Revision at, const MemberName& name,
@@ -51,7 +51,8 @@
     if (it == others_.end() && others_.size() >= most_others) return false;
     const MemberRecord now_is = read.value_or(MemberRecord{});
     const bool same = it != others_.end() && it->second.readable == read.has_value() &&
-                      it->second.member.start == now_is.start && it->second.member.mark == now_is.mark;
+                      it->second.member.start == now_is.start &&
+                      it->second.member.instance_id == now_is.instance_id;
     Other& o = others_[name];
     if (!same) {
         const bool returned = it != others_.end() || went != gone_.end();
@@ -76,8 +77,8 @@
     for (const MemberName& name : missing) record(now, {}, name, std::nullopt);
 }
 
-void Membership::beat(Instant now, const MemberName& name, const std::optional<std::string>& text,
-                      bool hold) {
+void Membership::on_heartbeat(Instant now, const MemberName& name, const std::optional<std::string>& text,
+                              bool hold) {
     const auto it = others_.find(name);
     if (it == others_.end()) return;
     Other& o = it->second;
--- a/src/fleet/membership.hpp
+++ b/src/fleet/membership.hpp
@@ -25,14 +25,14 @@
 
 class Membership {
 public:
-    Membership(const Articles& articles, MemberName self);
+    Membership(const SharedConfig& shared_config, MemberName self);
 
     // --- this member's own term
-    void sent(Instant now, BeatNo beat);
+    void sent(Instant now, HeartbeatNumber heartbeat);
     // The registry holds that sign of life. A term that had lapsed before it was sent begins with listening:
     // for a wait nothing is owned, since whatever was done by a registry's former self must have ended by
     // then.
-    void confirmed(Instant now, BeatNo beat);
+    void confirmed(Instant now, HeartbeatNumber heartbeat);
     void out() { in_ = false; }
     bool in() const { return in_; }
     bool in_term(Instant now) const { return in_ && now < end_; }
@@ -40,7 +40,7 @@
     bool near_end(Instant now) const { return now + rest_ >= end_; }
     Instant end() const { return end_; }
     Instant listens_until() const { return listen_until_; }
-    BeatNo last() const { return confirmed_; }
+    HeartbeatNumber last() const { return confirmed_; }
 
     // --- the others
     // Their records, whatever showed them, as they were at that revision; what is older than known is
@@ -51,7 +51,7 @@
     void whole_list(Instant now, const std::set<MemberName>& listed);
     // A sign of life as the registry showed it. The same one again leaves the wait running; a new one begins
     // it anew, or, unless it is to be held, ends it.
-    void beat(Instant now, const MemberName&, const std::optional<std::string>& text, bool hold);
+    void on_heartbeat(Instant now, const MemberName&, const std::optional<std::string>& text, bool hold);
     void forget_waits();  // the registry has gone back: what was seen before says nothing
 
     struct Other {
@@ -82,8 +82,8 @@
     MemberName self_;
     Span term_, wait_, round_, rest_;
     bool in_ = false;
-    std::map<BeatNo, Instant> sent_;
-    BeatNo confirmed_;
+    std::map<HeartbeatNumber, Instant> sent_;
+    HeartbeatNumber confirmed_;
     Instant end_, listen_until_;
     std::map<MemberName, Other> others_;
     std::map<MemberName, registry::Revision> gone_;  // 1,024 at most, then all are forgotten
--- a/src/fleet/records.cpp
+++ b/src/fleet/records.cpp
@@ -42,7 +42,7 @@
     const auto owner = text(o, "owner");
     const auto start = number(o, "start");
     if (!owner || owner->empty() || !start) return std::nullopt;
-    return Instance{MemberName{*owner}, StartNo{*start}};
+    return Instance{MemberName{*owner}, Incarnation{*start}};
 }
 
 json object_of(std::string_view bytes) {
@@ -52,115 +52,117 @@
 
 }  // namespace
 
-Key about_key() { return Key{"about"}; }
-Key key_of_member(const MemberName& m) { return Key{std::string(members) + m.raw()}; }
-Key key_of_beat(const MemberName& m) { return Key{std::string(beats) + m.raw()}; }
-Key key_of_duty(const DutyName& d) { return Key{std::string(duties) + d.raw()}; }
+Key shared_config_key() { return Key{"about"}; }
+Key member_key(const MemberName& m) { return Key{std::string(members) + m.raw()}; }
+Key heartbeat_key(const MemberName& m) { return Key{std::string(beats) + m.raw()}; }
+Key duty_key(const DutyName& d) { return Key{std::string(duties) + d.raw()}; }
 Key floor_key() { return Key{"floor"}; }
 Key collection_progress_key() { return Key{"swept"}; }
-Key key_of_aside(const DutyName& d) { return Key{std::string(asides) + d.raw()}; }
-Key key_of_finding(const CacheId& c) { return Key{std::string(findings) + c.raw()}; }
-std::optional<DutyName> aside_of(const Key& key) { return behind<DutyName>(key, asides); }
-std::optional<CacheId> finding_of(const Key& key) { return behind<CacheId>(key, findings); }
-DutyName watch_over(const CacheId& c) { return DutyName{std::string(watches) + c.raw()}; }
-std::optional<CacheId> watched_by(const DutyName& d) { return behind<CacheId>(Key{d.raw()}, watches); }
+Key release_key(const DutyName& d) { return Key{std::string(asides) + d.raw()}; }
+Key probe_result_key(const CacheId& c) { return Key{std::string(findings) + c.raw()}; }
+std::optional<DutyName> released_duty_of(const Key& key) { return behind<DutyName>(key, asides); }
+std::optional<CacheId> probed_cache_of(const Key& key) { return behind<CacheId>(key, findings); }
+DutyName health_watch_duty(const CacheId& c) { return DutyName{std::string(watches) + c.raw()}; }
+std::optional<CacheId> watched_cache_of(const DutyName& d) { return behind<CacheId>(Key{d.raw()}, watches); }
 std::optional<MemberName> member_of(const Key& key) { return behind<MemberName>(key, members); }
-std::optional<MemberName> beat_of(const Key& key) { return behind<MemberName>(key, beats); }
+std::optional<MemberName> heartbeat_owner(const Key& key) { return behind<MemberName>(key, beats); }
 std::optional<DutyName> duty_of(const Key& key) { return behind<DutyName>(key, duties); }
 
-std::string write(const Articles& a) {
+std::string serialize(const SharedConfig& a) {
     return json{{"installation", a.installation}, {"term_us", a.term.micros()}, {"drift", a.drift}}.dump();
 }
 
-std::string write(const MemberRecord& m) {
-    json o = {{"start", m.start.raw()}, {"mark", m.mark.raw()}, {"version", m.version}};
-    for (const auto& [duty, epoch] : m.refuses) o["refuses"][duty.raw()] = epoch.raw();
+std::string serialize(const MemberRecord& m) {
+    json o = {{"start", m.start.raw()}, {"mark", m.instance_id.raw()}, {"version", m.version}};
+    for (const auto& [duty, token] : m.refuses) o["refuses"][duty.raw()] = token.raw();
     for (const CacheId& c : m.marks) o["marks"].push_back(c.raw());
     return o.dump();
 }
 
-std::string write(const BeatRecord& b) {
-    return json{{"start", b.start.raw()}, {"mark", b.mark.raw()}, {"beat", b.beat.raw()}}.dump();
+std::string serialize(const HeartbeatRecord& b) {
+    return json{{"start", b.start.raw()}, {"mark", b.instance_id.raw()}, {"beat", b.number.raw()}}.dump();
 }
 
-std::string write(const DutyRecord& d) {
-    json o = {{"epoch", d.epoch.raw()}, {"owner", d.owner.raw()}};
+std::string serialize(const DutyRecord& d) {
+    json o = {{"epoch", d.token.raw()}, {"owner", d.owner.raw()}};
     if (!d.owner.raw().empty()) o["start"] = d.start.raw();
     return o.dump();
 }
 
-std::string write(const Instance& who) {
+std::string serialize(const Instance& who) {
     json o;
     put(o, who);
     return o.dump();
 }
 
-std::string write(const Finding& f) {
-    json o = {{"epoch", f.epoch.raw()}, {"well", f.well}, {"looks", f.looks}};
+std::string serialize(const ProbeResult& f) {
+    json o = {{"epoch", f.token.raw()}, {"well", f.well}, {"looks", f.streak}};
     put(o, f.by);
     return o.dump();
 }
 
-std::string write(const CollectionProgress& s) {
-    json o = {{"epoch", s.epoch.raw()}, {"pass", s.pass}, {"taken", s.taken}, {"behind", s.behind}};
+std::string serialize(const CollectionProgress& s) {
+    json o = {{"epoch", s.token.raw()}, {"pass", s.pass}, {"taken", s.taken}, {"behind", s.behind}};
     put(o, s.by);
     return o.dump();
 }
 
-std::string write_floor(EpochNo e) { return json{{"epoch", e.raw()}}.dump(); }
+std::string serialize_floor(FencingToken e) { return json{{"epoch", e.raw()}}.dump(); }
 
 std::optional<MemberRecord> read_member(std::string_view bytes) {
     const json o = object_of(bytes);
     const auto start = number(o, "start");
     const auto mark = text(o, "mark");
     if (!start || !mark) return std::nullopt;
-    MemberRecord m{StartNo{*start}, Mark{*mark}, text(o, "version").value_or(""), {}, {}};
+    MemberRecord m{Incarnation{*start}, InstanceId{*mark}, text(o, "version").value_or(""), {}, {}};
     if (const auto it = o.find("refuses"); it != o.end() && it->is_object())
-        for (const auto& [duty, epoch] : it->items())
-            if (epoch.is_number_integer() && epoch >= 1 && m.refuses.size() < most_refusals)
-                m.refuses[DutyName{duty}] = EpochNo{epoch.get<std::int64_t>()};
+        for (const auto& [duty, token] : it->items())
+            if (token.is_number_integer() && token >= 1 && m.refuses.size() < most_refusals)
+                m.refuses[DutyName{duty}] = FencingToken{token.get<std::int64_t>()};
     if (const auto it = o.find("marks"); it != o.end() && it->is_array())
         for (const json& c : *it)
             if (c.is_string() && m.marks.size() < most_marks) m.marks.emplace(c.get<std::string>());
     return m;
 }
 
-std::optional<BeatRecord> read_beat(std::string_view bytes) {
+std::optional<HeartbeatRecord> read_heartbeat(std::string_view bytes) {
     const json o = object_of(bytes);
-    const auto start = number(o, "start"), beat = number(o, "beat");
+    const auto start = number(o, "start"), heartbeat = number(o, "beat");
     const auto mark = text(o, "mark");
-    if (!start || !beat || !mark) return std::nullopt;
-    return BeatRecord{StartNo{*start}, Mark{*mark}, BeatNo{*beat}};
+    if (!start || !heartbeat || !mark) return std::nullopt;
+    return HeartbeatRecord{Incarnation{*start}, InstanceId{*mark}, HeartbeatNumber{*heartbeat}};
 }
 
 std::optional<DutyRecord> read_duty(std::string_view bytes) {
     const json o = object_of(bytes);
-    const auto epoch = number(o, "epoch"), start = number(o, "start");
+    const auto token = number(o, "epoch"), start = number(o, "start");
     const auto owner = text(o, "owner");
-    if (!epoch || !owner || (!owner->empty() && !start)) return std::nullopt;
-    return DutyRecord{EpochNo{*epoch}, MemberName{*owner}, StartNo{start.value_or(0)}};
+    if (!token || !owner || (!owner->empty() && !start)) return std::nullopt;
+    return DutyRecord{FencingToken{*token}, MemberName{*owner}, Incarnation{start.value_or(0)}};
 }
 
-std::optional<Instance> read_aside(std::string_view bytes) { return instance(object_of(bytes)); }
+std::optional<Instance> read_release(std::string_view bytes) { return instance(object_of(bytes)); }
 
-std::optional<Finding> read_finding(std::string_view bytes) {
+std::optional<ProbeResult> read_probe_result(std::string_view bytes) {
     const json o = object_of(bytes);
-    const auto epoch = number(o, "epoch");
+    const auto token = number(o, "epoch");
     const auto by = instance(o);
     const auto well = o.find("well");
-    if (!epoch || !by || well == o.end() || !well->is_boolean()) return std::nullopt;
-    return Finding{EpochNo{*epoch}, *by, well->get<bool>(), number_or_none(o, "looks")};
+    if (!token || !by || well == o.end() || !well->is_boolean()) return std::nullopt;
+    return ProbeResult{FencingToken{*token}, *by, well->get<bool>(), number_or_none(o, "looks")};
 }
 
 std::optional<CollectionProgress> read_collection_progress(std::string_view bytes) {
     const json o = object_of(bytes);
-    const auto epoch = number(o, "epoch");
+    const auto token = number(o, "epoch");
     const auto by = instance(o);
-    if (!epoch || !by) return std::nullopt;
-    return CollectionProgress{EpochNo{*epoch}, *by, number_or_none(o, "pass"), number_or_none(o, "taken"),
-                              text(o, "behind").value_or("")};
+    if (!token || !by) return std::nullopt;
+    return CollectionProgress{FencingToken{*token}, *by, number_or_none(o, "pass"),
+                              number_or_none(o, "taken"), text(o, "behind").value_or("")};
 }
 
-EpochNo read_floor(std::string_view bytes) { return EpochNo{number_or_none(object_of(bytes), "epoch")}; }
+FencingToken read_floor(std::string_view bytes) {
+    return FencingToken{number_or_none(object_of(bytes), "epoch")};
+}
 
 }  // namespace irismux::fleet
--- a/src/fleet/settings.hpp
+++ b/src/fleet/settings.hpp
@@ -9,7 +9,7 @@
 namespace irismux::fleet {
 
 struct Settings {
-    Articles articles;
+    SharedConfig shared_config;
     MemberName name;
     registry::Settings registry;  // the registry's, with the fleet's own prefix
     Span look_every = Span::micros(2'000'000);
--- a/src/process/host.cpp
+++ b/src/process/host.cpp
@@ -384,9 +384,9 @@
     guarded_flag(in_router_, [&] { router_.on_trial_from(loop_.now(), cache, at); });
 }
 
-void Host::on_duty_state(const fleet::DutyName& duty, fleet::LeaseState state, fleet::EpochNo epoch) {
+void Host::on_duty_state(const fleet::DutyName& duty, fleet::LeaseState state, fleet::FencingToken token) {
     log::event(state == fleet::LeaseState::lost ? log::Level::warning : log::Level::info, "duty",
-               {{"duty", duty.raw()}, {"tenancy", fleet::word_of(state)}, {"epoch", epoch.raw()}});
+               {{"duty", duty.raw()}, {"tenancy", fleet::word_of(state)}, {"epoch", token.raw()}});
 }
 
 void Host::on_fleet_message(std::string_view plain_line, bool trouble) {
--- a/src/process/host.hpp
+++ b/src/process/host.hpp
@@ -54,7 +54,7 @@
     // fleet::GatewayPort
     bool send_probe(const CacheId&) override;
     void trial_from(const CacheId&, Instant) override;
-    void on_duty_state(const fleet::DutyName&, fleet::LeaseState, fleet::EpochNo) override;
+    void on_duty_state(const fleet::DutyName&, fleet::LeaseState, fleet::FencingToken) override;
     void on_fleet_message(std::string_view plain_line, bool trouble) override;
     void start_fleet();
     void end_fleet();
--- a/src/process/parts.cpp
+++ b/src/process/parts.cpp
@@ -180,7 +180,7 @@
             s.wrong(s.find(key), "'" + std::string(key) + "' must be 1 to 128 letters without spaces");
         return said;
     };
-    c.articles.installation = needed("installation");
+    c.shared_config.installation = needed("installation");
     if (s.find("name")) c.name = fleet::MemberName{needed("name")};
     if (c.name.raw().find('/') != std::string::npos) s.wrong(s.find("name"), "'name' must have no '/'");
     c.registry.prefix = needed("prefix");
@@ -189,22 +189,22 @@
                      registry->prefix.rfind(c.registry.prefix, 0) == 0))
         s.wrong(s.find("prefix"),
                 "'prefix' must lie apart from that of [registry], '" + registry->prefix + "'");
-    c.articles.term = s.span_or("term", c.articles.term, Span::micros(400'000));
+    c.shared_config.term = s.span_or("term", c.shared_config.term, Span::micros(400'000));
     if (const toml::node* const node = s.find("drift")) {
         const auto drift = node->value<double>();
         if (!drift || *drift < 0.0001 || *drift > 0.25)
             s.wrong(node,
                     "'drift' must be a share from 0.0001 to 0.25: how far the rate of a clock may be off");
-        c.articles.drift = *drift;
+        c.shared_config.drift = *drift;
     }
-    const Span round = fleet::Membership(c.articles, {}).round();
+    const Span round = fleet::Membership(c.shared_config, {}).round();
     c.registry.pace.answer_in =
         s.span_or("answer_in", std::min(c.registry.pace.answer_in, round), Span::micros(1000));
     if (c.registry.pace.answer_in > round)
         s.wrong(s.find("answer_in"),
                 "'answer_in' must be a quarter of 'term' at most: signs of life would be late");
     c.registry.pace.quiet = s.span_or("quiet", c.registry.pace.quiet, Span::micros(50'000));
-    c.registry.pace.cap = std::min(c.registry.pace.cap, c.articles.term);
+    c.registry.pace.cap = std::min(c.registry.pace.cap, c.shared_config.term);
     c.registry.pace.base = std::min(c.registry.pace.base, c.registry.pace.cap);
     c.look_every = s.span_or("look_every", c.look_every, Span::micros(50'000));
     c.sweep_every = s.span_or("sweep_every", c.sweep_every, Span::micros(50'000));
--- a/tests/fleet_arena_test.cpp
+++ b/tests/fleet_arena_test.cpp
@@ -63,7 +63,7 @@
         const auto n = a->owner(sweep);
         return n && a->accepted(sweep, *n, a->member(*n)->start) > 0;
     }
-    bool works(std::size_t n, StartNo since) const {
+    bool works(std::size_t n, Incarnation since) const {
         return a->owner(sweep) == n && a->member(n)->start >= since &&
                a->accepted(sweep, n, a->member(n)->start) > 0;
     }
@@ -76,12 +76,12 @@
 TEST_F(Fleet, OneOwnsTheSweepingAndAKilledOneIsFollowed) {
     begin();
     const std::size_t first = *a->owner(sweep);
-    const StartNo former = a->member(first)->start;
+    const Incarnation former = a->member(first)->start;
     a->kill(first);
     EXPECT_TRUE(a->until([&] { return another_works(first); }));
     a->start(first);
     // It is the first in the order: it has it back in a stated step, under a higher epoch and start.
-    EXPECT_TRUE(a->until([&] { return works(first, StartNo{former.raw() + 1}); }));
+    EXPECT_TRUE(a->until([&] { return works(first, Incarnation{former.raw() + 1}); }));
 }
 
 // An owner stopped at each point in turn: as its n-th piece to the registry, or from there, is on its way.
@@ -91,7 +91,7 @@
 TEST_P(StoppedAt, AnOwnerThatWakesUpLateWritesNothing) {
     begin();
     const std::size_t first = *a->owner(sweep);
-    const StartNo former = a->member(first)->start;
+    const Incarnation former = a->member(first)->start;
     const auto [way, nth] = GetParam();
     int seen = 0;
     bool stopped = false;
@@ -115,7 +115,7 @@
     a->go_on(first);
     a->pass(ms * 100);
     a->cut_registry(first, false, false);
-    EXPECT_TRUE(a->until([&] { return works(first, StartNo{former.raw() + 1}); }));
+    EXPECT_TRUE(a->until([&] { return works(first, Incarnation{former.raw() + 1}); }));
     EXPECT_EQ(a->accepted(sweep, first, former), before);
 }
 
@@ -174,7 +174,7 @@
 TEST_P(CutOff, AnOwnerCutOffRestsAndServesOn) {
     begin();
     const std::size_t first = *a->owner(sweep);
-    const StartNo former = a->member(first)->start;
+    const Incarnation former = a->member(first)->start;
     a->serve(first);
     a->cut_registry(first, GetParam().first, GetParam().second);
     ASSERT_TRUE(a->until([&] { return another_works(first); }));
@@ -183,7 +183,7 @@
     EXPECT_TRUE(a->until([&] { return a->gateways[first].clients->satisfied > satisfied + 50; }));
     EXPECT_EQ(a->gateways[first].clients->nacked + a->gateways[first].clients->failed, 0u);
     a->cut_registry(first, false, false);
-    EXPECT_TRUE(a->until([&] { return works(first, StartNo{former.raw() + 1}); }));
+    EXPECT_TRUE(a->until([&] { return works(first, Incarnation{former.raw() + 1}); }));
     EXPECT_EQ(a->accepted(sweep, first, former), before);
     a->all_answered();
 }
@@ -275,7 +275,7 @@
     begin();
     const std::string at = std::string(lab::Arena::prefix) + "roll/";
     const std::vector<std::pair<std::string, std::string>> odd = {
-        {"duty/newer", write(DutyRecord{EpochNo{7}, MemberName{"gone"}, StartNo{1}})},
+        {"duty/newer", serialize(DutyRecord{FencingToken{7}, MemberName{"gone"}, Incarnation{1}})},
         {"duty/watch/odd", "\xff{"},
         {"newer/thing", "x"},
         {"aside/sweep", "[]"},
@@ -297,10 +297,10 @@
     begin();
     const std::size_t first = *a->owner(sweep);
     const registry::Revision backup = a->registry.model.newest();
-    const EpochNo old = a->duty(sweep)->epoch;
+    const FencingToken old = a->duty(sweep)->token;
     a->kill(first);
     ASSERT_TRUE(a->until([&] { return another_works(first); }));
-    const EpochNo higher = a->duty(sweep)->epoch;
+    const FencingToken higher = a->duty(sweep)->token;
     EXPECT_GT(higher, old);
     a->pass(shape.term * 2);  // the backup is more than a term old: a premise
     a->registry.model.restore(backup, GetParam());
@@ -308,7 +308,7 @@
     const std::size_t before = a->written.size();
     EXPECT_TRUE(a->until([&] {
         const auto d = a->duty(sweep);
-        return a->written.size() > before && d && d->epoch > higher && working();
+        return a->written.size() > before && d && d->token > higher && working();
     }));
     bool read = false;
     for (std::size_t n = 0; n < a->gateways.size(); ++n)
@@ -323,12 +323,12 @@
     begin();
     const std::size_t first = *a->owner(sweep);
     for (std::size_t m = 0; m + 1 < shape.members; ++m) a->registry.faults(m).lag = 40;
-    const StartNo former = a->member(first)->start;
+    const Incarnation former = a->member(first)->start;
     a->stop(first);
     ASSERT_TRUE(a->until([&] { return another_works(first); }));
     const std::size_t before = a->accepted(sweep, first, former);
     a->go_on(first);
-    EXPECT_TRUE(a->until([&] { return works(first, StartNo{former.raw() + 1}); }));
+    EXPECT_TRUE(a->until([&] { return works(first, Incarnation{former.raw() + 1}); }));
     EXPECT_EQ(a->accepted(sweep, first, former), before);
 }
 
@@ -381,7 +381,7 @@
     shape.clock = IRISMUX_SKEWED_CLOCK;
     begin();
     const std::size_t first = *a->owner(sweep);
-    const StartNo former = a->member(first)->start;
+    const Incarnation former = a->member(first)->start;
     a->stop(first);
     a->pass(ms * 50);  // what it had sent has landed
     a->clock(first, 1, ms * 3'600'000);
@@ -432,9 +432,9 @@
     a->cache_dies(0, true);
     const auto finding = [&] {
         const auto text = a->record("seen/c1");
-        return text ? read_finding(*text) : std::nullopt;
+        return text ? read_probe_result(*text) : std::nullopt;
     };
-    ASSERT_TRUE(a->until([&] { return a->owner(watch) && finding() && finding()->looks > 2; }));
+    ASSERT_TRUE(a->until([&] { return a->owner(watch) && finding() && finding()->streak > 2; }));
     EXPECT_FALSE(finding()->well);
     // Its process hangs from now on, and does not refuse: looks are seen at the far end.
     for (auto& g : a->gateways) g.to_caches[0]->cut(true);
@@ -469,8 +469,8 @@
     a->cache_dies(0, true);
     const auto silent = [&] {
         const auto text = a->record("seen/c1");
-        const auto f = text ? read_finding(*text) : std::nullopt;
-        return f && !f->well && f->looks > 2;
+        const auto f = text ? read_probe_result(*text) : std::nullopt;
+        return f && !f->well && f->streak > 2;
     };
     ASSERT_TRUE(a->until([&] { return a->owner("watch/c1") && silent(); }));
     const std::uint64_t before = a->caches[0]->total;
@@ -512,7 +512,7 @@
     shape.keeps = true;
     begin();
     const std::size_t first = *a->owner(sweep);
-    const StartNo former = a->member(first)->start;
+    const Incarnation former = a->member(first)->start;
     const auto& g = a->gateways[first];
     const std::string kept = g.parts + ".kept";
     fs::rename(g.parts, kept);
@@ -521,9 +521,9 @@
     EXPECT_TRUE(a->until([&] { return !a->member(first) && another_works(first); }));
     fs::rename(kept, g.parts);
     g.process->signal(SIGHUP);
-    EXPECT_TRUE(a->until([&] { return works(first, StartNo{former.raw() + 1}); }));
+    EXPECT_TRUE(a->until([&] { return works(first, Incarnation{former.raw() + 1}); }));
     // And a changed one: it leaves and joins in one step, though its former self has just gone.
-    const StartNo again = a->member(first)->start;
+    const Incarnation again = a->member(first)->start;
     std::ofstream(g.parts, std::ios::app) << "\n# changed\n";
     std::ifstream in(g.parts);
     std::string all((std::istreambuf_iterator<char>(in)), {});
@@ -531,7 +531,7 @@
     all.insert(all.find(key) + key.size() + 1, "1");
     std::ofstream(g.parts) << all;
     g.process->signal(SIGHUP);
-    EXPECT_TRUE(a->until([&] { return works(first, StartNo{again.raw() + 1}); }));
+    EXPECT_TRUE(a->until([&] { return works(first, Incarnation{again.raw() + 1}); }));
 }
 
 // Epochs that were seen are refused by a member that was started anew meanwhile, too, where it keeps them.
@@ -542,7 +542,7 @@
     const registry::Revision backup = a->registry.model.newest();
     a->kill(first);
     ASSERT_TRUE(a->until([&] { return another_works(first); }));
-    const EpochNo higher = a->duty(sweep)->epoch;
+    const FencingToken higher = a->duty(sweep)->token;
     a->pass(shape.term * 2);
     for (std::size_t n = 0; n < a->gateways.size(); ++n) a->kill(n);
     a->registry.model.restore(backup, false);
@@ -550,7 +550,7 @@
     a->start_all();
     EXPECT_TRUE(a->until([&] {
         const auto d = a->duty(sweep);
-        return a->written.size() > before && d && d->epoch > higher && working();
+        return a->written.size() > before && d && d->token > higher && working();
     }));
 }
 
@@ -558,7 +558,7 @@
 TEST_F(Fleet, TheEnvironmentAloneJoinsNoFleet) {
     begin();
     auto& g = a->gateways[0];
-    const StartNo former = a->member(0)->start;
+    const Incarnation former = a->member(0)->start;
     a->kill(0);
     g.process = std::make_unique<lab::Process>(lab::Process::Start{
         {shape.program, "serve"}, {"NODE_CONFIG=" + g.configuration, "IRISMUX_PARTS=" + g.parts}, "", g.log});
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -15,24 +15,25 @@
 
 const Span ms = Span::micros(1000);
 
-Articles articles(double drift = 0.05) { return {"test", ms * 4000, drift}; }
+SharedConfig shared_config(double drift = 0.05) { return {"test", ms * 4000, drift}; }
 
 // --- the parts by themselves -----------------------------------------------------------------------------
 
 TEST(Fleet, AFenceRefusesLowerEpochsAlsoAfterARestart) {
     const DutyName d{"d"};
-    const Holder a{EpochNo{4}, MemberName{"a"}, StartNo{1}}, b{EpochNo{5}, MemberName{"b"}, StartNo{2}};
+    const Holder a{FencingToken{4}, MemberName{"a"}, Incarnation{1}},
+        b{FencingToken{5}, MemberName{"b"}, Incarnation{2}};
     Fence f(2);
     EXPECT_TRUE(f.accepts(d, a));
     EXPECT_TRUE(f.accepts(d, a));
     EXPECT_TRUE(f.accepts(d, b));
     EXPECT_FALSE(f.accepts(d, a));
-    EXPECT_FALSE(f.accepts(d, {EpochNo{5}, MemberName{"c"}, StartNo{1}}));  // one number, two owners
-    EXPECT_FALSE(f.accepts(d, {EpochNo{0}, MemberName{"c"}, StartNo{1}}));
+    EXPECT_FALSE(f.accepts(d, {FencingToken{5}, MemberName{"c"}, Incarnation{1}}));  // one number, two owners
+    EXPECT_FALSE(f.accepts(d, {FencingToken{0}, MemberName{"c"}, Incarnation{1}}));
     Fence again(2);
     EXPECT_TRUE(again.kept_was(f.kept()));
     EXPECT_FALSE(again.accepts(d, a));
-    EXPECT_EQ(again.against(d, a), EpochNo{5});
+    EXPECT_EQ(again.against(d, a), FencingToken{5});
     // What was kept is believed whole or not at all, and never lowers what is known.
     const std::string kept = f.kept();
     for (std::size_t n = 0; n < kept.size(); ++n) {
@@ -40,9 +41,9 @@
         std::string torn = kept;
         torn[n] = '\x01';
         Fence g;
-        g.accepts(d, {EpochNo{9}, MemberName{"b"}, StartNo{2}});
+        g.accepts(d, {FencingToken{9}, MemberName{"b"}, Incarnation{2}});
         g.kept_was(torn);
-        EXPECT_EQ(g.highest(d), EpochNo{9});
+        EXPECT_EQ(g.highest(d), FencingToken{9});
     }
     EXPECT_TRUE(f.accepts(DutyName{"e"}, a));
     EXPECT_FALSE(f.accepts(DutyName{"f"}, a));  // the bound
@@ -53,11 +54,11 @@
 // it.
 TEST(Fleet, AFenceForgetsWhatWasSweptAndHeedsNoneOfItsEpochs) {
     const DutyName d{"d"}, other{"o"};
-    const auto by = [](std::int64_t e) { return Holder{EpochNo{e}, MemberName{"a"}, StartNo{1}}; };
+    const auto by = [](std::int64_t e) { return Holder{FencingToken{e}, MemberName{"a"}, Incarnation{1}}; };
     Fence f;
     f.shown(d, by(7));
     f.forget(d);
-    EXPECT_EQ(f.highest(d), EpochNo{});
+    EXPECT_EQ(f.highest(d), FencingToken{});
     Fence again;
     EXPECT_TRUE(again.kept_was(f.kept()));
     for (Fence* fence : {&f, &again}) {
@@ -111,13 +112,14 @@
          {"", "{", "[]", "{}", R"({"start":0,"mark":"x"})", R"({"start":"1","mark":"x"})", R"({"start":1})",
           R"({"epoch":-1,"owner":""})", R"({"epoch":1,"owner":"m"})", R"({"epoch":1,"owner":3,"start":1})"}) {
         EXPECT_FALSE(read_member(bad)) << bad;
-        EXPECT_FALSE(read_beat(bad)) << bad;
+        EXPECT_FALSE(read_heartbeat(bad)) << bad;
         EXPECT_FALSE(read_duty(bad)) << bad;
     }
-    EXPECT_FALSE(read_beat(R"({"start":1,"mark":"x","beat":0})"));
-    MemberRecord m{StartNo{3}, Mark{"k"}, "1.2", {{DutyName{"d"}, EpochNo{7}}}};
-    EXPECT_EQ(read_member(write(m))->refuses, m.refuses);
-    EXPECT_EQ(read_duty(write(DutyRecord{EpochNo{2}, MemberName{}, StartNo{}}))->owner, MemberName{});
+    EXPECT_FALSE(read_heartbeat(R"({"start":1,"mark":"x","beat":0})"));
+    MemberRecord m{Incarnation{3}, InstanceId{"k"}, "1.2", {{DutyName{"d"}, FencingToken{7}}}};
+    EXPECT_EQ(read_member(serialize(m))->refuses, m.refuses);
+    EXPECT_EQ(read_duty(serialize(DutyRecord{FencingToken{2}, MemberName{}, Incarnation{}}))->owner,
+              MemberName{});
 }
 
 // One gateway at a registry that answers at once, in steps of a tenth of a round.
@@ -131,9 +133,9 @@
     std::function<void(WriteOutcome)> worked = [](WriteOutcome) {};
     std::unique_ptr<Agent> agent;
 
-    void start(const std::string& name, const Articles& a, const std::string& mark = "k") {
+    void start(const std::string& name, const SharedConfig& a, const std::string& mark = "k") {
         agent = std::make_unique<Agent>(*this, *this, a,
-                                        MemberIdentity{MemberName{name}, Mark{mark}, "1", {}}, 5);
+                                        MemberIdentity{MemberName{name}, InstanceId{mark}, "1", {}}, 5);
         agent->duties_are(now, {DutyName{"d"}});
         agent->start(now);
     }
@@ -161,15 +163,15 @@
         said.push_back(d);
     }
     void schedule_wake(Instant) override {}
-    void on_lease_state(const DutyName&, LeaseState, EpochNo) override {}
+    void on_lease_state(const DutyName&, LeaseState, FencingToken) override {}
     void on_write_outcome(const DutyName&, const Key&, WriteOutcome done) override { worked(done); }
     void remark(std::string_view line) override { remarks.emplace_back(line); }
 };
 
 TEST_F(Alone, AnotherInstallationsRegistryIsLeftAlone) {
-    put("about", write(Articles{"other", ms * 4000, 0.05}));
+    put("about", serialize(SharedConfig{"other", ms * 4000, 0.05}));
     const auto before = ledger.records();
-    start("m", articles());
+    start("m", shared_config());
     run(ms * 30'000);
     EXPECT_EQ(ledger.records(), before);
     EXPECT_EQ(remarks.size(), 1u);
@@ -178,22 +180,25 @@
 }
 
 TEST_F(Alone, ANameThatALivingGatewayHoldsIsRefusedInPlainWordsAndTakenOnceItHasGone) {
-    put("about", write(articles()));
-    put("member/m", write(MemberRecord{StartNo{4}, Mark{"other"}, "1", {}}));
+    put("about", serialize(shared_config()));
+    put("member/m", serialize(MemberRecord{Incarnation{4}, InstanceId{"other"}, "1", {}}));
     std::int64_t beats = 1;
-    start("m", articles());
-    run(ms * 20'000, [&] { put("beat/m", write(BeatRecord{StartNo{4}, Mark{"other"}, BeatNo{++beats}})); });
+    start("m", shared_config());
+    run(ms * 20'000, [&] {
+        put("beat/m",
+            serialize(HeartbeatRecord{Incarnation{4}, InstanceId{"other"}, HeartbeatNumber{++beats}}));
+    });
     EXPECT_FALSE(agent->membership().in());
     EXPECT_TRUE(remarked("held by another living gateway"));
     run(ms * 20'000);
     EXPECT_TRUE(agent->may_act(now, DutyName{"d"}));
-    EXPECT_GT(agent->start_no(), StartNo{4});
+    EXPECT_GT(agent->incarnation(), Incarnation{4});
 }
 
 TEST_F(Alone, ADutyWhoseRecordCannotBeReadIsLeftAloneAndOnesNobodyKnowsStay) {
     put("duty/d", "{\"format\":9}");
-    put("duty/newer", write(DutyRecord{EpochNo{3}, MemberName{"gone"}, StartNo{1}}));
-    start("m", articles());
+    put("duty/newer", serialize(DutyRecord{FencingToken{3}, MemberName{"gone"}, Incarnation{1}}));
+    start("m", shared_config());
     run(ms * 30'000);
     EXPECT_TRUE(agent->membership().in());
     EXPECT_FALSE(agent->may_act(now, DutyName{"d"}));
@@ -203,22 +208,22 @@
 }
 
 TEST_F(Alone, ARegistryThatHasGoneBackIsRefusedUntilTheEpochHasJumped) {
-    start("m", articles());
-    agent->accepts(DutyName{"d"}, {EpochNo{40}, MemberName{"x"}, StartNo{1}});
-    put("duty/d", write(DutyRecord{EpochNo{7}, MemberName{"y"}, StartNo{1}}));
+    start("m", shared_config());
+    agent->accepts(DutyName{"d"}, {FencingToken{40}, MemberName{"x"}, Incarnation{1}});
+    put("duty/d", serialize(DutyRecord{FencingToken{7}, MemberName{"y"}, Incarnation{1}}));
     run(ms * 2'000);
     EXPECT_TRUE(remarked("has gone back"));
-    EXPECT_EQ(read_member(ledger.records().at(Key{"member/m"}))->refuses.at(DutyName{"d"}), EpochNo{40});
+    EXPECT_EQ(read_member(ledger.records().at(Key{"member/m"}))->refuses.at(DutyName{"d"}), FencingToken{40});
     run(ms * 30'000);
     EXPECT_TRUE(agent->may_act(now, DutyName{"d"}));
-    EXPECT_EQ(agent->epoch_of(DutyName{"d"}), EpochNo{41});
+    EXPECT_EQ(agent->token_of(DutyName{"d"}), FencingToken{41});
 }
 
 // It may live: as long as it gives signs its duties are left to it; then it is evicted as anybody.
 TEST_F(Alone, AnOwnerWhoseRecordIsInANewerFormKeepsItsDutyWhileItLives) {
     put("member/x", "{\"format\":9}");
-    put("duty/d", write(DutyRecord{EpochNo{3}, MemberName{"x"}, StartNo{1}}));
-    start("m", articles());
+    put("duty/d", serialize(DutyRecord{FencingToken{3}, MemberName{"x"}, Incarnation{1}}));
+    start("m", shared_config());
     int sign = 0;
     run(ms * 30'000, [&] {
         put("beat/x", "newer " + std::to_string(++sign));
@@ -227,12 +232,12 @@
     EXPECT_LT(said.size(), 400u);  // one a step of the clock at most, and one a sixteenth of a round
     run(ms * 12'000);
     EXPECT_TRUE(agent->may_act(now, DutyName{"d"}));
-    EXPECT_EQ(agent->epoch_of(DutyName{"d"}), EpochNo{4});
+    EXPECT_EQ(agent->token_of(DutyName{"d"}), FencingToken{4});
     EXPECT_FALSE(ledger.records().contains(Key{"member/x"}));
 }
 
 TEST_F(Alone, WhoHasLeftActsNoMoreAndLeavesNoRecord) {
-    start("m", articles());
+    start("m", shared_config());
     run(ms * 20'000);
     ASSERT_TRUE(agent->may_act(now, DutyName{"d"}));
     agent->leave(now);
@@ -245,21 +250,21 @@
 // A duty that is not wanted any more is given up, swept after two waits, and claimed above its floor when it
 // is wanted again; a watch that lags shows it as ours, and is not heeded.
 TEST_F(Alone, WhatIsNotWantedIsGivenUpAndSweptAndItsEpochsDoNotComeAgain) {
-    const DutyName w = watch_over(CacheId{"c"});
-    start("m", articles());
+    const DutyName w = health_watch_duty(CacheId{"c"});
+    start("m", shared_config());
     agent->duties_are(now, {garbage_collection_duty(), w});
     run(ms * 20'000);
     ASSERT_TRUE(agent->may_act(now, w));
-    const std::string ours = ledger.records().at(key_of_duty(w));
-    const EpochNo before = agent->epoch_of(w);
-    put(key_of_finding(CacheId{"c"}).raw(), write(Finding{before, agent->self(), false, 3}));
-    put(key_of_aside(w).raw(), write(Instance{MemberName{"gone"}, StartNo{3}}));
+    const std::string ours = ledger.records().at(duty_key(w));
+    const FencingToken before = agent->token_of(w);
+    put(probe_result_key(CacheId{"c"}).raw(), serialize(ProbeResult{before, agent->self(), false, 3}));
+    put(release_key(w).raw(), serialize(Instance{MemberName{"gone"}, Incarnation{3}}));
     agent->duties_are(now, {garbage_collection_duty()});
     EXPECT_FALSE(agent->may_act(now, w));
     run(ms * 200);
-    EXPECT_EQ(read_duty(ledger.records().at(key_of_duty(w)))->owner, MemberName{});
+    EXPECT_EQ(read_duty(ledger.records().at(duty_key(w)))->owner, MemberName{});
     agent->duties_are(now, {garbage_collection_duty(), w});
-    agent->on_records(now, registry::Revision{1}, {{key_of_duty(w), ours}}, false);
+    agent->on_records(now, registry::Revision{1}, {{duty_key(w), ours}}, false);
     EXPECT_FALSE(agent->may_act(now, w));
     agent->duties_are(now, {garbage_collection_duty()});
 
@@ -270,7 +275,7 @@
     run(ms * 30'000, [&] {
         RecordMirror record_mirror;
         record_mirror.apply(ledger.all(), true);
-        if (!gone && !ledger.records().contains(key_of_finding(CacheId{"c"}))) gone = now;
+        if (!gone && !ledger.records().contains(probe_result_key(CacheId{"c"}))) gone = now;
         if (auto write_request = sweep.next(now, record_mirror, *agent))
             if (!agent->work(now, garbage_collection_duty(), collection_progress_key(),
                              std::move(*write_request)))
@@ -278,17 +283,17 @@
     });
     ASSERT_TRUE(gone);
     EXPECT_GE(*gone - from, agent->membership().wait() * 2);
-    EXPECT_FALSE(ledger.records().contains(key_of_duty(w)));
-    EXPECT_FALSE(ledger.records().contains(key_of_aside(w)));
+    EXPECT_FALSE(ledger.records().contains(duty_key(w)));
+    EXPECT_FALSE(ledger.records().contains(release_key(w)));
     EXPECT_GE(read_floor(ledger.records().at(floor_key())), before);
     EXPECT_EQ(read_collection_progress(ledger.records().at(collection_progress_key()))->taken, 3);
     // Nobody who claims it remembers: only the registry does.
     worked = [](WriteOutcome) {};
-    start("n", articles());
+    start("n", shared_config());
     agent->duties_are(now, {garbage_collection_duty(), w});
     run(ms * 20'000);
     ASSERT_TRUE(agent->may_act(now, w));
-    EXPECT_GT(agent->epoch_of(w), before);
+    EXPECT_GT(agent->token_of(w), before);
 }
 
 // --- the watch over a cache ------------------------------------------------------------------------------
@@ -303,17 +308,18 @@
     void send_probe(const CacheId&) override { looks.push_back(now); }
     void trial_from(const CacheId&, Instant at) override { trials.emplace_back(now, at); }
     void others_mark(const std::string& name, bool is) {
-        MemberRecord m{StartNo{1}, Mark{name}, "1", {}};
+        MemberRecord m{Incarnation{1}, InstanceId{name}, "1", {}};
         if (is) m.marks.insert(c);
-        put("member/" + name, write(m));
-        put("beat/" + name, write(BeatRecord{StartNo{1}, Mark{name}, BeatNo{++signs}}));
+        put("member/" + name, serialize(m));
+        put("beat/" + name,
+            serialize(HeartbeatRecord{Incarnation{1}, InstanceId{name}, HeartbeatNumber{++signs}}));
         agent->on_records(now, ledger.revision(), ledger.all(), true);
     }
     std::int64_t signs = 0;
 };
 
 TEST_F(Watching, ItBeginsWithTheSecondMarkAndEndsWithTheLast) {
-    start("m", articles());
+    start("m", shared_config());
     health_watch.marked(c, true);
     EXPECT_TRUE(health_watch.watched(*agent).empty());
     others_mark("x", true);
@@ -325,23 +331,23 @@
 }
 
 TEST_F(Watching, ItsOwnerLooksAtAPaceAndWritesUnderItsEpochWhatItSaw) {
-    start("m", articles());
+    start("m", shared_config());
     health_watch.marked(c, true);
-    agent->duties_are(now, {watch_over(c)});
+    agent->duties_are(now, {health_watch_duty(c)});
     int step = 0;
-    const auto finding = [&] { return read_finding(ledger.records().at(key_of_finding(c))); };
+    const auto finding = [&] { return read_probe_result(ledger.records().at(probe_result_key(c))); };
     run(ms * 20'000, [&] {
         others_mark("x", true);
         health_watch.watched(*agent);
         health_watch.tick(now, *agent);
         if (++step % 2) health_watch.on_probe_done(now, CacheId{"unknown"}, true, *agent);
     });
-    ASSERT_TRUE(agent->may_act(now, watch_over(c)));
+    ASSERT_TRUE(agent->may_act(now, health_watch_duty(c)));
     for (std::size_t n = 1; n < looks.size(); ++n) EXPECT_GE(looks[n] - looks[n - 1], ms * 500);
     // Never answered.
     EXPECT_FALSE(finding()->well);
-    EXPECT_GT(finding()->looks, 5);
-    EXPECT_EQ(finding()->epoch, agent->epoch_of(watch_over(c)));
+    EXPECT_GT(finding()->streak, 5);
+    EXPECT_EQ(finding()->token, agent->token_of(health_watch_duty(c)));
     const std::size_t before = looks.size();
     run(ms * 3'000, [&] {
         others_mark("x", true);
@@ -349,7 +355,7 @@
         if (looks.size() > before) health_watch.on_probe_done(now, c, true, *agent);
     });
     EXPECT_TRUE(finding()->well);
-    EXPECT_GE(finding()->looks, 2);
+    EXPECT_GE(finding()->streak, 2);
     // One that was asked for within the term, and would go out after a stop that outlasted it.
     health_watch.tick(now + ms * 500, *agent);
     EXPECT_TRUE(health_watch.may_probe(now + ms * 500, c, *agent));
@@ -360,16 +366,18 @@
 }
 
 TEST_F(Watching, ASilentCachePutsTrialsOffAndAWellOneBringsThemForwardOneAfterTheOther) {
-    start("m", articles());
-    health_watch.on_probe_result(now, c, {EpochNo{1}, {MemberName{"x"}, StartNo{1}}, false, 1}, *agent);
+    start("m", shared_config());
+    health_watch.on_probe_result(now, c, {FencingToken{1}, {MemberName{"x"}, Incarnation{1}}, false, 1},
+                                 *agent);
     EXPECT_TRUE(trials.empty()) << "it is not marked here";
     health_watch.marked(c, true);
-    health_watch.on_probe_result(now, c, {EpochNo{1}, {MemberName{"x"}, StartNo{1}}, false, 1}, *agent);
+    health_watch.on_probe_result(now, c, {FencingToken{1}, {MemberName{"x"}, Incarnation{1}}, false, 1},
+                                 *agent);
     ASSERT_EQ(trials.size(), 1u);
     EXPECT_EQ(trials[0].second - trials[0].first, ms * 1250);
     for (std::int64_t looked = 1; looked < 5; ++looked) {
-        health_watch.on_probe_result(now, c, {EpochNo{1}, {MemberName{"x"}, StartNo{1}}, true, looked},
-                                     *agent);
+        health_watch.on_probe_result(
+            now, c, {FencingToken{1}, {MemberName{"x"}, Incarnation{1}}, true, looked}, *agent);
         EXPECT_EQ(trials.size(), looked < 2 ? 1u : 2u) << "at the second answer, and once";
     }
     ASSERT_EQ(trials.size(), 2u);
@@ -377,13 +385,14 @@
     // Of three that mark it each has an instant of its own.
     std::set<Span> instants;
     for (const char* name : {"a", "b", "m"}) {
-        start(name, articles());
+        start(name, shared_config());
         health_watch.marked(c, false);
         health_watch.marked(c, true);
         for (const char* other : {"a", "b", "m"})
             if (std::string(other) != name) others_mark(other, true);
         put("member/" + std::string(name), "");
-        health_watch.on_probe_result(now, c, {EpochNo{1}, {MemberName{"x"}, StartNo{1}}, true, 2}, *agent);
+        health_watch.on_probe_result(now, c, {FencingToken{1}, {MemberName{"x"}, Incarnation{1}}, true, 2},
+                                     *agent);
         instants.insert(trials.back().second - now);
     }
     EXPECT_EQ(instants.size(), 3u);
@@ -393,15 +402,15 @@
 // registry that has gone back to before our own last sign. None may be done.
 class Late : public Alone {
 protected:
-    const std::string sign = write(BeatRecord{StartNo{4}, Mark{"x"}, BeatNo{1}});
-    const std::string member = write(MemberRecord{StartNo{4}, Mark{"x"}, "1", {}});
+    const std::string sign = serialize(HeartbeatRecord{Incarnation{4}, InstanceId{"x"}, HeartbeatNumber{1}});
+    const std::string member = serialize(MemberRecord{Incarnation{4}, InstanceId{"x"}, "1", {}});
 
     // A member "x" that owns "d" and gives no sign; and the deal that wrote that key.
     Transaction caught(const std::string& key) {
         put("member/x", member);
         put("beat/x", sign);
-        put("duty/d", write(DutyRecord{EpochNo{3}, MemberName{"x"}, StartNo{4}}));
-        start("m", articles());
+        put("duty/d", serialize(DutyRecord{FencingToken{3}, MemberName{"x"}, Incarnation{4}}));
+        start("m", shared_config());
         run(ms * 40'000);
         return last(key);
     }
@@ -427,16 +436,21 @@
 
 TEST_F(Late, AnEvictionTakesNobodyWhoHasGivenASignSince) {
     const Transaction evict = caught("beat/x");
-    EXPECT_FALSE(lands(evict, "beat/x", write(BeatRecord{StartNo{4}, Mark{"x"}, BeatNo{2}})));
-    EXPECT_FALSE(lands(evict, "member/x", write(MemberRecord{StartNo{5}, Mark{"x2"}, "1", {}})));
-    EXPECT_FALSE(lands(evict, "beat/m", write(BeatRecord{StartNo{1}, Mark{"k"}, BeatNo{1}})));
+    EXPECT_FALSE(lands(evict, "beat/x",
+                       serialize(HeartbeatRecord{Incarnation{4}, InstanceId{"x"}, HeartbeatNumber{2}})));
+    EXPECT_FALSE(
+        lands(evict, "member/x", serialize(MemberRecord{Incarnation{5}, InstanceId{"x2"}, "1", {}})));
+    EXPECT_FALSE(lands(evict, "beat/m",
+                       serialize(HeartbeatRecord{Incarnation{1}, InstanceId{"k"}, HeartbeatNumber{1}})));
 }
 
 TEST_F(Late, AClaimTakesNothingFromAnOwnerWhoIsAMemberNorFromAnotherClaimant) {
     const Transaction claim = caught("duty/d");
     EXPECT_FALSE(lands(claim, "member/x", member));
-    EXPECT_FALSE(lands(claim, "duty/d", write(DutyRecord{EpochNo{4}, MemberName{"y"}, StartNo{1}})));
-    EXPECT_FALSE(lands(claim, "beat/m", write(BeatRecord{StartNo{1}, Mark{"k"}, BeatNo{1}})));
+    EXPECT_FALSE(
+        lands(claim, "duty/d", serialize(DutyRecord{FencingToken{4}, MemberName{"y"}, Incarnation{1}})));
+    EXPECT_FALSE(lands(claim, "beat/m",
+                       serialize(HeartbeatRecord{Incarnation{1}, InstanceId{"k"}, HeartbeatNumber{1}})));
 }
 
 TEST_F(Late, AWorkIsNotWrittenOnceTheDutyOrTheMembershipHasGone) {
@@ -445,14 +459,16 @@
     ASSERT_TRUE(agent->work(now, DutyName{"d"}, Key{"work/1"}, "w"));
     run(ms * 2'000);
     const Transaction work = last("work/1");
-    EXPECT_FALSE(lands(work, "duty/d", write(DutyRecord{EpochNo{5}, MemberName{"y"}, StartNo{1}})));
-    EXPECT_FALSE(lands(work, "beat/m", write(BeatRecord{StartNo{1}, Mark{"k"}, BeatNo{1}})));
+    EXPECT_FALSE(
+        lands(work, "duty/d", serialize(DutyRecord{FencingToken{5}, MemberName{"y"}, Incarnation{1}})));
+    EXPECT_FALSE(lands(work, "beat/m",
+                       serialize(HeartbeatRecord{Incarnation{1}, InstanceId{"k"}, HeartbeatNumber{1}})));
 }
 
 // --- whole fleets ----------------------------------------------------------------------------------------
 
 TEST(FleetWorld, CalmFleetsGetOneOwnerADutyAndKeepIt) {
-    World w(1, {.members = 5, .duties = 7, .drift = 0.05}, articles());
+    World w(1, {.members = 5, .duties = 7, .drift = 0.05}, shared_config());
     w.start_all();
     w.run(ms * 25'000, {});
     for (std::size_t d = 0; d < 7; ++d) EXPECT_TRUE(w.owner(d)) << d;
@@ -481,7 +497,7 @@
     SCOPED_TRACE(seed);
     // Half of them with clocks so far off that a term without its allowance shows.
     const double drift = seed % 2 == 0 ? 0.25 : 0.05;
-    World w(seed, {.members = members, .duties = 3, .drift = drift}, articles(drift));
+    World w(seed, {.members = members, .duties = 3, .drift = drift}, shared_config(drift));
     w.start_all();
     for (int stretch = 0; stretch < 4; ++stretch) {
         w.run(ms * 30'000, troubles);
@@ -508,7 +524,7 @@
 // A fleet at rest, and who owns the first duty.
 struct AtRest : World {
     AtRest(std::uint32_t seed, std::size_t members, std::size_t duty_count)
-        : World(seed, {.members = members, .duties = duty_count, .drift = 0.05}, articles()) {
+        : World(seed, {.members = members, .duties = duty_count, .drift = 0.05}, shared_config()) {
         start_all();
         run(ms * 40'000, {});
         first = owner(0).value_or(members);
@@ -516,7 +532,7 @@
     }
     std::size_t first = 0;
 };
-Span without(std::size_t members) { return longest_without_owner(articles(), ms * 300, members); }
+Span without(std::size_t members) { return longest_without_owner(shared_config(), ms * 300, members); }
 
 TEST(FleetWorld, AnOwnerThatSleepsPastItsTermIsReplacedAndHarmlessWhenItWakes) {
     for (std::uint32_t seed = 1; seed <= 20; ++seed) {
--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -90,7 +90,7 @@
     ASSERT_TRUE(c);
     EXPECT_EQ(c->registry.members.size(), 2u);
     EXPECT_EQ(c->registry.prefix, "/fleet/");
-    EXPECT_EQ(c->articles.term, Span::seconds(8));
+    EXPECT_EQ(c->shared_config.term, Span::seconds(8));
     EXPECT_LE(c->registry.pace.answer_in, Span::seconds(2));
     EXPECT_TRUE(of(fleet + "members = [\"127.0.0.1:2379\"]\n")) << "without [registry]";
     EXPECT_FALSE(of(good));
