--- a/lab/explore.cpp
+++ b/lab/explore.cpp
@@ -148,8 +148,8 @@
         identity.spread = false;
         n.agent = std::make_unique<Agent>(
             n.ports, n.ports, SharedConfig{"x", Span::micros(tick_us * ticks_a_term), drift}, identity, 1);
-        if (!n.kept.empty()) n.agent->fence().kept_was(n.kept);
-        n.agent->duties_are(n.clock(tick), {the_duty});
+        if (!n.kept.empty()) n.agent->fence().restore(n.kept);
+        n.agent->set_duties(n.clock(tick), {the_duty});
         n.agent->start(n.clock(tick));
     }
 
@@ -157,7 +157,7 @@
     void play(Node& n, Fault fault) {
         const Instant now = n.clock(tick);
         if (fault == Fault::die) {
-            n.kept = n.agent->fence().kept();
+            n.kept = n.agent->fence().serialize();
             n.former = n.agent->incarnation();
             n.agent.reset();
             return;
@@ -178,9 +178,9 @@
         }
         if (n.ports.wake_at <= now) n.agent->on_wake(now);
         if (n.agent->may_begin(now, the_duty))
-            n.agent->work(now, the_duty, Key{"work/d"},
-                          std::to_string(n.agent->token_of(the_duty).raw()) + '/' + n.name.raw() + '/' +
-                              std::to_string(n.agent->incarnation().raw()));
+            n.agent->write_fenced(now, the_duty, Key{"work/d"},
+                                  std::to_string(n.agent->token_of(the_duty).raw()) + '/' + n.name.raw() +
+                                      '/' + std::to_string(n.agent->incarnation().raw()));
         for (int k = 0; k < transactions_a_tick && n.ports.asked && !n.cut; ++k) {
             const Transaction transaction = *std::exchange(n.ports.asked, std::nullopt);
             const Fault f = std::exchange(fault, Fault::none);
@@ -206,7 +206,8 @@
         for (const auto& n : nodes) {
             all += (n->stopped ? "s" : "r") + std::string(n->cut ? "c" : "l") + (n->answer ? "a" : "-") +
                    std::to_string(n->history == history ? (n->told < ledger.revision() ? 1 : 2) : 0);
-            all += n->agent ? n->agent->picture(n->clock(tick)) : n->kept + std::to_string(n->former.raw());
+            all +=
+                n->agent ? n->agent->debug_state(n->clock(tick)) : n->kept + std::to_string(n->former.raw());
             all += '\n';
         }
         for (const auto& [key, value] : ledger.records()) all += key.raw() + value;
--- a/lab/world.cpp
+++ b/lab/world.cpp
@@ -89,8 +89,8 @@
     identity.answer_in = ms * 300;
     identity.spread = shape_.spread;
     n.agent = std::make_unique<Agent>(n, n, shared_config_, identity, chance_());
-    if (!n.kept.empty()) n.agent->fence().kept_was(n.kept);
-    n.agent->duties_are(n.clock(), {duties_.begin(), duties_.end()});
+    if (!n.kept.empty()) n.agent->fence().restore(n.kept);
+    n.agent->set_duties(n.clock(), {duties_.begin(), duties_.end()});
     n.agent->start(n.clock());
     tell(n);
 }
@@ -102,7 +102,7 @@
 void World::kill(std::size_t member) {
     Node& n = *nodes_[member];
     if (!n.agent) return;
-    n.kept = n.agent->fence().kept();
+    n.kept = n.agent->fence().serialize();
     n.former = n.agent->incarnation();
     n.agent.reset();
     ++n.life;
@@ -322,7 +322,7 @@
                 for (const auto& n : nodes_)
                     for (const DutyName& d : duties_)
                         if (shape_.works && n->agent && !n->stopped && n->agent->may_begin(n->clock(), d))
-                            n->agent->work(
+                            n->agent->write_fenced(
                                 n->clock(), d, Key{"work/" + d.raw() + '/' + std::to_string(++works_ % 8)},
                                 d.raw() + '/' + std::to_string(n->agent->token_of(d).raw()) + '/' +
                                     n->name.raw() + '/' + std::to_string(n->agent->incarnation().raw()));
@@ -369,11 +369,11 @@
     }
 }
 
-std::string World::picture() const {
+std::string World::debug_state() const {
     std::string all;
     for (const auto& n : nodes_)
         all += n->name.raw() + (n->agent ? (n->stopped ? " stopped\n" : " up\n") : " down\n") +
-               (n->agent ? n->agent->picture(n->clock()) : "") + "\n";
+               (n->agent ? n->agent->debug_state(n->clock()) : "") + "\n";
     for (const auto& [key, value] : ledger_.records()) all += key.raw() + ' ' + value + '\n';
     return all;
 }
--- a/lab/world.hpp
+++ b/lab/world.hpp
@@ -49,7 +49,7 @@
 
     Instant now() const { return now_; }
     std::optional<std::size_t> owner(std::size_t duty) const;  // who may act on it at this instant
-    std::string picture() const;
+    std::string debug_state() const;
 
     std::vector<std::string> broken;  // guarantees, each with its instant; checked on each event
     std::uint64_t transactions = 0, written = 0, refused = 0,
--- a/src/fleet/agent.hpp
+++ b/src/fleet/agent.hpp
@@ -80,20 +80,20 @@
 
 class Agent {
 public:
-    Agent(RegistryPort& asks, AgentObserver& hears, const SharedConfig& shared_config,
+    Agent(RegistryPort& registry, AgentObserver& observer, const SharedConfig& shared_config,
           MemberIdentity identity, std::uint64_t seed);
     // The same at this instant, with other ports: for those who explore what may come of it.
-    Agent(const Agent& as_is, RegistryPort& asks, AgentObserver& hears);
+    Agent(const Agent& as_is, RegistryPort& registry, AgentObserver& observer);
 
     void start(Instant now);
     void leave(Instant now);  // stops acting, then takes its records away
     // What this member knows of; an owner gives up what is not named any more. Of duties that are new here
     // the records must be told once more.
-    void duties_are(Instant now, const std::set<DutyName>& names);
+    void set_duties(Instant now, const std::set<DutyName>& names);
     // The caches that this gateway passes over; published at its own pace.
-    void marks_are(Instant now, std::set<CacheId> caches);
+    void set_marked_caches(Instant now, std::set<CacheId> caches);
     // Records as a watch shows them; they may lag. Keys of no sort known here are passed over.
-    void on_records(Instant now, registry::Revision at, const std::vector<Entry>& records, bool whole_list);
+    void on_records(Instant now, registry::Revision at, const std::vector<Entry>& records, bool full_list);
     void on_transaction_result(Instant now, registry::Revision at, bool held,
                                const std::vector<Entry>& shown);
     void on_no_answer(Instant now);  // the deal may have been done, or not, or may be done yet
@@ -105,9 +105,9 @@
     // Whether an order that another gives under that epoch is to be heeded.
     bool accepts(const DutyName& duty, const Holder& holder) { return fence_.accepts(duty, holder); }
     // Written if the duty is still ours when it lands; the answer is told. False: not ours, or too many wait.
-    bool work(Instant now, const DutyName&, const Key&, const std::string& value);
+    bool write_fenced(Instant now, const DutyName&, const Key&, const std::string& value);
     // As above; the answer names the key.
-    bool work(Instant now, const DutyName&, const Key&, FencedWrite write_request);
+    bool write_fenced(Instant now, const DutyName&, const Key&, FencedWrite write_request);
 
     const Membership& membership() const { return membership_; }
     const Duties& duties() const { return duties_; }
@@ -117,61 +117,73 @@
     const Text& floor() const { return floor_; }
     // Whether that very instance is a member, as far as is known; those that can't be read are.
     bool is_member(const Instance&) const;
-    std::string picture(Instant now) const;  // all that it goes by, times relative to now
+    std::string debug_state(Instant now) const;  // all that it goes by, times relative to now
 
 private:
-    enum class Step { none, look, found, join, heartbeat, publish, claim, yield, evict, work, leave };
-    struct Work {
+    enum class Step {
+        none,
+        read_own_records,
+        found,
+        join,
+        heartbeat,
+        publish,
+        claim,
+        yield,
+        evict,
+        write,
+        leave
+    };
+    struct PendingWrite {
         DutyName duty;
         Key key;
         FencedWrite write_request;
     };
 
-    void go_on(Instant now);
-    void settle_in(Instant now);
+    void advance(Instant now);
+    void begin_join(Instant now);
     bool next_duty(Instant now);
     bool next_eviction(Instant now);
     bool next_publication(Instant now);
-    bool next_work(Instant now);
-    void work_over(WriteOutcome done);
-    void say(Instant now, Step step, Transaction transaction);
-    void look(Instant now);
+    bool next_write(Instant now);
+    void finish_write(WriteOutcome done);
+    void submit(Instant now, Step step, Transaction transaction);
+    void read_own_records(Instant now);
     void join(Instant now, const Text& member, const Text& heartbeat);
     void send_heartbeat(Instant now);
     void learn(Instant now, registry::Revision at, const std::vector<Entry>& shown);
-    void duty_learnt(const DutyName&, const Duties::Duty&);
-    void own_sign_shown(Instant now, const Text& heartbeat);
-    void looked(Instant now, const std::vector<Entry>& shown);
-    void claim(Instant now, const DutyName&, const Duties::Duty&);
-    void give_up(Instant now, const DutyName&, Duties::Duty&);
+    void on_duty_record(const DutyName&, const Duties::Duty&);
+    void on_own_heartbeat_shown(Instant now, const Text& heartbeat);
+    void on_own_records(Instant now, const std::vector<Entry>& shown);
+    void claim_duty(Instant now, const DutyName&, const Duties::Duty&);
+    void give_up_duty(Instant now, const DutyName&, Duties::Duty&);
     void out(Instant now, std::string_view why);
-    void judge(Instant now);
-    void rest(Instant now);
-    double part();  // by chance, up to 1
+    void update_leases(Instant now);
+    void back_off(Instant now);
+    double random_fraction();  // by chance, up to 1
     LeaseConditions lease_conditions(Instant now, const DutyName&, const Duties::Duty&) const;
-    bool named(const Duties::Duty&) const;
-    bool free(const Duties::Duty&) const;
-    FencingToken above(const DutyName&, const Duties::Duty&) const;
+    bool owned_here(const Duties::Duty&) const;
+    bool unowned(const Duties::Duty&) const;
+    FencingToken next_token(const DutyName&, const Duties::Duty&) const;
     FencingToken refused_elsewhere(const DutyName&) const;
-    bool holds(Instant now, const Duties::Duty&) const;
+    bool holds_lease(Instant now, const Duties::Duty&) const;
     // Of this member in the duty's order, over those that are counted on; 0 is the first.
-    std::size_t place(Instant now, const DutyName&, const Duties::Duty&, bool settled) const;
-    std::vector<Key> signs_to_look_at(Instant now);
-    Entry own_sign() const { return {heartbeat_key(identity_.name), sign_}; }
+    std::size_t rank(Instant now, const DutyName&, const Duties::Duty&, bool settled) const;
+    std::vector<Key> heartbeats_to_read(Instant now);
+    Entry own_heartbeat() const { return {heartbeat_key(identity_.name), heartbeat_text_}; }
     MemberRecord own_record() const;
 
     RegistryPort& registry_;
     AgentObserver& observer_;
     SharedConfig shared_config_;
     MemberIdentity identity_;
-    std::ranlux24_base chance_;
+    std::ranlux24_base random_;
     Membership membership_;
     Duties duties_;
     Fence fence_;
 
     Incarnation start_;
     HeartbeatNumber last_heartbeat_;
-    Text sign_;                                 // the newest of ours that the registry is known to hold
+    Text heartbeat_text_;                       // the newest of ours that the registry is known to hold
     Text record_;                               // our member record, as last written
     std::map<DutyName, FencingToken> refused_;  // to be published, or published already
     bool started_ = false, leaving_ = false;
@@ -180,18 +192,19 @@
     Transaction out_;                // the deal at hand
     DutyName at_;                    // the duty that it is about
     HeartbeatNumber heartbeat_out_;  // the sign of life that it carries
-    Instant due_;                    // no answer by then
-    Instant next_;                   // nothing is asked before
+    Instant answer_due_;             // no answer by then
+    Instant next_submit_;            // nothing is asked before
     Instant next_heartbeat_, next_yield_;
-    int silences_ = 0;  // in a row
+    int unanswered_ = 0;  // in a row
 
-    std::set<Key> unsure_;  // what deals without an answer were about; shown with the next sign of life
+    std::set<Key>
+        unsettled_keys_;  // what deals without an answer were about; shown with the next sign of life
 
     bool join_out_ = false;                        // a join went out, and what came of it is not known
     std::optional<std::pair<Text, Text>> former_;  // who has our name: its record and its sign of life
     Instant former_since_;
-    std::string said_;  // the last remark on why we are not in
-    std::deque<Work> works_;
+    std::string last_remark_;  // the last remark on why we are not in
+    std::deque<PendingWrite> pending_writes_;
     Text floor_;
     registry::Revision floor_at_;
     std::set<CacheId> marks_;
--- a/src/fleet/duties.cpp
+++ b/src/fleet/duties.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-bool Duties::are(const std::set<DutyName>& names) {
+bool Duties::set_names(const std::set<DutyName>& names) {
     for (auto& [name, d] : all_) d.wanted = names.contains(name);
     bool whole = true;
     for (const DutyName& name : names) {
@@ -32,7 +32,7 @@
     return whole;
 }
 
-void Duties::let_go(const DutyName& name) {
+void Duties::remove(const DutyName& name) {
     const auto it = all_.find(name);
     if (it == all_.end()) return;
     if (it->second.given_up > FencingToken{}) given_up_[name] = it->second.given_up;
@@ -51,22 +51,22 @@
     return true;
 }
 
-void Duties::whole_list(const std::set<DutyName>& listed) {
+void Duties::on_full_list(const std::set<DutyName>& listed) {
     for (auto& [name, d] : all_) {
         d.at = {};
         if (!listed.contains(name)) record({}, name, std::nullopt);
     }
 }
 
-bool Duties::ahead(const DutyName& duty, const MemberName& one, const MemberName& other) {
+bool Duties::precedes(const DutyName& duty, const MemberName& one, const MemberName& other) {
     const std::uint64_t first = score(duty, one), second = score(duty, other);
     return first > second || (first == second && one < other);
 }
 
-std::size_t Duties::place(const DutyName& duty, const MemberName& self,
-                          const std::vector<MemberName>& others) {
-    return static_cast<std::size_t>(std::count_if(others.begin(), others.end(),
-                                                  [&](const MemberName& m) { return ahead(duty, m, self); }));
+std::size_t Duties::rank(const DutyName& duty, const MemberName& self,
+                         const std::vector<MemberName>& others) {
+    return static_cast<std::size_t>(std::count_if(
+        others.begin(), others.end(), [&](const MemberName& m) { return precedes(duty, m, self); }));
 }
 
 }  // namespace irismux::fleet
--- a/src/fleet/duties.hpp
+++ b/src/fleet/duties.hpp
@@ -20,18 +20,18 @@
         std::optional<DutyRecord> record;
         registry::Revision at;
         bool known = false;
-        bool wanted = true;                 // false: it is let go of as soon as it has been given up
-        std::optional<Instance> released;   // who is to leave it to others
-        std::optional<Instant> free_since;  // nobody owns it, as far as is known
-        FencingToken given_up;              // records that name us up to here are not heeded
+        bool wanted = true;                    // false: it is let go of as soon as it has been given up
+        std::optional<Instance> released;      // who is to leave it to others
+        std::optional<Instant> unowned_since;  // nobody owns it, as far as is known
+        FencingToken given_up;                 // records that name us up to here are not heeded
         Lease lease;
     };
 
     // Records of duties that nobody here knows are left alone. False: there are too many, and some are not
     // taken up.
-    bool are(const std::set<DutyName>& names);
+    bool set_names(const std::set<DutyName>& names);
     // What was given up of it is remembered: a record that comes late may still name us.
-    void let_go(const DutyName&);
+    void remove(const DutyName&);
     // None of what was given up can be shown any more: from here on this member has another start number.
     void forget_given_up() { given_up_.clear(); }
     std::map<DutyName, Duty>& all() { return all_; }
@@ -39,12 +39,12 @@
     // What a record shows. Whether the duty is one of ours and that was news.
     bool record(registry::Revision at, const DutyName&, const std::optional<std::string>& text);
     // A whole list follows: older revisions count again, and what is not in it is not there.
-    void whole_list(const std::set<DutyName>& listed);
+    void on_full_list(const std::set<DutyName>& listed);
 
     // Whether one comes before the other in the duty's order.
-    static bool ahead(const DutyName&, const MemberName& one, const MemberName& other);
+    static bool precedes(const DutyName&, const MemberName& one, const MemberName& other);
     // Place of `self` in the duty's order over itself and the others that are counted on; 0 is the first.
-    static std::size_t place(const DutyName&, const MemberName& self, const std::vector<MemberName>& others);
+    static std::size_t rank(const DutyName&, const MemberName& self, const std::vector<MemberName>& others);
 
 private:
     static constexpr std::size_t most = 4096;
--- a/src/fleet/fence.cpp
+++ b/src/fleet/fence.cpp
@@ -35,14 +35,14 @@
     return it == seen_.end() ? FencingToken{} : it->second.token;
 }
 
-std::string Fence::kept() const {
+std::string Fence::serialize() const {
     json all = json::object();
     for (const auto& [duty, h] : seen_) all[duty.raw()] = {h.token.raw(), h.owner.raw(), h.start.raw()};
     if (forgotten_ > FencingToken{}) all[""] = {forgotten_.raw(), "", 0};
     return all.dump();
 }
 
-bool Fence::kept_was(std::string_view bytes) {
+bool Fence::restore(std::string_view bytes) {
     const json all = json::parse(bytes, nullptr, false);
     if (!all.is_object()) return false;
     std::map<DutyName, Holder> read;
--- a/src/fleet/fence.hpp
+++ b/src/fleet/fence.hpp
@@ -41,8 +41,8 @@
     FencingToken against(const DutyName& duty, const Holder& holder) const;
     FencingToken highest(const DutyName& duty) const;
 
-    std::string kept() const;               // for the store
-    bool kept_was(std::string_view bytes);  // false: it can't be read, and nothing was learnt
+    std::string serialize() const;         // for the store
+    bool restore(std::string_view bytes);  // false: it can't be read, and nothing was learnt
 
 private:
     std::size_t most_;
--- a/src/fleet/fleet_client.cpp
+++ b/src/fleet/fleet_client.cpp
@@ -54,7 +54,7 @@
       member_(seed % settings.registry.members.size()),
       client_(loop, *this, followed_, mixed_with_chance(seed), registry::Sort::plain) {
     if (store_)
-        if (const auto seen = store_->read(seen_name); seen && !agent_.fence().kept_was(*seen))
+        if (const auto seen = store_->read(seen_name); seen && !agent_.fence().restore(*seen))
             gateway_.on_fleet_message(
                 "what was kept of epochs seen can't be read: lower ones are refused from now on only", true);
 }
@@ -112,7 +112,7 @@
     // Where looks are not permitted the Router's own trial was the look.
     later([this, cache, is] {
         if (!is) health_watch_.on_probe_done(clock(), cache, true, agent_);
-        agent_.marks_are(clock(), health_watch_.marks());
+        agent_.set_marked_caches(clock(), health_watch_.marks());
         know_duties();
     });
 }
@@ -222,7 +222,7 @@
             for (const Key& key : {duty_key(d), release_key(d)})
                 records.emplace_back(key, record_mirror_.at(key));
     duties_ = now_known;
-    agent_.duties_are(clock(), duties_);
+    agent_.set_duties(clock(), duties_);
     if (!records.empty()) agent_.on_records(clock(), told_, records, false);
 }
 
@@ -236,8 +236,8 @@
     Instant due = health_watch_.due();
     if (agent_.may_begin(now, garbage_collection_duty())) {
         if (auto write_request = garbage_collector_.next(now, record_mirror_, agent_))
-            if (!agent_.work(now, garbage_collection_duty(), collection_progress_key(),
-                             std::move(*write_request)))
+            if (!agent_.write_fenced(now, garbage_collection_duty(), collection_progress_key(),
+                                     std::move(*write_request)))
                 garbage_collector_.told(now, WriteOutcome::refused);
         if (garbage_collector_.due() > now) due = std::min(due, garbage_collector_.due());
     }
@@ -272,9 +272,9 @@
     loop_.forget(keep_);
     keep_ = loop_.at(loop_.now() + keep_every, [this] { keep(); });
     if (!store_) return;
-    const std::string now_seen = agent_.fence().kept() + std::to_string(agent_.incarnation().raw());
+    const std::string now_seen = agent_.fence().serialize() + std::to_string(agent_.incarnation().raw());
     if (now_seen == kept_) return;
-    auto why = store_->write(seen_name, agent_.fence().kept());
+    auto why = store_->write(seen_name, agent_.fence().serialize());
     if (!why && agent_.incarnation() > Incarnation{})
         why = store_->write(start_name, std::to_string(agent_.incarnation().raw()));
     if (why && !std::exchange(not_kept_, true)) gateway_.on_fleet_message("epochs seen are " + *why, true);
--- a/src/fleet/health_watch.cpp
+++ b/src/fleet/health_watch.cpp
@@ -26,7 +26,7 @@
 const std::set<CacheId>& HealthWatch::watched(const Agent& agent) {
     std::map<CacheId, std::size_t> held;
     for (const CacheId& c : marks_) ++held[c];
-    for (const auto& [name, o] : agent.membership().others())
+    for (const auto& [name, o] : agent.membership().peers())
         for (const CacheId& c : o.member.marks) ++held[c];
     std::set<CacheId> now_watched;
     for (const auto& [cache, times] : held)
@@ -47,10 +47,9 @@
     if (f.streak < well_after || !well_.insert(cache).second) return;
     // One after the other, so that what comes back is not met by all at once.
     std::vector<MemberName> others;
-    for (const auto& [name, o] : agent.membership().others())
+    for (const auto& [name, o] : agent.membership().peers())
         if (o.member.marks.contains(cache)) others.push_back(name);
-    const auto place =
-        static_cast<double>(Duties::place(health_watch_duty(cache), agent.self().name, others));
+    const auto place = static_cast<double>(Duties::rank(health_watch_duty(cache), agent.self().name, others));
     port_.trial_from(cache, now + look_every_ * (place / static_cast<double>(others.size() + 1)));
 }
 
@@ -95,7 +94,7 @@
     last.well = well;
     last.token = agent.token_of(duty);
     last.by = agent.self();
-    agent.work(now, duty, probe_result_key(cache), serialize(last));
+    agent.write_fenced(now, duty, probe_result_key(cache), serialize(last));
 }
 
 }  // namespace irismux::fleet
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -38,25 +38,25 @@
 bool Membership::record(Instant now, registry::Revision at, const MemberName& name,
                         const std::optional<std::string>& text) {
     if (name == self_) return false;
-    const auto it = others_.find(name);
+    const auto it = peers_.find(name);
     const auto went = gone_.find(name);
-    if ((it != others_.end() && at < it->second.at) || (went != gone_.end() && at < went->second))
+    if ((it != peers_.end() && at < it->second.at) || (went != gone_.end() && at < went->second))
         return false;
     const auto read = text ? read_member(*text) : std::nullopt;
     if (!text) {
-        if (gone_.size() >= most_others) gone_.clear();
+        if (gone_.size() >= most_peers) gone_.clear();
         gone_[name] = at;
-        return others_.erase(name) > 0;
+        return peers_.erase(name) > 0;
     }
-    if (it == others_.end() && others_.size() >= most_others) return false;
+    if (it == peers_.end() && peers_.size() >= most_peers) return false;
     const MemberRecord now_is = read.value_or(MemberRecord{});
-    const bool same = it != others_.end() && it->second.readable == read.has_value() &&
+    const bool same = it != peers_.end() && it->second.readable == read.has_value() &&
                       it->second.member.start == now_is.start &&
                       it->second.member.instance_id == now_is.instance_id;
-    Other& o = others_[name];
+    Peer& o = peers_[name];
     if (!same) {
-        const bool returned = it != others_.end() || went != gone_.end();
-        o = Other{};
+        const bool returned = it != peers_.end() || went != gone_.end();
+        o = Peer{};
         o.since = now;
         o.returned = returned;
     }
@@ -68,42 +68,42 @@
     return !same;
 }
 
-void Membership::whole_list(Instant now, const std::set<MemberName>& listed) {
+void Membership::on_full_list(Instant now, const std::set<MemberName>& listed) {
     gone_.clear();
-    for (auto& [name, o] : others_) o.at = {};
+    for (auto& [name, o] : peers_) o.at = {};
     std::vector<MemberName> missing;
-    for (const auto& [name, o] : others_)
+    for (const auto& [name, o] : peers_)
         if (!listed.contains(name)) missing.push_back(name);
     for (const MemberName& name : missing) record(now, {}, name, std::nullopt);
 }
 
 void Membership::on_heartbeat(Instant now, const MemberName& name, const std::optional<std::string>& text,
                               bool hold) {
-    const auto it = others_.find(name);
-    if (it == others_.end()) return;
-    Other& o = it->second;
-    if (!o.looked || o.sign != text) {
-        o.looked = hold || !o.looked;
-        o.sign = text;
-        o.sign_since = now;
+    const auto it = peers_.find(name);
+    if (it == peers_.end()) return;
+    Peer& o = it->second;
+    if (!o.observed || o.heartbeat_text != text) {
+        o.observed = hold || !o.observed;
+        o.heartbeat_text = text;
+        o.unchanged_since = now;
     }
-    o.sign_last = now;
+    o.last_seen = now;
 }
 
 void Membership::forget_waits() {
-    for (auto& [name, o] : others_) o.looked = false;
+    for (auto& [name, o] : peers_) o.observed = false;
 }
 
-bool Membership::suspected(const Other& o) const {
-    return o.looked && o.sign_last - o.sign_since > round_ * suspected_after;
+bool Membership::suspected(const Peer& o) const {
+    return o.observed && o.last_seen - o.unchanged_since > round_ * suspected_after;
 }
 
-Sign Membership::sign_of(Instant now, const MemberName& name) const {
-    const auto it = others_.find(name);
-    if (it == others_.end()) return Sign::gone;
-    const Other& o = it->second;
-    if (suspected(o)) return Sign::suspected;
-    return o.returned && !settled(now, o) ? Sign::back : Sign::joined;
+MemberStatus Membership::status_of(Instant now, const MemberName& name) const {
+    const auto it = peers_.find(name);
+    if (it == peers_.end()) return MemberStatus::gone;
+    const Peer& o = it->second;
+    if (suspected(o)) return MemberStatus::suspected;
+    return o.returned && !settled(now, o) ? MemberStatus::back : MemberStatus::joined;
 }
 
 }  // namespace irismux::fleet
--- a/src/fleet/membership.hpp
+++ b/src/fleet/membership.hpp
@@ -21,7 +21,7 @@
 namespace irismux::fleet {
 
 // Of a member, as another sees it: back is one that was gone and has joined anew.
-enum class Sign { joined, suspected, gone, back };
+enum class MemberStatus { joined, suspected, gone, back };
 
 class Membership {
 public:
@@ -48,28 +48,28 @@
     bool record(Instant now, registry::Revision at, const MemberName&,
                 const std::optional<std::string>& text);
     // A whole list follows: older revisions count again, and who is not in it is gone.
-    void whole_list(Instant now, const std::set<MemberName>& listed);
+    void on_full_list(Instant now, const std::set<MemberName>& listed);
     // A sign of life as the registry showed it. The same one again leaves the wait running; a new one begins
     // it anew, or, unless it is to be held, ends it.
     void on_heartbeat(Instant now, const MemberName&, const std::optional<std::string>& text, bool hold);
     void forget_waits();  // the registry has gone back: what was seen before says nothing
 
-    struct Other {
+    struct Peer {
         std::string text;
         bool readable = true;  // false: a newer form; it lives, and what it owns is left to it
         MemberRecord member;
         Instant since;  // first seen with this start
         bool returned = false;
-        bool looked = false;  // a sign of life has been looked for
-        std::optional<std::string> sign;
-        Instant sign_since, sign_last;  // first and last time that it was shown
+        bool observed = false;  // a sign of life has been looked for
+        std::optional<std::string> heartbeat_text;
+        Instant unchanged_since, last_seen;  // first and last time that it was shown
         registry::Revision at;
     };
-    const std::map<MemberName, Other>& others() const { return others_; }
-    Sign sign_of(Instant now, const MemberName&) const;
-    bool evictable(const Other& o) const { return o.looked && o.sign_last - o.sign_since >= wait_; }
-    bool suspected(const Other& o) const;
-    bool settled(Instant now, const Other& o) const { return now - o.since >= wait_ + wait_; }
+    const std::map<MemberName, Peer>& peers() const { return peers_; }
+    MemberStatus status_of(Instant now, const MemberName&) const;
+    bool evictable(const Peer& o) const { return o.observed && o.last_seen - o.unchanged_since >= wait_; }
+    bool suspected(const Peer& o) const;
+    bool settled(Instant now, const Peer& o) const { return now - o.since >= wait_ + wait_; }
 
     Span round() const { return round_; }
     Span wait() const { return wait_; }
@@ -77,7 +77,7 @@
 private:
     static constexpr std::size_t most_sent =
         16;  // signs of life without an answer; beyond, the oldest is forgotten
-    static constexpr std::size_t most_others = 1024;
+    static constexpr std::size_t most_peers = 1024;
 
     MemberName self_;
     Span term_, wait_, round_, rest_;
@@ -85,7 +85,7 @@
     std::map<HeartbeatNumber, Instant> sent_;
     HeartbeatNumber confirmed_;
     Instant end_, listen_until_;
-    std::map<MemberName, Other> others_;
+    std::map<MemberName, Peer> peers_;
     std::map<MemberName, registry::Revision> gone_;  // 1,024 at most, then all are forgotten
 };
 
--- a/tests/fleet_arena_test.cpp
+++ b/tests/fleet_arena_test.cpp
@@ -54,7 +54,7 @@
         for (std::size_t n = 0; n < names.size(); ++n) {
             std::vector<MemberName> others = names;
             others.erase(others.begin() + static_cast<std::ptrdiff_t>(n));
-            if (Duties::place(DutyName{duty}, names[n], others) == 0) return n;
+            if (Duties::rank(DutyName{duty}, names[n], others) == 0) return n;
         }
         return 0;
     }
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -31,18 +31,18 @@
     EXPECT_FALSE(f.accepts(d, {FencingToken{5}, MemberName{"c"}, Incarnation{1}}));  // one number, two owners
     EXPECT_FALSE(f.accepts(d, {FencingToken{0}, MemberName{"c"}, Incarnation{1}}));
     Fence again(2);
-    EXPECT_TRUE(again.kept_was(f.kept()));
+    EXPECT_TRUE(again.restore(f.serialize()));
     EXPECT_FALSE(again.accepts(d, a));
     EXPECT_EQ(again.against(d, a), FencingToken{5});
     // What was kept is believed whole or not at all, and never lowers what is known.
-    const std::string kept = f.kept();
+    const std::string kept = f.serialize();
     for (std::size_t n = 0; n < kept.size(); ++n) {
-        EXPECT_FALSE(Fence().kept_was(kept.substr(0, n))) << n;
+        EXPECT_FALSE(Fence().restore(kept.substr(0, n))) << n;
         std::string torn = kept;
         torn[n] = '\x01';
         Fence g;
         g.accepts(d, {FencingToken{9}, MemberName{"b"}, Incarnation{2}});
-        g.kept_was(torn);
+        g.restore(torn);
         EXPECT_EQ(g.highest(d), FencingToken{9});
     }
     EXPECT_TRUE(f.accepts(DutyName{"e"}, a));
@@ -60,7 +60,7 @@
     f.forget(d);
     EXPECT_EQ(f.highest(d), FencingToken{});
     Fence again;
-    EXPECT_TRUE(again.kept_was(f.kept()));
+    EXPECT_TRUE(again.restore(f.serialize()));
     for (Fence* fence : {&f, &again}) {
         EXPECT_FALSE(fence->accepts(d, by(7)));
         EXPECT_FALSE(fence->accepts(other, by(3)));
@@ -92,7 +92,7 @@
         for (const MemberName& m : all) {
             std::vector<MemberName> others = all;
             std::erase(others, m);
-            if (Duties::place(d, m, others) == 0) return m;
+            if (Duties::rank(d, m, others) == 0) return m;
         }
         return MemberName{};
     };
@@ -136,7 +136,7 @@
     void start(const std::string& name, const SharedConfig& a, const std::string& mark = "k") {
         agent = std::make_unique<Agent>(*this, *this, a,
                                         MemberIdentity{MemberName{name}, InstanceId{mark}, "1", {}}, 5);
-        agent->duties_are(now, {DutyName{"d"}});
+        agent->set_duties(now, {DutyName{"d"}});
         agent->start(now);
     }
     void put(const std::string& key, const std::string& value) {
@@ -252,21 +252,21 @@
 TEST_F(Alone, WhatIsNotWantedIsGivenUpAndSweptAndItsEpochsDoNotComeAgain) {
     const DutyName w = health_watch_duty(CacheId{"c"});
     start("m", shared_config());
-    agent->duties_are(now, {garbage_collection_duty(), w});
+    agent->set_duties(now, {garbage_collection_duty(), w});
     run(ms * 20'000);
     ASSERT_TRUE(agent->may_act(now, w));
     const std::string ours = ledger.records().at(duty_key(w));
     const FencingToken before = agent->token_of(w);
     put(probe_result_key(CacheId{"c"}).raw(), serialize(ProbeResult{before, agent->self(), false, 3}));
     put(release_key(w).raw(), serialize(Instance{MemberName{"gone"}, Incarnation{3}}));
-    agent->duties_are(now, {garbage_collection_duty()});
+    agent->set_duties(now, {garbage_collection_duty()});
     EXPECT_FALSE(agent->may_act(now, w));
     run(ms * 200);
     EXPECT_EQ(read_duty(ledger.records().at(duty_key(w)))->owner, MemberName{});
-    agent->duties_are(now, {garbage_collection_duty(), w});
+    agent->set_duties(now, {garbage_collection_duty(), w});
     agent->on_records(now, registry::Revision{1}, {{duty_key(w), ours}}, false);
     EXPECT_FALSE(agent->may_act(now, w));
-    agent->duties_are(now, {garbage_collection_duty()});
+    agent->set_duties(now, {garbage_collection_duty()});
 
     GarbageCollector sweep(ms * 1000, agent->membership().wait() * 2);
     worked = [&](WriteOutcome done) { sweep.told(now, done); };
@@ -277,8 +277,8 @@
         record_mirror.apply(ledger.all(), true);
         if (!gone && !ledger.records().contains(probe_result_key(CacheId{"c"}))) gone = now;
         if (auto write_request = sweep.next(now, record_mirror, *agent))
-            if (!agent->work(now, garbage_collection_duty(), collection_progress_key(),
-                             std::move(*write_request)))
+            if (!agent->write_fenced(now, garbage_collection_duty(), collection_progress_key(),
+                                     std::move(*write_request)))
                 sweep.told(now, WriteOutcome::refused);
     });
     ASSERT_TRUE(gone);
@@ -290,7 +290,7 @@
     // Nobody who claims it remembers: only the registry does.
     worked = [](WriteOutcome) {};
     start("n", shared_config());
-    agent->duties_are(now, {garbage_collection_duty(), w});
+    agent->set_duties(now, {garbage_collection_duty(), w});
     run(ms * 20'000);
     ASSERT_TRUE(agent->may_act(now, w));
     EXPECT_GT(agent->token_of(w), before);
@@ -333,7 +333,7 @@
 TEST_F(Watching, ItsOwnerLooksAtAPaceAndWritesUnderItsEpochWhatItSaw) {
     start("m", shared_config());
     health_watch.marked(c, true);
-    agent->duties_are(now, {health_watch_duty(c)});
+    agent->set_duties(now, {health_watch_duty(c)});
     int step = 0;
     const auto finding = [&] { return read_probe_result(ledger.records().at(probe_result_key(c))); };
     run(ms * 20'000, [&] {
@@ -456,7 +456,7 @@
 TEST_F(Late, AWorkIsNotWrittenOnceTheDutyOrTheMembershipHasGone) {
     caught("duty/d");
     run(ms * 1'000);
-    ASSERT_TRUE(agent->work(now, DutyName{"d"}, Key{"work/1"}, "w"));
+    ASSERT_TRUE(agent->write_fenced(now, DutyName{"d"}, Key{"work/1"}, "w"));
     run(ms * 2'000);
     const Transaction work = last("work/1");
     EXPECT_FALSE(
@@ -504,11 +504,11 @@
         w.run(ms * 500, {});
         for (std::size_t n = 0; n < members; ++n) w.revive(n);
         w.run(ms * 60'000, {});
-        for (std::size_t d = 0; d < 3; ++d) ASSERT_TRUE(w.owner(d)) << d << '\n' << w.picture();
+        for (std::size_t d = 0; d < 3; ++d) ASSERT_TRUE(w.owner(d)) << d << '\n' << w.debug_state();
         const std::uint64_t owners = w.owners;
         w.mark();
         w.run(ms * 10'000, {});
-        ASSERT_EQ(w.owners, owners) << w.picture();
+        ASSERT_EQ(w.owners, owners) << w.debug_state();
         ASSERT_LE(w.longest_without, ms * 500);
         ASSERT_EQ(w.broken, std::vector<std::string>{});
     }
@@ -539,7 +539,7 @@
         AtRest w(seed, 3, 2);
         w.stop(w.first);
         w.run(without(3), {});
-        ASSERT_TRUE(w.owner(0)) << w.picture();
+        ASSERT_TRUE(w.owner(0)) << w.debug_state();
         EXPECT_NE(w.owner(0), w.first);
         EXPECT_LE(w.longest_without, without(3));
         const std::uint64_t written = w.written;
@@ -580,7 +580,7 @@
     w.down(false);
     w.mark();
     w.run(ms * 12'000, {});
-    for (std::size_t d = 0; d < 6; ++d) EXPECT_TRUE(w.owner(d)) << w.picture();
+    for (std::size_t d = 0; d < 6; ++d) EXPECT_TRUE(w.owner(d)) << w.debug_state();
     EXPECT_LE(w.worst(ms * 100), at_rest + 30);
     EXPECT_EQ(w.broken, std::vector<std::string>{});
 }
