--- a/src/process/host.cpp
+++ b/src/process/host.cpp
@@ -347,7 +347,7 @@
     exchanges_.erase(it);
 }
 
-// What a fleet's duties need of a gateway; the station that is left keeps its connection until it has been
+// What a fleet's duties need of a gateway; the client that is left keeps its connection until it has been
 // heard.
 void Host::start_fleet() {
     fleet::Settings c = *fleet_settings_;
