--- a/lab/book.hpp
+++ b/lab/ledger.hpp
@@ -1,4 +1,4 @@
-// A registry as a Fellow's deals see it: records, one revision, transactions, a history to watch, and backups
+// A registry as an Agent's deals see it: records, one revision, transactions, a history to watch, and backups
 // to go back to. In memory, for models; the stand-in on sockets is lab/registry.
 #pragma once
 
@@ -6,27 +6,27 @@
 #include <string>
 #include <vector>
 
-#include "fleet/fellow.hpp"
+#include "fleet/agent.hpp"
 
 namespace irismux::lab {
 
-using fleet::Deal;
 using fleet::Entry;
 using fleet::Key;
+using fleet::Transaction;
 using registry::Revision;
 
-class Book {
+class Ledger {
 public:
     using Records = std::map<Key, std::string>;
 
-    explicit Book(std::size_t most_history = 2048) : most_history_(most_history) {}
+    explicit Ledger(std::size_t most_history = 2048) : most_history_(most_history) {}
 
     struct Outcome {
         Revision at;
         bool held = false;
         std::vector<Entry> shown;
     };
-    Outcome settle(const Deal& deal);
+    Outcome settle(const Transaction& transaction);
 
     const Records& records() const { return records_; }
     Revision revision() const { return revision_; }
