--- a/src/process/host.cpp
+++ b/src/process/host.cpp
@@ -89,7 +89,7 @@
                 config.reading.deployment.origin_machine},
       router_(*this, config.reading.deployment, config.seed, loop.now()) {
     // What the board knew at the start serves until the registry has told its list.
-    board_.tell(config.known, false);
+    board_.load(config.known);
     if (registry_settings_) start_registry();
     if (fleet_settings_) start_fleet();
 }
@@ -399,7 +399,7 @@
 }
 
 // The board's list counts only where no registry tells one.
-void Host::list_told(const std::vector<ListLine>& lines, bool complete) {
+void Host::on_board_list(const std::vector<ListLine>& lines, bool complete) {
     if (!registry_) list_in_force(lines, complete);
 }
 
@@ -431,7 +431,7 @@
     caches_.close_unlisted();
 }
 
-void Host::purge_told(Instant at, GroupNo group, const std::optional<ObjectName>& object) {
+void Host::on_board_purge(Instant at, GroupNo group, const std::optional<ObjectName>& object) {
     const Instant now = loop_.now();
     roster_.purged(at, group, object, now);
     guarded_flag(in_router_, [&] { router_.on_purge(now, std::max(now - at, Span{}), group, object); });
--- a/src/process/host.hpp
+++ b/src/process/host.hpp
@@ -22,7 +22,7 @@
 class Host final : private Port,
                    private Lookups,
                    private Ends,
-                   private Told,
+                   private BoardObserver,
                    private registry::Knows,
                    private fleet::Gate {
 public:
@@ -65,14 +65,14 @@
     void ended(Exchange&, std::size_t n, const End&) override;
     void probed(const ProbeAnswer&) override;
     bool may_begin(Exchange&, std::size_t n) override;
-    void list_told(const std::vector<ListLine>&, bool complete) override;
+    void on_board_list(const std::vector<ListLine>&, bool complete) override;
     void list_told(Instant now, const std::vector<ListLine>&, bool complete) override;
     void sight_told(Instant now, registry::Sight, Instant as_of) override;
     void remark(std::string_view plain_line) override;
     void start_registry();
     void keep_list();
     void list_in_force(const std::vector<ListLine>&, bool complete);
-    void purge_told(Instant at, GroupNo, const std::optional<ObjectName>&) override;
+    void on_board_purge(Instant at, GroupNo, const std::optional<ObjectName>&) override;
 
     void start_send(const LookupId&, Send);
     void expired(const LookupId&);
--- a/src/wire/board.hpp
+++ b/src/wire/board.hpp
@@ -1,4 +1,8 @@
-// The notice board: polled over HTTP/1.1 for changes of the list and for purges.
+// The notice board: polled over HTTP/1.1 for changes of the list of caches and for purges.
+//
+// An answer may be of any length: its notices take effect one by one as they arrive, for a few milliseconds a
+// turn of the loop, and each counts at once, so that the next poll goes on behind the last one that came
+// whole.
 #pragma once
 
 #include <Poco/Net/SocketAddress.h>
@@ -8,51 +12,63 @@
 #include <nlohmann/json_fwd.hpp>
 #include <optional>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "irismux/rules.hpp"
 #include "state/list_line.hpp"
 #include "wire/loop.hpp"
+#include "wire/notices.hpp"
 
 namespace irismux {
 
-// Who is told what the board says.
-class Told {
+// Receives the board's events, in their order.
+class BoardObserver {
 public:
-    virtual ~Told() = default;
+    virtual ~BoardObserver() = default;
     // Each line with its address.
-    virtual void list_told(const std::vector<ListLine>& lines, bool complete) = 0;
-    virtual void purge_told(Instant at, GroupNo group, const std::optional<ObjectName>& object) = 0;
+    virtual void on_board_list(const std::vector<ListLine>& lines, bool complete) = 0;
+    virtual void on_board_purge(Instant at, GroupNo group, const std::optional<ObjectName>& object) = 0;
 };
 
 class BoardLink;
 
 class Board {
 public:
-    // After a failed poll the board is left alone for `pause`.
-    Board(Loop& loop, Told& told, std::string address, Span pause);
+    // After polls that failed in a row the board is polled again no sooner than after `retry_delay`.
+    Board(Loop& loop, BoardObserver& observer, std::string address, Span retry_delay);
     ~Board();
 
-    // {"rev": ..., "notices": [...]}; throws on what is not that. An event that can't be read is left out, or
-    // throws where it may be asked for once more.
-    void tell(const nlohmann::json& notices, bool ask_again);
+    // Events known from elsewhere, {"rev": ..., "notices": [...]}; throws on what is not that. An event that
+    // can't be read is left out.
+    void load(const nlohmann::json& known);
     void poll();
-    // The board is somewhere else from now on; its numbers go on.
+    // The board is at another address from now on; its event numbers go on.
     void move(const std::string& address);
 
 private:
     friend class BoardLink;
-    void answered(int status, const std::string& body);
-    void failed(const char* why);
+
+    // False: the event can't be read and is to be asked for once more.
+    bool apply(const Notice& notice);
+    std::string deliver(const nlohmann::json& event);
+    void deliver_list(const nlohmann::json& pool);
+    void deliver_purge(const nlohmann::json& flush);
+    void answer_complete(std::int64_t revision);
+    void poll_failed(std::string_view why);
+    void poll_at(Instant due);
+
     Loop& loop_;
-    Told& told_;
+    BoardObserver& observer_;
     std::string address_;
-    Span pause_;
-    std::int64_t rev_ = 0;         // of the last event told
-    std::int64_t unreadable_ = 0;  // of the event that could not be read when it was last asked for
-    bool failing_ = false;         // the last poll failed
-    Instant asked_at_;
-    Loop::Alarm again_{};
+    Span retry_delay_;
+    std::int64_t revision_ = 0;     // of the last event that took effect
+    std::int64_t polled_from_ = 0;  // the revision that the last poll named
+    // The event behind this revision could not be read when it was last asked for.
+    std::optional<std::int64_t> unreadable_behind_;
+    bool last_poll_failed_ = false;
+    Instant polled_at_;
+    Loop::Alarm next_poll_{};
     std::shared_ptr<BoardLink> link_;
 };
 
--- a/src/wire/http.cpp
+++ b/src/wire/http.cpp
@@ -23,7 +23,12 @@
 
 bool number(std::string_view s, int base, std::size_t& n) {
     const auto [p, error] = std::from_chars(s.data(), s.data() + s.size(), n, base);
-    return error == std::errc{} && p == s.data() + s.size() && n <= most_body;
+    return error == std::errc{} && p == s.data() + s.size();
+}
+
+// The line before a chunk's data: its length and extensions, which are left out.
+bool chunk_size(std::string_view line, std::size_t& n) {
+    return number(trimmed(line.substr(0, line.find(';'))), 16, n);
 }
 
 // Chunks up to the last one and the empty line behind the trailers.
@@ -47,14 +52,10 @@
     return Parsed::whole;
 }
 
-struct Framing {
-    Head head;
-    std::size_t length = 0;
-    bool sized = false, close = false;
-};
+}  // namespace
 
-Parsed parse_framing(std::string_view bytes, Framing& f, std::size_t& used) {
-    f = Framing{};
+Parsed parse_head(std::string_view bytes, Head& parsed, std::size_t& used) {
+    parsed = Head{};
     const std::size_t head_end = bytes.find("\r\n\r\n");
     if (head_end == std::string_view::npos || head_end > most_head)
         return bytes.size() > most_head ? Parsed::bad : Parsed::more;
@@ -63,7 +64,7 @@
     std::size_t status = 0;
     if (first.size() < 12 || first.substr(0, 7) != "HTTP/1." || !number(first.substr(9, 3), 10, status))
         return Parsed::bad;
-    f.head.status = static_cast<int>(status);
+    parsed.status = static_cast<int>(status);
     head.remove_prefix(first.size() + 2);
     while (!head.empty()) {
         const std::string_view line = head.substr(0, head.find("\r\n"));
@@ -72,23 +73,21 @@
         if (colon == std::string_view::npos) return Parsed::bad;
         const std::string_view name = line.substr(0, colon), value = trimmed(line.substr(colon + 1));
         if (same(name, "content-length")) {
-            if (!number(value, 10, f.length)) return Parsed::bad;
-            f.sized = true;
+            if (!number(value, 10, parsed.length)) return Parsed::bad;
+            parsed.sized = true;
         }
-        if (same(name, "transfer-encoding")) f.head.chunked = same(value, "chunked");
-        if (same(name, "connection")) f.close = same(value, "close");
+        if (same(name, "transfer-encoding")) parsed.chunked = same(value, "chunked");
+        if (same(name, "connection")) parsed.close = same(value, "close");
     }
     used = head_end + 4;
     return Parsed::whole;
 }
 
-}  // namespace
-
 Parsed parse_chunk(std::string_view s, std::string_view& chunk, std::size_t& used) {
     const std::size_t end = s.find("\r\n");
     if (end == std::string_view::npos) return s.size() > most_head ? Parsed::bad : Parsed::more;
     std::size_t n = 0;
-    if (!number(trimmed(s.substr(0, std::min(end, s.find(';')))), 16, n)) return Parsed::bad;
+    if (!chunk_size(s.substr(0, end), n) || n > most_body) return Parsed::bad;
     if (n == 0) {
         chunk = {};
         used = end + 2;
@@ -101,31 +100,67 @@
     return Parsed::whole;
 }
 
-Parsed parse_head(std::string_view bytes, Head& head, std::size_t& used) {
-    Framing f;
-    const Parsed p = parse_framing(bytes, f, used);
-    head = f.head;
-    return p;
-}
-
 Parsed parse_answer(std::string_view bytes, Answer& answer, std::size_t& used) {
     answer = Answer{};
-    Framing f;
-    std::size_t head = 0;
-    if (const Parsed p = parse_framing(bytes, f, head); p != Parsed::whole) return p;
-    answer.status = f.head.status;
-    answer.close = f.close;
-    const std::string_view rest = bytes.substr(head);
-    if (f.head.chunked) {
+    Head head;
+    std::size_t head_size = 0;
+    if (const Parsed p = parse_head(bytes, head, head_size); p != Parsed::whole) return p;
+    answer.status = head.status;
+    answer.close = head.close;
+    const std::string_view rest = bytes.substr(head_size);
+    if (head.chunked) {
         const Parsed p = parse_chunks(rest, answer.body, used);
-        used += head;
+        used += head_size;
         return p;
     }
     // A body that ends with the connection can't be told from one that breaks off.
-    if (!f.sized) return Parsed::bad;
-    if (rest.size() < f.length) return Parsed::more;
-    answer.body = rest.substr(0, f.length);
-    used = head + f.length;
+    if (!head.sized || head.length > most_body) return Parsed::bad;
+    if (rest.size() < head.length) return Parsed::more;
+    answer.body = rest.substr(0, head.length);
+    used = head_size + head.length;
+    return Parsed::whole;
+}
+
+BodyReader::BodyReader(const Head& head)
+    : chunked_(head.chunked),
+      expecting_(head.chunked ? Expecting::chunk_size : Expecting::data),
+      left_(head.chunked ? 0 : head.length) {}
+
+Parsed BodyReader::next(std::string_view bytes, std::string_view& piece, std::size_t& used) {
+    piece = {};
+    used = 0;
+    if (expecting_ == Expecting::nothing) return Parsed::whole;
+    if (expecting_ != Expecting::data) return next_line(bytes, used);
+    piece = bytes.substr(0, left_);
+    used = piece.size();
+    left_ -= used;
+    if (left_ > 0) return Parsed::more;
+    expecting_ = chunked_ ? Expecting::chunk_end : Expecting::nothing;
+    return chunked_ ? Parsed::more : Parsed::whole;
+}
+
+// The lines of the framing in chunks: a chunk's size, the empty one behind its data, and the trailers.
+Parsed BodyReader::next_line(std::string_view bytes, std::size_t& used) {
+    const std::size_t end = bytes.find("\r\n");
+    if (end == std::string_view::npos) return bytes.size() > most_head ? Parsed::bad : Parsed::more;
+    const std::string_view line = bytes.substr(0, end);
+    used = end + 2;
+    switch (expecting_) {
+        case Expecting::chunk_end:
+            if (!line.empty()) return Parsed::bad;
+            expecting_ = Expecting::chunk_size;
+            return Parsed::more;
+        case Expecting::chunk_size:
+            if (!chunk_size(line, left_)) return Parsed::bad;
+            expecting_ = left_ == 0 ? Expecting::trailer : Expecting::data;
+            return Parsed::more;
+        default:
+            break;
+    }
+    trailer_size_ += used;
+    if (trailer_size_ > most_head) return Parsed::bad;
+    if (!line.empty()) return Parsed::more;
+    expecting_ = Expecting::nothing;
     return Parsed::whole;
 }
 
--- a/tests/board_test.cpp
+++ b/tests/board_test.cpp
@@ -7,10 +7,10 @@
 namespace irismux::testing {
 namespace {
 
-struct Hears final : Told {
+struct Hears final : BoardObserver {
     std::vector<std::string> purged;
-    void list_told(const std::vector<std::pair<Listing, std::string>>&, bool) override {}
-    void purge_told(Instant, GroupNo, const std::optional<ObjectName>& o) override {
+    void on_board_list(const std::vector<std::pair<Listing, std::string>>&, bool) override {}
+    void on_board_purge(Instant, GroupNo, const std::optional<ObjectName>& o) override {
         purged.push_back(o->raw());
     }
 };
