--- a/src/fleet/fleet_client.cpp
+++ b/src/fleet/fleet_client.cpp
@@ -11,12 +11,12 @@
 constexpr std::size_t most_stored = 8 << 20;  // of the store's file
 constexpr const char* seen_name = "fleet epochs seen";
 constexpr const char* start_name = "fleet last start";
-// What is seen is kept that often at most: what is seen within it is lost with a crash, and no more.
-constexpr Span keep_every = Span::micros(250'000);
+// The tokens seen are stored at most this often; a crash loses those of the last such interval.
+constexpr Span store_every = Span::micros(250'000);
 
 constexpr std::string_view roll = "roll/", beats = "beat/";
 
-std::string drawn_mark() {
+std::string random_instance_id() {
     std::random_device chance;
     std::string mark;
     for (int n = 0; n < 4; ++n) mark += std::to_string(chance()) + (n < 3 ? "." : "");
@@ -25,7 +25,7 @@
 
 std::uint64_t mixed_with_chance(std::uint64_t seed) { return seed ^ std::random_device{}(); }
 
-registry::Settings followed(registry::Settings settings) {
+registry::Settings watch_settings(registry::Settings settings) {
     settings.prefix = watched_prefix(settings.prefix);
     return settings;
 }
@@ -45,14 +45,14 @@
     : loop_(loop),
       gateway_(gateway),
       settings_(settings),
-      followed_(followed(settings.registry)),
+      watch_settings_(watch_settings(settings.registry)),
       agent_((open_store(), *this), *this, settings.shared_config, identity(version),
              mixed_with_chance(seed)),
       health_watch_(*this, settings.look_every, agent_.membership().round()),
       garbage_collector_(settings.sweep_every, agent_.membership().wait() * 2),
       asker_(loop, *this, settings_.registry),
-      member_(seed % settings.registry.members.size()),
-      client_(loop, *this, followed_, mixed_with_chance(seed), registry::Sort::plain) {
+      registry_member_(seed % settings.registry.members.size()),
+      client_(loop, *this, watch_settings_, mixed_with_chance(seed), registry::Sort::plain) {
     if (store_)
         if (const auto seen = store_->read(seen_name); seen && !agent_.fence().restore(*seen))
             gateway_.on_fleet_message(
@@ -61,7 +61,7 @@
 
 FleetClient::~FleetClient() {
     *alive_ = false;
-    for (const auto& alarm : {wake_, go_on_, keep_}) loop_.forget(alarm);
+    for (const auto& alarm : {wake_alarm_, tasks_alarm_, store_alarm_}) loop_.forget(alarm);
 }
 
 void FleetClient::open_store() {
@@ -73,8 +73,12 @@
 }
 
 MemberIdentity FleetClient::identity(const std::string& version) {
-    MemberIdentity p{
-        settings_.name, InstanceId{drawn_mark()}, version, {}, settings_.registry.pace.answer_in, true};
+    MemberIdentity p{settings_.name,
+                     InstanceId{random_instance_id()},
+                     version,
+                     {},
+                     settings_.registry.pace.answer_in,
+                     true};
     if (const auto start = store_ ? store_->read(start_name) : std::nullopt)
         p.last_incarnation = Incarnation{std::atoll(start->c_str())};
     return p;
@@ -86,34 +90,34 @@
     return Instant{} + Span::micros(static_cast<std::int64_t>(t.tv_sec) * 1'000'000 + t.tv_nsec / 1000);
 }
 
-// Not from within the call that asks for it; never once the station is gone.
-void FleetClient::later(std::function<void()> then) {
+// Runs it after the current call has returned; never after this client has been destroyed.
+void FleetClient::call_soon(std::function<void()> then) {
     loop_.soon([alive = std::weak_ptr<bool>(alive_), then = std::move(then)] {
         if (alive.lock()) then();
     });
 }
 
 void FleetClient::start() {
-    know_duties();
+    update_duties();
     agent_.start(clock());
     client_.start();
-    go_on();
-    keep();
+    run_due_tasks();
+    store_tokens_seen();
 }
 
 void FleetClient::leave() {
-    keep();
+    store_tokens_seen();
     store_.reset();
     agent_.leave(clock());
 }
 
 void FleetClient::marked(const CacheId& cache, bool is) {
     health_watch_.marked(cache, is);
-    // Where looks are not permitted the Router's own trial was the look.
-    later([this, cache, is] {
+    // Where probes are not permitted the Router's own trial counts as the probe.
+    call_soon([this, cache, is] {
         if (!is) health_watch_.on_probe_done(clock(), cache, true, agent_);
         agent_.set_marked_caches(clock(), health_watch_.marks());
-        know_duties();
+        update_duties();
     });
 }
 
@@ -125,23 +129,23 @@
     return health_watch_.may_probe(clock(), cache, agent_);
 }
 
-// --- deals -----------------------------------------------------------------------------------------------
+// --- transactions
 
 void FleetClient::submit(const Transaction& d) {
-    // One that has not been answered: its member may hang.
-    if (out_) next_member();
-    out_ = d;
+    // The one before has had no answer: that member of the registry may hang.
+    if (pending_transaction_) use_next_registry_member();
+    pending_transaction_ = d;
     std::vector<registry::etcd::KeyValue> holds, writes;
     std::vector<std::string> shows;
     const auto path = [&](const Key& key) { return settings_.registry.prefix + path_of(key); };
     for (const auto& [key, text] : d.compares) holds.emplace_back(path(key), text);
     for (const auto& [key, text] : d.writes) writes.emplace_back(path(key), text);
     for (const Key& key : d.reads) shows.push_back(path(key));
-    asker_.ask(member_, registry::etcd::settle(holds, writes, shows), false);
+    asker_.ask(registry_member_, registry::etcd::settle(holds, writes, shows), false);
 }
 
-void FleetClient::next_member() {
-    member_ = registry::MemberNo{(member_.raw() + 1) % settings_.registry.members.size()};
+void FleetClient::use_next_registry_member() {
+    registry_member_ = registry::MemberNo{(registry_member_.raw() + 1) % settings_.registry.members.size()};
 }
 
 void FleetClient::replied(int status, const std::string& body) {
@@ -150,9 +154,9 @@
         if (wrong->fault == registry::etcd::Fault::refused && asker_.with_a_new_token()) return;
         return broke(wrong->words.c_str());
     }
-    if (!out_) return;
+    if (!pending_transaction_) return;
     const auto& settled = std::get<registry::etcd::Settled>(read);
-    const Transaction d = *std::exchange(out_, std::nullopt);
+    const Transaction d = *std::exchange(pending_transaction_, std::nullopt);
     std::vector<Entry> shown;
     const auto show = [&](const Key& key) {
         const auto it = std::find_if(settled.shown.begin(), settled.shown.end(),
@@ -164,26 +168,26 @@
     else
         for (const auto& [key, text] : d.compares) show(key);
     agent_.on_transaction_result(clock(), settled.from.revision, settled.held, shown);
-    go_on();
+    run_due_tasks();
 }
 
 void FleetClient::broke(const char*) {
     asker_.hang_up();
-    next_member();
-    if (!std::exchange(out_, std::nullopt)) return;
+    use_next_registry_member();
+    if (!std::exchange(pending_transaction_, std::nullopt)) return;
     agent_.on_no_answer(clock());
-    go_on();
+    run_due_tasks();
 }
 
 void FleetClient::schedule_wake(Instant at) {
-    loop_.forget(wake_);
-    wake_ = loop_.at(by_loop(at), [this] {
+    loop_.forget(wake_alarm_);
+    wake_alarm_ = loop_.at(to_loop_time(at), [this] {
         agent_.on_wake(clock());
-        go_on();
+        run_due_tasks();
     });
 }
 
-// --- what the watch shows --------------------------------------------------------------------------------
+// --- watched records
 
 void FleetClient::records_told(Instant, registry::Revision at, const std::vector<registry::Change>& changes,
                                bool all) {
@@ -191,7 +195,7 @@
     for (const auto& c : changes)
         entries.emplace_back(Key{c.record.key.raw()}, c.deleted ? Text{} : Text{c.record.value});
     record_mirror_.apply(entries, all);
-    told_ = at;
+    mirrored_revision_ = at;
     agent_.on_records(clock(), at, entries, all);
     for (const auto& [key, text] : entries)
         if (const auto cache = probed_cache_of(key))
@@ -200,37 +204,37 @@
                 if (agent_.accepts(duty, {f->token, f->by.name, f->by.start}))
                     health_watch_.on_probe_result(clock(), *cache, *f, agent_);
             }
-    know_duties();
-    go_on();
+    update_duties();
+    run_due_tasks();
 }
 
 void FleetClient::sight_told(Instant, registry::Sight sight, Instant) {
     const bool blind = sight == registry::Sight::blind;
-    if (std::exchange(blind_, blind) != blind)
+    if (std::exchange(registry_silent_, blind) != blind)
         gateway_.on_fleet_message(blind ? "the registry says nothing: what is known of the fleet ages"
                                         : "the registry is heard again",
                                   blind);
 }
 
-void FleetClient::know_duties() {
-    std::set<DutyName> now_known{garbage_collection_duty()};
-    for (const CacheId& c : health_watch_.watched(agent_)) now_known.insert(health_watch_duty(c));
-    if (now_known == duties_) return;
+void FleetClient::update_duties() {
+    std::set<DutyName> wanted{garbage_collection_duty()};
+    for (const CacheId& c : health_watch_.watched(agent_)) wanted.insert(health_watch_duty(c));
+    if (wanted == duties_) return;
     std::vector<Entry> records;
-    for (const DutyName& d : now_known)
-        if (!duties_.contains(d) && told_ > registry::Revision{})
+    for (const DutyName& d : wanted)
+        if (!duties_.contains(d) && mirrored_revision_ > registry::Revision{})
             for (const Key& key : {duty_key(d), release_key(d)})
                 records.emplace_back(key, record_mirror_.at(key));
-    duties_ = now_known;
+    duties_ = wanted;
     agent_.set_duties(clock(), duties_);
-    if (!records.empty()) agent_.on_records(clock(), told_, records, false);
+    if (!records.empty()) agent_.on_records(clock(), mirrored_revision_, records, false);
 }
 
-// --- duties ----------------------------------------------------------------------------------------------
+// --- duties
 
-// What has become due, by the cores' own terms.
-void FleetClient::go_on() {
-    loop_.forget(go_on_);
+// Probes and garbage collection that are due; sets the alarm for the next.
+void FleetClient::run_due_tasks() {
+    loop_.forget(tasks_alarm_);
     const Instant now = clock();
     health_watch_.tick(now, agent_);
     Instant due = health_watch_.due();
@@ -241,7 +245,7 @@
                 garbage_collector_.told(now, WriteOutcome::refused);
         if (garbage_collector_.due() > now) due = std::min(due, garbage_collector_.due());
     }
-    go_on_ = loop_.at(by_loop(due), [this] { go_on(); });
+    tasks_alarm_ = loop_.at(to_loop_time(due), [this] { run_due_tasks(); });
 }
 
 void FleetClient::on_lease_state(const DutyName& duty, LeaseState state, FencingToken token) {
@@ -255,32 +259,34 @@
 void FleetClient::remark(std::string_view plain_line) { gateway_.on_fleet_message(plain_line, true); }
 
 void FleetClient::send_probe(const CacheId& cache) {
-    later([this, cache] {
-        // A turn lies between, and a stop may have: the term is judged again right before the first byte.
+    call_soon([this, cache] {
+        // The process may have been stopped since it was asked for: the lease is checked again right before
+        // the first byte.
         if (!may_probe(cache)) return;
         if (!gateway_.send_probe(cache)) health_watch_.not_permitted(clock(), cache, agent_);
     });
 }
 
 void FleetClient::trial_from(const CacheId& cache, Instant at) {
-    later([this, cache, at] { gateway_.trial_from(cache, by_loop(at)); });
+    call_soon([this, cache, at] { gateway_.trial_from(cache, to_loop_time(at)); });
 }
 
-// --- what outlives the process ---------------------------------------------------------------------------
+// --- state that outlives the process
 
-void FleetClient::keep() {
-    loop_.forget(keep_);
-    keep_ = loop_.at(loop_.now() + keep_every, [this] { keep(); });
+void FleetClient::store_tokens_seen() {
+    loop_.forget(store_alarm_);
+    store_alarm_ = loop_.at(loop_.now() + store_every, [this] { store_tokens_seen(); });
     if (!store_) return;
-    const std::string now_seen = agent_.fence().serialize() + std::to_string(agent_.incarnation().raw());
-    if (now_seen == kept_) return;
+    const std::string seen = agent_.fence().serialize() + std::to_string(agent_.incarnation().raw());
+    if (seen == stored_tokens_) return;
     auto why = store_->write(seen_name, agent_.fence().serialize());
     if (!why && agent_.incarnation() > Incarnation{})
         why = store_->write(start_name, std::to_string(agent_.incarnation().raw()));
-    if (why && !std::exchange(not_kept_, true)) gateway_.on_fleet_message("epochs seen are " + *why, true);
+    if (why && !std::exchange(store_failed_, true))
+        gateway_.on_fleet_message("epochs seen are " + *why, true);
     if (why) return;
-    not_kept_ = false;
-    kept_ = now_seen;
+    store_failed_ = false;
+    stored_tokens_ = seen;
 }
 
 }  // namespace irismux::fleet
--- a/src/fleet/fleet_client.hpp
+++ b/src/fleet/fleet_client.hpp
@@ -1,7 +1,7 @@
-// Carries an Agent, and the duties that it may own, between the registry and the gateway, on the loop.
-// Decides nothing: what is due and what it means is asked of the cores.
+// Connects an Agent and the duties that it may own to the registry and to the gateway, on the event loop. It
+// takes no decisions: the cores say what is due and what an answer means.
 //
-// The clock is CLOCK_BOOTTIME: it counts time during which the machine sleeps.
+// Its clock is CLOCK_BOOTTIME, which also counts the time during which the machine is suspended.
 #pragma once
 
 #include <map>
@@ -20,19 +20,23 @@
 
 namespace irismux::fleet {
 
-// The gateway, as its station needs it. Not called from within a call of the station's.
+// What a FleetClient needs of its gateway. Never called from within a call to the FleetClient.
 class GatewayPort {
 public:
     virtual ~GatewayPort() = default;
-    // Asks the cache for a sign of life, where that is permitted; the end is told by probed(). False: it is
-    // not.
+    // Probes the cache if the settings permit it; the outcome comes back through FleetClient::probed().
+    // False: not permitted.
     virtual bool send_probe(const CacheId&) = 0;
-    virtual void trial_from(const CacheId&, Instant by_loop) = 0;
-    virtual void on_duty_state(const DutyName&, LeaseState, FencingToken) = 0;  // of this gateway
+    // The gateway's own next trial of the marked cache is due at that instant of the loop's clock.
+    virtual void trial_from(const CacheId&, Instant to_loop_time) = 0;
+    // The lease of a duty at this gateway has changed.
+    virtual void on_duty_state(const DutyName&, LeaseState, FencingToken) = 0;
+    // One line for the log.
     virtual void on_fleet_message(std::string_view plain_line, bool trouble) = 0;
 };
 
-// Where the records lie, behind the fleet's prefix. Signs of life stand apart: the watch passes them over.
+// Paths of the records behind the fleet's prefix. Heartbeats lie outside the watched prefix, so that they are
+// not delivered to every member.
 std::string path_of(const Key& key);
 Key key_at(const std::string& path);
 std::string watched_prefix(const std::string& prefix);
@@ -48,28 +52,31 @@
     ~FleetClient() override;
 
     void start();
-    // Stops acting, takes its records away, and lets go of its store, which a successor may open.
+    // Stops acting, removes this member's records, and closes its store, so that a successor may open it.
     void leave();
-    void marked(const CacheId&, bool);  // by the Router
+    // The Router has begun or ended to pass over that cache.
+    void marked(const CacheId&, bool);
+    // The cache has left the list.
     void gone(const CacheId& cache) { marked(cache, false); }
+    // The outcome of a probe that was sent.
     void probed(const CacheId&, bool answered);
-    // Asked at the first byte of a look that has waited: whether the term still covers it.
+    // Whether the lease still covers a probe; asked right before its first byte is sent.
     bool may_probe(const CacheId& cache) const;
 
     const Agent& agent() const { return agent_; }
 
 private:
-    // Asks
+    // RegistryPort
     void submit(const Transaction&) override;
     void schedule_wake(Instant at) override;
-    // Hears
+    // AgentObserver
     void on_lease_state(const DutyName&, LeaseState, FencingToken) override;
     void on_write_outcome(const DutyName&, const Key&, WriteOutcome) override;
     void remark(std::string_view plain_line) override;
-    // Looks
+    // ProbePort
     void send_probe(const CacheId&) override;
     void trial_from(const CacheId&, Instant) override;
-    // registry::Replies, of deals
+    // registry::Replies: the answer to a transaction
     void replied(int status, const std::string& body) override;
     void streamed(std::string_view) override {}
     void too_long() override {}
@@ -80,12 +87,12 @@
     void sight_told(Instant, registry::Sight, Instant as_of) override;
 
     Instant clock() const;
-    Instant by_loop(Instant clock_says) const { return loop_.now() + (clock_says - clock()); }
-    void later(std::function<void()> then);
-    void next_member();
-    void go_on();
-    void know_duties();
-    void keep();
+    Instant to_loop_time(Instant by_clock) const { return loop_.now() + (by_clock - clock()); }
+    void call_soon(std::function<void()> then);
+    void use_next_registry_member();
+    void run_due_tasks();
+    void update_duties();
+    void store_tokens_seen();
     void open_store();
     MemberIdentity identity(const std::string& version);
 
@@ -93,22 +100,22 @@
     GatewayPort& gateway_;
     Settings settings_;
     std::optional<Store> store_;
-    registry::Settings followed_;
+    registry::Settings watch_settings_;
     Agent agent_;
     HealthWatch health_watch_;
     GarbageCollector garbage_collector_;
     RecordMirror record_mirror_;
-    registry::Revision told_;
+    registry::Revision mirrored_revision_;
     std::set<DutyName> duties_;
     registry::Asker asker_;
-    std::optional<Transaction> out_;
-    registry::MemberNo member_;
+    std::optional<Transaction> pending_transaction_;
+    registry::MemberNo registry_member_;
     registry::Client client_;
-    Loop::Alarm wake_{}, go_on_{}, keep_{};
+    Loop::Alarm wake_alarm_{}, tasks_alarm_{}, store_alarm_{};
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-    std::string kept_;
-    bool not_kept_ = false;  // said once
-    bool blind_ = false;
+    std::string stored_tokens_;
+    bool store_failed_ = false;  // said once
+    bool registry_silent_ = false;
 };
 
 }  // namespace irismux::fleet
--- a/src/fleet/record_mirror.hpp
+++ b/src/fleet/record_mirror.hpp
@@ -1,4 +1,5 @@
-// All records of the fleet but signs of life, as the watch shows them; deals may be ahead of it. No I/O.
+// A local copy of all watched records (all but heartbeats). It may lag behind what this member's own
+// transactions have shown. No I/O.
 #pragma once
 
 #include <map>
@@ -14,6 +15,7 @@
 public:
     using Records = std::map<Key, std::string>;
 
+    // `all`: the changes are the whole content.
     void apply(const std::vector<Entry>& changes, bool all) {
         if (all) records_.clear();
         for (const auto& [key, text] : changes)
@@ -23,13 +25,14 @@
                 records_.erase(key);
     }
     const Records& records() const { return records_; }
+    // None: there is no such record.
     Text at(const Key& key) const {
         const auto it = records_.find(key);
         return it == records_.end() ? Text{} : Text{it->second};
     }
 
 private:
-    Records records_;  // as many as the watch follows
+    Records records_;  // bounded by the watch, which follows a limited number
 };
 
 }  // namespace irismux::fleet
--- a/src/fleet/records.hpp
+++ b/src/fleet/records.hpp
@@ -1,16 +1,17 @@
-// What the fleet writes into its registry, under one prefix of its own:
+// The records that a fleet keeps in its registry, all under one prefix:
 //
-//   about          the fleet's articles; who reads others than its own stays out
-//   member/NAME    one living instance under that name; written when it joins, taken away when it leaves or
-//   is
-//                  evicted, and written anew only to publish what it refuses
-//   beat/NAME      its last sign of life; each differs from all others ever written
-//   duty/NAME      who owns a duty under which epoch; nobody: it was given up
-//   floor          the highest epoch of any duty whose record has been swept: what has no record begins above
-//   it aside/DUTY     an operator's word that one instance is to leave that duty to others swept          how
-//   far the sweeping has come seen/CACHE     what the watch over that cache saw last
+//   about          the shared configuration; a member whose own differs stays out
+//   member/NAME    the living instance of that name: written at its join, removed when it leaves or is
+//   evicted,
+//                  and rewritten only to publish refused tokens and marked caches
+//   beat/NAME      its last heartbeat; no two heartbeats ever written are equal
+//   duty/NAME      the owner of a duty and its fencing token; an empty owner: the duty was given up
+//   floor          the highest token of any removed duty record; a duty without a record starts above it
+//   aside/DUTY     an operator's release: that instance is to leave the duty to others
+//   swept          the progress of the garbage collector
+//   seen/CACHE     the last probe result of the health watch over that cache
 //
-// Values are JSON; a value that can't be read is none. Pure functions of bytes.
+// Values are JSON objects; a value that can't be parsed is treated as absent. Pure functions of bytes.
 #pragma once
 
 #include <cstdint>
@@ -27,82 +28,99 @@
 
 using MemberName = Id<struct MemberNameTag, std::string>;
 using DutyName = Id<struct DutyNameTag, std::string>;
-using Incarnation =
-    Id<struct StartTag,
-       std::int64_t>;  // of a name: higher at each join, above the registry's revision by then
-using InstanceId = Id<struct MarkTag, std::string>;        // of one instance, drawn by chance
-using FencingToken = Id<struct EpochTag, std::int64_t>;    // of a duty: higher with each owner; zero: none
-using HeartbeatNumber = Id<struct BeatTag, std::int64_t>;  // of one join, rising
-using Key = Id<struct FleetKeyTag, std::string>;           // behind the prefix
-
-// What all members must have in common, since each one's safety rests on the others' keeping it.
+// Number of a member's join. Higher at each join of that name, and above the registry's revision at that
+// time.
+using Incarnation = Id<struct StartTag, std::int64_t>;
+// Drawn at random once a process, to tell apart instances of one name.
+using InstanceId = Id<struct MarkTag, std::string>;
+// Rises with each owner of a duty; zero: none. Writes and orders under a lower one are refused.
+using FencingToken = Id<struct EpochTag, std::int64_t>;
+// Rises with each heartbeat of one instance.
+using HeartbeatNumber = Id<struct BeatTag, std::int64_t>;
+// A record's key, behind the fleet's prefix.
+using Key = Id<struct FleetKeyTag, std::string>;
+
+// Settings that must be equal at all members, since the safety of each rests on the others' keeping them.
 struct SharedConfig {
     std::string installation;
-    Span term = Span::micros(12'000'000);  // a member acts for so long after a sign of life, less the drift
-    double drift = 0.01;                   // how far the rate of a clock may be off, either way; 0.5 at most
+    Span term = Span::micros(12'000'000);  // a heartbeat lets its sender act for so long, less the drift
+    double drift = 0.01;                   // largest error of a clock's rate, either way; at most 0.5
     bool operator==(const SharedConfig&) const = default;
 };
 
-constexpr std::size_t most_refusals = 16;  // in a member's record; beyond, the lowest names wait
-constexpr std::size_t most_marks = 64;     // as above
+constexpr std::size_t most_refusals = 16;  // in a member's record; further ones, by duty's name, wait
+constexpr std::size_t most_marks = 64;     // in a member's record; further ones are not published
 
+// One living member.
 struct MemberRecord {
     Incarnation start;
     InstanceId instance_id;
-    std::string version;
-    std::map<DutyName, FencingToken>
-        refuses;                   // epochs that it has seen and that the record of the duty is below
-    std::set<CacheId> marks = {};  // caches that it passes over since they do not answer
+    std::string version;                       // of the program
+    std::map<DutyName, FencingToken> refuses;  // tokens seen that are above that of the duty's record
+    std::set<CacheId> marks = {};              // caches that it passes over because they do not answer
 };
+
+// A member's last heartbeat.
 struct HeartbeatRecord {
     Incarnation start;
     InstanceId instance_id;
     HeartbeatNumber number;
 };
+
+// The owner of a duty.
 struct DutyRecord {
     FencingToken token;
     MemberName owner;   // empty: given up
-    Incarnation start;  // the owner's
+    Incarnation start;  // of the owner
 };
 
-// One instance of a member, as others name it.
+// One instance of a member, as others refer to it.
 struct Instance {
     MemberName name;
     Incarnation start;
     bool operator==(const Instance&) const = default;
 };
-// What a duty's owner has written of it: under which epoch, and what it says.
+
+// The outcome of a health watch's last probes, written by the owner of its duty.
 struct ProbeResult {
     FencingToken token;
     Instance by;
-    bool well = false;        // the last look was answered
-    std::int64_t streak = 0;  // in a row that ended so
+    bool well = false;        // the last probe was answered
+    std::int64_t streak = 0;  // consecutive probes with that outcome
 };
-// Where the sweeping stands, for whoever goes on with it.
+
+// How far the garbage collector has come, for the next owner of its duty to continue.
 struct CollectionProgress {
     FencingToken token;
     Instance by;
-    std::int64_t pass = 0, taken = 0;  // passes begun; records taken away, by all owners together
-    std::string behind;  // the key that was dealt with last in this pass; empty: it is at its start
+    std::int64_t pass = 0;   // passes begun, by all owners together
+    std::int64_t taken = 0;  // records removed, by all owners together
+    std::string behind;      // last key handled in this pass; empty: at the pass's start
 };
 
+// --- keys
+
 Key shared_config_key();
 Key floor_key();
 Key collection_progress_key();
-Key release_key(const DutyName&);
-Key probe_result_key(const CacheId&);
-std::optional<DutyName> released_duty_of(const Key&);
-std::optional<CacheId> probed_cache_of(const Key&);
-// The watch over a cache is a duty of its own.
-DutyName health_watch_duty(const CacheId&);
-std::optional<CacheId> watched_cache_of(const DutyName&);
 Key member_key(const MemberName&);
 Key heartbeat_key(const MemberName&);
 Key duty_key(const DutyName&);
-// What a key names, if it is of that sort.
+Key release_key(const DutyName&);
+Key probe_result_key(const CacheId&);
+
+// What a key refers to; none if it is of another sort.
 std::optional<MemberName> member_of(const Key&);
 std::optional<MemberName> heartbeat_owner(const Key&);
 std::optional<DutyName> duty_of(const Key&);
+std::optional<DutyName> released_duty_of(const Key&);
+std::optional<CacheId> probed_cache_of(const Key&);
+
+// The health watch over a cache is a duty of its own.
+DutyName health_watch_duty(const CacheId&);
+std::optional<CacheId> watched_cache_of(const DutyName&);
+
+// --- values
 
 std::string serialize(const SharedConfig&);
 std::string serialize(const MemberRecord&);
@@ -112,12 +130,13 @@
 std::string serialize(const ProbeResult&);
 std::string serialize(const CollectionProgress&);
 std::string serialize_floor(FencingToken);
+// None: it can't be parsed.
 std::optional<MemberRecord> read_member(std::string_view);
 std::optional<HeartbeatRecord> read_heartbeat(std::string_view);
 std::optional<DutyRecord> read_duty(std::string_view);
 std::optional<Instance> read_release(std::string_view);
 std::optional<ProbeResult> read_probe_result(std::string_view);
 std::optional<CollectionProgress> read_collection_progress(std::string_view);
-FencingToken read_floor(std::string_view);  // zero: it can't be read
+FencingToken read_floor(std::string_view);  // zero: it can't be parsed
 
 }  // namespace irismux::fleet
--- a/src/fleet/settings.hpp
+++ b/src/fleet/settings.hpp
@@ -1,4 +1,4 @@
-// What a gateway is told of its fleet: the table [fleet] of the parts.
+// A gateway's own settings of its fleet: the table [fleet] of the parts file.
 #pragma once
 
 #include <string>
@@ -10,11 +10,11 @@
 
 struct Settings {
     SharedConfig shared_config;
-    MemberName name;
-    registry::Settings registry;  // the registry's, with the fleet's own prefix
-    Span look_every = Span::micros(2'000'000);
-    Span sweep_every = Span::micros(60'000'000);
-    std::string keep_in;  // folder of the store that keeps the epochs seen; empty: none
+    MemberName name;                              // of this gateway as a member
+    registry::Settings registry;                  // with the fleet's own prefix
+    Span look_every = Span::micros(2'000'000);    // between probes of one cache
+    Span sweep_every = Span::micros(60'000'000);  // between two passes of the garbage collector
+    std::string keep_in;  // folder of the store of tokens seen; empty: they are not kept
     bool operator==(const Settings&) const = default;
 };
 
