--- /dev/null
+++ b/bench/scale/events.cpp
@@ -0,0 +1,354 @@
+#include "bench/scale/events.hpp"
+
+#include <algorithm>
+#include <cstdio>
+#include <set>
+
+namespace irismux::scale {
+namespace {
+
+using nlohmann::json;
+
+const Span seconds_1 = Span::micros(1'000'000);
+constexpr std::size_t purges_a_second = 3;
+constexpr std::size_t hour_of_purges = 3600 * purges_a_second;
+constexpr std::size_t batches_of_an_hour = 20;  // one a second
+constexpr std::size_t marking_sites = 2;
+constexpr std::size_t marking_part = 4;  // of the sites, in the event that grows with them
+const std::string bad_cache = "cache-100";
+
+void progress(const Rig& rig, const std::string& what) {
+    std::fprintf(stderr, "%zu gateways: %s\n", rig.topology().gateways, what.c_str());
+}
+
+std::vector<std::size_t> without(const std::vector<std::size_t>& all, const std::vector<std::size_t>& some) {
+    std::vector<std::size_t> left;
+    for (const std::size_t g : all)
+        if (std::find(some.begin(), some.end(), g) == some.end()) left.push_back(g);
+    return left;
+}
+
+std::vector<std::size_t> hollow_of(const Rig& rig, const std::vector<std::size_t>& gateways) {
+    std::vector<std::size_t> left;
+    for (const std::size_t g : gateways)
+        if (g >= rig.settings().real_gateways) left.push_back(g);
+    return left;
+}
+
+// A stretch of whole seconds in which something happens.
+class Measured {
+public:
+    Measured(Rig& rig, const std::string& name) : rig_(rig) {
+        result_.name = name;
+        progress(rig, name);
+        rig_.to_next_second();
+        processor_ = rig_.processor_seconds();
+        from_ = rig_.now_second();
+        begun_us_ = rig_.now_us();
+    }
+    std::int64_t begun_us() const { return begun_us_; }
+    void in_force(const std::string& what, const InForce& seen, std::int64_t since_us,
+                  const std::vector<std::size_t>& gateways) {
+        result_.in_force[what] = reached(seen, since_us, hollow_of(rig_, gateways));
+    }
+    void note(const std::string& text) { result_.note = text; }
+    void until_second(double since_begin) {
+        const std::int64_t end = begun_us_ + static_cast<std::int64_t>(since_begin * 1e6);
+        rig_.until([&] { return rig_.now_us() >= end; }, Span::seconds(since_begin + 5));
+    }
+    EventResult end() {
+        rig_.to_next_second();
+        const std::int64_t until = rig_.now_second();
+        const auto used = rig_.processor_seconds();
+        result_.seconds = static_cast<double>(until - from_);
+        for (const auto& [role, seconds] : used)
+            result_.processor_by_role[role] = (seconds - processor_[role]) / result_.seconds;
+        const std::size_t real = rig_.settings().real_gateways, hollow = rig_.hollow_gateways();
+        const auto resident = rig_.resident_bytes();
+        if (hollow > 0) {
+            result_.processor_a_gateway = result_.processor_by_role["hollow"] / static_cast<double>(hollow);
+            const std::size_t empty = rig_.resident_of_empty_hollow() * rig_.topology().sites();
+            result_.memory_a_gateway =
+                (static_cast<double>(resident.at("hollow")) - static_cast<double>(empty)) /
+                static_cast<double>(hollow);
+        }
+        if (real > 0) {
+            result_.processor_a_real_gateway = result_.processor_by_role["real"] / static_cast<double>(real);
+            result_.memory_a_real_gateway =
+                static_cast<double>(resident.at("real")) / static_cast<double>(real);
+        }
+        // What relays say of a second comes right after it.
+        rig_.pass(seconds_1 * 1.2);
+        result_.hollow = rate_over(rig_.traffic(), from_, until, real, hollow);
+        if (real > 0) result_.real = rate_over(rig_.traffic(), from_, until, 0, real);
+        return result_;
+    }
+
+private:
+    Rig& rig_;
+    EventResult result_;
+    std::map<std::string, double> processor_;
+    std::int64_t from_ = 0, begun_us_ = 0;
+};
+
+// Waits until all of those know of all that is expected; whether they do.
+bool all_whole(Rig& rig, std::int64_t expected, const std::vector<std::size_t>& gateways, double most_s) {
+    const std::size_t hollow = hollow_of(rig, gateways).size();
+    return rig.until([&] { return rig.in_force("whole", expected).size() >= hollow; }, Span::seconds(most_s));
+}
+
+EventResult at_rest(Rig& rig) {
+    Measured m(rig, "rest");
+    m.until_second(24);
+    return m.end();
+}
+
+EventResult purges(Rig& rig) {
+    rig.report_purges(true);
+    Measured m(rig, "purges");
+    std::vector<std::int64_t> posted;
+    for (std::size_t n = 0; n < 12 * purges_a_second; ++n) {
+        m.until_second(static_cast<double>(n) / purges_a_second);
+        posted.push_back(rig.purge(1).front());
+    }
+    m.until_second(14);
+    // Every purge at every gateway, as one distribution.
+    Reached all;
+    std::vector<double> took;
+    for (const std::int64_t p : posted)
+        for (const auto& [g, at] : rig.in_force("purge", p))
+            took.push_back(static_cast<double>(at - p * 1000) / 1e6);
+    std::sort(took.begin(), took.end());
+    all.of = posted.size() * rig.hollow_gateways();
+    all.reached = took.size();
+    if (!took.empty()) {
+        all.median_s = took[took.size() / 2];
+        all.p99_s = took[(took.size() - 1) * 99 / 100];
+        all.last_s = took.back();
+    }
+    EventResult result = m.end();
+    result.in_force["purge"] = all;
+    rig.report_purges(false);
+    return result;
+}
+
+EventResult list_change(Rig& rig) {
+    Measured m(rig, "list_change");
+    const std::int64_t since = rig.now_us(), version = rig.change_list();
+    m.until_second(4);
+    m.in_force("list", rig.in_force("list", version), since, rig.topology().all());
+    return m.end();
+}
+
+EventResult bad_cache_marked(Rig& rig, const std::string& name, std::size_t sites) {
+    std::vector<std::size_t> marking;
+    for (const std::size_t g : hollow_of(rig, rig.topology().all()))
+        if (rig.topology().site_of(g) < sites) marking.push_back(g);
+    rig.forget_in_force();
+    Measured m(rig, name);
+    const std::int64_t since = rig.now_us();
+    rig.mark(bad_cache, true, marking);
+    m.note(std::to_string(marking.size()) + " gateways of " + std::to_string(sites) + " sites mark it");
+    m.until_second(36);
+    m.in_force("trial put off", rig.in_force("trial", 0), since, marking);
+    EventResult result = m.end();
+    rig.mark(bad_cache, false, marking);
+    rig.pass(seconds_1 * 12);
+    return result;
+}
+
+EventResult restart_all(Rig& rig) {
+    rig.forget_in_force();
+    Measured m(rig, "restart_all");
+    const std::int64_t since = rig.now_us();
+    const std::int64_t expected = rig.expect(rig.topology().gateways);
+    rig.start(rig.topology().all());
+    all_whole(rig, expected, rig.topology().all(), 50);
+    m.until_second(15);
+    m.in_force("whole", rig.in_force("whole", expected), since, rig.topology().all());
+    return m.end();
+}
+
+EventResult zone_lost(Rig& rig) {
+    const auto lost = rig.topology().lost_zone(), left = without(rig.topology().all(), lost);
+    rig.forget_in_force();
+    Measured m(rig, "zone_lost");
+    const std::int64_t since = rig.now_us(), expected = rig.expect(left.size());
+    rig.kill(lost);
+    all_whole(rig, expected, left, 45);
+    m.until_second(15);
+    m.note(std::to_string(lost.size()) + " gateways killed");
+    m.in_force("evicted", rig.in_force("whole", expected), since, left);
+    return m.end();
+}
+
+EventResult zone_back(Rig& rig) {
+    const auto lost = rig.topology().lost_zone();
+    rig.forget_in_force();
+    Measured m(rig, "zone_back");
+    const std::int64_t since = rig.now_us(), expected = rig.expect(rig.topology().gateways);
+    rig.start(lost);
+    all_whole(rig, expected, rig.topology().all(), 45);
+    m.until_second(10);
+    m.in_force("whole", rig.in_force("whole", expected), since, rig.topology().all());
+    return m.end();
+}
+
+// The purges of an hour within some seconds; its own time is longer than a term, so that the region is
+// evicted.
+EventResult region_cut(Rig& rig) {
+    const auto cut = rig.topology().of_region(rig.topology().regions() - 1),
+               left = without(rig.topology().all(), cut);
+    rig.forget_in_force();
+    Measured m(rig, "region_cut");
+    rig.change_links(cut, {{"cut", true}});
+    for (std::size_t n = 0; n < batches_of_an_hour; ++n) {
+        m.until_second(static_cast<double>(n));
+        rig.purge(hour_of_purges / batches_of_an_hour);
+    }
+    m.until_second(24);
+    m.note(std::to_string(cut.size()) + " gateways cut; the " + std::to_string(hour_of_purges) +
+           " purges of an hour within " + std::to_string(batches_of_an_hour) + " s");
+    return m.end();
+}
+
+EventResult region_back(Rig& rig) {
+    const auto cut = rig.topology().of_region(rig.topology().regions() - 1);
+    rig.forget_in_force();
+    Measured m(rig, "region_back");
+    const std::int64_t since = rig.now_us(), expected = rig.expect(rig.topology().gateways);
+    rig.change_links(cut, {{"cut", false}});
+    all_whole(rig, expected, rig.topology().all(), 60);
+    m.until_second(10);
+    m.in_force("whole, of the region", rig.in_force("whole", expected), since, cut);
+    m.in_force("whole", rig.in_force("whole", expected), since, rig.topology().all());
+    return m.end();
+}
+
+struct Event {
+    std::string name;
+    std::function<std::vector<EventResult>(Rig&)> run;
+};
+
+const std::vector<Event>& events() {
+    static const std::vector<Event> all = {
+        {"rest", [](Rig& r) { return std::vector{at_rest(r)}; }},
+        {"purges", [](Rig& r) { return std::vector{purges(r)}; }},
+        {"list", [](Rig& r) { return std::vector{list_change(r)}; }},
+        {"mark", [](Rig& r) { return std::vector{bad_cache_marked(r, "bad_cache", marking_sites)}; }},
+        {"mark_quarter",
+         [](Rig& r) {
+             const std::size_t sites = std::max<std::size_t>(1, r.topology().sites() / marking_part);
+             return std::vector{bad_cache_marked(r, "bad_cache_quarter", sites)};
+         }},
+        {"zone",
+         [](Rig& r) {
+             return std::vector{zone_lost(r), zone_back(r)};
+         }},
+        {"region",
+         [](Rig& r) {
+             return std::vector{region_cut(r), region_back(r)};
+         }},
+        {"restart", [](Rig& r) { return std::vector{restart_all(r)}; }},
+    };
+    return all;
+}
+
+json same_state(Rig& rig) {
+    const json states = rig.states();
+    std::map<std::string, std::set<std::string>> values;
+    for (const auto& [gateway, state] : states.items())
+        for (const auto& [what, value] : state.items()) values[what].insert(value.dump());
+    json result = {{"gateways", states.size()}};
+    for (const auto& [what, seen] : values) result["different"][what] = seen.size();
+    return result;
+}
+
+}  // namespace
+
+Reached reached(const InForce& in_force, std::int64_t since_us, const std::vector<std::size_t>& gateways) {
+    Reached r;
+    r.of = gateways.size();
+    std::vector<double> took;
+    for (const std::size_t g : gateways)
+        if (const auto it = in_force.find(g); it != in_force.end())
+            took.push_back(static_cast<double>(it->second - since_us) / 1e6);
+    std::sort(took.begin(), took.end());
+    r.reached = took.size();
+    if (took.empty()) return r;
+    r.median_s = took[took.size() / 2];
+    r.p99_s = took[(took.size() - 1) * 99 / 100];
+    r.last_s = took.back();
+    return r;
+}
+
+json to_json(const EventResult& r) {
+    json in_force = json::object();
+    for (const auto& [what, x] : r.in_force)
+        in_force[what] = {{"of", x.of},
+                          {"reached", x.reached},
+                          {"median_s", x.median_s},
+                          {"p99_s", x.p99_s},
+                          {"last_s", x.last_s}};
+    json out = {{"event", r.name},
+                {"seconds", r.seconds},
+                {"hollow", to_json(r.hollow)},
+                {"processor_a_gateway", r.processor_a_gateway},
+                {"processor_by_role", r.processor_by_role},
+                {"memory_a_gateway", r.memory_a_gateway},
+                {"in_force", in_force}};
+    if (!r.note.empty()) out["note"] = r.note;
+    if (r.real) {
+        out["real"] = to_json(*r.real);
+        out["processor_a_real_gateway"] = r.processor_a_real_gateway;
+        out["memory_a_real_gateway"] = r.memory_a_real_gateway;
+    }
+    return out;
+}
+
+const std::vector<std::string>& event_names() {
+    static const std::vector<std::string> names = [] {
+        std::vector<std::string> all;
+        for (const Event& e : events()) all.push_back(e.name);
+        return all;
+    }();
+    return names;
+}
+
+json run_events(Rig& rig, const std::vector<std::string>& names) {
+    progress(rig, "all start");
+    const std::int64_t begun = rig.now_us();
+    std::int64_t expected = rig.expect(rig.topology().gateways);
+    rig.start(rig.topology().all());
+    const bool up = all_whole(rig, expected, rig.topology().all(), 60);
+    const Reached first =
+        reached(rig.in_force("whole", expected), begun, hollow_of(rig, rig.topology().all()));
+    progress(rig, std::to_string(first.reached) + " of " + std::to_string(first.of) + " know of all");
+    // Whoever has joined listens for a wait; then the duties are claimed.
+    rig.pass(seconds_1 * 15);
+    rig.ask_real_gateways();
+    json results = json::array();
+    for (const Event& e : events())
+        if (std::find(names.begin(), names.end(), e.name) != names.end())
+            for (const EventResult& r : e.run(rig)) results.push_back(to_json(r));
+    expected = rig.expect(rig.topology().gateways);
+    const bool whole = all_whole(rig, expected, rig.topology().all(), 45);
+    return {{"gateways", rig.topology().gateways},
+            {"real_gateways", rig.settings().real_gateways},
+            {"sites", rig.topology().sites()},
+            {"caches", rig.topology().caches},
+            {"members", rig.settings().members},
+            {"processes", rig.processes()},
+            {"seed", rig.settings().seed},
+            {"term", rig.settings().term},
+            {"fleet_lines", rig.settings().fleet_lines},
+            {"all_came_up", up},
+            {"started", {{"of", first.of}, {"reached", first.reached}, {"last_s", first.last_s}}},
+            {"all_whole_at_end", whole},
+            {"end_state", same_state(rig)},
+            {"lookups", rig.lookups()},
+            {"registry", rig.registry_ledger()},
+            {"events", results}};
+}
+
+}  // namespace irismux::scale
--- /dev/null
+++ b/bench/scale/main.cpp
@@ -0,0 +1,107 @@
+// What control costs a fleet of many gateways: most of them hollow (lab/hollow_gateway.hpp), some real, each
+// with a relay on every link to the control machines.
+//
+//   scale run --gateways N [--real N] [--events A,B] [--program irismux] [--fleet-line TEXT]... --out FILE
+//   scale report FOLDER           FOLDER/scale.md and scale.svg from the figures in FOLDER/scale.json
+//
+// Loopback only; ends by itself and leaves nothing behind but its output.
+#include <CLI/CLI.hpp>
+
+#include <csignal>
+#include <filesystem>
+#include <fstream>
+#include <iostream>
+
+#include "base/log.hpp"
+#include "bench/scale/events.hpp"
+#include "bench/scale/output.hpp"
+#include "bench/scale/roles.hpp"
+
+namespace {
+
+using namespace irismux;
+using nlohmann::json;
+
+json read_runs(const std::string& path) {
+    std::ifstream in(path);
+    if (!in) return {{"runs", json::array()}};
+    return json::parse(in);
+}
+
+// A run of the same shape as an earlier one takes its place, event by event.
+void add_run(const std::string& path, json run) {
+    json all = read_runs(path);
+    for (json& old : all["runs"]) {
+        const auto same = [&](const char* key) { return old[key] == run[key]; };
+        if (!same("gateways") || !same("real_gateways") || !same("fleet_lines") || !same("term")) continue;
+        for (const json& kept : old["events"])
+            if (std::none_of(run["events"].begin(), run["events"].end(),
+                             [&](const json& e) { return e["event"] == kept["event"]; }))
+                run["events"].push_back(kept);
+        old = run;
+        std::ofstream(path) << all.dump(1) << '\n';
+        return;
+    }
+    all["runs"].push_back(run);
+    std::ofstream(path) << all.dump(1) << '\n';
+}
+
+int run(scale::RigSettings settings, const std::vector<std::string>& events, const std::string& out) {
+    try {
+        scale::Rig rig(settings);
+        const json result = scale::run_events(rig, events);
+        if (out.empty())
+            std::cout << result.dump(1) << '\n';
+        else
+            add_run(out, result);
+    } catch (const std::exception& e) {
+        return std::cerr << "scale: " << e.what() << '\n', 1;
+    }
+    return 0;
+}
+
+// FOLDER/scale.md and FOLDER/scale.svg, of FOLDER/scale.json and files besides it.
+int report(const std::string& folder) {
+    const json figures = read_runs(folder + "/scale.json");
+    if (figures["runs"].empty()) return std::cerr << "scale: no figures in " << folder << "/scale.json\n", 2;
+    std::ofstream(folder + "/scale.md") << scale::table(figures);
+    std::ofstream(folder + "/scale.svg") << scale::chart(figures);
+    return 0;
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+    std::signal(SIGPIPE, SIG_IGN);
+    log::show(log::Level::error);
+    CLI::App app("what control costs a fleet of many gateways", "scale");
+    app.require_subcommand(1);
+    scale::RigSettings settings;
+    settings.self = std::filesystem::read_symlink("/proc/self/exe").string();
+    settings.program = (std::filesystem::path(settings.self).parent_path() / "irismux").string();
+    std::vector<std::string> events = scale::event_names();
+    std::string out;
+    CLI::App* const running = app.add_subcommand("run", "one size through the events");
+    running->add_option("--gateways", settings.topology.gateways)->required();
+    running->add_option("--real", settings.real_gateways, "of them, processes of the program");
+    running->add_option("--caches", settings.topology.caches);
+    running->add_option("--events", events)->delimiter(',');
+    running->add_option("--program", settings.program);
+    running->add_option("--fleet-line", settings.fleet_lines,
+                        "one more line of [fleet] of each gateway; {site} stands for its site");
+    running->add_option("--term", settings.term);
+    running->add_option("--seed", settings.seed);
+    running->add_option("--out", out, "JSON that the run is added to; else it is printed");
+    std::string role, control;
+    std::size_t number = 0;
+    CLI::App* const being = app.add_subcommand("role", "one of the rig's processes; the rig starts it");
+    being->add_option("role", role)->required();
+    being->add_option("control", control)->required();
+    being->add_option("number", number)->required();
+    CLI::App* const reporting = app.add_subcommand("report", "tables and a chart from the figures measured");
+    reporting->add_option("folder", out)->required();
+    CLI11_PARSE(app, argc, argv);
+    if (reporting->parsed()) return report(out);
+    if (being->parsed()) return scale::run_role(role, control, number);
+    return run(settings, events, out);
+}
--- /dev/null
+++ b/bench/scale/output.cpp
@@ -0,0 +1,327 @@
+#include "bench/scale/output.hpp"
+
+#include <algorithm>
+#include <array>
+#include <cmath>
+#include <cstdio>
+#include <functional>
+#include <map>
+#include <set>
+#include <vector>
+
+#include "bench/scale/fit.hpp"
+
+namespace irismux::scale {
+namespace {
+
+using nlohmann::json;
+
+constexpr double budget_bytes = 15'000, budget_core = 0.017, budget_memory = 256e6;
+
+template <class... Values>
+std::string text(const char* form, Values... values) {
+    std::array<char, 1024> out;
+    std::snprintf(out.data(), out.size(), form, values...);
+    return out.data();
+}
+
+// Runs of one setting of [fleet]; the first is the program as it comes.
+struct Variant {
+    std::string name;
+    std::vector<json> runs;  // by size
+};
+
+std::vector<Variant> variants_of(const json& figures) {
+    std::map<std::string, Variant> by_name;
+    for (const json& run : figures.at("runs")) {
+        std::string name = "term " + run["term"].get<std::string>();
+        for (const json& line : run["fleet_lines"]) name += ", `" + line.get<std::string>() + '`';
+        by_name[name].name = name;
+        by_name[name].runs.push_back(run);
+    }
+    std::vector<Variant> all;
+    for (auto& [name, v] : by_name) {
+        std::sort(v.runs.begin(), v.runs.end(),
+                  [](const json& a, const json& b) { return a["gateways"] < b["gateways"]; });
+        all.push_back(std::move(v));
+    }
+    std::stable_sort(all.begin(), all.end(),
+                     [](const Variant& a, const Variant& b) { return a.name.size() < b.name.size(); });
+    return all;
+}
+
+const std::vector<std::string> order = {
+    "rest",      "purges",    "list_change", "bad_cache",   "bad_cache_quarter",
+    "zone_lost", "zone_back", "region_cut",  "region_back", "restart_all"};
+
+const json* event_of(const json& run, const std::string& name) {
+    for (const json& e : run["events"])
+        if (e["event"] == name) return &e;
+    return nullptr;
+}
+
+double hollow(const json& run) { return run["gateways"].get<double>() - run["real_gateways"].get<double>(); }
+
+// What is fitted: of all hollow gateways together, so that a part that each of them sends to each is a
+// square.
+struct Quantity {
+    std::string name, unit;
+    double scale;
+    std::function<double(const json& run, const json& event)> of;
+};
+
+const std::vector<Quantity>& quantities() {
+    static const std::vector<Quantity> all = {
+        {"bytes, mean", "KB/s", 1e-3,
+         [](const json&, const json& e) { return e["hollow"]["control_bytes"].get<double>(); }},
+        {"bytes, worst second", "KB/s", 1e-3,
+         [](const json& r, const json& e) {
+             return e["hollow"]["worst_second_bytes"].get<double>() * hollow(r);
+         }},
+        {"messages, mean", "1/s", 1,
+         [](const json&, const json& e) { return e["hollow"]["control_messages"].get<double>(); }},
+        {"processor of the gateways", "% of a core", 100,
+         [](const json& r, const json& e) { return e["processor_a_gateway"].get<double>() * hollow(r); }},
+        {"memory of the gateways", "MB", 1e-6,
+         [](const json& r, const json& e) { return e["memory_a_gateway"].get<double>() * hollow(r); }},
+    };
+    return all;
+}
+
+std::string reach_of(const json& event) {
+    std::string cells;
+    for (const auto& [what, x] : event["in_force"].items()) {
+        if (!cells.empty()) cells += "; ";
+        cells += text("%s: %.2f / %.2f / %.2f s", what.c_str(), x["median_s"].get<double>(),
+                      x["p99_s"].get<double>(), x["last_s"].get<double>());
+        if (x["reached"] != x["of"])
+            cells += text(" (%ld of %ld)", x["reached"].get<long>(), x["of"].get<long>());
+    }
+    return cells.empty() ? "-" : cells;
+}
+
+std::string table_of(const Variant& v, const std::string& name) {
+    std::string rows;
+    for (const json& run : v.runs) {
+        const json* const e = event_of(run, name);
+        if (!e) continue;
+        const json& h = (*e)["hollow"];
+        const auto f = [&](const char* key) { return h[key].get<double>(); };
+        rows += text("| %ld | %.1f | %.1f | %.2f | %.2f | %.2f | %.1f | %.1f | %.0f | %.3f | %.2f | ",
+                     run["gateways"].get<long>(), f("messages"), f("worst_second_messages"), f("bytes") / 1e3,
+                     f("worst_second_bytes") / 1e3, f("worst_gateway_second_bytes") / 1e3,
+                     f("control_bytes") / 1e3, f("busiest_machine_worst_bytes") / 1e3, f("control_messages"),
+                     (*e)["processor_a_gateway"].get<double>() * 100,
+                     (*e)["memory_a_gateway"].get<double>() / 1e6);
+        rows += reach_of(*e) + " |\n";
+    }
+    if (rows.empty()) return {};
+    std::string note;
+    for (const json& run : v.runs)
+        if (const json* const e = event_of(run, name); e && e->contains("note")) note = (*e)["note"];
+    return "\n### " + name + (note.empty() ? "" : " (at the largest size: " + note + ")") +
+           "\n\n| gateways | messages/s a gateway | worst second | KB/s a gateway | worst second | worst "
+           "gateway's second "
+           "| KB/s at all control machines | busiest one's worst second | messages/s at all control machines "
+           "| core a "
+           "gateway, % | memory a gateway, MB | in force: median / 99th / last |\n"
+           "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n" +
+           rows;
+}
+
+std::string channels_of(const Variant& v, const std::string& name) {
+    std::string rows;
+    for (const json& run : v.runs) {
+        const json* const e = event_of(run, name);
+        if (!e) continue;
+        rows += text("| %s | %ld |", name.c_str(), run["gateways"].get<long>());
+        for (const char* c : {"board", "list", "fleet", "transactions"})
+            rows += text(" %.0f |", (*e)["hollow"]["bytes_by_channel"].value(c, 0.0));
+        rows += '\n';
+    }
+    return rows;
+}
+
+std::string fits_of(const Variant& v) {
+    std::string rows;
+    for (const std::string& name : order)
+        for (const Quantity& q : quantities()) {
+            std::vector<Point> points;
+            for (const json& run : v.runs)
+                if (const json* const e = event_of(run, name))
+                    points.push_back({hollow(run), q.of(run, *e) * q.scale});
+            if (points.size() < 3) continue;
+            const QuadraticTest t = test_quadratic(points);
+            std::string residuals;
+            for (const double r : t.linear.residuals)
+                residuals += text("%s%.3g", residuals.empty() ? "" : ", ", r);
+            std::string squared;
+            for (const double r : t.quadratic.residuals)
+                squared += text("%s%.3g", squared.empty() ? "" : ", ", r);
+            const auto& l = t.linear.coefficients;
+            const auto& s = t.quadratic.coefficients;
+            rows += text("| %s | %s, %s | %.3g + %.3g n | %.3g + %.3g n + %.3g n² | ", name.c_str(),
+                         q.name.c_str(), q.unit.c_str(), l[0], l[1], s[0], s[1], s[2]);
+            rows += t.tested ? text("%.1f (%.1f) | %.0f%% | **%s** | ", t.t, t.critical,
+                                    t.part_at_largest * 100, t.quadratic_term() ? "quadratic" : "linear")
+                             : std::string("too few sizes | - | - | ");
+            rows += residuals + " | " + squared + " |\n";
+        }
+    if (rows.empty()) return {};
+    return "\n### Slopes\n\nLeast squares over all hollow gateways together (n of them). The term in n² "
+           "counts as there "
+           "where its t value is beyond the critical one (95%, two-sided, in brackets) and it makes a tenth "
+           "or more of the "
+           "fitted value at the largest size. Residuals in the order of the sizes.\n\n"
+           "| event | quantity | a + b n | a + b n + c n² | t of c | part of c n² at the largest | verdict | "
+           "residuals, "
+           "linear | residuals, quadratic |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n" +
+           rows;
+}
+
+std::string real_beside_hollow(const Variant& v) {
+    std::string rows;
+    for (const json& run : v.runs)
+        for (const std::string& name : order) {
+            const json* const e = event_of(run, name);
+            if (!e || !e->contains("real")) continue;
+            const auto both = [&](const char* key) {
+                const double real = (*e)["real"][key].get<double>(), h = (*e)["hollow"][key].get<double>();
+                const double off = h > 0 ? (real / h - 1) * 100 : 0;
+                return text(" %.1f | %.1f | %s%+.1f%%%s |", real, h, std::abs(off) > 5 ? "**" : "", off,
+                            std::abs(off) > 5 ? "**" : "");
+            };
+            rows += text("| %ld | %ld | %s |", run["gateways"].get<long>(), run["real_gateways"].get<long>(),
+                         name.c_str());
+            rows += both("bytes_out") + both("bytes_back") + both("messages");
+            rows += text(" %.2f | %.3f |\n", (*e)["processor_a_real_gateway"].get<double>() * 100,
+                         (*e)["processor_a_gateway"].get<double>() * 100);
+        }
+    if (rows.empty()) return {};
+    return "\n### Real gateways beside hollow ones\n\nA second and gateway, at the mean, under the same "
+           "events; more than 5% "
+           "apart in bold. The real ones serve lookups meanwhile, and their processor time is that of "
+           "both.\n\n"
+           "| gateways | of them real | event | bytes out, real | hollow | apart | bytes back, real | hollow "
+           "| apart | "
+           "messages, real | hollow | apart | core, real, % | hollow, % |\n"
+           "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n" +
+           rows;
+}
+
+std::string runs_of(const Variant& v) {
+    std::string rows;
+    for (const json& run : v.runs) {
+        std::size_t different = 0;
+        for (const auto& [what, n] : run["end_state"]["different"].items())
+            different += n.get<std::size_t>() > 1;
+        rows += text("| %ld | %ld | %ld | %ld | %s (%ld of %ld, last after %.1f s) | %s |\n",
+                     run["gateways"].get<long>(), run["real_gateways"].get<long>(),
+                     run["processes"].get<long>(), run["seed"].get<long>(),
+                     run["all_came_up"].get<bool>() ? "yes" : "**no**", run["started"]["reached"].get<long>(),
+                     run["started"]["of"].get<long>(), run["started"]["last_s"].get<double>(),
+                     different == 0 && run["all_whole_at_end"].get<bool>() ? "yes" : "**no**");
+    }
+    return "\n### Runs\n\n| gateways | of them real | processes of the rig | seed | all came up | all hollow "
+           "ones with the "
+           "same state at the end |\n| --- | --- | --- | --- | --- | --- |\n" +
+           rows;
+}
+
+}  // namespace
+
+std::string table(const json& figures) {
+    std::string out =
+        "# Control traffic by the number of gateways\n\nWritten by `scale report` from the figures in "
+        "[scale.json](scale.json), which `scale run` measured; not to be edited. Chart: "
+        "[scale.svg](scale.svg).\n\n"
+        "Real time, loopback, one machine: hollow gateways (the program's own classes of control, without "
+        "the data path) in "
+        "one process a site of 15, a relay from each gateway to each control machine, four members of a "
+        "registry in one "
+        "process (they share one history) and a notice board in another. 240 caches at every size. Bytes and "
+        "messages are "
+        "those that pass the relays, both ways, payload of TCP alone; a message is a request, an answer or "
+        "one line of a "
+        "watch. Processor time and memory are the system's, of the processes of the hollow gateways, less an "
+        "empty process "
+        "for the memory. A second is one of the clock; the worst one is that of all gateways together. "
+        "Budget a gateway: "
+        "15 KB/s, 1.7% of a core, 256 MB. The registry's members and the board are stand-ins: their "
+        "processor time says "
+        "nothing of real ones.\n";
+    for (const Variant& v : variants_of(figures)) {
+        out += "\n## " + v.name + "\n" + runs_of(v);
+        for (const std::string& name : order) out += table_of(v, name);
+        std::string channels;
+        for (const std::string& name : order) channels += channels_of(v, name);
+        out +=
+            "\n### Bytes a second and gateway, by what they are for\n\n| event | gateways | board | list of "
+            "caches | "
+            "fleet's records | transactions |\n| --- | --- | --- | --- | --- | --- |\n" +
+            channels;
+        out += fits_of(v) + real_beside_hollow(v);
+    }
+    return out;
+}
+
+std::string chart(const json& figures) {
+    constexpr double width = 560, height = 360, left = 70, top = 50, right = 190, bottom = 60;
+    const std::array<const char*, 10> colours = {"#1f77b4", "#ff7f0e", "#2ca02c", "#d62728", "#9467bd",
+                                                 "#8c564b", "#e377c2", "#7f7f7f", "#bcbd22", "#17becf"};
+    const std::vector<Variant> variants = variants_of(figures);
+    const std::array<std::pair<const char*, const char*>, 2> panels = {
+        {{"bytes", "KB a second and gateway, mean"},
+         {"worst_second_bytes", "KB a second and gateway, worst second"}}};
+    double most_n = 1;
+    for (const Variant& v : variants)
+        for (const json& run : v.runs) most_n = std::max(most_n, run["gateways"].get<double>());
+    const double step = left + width + right, row = top + height + bottom;
+    std::string out = text(
+        "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"%.0f\" height=\"%.0f\" font-family=\"sans-serif\" "
+        "font-size=\"12\">\n<rect width=\"100%%\" height=\"100%%\" fill=\"white\"/>\n",
+        step * 2, row * static_cast<double>(variants.size()));
+    for (std::size_t vn = 0; vn < variants.size(); ++vn)
+        for (std::size_t pn = 0; pn < panels.size(); ++pn) {
+            const Variant& v = variants[vn];
+            const double x0 = step * static_cast<double>(pn) + left, y0 = row * static_cast<double>(vn) + top;
+            double most = budget_bytes * 1.1;
+            for (const json& run : v.runs)
+                for (const json& e : run["events"])
+                    most = std::max(most, e["hollow"][panels[pn].first].get<double>() * 1.05);
+            const auto x = [&](double n) { return x0 + n / most_n * width; };
+            const auto y = [&](double value) { return y0 + height - value / most * height; };
+            out += text("<text x=\"%.0f\" y=\"%.0f\" font-weight=\"bold\">%s (%s)</text>\n", x0, y0 - 15,
+                        panels[pn].second, v.name.c_str());
+            out += text("<path d=\"M%.1f %.1f V%.1f H%.1f\" fill=\"none\" stroke=\"black\"/>\n", x0, y0,
+                        y0 + height, x0 + width);
+            for (int n = 0; n <= 4; ++n) {
+                const double value = most * n / 4, size = most_n * n / 4;
+                out += text("<text x=\"%.0f\" y=\"%.1f\" text-anchor=\"end\">%.1f</text>\n", x0 - 6,
+                            y(value) + 4, value / 1e3);
+                out += text("<text x=\"%.1f\" y=\"%.0f\" text-anchor=\"middle\">%.0f</text>\n", x(size),
+                            y0 + height + 18, size);
+            }
+            out += text("<text x=\"%.0f\" y=\"%.0f\" text-anchor=\"middle\">gateways</text>\n",
+                        x0 + width / 2, y0 + height + 38);
+            out += text(
+                "<path d=\"M%.1f %.1f H%.1f\" stroke=\"black\" stroke-dasharray=\"6 4\"/><text x=\"%.1f\" "
+                "y=\"%.1f\">budget, 15</text>\n",
+                x0, y(budget_bytes), x0 + width, x0 + width + 6, y(budget_bytes) - 6);
+            for (std::size_t n = 0; n < order.size(); ++n) {
+                std::string points;
+                for (const json& run : v.runs)
+                    if (const json* const e = event_of(run, order[n]))
+                        points += text("%.1f,%.1f ", x(run["gateways"].get<double>()),
+                                       y((*e)["hollow"][panels[pn].first].get<double>()));
+                if (points.empty()) continue;
+                out += text("<polyline points=\"%s\" fill=\"none\" stroke=\"%s\" stroke-width=\"2\"/>\n",
+                            points.c_str(), colours[n]);
+                out += text("<text x=\"%.0f\" y=\"%.0f\" fill=\"%s\">%s</text>\n", x0 + width + 70,
+                            y0 + 16 * static_cast<double>(n + 1), colours[n], order[n].c_str());
+            }
+        }
+    return out + "</svg>\n";
+}
+
+}  // namespace irismux::scale
--- /dev/null
+++ b/bench/scale/roles.cpp
@@ -0,0 +1,346 @@
+#include "bench/scale/roles.hpp"
+
+#include <csignal>
+#include <iostream>
+#include <memory>
+#include <set>
+#include <stdexcept>
+
+#include "base/log.hpp"
+#include "bench/scale/control_channel.hpp"
+#include "bench/scale/counting.hpp"
+#include "bench/scale/topology.hpp"
+#include "lab/fleet.hpp"
+#include "lab/hollow_gateway.hpp"
+#include "lab/registry.hpp"
+#include "lab/relay.hpp"
+#include "process/parts.hpp"
+
+namespace irismux::scale {
+namespace {
+
+using nlohmann::json;
+
+const Span ms = Span::micros(1000);
+
+Span milliseconds(const json& count) { return Span::micros(count.get<std::int64_t>() * 1000); }
+
+std::int64_t unix_us(Instant at) { return (at - Instant{}).micros(); }
+
+// What all roles have in common: a loop, and the channel over which each order is answered with its number.
+class Role {
+public:
+    virtual ~Role() = default;
+    void run(const std::string& control, const std::string& role, std::size_t number) {
+        channel_ = ControlChannel::connect(
+            loop_, control, [this](const json& order) { heard(order); }, [this] { loop_.stop(); });
+        channel_->say({{"hello", role}, {"number", number}});
+        loop_.run();
+    }
+
+protected:
+    virtual json obey(const json& order) = 0;
+    void say(const json& message) { channel_->say(message); }
+    Loop loop_;
+
+private:
+    void heard(const json& order) {
+        json answer = obey(order);
+        answer["done"] = order.at("id");
+        say(answer);
+    }
+    std::unique_ptr<ControlChannel> channel_;
+};
+
+// --- the registry ----------------------------------------------------------------------------------------
+
+// All members share one history, so they share one process; each has a listener and connections of its own.
+class RegistryRole final : public Role {
+    static constexpr std::int64_t most_history = 600;  // revisions kept, at least
+
+    json obey(const json& order) override {
+        if (order.contains("members")) {
+            registry_ = std::make_unique<lab::Registry>(loop_, order["members"].get<std::size_t>(),
+                                                        milliseconds(order["progress_ms"]));
+            registry_->settled = [this](const lab::Registry::Settled&) { compact(); };
+            json addresses = json::array();
+            for (std::size_t m = 0; m < order["members"].get<std::size_t>(); ++m)
+                addresses.push_back(registry_->address(m));
+            return {{"addresses", addresses}};
+        }
+        if (order.contains("put")) {
+            std::vector<std::pair<lab::RecordKey, std::optional<std::string>>> writes;
+            for (const auto& [key, value] : order["put"].items())
+                writes.emplace_back(lab::RecordKey{key},
+                                    value.is_null() ? std::nullopt : std::optional(value.get<std::string>()));
+            registry_->model.commit(writes);
+            registry_->publish();
+        }
+        return json{{"transactions", registry_->ledger.txns},
+                    {"reads", registry_->ledger.reads},
+                    {"watches", registry_->ledger.watches},
+                    {"connections", registry_->ledger.connections},
+                    {"revision", registry_->model.newest().raw()}};
+    }
+    void compact() {
+        auto& model = registry_->model;
+        if (model.newest().raw() - model.oldest().raw() > 2 * most_history)
+            model.compact(lab::Revision{model.newest().raw() - most_history});
+        if (registry_->ledger.asked.size() > 100'000) registry_->ledger.asked.clear();
+    }
+    std::unique_ptr<lab::Registry> registry_;
+};
+
+// --- the notice board ------------------------------------------------------------------------------------
+
+class BoardRole final : public Role {
+    json obey(const json& order) override {
+        if (order.contains("post")) board_.post_all(order["post"].get<std::vector<json>>());
+        return {{"address", board_.address()}};
+    }
+    lab::Board board_{loop_};
+};
+
+// --- relays ----------------------------------------------------------------------------------------------
+
+// For each of its gateways one to each control machine; counts what passes.
+class RelayRole final : public Role {
+    json obey(const json& order) override {
+        if (order.contains("targets")) {
+            json addresses = json::object();
+            for (const json& g : order["gateways"])
+                addresses[std::to_string(g.get<std::size_t>())] = add(g, order["targets"]);
+            tell();
+            return {{"addresses", addresses}};
+        }
+        for (const json& g : order.value("gateways", json::array()))
+            for (const auto& relay : relays_.at(g.get<std::size_t>())) change(*relay, order);
+        return json::object();
+    }
+    json add(std::size_t gateway, const json& targets) {
+        json addresses = json::array();
+        auto& all = relays_[gateway];
+        for (std::size_t machine = 0; machine < targets.size(); ++machine) {
+            auto relay = std::make_unique<lab::Relay>(loop_, targets[machine].get<std::string>());
+            relay->seen_on = [this, gateway, machine](std::uint64_t connection, lab::Way way,
+                                                      std::string_view bytes) {
+                auto& counter = counters_[{gateway, machine, connection}];
+                const Traffic traffic = counter.count(way, bytes);
+                rows_[{gateway, machine, counter.channel()}] += traffic;
+            };
+            relay->closed = [this, gateway, machine](std::uint64_t connection) {
+                counters_.erase({gateway, machine, connection});
+            };
+            addresses.push_back(relay->address());
+            all.push_back(std::move(relay));
+        }
+        return addresses;
+    }
+    static void change(lab::Relay& relay, const json& order) {
+        if (order.contains("cut")) relay.cut(order["cut"].get<bool>());
+        if (order.contains("down")) relay.down(order["down"].get<bool>());
+        if (order.contains("break")) relay.break_all();
+        for (const lab::Way way : {lab::Way::out, lab::Way::back}) {
+            if (order.contains("delay_ms")) relay.faults(way).delay = milliseconds(order["delay_ms"]);
+            if (order.contains("bytes_a_second"))
+                relay.faults(way).bytes_a_second = order["bytes_a_second"].get<std::size_t>();
+        }
+    }
+    // At each full second, what came within the last one.
+    void tell() {
+        const std::int64_t second = unix_us(loop_.now()) / 1'000'000;
+        if (told_ > 0 && second > told_) say(to_json(told_, std::exchange(rows_, {})));
+        told_ = second;
+        loop_.at(Instant{} + Span::micros((second + 1) * 1'000'000), [this] { tell(); });
+    }
+    std::map<std::size_t, std::vector<std::unique_ptr<lab::Relay>>> relays_;
+    std::map<std::tuple<std::size_t, std::size_t, std::uint64_t>, ConnectionCounter> counters_;
+    std::map<TrafficKey, Traffic> rows_;
+    std::int64_t told_ = 0;
+};
+
+// --- hollow gateways -------------------------------------------------------------------------------------
+
+class HollowRole final : public Role, public lab::HollowObserver {
+    struct Slot {
+        std::size_t number = 0;
+        lab::HollowSettings settings;
+        std::unique_ptr<lab::HollowGateway> gateway;
+        bool whole_told = false;
+        std::int64_t list_version = -1;
+    };
+    struct Expected {
+        std::int64_t id = 0;
+        std::size_t members = 0;
+        std::int64_t list_version = 0;
+        std::uint64_t purges = 0;
+    };
+
+    json obey(const json& order) override {
+        if (order.contains("gateways")) return set_up(order["gateways"]);
+        if (order.contains("start")) each(order["start"], [this](Slot& s) { start(s); });
+        if (order.contains("kill")) each(order["kill"], [](Slot& s) { s.gateway.reset(); });
+        if (order.contains("report_purges")) report_purges_ = order["report_purges"].get<bool>();
+        if (order.contains("mark")) mark(order);
+        if (order.contains("expect")) expect(order["expect"]);
+        if (order.contains("state")) return {{"state", state()}};
+        return json::object();
+    }
+    json set_up(const json& gateways) {
+        for (const json& g : gateways) {
+            Slot slot;
+            slot.number = g.at("number").get<std::size_t>();
+            slot.settings.name = g.at("name").get<std::string>();
+            slot.settings.seed = g.at("seed").get<std::uint64_t>();
+            slot.settings.board = g.at("board").get<std::string>();
+            const auto read = read_parts_text(g.at("parts").get<std::string>(), slot.settings.name);
+            if (const auto* why = std::get_if<std::string>(&read)) throw std::runtime_error(*why);
+            slot.settings.registry = std::get<Parts>(read).registry;
+            slot.settings.fleet = std::get<Parts>(read).fleet;
+            numbers_[slot.settings.name] = slot.number;
+            slots_[slot.number] = std::move(slot);
+        }
+        tick();
+        return json::object();
+    }
+    template <class Step>
+    void each(const json& numbers, Step step) {
+        for (const json& n : numbers)
+            if (const auto it = slots_.find(n.get<std::size_t>()); it != slots_.end()) step(it->second);
+    }
+    void start(Slot& slot) {
+        slot.gateway.reset();
+        slot.list_version = -1;
+        slot.whole_told = false;
+        slot.gateway = std::make_unique<lab::HollowGateway>(loop_, *this, slot.settings);
+        slot.gateway->start();
+    }
+    void mark(const json& order) {
+        trials_told_.clear();
+        const CacheId cache{order["mark"].get<std::string>()};
+        each(order["by"], [&](Slot& s) {
+            if (s.gateway) s.gateway->mark(cache, order["is"].get<bool>());
+        });
+    }
+    void expect(const json& e) {
+        expected_ = {e.at("id").get<std::int64_t>(), e.at("members").get<std::size_t>(),
+                     e.at("list").get<std::int64_t>(), e.at("purges").get<std::uint64_t>()};
+        for (auto& [number, slot] : slots_) slot.whole_told = false;
+    }
+    json state() const {
+        json all = json::object();
+        for (const auto& [number, slot] : slots_) {
+            if (!slot.gateway) continue;
+            const lab::HollowGateway& g = *slot.gateway;
+            all[std::to_string(number)] = {{"joined", g.joined()},
+                                           {"members", g.members_known()},
+                                           {"member_digest", g.member_digest()},
+                                           {"listed", g.list().size()},
+                                           {"list_version", slot.list_version},
+                                           {"purges", g.purges()},
+                                           {"purge_digest", g.purge_digest()}};
+        }
+        return all;
+    }
+
+    // lab::HollowObserver
+    void list_in_force(const std::string& gateway, Instant at) override {
+        Slot& slot = slots_.at(numbers_.at(gateway));
+        if (!slot.gateway) return;
+        std::int64_t version = 0;
+        // Versions of the list are written as the weight of its first cache, in thousandths.
+        const auto first = slot.gateway->list().find(CacheId{Topology::cache_name(0)});
+        if (first != slot.gateway->list().end())
+            version = static_cast<std::int64_t>(first->second.weight * 1000 + 0.5);
+        if (version <= slot.list_version) return;
+        slot.list_version = version;
+        force("list", slot.number, version, at);
+    }
+    void purge_in_force(const std::string& gateway, Instant purged_at, Instant at) override {
+        if (report_purges_) force("purge", numbers_.at(gateway), unix_us(purged_at) / 1000, at);
+    }
+    void trial_put_off(const std::string& gateway, const CacheId&, Instant at) override {
+        if (trials_told_.insert(gateway).second) force("trial", numbers_.at(gateway), 0, at);
+    }
+    void force(const char* kind, std::size_t gateway, std::int64_t id, Instant at) {
+        forced_.push_back({gateway, kind, id, unix_us(at)});
+    }
+
+    void tick() {
+        const Instant now = loop_.now();
+        for (auto& [number, slot] : slots_) {
+            if (!slot.gateway || slot.whole_told || expected_.id == 0) continue;
+            const lab::HollowGateway& g = *slot.gateway;
+            if (!g.joined() || g.members_known() != expected_.members ||
+                slot.list_version < expected_.list_version || g.purges() < expected_.purges)
+                continue;
+            slot.whole_told = true;
+            force("whole", number, expected_.id, now);
+        }
+        if (!forced_.empty() && now - said_ >= ms * 200) {
+            say({{"force", std::exchange(forced_, json::array())}});
+            said_ = now;
+        }
+        loop_.at(now + ms * 50, [this] { tick(); });
+    }
+
+    std::map<std::size_t, Slot> slots_;
+    std::map<std::string, std::size_t> numbers_;
+    std::set<std::string> trials_told_;
+    Expected expected_;
+    json forced_ = json::array();
+    Instant said_;
+    bool report_purges_ = false;
+};
+
+// --- far ends of the real gateways' data path ------------------------------------------------------------
+
+class DataRole final : public Role {
+    json obey(const json& order) override {
+        if (order.contains("caches")) {
+            json addresses = json::array();
+            for (const json& name : order["caches"]) {
+                caches_.push_back(std::make_unique<lab::Cache>(loop_, name.get<std::string>(), ms * 2));
+                addresses.push_back(caches_.back()->address());
+            }
+            return {{"addresses", addresses}};
+        }
+        if (order.contains("ask"))
+            for (const json& address : order["ask"]) {
+                clients_.push_back(std::make_unique<lab::Clients>(
+                    loop_, address.get<std::string>(), "pages",
+                    Span::micros(order["every_us"].get<std::int64_t>()), ms * 2000));
+                clients_.back()->start();
+            }
+        json counts = json::array();
+        for (const auto& c : clients_) {
+            c->took_ms.clear();
+            counts.push_back({c->asked, c->satisfied, c->nacked, c->failed});
+        }
+        return {{"lookups", counts}};
+    }
+    std::vector<std::unique_ptr<lab::Cache>> caches_;
+    std::vector<std::unique_ptr<lab::Clients>> clients_;
+};
+
+}  // namespace
+
+int run_role(const std::string& role, const std::string& control, std::size_t number) {
+    std::signal(SIGPIPE, SIG_IGN);
+    log::show(log::Level::error);
+    std::unique_ptr<Role> made;
+    if (role == "registry") made = std::make_unique<RegistryRole>();
+    if (role == "board") made = std::make_unique<BoardRole>();
+    if (role == "relay") made = std::make_unique<RelayRole>();
+    if (role == "hollow") made = std::make_unique<HollowRole>();
+    if (role == "data") made = std::make_unique<DataRole>();
+    if (!made) return std::cerr << "scale: no such role: " << role << '\n', 2;
+    try {
+        made->run(control, role, number);
+    } catch (const std::exception& e) {
+        return std::cerr << "scale: " << role << ' ' << number << ": " << e.what() << '\n', 1;
+    }
+    return 0;
+}
+
+}  // namespace irismux::scale
--- a/lab/fleet.cpp
+++ b/lab/fleet.cpp
@@ -12,6 +12,7 @@
 namespace {
 
 constexpr std::size_t most_kept = 4096;
+constexpr int most_waiting = 4096;  // to be accepted by a board
 
 void drop_ended(std::vector<std::shared_ptr<Wire>>& wires) {
     std::erase_if(wires, [](const auto& w) { return w->state() == LinkState::ended; });
@@ -79,28 +80,37 @@
 // ------------------------------------------------------------------------------------------------
 
 Board::Board(Loop& loop)
-    : loop_(loop), acceptor_(loop, [this](Poco::Net::StreamSocket s) {
-          drop_ended(wires_);
-          auto w = std::make_shared<Wire>(loop_, std::move(s));
-          w->got = [this, raw = std::weak_ptr<Wire>(w)](Buffer& in) {
-              const std::string said(in.view());
-              if (said.find("\r\n\r\n") == std::string::npos) return;
-              in.taken(said.size());
-              const std::size_t watch = said.find("watch="), linger = said.find("linger=");
-              if (watch == std::string::npos || linger == std::string::npos) return;
-              polls_.push_back({raw, std::atoll(said.c_str() + watch + 6),
-                                loop_.now() + Span::micros(std::atoll(said.c_str() + linger + 7) * 1000)});
-              answer();
-          };
-          wires_.push_back(w);
-          w->start();
-      }) {
+    : loop_(loop),
+      acceptor_(
+          loop,
+          [this](Poco::Net::StreamSocket s) {
+              drop_ended(wires_);
+              auto w = std::make_shared<Wire>(loop_, std::move(s));
+              w->got = [this, raw = std::weak_ptr<Wire>(w)](Buffer& in) {
+                  const std::string said(in.view());
+                  if (said.find("\r\n\r\n") == std::string::npos) return;
+                  in.taken(said.size());
+                  const std::size_t watch = said.find("watch="), linger = said.find("linger=");
+                  if (watch == std::string::npos || linger == std::string::npos) return;
+                  polls_.push_back(
+                      {raw, std::atoll(said.c_str() + watch + 6),
+                       loop_.now() + Span::micros(std::atoll(said.c_str() + linger + 7) * 1000)});
+                  answer();
+              };
+              wires_.push_back(w);
+              w->start();
+          },
+          most_waiting) {
     look_round();
 }
 
-std::int64_t Board::post(json event) {
-    event["rev"] = events_.size() + 1;
-    events_.push_back(std::move(event));
+std::int64_t Board::post(json event) { return post_all({std::move(event)}); }
+
+std::int64_t Board::post_all(std::vector<json> events) {
+    for (json& event : events) {
+        event["rev"] = events_.size() + 1;
+        events_.push_back(std::move(event));
+    }
     answer();
     return static_cast<std::int64_t>(events_.size());
 }
@@ -120,6 +130,8 @@
 void Board::answer() {
     if (silent) return;
     const auto newest = static_cast<std::int64_t>(events_.size());
+    // Those that watch from the same event are told the same: it is encoded once.
+    std::map<std::int64_t, std::string> encoded;
     for (const Poll& p : std::exchange(polls_, {})) {
         const auto w = p.wire.lock();
         if (!w || w->state() != LinkState::open) continue;
@@ -127,10 +139,14 @@
             polls_.push_back(p);
             continue;
         }
-        json some = json::array();
-        for (const json& e : events_)
-            if (e["rev"].get<std::int64_t>() > p.since) some.push_back(e);
-        const std::string body = json{{"rev", newest}, {"notices", some}}.dump();
+        const auto [it, fresh] = encoded.try_emplace(p.since);
+        std::string& body = it->second;
+        if (fresh) {
+            json some = json::array();
+            const auto told = std::clamp<std::int64_t>(p.since, 0, newest);  // events are numbered from one
+            for (auto e = events_.begin() + told; e != events_.end(); ++e) some.push_back(*e);
+            body = json{{"rev", newest}, {"notices", some}}.dump();
+        }
         w->out().append("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
                         body);
         w->say();
--- a/lab/fleet.hpp
+++ b/lab/fleet.hpp
@@ -50,6 +50,8 @@
     std::string address() const { return acceptor_.address(); }
     // One more event; numbered here. Returns its number.
     std::int64_t post(nlohmann::json event);
+    // As above, all at once: polls are answered with all of them.
+    std::int64_t post_all(std::vector<nlohmann::json> events);
     nlohmann::json known() const;  // all events, as a configuration brings them
     void break_connections();
     // The number from which the last poll watched.
--- /dev/null
+++ b/lab/hollow_gateway.hpp
@@ -0,0 +1,96 @@
+// A gateway without its data path: the program's own classes for control (the notice board's poll, the
+// registry's client, the fleet's member and its store) with its own connections, seed and store folder. No
+// lookups, no Router: what the Router would decide of a cache (that it is marked) is ordered from outside.
+//
+// Many share one loop and one process; each has connections of its own, as a gateway has.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <memory>
+#include <nlohmann/json.hpp>
+#include <optional>
+#include <string>
+
+#include "fleet/station.hpp"
+#include "registry/client.hpp"
+#include "state/roster.hpp"
+#include "wire/board.hpp"
+
+namespace irismux::lab {
+
+// What a hollow gateway goes by; the same as a configuration and a file of parts tell a real one.
+struct HollowSettings {
+    std::string name;
+    std::uint64_t seed = 1;
+    std::string board;                         // address
+    Span board_pause = Span::micros(400'000);  // after a failed poll
+    nlohmann::json known = {{"rev", 0},
+                            {"notices", nlohmann::json::array()}};  // what the board knew at the start
+    std::optional<registry::Settings> registry;                     // the list of caches; none: the board's
+    std::optional<fleet::Settings> fleet;
+};
+
+// Told when something has come into force at a hollow gateway.
+class HollowObserver {
+public:
+    virtual ~HollowObserver() = default;
+    virtual void list_in_force(const std::string& gateway, Instant at) = 0;
+    virtual void purge_in_force(const std::string& gateway, Instant purged_at, Instant at) = 0;
+    virtual void trial_put_off(const std::string& gateway, const CacheId& cache, Instant at) = 0;
+};
+
+class HollowGateway final : private Told, private registry::Knows, private fleet::Gate {
+public:
+    HollowGateway(Loop& loop, HollowObserver& observer, const HollowSettings& settings);
+    ~HollowGateway() override;
+    HollowGateway(const HollowGateway&) = delete;
+    HollowGateway& operator=(const HollowGateway&) = delete;
+
+    void start();
+    // As if its Router had found the cache to be silent, or answering again.
+    void mark(const CacheId& cache, bool is);
+    // From now on its looks at that cache are answered; others are not.
+    void cache_answers(const CacheId& cache, bool is);
+
+    // --- what is in force here
+    const std::map<CacheId, Listing>& list() const { return list_; }
+    std::uint64_t purges() const { return purges_; }              // told, those of a catch-up too
+    std::uint64_t purge_digest() const { return purge_digest_; }  // of all that were told, in any order
+    bool joined() const;
+    std::size_t members_known() const;    // itself among them once it has joined
+    std::uint64_t member_digest() const;  // of their names and starts
+    bool follows_list() const;
+    const fleet::Fellow* member() const { return station_ ? &station_->fellow() : nullptr; }
+
+private:
+    // Told, of the board
+    void list_told(const std::vector<ListLine>& lines, bool complete) override;
+    void purge_told(Instant at, GroupNo group, const std::optional<ObjectName>& object) override;
+    // registry::Knows
+    void list_told(Instant now, const std::vector<ListLine>& lines, bool complete) override;
+    void sight_told(Instant, registry::Sight, Instant) override {}
+    void remark(std::string_view) override {}
+    // fleet::Gate
+    bool look(const CacheId& cache) override;
+    void trial_from(const CacheId& cache, Instant at) override;
+    void duty_told(const fleet::DutyName&, fleet::Tenancy, fleet::EpochNo) override {}
+    void fleet_says(std::string_view, bool) override {}
+
+    void list_in_force(const std::vector<ListLine>& lines, bool complete);
+
+    Loop& loop_;
+    HollowObserver& observer_;
+    HollowSettings settings_;
+    Roster roster_;
+    std::map<CacheId, Listing> list_;
+    std::map<CacheId, bool> answers_;
+    std::uint64_t purges_ = 0, purge_digest_ = 0;
+    Board board_;
+    std::unique_ptr<registry::Client> registry_;
+    std::unique_ptr<fleet::Station> station_;
+    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+};
+
+}  // namespace irismux::lab
--- a/lab/process.cpp
+++ b/lab/process.cpp
@@ -139,6 +139,33 @@
     return fs::read_symlink(proc(id, "exe"), gone).string();
 }
 
+double processor_seconds(pid_t id) {
+    std::ifstream stat(proc(id, "stat"));
+    std::string line;
+    if (!std::getline(stat, line)) return 0;
+    // PID (NAME) STATE PPID ... UTIME STIME, the 14th and 15th; a name may hold anything.
+    std::istringstream rest(line.substr(std::min(line.size(), line.rfind(')') + 1)));
+    std::string passed_over;
+    for (int field = 3; field < 14; ++field) rest >> passed_over;
+    double user = 0, system = 0;
+    rest >> user >> system;
+    return (user + system) / static_cast<double>(::sysconf(_SC_CLK_TCK));
+}
+
+std::size_t resident_bytes(pid_t id) {
+    std::ifstream statm(proc(id, "statm"));
+    std::size_t all = 0, resident = 0;
+    statm >> all >> resident;
+    return resident * static_cast<std::size_t>(::sysconf(_SC_PAGESIZE));
+}
+
+std::size_t descriptors_of(pid_t id) {
+    std::error_code gone;
+    std::size_t n = 0;
+    for ([[maybe_unused]] const auto& entry : fs::directory_iterator(proc(id, "fd"), gone)) ++n;
+    return n;
+}
+
 bool maps(pid_t id, const std::string& part_of_name) {
     std::ifstream all(proc(id, "maps"));
     for (std::string line; std::getline(all, line);)
--- a/lab/process.hpp
+++ b/lab/process.hpp
@@ -50,6 +50,9 @@
 std::size_t threads_of(pid_t id);
 std::size_t children_of(pid_t id);
 std::string program_of(pid_t id);
+double processor_seconds(pid_t id);    // used so far, in user and system mode
+std::size_t resident_bytes(pid_t id);  // of its memory, in the machine's
+std::size_t descriptors_of(pid_t id);
 bool maps(pid_t id, const std::string& part_of_name);  // whether such a file is mapped into it
 
 }  // namespace irismux::lab
--- a/lab/registry.cpp
+++ b/lab/registry.cpp
@@ -12,6 +12,8 @@
 
 using nlohmann::json;
 
+constexpr int most_waiting = 4096;  // to be accepted by a member
+
 std::string coded(const std::string& bytes) {
     std::ostringstream out;
     Poco::Base64Encoder encoder(out);
@@ -85,7 +87,7 @@
             };
             w->start();
         },
-        256, at);
+        most_waiting, at);
     m.address = m.acceptor->address();
 }
 
@@ -205,7 +207,7 @@
 // Members that lag take part in transactions as all do: those are agreed on.
 json Registry::transact(std::size_t member, const json& asked) {
     ++ledger.txns;
-    const RegistryModel::State state = *model.at(model.newest());
+    const RegistryModel::State& state = *model.at(model.newest());
     const auto found = [](const RegistryModel::State& in, const std::string& key) {
         const auto it = in.find(RecordKey{key});
         return it == in.end() ? Record{} : it->second;
@@ -238,7 +240,7 @@
             done.writes.emplace_back(decoded(s["request_delete_range"], "key"), std::nullopt);
     }
     settled(done);
-    const RegistryModel::State after = *model.at(model.newest());
+    const RegistryModel::State& after = *model.at(model.newest());
     json responses = json::array();
     for (const json& s : steps) {
         if (s.contains("request_put")) responses.push_back({{"response_put", json::object()}});
@@ -268,40 +270,50 @@
         return !w || w->state() == LinkState::ended;
     });
     if (m.faults.silent) return;
+    // Watchers of the same prefix that are as far as each other get the same messages: encoded once.
+    std::map<std::pair<std::string, Revision>, std::optional<std::vector<std::string>>> encoded;
     for (Watcher& x : m.watchers) {
         const auto w = x.wire.lock();
-        const auto all = model.changes(x.next, shown(m));
-        if (w && !all) {
+        if (!w || x.next > shown(m)) continue;
+        const auto [it, fresh] = encoded.try_emplace({x.prefix, x.next});
+        if (fresh) it->second = messages(m, x.prefix, x.next);
+        if (!it->second) {
             // It fell behind for so long that what it waits for has been compacted.
             cancel(m, w);
             x.wire.reset();
+            continue;
         }
-        if (!w || !all || all->empty()) continue;
-        const json header = {{"cluster_id", model.cluster().raw()},
-                             {"revision", std::to_string(shown(m).raw())}};
-        json events = json::array();
-        const auto flush = [&](bool goes_on) {
-            json result = {{"header", header}, {"events", std::exchange(events, json::array())}};
-            if (goes_on) result["fragment"] = true;
-            stream(m, w, json{{"result", result}}.dump());
-        };
-        std::vector<Change> ours;
-        for (const Change& c : *all)
-            if (c.record.key.raw().compare(0, x.prefix.size(), x.prefix) == 0) ours.push_back(c);
         x.next = Revision{shown(m).raw() + 1};
-        for (std::size_t n = 0; n < ours.size(); ++n) {
-            json kv = ours[n].deleted ? json{{"key", coded(ours[n].record.key.raw())},
-                                             {"mod_revision", std::to_string(ours[n].record.modified.raw())}}
-                                      : kv_of(ours[n].record);
-            json event = {{"kv", kv}};
-            if (ours[n].deleted) event["type"] = "DELETE";
-            events.push_back(event);
-            const bool last = n + 1 == ours.size();
-            if (last ||
-                (m.faults.fragment > 0 && events.size() >= static_cast<std::size_t>(m.faults.fragment)))
-                flush(!last);
-        }
+        for (const std::string& message : *it->second) stream(m, w, message);
+    }
+}
+
+// What a watch of that prefix is told from that revision on; none: that is compacted.
+std::optional<std::vector<std::string>> Registry::messages(const Member& m, const std::string& prefix,
+                                                           Revision from) const {
+    const auto all = model.changes(from, shown(m));
+    if (!all) return std::nullopt;
+    std::vector<Change> ours;
+    for (const Change& c : *all)
+        if (c.record.key.raw().compare(0, prefix.size(), prefix) == 0) ours.push_back(c);
+    const json header = {{"cluster_id", model.cluster().raw()}, {"revision", std::to_string(shown(m).raw())}};
+    std::vector<std::string> made;
+    json events = json::array();
+    for (std::size_t n = 0; n < ours.size(); ++n) {
+        json kv = ours[n].deleted ? json{{"key", coded(ours[n].record.key.raw())},
+                                         {"mod_revision", std::to_string(ours[n].record.modified.raw())}}
+                                  : kv_of(ours[n].record);
+        json event = {{"kv", kv}};
+        if (ours[n].deleted) event["type"] = "DELETE";
+        events.push_back(event);
+        const bool last = n + 1 == ours.size();
+        if (!last && (m.faults.fragment <= 0 || events.size() < static_cast<std::size_t>(m.faults.fragment)))
+            continue;
+        json result = {{"header", header}, {"events", std::exchange(events, json::array())}};
+        if (!last) result["fragment"] = true;
+        made.push_back(json{{"result", result}}.dump());
     }
+    return made;
 }
 
 void Registry::publish() {
--- a/lab/registry.hpp
+++ b/lab/registry.hpp
@@ -85,6 +85,8 @@
     nlohmann::json transact(std::size_t member, const nlohmann::json& asked);
     void cancel(Member& m, const std::shared_ptr<Wire>& w);
     void feed(Member& m);
+    std::optional<std::vector<std::string>> messages(const Member& m, const std::string& prefix,
+                                                     Revision from) const;
     void progress();
     Revision shown(const Member& m) const;
 
--- a/lab/relay.cpp
+++ b/lab/relay.cpp
@@ -31,8 +31,12 @@
 }
 
 void Relay::taken(Poco::Net::StreamSocket socket) {
-    std::erase_if(pairs_, [](const PairPtr& p) { return p->over; });
+    std::erase_if(pairs_, [this](const PairPtr& p) {
+        if (p->over) closed(p->number);
+        return p->over;
+    });
     auto p = std::make_shared<Pair>();
+    p->number = ++last_number_;
     p->ends = {std::make_shared<Wire>(loop_, std::move(socket)), std::make_shared<Wire>(loop_)};
     pairs_.push_back(p);
     for (const Way w : {Way::out, Way::back}) {
@@ -53,6 +57,7 @@
 void Relay::came(const PairPtr& p, Way w, std::string bytes) {
     ++pieces_[no(w)];
     seen(w, bytes);
+    seen_on(p->number, w, bytes);
     if (p->over) return;
     Faults& f = faults(w);
     if (f.reset_in > 0 && bytes.size() >= f.reset_in) {
--- a/lab/relay.hpp
+++ b/lab/relay.hpp
@@ -2,6 +2,7 @@
 #pragma once
 
 #include <array>
+#include <cstdint>
 #include <deque>
 #include <functional>
 #include <memory>
@@ -38,10 +39,15 @@
 
     // Each piece as it comes in, before anything is done with it.
     std::function<void(Way, std::string_view)> seen = [](Way, std::string_view) {};
+    // As above, with the number of its connection, which is never given again.
+    std::function<void(std::uint64_t connection, Way, std::string_view)> seen_on = [](std::uint64_t, Way,
+                                                                                      std::string_view) {};
+    std::function<void(std::uint64_t connection)> closed = [](std::uint64_t) {};
     std::uint64_t pieces(Way w) const { return pieces_[static_cast<std::size_t>(w)]; }
 
 private:
     struct Pair {
+        std::uint64_t number = 0;
         std::array<std::shared_ptr<Wire>, 2> ends;  // the near one, the far one
         std::array<std::deque<std::string>, 2> held;
         std::array<Instant, 2> free;  // by then what was passed on before has gone
@@ -62,6 +68,7 @@
     std::array<Faults, 2> faults_;
     std::array<std::uint64_t, 2> pieces_{};
     std::vector<PairPtr> pairs_;
+    std::uint64_t last_number_ = 0;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
     std::string address_;
     std::unique_ptr<Acceptor> acceptor_;
