--- a/bench/scale/rig.cpp
+++ b/bench/scale/rig.cpp
@@ -336,6 +336,8 @@
     ask_all("hollow", {{"mark", cache}, {"is", is}, {"by", gateways}});
 }
 
+void Rig::change_marks_all_the_time(bool is) { ask_all("hollow", {{"change_marks", is}}); }
+
 std::vector<std::int64_t> Rig::purge(std::size_t count) {
     std::vector<std::int64_t> instants;
     json notices = json::array();
@@ -357,6 +359,13 @@
     return list_version_;
 }
 
+void Rig::lose_caches(std::size_t count, bool is) {
+    json writes = json::object();
+    for (std::size_t c = topology().caches - std::min(count, topology().caches); c < topology().caches; ++c)
+        writes[registry_prefix + Topology::cache_name(c)] = is ? json(nullptr) : json(list_line_of(c).dump());
+    ask(*all_of("registry").front(), {{"put", writes}});
+}
+
 void Rig::report_purges(bool is) { ask_all("hollow", {{"report_purges", is}}); }
 
 std::int64_t Rig::expect(std::size_t members) {
--- a/lab/registry.hpp
+++ b/lab/registry.hpp
@@ -33,6 +33,7 @@
     struct Ledger {
         int reads = 0, checks = 0, watches = 0, connections = 0, refused = 0, logins = 0;
         int txns = 0, held = 0;  // transactions, and those that wrote
+        std::uint64_t told = 0;  // changes, each as often as a watch was told of it
         std::vector<Instant> asked;
     };
 
@@ -85,8 +86,12 @@
     nlohmann::json transact(std::size_t member, const nlohmann::json& asked);
     void cancel(Member& m, const std::shared_ptr<Wire>& w);
     void feed(Member& m);
-    std::optional<std::vector<std::string>> messages(const Member& m, const std::string& prefix,
-                                                     Revision from) const;
+    // What a watch is told, and of how many changes.
+    struct Messages {
+        std::vector<std::string> texts;
+        std::size_t changes = 0;
+    };
+    std::optional<Messages> messages(const Member& m, const std::string& prefix, Revision from) const;
     void progress();
     Revision shown(const Member& m) const;
 
