--- a/src/fleet/station.hpp
+++ b/src/fleet/fleet_client.hpp
@@ -1,4 +1,4 @@
-// Carries a Fellow, and the duties that it may own, between the registry and the gateway, on the loop.
+// Carries an Agent, and the duties that it may own, between the registry and the gateway, on the loop.
 // Decides nothing: what is due and what it means is asked of the cores.
 //
 // The clock is CLOCK_BOOTTIME: it counts time during which the machine sleeps.
@@ -10,26 +10,26 @@
 #include <set>
 #include <string>
 
-#include "fleet/fellow.hpp"
-#include "fleet/roll.hpp"
+#include "fleet/agent.hpp"
+#include "fleet/garbage_collector.hpp"
+#include "fleet/health_watch.hpp"
+#include "fleet/record_mirror.hpp"
 #include "fleet/settings.hpp"
-#include "fleet/sweep.hpp"
-#include "fleet/vigil.hpp"
 #include "registry/client.hpp"
 #include "store/store.hpp"
 
 namespace irismux::fleet {
 
 // The gateway, as its station needs it. Not called from within a call of the station's.
-class Gate {
+class GatewayPort {
 public:
-    virtual ~Gate() = default;
+    virtual ~GatewayPort() = default;
     // Asks the cache for a sign of life, where that is permitted; the end is told by probed(). False: it is
     // not.
-    virtual bool look(const CacheId&) = 0;
+    virtual bool send_probe(const CacheId&) = 0;
     virtual void trial_from(const CacheId&, Instant by_loop) = 0;
-    virtual void duty_told(const DutyName&, Tenancy, EpochNo) = 0;  // of this gateway
-    virtual void fleet_says(std::string_view plain_line, bool trouble) = 0;
+    virtual void on_duty_state(const DutyName&, LeaseState, FencingToken) = 0;  // of this gateway
+    virtual void on_fleet_message(std::string_view plain_line, bool trouble) = 0;
 };
 
 // Where the records lie, behind the fleet's prefix. Signs of life stand apart: the watch passes them over.
@@ -37,14 +37,15 @@
 Key key_at(const std::string& path);
 std::string watched_prefix(const std::string& prefix);
 
-class Station final : private Asks,
-                      private Hears,
-                      private Looks,
-                      private registry::Replies,
-                      private registry::Knows {
+class FleetClient final : private RegistryPort,
+                          private AgentObserver,
+                          private ProbePort,
+                          private registry::Replies,
+                          private registry::Knows {
 public:
-    Station(Loop& loop, Gate& gate, const Settings& settings, std::string version, std::uint64_t seed);
-    ~Station() override;
+    FleetClient(Loop& loop, GatewayPort& gateway, const Settings& settings, std::string version,
+                std::uint64_t seed);
+    ~FleetClient() override;
 
     void start();
     // Stops acting, takes its records away, and lets go of its store, which a successor may open.
@@ -53,20 +54,20 @@
     void gone(const CacheId& cache) { marked(cache, false); }
     void probed(const CacheId&, bool answered);
     // Asked at the first byte of a look that has waited: whether the term still covers it.
-    bool may_look(const CacheId& cache) const;
+    bool may_probe(const CacheId& cache) const;
 
-    const Fellow& fellow() const { return fellow_; }
+    const Agent& agent() const { return agent_; }
 
 private:
     // Asks
-    void deal(const Deal&) override;
-    void wake(Instant at) override;
+    void submit(const Transaction&) override;
+    void schedule_wake(Instant at) override;
     // Hears
-    void tenancy_told(const DutyName&, Tenancy, EpochNo) override;
-    void work_told(const DutyName&, const Key&, Done) override;
+    void on_lease_state(const DutyName&, LeaseState, FencingToken) override;
+    void on_write_outcome(const DutyName&, const Key&, WriteOutcome) override;
     void remark(std::string_view plain_line) override;
     // Looks
-    void look(const CacheId&) override;
+    void send_probe(const CacheId&) override;
     void trial_from(const CacheId&, Instant) override;
     // registry::Replies, of deals
     void replied(int status, const std::string& body) override;
@@ -86,21 +87,21 @@
     void know_duties();
     void keep();
     void open_store();
-    Person person(const std::string& version);
+    MemberIdentity identity(const std::string& version);
 
     Loop& loop_;
-    Gate& gate_;
+    GatewayPort& gateway_;
     Settings settings_;
     std::optional<Store> store_;
     registry::Settings followed_;
-    Fellow fellow_;
-    Vigil vigil_;
-    Sweep sweep_;
-    Roll roll_;
+    Agent agent_;
+    HealthWatch health_watch_;
+    GarbageCollector garbage_collector_;
+    RecordMirror record_mirror_;
     registry::Revision told_;
     std::set<DutyName> duties_;
     registry::Asker asker_;
-    std::optional<Deal> out_;
+    std::optional<Transaction> out_;
     registry::MemberNo member_;
     registry::Client client_;
     Loop::Alarm wake_{}, go_on_{}, keep_{};
