--- a/src/fleet/agent.hpp
+++ b/src/fleet/agent.hpp
@@ -1,15 +1,18 @@
-// One gateway among its fellows: joins, gives signs of life, evicts those that give none, claims, hands on
-// and gives up duties, and writes on behalf of the fleet. Round Membership, Lease, Fence and Duties; no I/O,
-// no clock: the instant is that of the gateway's own steady clock and comes with each call.
+// One gateway as a member of its fleet: it joins, sends heartbeats, evicts members that send none, claims,
+// hands over and gives up duties, and writes on behalf of the fleet. It combines Membership, Lease, Fence and
+// Duties. No I/O and no clock: each call brings the instant of the gateway's own steady clock.
 //
-// One deal with the registry is out at a time. A deal is a transaction: it compares, and writes only if all
-// holds. An answer that does not come is neither yes nor no: the deal may have been done, may be done later,
-// or never; each deal compares enough that a late one does no harm, and the next look shows which it was.
+// One transaction is under way at a time. A missing answer is neither success nor failure: the transaction
+// may have landed, may land later, or never. Each compares enough for a late one to do no harm, and the next
+// read shows what became of it.
 //
-// Guarantees (premises in docs/fleet.md; may_act is judged at the instant given, never from before):
+// Guarantees (premises in docs/fleet.md; may_act() must be asked at the very instant of acting):
 //   1  at no instant may two members act on one duty
-//   2  a write on behalf of the fleet lands only while its writer owns the duty, by the registry's own order
-//   3  no epoch of a duty is given to two owners, across restores of the registry too
+//   2  a fenced write lands only while its writer owns the duty, in the registry's own order
+//   3  no fencing token of a duty is given to two owners, also across restores of the registry
+//
+// Source files: agent.cpp (events, one transaction at a time), agent_join.cpp, agent_heartbeat.cpp (with
+// evictions), agent_duties.cpp, agent_writes.cpp (with publications), agent_debug.cpp.
 #pragma once
 
 #include <deque>
@@ -23,112 +26,111 @@
 #include "fleet/duties.hpp"
 #include "fleet/fence.hpp"
 #include "fleet/membership.hpp"
+#include "fleet/transaction.hpp"
 
 namespace irismux::fleet {
 
-using Text = std::optional<std::string>;  // none: there is no such record
-using Entry = std::pair<Key, Text>;
-
-// Writes only if all that it holds is so; shows those records, as they are then, and if it fails all that it
-// compared.
-struct Transaction {
-    std::vector<Entry> compares;
-    std::vector<Entry> writes;
-    std::vector<Key> reads;
-};
-
-// What an Agent asks of its carrier. Each deal replaces the one before: answers to a former one must not be
-// told. Answers never come from within a call.
+// What an Agent needs of its carrier. Results are never delivered from within a call.
 class RegistryPort {
 public:
     virtual ~RegistryPort() = default;
+    // Replaces the transaction before, whose result must not be delivered any more.
     virtual void submit(const Transaction&) = 0;
-    virtual void schedule_wake(Instant at) = 0;  // one at a time
+    // Calls on_wake() at that instant; replaces the instant before.
+    virtual void schedule_wake(Instant at) = 0;
 };
 
-// What is written on behalf of the fleet, and what must be so besides the writer's owning the duty.
-struct FencedWrite {
-    std::vector<Entry> compares;
-    std::vector<Entry> writes;
-};
-
-enum class WriteOutcome { written, refused, unknown };
-
-// Who is told what comes of it.
+// Who is told about an Agent's leases and writes.
 class AgentObserver {
 public:
     virtual ~AgentObserver() = default;
     virtual void on_lease_state(const DutyName&, LeaseState, FencingToken) = 0;
     virtual void on_write_outcome(const DutyName&, const Key&, WriteOutcome) = 0;
+    // One line for the log.
     virtual void remark(std::string_view plain_line) = 0;
 };
 
-// A gateway's own part of the fleet's table.
+// What tells a member apart from all others.
 struct MemberIdentity {
     MemberName name;
-    InstanceId instance_id;        // drawn anew at each start
+    InstanceId instance_id;
     std::string version;           // of the program
-    Incarnation last_incarnation;  // the highest start that is known of that name; zero: none
+    Incarnation last_incarnation;  // the highest known of that name; zero: none
     Span answer_in = Span::micros(1'000'000);
-    bool spread = true;  // by chance: when signs of life go out, and whose are looked at
+    bool spread = true;  // heartbeats go out, and are read, at random; false in exhaustive models
 };
 
-// For how long a duty may have no owner after its owner has stopped, while the registry answers within
-// `answer` and the members counted on before the first that can claim are `places`. Holds for fleets that are
-// looked at whole; in larger ones a look comes by chance, and each round without one adds a round.
+// For how long at most a duty has no owner after its owner has stopped, if the registry answers within
+// `answer` and `places` live members stand before the first that can claim. Holds for fleets whose heartbeats
+// are all read each round; in larger ones each round in which the stopped owner's is not read adds a round.
 Span longest_without_owner(const SharedConfig& shared_config, Span answer, std::size_t places);
 
 class Agent {
 public:
     Agent(RegistryPort& registry, AgentObserver& observer, const SharedConfig& shared_config,
           MemberIdentity identity, std::uint64_t seed);
-    // The same at this instant, with other ports: for those who explore what may come of it.
-    Agent(const Agent& as_is, RegistryPort& registry, AgentObserver& observer);
+    // A copy of the state with other ports, for exhaustive exploration.
+    Agent(const Agent& other, RegistryPort& registry, AgentObserver& observer);
 
     void start(Instant now);
-    void leave(Instant now);  // stops acting, then takes its records away
-    // What this member knows of; an owner gives up what is not named any more. Of duties that are new here
-    // the records must be told once more.
+    // Stops acting at once, then removes this member's records.
+    void leave(Instant now);
+    // The duties that this member may own; one that is not named any more is given up. The records of duties
+    // that are new here must be delivered again through on_records().
     void set_duties(Instant now, const std::set<DutyName>& names);
-    // The caches that this gateway passes over; published at its own pace.
+    // The caches that this gateway passes over; published at most once a round.
     void set_marked_caches(Instant now, std::set<CacheId> caches);
-    // Records as a watch shows them; they may lag. Keys of no sort known here are passed over.
+
+    // Watched records as of a revision; they may lag behind transactions. `full_list`: they are all there
+    // are. Keys of unknown sorts are ignored.
     void on_records(Instant now, registry::Revision at, const std::vector<Entry>& records, bool full_list);
+    // `held`: the comparison succeeded and all is written. `shown`: see Transaction.
     void on_transaction_result(Instant now, registry::Revision at, bool held,
                                const std::vector<Entry>& shown);
-    void on_no_answer(Instant now);  // the deal may have been done, or not, or may be done yet
+    // The transaction may have landed, may still land, or never.
+    void on_no_answer(Instant now);
     void on_wake(Instant now);
 
+    // Whether this member owns the duty at that instant.
     bool may_act(Instant now, const DutyName&) const;
+    // As may_act(), and the lease runs for long enough to begin something new.
     bool may_begin(Instant now, const DutyName&) const;
+    // The token of the duty's newest known record; zero: none.
     FencingToken token_of(const DutyName&) const;
-    // Whether an order that another gives under that epoch is to be heeded.
+    // Whether an order that another member gives as that holder is to be obeyed.
     bool accepts(const DutyName& duty, const Holder& holder) { return fence_.accepts(duty, holder); }
-    // Written if the duty is still ours when it lands; the answer is told. False: not ours, or too many wait.
+    // Writes if the duty is still owned when the write lands; the observer is told the outcome. False: the
+    // duty is not owned, or too many writes wait.
     bool write_fenced(Instant now, const DutyName&, const Key&, const std::string& value);
-    // As above; the answer names the key.
-    bool write_fenced(Instant now, const DutyName&, const Key&, FencedWrite write_request);
+    // As above; the outcome names `key`.
+    bool write_fenced(Instant now, const DutyName&, const Key& key, FencedWrite write_request);
 
     const Membership& membership() const { return membership_; }
     const Duties& duties() const { return duties_; }
     Fence& fence() { return fence_; }
-    Incarnation incarnation() const { return start_; }
-    Instance self() const { return {identity_.name, start_}; }
-    const Text& floor() const { return floor_; }
-    // Whether that very instance is a member, as far as is known; those that can't be read are.
+    Incarnation incarnation() const { return incarnation_; }
+    Instance self() const { return {identity_.name, incarnation_}; }
+    // The record below which no removed duty may be claimed, as known.
+    const Text& floor() const { return token_floor_; }
+    // Whether that very instance is a member, as far as is known. One whose record can't be parsed counts.
     bool is_member(const Instance&) const;
-    std::string debug_state(Instant now) const;  // all that it goes by, times relative to now
+    // The whole state as text, instants relative to `now`: equal texts, equal behaviour.
+    std::string debug_state(Instant now) const;
 
 private:
-    enum class Step {
+    // Only for the copy with other ports.
+    Agent(const Agent&) = default;
+
+    // What the transaction under way is for.
+    enum class Purpose {
         none,
         read_own_records,
-        found,
+        found_fleet,
         join,
         heartbeat,
         publish,
         claim,
-        yield,
+        give_up,
         evict,
         write,
         leave
@@ -139,41 +141,68 @@
         FencedWrite write_request;
     };
 
+    // agent.cpp
     void advance(Instant now);
-    void begin_join(Instant now);
-    bool next_duty(Instant now);
-    bool next_eviction(Instant now);
-    bool next_publication(Instant now);
-    bool next_write(Instant now);
-    void finish_write(WriteOutcome done);
-    void submit(Instant now, Step step, Transaction transaction);
+    void submit_next(Instant now);
+    void schedule_next(Instant now);
+    void submit(Instant now, Purpose purpose, Transaction transaction);
+    void back_off(Instant now);
+    double random_fraction();  // from 0 to 1
+    void on_full_list(Instant now, const std::vector<Entry>& records);
+    void learn(Instant now, registry::Revision at, const std::vector<Entry>& shown);
+
+    // agent_join.cpp
     void read_own_records(Instant now);
+    void on_own_records(Instant now, registry::Revision at, const std::vector<Entry>& shown);
+    void on_own_instance_found(Instant now, Incarnation incarnation, const Text& member,
+                               const Text& heartbeat);
+    void wait_for_name(Instant now, const Text& member, const Text& heartbeat);
     void join(Instant now, const Text& member, const Text& heartbeat);
+    void submit_leave(Instant now);
+    void drop_membership(Instant now, std::string_view why);
+    void remark_once(const std::string& line);
+    MemberRecord own_record() const;
+
+    // agent_heartbeat.cpp
     void send_heartbeat(Instant now);
-    void learn(Instant now, registry::Revision at, const std::vector<Entry>& shown);
+    void on_heartbeat_landed(Instant now);
+    void check_own_heartbeat(Instant now, const std::vector<Entry>& shown);
+    HeartbeatRecord next_heartbeat_record();
+    std::vector<Key> heartbeats_to_read(Instant now);
+    Entry own_heartbeat() const { return {heartbeat_key(identity_.name), heartbeat_text_}; }
+    bool reads_all_heartbeats() const;
+    bool next_eviction(Instant now);
+
+    // agent_duties.cpp
     void on_duty_record(const DutyName&, const Duties::Duty&);
-    void on_own_heartbeat_shown(Instant now, const Text& heartbeat);
-    void on_own_records(Instant now, const std::vector<Entry>& shown);
+    void on_lower_token(const DutyName&, FencingToken shown, FencingToken seen);
+    void update_leases(Instant now);
+    bool next_duty(Instant now);
+    bool advance_duty(Instant now, const DutyName&, Duties::Duty&);
     void claim_duty(Instant now, const DutyName&, const Duties::Duty&);
     void give_up_duty(Instant now, const DutyName&, Duties::Duty&);
-    void out(Instant now, std::string_view why);
-    void update_leases(Instant now);
-    void back_off(Instant now);
-    double random_fraction();  // by chance, up to 1
     LeaseConditions lease_conditions(Instant now, const DutyName&, const Duties::Duty&) const;
     bool owned_here(const Duties::Duty&) const;
+    bool holds_lease(Instant now, const Duties::Duty&) const;
     bool unowned(const Duties::Duty&) const;
     FencingToken next_token(const DutyName&, const Duties::Duty&) const;
-    FencingToken refused_elsewhere(const DutyName&) const;
-    bool holds_lease(Instant now, const Duties::Duty&) const;
-    // Of this member in the duty's order, over those that are counted on; 0 is the first.
+    FencingToken highest_refused_by_others(const DutyName&) const;
+    // Live members that come before this one in the duty's order; `settled`: only those that have been in for
+    // long enough to be handed a duty.
     std::size_t rank(Instant now, const DutyName&, const Duties::Duty&, bool settled) const;
-    std::vector<Key> heartbeats_to_read(Instant now);
-    Entry own_heartbeat() const { return {heartbeat_key(identity_.name), heartbeat_text_}; }
-    MemberRecord own_record() const;
 
-    RegistryPort& registry_;
-    AgentObserver& observer_;
+    // agent_writes.cpp
+    bool next_publication(Instant now);
+    bool next_write(Instant now);
+    void finish_write(WriteOutcome outcome);
+
+    // agent_debug.cpp
+    std::string debug_peers(Instant now) const;
+    std::string debug_duties(Instant now) const;
+    std::string debug_age(Instant now, Instant since) const;
+
+    RegistryPort* registry_;
+    AgentObserver* observer_;
     SharedConfig shared_config_;
     MemberIdentity identity_;
     std::ranlux24_base random_;
@@ -181,33 +210,35 @@
     Duties duties_;
     Fence fence_;
 
-    Incarnation start_;
+    Incarnation incarnation_;
     HeartbeatNumber last_heartbeat_;
-    Text heartbeat_text_;                       // the newest of ours that the registry is known to hold
-    Text record_;                               // our member record, as last written
-    std::map<DutyName, FencingToken> refused_;  // to be published, or published already
-    bool started_ = false, leaving_ = false;
-
-    Step step_ = Step::none;
-    Transaction out_;                // the deal at hand
-    DutyName at_;                    // the duty that it is about
-    HeartbeatNumber heartbeat_out_;  // the sign of life that it carries
-    Instant answer_due_;             // no answer by then
-    Instant next_submit_;            // nothing is asked before
-    Instant next_heartbeat_, next_yield_;
-    int unanswered_ = 0;  // in a row
-
-    std::set<Key>
-        unsettled_keys_;  // what deals without an answer were about; shown with the next sign of life
-
-    bool join_out_ = false;                        // a join went out, and what came of it is not known
-    std::optional<std::pair<Text, Text>> former_;  // who has our name: its record and its sign of life
-    Instant former_since_;
-    std::string last_remark_;  // the last remark on why we are not in
+    Text heartbeat_text_;                              // our newest that the registry is known to hold
+    Text record_text_;                                 // our member record, as last written
+    std::map<DutyName, FencingToken> refused_tokens_;  // to be published, or published already
+    bool started_ = false;
+    bool leaving_ = false;
+
+    Purpose purpose_ = Purpose::none;
+    Transaction transaction_;  // the one under way
+    HeartbeatNumber heartbeat_in_transaction_;
+    Instant answer_due_;   // of the one under way
+    Instant next_submit_;  // nothing is submitted before
+    Instant next_heartbeat_;
+    Instant next_give_up_;  // no duty is handed back before
+    int unanswered_ = 0;    // transactions in a row
+
+    // Records written by transactions without an answer; read with the next heartbeat.
+    std::set<Key> unsettled_keys_;
+
+    bool join_unanswered_ = false;  // a join went out, and its result is not known
+    // Member record and heartbeat of another instance that holds our name, and since when they are unchanged.
+    std::optional<std::pair<Text, Text>> name_holder_;
+    Instant name_holder_since_;
+    std::string last_remark_;  // on why we are not in
     std::deque<PendingWrite> pending_writes_;
-    Text floor_;
-    registry::Revision floor_at_;
-    std::set<CacheId> marks_;
+    Text token_floor_;
+    registry::Revision token_floor_at_;
+    std::set<CacheId> marked_caches_;
     Instant next_publication_;
 };
 
--- /dev/null
+++ b/src/fleet/agent_heartbeat.cpp
@@ -0,0 +1,91 @@
+// Own heartbeats, reading those of others, and the eviction of members that send none.
+#include <algorithm>
+
+#include "fleet/agent.hpp"
+#include "fleet/agent_timing.hpp"
+
+namespace irismux::fleet {
+namespace {
+
+// Part of a round by which heartbeats are brought forward at random.
+constexpr double heartbeat_spread = 0.2;
+
+}  // namespace
+
+void Agent::send_heartbeat(Instant now) {
+    Span pause = membership_.round();
+    if (identity_.spread) pause = pause * (1 - heartbeat_spread * random_fraction());
+    next_heartbeat_ = now + pause;
+    const std::string heartbeat = serialize(next_heartbeat_record());
+    membership_.sent(now, heartbeat_in_transaction_);
+    std::vector<Key> reads = heartbeats_to_read(now);
+    reads.insert(reads.end(), unsettled_keys_.begin(), unsettled_keys_.end());
+    submit(now, Purpose::heartbeat,
+           {{own_heartbeat()}, {{heartbeat_key(identity_.name), heartbeat}}, std::move(reads)});
+}
+
+HeartbeatRecord Agent::next_heartbeat_record() {
+    last_heartbeat_ = HeartbeatNumber{last_heartbeat_.raw() + 1};
+    heartbeat_in_transaction_ = last_heartbeat_;
+    return {incarnation_, identity_.instance_id, last_heartbeat_};
+}
+
+void Agent::on_heartbeat_landed(Instant now) {
+    heartbeat_text_ = transaction_.writes.back().second;
+    membership_.confirmed(now, heartbeat_in_transaction_);
+    unsettled_keys_.clear();
+}
+
+// A transaction failed. If it shows another heartbeat under our name, a later one of ours has landed without
+// an answer, or we are not a member any more.
+void Agent::check_own_heartbeat(Instant now, const std::vector<Entry>& shown) {
+    const Key own = heartbeat_key(identity_.name);
+    const auto it = std::find_if(shown.begin(), shown.end(), [&](const Entry& e) { return e.first == own; });
+    if (!membership_.in() || it == shown.end() || it->second == heartbeat_text_) return;
+    const Text& text = it->second;
+    const auto record = text ? read_heartbeat(*text) : std::nullopt;
+    const bool ours = record && record->instance_id == identity_.instance_id && record->start == incarnation_;
+    if (ours && record->number > membership_.last()) {
+        heartbeat_text_ = text;
+        return membership_.confirmed(now, record->number);
+    }
+    drop_membership(now, ours ? "the registry has gone back: joining anew" : "evicted: joining anew");
+}
+
+bool Agent::reads_all_heartbeats() const {
+    return membership_.peers().size() <= heartbeats_read_at_random + most_overdue_heartbeats_read;
+}
+
+std::vector<Key> Agent::heartbeats_to_read(Instant now) {
+    const auto& peers = membership_.peers();
+    std::set<Key> keys;
+    for (const auto& [name, peer] : peers) {
+        const bool overdue = peer.observed && now - peer.unchanged_since > membership_.round();
+        if (reads_all_heartbeats() || (overdue && keys.size() < most_overdue_heartbeats_read))
+            keys.insert(heartbeat_key(name));
+    }
+    for (std::size_t n = 0; n < heartbeats_read_at_random && keys.size() < peers.size(); ++n) {
+        auto it = peers.begin();
+        std::advance(it, static_cast<std::ptrdiff_t>(random_() % peers.size()));
+        keys.insert(heartbeat_key(it->first));
+    }
+    return {keys.begin(), keys.end()};
+}
+
+// Compares the very heartbeat that was found unchanged: one that has landed since makes the eviction fail.
+bool Agent::next_eviction(Instant now) {
+    if (membership_.listening(now)) return false;
+    for (const auto& [name, peer] : membership_.peers()) {
+        if (!membership_.evictable(peer)) continue;
+        const Key member = member_key(name);
+        const Key heartbeat = heartbeat_key(name);
+        submit(now, Purpose::evict,
+               {{own_heartbeat(), {member, peer.text}, {heartbeat, peer.heartbeat_text}},
+                {{member, std::nullopt}, {heartbeat, std::nullopt}},
+                {}});
+        return true;
+    }
+    return false;
+}
+
+}  // namespace irismux::fleet
--- /dev/null
+++ b/src/fleet/agent_join.cpp
@@ -0,0 +1,118 @@
+// Joining the fleet and leaving it.
+#include <algorithm>
+
+#include "fleet/agent.hpp"
+
+namespace irismux::fleet {
+namespace {
+
+// Longest part of another fleet's shared configuration that a log line repeats.
+constexpr std::size_t most_quoted = 200;
+
+const Text& value_of(const std::vector<Entry>& shown, const Key& key) {
+    static const Text none;
+    const auto it = std::find_if(shown.begin(), shown.end(), [&](const Entry& e) { return e.first == key; });
+    return it == shown.end() ? none : it->second;
+}
+
+}  // namespace
+
+void Agent::read_own_records(Instant now) {
+    submit(now, Purpose::read_own_records,
+           {{}, {}, {shared_config_key(), member_key(identity_.name), heartbeat_key(identity_.name)}});
+}
+
+void Agent::on_own_records(Instant now, registry::Revision at, const std::vector<Entry>& shown) {
+    // All earlier incarnations of that name are below the registry's revision, also those without a record.
+    identity_.last_incarnation = std::max(identity_.last_incarnation, Incarnation{at.raw()});
+    next_submit_ = now + membership_.round();
+    const std::string own_config = serialize(shared_config_);
+    const Text& config = value_of(shown, shared_config_key());
+    const Text& member = value_of(shown, member_key(identity_.name));
+    const Text& heartbeat = value_of(shown, heartbeat_key(identity_.name));
+    if (!config)
+        return submit(now, Purpose::found_fleet,
+                      {{{shared_config_key(), std::nullopt}}, {{shared_config_key(), own_config}}, {}});
+    if (*config != own_config)
+        return remark_once("the fleet there goes by other articles, " + config->substr(0, most_quoted) +
+                           ": this gateway stays out");
+    if (!member && !heartbeat) return join(now, member, heartbeat);
+    const auto record = member ? read_member(*member) : std::nullopt;
+    if (record) identity_.last_incarnation = std::max(identity_.last_incarnation, record->start);
+    if (record && record->instance_id == identity_.instance_id)
+        return on_own_instance_found(now, record->start, member, heartbeat);
+    wait_for_name(now, member, heartbeat);
+}
+
+// A join of ours has landed whose answer was lost, or the registry has been restored to a state with a former
+// join of ours.
+void Agent::on_own_instance_found(Instant now, Incarnation incarnation, const Text& member,
+                                  const Text& heartbeat) {
+    const auto record = heartbeat ? read_heartbeat(*heartbeat) : std::nullopt;
+    const bool own_join = join_unanswered_ && incarnation == incarnation_ && record &&
+                          record->instance_id == identity_.instance_id;
+    if (!own_join) return join(now, member, heartbeat);
+    join_unanswered_ = false;
+    heartbeat_text_ = heartbeat;
+    membership_.confirmed(now, record->number);
+}
+
+// Another instance holds the name: our former process, which is dead, or another gateway. Only waiting for
+// its next heartbeat tells which.
+void Agent::wait_for_name(Instant now, const Text& member, const Text& heartbeat) {
+    const std::pair<Text, Text> holder{member, heartbeat};
+    if (name_holder_ == holder) {
+        if (now - name_holder_since_ >= membership_.wait()) join(now, member, heartbeat);
+        return;
+    }
+    if (name_holder_ && name_holder_->first == member)
+        remark_once("the name " + identity_.name.raw() +
+                    " is held by another living gateway: this one stays out until that has left");
+    name_holder_ = holder;
+    name_holder_since_ = now;
+}
+
+void Agent::join(Instant now, const Text& member, const Text& heartbeat) {
+    identity_.last_incarnation = Incarnation{identity_.last_incarnation.raw() + 1};
+    incarnation_ = identity_.last_incarnation;
+    record_text_ = serialize(own_record());
+    join_unanswered_ = true;
+    duties_.forget_given_up();
+    next_submit_ = now;
+    const std::string first_heartbeat = serialize(next_heartbeat_record());
+    membership_.sent(now, heartbeat_in_transaction_);
+    const Key own = member_key(identity_.name);
+    const Key own_heartbeat = heartbeat_key(identity_.name);
+    submit(now, Purpose::join,
+           {{{shared_config_key(), serialize(shared_config_)}, {own, member}, {own_heartbeat, heartbeat}},
+            {{own, record_text_}, {own_heartbeat, first_heartbeat}},
+            {}});
+}
+
+void Agent::submit_leave(Instant now) {
+    const Key own = member_key(identity_.name);
+    submit(now, Purpose::leave,
+           {{own_heartbeat()}, {{own, std::nullopt}, {heartbeat_key(identity_.name), std::nullopt}}, {}});
+}
+
+void Agent::drop_membership(Instant now, std::string_view why) {
+    membership_.out();
+    membership_.forget_waits();
+    name_holder_.reset();
+    join_unanswered_ = false;
+    unsettled_keys_.clear();
+    for (const PendingWrite& write : std::exchange(pending_writes_, {}))
+        observer_->on_write_outcome(write.duty, write.key, WriteOutcome::refused);
+    observer_->remark(why);
+    update_leases(now);
+}
+
+void Agent::remark_once(const std::string& line) {
+    if (std::exchange(last_remark_, line) != line) observer_->remark(line);
+}
+
+MemberRecord Agent::own_record() const {
+    return {incarnation_, identity_.instance_id, identity_.version, refused_tokens_, marked_caches_};
+}
+
+}  // namespace irismux::fleet
--- /dev/null
+++ b/src/fleet/agent_writes.cpp
@@ -0,0 +1,58 @@
+// What a member writes besides its membership: publications of its own record, and fenced writes on behalf of
+// the fleet.
+#include <algorithm>
+
+#include "fleet/agent.hpp"
+
+namespace irismux::fleet {
+namespace {
+
+constexpr std::size_t most_pending_writes = 64;
+// A publication is delivered to all members: one a round in a fleet of up to so many, fewer in larger ones.
+constexpr std::size_t members_per_publication_round = 64;
+
+}  // namespace
+
+bool Agent::next_publication(Instant now) {
+    const std::string wanted = serialize(own_record());
+    if (record_text_ == wanted || now < next_publication_) return false;
+    const double rounds =
+        static_cast<double>(membership_.peers().size()) / static_cast<double>(members_per_publication_round);
+    next_publication_ = now + membership_.round() * std::max(1.0, rounds);
+    const Key own = member_key(identity_.name);
+    submit(now, Purpose::publish, {{own_heartbeat(), {own, record_text_}}, {{own, wanted}}, {}});
+    return true;
+}
+
+bool Agent::write_fenced(Instant now, const DutyName& duty, const Key& key, const std::string& value) {
+    return write_fenced(now, duty, key, FencedWrite{{}, {{key, value}}});
+}
+
+bool Agent::write_fenced(Instant now, const DutyName& duty, const Key& key, FencedWrite write_request) {
+    if (!may_begin(now, duty) || pending_writes_.size() >= most_pending_writes) return false;
+    pending_writes_.push_back({duty, key, std::move(write_request)});
+    advance(now);
+    return true;
+}
+
+bool Agent::next_write(Instant now) {
+    while (!pending_writes_.empty() && !may_act(now, pending_writes_.front().duty))
+        finish_write(WriteOutcome::refused);
+    if (pending_writes_.empty()) return false;
+    const PendingWrite& write = pending_writes_.front();
+    const auto& [compares, writes] = write.write_request;
+    // The fence: our own newest heartbeat, and the duty's record as it was claimed.
+    Transaction transaction{
+        {own_heartbeat(), {duty_key(write.duty), duties_.all().at(write.duty).text}}, writes, {}};
+    transaction.compares.insert(transaction.compares.end(), compares.begin(), compares.end());
+    submit(now, Purpose::write, std::move(transaction));
+    return true;
+}
+
+void Agent::finish_write(WriteOutcome outcome) {
+    const PendingWrite write = std::move(pending_writes_.front());
+    pending_writes_.pop_front();
+    observer_->on_write_outcome(write.duty, write.key, outcome);
+}
+
+}  // namespace irismux::fleet
