--- a/src/fleet/agent_duties.cpp
+++ b/src/fleet/agent_duties.cpp
@@ -99,9 +99,9 @@
     if (!duty.text) fence_.forget(name);
     if (!duty.record || duty.record->owner.raw().empty()) return;
     const Holder holder{duty.record->token, duty.record->owner, duty.record->start};
-    const FencingToken seen = fence_.against(name, holder);
+    const FencingToken seen = fence_.conflicting_token(name, holder);
     if (seen != FencingToken{}) return on_lower_token(name, holder.token, seen);
-    fence_.shown(name, holder);
+    fence_.on_record(name, holder);
     refused_tokens_.erase(name);
 }
 
--- a/src/fleet/duties.hpp
+++ b/src/fleet/duties.hpp
@@ -1,5 +1,5 @@
-// Which duties there are and who is to have which: highest random weight over the members' names, so that one
-// member's loss moves its own duties and no others. No I/O.
+// The duties of a fleet and the order of its members for each: rendezvous hashing (highest random weight), so
+// that the loss of one member moves only that member's duties. No I/O.
 #pragma once
 
 #include <map>
@@ -15,41 +15,43 @@
 
 class Duties {
 public:
+    // One duty as this member knows it.
     struct Duty {
-        std::optional<std::string> text;  // the newest record known
-        std::optional<DutyRecord> record;
-        registry::Revision at;
-        bool known = false;
-        bool wanted = true;                    // false: it is let go of as soon as it has been given up
-        std::optional<Instance> released;      // who is to leave it to others
-        std::optional<Instant> unowned_since;  // nobody owns it, as far as is known
-        FencingToken given_up;                 // records that name us up to here are not heeded
-        Lease lease;
+        std::optional<std::string> text;       // of the newest record known
+        std::optional<DutyRecord> record;      // none: there is none, or it can't be parsed
+        registry::Revision at;                 // of that record
+        bool known = false;                    // a record, or that there is none, has been shown
+        bool wanted = true;                    // false: it is removed as soon as it has been given up
+        std::optional<Instance> released;      // an operator wants this instance to leave it to others
+        std::optional<Instant> unowned_since;  // none: it is owned, as far as is known
+        FencingToken given_up;                 // records that name us with a token up to this are ignored
+        Lease lease;                           // of this member
     };
 
-    // Records of duties that nobody here knows are left alone. False: there are too many, and some are not
-    // taken up.
+    // The duties that are wanted; records of any others are ignored. False: there are too many, and some are
+    // not taken up.
     bool set_names(const std::set<DutyName>& names);
-    // What was given up of it is remembered: a record that comes late may still name us.
+    // The token given up is remembered, since a late record may still name us.
     void remove(const DutyName&);
-    // None of what was given up can be shown any more: from here on this member has another start number.
+    // For a new incarnation: no record can name it with a token given up before.
     void forget_given_up() { given_up_.clear(); }
     std::map<DutyName, Duty>& all() { return all_; }
     const std::map<DutyName, Duty>& all() const { return all_; }
-    // What a record shows. Whether the duty is one of ours and that was news.
+    // A record as of that revision; older ones than known are ignored. True: the duty is wanted, and the
+    // record was news.
     bool record(registry::Revision at, const DutyName&, const std::optional<std::string>& text);
-    // A whole list follows: older revisions count again, and what is not in it is not there.
+    // All records follow, of a possibly lower revision; duties that are not listed have no record.
     void on_full_list(const std::set<DutyName>& listed);
 
-    // Whether one comes before the other in the duty's order.
+    // Whether one member comes before the other in the duty's order.
     static bool precedes(const DutyName&, const MemberName& one, const MemberName& other);
-    // Place of `self` in the duty's order over itself and the others that are counted on; 0 is the first.
+    // Rank of `self` in the duty's order among itself and the others; 0 is the first.
     static std::size_t rank(const DutyName&, const MemberName& self, const std::vector<MemberName>& others);
 
 private:
     static constexpr std::size_t most = 4096;
     std::map<DutyName, Duty> all_;
-    std::map<DutyName, FencingToken> given_up_;  // of duties let go of
+    std::map<DutyName, FencingToken> given_up_;  // of removed duties
 };
 
 }  // namespace irismux::fleet
--- a/src/fleet/fence.cpp
+++ b/src/fleet/fence.cpp
@@ -6,14 +6,14 @@
 
 using nlohmann::json;
 
-FencingToken Fence::against(const DutyName& duty, const Holder& holder) const {
+FencingToken Fence::conflicting_token(const DutyName& duty, const Holder& holder) const {
     const auto it = seen_.find(duty);
     if (it == seen_.end() || holder.token > it->second.token || holder == it->second) return FencingToken{};
     return it->second.token;
 }
 
 bool Fence::accepts(const DutyName& duty, const Holder& holder) {
-    return (seen_.contains(duty) || holder.token > forgotten_) && shown(duty, holder);
+    return (seen_.contains(duty) || holder.token > forgotten_) && on_record(duty, holder);
 }
 
 void Fence::forget(const DutyName& duty) {
@@ -23,8 +23,8 @@
     seen_.erase(it);
 }
 
-bool Fence::shown(const DutyName& duty, const Holder& holder) {
-    if (holder.token == FencingToken{} || against(duty, holder) != FencingToken{}) return false;
+bool Fence::on_record(const DutyName& duty, const Holder& holder) {
+    if (holder.token == FencingToken{} || conflicting_token(duty, holder) != FencingToken{}) return false;
     if (seen_.size() >= most_ && !seen_.contains(duty)) return false;
     seen_[duty] = holder;
     return true;
@@ -57,7 +57,7 @@
         forgotten_ = std::max(forgotten_, it->second.token);
         read.erase(it);
     }
-    for (const auto& [duty, h] : read) shown(duty, h);
+    for (const auto& [duty, h] : read) on_record(duty, h);
     return true;
 }
 
--- a/src/fleet/fence.hpp
+++ b/src/fleet/fence.hpp
@@ -1,13 +1,14 @@
-// The refusal of epochs below one that has been seen, whatever showed it. No I/O.
+// Refuses fencing tokens below one that has been seen. No I/O.
 //
-// What has been swept from the registry is let go of here, too, so that nothing grows with names ever seen;
-// of a duty that is not known, an order counts only above all that was let go of, until the registry itself
-// shows the duty.
+// Duties whose records were removed from the registry are forgotten, so that the memory does not grow with
+// names ever seen. An order for an unknown duty counts only above all forgotten tokens, until the registry
+// itself shows the duty.
 //
-// Guarantee: of one duty this member never accepts an epoch lower than one that it has accepted, nor one
-// number under two owners; also after a restart, if what kept() gave is told to kept_was(). Premise: what is
-// kept is not lost with the machine; where it is, a member starts with no memory, which is safe for ownership
-// (the registry's transactions keep that) and costs the refusal of a restored registry's old epochs.
+// Guarantee: for one duty this member never accepts a token lower than one that it has accepted, nor one
+// token under two owners; also after a restart, if restore() is given what serialize() returned. Premise: the
+// stored state is not lost with the machine. Without it a member starts with no memory, which is safe for
+// ownership (the registry's transactions ensure that) but does not refuse the old tokens of a restored
+// registry.
 #pragma once
 
 #include <map>
@@ -19,6 +20,7 @@
 
 namespace irismux::fleet {
 
+// Who holds a duty under which token.
 struct Holder {
     FencingToken token;
     MemberName owner;
@@ -28,25 +30,27 @@
 
 class Fence {
 public:
-    // Epochs of more duties than that are refused: nothing grows with names ever seen.
+    // Tokens of more duties than `most` are refused.
     explicit Fence(std::size_t most = 4096) : most_(most) {}
 
-    // Whether an order under that epoch is to be heeded; if so, lower ones never are again.
+    // Whether an order under that token is to be obeyed; if so, no lower one is ever again.
     bool accepts(const DutyName& duty, const Holder& holder);
-    // As accepts(), for what the registry's own record says.
-    bool shown(const DutyName& duty, const Holder& holder);
-    // Its record has been swept: whoever owns it next does so above it.
+    // As accepts(), for the registry's own record.
+    bool on_record(const DutyName& duty, const Holder& holder);
+    // The duty's record has been removed: its next owner has a higher token.
     void forget(const DutyName& duty);
-    // The epoch that stands against this one; zero: none does.
-    FencingToken against(const DutyName& duty, const Holder& holder) const;
+    // The token seen because of which this holder is refused; zero: none.
+    FencingToken conflicting_token(const DutyName& duty, const Holder& holder) const;
+    // The highest token seen of that duty; zero: none.
     FencingToken highest(const DutyName& duty) const;
 
-    std::string serialize() const;         // for the store
-    bool restore(std::string_view bytes);  // false: it can't be read, and nothing was learnt
+    std::string serialize() const;
+    // False: it can't be parsed, and nothing has changed.
+    bool restore(std::string_view bytes);
 
 private:
     std::size_t most_;
-    FencingToken forgotten_;  // the highest of those let go of
+    FencingToken forgotten_;  // the highest of forgotten duties
     std::map<DutyName, Holder> seen_;
 };
 
--- a/src/fleet/garbage_collector.cpp
+++ b/src/fleet/garbage_collector.cpp
@@ -4,68 +4,81 @@
 
 DutyName garbage_collection_duty() { return DutyName{"sweep"}; }
 
-// What takes that record away if it is litter, and what must still be so when it lands.
+namespace {
+
+// A comparison that holds only while that instance is no member; none: it is one, as far as is known.
+std::optional<Entry> absence_of(const Instance& who, const RecordMirror& record_mirror, const Agent& agent) {
+    if (agent.is_member(who)) return std::nullopt;
+    const Key member = member_key(who.name);
+    return Entry{member, record_mirror.at(member)};
+}
+
+}  // namespace
+
+// The write that removes the record if it is garbage, comparing what makes it garbage.
 std::optional<FencedWrite> GarbageCollector::removal(const Key& key, const std::string& text,
                                                      const RecordMirror& record_mirror,
                                                      const Agent& agent) const {
-    const Entry as_is{key, text}, away{key, std::nullopt};
-    const auto gone = [&](const Instance& who) -> std::optional<Entry> {
-        if (agent.is_member(who)) return std::nullopt;
-        const Key member = member_key(who.name);
-        return Entry{member, record_mirror.at(member)};
-    };
-    if (const auto duty = duty_of(key); duty && watched_cache_of(*duty)) {
-        const auto record = read_duty(text);
-        if (!record || agent.duties().all().contains(*duty)) return std::nullopt;
-        FencedWrite c{{as_is, {floor_key(), agent.floor()}}, {away}};
-        if (!record->owner.raw().empty()) {
-            const auto owner = gone({record->owner, record->start});
-            if (!owner) return std::nullopt;
-            c.compares.push_back(*owner);
-        }
-        const FencingToken floor = agent.floor() ? read_floor(*agent.floor()) : FencingToken{};
-        if (record->token > floor) c.writes.emplace_back(floor_key(), serialize_floor(record->token));
-        return c;
-    }
+    const Entry unchanged{key, text}, removed{key, std::nullopt};
+    if (const auto duty = duty_of(key); duty && watched_cache_of(*duty))
+        return duty_removal(key, text, *duty, record_mirror, agent);
     if (released_duty_of(key)) {
-        const auto who = read_release(text);
-        if (!who) return std::nullopt;
-        const auto member = gone(*who);
-        return member ? std::optional(FencedWrite{{as_is, *member}, {away}}) : std::nullopt;
+        const auto instance = read_release(text);
+        const auto absence = instance ? absence_of(*instance, record_mirror, agent) : std::nullopt;
+        if (!absence) return std::nullopt;
+        return FencedWrite{{unchanged, *absence}, {removed}};
     }
     if (const auto cache = probed_cache_of(key)) {
         const Key duty = duty_key(health_watch_duty(*cache));
         if (record_mirror.at(duty)) return std::nullopt;
-        return FencedWrite{{as_is, {duty, std::nullopt}}, {away}};
+        return FencedWrite{{unchanged, {duty, std::nullopt}}, {removed}};
     }
     return std::nullopt;
 }
 
-// Once a pass: what has lain there for long enough.
-void GarbageCollector::look_over(Instant now, const RecordMirror& record_mirror, const Agent& agent) {
-    std::map<Key, Lying> lying;
+// The token of a removed duty goes into the floor, so that no later owner gets it again.
+std::optional<FencedWrite> GarbageCollector::duty_removal(const Key& key, const std::string& text,
+                                                          const DutyName& duty,
+                                                          const RecordMirror& record_mirror,
+                                                          const Agent& agent) const {
+    const auto record = read_duty(text);
+    if (!record || agent.duties().all().contains(duty)) return std::nullopt;
+    FencedWrite write{{{key, text}, {floor_key(), agent.floor()}}, {{key, std::nullopt}}};
+    if (!record->owner.raw().empty()) {
+        const auto absence = absence_of({record->owner, record->start}, record_mirror, agent);
+        if (!absence) return std::nullopt;
+        write.compares.push_back(*absence);
+    }
+    const FencingToken floor = agent.floor() ? read_floor(*agent.floor()) : FencingToken{};
+    if (record->token > floor) write.writes.emplace_back(floor_key(), serialize_floor(record->token));
+    return write;
+}
+
+// Once a pass: finds the records that have been garbage for long enough.
+void GarbageCollector::scan(Instant now, const RecordMirror& record_mirror, const Agent& agent) {
+    std::map<Key, Candidate> candidates;
     ready_.clear();
     for (const auto& [key, text] : record_mirror.records()) {
         if (!removal(key, text, record_mirror, agent)) continue;
-        const auto known = litter_.find(key);
-        const bool same = known != litter_.end() && known->second.text == text;
+        const auto known = candidates_.find(key);
+        const bool same = known != candidates_.end() && known->second.text == text;
         const Instant since = same ? known->second.since : now;
-        lying[key] = {text, since};
-        if (now - since >= rests_) ready_.insert(key);
+        candidates[key] = {text, since};
+        if (now - since >= minimum_age_) ready_.insert(key);
     }
-    litter_ = std::move(lying);
-    looked_over_ = true;
+    candidates_ = std::move(candidates);
+    scanned_ = true;
 }
 
 std::optional<FencedWrite> GarbageCollector::next(Instant now, const RecordMirror& record_mirror,
                                                   const Agent& agent) {
-    if (out_ || now < next_) return std::nullopt;
+    if (write_under_way_ || now < next_) return std::nullopt;
     const Text former = record_mirror.at(collection_progress_key());
     CollectionProgress place =
         former ? read_collection_progress(*former).value_or(CollectionProgress{}) : CollectionProgress{};
     // A successor goes on with the pass that it finds; what the one before has dealt with is not there any
     // more.
-    if (!looked_over_) look_over(now, record_mirror, agent);
+    if (!scanned_) scan(now, record_mirror, agent);
     std::optional<FencedWrite> write_request;
     Key at;
     while (!ready_.empty() && !write_request) {
@@ -82,16 +95,16 @@
     place.token = agent.token_of(garbage_collection_duty());
     place.by = agent.self();
     write_request->writes.emplace_back(collection_progress_key(), serialize(place));
-    out_ = true;
+    write_under_way_ = true;
     return write_request;
 }
 
 // What was refused or may not have landed is looked for again in the next pass, from the records as they are
 // then.
 void GarbageCollector::told(Instant now, WriteOutcome) {
-    out_ = false;
+    write_under_way_ = false;
     if (!ends_pass_) return;
-    looked_over_ = false;
+    scanned_ = false;
     next_ = now + every_;
 }
 
--- a/src/fleet/garbage_collector.hpp
+++ b/src/fleet/garbage_collector.hpp
@@ -1,13 +1,13 @@
-// Takes away what dead members left behind: a duty of the fleet, so one at a time does it. No I/O.
+// Removes records that dead members left behind. It is a duty of the fleet, so one member at a time does it.
+// No I/O.
 //
-//   duty/watch/…   that nobody owns any more and this member does not know of; its epoch goes into the floor
-//   aside/…        about an instance that has gone
-//   seen/…         of a watch that is no more
+//   duty/watch/...  of an unowned health watch that this member does not want; its token goes into the floor
+//   aside/...       a release that names an instance which is gone
+//   seen/...        a probe result of a health watch without a record
 //
-// Nothing is taken that has not stood there unchanged, and as litter, for two waits by this owner's own
-// clock. Each removal is one transaction with the place that has been reached, so that a successor goes on
-// behind it, and whatever was half done is done or undone, by one of them. Other duties' records stay: their
-// names are few.
+// A record is removed only after it has stood unchanged as garbage for a minimum age by this owner's clock.
+// Each removal is one transaction together with the position reached in the pass, so that the next owner
+// continues behind it. Records of other duties stay: their names are few.
 #pragma once
 
 #include <map>
@@ -20,34 +20,41 @@
 
 namespace irismux::fleet {
 
-DutyName garbage_collection_duty();  // the duty's name
+DutyName garbage_collection_duty();
 
 class GarbageCollector {
 public:
-    // A pass begins `every` after the one before, as this owner sees it.
-    GarbageCollector(Span every, Span rests) : every_(every), rests_(rests) {}
+    // A pass begins `every` after the end of the one before, by this owner's clock.
+    GarbageCollector(Span every, Span minimum_age) : every_(every), minimum_age_(minimum_age) {}
 
-    // What to write next, if anything is due. One chore is out at a time; its end is told.
+    // The next write, if one is due. One is under way at a time.
     std::optional<FencedWrite> next(Instant now, const RecordMirror& record_mirror, const Agent& agent);
-    void told(Instant now, WriteOutcome done);
+    // The outcome of that write.
+    void told(Instant now, WriteOutcome outcome);
+    // When next() has something to do again, if nothing is under way.
     Instant due() const { return next_; }
 
 private:
+    // Garbage as it was first seen.
+    struct Candidate {
+        std::string text;
+        Instant since;
+    };
+
     std::optional<FencedWrite> removal(const Key& key, const std::string& text,
                                        const RecordMirror& record_mirror, const Agent& agent) const;
 
-    Span every_, rests_;
-    void look_over(Instant now, const RecordMirror& record_mirror, const Agent& agent);
+    std::optional<FencedWrite> duty_removal(const Key& key, const std::string& text, const DutyName& duty,
+                                            const RecordMirror& record_mirror, const Agent& agent) const;
+    void scan(Instant now, const RecordMirror& record_mirror, const Agent& agent);
 
-    bool out_ = false, ends_pass_ = false;
+    Span every_, minimum_age_;
+    bool write_under_way_ = false;
+    bool ends_pass_ = false;  // that write
     Instant next_;
-    std::set<Key> ready_;  // to be taken in this pass
-    bool looked_over_ = false;
-    struct Lying {
-        std::string text;
-        Instant since;
-    };
-    std::map<Key, Lying> litter_;  // as many as there are records
+    std::set<Key> ready_;                  // to be removed in this pass
+    bool scanned_ = false;                 // in this pass
+    std::map<Key, Candidate> candidates_;  // at most as many as there are records
 };
 
 }  // namespace irismux::fleet
--- a/src/fleet/health_watch.cpp
+++ b/src/fleet/health_watch.cpp
@@ -5,10 +5,11 @@
 namespace irismux::fleet {
 namespace {
 
-constexpr std::size_t watched_by_least = 2;
-// Of the pace of looks: for how long a finding counts. One may be lost and the next be late.
-constexpr double counts_for = 2.5;
-// Answers in a row that make a cache well: a process that has just come up may fall again.
+// Members that mark a cache before it is watched.
+constexpr std::size_t least_marks = 2;
+// For how many probe intervals a result counts: one may be lost and the next be late.
+constexpr double result_counts_for = 2.5;
+// Answers in a row that make a cache well: a process that has just started may fail again.
 constexpr std::int64_t well_after = 2;
 constexpr std::int64_t most_counted = 1'000'000;
 constexpr std::size_t most_watched = 1024;
@@ -24,38 +25,38 @@
 }
 
 const std::set<CacheId>& HealthWatch::watched(const Agent& agent) {
-    std::map<CacheId, std::size_t> held;
-    for (const CacheId& c : marks_) ++held[c];
-    for (const auto& [name, o] : agent.membership().peers())
-        for (const CacheId& c : o.member.marks) ++held[c];
+    std::map<CacheId, std::size_t> mark_counts;
+    for (const CacheId& c : marks_) ++mark_counts[c];
+    for (const auto& [name, peer] : agent.membership().peers())
+        for (const CacheId& c : peer.member.marks) ++mark_counts[c];
     std::set<CacheId> now_watched;
-    for (const auto& [cache, times] : held)
-        if ((times >= watched_by_least || watched_.contains(cache)) && now_watched.size() < most_watched)
+    for (const auto& [cache, count] : mark_counts)
+        if ((count >= least_marks || watched_.contains(cache)) && now_watched.size() < most_watched)
             now_watched.insert(cache);
     watched_ = std::move(now_watched);
     std::erase_if(probes_, [&](const auto& l) { return !watched_.contains(l.first); });
     return watched_;
 }
 
-void HealthWatch::on_probe_result(Instant now, const CacheId& cache, const ProbeResult& f,
+void HealthWatch::on_probe_result(Instant now, const CacheId& cache, const ProbeResult& result,
                                   const Agent& agent) {
     if (!marks_.contains(cache)) return;
-    if (!f.well) {
+    if (!result.well) {
         well_.erase(cache);
-        return port_.trial_from(cache, now + look_every_ * counts_for);
+        return port_.trial_from(cache, now + look_every_ * result_counts_for);
     }
-    if (f.streak < well_after || !well_.insert(cache).second) return;
-    // One after the other, so that what comes back is not met by all at once.
+    if (result.streak < well_after || !well_.insert(cache).second) return;
+    // One gateway after the other, so that a cache that comes back does not meet all of them at once.
     std::vector<MemberName> others;
-    for (const auto& [name, o] : agent.membership().peers())
-        if (o.member.marks.contains(cache)) others.push_back(name);
-    const auto place = static_cast<double>(Duties::rank(health_watch_duty(cache), agent.self().name, others));
-    port_.trial_from(cache, now + look_every_ * (place / static_cast<double>(others.size() + 1)));
+    for (const auto& [name, peer] : agent.membership().peers())
+        if (peer.member.marks.contains(cache)) others.push_back(name);
+    const auto rank = static_cast<double>(Duties::rank(health_watch_duty(cache), agent.self().name, others));
+    port_.trial_from(cache, now + look_every_ * (rank / static_cast<double>(others.size() + 1)));
 }
 
 bool HealthWatch::may_probe(Instant now, const CacheId& cache, const Agent& agent) const {
     const auto it = probes_.find(cache);
-    return it != probes_.end() && it->second.out && agent.may_act(now, health_watch_duty(cache));
+    return it != probes_.end() && it->second.under_way && agent.may_act(now, health_watch_duty(cache));
 }
 
 void HealthWatch::not_permitted(Instant now, const CacheId& cache, Agent& agent) {
@@ -73,21 +74,21 @@
             probes_.erase(cache);
             continue;
         }
-        Probe& l = probes_[cache];
-        if (now >= l.next) {
+        Probe& probe = probes_[cache];
+        if (now >= probe.next) {
             on_probe_done(now, cache, false, agent);
-            l.next = now + look_every_;
-            l.out = true;
+            probe.next = now + look_every_;
+            probe.under_way = true;
             port_.send_probe(cache);
         }
-        due_ = std::min(due_, l.next);
+        due_ = std::min(due_, probe.next);
     }
 }
 
-// The finding is judged and written under the term as it is now, not as it was when the look went out.
+// The result is written under the lease as it is now, not as it was when the probe was sent.
 void HealthWatch::on_probe_done(Instant now, const CacheId& cache, bool well, Agent& agent) {
     const auto it = probes_.find(cache);
-    if (it == probes_.end() || !std::exchange(it->second.out, false)) return;
+    if (it == probes_.end() || !std::exchange(it->second.under_way, false)) return;
     const DutyName duty = health_watch_duty(cache);
     ProbeResult& last = it->second.last;
     last.streak = last.well == well ? std::min(last.streak + 1, most_counted) : 1;
--- a/src/fleet/health_watch.hpp
+++ b/src/fleet/health_watch.hpp
@@ -1,14 +1,14 @@
-// The watch over caches that several gateways hold marked: one of them looks on behalf of all, and says what
-// it saw; the others keep their trials back meanwhile. No I/O.
+// The health watch over caches that several gateways have marked: the owner of its duty probes such a cache
+// on behalf of all and publishes the result; the others put their own trials off meanwhile. No I/O.
 //
-// A cache is watched over from when two members mark it until none does. What the watch's owner says only
-// moves the instant of a gateway's own trial: later, by a bounded time (the Router sees to that), while it
-// does not answer; at once, one gateway after the other, when it has answered twice in a row. A look shows no
-// more than that the process runs: whether the mark ends is settled by the trial.
+// A cache is watched from when two members mark it until none does. A published result only moves the time of
+// a gateway's own trial: later, by a bounded time (the Router sees to that), while the cache does not answer;
+// at once, one gateway after the other, after two answers in a row. A probe shows only that the process runs;
+// the trial decides whether the mark ends.
 //
-// Premises: a look is harmless at any time, also one that an owner sends which has been stopped for long.
-// What is said counts for two and a half looks after it was heard, by the hearer's clock; then trials go as
-// they would without it.
+// Premises: a probe is harmless at any time, also a late one from an owner that had been stopped. A result
+// counts for two and a half probe intervals after it was received, by the receiver's clock; then trials go on
+// as they would without it.
 #pragma once
 
 #include <map>
@@ -20,12 +20,14 @@
 
 namespace irismux::fleet {
 
+// What a HealthWatch needs of its carrier.
 class ProbePort {
 public:
     virtual ~ProbePort() = default;
-    virtual void send_probe(
-        const CacheId&) = 0;  // asks the cache for a sign of life; the end is told by looked()
-    virtual void trial_from(const CacheId&, Instant) = 0;  // by the watch's clock
+    // The outcome comes back through on_probe_done().
+    virtual void send_probe(const CacheId&) = 0;
+    // The gateway's own next trial of the marked cache is due at that instant of the watch's clock.
+    virtual void trial_from(const CacheId&, Instant) = 0;
 };
 
 class HealthWatch {
@@ -33,35 +35,37 @@
     HealthWatch(ProbePort& port, Span look_every, Span round)
         : port_(port), look_every_(look_every), round_(round) {}
 
-    // The own Router's marks.
+    // The own Router has begun or ended to pass over that cache.
     void marked(const CacheId&, bool);
     const std::set<CacheId>& marks() const { return marks_; }
-    // The caches to be watched over, by what the members publish.
+    // Updates and returns the caches to be watched, by the marks that the members publish.
     const std::set<CacheId>& watched(const Agent& agent);
-    // A finding that the watch shows, as soon as it does.
+    // A result that the owner of a watch has published.
     void on_probe_result(Instant now, const CacheId&, const ProbeResult&, const Agent& agent);
+    // The outcome of an own probe.
     void on_probe_done(Instant now, const CacheId&, bool well, Agent& agent);
-    // Whether a look that was asked for may still go out.
+    // Whether a probe that was asked for may still be sent.
     bool may_probe(Instant now, const CacheId&, const Agent& agent) const;
-    // Looks are not permitted there: the gateway's own lookups are the look.
+    // Probes of that cache are not permitted: the gateway's own trial takes their place.
     void not_permitted(Instant now, const CacheId&, Agent& agent);
-    // Sends the looks that are due; one whose end has not been told by then was not answered.
+    // Sends the probes that are due. One without an outcome by its next time was not answered.
     void tick(Instant now, Agent& agent);
+    // When tick() has something to do again.
     Instant due() const { return due_; }
 
 private:
     struct Probe {
         Instant next;
-        bool out = false;
+        bool under_way = false;
         ProbeResult last;
     };
 
     ProbePort& port_;
     Span look_every_, round_;
     std::set<CacheId> marks_;
-    std::set<CacheId> watched_;        // as many as members may mark
-    std::map<CacheId, Probe> probes_;  // of the watches that are ours
-    std::set<CacheId> well_;           // said to be well, and that was told to the Router
+    std::set<CacheId> watched_;
+    std::map<CacheId, Probe> probes_;  // of watches that this member owns
+    std::set<CacheId> well_;           // marked here, published as well, and the Router was told
     Instant due_;
 };
 
--- a/src/fleet/lease.hpp
+++ b/src/fleet/lease.hpp
@@ -1,12 +1,12 @@
-// One duty as one member sees itself: whether it owns it, and for how long yet. No I/O.
+// The lease of one duty as one member sees its own: whether it owns the duty, and for how long yet. No I/O.
 //
-//   idle      another owns it, or is to have it
-//   seeking   it should be this member's, and a claim is due or out
+//   idle      another member owns the duty, or is to have it
+//   seeking   this member should own it, and a claim is due or under way
 //   owning    the record names this member, and its term runs
-//   resting   as owning, but too close to the end of the term to begin anything
+//   resting   as owning, but too near the end of the term to begin anything
 //   lost      it was owned, and the term has ended or the record names another: nothing may be done
 //
-// `enter` is the one function that moves between them; docs/fleet.md has the table.
+// `enter` is the one function that changes the state; docs/fleet.md has the table.
 #pragma once
 
 #include <string_view>
@@ -16,14 +16,15 @@
 namespace irismux::fleet {
 
 enum class LeaseState { idle, seeking, owning, resting, lost };
+// As the log names it.
 std::string_view word_of(LeaseState);
 
-// What decides, all at one instant of the member's own clock.
+// What decides the state, all at one instant of the member's own clock.
 struct LeaseConditions {
-    bool named = false;  // the newest record known names this very instance
-    bool in_term = false;
-    bool near_end = false;
-    bool wanted = false;  // by the order of the members
+    bool named = false;     // the newest record known names this very instance
+    bool in_term = false;   // a heartbeat has landed so recently that this member may act
+    bool near_end = false;  // of that term
+    bool wanted = false;    // the duty is unowned, and this member is the first in its order
 };
 
 class Lease {
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -3,11 +3,11 @@
 namespace irismux::fleet {
 namespace {
 
-// Of a term: signs of life go out so often that two may be lost in a row and one more be late.
+// Part of a term between two heartbeats: two in a row may be lost and one more be late.
 constexpr double round_of_term = 0.25;
-// Of a term: nothing is begun so near to its end, since the next sign of life is overdue by then.
+// Last part of a term in which nothing is begun, since the next heartbeat is overdue by then.
 constexpr double rest_of_term = 0.25;
-// Rounds without a new sign of life after which a member is not counted on any more.
+// Rounds without a new heartbeat after which a member is suspected.
 constexpr double suspected_after = 2.5;
 
 }  // namespace
@@ -26,7 +26,7 @@
 
 void Membership::confirmed(Instant now, HeartbeatNumber heartbeat) {
     const auto it = sent_.find(heartbeat);
-    // One so old that its sending is forgotten lengthens nothing.
+    // One so old that its sending is forgotten does not extend the term.
     const bool lapsed = !in_ || it == sent_.end() || it->second >= end_;
     in_ = true;
     confirmed_ = heartbeat;
@@ -94,8 +94,8 @@
     for (auto& [name, o] : peers_) o.observed = false;
 }
 
-bool Membership::suspected(const Peer& o) const {
-    return o.observed && o.last_seen - o.unchanged_since > round_ * suspected_after;
+bool Membership::suspected(const Peer& peer) const {
+    return peer.observed && peer.last_seen - peer.unchanged_since > round_ * suspected_after;
 }
 
 MemberStatus Membership::status_of(Instant now, const MemberName& name) const {
--- a/src/fleet/membership.hpp
+++ b/src/fleet/membership.hpp
@@ -1,12 +1,12 @@
-// Who lives, as one member sees it: its own term, and the signs of life of the others. No I/O; the instant is
-// that of this member's own steady clock, which must count time during which the machine sleeps.
+// Who is alive, as one member sees it: its own term, and the heartbeats of the others. No I/O. The instants
+// are of this member's own steady clock, which must also count the time during which the machine is
+// suspended.
 //
-// Guarantee: while in_term() holds at one member, no other finds it evictable() and evicts it. Premises: no
-// clock's rate is off by more than `drift`; a sign of life is confirmed only when the registry holds it, and
-// counts from the instant at which it was sent; an eviction is a transaction that compares the very sign of
-// life that was seen unchanged.
+// Guarantee: while in_term() holds at a member, no other evicts it. Premises: no clock's rate is off by more
+// than `drift`; a heartbeat is confirmed only once the registry holds it, and counts from the instant at
+// which it was sent; an eviction is a transaction that compares the very heartbeat that was found unchanged.
 //
-//   own term    sent + term * (1 - drift)       waits of others    seen first + term * (1 + drift)
+//   own term: until sent + term * (1 - drift)       wait for others: from first seen, term * (1 + drift)
 #pragma once
 
 #include <map>
@@ -20,7 +20,8 @@
 
 namespace irismux::fleet {
 
-// Of a member, as another sees it: back is one that was gone and has joined anew.
+// A member as another sees it. `suspected`: its heartbeat is overdue; `back`: it was gone and has joined
+// anew.
 enum class MemberStatus { joined, suspected, gone, back };
 
 class Membership {
@@ -29,9 +30,9 @@
 
     // --- this member's own term
     void sent(Instant now, HeartbeatNumber heartbeat);
-    // The registry holds that sign of life. A term that had lapsed before it was sent begins with listening:
-    // for a wait nothing is owned, since whatever was done by a registry's former self must have ended by
-    // then.
+    // The registry holds that heartbeat. If the term had lapsed before it was sent, the new one begins with
+    // listening: for a wait nothing is owned, so that terms which a registry's former state granted have
+    // ended.
     void confirmed(Instant now, HeartbeatNumber heartbeat);
     void out() { in_ = false; }
     bool in() const { return in_; }
@@ -43,40 +44,49 @@
     HeartbeatNumber last() const { return confirmed_; }
 
     // --- the others
-    // Their records, whatever showed them, as they were at that revision; what is older than known is
-    // dropped. Whether it was news; `text` none: there is none.
+    // A member's record as of that revision; no text: there is none. Older ones than known are ignored. True:
+    // it was news.
     bool record(Instant now, registry::Revision at, const MemberName&,
                 const std::optional<std::string>& text);
-    // A whole list follows: older revisions count again, and who is not in it is gone.
+    // All records follow, of a possibly lower revision; who is not listed is gone.
     void on_full_list(Instant now, const std::set<MemberName>& listed);
-    // A sign of life as the registry showed it. The same one again leaves the wait running; a new one begins
-    // it anew, or, unless it is to be held, ends it.
+    // A heartbeat as the registry showed it. The same one again lets the wait go on; a new one starts it
+    // again or, unless `hold`, ends it until that member is observed anew.
     void on_heartbeat(Instant now, const MemberName&, const std::optional<std::string>& text, bool hold);
-    void forget_waits();  // the registry has gone back: what was seen before says nothing
+    // The registry was restored: heartbeats observed before say nothing.
+    void forget_waits();
 
+    // Another member.
     struct Peer {
-        std::string text;
-        bool readable = true;  // false: a newer form; it lives, and what it owns is left to it
-        MemberRecord member;
-        Instant since;  // first seen with this start
-        bool returned = false;
-        bool observed = false;  // a sign of life has been looked for
+        std::string text;       // of its record
+        bool readable = true;   // false: a newer form; it is alive, and what it owns is left to it
+        MemberRecord member;    // its record
+        Instant since;          // first seen with this incarnation
+        bool returned = false;  // it was a member before
+        bool observed = false;  // its heartbeats are being observed
         std::optional<std::string> heartbeat_text;
-        Instant unchanged_since, last_seen;  // first and last time that it was shown
-        registry::Revision at;
+        Instant unchanged_since;  // that heartbeat was first shown
+        Instant last_seen;        // that heartbeat was last shown
+        registry::Revision at;    // of its record
     };
     const std::map<MemberName, Peer>& peers() const { return peers_; }
     MemberStatus status_of(Instant now, const MemberName&) const;
-    bool evictable(const Peer& o) const { return o.observed && o.last_seen - o.unchanged_since >= wait_; }
-    bool suspected(const Peer& o) const;
-    bool settled(Instant now, const Peer& o) const { return now - o.since >= wait_ + wait_; }
+    // Its heartbeat was shown unchanged for the whole wait.
+    bool evictable(const Peer& peer) const {
+        return peer.observed && peer.last_seen - peer.unchanged_since >= wait_;
+    }
+    bool suspected(const Peer& peer) const;
+    // It has been a member for long enough to be handed a duty.
+    bool settled(Instant now, const Peer& peer) const { return now - peer.since >= wait_ + wait_; }
 
+    // The time between two heartbeats.
     Span round() const { return round_; }
+    // How long a heartbeat must have been unchanged before an eviction.
     Span wait() const { return wait_; }
 
 private:
-    static constexpr std::size_t most_sent =
-        16;  // signs of life without an answer; beyond, the oldest is forgotten
+    // Heartbeats without an answer that are remembered; beyond, the oldest is forgotten.
+    static constexpr std::size_t most_sent = 16;
     static constexpr std::size_t most_peers = 1024;
 
     MemberName self_;
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -33,7 +33,7 @@
     Fence again(2);
     EXPECT_TRUE(again.restore(f.serialize()));
     EXPECT_FALSE(again.accepts(d, a));
-    EXPECT_EQ(again.against(d, a), FencingToken{5});
+    EXPECT_EQ(again.conflicting_token(d, a), FencingToken{5});
     // What was kept is believed whole or not at all, and never lowers what is known.
     const std::string kept = f.serialize();
     for (std::size_t n = 0; n < kept.size(); ++n) {
@@ -56,7 +56,7 @@
     const DutyName d{"d"}, other{"o"};
     const auto by = [](std::int64_t e) { return Holder{FencingToken{e}, MemberName{"a"}, Incarnation{1}}; };
     Fence f;
-    f.shown(d, by(7));
+    f.on_record(d, by(7));
     f.forget(d);
     EXPECT_EQ(f.highest(d), FencingToken{});
     Fence again;
@@ -64,7 +64,7 @@
     for (Fence* fence : {&f, &again}) {
         EXPECT_FALSE(fence->accepts(d, by(7)));
         EXPECT_FALSE(fence->accepts(other, by(3)));
-        EXPECT_TRUE(fence->shown(other, by(3)));
+        EXPECT_TRUE(fence->on_record(other, by(3)));
         EXPECT_TRUE(fence->accepts(other, by(3)));
         EXPECT_TRUE(fence->accepts(d, by(8)));
     }
