--- a/bench/scale/events.hpp
+++ b/bench/scale/events.hpp
@@ -23,7 +23,7 @@
     std::string name;
     double seconds = 0;  // measured
     Rate hollow;
-    std::optional<Rate> real;
+    std::optional<Rate> real, beside;  // and the hollow ones that met the same, where there are real ones
     double processor_a_gateway = 0, processor_a_real_gateway = 0;  // of one core
     std::map<std::string, double> processor_by_role;               // of one core
     double memory_a_gateway = 0, memory_a_real_gateway = 0;        // bytes, at the end
--- a/bench/scale/output.cpp
+++ b/bench/scale/output.cpp
@@ -192,7 +192,7 @@
             const json* const e = event_of(run, name);
             if (!e || !e->contains("real")) continue;
             const auto both = [&](const char* key) {
-                const double real = (*e)["real"][key].get<double>(), h = (*e)["hollow"][key].get<double>();
+                const double real = (*e)["real"][key].get<double>(), h = (*e)["beside"][key].get<double>();
                 const double off = h > 0 ? (real / h - 1) * 100 : 0;
                 return text(" %.1f | %.1f | %s%+.1f%%%s |", real, h, std::abs(off) > 5 ? "**" : "", off,
                             std::abs(off) > 5 ? "**" : "");
--- a/bench/scale/rig.hpp
+++ b/bench/scale/rig.hpp
@@ -100,7 +100,11 @@
         std::map<std::int64_t, nlohmann::json> answers;
     };
     struct RealGateway {
+        void end();
+        double processor_seconds() const;
+
         std::string configuration, parts, log, listen;
+        double spent = 0;  // processor time of its processes that have ended
         std::unique_ptr<lab::Process> process;
     };
 
--- a/lab/hollow_gateway.cpp
+++ b/lab/hollow_gateway.cpp
@@ -22,7 +22,7 @@
       settings_(settings),
       roster_(purge_done),
       board_(loop, *this, settings.board, settings.board_pause) {
-    board_.tell(settings_.known, false);
+    board_.load(settings_.known);
     if (settings_.registry)
         registry_ = std::make_unique<registry::Client>(loop, static_cast<registry::Knows&>(*this),
                                                        *settings_.registry, settings_.seed);
@@ -67,7 +67,7 @@
 }
 
 // The board's list counts only where no registry tells one.
-void HollowGateway::list_told(const std::vector<ListLine>& lines, bool complete) {
+void HollowGateway::on_board_list(const std::vector<ListLine>& lines, bool complete) {
     if (!registry_) list_in_force(lines, complete);
 }
 
@@ -88,7 +88,7 @@
     observer_.list_in_force(settings_.name, loop_.now());
 }
 
-void HollowGateway::purge_told(Instant at, GroupNo group, const std::optional<ObjectName>& object) {
+void HollowGateway::on_board_purge(Instant at, GroupNo group, const std::optional<ObjectName>& object) {
     const Instant now = loop_.now();
     roster_.purged(at, group, object, now);
     ++purges_;
--- a/lab/hollow_gateway.hpp
+++ b/lab/hollow_gateway.hpp
@@ -41,7 +41,7 @@
     virtual void trial_put_off(const std::string& gateway, const CacheId& cache, Instant at) = 0;
 };
 
-class HollowGateway final : private Told, private registry::Knows, private fleet::GatewayPort {
+class HollowGateway final : private BoardObserver, private registry::Knows, private fleet::GatewayPort {
 public:
     HollowGateway(Loop& loop, HollowObserver& observer, const HollowSettings& settings);
     ~HollowGateway() override;
@@ -65,9 +65,9 @@
     const fleet::Agent* member() const { return fleet_client_ ? &fleet_client_->agent() : nullptr; }
 
 private:
-    // Told, of the board
-    void list_told(const std::vector<ListLine>& lines, bool complete) override;
-    void purge_told(Instant at, GroupNo group, const std::optional<ObjectName>& object) override;
+    // BoardObserver
+    void on_board_list(const std::vector<ListLine>& lines, bool complete) override;
+    void on_board_purge(Instant at, GroupNo group, const std::optional<ObjectName>& object) override;
     // registry::Knows
     void list_told(Instant now, const std::vector<ListLine>& lines, bool complete) override;
     void sight_told(Instant, registry::Sight, Instant) override {}
--- /dev/null
+++ b/tests/scale_test.cpp
@@ -0,0 +1,216 @@
+// Some sixty hollow gateways against stand-ins of the control machines. Verdicts are counts of what the far
+// ends and relays saw; times only bound how long something is waited for.
+#include <gtest/gtest.h>
+
+#include <cmath>
+
+#include "bench/scale/rig.hpp"
+
+using namespace irismux;
+using namespace irismux::scale;
+
+namespace {
+
+using nlohmann::json;
+
+const Span long_enough = Span::micros(60'000'000);
+
+RigSettings shape_of(std::size_t gateways) {
+    RigSettings settings;
+    settings.topology.gateways = gateways;
+    settings.topology.caches = 40;
+    settings.self = IRISMUX_SCALE;
+    settings.term = "3s";
+    return settings;
+}
+
+bool all_whole(Rig& rig, std::int64_t expected) {
+    return rig.until([&] { return rig.in_force("whole", expected).size() >= rig.topology().gateways; },
+                     long_enough);
+}
+
+void start_all(Rig& rig) {
+    rig.start(rig.topology().all());
+    ASSERT_TRUE(all_whole(rig, rig.expect(rig.topology().gateways)));
+}
+
+struct Ledger {
+    double transactions = 0;
+    double told = 0;  // changes, each as often as a watch was told of it
+};
+
+Ledger ledger_of(Rig& rig) {
+    const json l = rig.registry_ledger();
+    return {l["transactions"].get<double>(), l["told"].get<double>()};
+}
+
+// Until each gateway has given that many signs of life at the mean.
+void pass_signs_of_life(Rig& rig, double a_gateway) {
+    const double upto =
+        ledger_of(rig).transactions + a_gateway * static_cast<double>(rig.topology().gateways);
+    for (int tries = 0; ledger_of(rig).transactions < upto; ++tries) {
+        ASSERT_LT(tries, 600);
+        rig.pass(Span::micros(100'000));
+    }
+}
+
+Traffic all_traffic(const Rig& rig, Channel channel) {
+    Traffic sum;
+    for (const auto& [second, rows] : rig.traffic())
+        for (const auto& [key, traffic] : rows)
+            if (key.channel == channel) sum += traffic;
+    return sum;
+}
+
+// What a fleet of that size costs, by counts.
+struct Cost {
+    double told_at_rest = 0, told_by_list = 0, told_by_marks = 0;  // changes told, a gateway
+    double bytes_a_transaction = 0, bytes_a_poll = 0;
+};
+
+Cost cost_of(std::size_t gateways) {
+    constexpr std::size_t marking = 10;
+    const auto n = static_cast<double>(gateways);
+    Cost cost;
+    Rig rig(shape_of(gateways));
+    start_all(rig);
+    if (::testing::Test::HasFatalFailure()) return cost;
+    pass_signs_of_life(rig, 8);  // by then duties have been claimed
+    const Ledger before = ledger_of(rig);
+    pass_signs_of_life(rig, 4);
+    const Ledger rest = ledger_of(rig);
+    cost.told_at_rest = (rest.told - before.told) / n;
+
+    const std::int64_t version = rig.change_list();
+    EXPECT_TRUE(rig.until([&] { return rig.in_force("list", version).size() == gateways; }, long_enough));
+    const Ledger listed = ledger_of(rig);
+    cost.told_by_list = (listed.told - rest.told) / n;
+
+    std::vector<std::size_t> some;
+    for (std::size_t g = 0; g < marking; ++g) some.push_back(g);
+    rig.mark(Topology::cache_name(20), true, some);
+    EXPECT_TRUE(rig.until([&] { return rig.in_force("trial", 0).size() == marking; }, long_enough));
+    cost.told_by_marks = (ledger_of(rig).told - listed.told) / n;
+
+    const Traffic transactions = all_traffic(rig, Channel::transactions),
+                  polls = all_traffic(rig, Channel::board);
+    cost.bytes_a_transaction =
+        static_cast<double>(transactions.bytes()) / static_cast<double>(transactions.messages_out);
+    cost.bytes_a_poll = static_cast<double>(polls.bytes()) / static_cast<double>(polls.messages_out);
+    return cost;
+}
+
+}  // namespace
+
+// What one event costs a gateway does not grow with the number of gateways.
+TEST(Scale, ACostAGatewayStaysWhereTheFleetIsThreeTimesAsLarge) {
+    const Cost small = cost_of(20), large = cost_of(60);
+    ASSERT_FALSE(HasFailure());
+    for (const Cost& c : {small, large}) {
+        // A sweep may have said how far it is.
+        EXPECT_LE(c.told_at_rest, 4) << "records that all are told of are written at rest";
+        EXPECT_GE(c.told_by_list, 1);
+        EXPECT_LE(c.told_by_list, 1 + 2) << "one change of the list";
+        // A publication each, the duty, and findings while the others wait for theirs.
+        EXPECT_GE(c.told_by_marks, 10);
+        EXPECT_LE(c.told_by_marks, 10 + 10) << "ten gateways mark one cache";
+        EXPECT_LE(c.bytes_a_transaction, 6'000);
+        EXPECT_LE(c.bytes_a_poll, 400);
+    }
+    EXPECT_LE(large.bytes_a_transaction, small.bytes_a_transaction * 1.5);
+    RecordProperty("bytes_a_transaction", std::to_string(large.bytes_a_transaction));
+}
+
+// Cut off, killed and brought back in sites and alone, with events meanwhile: all end with the same state.
+TEST(Scale, EveryGatewayEndsWithTheSameStateAfterCuts) {
+    Rig rig(shape_of(60));
+    start_all(rig);
+    ASSERT_FALSE(HasFatalFailure());
+    const Topology& t = rig.topology();
+    const std::vector<std::size_t> one = {t.of_site(2).front()};
+
+    rig.change_links(t.of_site(0), {{"cut", true}});
+    rig.kill(t.of_site(1));
+    rig.kill(one);
+    rig.change_links(t.of_site(3), {{"bytes_a_second", 20'000}, {"delay_ms", 20}});
+    rig.purge(200);
+    rig.change_list();
+    rig.lose_caches(4, true);
+    // By now the site that is cut and the one that was killed are no members any more.
+    const std::size_t left = 60 - t.of_site(0).size() - t.of_site(1).size() - one.size();
+    const std::int64_t without = rig.expect(left);
+    EXPECT_TRUE(rig.until([&] { return rig.in_force("whole", without).size() >= left; }, long_enough));
+    rig.purge(200);
+
+    rig.change_links(t.of_site(0), {{"cut", false}});
+    rig.change_links(t.of_site(3), {{"bytes_a_second", 0}, {"delay_ms", 0}});
+    rig.start(t.of_site(1));
+    rig.start(one);
+    rig.change_links(t.of_site(2), {{"break", true}});
+    rig.lose_caches(4, false);
+    rig.change_list();
+    rig.purge(1);
+    ASSERT_TRUE(all_whole(rig, rig.expect(60)));
+
+    // Members that were evicted and have joined again are known everywhere under their new start.
+    json states;
+    const auto same = [&](const char* what) {
+        for (const auto& [gateway, state] : states.items())
+            if (state[what] != states.begin().value()[what]) return false;
+        return true;
+    };
+    for (int tries = 0; tries < 200; ++tries) {
+        states = rig.states();
+        if (same("member_digest") && same("listed")) break;
+        rig.pass(Span::micros(100'000));
+    }
+    ASSERT_EQ(states.size(), 60u);
+    for (const char* what :
+         {"joined", "members", "member_digest", "listed", "list_version", "purges", "purge_digest"})
+        EXPECT_TRUE(same(what)) << what << ' ' << states.dump();
+    const json& any = states.begin().value();
+    EXPECT_EQ(any["purges"], 401);
+    EXPECT_EQ(any["listed"], 40);
+    EXPECT_EQ(any["members"], 60);
+    EXPECT_EQ(any["list_version"], rig.list_version());
+}
+
+TEST(Scale, MessagesAreCountedHoweverTheirBytesAreCut) {
+    const std::string back =
+        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+        "4\r\n{1}\n\r\n8\r\n{2}\n{3}\n\r\n";
+    for (std::size_t piece = 1; piece <= back.size(); ++piece) {
+        MessageScanner scanner;
+        std::uint64_t found = 0;
+        for (std::size_t at = 0; at < back.size(); at += piece)
+            found += scanner.scan(std::string_view(back).substr(at, piece));
+        EXPECT_EQ(found, 5u) << "in pieces of " << piece;
+    }
+}
+
+TEST(Scale, ARateIsThatOfTheGatewaysAndSecondsAskedFor) {
+    TrafficBySecond traffic;
+    const Traffic one{100, 200, 1, 2};
+    traffic[10][{0, 0, Channel::board}] = one;  // a real gateway's
+    traffic[10][{1, 0, Channel::board}] = one;
+    traffic[10][{2, 1, Channel::list}] = one;
+    traffic[11][{1, 1, Channel::list}] = one;
+    traffic[13][{1, 1, Channel::list}] = one;  // later
+    const Rate rate = rate_over(traffic, 10, 12, 1, 2);
+    EXPECT_DOUBLE_EQ(rate.bytes, 900.0 / 2 / 2);
+    EXPECT_DOUBLE_EQ(rate.messages, 9.0 / 2 / 2);
+    EXPECT_DOUBLE_EQ(rate.worst_bytes, 300);
+    EXPECT_DOUBLE_EQ(rate.worst_gateway_bytes, 300);
+    EXPECT_DOUBLE_EQ(rate.machine_bytes, 300);
+    EXPECT_DOUBLE_EQ(rate.bytes_by_channel.at("board"), 75);
+}
+
+TEST(Scale, ARigThatIsTooLargeIsRefusedInOneLine) {
+    try {
+        Rig rig(shape_of(5'000));
+        FAIL() << "it was set up";
+    } catch (const std::runtime_error& e) {
+        EXPECT_STREQ(e.what(), "more than 200 processes would be needed");
+    }
+}
