--- a/src/wire/board.cpp
+++ b/src/wire/board.cpp
@@ -82,7 +82,10 @@
         const auto alive = shared_from_this();
         begin_batch();
         while (state() == LinkState::open && answer_) {
-            if (loop_.now() - batch_began_ >= longest_batch) return read_on(false);
+            if (loop_.now() - batch_began_ >= longest_batch) {
+                batch_cut_ = true;
+                return read_on(false);
+            }
             if (!read_step()) return;
         }
     }
@@ -94,7 +97,9 @@
             const auto alive = self.lock();
             if (!alive) return;
             in_batch_ = false;
-            if (state() != LinkState::open) return;
+            // Only a batch that ran out of time goes on: whoever waits for the board must not wake the loop in
+            // each of its turns.
+            if (state() != LinkState::open || !std::exchange(batch_cut_, false)) return;
             read_on(true);
             if (answer_) read_answer();
         });
@@ -173,6 +178,7 @@
     std::optional<Answer> answer_;  // none: no poll is under way
     Instant polled_at_, batch_began_;
     bool in_batch_ = false;
+    bool batch_cut_ = false;  // by the time that it may take
     Loop::Alarm silence_{};
 };
 
--- a/src/wire/loop.cpp
+++ b/src/wire/loop.cpp
@@ -32,6 +32,7 @@
 
 // What was put off runs at the head of the next turn, and the poll between does not wait.
 void Loop::turn() {
+    ++turns_;
     const auto put_off = std::exchange(next_turn_, {});
     for (const auto& then : put_off) then();
     settle();
--- a/src/wire/loop.hpp
+++ b/src/wire/loop.hpp
@@ -31,6 +31,8 @@
     // poll, so every handler ends with this call.
     void settle();
     Span latest() const { return latest_; }  // of all alarms so far, the most that one came too late
+    // How often the loop has come round: a loop with nothing to do waits up to 50 ms in each turn.
+    std::uint64_t turns() const { return turns_; }
 
 protected:
     void onBusy() override { turn(); }
@@ -41,7 +43,7 @@
 
     std::chrono::steady_clock::time_point anchor_;
     std::int64_t unix_us_;
-    std::uint64_t next_ = 0;
+    std::uint64_t next_ = 0, turns_ = 0;
     std::vector<std::function<void()>> next_turn_;
     std::map<Alarm, std::function<void()>> alarms_;
     Span latest_;
--- a/tests/long_answer_test.cpp
+++ b/tests/long_answer_test.cpp
@@ -296,5 +296,26 @@
     EXPECT_EQ(day.ledger.purged, all);
 }
 
+// Guards against a loop that is woken in each of its turns by a poll that the board holds: the program took a
+// whole core at rest. One purge has come, so that the connection has read an answer before.
+TEST(LongAnswer, OnceReadLeavesTheLoopAtRestWhileTheNextPollIsHeld) {
+    log::show(log::Level::error);
+    Loop loop;
+    PurgeLedger ledger;
+    BoardStandIn stand_in(loop);
+    Board board(loop, ledger, stand_in.accepts.address(), Span::seconds(0.3));
+    std::uint64_t turns_before = 0;
+    stand_in.then = [&](Wire& wire) {
+        if (stand_in.asked.size() == 1) return stand_in.say(wire, answer_of(0, 1));
+        turns_before = loop.turns();
+        loop.at(loop.now() + Span::seconds(0.5), [&] { loop.stop(); });
+    };
+    board.poll();
+    loop.run();
+    EXPECT_EQ(ledger.purged, objects_up_to(1));
+    EXPECT_EQ(stand_in.asked.size(), 2u);
+    EXPECT_LT(loop.turns() - turns_before, 100u);
+}
+
 }  // namespace
 }  // namespace irismux::testing
