--- a/src/registry/asker.cpp
+++ b/src/registry/asker.cpp
@@ -2,17 +2,12 @@
 
 #include <Poco/Exception.h>
 
+#include <optional>
+
 #include "wire/http.hpp"
 #include "wire/link.hpp"
 
 namespace irismux::registry {
-namespace {
-
-// A message of a watch is bounded as any answer is; one that is longer asks for a full read, in pages.
-constexpr std::size_t most_message = 1 << 20;
-
-}  // namespace
-
 class AskerLink final : public Link {
 public:
     AskerLink(Asker& asker, MemberNo member)
@@ -26,6 +21,7 @@
     void post(const std::string& host, const etcd::Request& r, const std::string& token, bool stream) {
         busy_ = true;
         stream_ = stream;
+        body_.reset();
         http::write_post(out_, host, r.target, token, r.body);
         flush();
     }
@@ -39,67 +35,85 @@
     void on_bytes() override {
         const auto alive = shared_from_this();
         while (asker_ && busy_ && state() == LinkState::open)
-            if (!(stream_ ? take_streamed() : take_whole())) return;
+            if (!(body_ ? take_body() : take_head())) return;
         if (asker_ && !busy_ && !in_.empty()) end("bytes that nobody asked for");
     }
     void on_end() override { end("connection lost"); }
 
 private:
     // Each: whether there may be more to take.
-    bool take_whole() {
-        http::Answer answer;
+    bool take_head() {
         std::size_t used = 0;
-        const Parsed p = http::parse_answer(in_.view(), answer, used);
-        if (p == Parsed::more) return false;
-        if (p == Parsed::bad) return end("an answer that is not HTTP/1.1"), false;
+        const Parsed parsed = http::parse_head(in_.view(), head_, used);
+        if (parsed == Parsed::more) return false;
+        if (parsed == Parsed::bad || !head_.framed()) return end("an answer that is not HTTP/1.1");
+        // A stream that was refused is answered as any other question.
+        stream_ = stream_ && head_.status == 200 && head_.chunked;
+        if (head_.sized && head_.length > most_answer) return refuse();
         in_.taken(used);
-        busy_ = false;
-        if (answer.close) close();
-        asker_->answered(answer.status, answer.body);
+        text_.clear();
+        body_.emplace(head_);
         return true;
     }
-    bool take_streamed() {
+    // Guards against a bound on chunks, which are as long as the other side likes: what counts is the length
+    // of a message, or of the whole answer.
+    bool take_body() {
+        std::string_view piece;
         std::size_t used = 0;
-        if (!headed_) {
-            http::Head head;
-            const Parsed p = http::parse_head(in_.view(), head, used);
-            if (p == Parsed::more) return false;
-            if (p == Parsed::bad) return end("an answer that is not HTTP/1.1"), false;
-            if (head.status != 200 || !head.chunked) {
-                stream_ = false;
-                return true;
-            }
-            in_.taken(used);
-            headed_ = true;
-        }
-        std::string_view chunk;
-        const Parsed p = http::parse_chunk(in_.view(), chunk, used);
-        if (p == Parsed::more) return false;
-        if (p == Parsed::bad) return end("a stream that is not in chunks"), false;
-        if (chunk.empty()) return end("the watch was ended"), false;
-        message_.append(chunk);
+        const Parsed parsed = body_->next(in_.view(), piece, used);
+        if (parsed == Parsed::bad) return end("a body that is not HTTP/1.1");
+        text_.append(piece);
         in_.taken(used);
-        // Messages stand on lines of their own; a chunk may hold a part of one, or several.
+        const bool ended = parsed == Parsed::whole;
+        if (stream_) {
+            take_messages();
+            if (asker_ && ended) return end("the watch was ended");
+        } else if (text_.size() > most_answer) {
+            return refuse();
+        } else if (ended) {
+            finish();
+        }
+        return ended || used > 0;
+    }
+    void finish() {
+        busy_ = false;
+        body_.reset();
+        if (head_.close) close();
+        const std::string text = std::exchange(text_, {});
+        asker_->answered(head_.status, text);
+    }
+    // Messages stand on lines of their own; a piece may hold a part of one, or several.
+    void take_messages() {
         std::size_t first = 0;
-        for (std::size_t line; asker_ && (line = message_.find('\n', first)) != std::string::npos;
+        for (std::size_t line; asker_ && (line = text_.find('\n', first)) != std::string::npos;
              first = line + 1)
-            if (line > first)
-                asker_->replies_.streamed(std::string_view(message_).substr(first, line - first));
-        message_.erase(0, first);
-        if (asker_ && message_.size() > most_message) asker_->replies_.too_long();
-        return true;
+            if (line > first) asker_->replies_.streamed(std::string_view(text_).substr(first, line - first));
+        text_.erase(0, first);
+        if (asker_ && text_.size() > most_answer) asker_->replies_.too_long();
+    }
+    // The answer is too long: the rest of it is not read.
+    bool refuse() {
+        const auto alive = shared_from_this();
+        Asker* const asker = std::exchange(asker_, nullptr);
+        close();
+        asker->refused();
+        return false;
     }
-    void end(const char* why) {
+    // Always false: there is no more to take.
+    bool end(const char* why) {
         const auto alive = shared_from_this();
         Asker* const asker = std::exchange(asker_, nullptr);
         close();
         if (asker) asker->replies_.broke(why);
+        return false;
     }
 
     Asker* asker_;
     MemberNo member_;
-    bool busy_ = false, stream_ = false, headed_ = false;
-    std::string message_;
+    bool busy_ = false, stream_ = false;
+    http::Head head_;
+    std::optional<http::BodyReader> body_;  // none: its head has not come
+    std::string text_;                      // of the answer or of a stream's message, so far
 };
 
 Asker::Asker(Loop& loop, Replies& replies, const Settings& settings)
@@ -168,6 +182,11 @@
     say();
 }
 
+void Asker::refused() {
+    if (authenticating_) return replies_.broke("an answer that is too long");
+    replies_.answer_too_long();
+}
+
 bool Asker::with_a_new_token() {
     if (settings_.user.empty() || std::exchange(token_tried_, true)) return false;
     token_.clear();
--- a/src/registry/asker.hpp
+++ b/src/registry/asker.hpp
@@ -12,6 +12,9 @@
 
 namespace irismux::registry {
 
+// Of an answer, and of a message of a stream, whatever the chunks that they come in.
+constexpr std::size_t most_answer = 1 << 20;
+
 // Who hears what comes of a question. Never called from within ask(), hang_up() or with_a_new_token().
 class Replies {
 public:
@@ -19,6 +22,8 @@
     virtual void replied(int status, const std::string& body) = 0;  // whole
     virtual void streamed(std::string_view message) = 0;            // one of a stream, which goes on
     virtual void too_long() = 0;                                    // a message of a stream
+    // An answer that is not read to its end. Asked for again as it was, it would come again.
+    virtual void answer_too_long() { broke("an answer that is too long"); }
     virtual void broke(const char* why) = 0;  // what was asked may have been done or not
 };
 
@@ -43,6 +48,7 @@
     friend class AskerLink;
     void say();
     void answered(int status, const std::string& body);
+    void refused();
 
     Loop& loop_;
     Replies& replies_;
--- a/src/registry/client.cpp
+++ b/src/registry/client.cpp
@@ -1,11 +1,20 @@
 #include "registry/client.hpp"
 
+#include <algorithm>
+
 namespace irismux::registry {
+namespace {
+
+// A page that takes less than this lets the next ones grow again.
+constexpr std::size_t grows_below = most_answer / 4;
+
+}  // namespace
 
 Client::Client(Loop& loop, Knows& knows, Settings settings, std::uint64_t seed, Sort sort)
     : loop_(loop),
       settings_(std::move(settings)),
       watch_(*this, knows, settings_.pace, seed, sort),
+      page_(settings_.page),
       asker_(loop, *this, settings_) {}
 
 Client::~Client() { loop_.forget(wake_); }
@@ -34,7 +43,7 @@
 etcd::Request Client::request() const {
     if (ask_.kind == Kind::check) return etcd::last(settings_.prefix, ask_.at, last_changed);
     if (ask_.kind == Kind::follow) return etcd::watch(settings_.prefix, ask_.at);
-    return etcd::range(settings_.prefix, ask_.after, ask_.at, settings_.page);
+    return etcd::range(settings_.prefix, ask_.after, ask_.at, page_);
 }
 
 void Client::replied(int status, const std::string& body) {
@@ -50,7 +59,12 @@
     if (std::exchange(ask_.kind, Kind::none) == Kind::check)
         watch_.on_checked(loop_.now(), range.page.from, range.count, range.page.records);
     else
-        watch_.on_page(loop_.now(), range.page);
+        take_page(range.page, body.size());
+}
+
+void Client::take_page(const Page& page, std::size_t bytes) {
+    if (bytes < grows_below) page_ = std::min(page_ * 2, settings_.page);
+    watch_.on_page(loop_.now(), page);
 }
 
 void Client::streamed(std::string_view message) {
@@ -73,6 +87,15 @@
 
 void Client::too_long() { went_wrong({etcd::Fault::compacted, "a message that is too long"}); }
 
+// Guards against the same long answer again and again: a page is asked for anew with half the records, and a
+// history that can't be compared is read whole.
+void Client::answer_too_long() {
+    if (ask_.kind == Kind::check) return watch_.on_compacted(loop_.now());
+    if (ask_.kind != Kind::read || page_ <= 1) return broke("a record that is too long");
+    page_ /= 2;
+    go(Ask(ask_));
+}
+
 void Client::broke(const char* why) {
     asker_.hang_up();
     ask_.kind = Kind::none;
--- a/src/registry/client.hpp
+++ b/src/registry/client.hpp
@@ -45,9 +45,11 @@
 
     void go(Ask ask);
     etcd::Request request() const;
+    void take_page(const Page& page, std::size_t bytes);
     void replied(int status, const std::string& body) override;
     void streamed(std::string_view message) override;
     void too_long() override;
+    void answer_too_long() override;
     void broke(const char* why) override;
     void went_wrong(const etcd::Problem& problem);
 
@@ -55,6 +57,7 @@
     Settings settings_;
     Watch watch_;
     Ask ask_;
+    std::size_t page_;  // records a page, as many as fit into an answer
     Asker asker_;
     Loop::Alarm wake_{};
 };
--- a/tests/registry_client_test.cpp
+++ b/tests/registry_client_test.cpp
@@ -169,6 +169,90 @@
 
 // Drops, compaction at every revision, lag and pieces, all at once, from seeds; in the end all is as it is
 // there.
+// Lists of records of which many do not fit into one answer.
+class LongRecords : public OnSockets {
+protected:
+    void put_long(const std::string& id, const std::string& state, std::size_t bytes) {
+        r->model.put(prefix + id, long_value(id, state, bytes));
+    }
+    static std::string long_value(const std::string& id, const std::string& state, std::size_t bytes) {
+        return list_value(id, state, 1, 0, "here", "edge", std::string(bytes, 'a'));
+    }
+    void begin_with(std::size_t records, std::size_t bytes, std::size_t page) {
+        r = std::make_unique<lab::Registry>(loop, 3, ms * 20);
+        for (std::size_t n = 0; n < records; ++n) put_long("c" + std::to_string(n), "Ready", bytes);
+        Settings s = settings(3, "", "");
+        s.page = page;
+        s.pace.answer_in = s.pace.quiet = ms * 1000;
+        client = std::make_unique<Client>(loop, *this, s, 7);
+        client->start();
+    }
+    bool follows_all(std::size_t records) {
+        return until([&] { return client->watch().sight() == Sight::following && list.size() == records; });
+    }
+};
+
+// A page above the bound is asked for again with fewer records, not the same again.
+TEST_F(LongRecords, ArePagedSmallerUntilTheyFit) {
+    begin_with(60, 60'000, 40);
+    ASSERT_TRUE(follows_all(60));
+    EXPECT_LE(r->ledger.reads, 12);
+    EXPECT_EQ(r->ledger.connections, 3);
+}
+
+// A change above the bound, in one chunk, leads to a full read in pages that fit, and the watch goes on.
+TEST_F(LongRecords, InOneChangeLeadToAFullReadAndNoLoop) {
+    begin_with(30, 60'000, 5);
+    ASSERT_TRUE(follows_all(30));
+    const int watches = r->ledger.watches;
+    std::vector<std::pair<RecordKey, std::optional<std::string>>> writes;
+    for (int n = 0; n < 30; ++n) {
+        const std::string id = "c" + std::to_string(n);
+        writes.emplace_back(RecordKey{prefix + id}, long_value(id, "Terminating", 60'000));
+    }
+    r->model.commit(writes);
+    r->publish();
+    ASSERT_TRUE(until([&] { return draining("c0") && draining("c29"); }));
+    ASSERT_TRUE(until([&] { return client->watch().sight() == Sight::following; }));
+    EXPECT_LE(r->ledger.watches, watches + 2);
+    EXPECT_EQ(client->watch().full_reads(), 2u);
+}
+
+// One record above the bound: what is known stays, and the registry is asked at the pace of a failure; once
+// the record has gone the list is followed again.
+TEST_F(LongRecords, OneThatFitsIntoNoAnswerLeavesWhatIsKnown) {
+    begin_with(3, 10, 40);
+    ASSERT_TRUE(follows_all(3));
+    put_long("c9", "Ready", std::size_t{1} << 20);
+    r->publish();
+    ASSERT_TRUE(until([&] {
+        return std::any_of(remarks.begin(), remarks.end(),
+                           [](const auto& line) { return line == "a record that is too long"; });
+    }));
+    EXPECT_EQ(list.size(), 3u);
+    const int reads = r->ledger.reads;
+    const Instant from = loop.now();
+    ASSERT_TRUE(until([&] { return loop.now() > from + ms * 500; }));
+    EXPECT_LE(r->ledger.reads, reads + 60);
+    r->model.erase(prefix + "c9");
+    put("c4", "Ready");
+    r->publish();
+    EXPECT_TRUE(follows_all(4));
+}
+
+// A history that does not fit into an answer can't be compared: the list is read whole.
+TEST_F(LongRecords, OfAHistoryLeadToAFullRead) {
+    begin_with(9, 150'000, 3);
+    ASSERT_TRUE(follows_all(9));
+    for (std::size_t m = 0; m < 3; ++m) r->down(m);
+    ASSERT_TRUE(until([&] { return client->watch().sight() == Sight::blind; }));
+    put_long("c1", "Terminating", 150'000);
+    for (std::size_t m = 0; m < 3; ++m) r->up(m);
+    ASSERT_TRUE(until([&] { return draining("c1"); }));
+    EXPECT_TRUE(follows_all(9));
+    EXPECT_LE(r->ledger.checks, 2);
+}
+
 TEST_F(OnSockets, ManyTroublesAtOnceEndInTheNewestList) {
     for (std::uint32_t seed = 1; seed <= 6; ++seed) {
         SCOPED_TRACE(seed);
