--- a/sim/host.cpp
+++ b/sim/host.cpp
@@ -7,9 +7,9 @@
 #include <stdexcept>
 #include <string>
 
+#include "base/reading.hpp"
 #include "irismux/rules.hpp"
 #include "process/deployment_reader.hpp"
-#include "base/reading.hpp"
 
 namespace {
 
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -10,10 +10,10 @@
 #include <nlohmann/json.hpp>
 #include <random>
 
-#include "lab/registry.hpp"
-#include "process/host.hpp"
 #include "base/log.hpp"
 #include "board_stand_in.hpp"
+#include "lab/registry.hpp"
+#include "process/host.hpp"
 #include "support.hpp"
 #include "wire/fastcgi.hpp"
 #include "wire/resp.hpp"
