--- a/src/fleet/fleet_client.cpp
+++ b/src/fleet/fleet_client.cpp
@@ -40,8 +40,8 @@
 }
 std::string watched_prefix(const std::string& prefix) { return prefix + std::string(roll); }
 
-FleetClient::FleetClient(Loop& loop, GatewayPort& gateway, const Settings& settings, std::string version,
-                         std::uint64_t seed)
+FleetClient::FleetClient(Loop& loop, GatewayPort& gateway, const Settings& settings,
+                         const std::string& version, std::uint64_t seed)
     : loop_(loop),
       gateway_(gateway),
       settings_(settings),
@@ -192,6 +192,7 @@
 void FleetClient::records_told(Instant, registry::Revision at, const std::vector<registry::Change>& changes,
                                bool all) {
     std::vector<Entry> entries;
+    entries.reserve(changes.size());
     for (const auto& c : changes)
         entries.emplace_back(Key{c.record.key.raw()}, c.deleted ? Text{} : Text{c.record.value});
     record_mirror_.apply(entries, all);
--- a/src/fleet/fleet_client.hpp
+++ b/src/fleet/fleet_client.hpp
@@ -47,7 +47,7 @@
                           private registry::Replies,
                           private registry::Knows {
 public:
-    FleetClient(Loop& loop, GatewayPort& gateway, const Settings& settings, std::string version,
+    FleetClient(Loop& loop, GatewayPort& gateway, const Settings& settings, const std::string& version,
                 std::uint64_t seed);
     ~FleetClient() override;
 
--- a/src/registry/watch.cpp
+++ b/src/registry/watch.cpp
@@ -224,6 +224,7 @@
     const bool complete = !std::exchange(told_, true);
     if (complete || !lines.empty()) knows_.list_told(now, lines, complete);
     std::vector<Change> all;
+    all.reserve(records.size());
     for (const Record& r : records) all.push_back({r, false});
     knows_.records_told(now, resume_, all, true);
     wait_for(now, Waiting::first_word, pace_.answer_in);
--- a/src/state/roster.cpp
+++ b/src/state/roster.cpp
@@ -69,6 +69,7 @@
 template <class Purges>
 void Roster::merge_older_half(Purges& purges) {
     std::vector<Instant> times;
+    times.reserve(purges.size());
     for (const auto& purge : purges) times.push_back(purge.second);
     const auto middle = times.begin() + static_cast<std::ptrdiff_t>(times.size() / 2);
     std::nth_element(times.begin(), middle, times.end());
