--- a/src/wire/board.cpp
+++ b/src/wire/board.cpp
@@ -97,8 +97,8 @@
             const auto alive = self.lock();
             if (!alive) return;
             in_batch_ = false;
-            // Only a batch that ran out of time goes on: whoever waits for the board must not wake the loop in
-            // each of its turns.
+            // Only a batch that ran out of time goes on: whoever waits for the board must not wake the loop
+            // in each of its turns.
             if (state() != LinkState::open || !std::exchange(batch_cut_, false)) return;
             read_on(true);
             if (answer_) read_answer();
