--- a/bench/scale/rig.cpp
+++ b/bench/scale/rig.cpp
@@ -1,10 +1,10 @@
 #include "bench/scale/rig.hpp"
 
-#include <signal.h>
 #include <sys/resource.h>
 #include <unistd.h>
 
 #include <algorithm>
+#include <csignal>
 #include <fstream>
 #include <stdexcept>
 
@@ -26,6 +26,9 @@
 constexpr std::int64_t progress_ms = 800;  // of the registry's watches: twice within the shortest quiet, 2 s
 const std::string registry_prefix = "/caches/", real_zone = "plant";
 
+volatile std::sig_atomic_t told_to_end = 0;
+void on_end(int) { told_to_end = 1; }
+
 std::string free_address() {
     Poco::Net::ServerSocket s(Poco::Net::SocketAddress("127.0.0.1:0"));
     return s.address().toString();
@@ -54,6 +57,8 @@
         throw std::runtime_error("more than " + std::to_string(most_processes) +
                                  " processes would be needed");
     check_descriptors();
+    std::signal(SIGTERM, on_end);
+    std::signal(SIGINT, on_end);
     acceptor_ = std::make_unique<lab::Acceptor>(
         loop_, [this](Poco::Net::StreamSocket s) { taken(std::move(s)); }, static_cast<int>(most_processes));
     stretches_ = std::make_unique<lab::Stretches>(loop_);
@@ -150,7 +155,8 @@
         lab::Process::Start{{settings_.self, "role", role, acceptor_->address(), std::to_string(number)},
                             {},
                             "",
-                            (folder_.path / (role + std::to_string(number) + ".log")).string()});
+                            (folder_.path / (role + std::to_string(number) + ".log")).string(),
+                            true});
     return child;
 }
 
@@ -306,7 +312,8 @@
                 lab::Process::Start{{settings_.program, "serve", "--parts", it->second.parts},
                                     {"NODE_CONFIG=" + it->second.configuration},
                                     "",
-                                    it->second.log});
+                                    it->second.log,
+                                    true});
         }
     ask_all("hollow", {{"start", gateways}});
 }
@@ -387,7 +394,12 @@
 
 // --- time ------------------------------------------------------------------------------------------------
 
-bool Rig::until(std::function<bool()> so, Span most) { return stretches_->until(std::move(so), most); }
+// Told to end, the rig does so where it waits, and takes its processes and its folder with it.
+bool Rig::until(std::function<bool()> so, Span most) {
+    const bool has_come = stretches_->until([&] { return told_to_end || so(); }, most);
+    if (told_to_end) throw std::runtime_error("told to end");
+    return has_come;
+}
 
 void Rig::pass(Span time) {
     const Instant end = loop_.now() + time;
--- a/lab/process.cpp
+++ b/lab/process.cpp
@@ -2,6 +2,7 @@
 
 #include <fcntl.h>
 #include <signal.h>
+#include <sys/prctl.h>
 #include <sys/resource.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -61,6 +62,7 @@
         ::dup2(out, 2);
     }
     for (int fd = 3; fd < 1024; ++fd) ::close(fd);
+    if (start.ends_with_us) ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     const rlimit none{0, 0};
     if ((start.folder.empty() || ::chdir(start.folder.c_str()) == 0) &&
         (start.may_write || ::setrlimit(RLIMIT_FSIZE, &none) == 0))
--- a/lab/process.hpp
+++ b/lab/process.hpp
@@ -16,9 +16,10 @@
     struct Start {
         std::vector<std::string> command;  // a path, then the arguments
         std::vector<std::string> environment;
-        std::string folder;     // to start in; empty: the caller's
-        std::string log;        // file that its output is added to; empty: nowhere
-        bool may_write = true;  // false: the first byte written to any file kills it (SIGXFSZ)
+        std::string folder;         // to start in; empty: the caller's
+        std::string log;            // file that its output is added to; empty: nowhere
+        bool ends_with_us = false;  // killed once the thread that started it has ended, however it did
+        bool may_write = true;      // false: the first byte written to any file kills it (SIGXFSZ)
     };
     // Throws std::runtime_error where no process can be made.
     explicit Process(const Start& start);
