--- /dev/null
+++ b/bench/capacity.cpp
@@ -0,0 +1,41 @@
+// Writes docs/CAPACITY.md from the measured figures and the users' targets.
+//
+//   capacity [--root FOLDER] [--check]      FOLDER: the repository's; --check writes nothing and fails where
+//                                           the page differs
+#include <CLI/CLI.hpp>
+#include <fstream>
+#include <iostream>
+#include <sstream>
+
+#include "bench/capacity_files.hpp"
+
+namespace {
+
+std::string content_of(const std::filesystem::path& file) {
+    std::ifstream in(file);
+    std::ostringstream all;
+    all << in.rdbuf();
+    return all.str();
+}
+
+}  // namespace
+
+int main(int count, char** words) {
+    std::filesystem::path root = ".";
+    bool check = false;
+    CLI::App app{"Writes docs/CAPACITY.md from docs/measurements and bench/targets.toml.", "capacity"};
+    app.add_option("--root", root, "the repository's folder")->check(CLI::ExistingDirectory);
+    app.add_flag("--check", check, "only say whether the page is what the figures make");
+    CLI11_PARSE(app, count, words);
+    try {
+        const std::string page = irismux::bench::capacity_page_of(root);
+        const std::filesystem::path file = root / irismux::bench::capacity_page_file;
+        if (!check) return std::ofstream(file) << page ? 0 : 1;
+        if (content_of(file) == page) return 0;
+        std::cerr << "capacity: " << file.string()
+                  << " is not what the figures make; run capacity without --check\n";
+    } catch (const std::exception& e) {
+        std::cerr << "capacity: " << e.what() << '\n';
+    }
+    return 1;
+}
--- a/bench/data_path_router.hpp
+++ b/bench/data_path_router.hpp
@@ -2,6 +2,7 @@
 #pragma once
 
 #include <cstdint>
+#include <string>
 
 namespace irismux::bench {
 
@@ -26,8 +27,10 @@
     std::uint64_t refused = 0;  // nacks and failures
 };
 
-/// Runs in a process of its own, so that its memory is nobody else's. Throws std::runtime_error where none
-/// can be made.
-RouterCost measure_router(const RouterLoad& load);
+/// Runs in a process of its own, started from `self` (this very program), so that its memory is nobody
+/// else's. Throws std::runtime_error where it does not end well.
+RouterCost measure_router(const std::string& self, const RouterLoad& load);
+/// That process: prints its cost. The words are those that measure_router gave it.
+void run_router(const std::string& load);
 
 }  // namespace irismux::bench
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -1,6 +1,11 @@
-// Fits against curves that are known, and what is marked as an extrapolation.
+// Fits against curves that are known, what is marked as an extrapolation, and that docs/CAPACITY.md is what
+// the committed figures make.
 #include <gtest/gtest.h>
 
+#include <fstream>
+#include <sstream>
+
+#include "bench/capacity_files.hpp"
 #include "bench/fit.hpp"
 #include "bench/results.hpp"
 
@@ -63,6 +68,37 @@
     EXPECT_FALSE(fit({{1, 1}, {2, 4}, {3, 9}}).bends) << "three points leave nothing to test with";
 }
 
+// A term whose weight is small at the largest size is no bend, however close the points lie to the parabola.
+TEST(Fit, TakesATermWithoutWeightForNoBend) {
+    const Fit f = fit(points_of([](double n) { return 3 + 2 * n + 1e-5 * n * n; }));
+    EXPECT_GT(f.quadratic_t, t_bound(f.freedom));
+    EXPECT_NEAR(f.quadratic_share, 10.0 / 2013, 1e-6);
+    EXPECT_FALSE(f.bends);
+}
+
+TEST(Fit, FollowsTheParabolaBeyondItsPointsAndInterpolatesBetween) {
+    const auto points = points_of([](double n) { return 3 + 2 * n + 0.01 * n * n; });
+    EXPECT_NEAR(value_at(points, 2000), 3 + 4000 + 40'000, 1e-3);
+    EXPECT_NEAR(value_at(points, 60), 3 + 120 + 36, 1e-9) << "measured there";
+    EXPECT_NEAR(value_at(points, 120), (159 + 687) / 2.0, 1e-9);
+    EXPECT_NEAR(value_at({{1, 2}, {2, 4}, {3, 6}, {4, 8}, {8, 16}}, 100), 200, 1e-9);
+}
+
+Results measured_line() {
+    Results r{"t", "c", "m", "d", 1, {}, {}};
+    r.series.push_back(
+        {"s", "series", "gateways", "gateways", "KB", {{10, 10}, {20, 20}, {40, 40}, {100, 100}}, ""});
+    return r;
+}
+
+TEST(Extrapolation, IsMarkedWhereItIsShown) {
+    const Results r = measured_line();
+    EXPECT_EQ(estimate(&r, "s", 400).shown_value(), "400 KB");
+    EXPECT_EQ(estimate(&r, "s", 401).shown_value(), "401 KB †");
+    EXPECT_EQ(estimate(&r, "another", 10).shown_value(), "not measured");
+    EXPECT_EQ(estimate(nullptr, "s", 10).shown_value(), "not measured");
+}
+
 TEST(Extrapolation, IsMarkedBeyondFourTimesTheLargestSize) {
     EXPECT_FALSE(extrapolated(570, 570));
     EXPECT_FALSE(extrapolated(4000, 1000));
@@ -84,10 +120,113 @@
     EXPECT_EQ(read.find_figure("f")->value, 1.25);
 }
 
+const std::filesystem::path root = IRISMUX_ROOT;
+
+std::string content_of(const std::filesystem::path& file) {
+    std::ifstream in(file);
+    std::ostringstream all;
+    all << in.rdbuf();
+    return all.str();
+}
+
+TEST(CapacityPage, IsWhatTheCommittedFiguresMake) {
+    EXPECT_EQ(content_of(root / capacity_page_file), capacity_page_of(root))
+        << "run build/capacity and commit docs/CAPACITY.md";
+}
+
+// A mechanism that is named is a file that is there.
+TEST(CapacityPage, NamesFilesThatExist) {
+    const std::string page = capacity_page_of(root);
+    std::size_t named = 0;
+    for (std::size_t at = page.find("`src/"); at != std::string::npos; at = page.find("`src/", at + 1)) {
+        const std::string file = page.substr(at + 1, page.find('`', at + 1) - at - 1);
+        EXPECT_TRUE(std::filesystem::exists(root / file)) << file;
+        ++named;
+    }
+    EXPECT_GT(named, 0u);
+}
+
+// A figure that grows is told as one that does not fit, and one that is not there as not measured.
+TEST(CapacityPage, TellsWhatDoesNotFit) {
+    const Targets targets = read_targets(root / targets_file);
+    Results data{"t", "c", "m", "d", 1, {}, {}};
+    Series cost{"cpu_us_per_lookup.answer_kb", "", "answer", "KB", "us", {}, ""};
+    for (const double kb : {1.0, 16.0, 60.0, 120.0, 240.0}) cost.points.push_back({kb, 10 + 10 * kb});
+    data.series.push_back(cost);
+    const std::string page = capacity_page(targets, &data, {});
+    EXPECT_NE(page.find("- Gateway, data, mean: processor time for lookups: "), std::string::npos);
+    EXPECT_NE(page.find("One thread does not carry"), std::string::npos);
+    EXPECT_NE(page.find("Not measured: there is no `docs/measurements/scale.json`"), std::string::npos);
+    const std::string nothing = capacity_page(targets, nullptr, {});
+    EXPECT_NE(nothing.find("No measured row is over its budget."), std::string::npos);
+    EXPECT_NE(nothing.find("not measured"), std::string::npos);
+}
+
+nlohmann::json run_of(int gateways, double bytes, int reached) {
+    const nlohmann::json rate = {{"messages", 2.0},
+                                 {"bytes", bytes},
+                                 {"worst_second_bytes", bytes * 2},
+                                 {"busiest_machine_messages", 100.0},
+                                 {"busiest_machine_bytes", 1000.0},
+                                 {"busiest_machine_worst_bytes", 2000.0},
+                                 {"bytes_by_channel", {{"board", 100.0}, {"fleet", bytes - 100}}},
+                                 {"messages_by_channel", {{"board", 1.0}, {"fleet", 1.0}}}};
+    const nlohmann::json event = {
+        {"event", "rest"},
+        {"hollow", rate},
+        {"processor_a_gateway", 0.001},
+        {"memory_a_gateway", 2e6},
+        {"processor_by_role", {{"board", 0.1}, {"registry", 0.2}}},
+        {"in_force",
+         {{"list",
+           {{"of", gateways}, {"reached", reached}, {"median_s", 0.1}, {"p99_s", 0.2}, {"last_s", 0.3}}}}}};
+    return {{"gateways", gateways},
+            {"real_gateways", 0},
+            {"term", "12s"},
+            {"fleet_lines", {}},
+            {"events", {event}}};
+}
+
+// Records that go from each to each need 15 KB a second long before 570 gateways.
+TEST(CapacityPage, ReadsControlFiguresAndFindsTheSquare) {
+    nlohmann::json all = {{"runs", nlohmann::json::array()}};
+    for (const int n : {20, 60, 180, 360, 570})
+        all["runs"].push_back(run_of(n, 500 + 0.1 * n * n, n - (n == 360)));
+    const auto file = std::filesystem::temp_directory_path() / ("scale." + std::to_string(::getpid()));
+    std::ofstream(file) << all;
+    const auto variants = read_control_results(file);
+    std::filesystem::remove(file);
+    ASSERT_EQ(variants.size(), 1u);
+    EXPECT_EQ(variants[0].name, "term 12s");
+    EXPECT_TRUE(fit(variants[0].results.find_series("gateway.kb_per_s.rest")->points).bends);
+    ASSERT_EQ(variants[0].incomplete.size(), 1u);
+    EXPECT_EQ(variants[0].incomplete[0], "rest, list: 359 of 360 at 360 gateways");
+    const std::string page = capacity_page(read_targets(root / targets_file), nullptr, variants);
+    EXPECT_NE(page.find("KB a second at the mean: 2.20 times its budget"), std::string::npos) << page;
+    EXPECT_NE(page.find("bends, t "), std::string::npos);
+    EXPECT_TRUE(read_control_results(file).empty()) << "no file, no figures";
+}
+
+TEST(Targets, SayWhichFigureIsMissing) {
+    const auto file = std::filesystem::temp_directory_path() / ("targets." + std::to_string(::getpid()));
+    std::string text = content_of(root / targets_file);
+    text.replace(text.find("purges_per_s"), 12, "purges_per_x");
+    std::ofstream(file) << text;
+    try {
+        read_targets(file);
+        ADD_FAILURE() << "it was read";
+    } catch (const std::runtime_error& e) {
+        EXPECT_NE(std::string(e.what()).find("load.purges_per_s has to be a number"), std::string::npos)
+            << e.what();
+    }
+    std::filesystem::remove(file);
+}
+
 TEST(Results, ShowNumbersShortly) {
     EXPECT_EQ(shown(0), "0");
     EXPECT_EQ(shown(1234567), "1,234,567");
     EXPECT_EQ(shown(-1234), "-1,234");
+    EXPECT_EQ(shown(38), "38");
     EXPECT_EQ(shown(12.345), "12.3");
     EXPECT_EQ(shown(0.01234), "0.012");
     EXPECT_EQ(shown(0.0001), "1.00e-04");
