--- a/lab/world.hpp
+++ b/lab/world.hpp
@@ -1,4 +1,4 @@
-// A whole fleet in virtual time, from one seed: Fellows whose clocks drift, round one registry, with messages
+// A whole fleet in virtual time, from one seed: Agents whose clocks drift, round one registry, with messages
 // that are lost, late and repeated, processes that stop, die and start anew, links that are cut, and a
 // registry that goes back to a backup. After every event the guarantees are checked, from the registry's own
 // ledger and by asking every process, stopped ones too, what it would do at that instant.
@@ -13,8 +13,8 @@
 #include <string>
 #include <vector>
 
-#include "fleet/fellow.hpp"
-#include "lab/book.hpp"
+#include "fleet/agent.hpp"
+#include "lab/ledger.hpp"
 
 namespace irismux::lab {
 
@@ -31,7 +31,7 @@
         bool spread = true;
         bool works = true;  // owners write on behalf of the fleet all the while
     };
-    World(std::uint32_t seed, const Shape& shape, const fleet::Articles& articles);
+    World(std::uint32_t seed, const Shape& shape, const fleet::SharedConfig& shared_config);
     ~World();
 
     void start_all();
@@ -49,12 +49,13 @@
 
     Instant now() const { return now_; }
     std::optional<std::size_t> owner(std::size_t duty) const;  // who may act on it at this instant
-    std::string picture() const;
+    std::string debug_state() const;
 
     std::vector<std::string> broken;  // guarantees, each with its instant; checked on each event
-    std::uint64_t deals = 0, written = 0, refused = 0, owners = 0;  // of the registry; owners: changes of
-    std::vector<Instant> asked;                                     // of deals as they reached the registry
-    Span longest_without;                                           // of any duty, since the last mark()
+    std::uint64_t transactions = 0, written = 0, refused = 0,
+                  owners = 0;    // of the registry; owners: changes of
+    std::vector<Instant> asked;  // of deals as they reached the registry
+    Span longest_without;        // of any duty, since the last mark()
     void mark();
 
 private:
@@ -62,8 +63,8 @@
     void at(Instant due, std::function<void()> then);
     void check(bool all);
     void trouble(const Troubles& t);
-    void dealt(Node& n, const Deal& deal);
-    void settle(std::size_t member, std::uint64_t ask, const Deal& deal);
+    void on_submit(Node& n, const Transaction& transaction);
+    void settle(std::size_t member, std::uint64_t ask, const Transaction& transaction);
     void tell(Node& n);
     void order(const fleet::DutyName& duty, const fleet::Holder& holder);
     void wake(Node& n);
@@ -72,17 +73,17 @@
     Span delay(double late);
 
     Shape shape_;
-    fleet::Articles articles_;
+    fleet::SharedConfig shared_config_;
     std::ranlux24_base chance_;
     Instant now_ = Instant::at_seconds(1000);
     std::uint64_t next_ = 0;
     std::map<std::pair<Instant, std::uint64_t>, std::function<void()>> events_;
-    Book book_;
+    Ledger ledger_;
     std::uint64_t histories_ = 0;
     bool down_ = false;
     struct Backup {
         Instant taken;
-        Book::Records records;
+        Ledger::Records records;
         Revision revision;
     };
     std::vector<Backup> backups_;
@@ -90,7 +91,8 @@
     std::vector<fleet::DutyName> duties_;
     std::map<std::string, std::int64_t> highest_;  // epoch of accepted writes, of this history
     std::map<std::pair<std::string, std::int64_t>, std::string> given_;
-    std::map<std::pair<std::size_t, fleet::DutyName>, fleet::EpochNo> heeded_;  // by each, restarts and all
+    std::map<std::pair<std::size_t, fleet::DutyName>, fleet::FencingToken>
+        heeded_;  // by each, restarts and all
     std::vector<std::optional<std::size_t>> owned_;
     std::vector<Instant> without_since_;
     Troubles troubles_;
--- a/src/process/host.hpp
+++ b/src/process/host.hpp
@@ -5,7 +5,7 @@
 #include <memory>
 #include <vector>
 
-#include "fleet/station.hpp"
+#include "fleet/fleet_client.hpp"
 #include "process/configuration.hpp"
 #include "process/parts.hpp"
 #include "registry/client.hpp"
@@ -22,9 +22,9 @@
 class Host final : private Port,
                    private Lookups,
                    private Ends,
-                   private Told,
+                   private BoardObserver,
                    private registry::Knows,
-                   private fleet::Gate {
+                   private fleet::GatewayPort {
 public:
     Host(Loop& loop, const Configuration& configuration, const Parts& parts = {});
     ~Host() override;
@@ -51,11 +51,11 @@
     void note_down(std::string_view) override;
     void marked(const CacheId&, bool) override;
 
-    // fleet::Gate
-    bool look(const CacheId&) override;
+    // fleet::GatewayPort
+    bool send_probe(const CacheId&) override;
     void trial_from(const CacheId&, Instant) override;
-    void duty_told(const fleet::DutyName&, fleet::Tenancy, fleet::EpochNo) override;
-    void fleet_says(std::string_view plain_line, bool trouble) override;
+    void on_duty_state(const fleet::DutyName&, fleet::LeaseState, fleet::FencingToken) override;
+    void on_fleet_message(std::string_view plain_line, bool trouble) override;
     void start_fleet();
     void end_fleet();
 
@@ -65,14 +65,14 @@
     void ended(Exchange&, std::size_t n, const End&) override;
     void probed(const ProbeAnswer&) override;
     bool may_begin(Exchange&, std::size_t n) override;
-    void list_told(const std::vector<ListLine>&, bool complete) override;
+    void on_board_list(const std::vector<ListLine>&, bool complete) override;
     void list_told(Instant now, const std::vector<ListLine>&, bool complete) override;
     void sight_told(Instant now, registry::Sight, Instant as_of) override;
     void remark(std::string_view plain_line) override;
     void start_registry();
     void keep_list();
     void list_in_force(const std::vector<ListLine>&, bool complete);
-    void purge_told(Instant at, GroupNo, const std::optional<ObjectName>&) override;
+    void on_board_purge(Instant at, GroupNo, const std::optional<ObjectName>&) override;
 
     void start_send(const LookupId&, Send);
     void expired(const LookupId&);
@@ -115,8 +115,8 @@
         std::optional<MachineId> parent, origin;
     };
     LooksAt looks_at_;
-    std::unique_ptr<fleet::Station> station_, leaving_station_;
-    Loop::Alarm station_left_{};
+    std::unique_ptr<fleet::FleetClient> fleet_client_, leaving_fleet_client_;
+    Loop::Alarm fleet_client_left_{};
     Router router_;
     bool in_router_ = false;
     std::map<LookupId, Held> exchanges_;
