--- a/lab/hollow_gateway.cpp
+++ b/lab/hollow_gateway.cpp
@@ -5,7 +5,7 @@
 
 constexpr const char* version = "0.3.0";
 const Span purge_done = Span::micros(6'000'000);
-const Span look_answered_in = Span::micros(1'000);
+const Span probe_answered_in = Span::micros(1'000);
 
 // FNV-1a: the same in every process, and across runs.
 std::uint64_t digest(std::string_view text) {
@@ -27,8 +27,8 @@
         registry_ = std::make_unique<registry::Client>(loop, static_cast<registry::Knows&>(*this),
                                                        *settings_.registry, settings_.seed);
     if (settings_.fleet)
-        station_ = std::make_unique<fleet::Station>(loop, static_cast<fleet::Gate&>(*this), *settings_.fleet,
-                                                    version, settings_.seed);
+        fleet_client_ = std::make_unique<fleet::FleetClient>(loop, static_cast<fleet::GatewayPort&>(*this),
+                                                             *settings_.fleet, version, settings_.seed);
 }
 
 HollowGateway::~HollowGateway() = default;
@@ -36,28 +36,28 @@
 void HollowGateway::start() {
     board_.poll();
     if (registry_) registry_->start();
-    if (station_) station_->start();
+    if (fleet_client_) fleet_client_->start();
 }
 
 void HollowGateway::mark(const CacheId& cache, bool is) {
-    if (station_) station_->marked(cache, is);
+    if (fleet_client_) fleet_client_->marked(cache, is);
 }
 
 void HollowGateway::cache_answers(const CacheId& cache, bool is) { answers_[cache] = is; }
 
-bool HollowGateway::joined() const { return station_ && station_->fellow().membership().in(); }
+bool HollowGateway::joined() const { return fleet_client_ && fleet_client_->agent().membership().in(); }
 
 std::size_t HollowGateway::members_known() const {
-    return station_ ? station_->fellow().membership().others().size() + joined() : 0;
+    return fleet_client_ ? fleet_client_->agent().membership().peers().size() + joined() : 0;
 }
 
 std::uint64_t HollowGateway::member_digest() const {
-    if (!station_) return 0;
-    const auto of = [](const std::string& name, fleet::StartNo start) {
+    if (!fleet_client_) return 0;
+    const auto of = [](const std::string& name, fleet::Incarnation start) {
         return digest(name + '/' + std::to_string(start.raw()));
     };
-    std::uint64_t sum = joined() ? of(settings_.name, station_->fellow().start_no()) : 0;
-    for (const auto& [name, other] : station_->fellow().membership().others())
+    std::uint64_t sum = joined() ? of(settings_.name, fleet_client_->agent().incarnation()) : 0;
+    for (const auto& [name, other] : fleet_client_->agent().membership().peers())
         sum += of(name.raw(), other.member.start);
     return sum;
 }
@@ -83,7 +83,7 @@
             list_.erase(listing.cache);
         else
             list_[listing.cache] = listing;
-        if (station_ && listing.phase == Phase::gone) station_->gone(listing.cache);
+        if (fleet_client_ && listing.phase == Phase::gone) fleet_client_->gone(listing.cache);
     }
     observer_.list_in_force(settings_.name, loop_.now());
 }
@@ -97,11 +97,11 @@
     observer_.purge_in_force(settings_.name, at, now);
 }
 
-bool HollowGateway::look(const CacheId& cache) {
+bool HollowGateway::send_probe(const CacheId& cache) {
     const auto it = answers_.find(cache);
-    if (it == answers_.end() || !it->second) return true;  // silent: the next look finds that out
-    loop_.at(loop_.now() + look_answered_in, [this, cache, alive = std::weak_ptr<bool>(alive_)] {
-        if (alive.lock() && station_) station_->probed(cache, true);
+    if (it == answers_.end() || !it->second) return true;  // silent: the next probe finds that out
+    loop_.at(loop_.now() + probe_answered_in, [this, cache, alive = std::weak_ptr<bool>(alive_)] {
+        if (alive.lock() && fleet_client_) fleet_client_->probed(cache, true);
     });
     return true;
 }
--- a/lab/hollow_gateway.hpp
+++ b/lab/hollow_gateway.hpp
@@ -13,7 +13,7 @@
 #include <optional>
 #include <string>
 
-#include "fleet/station.hpp"
+#include "fleet/fleet_client.hpp"
 #include "registry/client.hpp"
 #include "state/roster.hpp"
 #include "wire/board.hpp"
@@ -41,7 +41,7 @@
     virtual void trial_put_off(const std::string& gateway, const CacheId& cache, Instant at) = 0;
 };
 
-class HollowGateway final : private Told, private registry::Knows, private fleet::Gate {
+class HollowGateway final : private Told, private registry::Knows, private fleet::GatewayPort {
 public:
     HollowGateway(Loop& loop, HollowObserver& observer, const HollowSettings& settings);
     ~HollowGateway() override;
@@ -51,7 +51,7 @@
     void start();
     // As if its Router had found the cache to be silent, or answering again.
     void mark(const CacheId& cache, bool is);
-    // From now on its looks at that cache are answered; others are not.
+    // From now on its probes of that cache are answered; others are not.
     void cache_answers(const CacheId& cache, bool is);
 
     // --- what is in force here
@@ -62,7 +62,7 @@
     std::size_t members_known() const;    // itself among them once it has joined
     std::uint64_t member_digest() const;  // of their names and starts
     bool follows_list() const;
-    const fleet::Fellow* member() const { return station_ ? &station_->fellow() : nullptr; }
+    const fleet::Agent* member() const { return fleet_client_ ? &fleet_client_->agent() : nullptr; }
 
 private:
     // Told, of the board
@@ -72,11 +72,11 @@
     void list_told(Instant now, const std::vector<ListLine>& lines, bool complete) override;
     void sight_told(Instant, registry::Sight, Instant) override {}
     void remark(std::string_view) override {}
-    // fleet::Gate
-    bool look(const CacheId& cache) override;
+    // fleet::GatewayPort
+    bool send_probe(const CacheId& cache) override;
     void trial_from(const CacheId& cache, Instant at) override;
-    void duty_told(const fleet::DutyName&, fleet::Tenancy, fleet::EpochNo) override {}
-    void fleet_says(std::string_view, bool) override {}
+    void on_duty_state(const fleet::DutyName&, fleet::LeaseState, fleet::FencingToken) override {}
+    void on_fleet_message(std::string_view, bool) override {}
 
     void list_in_force(const std::vector<ListLine>& lines, bool complete);
 
@@ -89,7 +89,7 @@
     std::uint64_t purges_ = 0, purge_digest_ = 0;
     Board board_;
     std::unique_ptr<registry::Client> registry_;
-    std::unique_ptr<fleet::Station> station_;
+    std::unique_ptr<fleet::FleetClient> fleet_client_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
