--- a/bench/capacity_page.cpp
+++ b/bench/capacity_page.cpp
@@ -75,6 +75,7 @@
         if (value && *value > budget)
             over_.push_back(what + ": " + shown(*value / budget) + " times its budget");
     }
+    void lacks(const std::string& what) { without_.push_back(what); }
     /// The slope of one quantity, as the last columns of a table.
     static std::string basis(const Results* results, const std::string& series) {
         const Series* s = results ? results->find_series(series) : nullptr;
@@ -85,7 +86,7 @@
     const Targets& t_;
     const Results* data_;
     const std::vector<ControlVariant>& control_;
-    std::vector<std::string> over_;
+    std::vector<std::string> over_, without_;
 };
 
 std::string Page::opening() const {
@@ -128,8 +129,10 @@
 
 std::string Page::over_budget() const {
     std::string text = "\n## What does not fit\n\n";
-    if (over_.empty()) return text + "No measured row is over its budget.\n";
+    if (over_.empty()) text += "No measured row is over its budget.\n";
     for (const std::string& what : over_) text += "- " + what + "\n";
+    text += "\n## What nothing carries\n\n";
+    for (const std::string& what : without_) text += "- " + what + "\n";
     return text;
 }
 
@@ -140,8 +143,11 @@
            shown(t_.gbit_per_gateway_s()) + " Gbit a second; the mean object is " + shown(kb) +
            " KB. A loaded one has " + shown(loaded()) + " times that (premise). An answer has at most " +
            shown(t_.premises.largest_answer_kb) + " KB, so the mean object is " + shown(parts) +
-           " lookups of " + shown(kb / parts) + " KB.\n\n" + data_rows(kb / parts, parts) +
-           plain_words(kb / parts, parts);
+           " lookups of " + shown(kb / parts) +
+           " KB.\n\nState kept: connections, lookups under way, the list, purges in force, two generations "
+           "of objects; "
+           "nothing on disk but the list of a registry where that part is on.\n\n" +
+           data_rows(kb / parts, parts) + plain_words(kb / parts, parts);
 }
 
 std::string Page::data_rows(double answer_kb, double parts) {
@@ -187,6 +193,15 @@
         purges, t_.load.purges_per_s / 1e4, t_.load.purges_per_s / 1e4, "% of a core",
         t_.budget.gateway_core_percent, shown(t_.budget.gateway_core_percent) + "% of a core",
         "forgotten after twice the time within which they are done, `src/rules.cpp`");
+    lacks("Gateway, data: more than one thread in a gateway");
+    lacks(
+        "Gateway, data: the objects of a generation are forgotten in one decision, which takes the longer "
+        "the more "
+        "lookups a second there are (`src/rules.cpp`)");
+    text += cells({"longest single decision, 3,000 lookups a second", not_measured,
+                   estimate(data_, "longest_us.objects", 1e7).shown_value(1e-3, "ms"), "-", "-", "-",
+                   "`longest_us.objects`: " + basis(data_, "longest_us.objects"),
+                   "none: a generation is freed at once, `src/rules.cpp`"});
     return text;
 }
 
@@ -256,6 +271,7 @@
         const Estimate kb = of("kb_per_s"), worst = of("worst_kb_per_s"), core = of("core_percent"),
                        memory = of("memory_mb");
         const std::string where = "Gateway, control (" + v.name + "), " + event + ", ";
+        if (mechanism_of(v, event).rfind("none", 0) == 0) lacks(where + mechanism_of(v, event));
         need(where + "KB a second at the mean", kb.value, t_.budget.gateway_kb_per_s);
         need(where + "KB in the worst second", worst.value, t_.budget.gateway_kb_per_s);
         need(where + "processor time", core.value, t_.budget.gateway_core_percent);
@@ -285,10 +301,13 @@
                        bound > 0 ? ratio_shown(last.value, bound) : "-",
                        basis(&v.results, "gateway.last_s." + name)});
     }
+    lacks("Control (" + v.name + "): a change of configuration at all gateways: it is a file and SIGHUP");
     text += cells({"configuration", "configuration", not_measured, not_measured,
                    shown(t_.load.configuration_everywhere_s), not_measured,
                    "a file and SIGHUP: nothing brings it to all gateways"});
     const bool by_site = v.name.find("site") != std::string::npos;
+    if (!by_site)
+        lacks("Control (" + v.name + "): the word that a purge or a configuration is in force everywhere");
     return text + "\nWho knows that it is in force *everywhere*: " +
            (by_site ? "the digests of all sites, `src/fleet/in_force.cpp`" : "nobody (mechanism: none)") +
            ".\n";
--- a/bench/data_path.cpp
+++ b/bench/data_path.cpp
@@ -5,6 +5,7 @@
 //
 // Writes PATH.json and PATH.md. Loopback only; ends by itself within some minutes.
 #include <CLI/CLI.hpp>
+#include <algorithm>
 #include <chrono>
 #include <cstdio>
 #include <filesystem>
@@ -24,7 +25,8 @@
 using irismux::lab::processor_seconds;
 
 struct Options {
-    std::string program, results = "data_path", only, router;
+    std::string program, results = "data_path", router;
+    std::vector<std::string> only;  // parts; empty: all
     std::uint64_t seed = 1;
     double seconds = 2.5;  // of each measured stretch
 };
@@ -62,6 +64,9 @@
 class Measurement {
 public:
     explicit Measurement(const Options& options) : options_(options) {
+        // Parts measured before stay as they are.
+        if (!options.only.empty() && std::filesystem::exists(options.results + ".json"))
+            results_ = read_results(options.results + ".json");
         results_.title = "Slopes of the data path of one gateway";
         results_.machine = this_machine();
         results_.date = today();
@@ -85,7 +90,8 @@
 
 private:
     void part(const std::string& name, const std::function<void()>& measure_part) {
-        if (!options_.only.empty() && options_.only != name) return;
+        const auto& only = options_.only;
+        if (!only.empty() && std::find(only.begin(), only.end(), name) == only.end()) return;
         std::fprintf(stderr, "%s\n", name.c_str());
         measure_part();
     }
@@ -100,6 +106,11 @@
         l.seed = options_.seed;
         return l;
     }
+    template <class Entry>
+    static void put(std::vector<Entry>& all, Entry entry) {
+        std::erase_if(all, [&](const Entry& e) { return e.name == entry.name; });
+        all.push_back(std::move(entry));
+    }
     void add(Series series) {
         std::fprintf(stderr, "  %s:", series.name.c_str());
         for (const Point& p : series.points)
@@ -107,12 +118,12 @@
         const Fit f = fit(series.points);
         std::fprintf(stderr, " -> %s + %s n, t %s\n", shown(f.intercept).c_str(), shown(f.slope).c_str(),
                      shown(f.quadratic_t).c_str());
-        results_.series.push_back(std::move(series));
+        put(results_.series, std::move(series));
     }
     void add(Figure figure) {
         std::fprintf(stderr, "  %s: %s %s\n", figure.name.c_str(), shown(figure.value).c_str(),
                      figure.unit.c_str());
-        results_.figures.push_back(std::move(figure));
+        put(results_.figures, std::move(figure));
     }
 
     void answer_sizes();
@@ -147,7 +158,9 @@
     busy.title = "Share of one core that the gateway had meanwhile";
     busy.unit = "cores";
     double refused = 0;
-    for (const std::size_t bytes : {1'000u, 4'000u, 16'000u, 60'000u, 120'000u, 180'000u, 240'000u}) {
+    // Twice, so that the scatter of a size can be seen.
+    for (const std::size_t bytes : {1'000u, 4'000u, 16'000u, 60'000u, 120'000u, 180'000u, 240'000u,  //
+                                    1'000u, 4'000u, 16'000u, 60'000u, 120'000u, 180'000u, 240'000u}) {
         Load l = load();
         l.answer_bytes = bytes;
         LoadedGateway gateway(l);
@@ -417,7 +430,10 @@
     app.add_option("--results", options.results, "writes PATH.json and PATH.md")->capture_default_str();
     app.add_option("--seed", options.seed, "of objects asked for and of the decisions")
         ->capture_default_str();
-    app.add_option("--only", options.only, "answers, pace, held, caches, objects, router or others");
+    app.add_option(
+           "--only", options.only,
+           "of answers, pace, held, caches, objects, router, others; what PATH.json holds of the rest stays")
+        ->delimiter(',');
     app.add_option("--seconds", options.seconds, "of each measured stretch")
         ->capture_default_str()
         ->check(CLI::Range(0.5, 30.0));
