--- a/bench/capacity_page.cpp
+++ b/bench/capacity_page.cpp
@@ -38,7 +38,8 @@
 
 std::string sizes_shown(const Series& s) {
     const Fit f = fit(s.points);
-    return std::to_string(s.points.size()) + " sizes, " + shown(f.smallest) + " to " + shown(f.largest);
+    if (f.smallest == f.largest) return "one size, " + shown(f.largest);
+    return std::to_string(s.points.size()) + " points, " + shown(f.smallest) + " to " + shown(f.largest);
 }
 
 /// Gathers the page and, on the way, what does not fit.
@@ -231,9 +232,8 @@
     else
         text += "One thread also carries a gateway with " + shown(loaded()) + " times the mean.";
     return text +
-           " Bytes decide, not lookups. An answer above the protocol's bound can't be passed on; larger "
-           "pieces "
-           "would halve the lookups and save little of the processor time.\n";
+           " Bytes decide, not lookups. An answer above the protocol's bound can't be passed on; by the "
+           "slope larger pieces would save little processor time.\n";
 }
 
 std::string Page::control_section(const ControlVariant& v) {
