--- a/bench/scale/main.cpp
+++ b/bench/scale/main.cpp
@@ -2,6 +2,7 @@
 // with a relay on every link to the control machines.
 //
 //   scale run --gateways N [--real N] [--events A,B] [--program irismux] [--fleet-line TEXT]... --out FILE
+//   scale merge FILE FROM...      adds the runs of other files to one
 //   scale report FOLDER           FOLDER/scale.md and scale.svg from the figures in FOLDER/scale.json
 //
 // Loopback only; ends by itself and leaves nothing behind but its output.
@@ -38,6 +39,10 @@
             if (std::none_of(run["events"].begin(), run["events"].end(),
                              [&](const json& e) { return e["event"] == kept["event"]; }))
                 run["events"].push_back(kept);
+        for (const char* key : {"all_came_up", "all_whole_at_end"})
+            run[key] = run[key].get<bool>() && old[key].get<bool>();
+        for (const auto& [what, n] : old["end_state"]["different"].items())
+            if (n > run["end_state"]["different"][what]) run["end_state"]["different"][what] = n;
         old = run;
         std::ofstream(path) << all.dump(1) << '\n';
         return;
@@ -46,6 +51,12 @@
     std::ofstream(path) << all.dump(1) << '\n';
 }
 
+int merge(const std::string& path, const std::vector<std::string>& from) {
+    for (const std::string& file : from)
+        for (const json& run : read_runs(file)["runs"]) add_run(path, run);
+    return 0;
+}
+
 int run(scale::RigSettings settings, const std::vector<std::string>& events, const std::string& out) {
     try {
         scale::Rig rig(settings);
@@ -100,8 +111,13 @@
     being->add_option("number", number)->required();
     CLI::App* const reporting = app.add_subcommand("report", "tables and a chart from the figures measured");
     reporting->add_option("folder", out)->required();
+    std::vector<std::string> from;
+    CLI::App* const merging = app.add_subcommand("merge", "adds the runs of other files to one");
+    merging->add_option("file", out)->required();
+    merging->add_option("from", from)->required();
     CLI11_PARSE(app, argc, argv);
     if (reporting->parsed()) return report(out);
+    if (merging->parsed()) return merge(out, from);
     if (being->parsed()) return scale::run_role(role, control, number);
     return run(settings, events, out);
 }
