--- a/bench/fleet_owner.cpp
+++ b/bench/fleet_owner.cpp
@@ -1,9 +1,11 @@
 // How long a duty of the fleet has no owner, by fault; and what a fleet costs its gateways and the registry.
 //
-//   fleet_owner PROGRAM takeovers [TIMES] [FAULT...]   processes of the program, faults to the owner of the
-//   sweeping fleet_owner PROGRAM cost [SECONDS]                 one gateway of three: memory, descriptors,
-//   processor, lookups fleet_owner - model [MEMBERS...]                   the cores in virtual time: requests
-//   at the registry
+//   fleet_owner PROGRAM takeovers [TIMES] [FAULT...]
+//       processes of the program; faults to the owner of the garbage collection
+//   fleet_owner PROGRAM cost [SECONDS]
+//       one gateway of three: memory, descriptors, processor time, lookups
+//   fleet_owner - model [MEMBERS...]
+//       the cores in virtual time: requests at the registry
 //
 // Everything is counted at the far ends. Prints tables in Markdown.
 #include <signal.h>
@@ -43,7 +45,7 @@
 
 struct Counted {
     std::vector<double> without_ms;     // from the fault to the first write of another that landed
-    std::size_t tried = 0, landed = 0;  // writes under the former epoch after the next one had landed
+    std::size_t tried = 0, landed = 0;  // writes under the former token after the next one had landed
     std::size_t moved = 0, least = 0;   // duties that changed hands with a loss; those that its owner had
     std::size_t stuck = 0;              // faults that nobody followed
 };
--- a/lab/arena.hpp
+++ b/lab/arena.hpp
@@ -4,9 +4,9 @@
 // The far ends keep the ledgers; what is broken is found there, at each transaction that the registry settles
 // and each look that a cache's relay sees:
 //
-//   a write on behalf of the fleet by one who does not own the duty under the epoch that it names
-//   a write by an epoch after one by a higher epoch
-//   one epoch of a duty for two instances, also across restores of the registry
+//   a write on behalf of the fleet by one who does not own the duty under the token that it names
+//   a write under a token after one under a higher token
+//   one token of a duty for two instances, also across restores of the registry
 //   a look by a former owner after its successor's first, but for one that was under way
 //   a lookup without exactly one answer
 #pragma once
@@ -38,7 +38,7 @@
         Span look_every = Span::micros(200'000), sweep_every = Span::micros(100'000);
         Span ask_every = Span::micros(10'000);  // of each gateway's clients
         bool probes = true;
-        bool keeps = false;  // epochs seen, in a folder of each gateway's own
+        bool keeps = false;  // stores the tokens seen, in a folder of each gateway's own
         std::string clock;   // the library that shows other clocks; empty: all have the machine's
     };
 
--- a/lab/explore.cpp
+++ b/lab/explore.cpp
@@ -117,7 +117,7 @@
         const Ledger::Outcome o = ledger.settle(transaction);
         for (const auto& [key, value] : transaction.writes) {
             if (!o.held || !value || key.raw().rfind("work/", 0) != 0) continue;
-            // EPOCH/NAME/START: a member by that start, and no epoch below one that has written.
+            // EPOCH/NAME/START: a member of that incarnation, and no token below one that has written.
             const std::size_t a = value->find('/'), b = value->rfind('/');
             const std::int64_t token = std::atoll(value->c_str());
             const auto it = ledger.records().find(member_key(MemberName{value->substr(a + 1, b - a - 1)}));
@@ -153,7 +153,7 @@
         n.agent->start(n.clock(tick));
     }
 
-    // One process through one tick; a fault takes the first deal that it has out.
+    // One process through one tick; a fault takes its first transaction under way.
     void play(Node& n, Fault fault) {
         const Instant now = n.clock(tick);
         if (fault == Fault::die) {
--- a/lab/ledger.hpp
+++ b/lab/ledger.hpp
@@ -1,4 +1,4 @@
-// A registry as an Agent's deals see it: records, one revision, transactions, a history to watch, and backups
+// A registry as an Agent's transactions see it: records, one revision, a history to watch, and backups
 // to go back to. In memory, for models; the stand-in on sockets is lab/registry.
 #pragma once
 
@@ -30,7 +30,7 @@
 
     const Records& records() const { return records_; }
     Revision revision() const { return revision_; }
-    std::vector<Entry> all() const;  // what a watch is told at first: no signs of life
+    std::vector<Entry> all() const;  // what a new watch delivers: no heartbeats
     // Changes that a watch tells, those up to `told` left out; a watch has all of one revision or none.
     std::vector<Entry> changes(Revision told, Revision upto) const;
     bool forgotten(Revision told) const { return told < oldest_; }
--- a/lab/world.cpp
+++ b/lab/world.cpp
@@ -23,7 +23,7 @@
     std::unique_ptr<Agent> agent;
     double rate = 1;
     bool stopped = false, cut_out = false, cut_in = false;
-    std::uint64_t ask = 0;   // the deal at hand
+    std::uint64_t ask = 0;   // the transaction under way
     std::uint64_t life = 0;  // of the process
     std::optional<Instant> wake_at;
     std::uint64_t wake_no = 0;
@@ -160,7 +160,7 @@
         if (key.raw().rfind("work/", 0) == 0) {
             const std::string duty = value->substr(0, slash);
             const std::int64_t token = std::atoll(value->c_str() + slash + 1);
-            // DUTY/EPOCH/NAME/START: a member by that start, and no epoch below one that has written.
+            // DUTY/EPOCH/NAME/START: a member of that incarnation, and no token below one that has written.
             const std::size_t a = value->find('/', slash + 1), b = value->rfind('/');
             const MemberName who{value->substr(a + 1, b - a - 1)};
             const Holder holder{FencingToken{token}, who, Incarnation{std::atoll(value->c_str() + b + 1)}};
--- a/lab/world.hpp
+++ b/lab/world.hpp
@@ -27,7 +27,7 @@
     };
     struct Shape {
         std::size_t members = 3, duties = 2;
-        double drift = 0.01;  // that of the clocks; the articles' own is told with them
+        double drift = 0.01;  // that of the clocks; the shared configuration has its own
         bool spread = true;
         bool works = true;  // owners write on behalf of the fleet all the while
     };
@@ -45,7 +45,7 @@
     void back(Span age);  // the registry, to a backup at least so old; one more than a term old is expected
     void cut(std::size_t member, bool in, bool out);
     std::size_t worst(
-        Span window) const;  // deals that reached the registry within such a stretch, since mark()
+        Span window) const;  // transactions that reached the registry within such a stretch, since mark()
 
     Instant now() const { return now_; }
     std::optional<std::size_t> owner(std::size_t duty) const;  // who may act on it at this instant
@@ -54,7 +54,7 @@
     std::vector<std::string> broken;  // guarantees, each with its instant; checked on each event
     std::uint64_t transactions = 0, written = 0, refused = 0,
                   owners = 0;    // of the registry; owners: changes of
-    std::vector<Instant> asked;  // of deals as they reached the registry
+    std::vector<Instant> asked;  // of transactions as they reached the registry
     Span longest_without;        // of any duty, since the last mark()
     void mark();
 
@@ -89,7 +89,7 @@
     std::vector<Backup> backups_;
     std::vector<std::unique_ptr<Node>> nodes_;
     std::vector<fleet::DutyName> duties_;
-    std::map<std::string, std::int64_t> highest_;  // epoch of accepted writes, of this history
+    std::map<std::string, std::int64_t> highest_;  // token of accepted writes, of this history
     std::map<std::pair<std::string, std::int64_t>, std::string> given_;
     std::map<std::pair<std::size_t, fleet::DutyName>, fleet::FencingToken>
         heeded_;  // by each, restarts and all
--- a/src/fleet/agent_timing.hpp
+++ b/src/fleet/agent_timing.hpp
@@ -13,7 +13,7 @@
 // Parts of a round (a quarter of a term):
 // for how long each rank in a duty's order waits for the one before it
 constexpr double claim_delay_per_rank = 0.5;
-// the longest time between two looks for what has become due
+// the longest time until the agent wakes by itself
 constexpr double longest_sleep = 0.25;
 // the pause after a transaction that failed or had no answer
 constexpr double retry_pause = 1.0 / 16;
--- a/src/fleet/garbage_collector.cpp
+++ b/src/fleet/garbage_collector.cpp
@@ -76,8 +76,7 @@
     const Text former = record_mirror.at(collection_progress_key());
     CollectionProgress place =
         former ? read_collection_progress(*former).value_or(CollectionProgress{}) : CollectionProgress{};
-    // A successor goes on with the pass that it finds; what the one before has dealt with is not there any
-    // more.
+    // A new owner continues the pass that it finds; what the one before removed is not there any more.
     if (!scanned_) scan(now, record_mirror, agent);
     std::optional<FencedWrite> write_request;
     Key at;
@@ -99,8 +98,7 @@
     return write_request;
 }
 
-// What was refused or may not have landed is looked for again in the next pass, from the records as they are
-// then.
+// What was refused or may not have landed is tried again in the next pass, from the records as they are then.
 void GarbageCollector::told(Instant now, WriteOutcome) {
     write_under_way_ = false;
     if (!ends_pass_) return;
--- a/tests/fleet_arena_test.cpp
+++ b/tests/fleet_arena_test.cpp
@@ -97,7 +97,7 @@
     bool stopped = false;
     for (const auto& r : a->gateways[first].to_registry)
         r->seen = [&, way = way, nth = nth](lab::Way w, std::string_view bytes) {
-            // Of deals, and not of the watch.
+            // Of transactions, and not of the watch.
             if (w != way || (w == lab::Way::out ? bytes.find("/kv/txn") : bytes.find("responses")) ==
                                 std::string_view::npos)
                 return;
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -398,14 +398,14 @@
     EXPECT_EQ(instants.size(), 3u);
 }
 
-// Deals land late: what they go by has changed meanwhile, by a sign of life, an owner who is back, or a
+// Transactions land late: what they compare has changed meanwhile, by a heartbeat, an owner who is back, or a
 // registry that has gone back to before our own last sign. None may be done.
 class Late : public Alone {
 protected:
     const std::string sign = serialize(HeartbeatRecord{Incarnation{4}, InstanceId{"x"}, HeartbeatNumber{1}});
     const std::string member = serialize(MemberRecord{Incarnation{4}, InstanceId{"x"}, "1", {}});
 
-    // A member "x" that owns "d" and gives no sign; and the deal that wrote that key.
+    // A member "x" that owns "d" and sends no heartbeat; and the transaction that wrote that key.
     Transaction caught(const std::string& key) {
         put("member/x", member);
         put("beat/x", sign);
@@ -414,7 +414,7 @@
         run(ms * 40'000);
         return last(key);
     }
-    // The last deal that wrote that key.
+    // The last transaction that wrote that key.
     Transaction last(const std::string& key) const {
         const auto it = std::find_if(said.rbegin(), said.rend(), [&](const Transaction& d) {
             return !d.writes.empty() && d.writes.back().first == Key{key};
