--- /dev/null
+++ b/src/fleet/digest.cpp
@@ -0,0 +1,301 @@
+#include "fleet/digest.hpp"
+
+#include <algorithm>
+#include <nlohmann/json.hpp>
+#include <tuple>
+
+namespace irismux::fleet {
+namespace {
+
+using nlohmann::json;
+
+// Looks come once a quarter of a term, and it takes three of them until two heartbeats in a row have been
+// seen to come; one more may be lost.
+constexpr double unseen_of_term = 1.25;
+
+std::optional<std::int64_t> count(const json& o, const char* key) {
+    const auto it = o.find(key);
+    if (it == o.end() || !it->is_number_integer() || *it < 0) return std::nullopt;
+    return it->get<std::int64_t>();
+}
+
+std::string text(const json& o, const char* key) {
+    const auto it = o.find(key);
+    return it != o.end() && it->is_string() ? it->get<std::string>() : std::string();
+}
+
+bool flag(const json& o, const char* key) {
+    const auto it = o.find(key);
+    return it != o.end() && it->is_boolean() && it->get<bool>();
+}
+
+// What changes with each look is left out: whether there is news is judged by the rest.
+json content(const Digest& d) {
+    json o = {{"owner", d.owner.raw()},
+              {"owner_id", d.owner_id},
+              {"generation", d.generation.number},
+              {"id", d.generation.id},
+              {"known", d.known},
+              {"live", d.live},
+              {"lowest", d.lowest.raw()},
+              {"highest", d.highest.raw()},
+              {"configuration", d.lowest_configuration.raw()},
+              {"absent_count", d.absent_count},
+              {"behind_count", d.behind_count}};
+    if (d.board_went_back) o["went_back"] = true;
+    if (d.incomplete) o["incomplete"] = true;
+    for (const auto& a : d.absent) o["absent"].push_back({a.member.raw(), a.since_ms});
+    for (const auto& b : d.behind)
+        o["behind"].push_back({b.member.raw(), b.event.raw(), b.configuration.raw()});
+    for (const auto& [cache, members] : d.marks) o["marks"].push_back({cache.raw(), members});
+    return o;
+}
+
+// Calls `take` with each entry of a list whose first part is text and whose others are numbers.
+template <class Take>
+bool each(const json& o, const char* key, std::size_t numbers, std::size_t most, Take take) {
+    const auto it = o.find(key);
+    if (it == o.end()) return true;
+    if (!it->is_array() || it->size() > most) return false;
+    for (const json& entry : *it) {
+        if (!entry.is_array() || entry.size() != numbers + 1 || !entry[0].is_string()) return false;
+        for (std::size_t n = 1; n <= numbers; ++n)
+            if (!entry[n].is_number_integer()) return false;
+        take(entry);
+    }
+    return true;
+}
+
+}  // namespace
+
+Key roster_key() { return Key{"roster"}; }
+Key digest_key() { return Key{"digest"}; }
+DutyName digest_duty() { return DutyName{"digest"}; }
+Span longest_unseen(Span term) { return term * unseen_of_term; }
+
+std::string serialize(const Roster& r) {
+    json o = {{"names", json::array()}};
+    for (const MemberName& name : r.names) o["names"].push_back(name.raw());
+    if (r.incomplete) o["incomplete"] = true;
+    return o.dump();
+}
+
+std::optional<Roster> read_roster(std::string_view bytes) {
+    const json o = json::parse(bytes, nullptr, false);
+    if (!o.is_object() || !o.contains("names") || !o["names"].is_array()) return std::nullopt;
+    Roster r;
+    r.incomplete = flag(o, "incomplete");
+    for (const json& name : o["names"]) {
+        if (!name.is_string()) return std::nullopt;
+        if (r.names.size() >= most_in_roster)
+            r.incomplete = true;
+        else
+            r.names.emplace(name.get<std::string>());
+    }
+    return r;
+}
+
+std::optional<Roster> with_name(const Roster& roster, const MemberName& name) {
+    if (roster.names.contains(name)) return std::nullopt;
+    Roster next = roster;
+    if (next.names.size() < most_in_roster)
+        next.names.insert(name);
+    else if (std::exchange(next.incomplete, true))
+        return std::nullopt;
+    return next;
+}
+
+std::string serialize(const Digest& d) {
+    json o = content(d);
+    o["as_of"] = d.as_of;
+    o["as_of_ms"] = d.as_of_ms;
+    return o.dump();
+}
+
+std::optional<Digest> read_digest(std::string_view bytes) {
+    const json o = json::parse(bytes, nullptr, false);
+    if (!o.is_object()) return std::nullopt;
+    const auto as_of = count(o, "as_of"), generation = count(o, "generation"), known = count(o, "known"),
+               live = count(o, "live"), lowest = count(o, "lowest"), highest = count(o, "highest"),
+               configuration = count(o, "configuration"), absent = count(o, "absent_count"),
+               behind = count(o, "behind_count");
+    if (!as_of || !generation || !known || !live || !lowest || !highest || !configuration || !absent ||
+        !behind)
+        return std::nullopt;
+    Digest d;
+    d.owner = MemberName{text(o, "owner")};
+    d.owner_id = text(o, "owner_id");
+    d.as_of = *as_of;
+    d.as_of_ms = count(o, "as_of_ms").value_or(0);
+    d.generation = {*generation, text(o, "id")};
+    d.board_went_back = flag(o, "went_back");
+    d.incomplete = flag(o, "incomplete");
+    d.known = static_cast<std::size_t>(*known);
+    d.live = static_cast<std::size_t>(*live);
+    d.lowest = EventNumber{*lowest};
+    d.highest = EventNumber{*highest};
+    d.lowest_configuration = ConfigurationNumber{*configuration};
+    d.absent_count = static_cast<std::size_t>(*absent);
+    d.behind_count = static_cast<std::size_t>(*behind);
+    const bool lists_read =
+        each(o, "absent", 1, most_named,
+             [&](const json& e) {
+                 d.absent.push_back({MemberName{e[0].get<std::string>()}, e[1].get<std::int64_t>()});
+             }) &&
+        each(o, "behind", 2, most_named,
+             [&](const json& e) {
+                 d.behind.push_back({MemberName{e[0].get<std::string>()},
+                                     EventNumber{e[1].get<std::int64_t>()},
+                                     ConfigurationNumber{e[2].get<std::int64_t>()}});
+             }) &&
+        each(o, "marks", 1, most_caches, [&](const json& e) {
+            d.marks.emplace_back(CacheId{e[0].get<std::string>()}, e[1].get<std::size_t>());
+        });
+    // Lists that are shorter than their counts are cut; longer ones can't be.
+    if (!lists_read || d.absent.size() > d.absent_count || d.behind.size() > d.behind_count)
+        return std::nullopt;
+    return d;
+}
+
+// --- what is known of the members' processes -------------------------------------------------------------
+
+// Guards against a registry that has gone back: an older heartbeat that comes after a newer one shows nothing
+// of its sender.
+void DigestKeeper::note(const MemberName& name, const std::optional<std::string>& text_shown, Instant asked) {
+    const auto heartbeat = text_shown ? read_beat(*text_shown) : std::nullopt;
+    const auto known = evidence_.find(name);
+    const bool first = known == evidence_.end();
+    Evidence next{text_shown.value_or(""),
+                  heartbeat ? heartbeat->mark.raw() : "",
+                  heartbeat ? heartbeat->beat.raw() : 0,
+                  asked,
+                  {},
+                  {}};
+    if (!first) {
+        const Evidence& former = known->second;
+        const bool same_text = former.text == next.text;
+        const bool follows = heartbeat && next.id == former.id && next.number > former.number;
+        next.before_text = same_text ? former.before_text : std::optional(former.last_asked);
+        next.before_previous = same_text ? former.before_previous
+                               : follows ? former.before_text
+                                         : std::nullopt;
+    }
+    evidence_[name] = std::move(next);
+}
+
+// The sender of the heartbeat shown ran after the one before had landed, and that had not when
+// `before_previous` was asked.
+bool DigestKeeper::live(const MemberName& name, Instant answered) const {
+    const auto it = evidence_.find(name);
+    if (it == evidence_.end() || it->second.id.empty() || !it->second.before_previous) return false;
+    return answered - *it->second.before_previous <= longest_unseen(settings_.term);
+}
+
+Digest DigestKeeper::fold(const Look& look, const std::optional<InForce>& own) const {
+    Digest d;
+    d.owner = settings_.self;
+    d.owner_id = settings_.own_id;
+    d.as_of = look.number;
+    d.as_of_ms = look.unix_ms;
+    d.generation = shown_generation_.value_or(Generation{});
+    d.known = roster_.names.size();
+    d.incomplete = roster_.incomplete || !roster_read_ || !roster_.names.contains(settings_.self);
+    std::vector<Digest::Behind> live_ones;
+    for (const MemberName& name : roster_.names) {
+        const bool self = name == settings_.self;
+        const auto it = evidence_.find(name);
+        const auto claim = self ? own : it == evidence_.end() ? std::nullopt : read_claim(it->second.text);
+        const bool counts = claim && claim->generation == d.generation;
+        if (claim && claim->generation == d.generation) {
+            d.highest = std::max(d.highest, claim->event);
+            d.board_went_back |= claim->board_went_back;
+        }
+        if (!self && !live(name, look.answered)) {
+            ++d.absent_count;
+            const auto since = absent_since_.find(name);
+            if (d.absent.size() < most_named)
+                d.absent.push_back({name, since == absent_since_.end() ? look.unix_ms : since->second});
+            continue;
+        }
+        ++d.live;
+        live_ones.push_back({name, counts ? claim->event : EventNumber{},
+                             counts ? claim->configuration : ConfigurationNumber{}});
+    }
+    std::sort(live_ones.begin(), live_ones.end(), [](const auto& a, const auto& b) {
+        return std::tie(a.event, a.configuration, a.member) < std::tie(b.event, b.configuration, b.member);
+    });
+    if (live_ones.empty()) return d;
+    ConfigurationNumber highest_configuration;
+    d.lowest = live_ones.front().event;
+    d.lowest_configuration = live_ones.front().configuration;
+    for (const auto& m : live_ones) {
+        d.lowest_configuration = std::min(d.lowest_configuration, m.configuration);
+        highest_configuration = std::max(highest_configuration, m.configuration);
+    }
+    for (const auto& m : live_ones) {
+        if (m.event == d.highest && m.configuration == highest_configuration) continue;
+        ++d.behind_count;
+        if (d.behind.size() < most_named) d.behind.push_back(m);
+    }
+    return d;
+}
+
+// Guards against a registry that has gone back: who has taken a higher generation, or another under the same
+// number, takes the one shown for none.
+void DigestKeeper::note_generations(const std::optional<InForce>& own) {
+    generations_differ_ = false;
+    const auto take = [&](const Generation& g) {
+        if (shown_generation_ && g.number == shown_generation_->number && g != *shown_generation_)
+            generations_differ_ = true;
+        if (g.number > known_generation_.number) known_generation_ = g;
+    };
+    if (shown_generation_) take(*shown_generation_);
+    if (own) take(own->generation);
+    for (const auto& [name, e] : evidence_)
+        if (const auto claim = read_claim(e.text)) take(claim->generation);
+}
+
+void DigestKeeper::on_look(const Look& look, const std::optional<InForce>& own,
+                           const std::map<CacheId, std::size_t>& marks) {
+    const auto roster = look.roster ? read_roster(*look.roster) : std::nullopt;
+    roster_read_ = roster.has_value();
+    if (roster) roster_ = *roster;
+    std::erase_if(evidence_, [&](const auto& e) { return !roster_.names.contains(e.first); });
+    for (const auto& [name, text_shown] : look.heartbeats)
+        if (roster_.names.contains(name)) note(name, text_shown, look.asked);
+    shown_generation_ = look.generation ? read_generation(*look.generation) : std::nullopt;
+    note_generations(own);
+    // Since when somebody has been absent goes from owner to owner.
+    if (const auto former = look.former_digest ? read_digest(*look.former_digest) : std::nullopt)
+        for (const auto& a : former->absent) absent_since_.try_emplace(a.member, a.since_ms);
+    Digest d = fold(look, own);
+    for (const auto& a : d.absent) absent_since_.try_emplace(a.member, a.since_ms);
+    std::erase_if(absent_since_, [&](const auto& since) {
+        return !roster_.names.contains(since.first) || since.first == settings_.self ||
+               live(since.first, look.answered);
+    });
+    for (const auto& [cache, members] : marks) d.marks.emplace_back(cache, members);
+    std::stable_sort(d.marks.begin(), d.marks.end(),
+                     [](const auto& a, const auto& b) { return a.second > b.second; });
+    if (d.marks.size() > most_caches) d.marks.resize(most_caches);
+    digest_ = std::move(d);
+}
+
+std::optional<std::string> DigestKeeper::next(Instant now) {
+    if (!digest_) return std::nullopt;
+    const std::string is = content(*digest_).dump();
+    const Span since = now - written_at_;
+    if (ever_written_ && since < (is == written_ ? settings_.refresh : settings_.pace)) return std::nullopt;
+    ever_written_ = true;
+    written_ = is;
+    written_at_ = now;
+    return serialize(*digest_);
+}
+
+std::optional<Generation> DigestKeeper::next_generation(const std::string& new_id) const {
+    if (!digest_) return std::nullopt;
+    const bool worn = digest_->board_went_back || generations_differ_;
+    return fleet::next_generation(shown_generation_, known_generation_, worn, new_id);
+}
+
+}  // namespace irismux::fleet
--- /dev/null
+++ b/src/fleet/digest.hpp
@@ -0,0 +1,149 @@
+// One record a site: what all of its members have in force, folded out of their heartbeats by the owner of a
+// duty of the site. No I/O, no clock.
+//
+//   roster    the names that have ever joined the site and that no operator has had forgotten; written in the
+//             transaction of a name's first join, so that nobody who may be serving is missing from it
+//   digest    written by the duty's owner, as of one heartbeat of its own: the transaction of that heartbeat
+//             showed it the roster and all heartbeats at one revision
+//
+// A member counts as live only while it is shown to be a running process: a heartbeat compares the one
+// before, so its sender ran after that one had landed. Whoever does not count is absent, since when is said,
+// and it stays so until it counts again or is forgotten.
+//
+// Guarantee: a digest's `lowest` is in force at each live member, and each live member's process ran at some
+// instant no earlier than `longest_unseen` before the heartbeat that the digest is as of.
+#pragma once
+
+#include <map>
+#include <optional>
+#include <set>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+#include "fleet/in_force.hpp"
+
+namespace irismux::fleet {
+
+constexpr std::size_t most_in_roster = 128;  // beyond it the roster is marked as incomplete
+constexpr std::size_t most_named = 16;       // of each list of a digest; the counts go on
+constexpr std::size_t most_caches = 32;      // marked ones in a digest, the most marked first
+
+struct Roster {
+    std::set<MemberName> names;
+    bool incomplete = false;  // a name found no room: the site is never wholly known again until an operator
+                              // has mended it
+    bool operator==(const Roster&) const = default;
+};
+
+struct Digest {
+    struct Absent {
+        MemberName member;
+        std::int64_t since_ms = 0;  // Unix time by the clock of the owner that saw it first; for people
+        bool operator==(const Absent&) const = default;
+    };
+    struct Behind {
+        MemberName member;
+        EventNumber event;
+        ConfigurationNumber configuration;
+        bool operator==(const Behind&) const = default;
+    };
+
+    MemberName owner;
+    std::string owner_id;       // of the owner's process
+    std::int64_t as_of = 0;     // the owner's heartbeat that showed it all this
+    std::int64_t as_of_ms = 0;  // Unix time by the owner's clock; for people
+    Generation generation;
+    bool board_went_back = false;  // seen by one of them under that generation
+    std::size_t known = 0;         // names in the roster
+    std::size_t live = 0;
+    EventNumber lowest, highest;  // of live members; the highest also of those that are not
+    ConfigurationNumber lowest_configuration;
+    std::vector<Absent> absent;
+    std::size_t absent_count = 0;
+    std::vector<Behind>
+        behind;  // live, and below the site's highest event or configuration; the lowest first
+    std::size_t behind_count = 0;
+    bool incomplete = false;                             // the roster is
+    std::vector<std::pair<CacheId, std::size_t>> marks;  // how many members pass that cache over
+};
+
+Key roster_key();
+Key digest_key();
+DutyName digest_duty();
+std::string serialize(const Roster&);
+std::string serialize(const Digest&);
+std::optional<Roster> read_roster(std::string_view);
+std::optional<Digest> read_digest(std::string_view);
+// With that name in it. None: it is there already.
+std::optional<Roster> with_name(const Roster&, const MemberName&);
+
+// For how long a member counts as live after the last instant at which its process is known to have run.
+Span longest_unseen(Span term);
+
+// What the transaction of a heartbeat showed.
+struct Look {
+    Instant asked, answered;  // by the owner's clock
+    std::int64_t number = 0;  // of that heartbeat, its own
+    std::int64_t unix_ms = 0;
+    std::optional<std::string> roster, former_digest, generation;
+    std::map<MemberName, std::optional<std::string>> heartbeats;  // of others that were asked for
+};
+
+class DigestKeeper {
+public:
+    struct Settings {
+        MemberName self;
+        std::string own_id;
+        Span term;
+        Span pace;     // between two digests, at least
+        Span refresh;  // a digest is written anew after so long, also if nothing has changed
+    };
+    explicit DigestKeeper(Settings settings) : settings_(std::move(settings)) {}
+
+    // Whose heartbeats the next look must show.
+    const std::set<MemberName>& names() const { return roster_.names; }
+    // Each look, whether or not this member owns the duty; `own` is what this member has in force.
+    void on_look(const Look& look, const std::optional<InForce>& own,
+                 const std::map<CacheId, std::size_t>& marks);
+    // The digest to be written now, by the duty's owner. It is taken as written from here on; if it was not,
+    // a later one is.
+    std::optional<std::string> next(Instant now);
+    // Whether one that is live lacks what another has: looks should be frequent.
+    bool uneven() const { return digest_ && digest_->behind_count > 0; }
+    const std::optional<Digest>& digest() const { return digest_; }
+    // A generation to be written in place of the one shown, if that can't stand.
+    std::optional<Generation> next_generation(const std::string& new_id) const;
+
+private:
+    // What is known of one member's process.
+    struct Evidence {
+        std::string text, id;  // of the heartbeat last shown, and of its sender's process
+        std::int64_t number = 0;
+        Instant last_asked;  // the last look that showed it, whatever it showed
+        // Asked at that instant, a look did not yet show this text; and so of the text before, of the same
+        // process.
+        std::optional<Instant> before_text, before_previous;
+    };
+
+    void note(const MemberName& name, const std::optional<std::string>& text, Instant asked);
+    void note_generations(const std::optional<InForce>& own);
+    bool live(const MemberName& name, Instant answered) const;
+    Digest fold(const Look& look, const std::optional<InForce>& own) const;
+
+    Settings settings_;
+    Roster roster_;
+    bool roster_read_ = false;
+    std::map<MemberName, Evidence> evidence_;  // of names in the roster
+    std::map<MemberName, std::int64_t> absent_since_;
+    std::optional<Generation> shown_generation_;
+    Generation known_generation_;  // the highest that anybody was seen to have taken
+    bool generations_differ_ = false;
+    std::optional<Digest> digest_;
+    std::string written_;  // the last one's content, without when and by whom
+    Instant written_at_;
+    bool ever_written_ = false;
+};
+
+}  // namespace irismux::fleet
--- /dev/null
+++ b/src/fleet/in_force.cpp
@@ -0,0 +1,117 @@
+#include "fleet/in_force.hpp"
+
+#include <algorithm>
+#include <nlohmann/json.hpp>
+
+namespace irismux::fleet {
+namespace {
+
+using nlohmann::json;
+
+constexpr const char* claim_field = "in_force";
+
+json object_of(std::string_view bytes) {
+    json o = json::parse(bytes, nullptr, false);
+    return o.is_object() ? o : json::object();
+}
+
+std::optional<std::int64_t> count(const json& o, const char* key) {
+    const auto it = o.find(key);
+    if (it == o.end() || !it->is_number_integer() || *it < 0) return std::nullopt;
+    return it->get<std::int64_t>();
+}
+
+std::optional<Generation> generation_of(const json& o) {
+    const auto number = count(o, "generation");
+    const auto id = o.find("id");
+    if (!number || *number == 0 || id == o.end() || !id->is_string()) return std::nullopt;
+    return Generation{*number, id->get<std::string>()};
+}
+
+}  // namespace
+
+Key generation_key() { return Key{"generation"}; }
+
+std::string serialize(const Generation& g) { return json{{"generation", g.number}, {"id", g.id}}.dump(); }
+
+std::optional<Generation> read_generation(std::string_view bytes) { return generation_of(object_of(bytes)); }
+
+std::string with_claim(const std::string& heartbeat, const std::optional<InForce>& claim) {
+    if (!claim) return heartbeat;
+    json all = object_of(heartbeat);
+    json& o = all[claim_field];
+    o = {{"generation", claim->generation.number},
+         {"id", claim->generation.id},
+         {"event", claim->event.raw()},
+         {"configuration", claim->configuration.raw()}};
+    if (claim->board_went_back) o["went_back"] = true;
+    return all.dump();
+}
+
+// What is there and can't be read is no claim.
+std::optional<InForce> read_claim(std::string_view heartbeat) {
+    const json all = object_of(heartbeat);
+    const auto it = all.find(claim_field);
+    if (it == all.end() || !it->is_object()) return std::nullopt;
+    const auto generation = generation_of(*it);
+    const auto event = count(*it, "event"), configuration = count(*it, "configuration");
+    if (!generation || !event || !configuration) return std::nullopt;
+    return InForce{*generation, EventNumber{*event}, ConfigurationNumber{*configuration},
+                   it->contains("went_back")};
+}
+
+std::optional<Generation> next_generation(const std::optional<Generation>& shown, const Generation& known,
+                                          bool worn, const std::string& new_id) {
+    const bool stands = shown && (shown->number > known.number || *shown == known);
+    if (stands && !worn) return std::nullopt;
+    return Generation{std::max(shown ? shown->number : 0, known.number) + 1, new_id};
+}
+
+void Acknowledgement::on_generation(const Generation& shown) {
+    if (shown.number <= generation_.number) return;
+    generation_ = shown;
+    known_in_generation_ = went_back_ = false;
+    event_ = {};
+}
+
+// Where it was seen to go back, only the next generation gives its numbers a meaning again.
+bool Acknowledgement::ask_from_start() const {
+    if (poll_out_from_start_) return false;
+    return !told_once_ || (generation_.number > 0 && !known_in_generation_ && !went_back_);
+}
+
+void Acknowledgement::on_board_asked(bool from_start) {
+    poll_out_ = true;
+    poll_out_from_start_ = from_start;
+    poll_generation_ = generation_;
+}
+
+// Guards against an answer to a poll from before the generation was shown: it may be of the board's former
+// history.
+void Acknowledgement::on_board_told(EventNumber newest) {
+    const bool current = poll_out_ && poll_generation_ == generation_;
+    const bool whole = poll_out_from_start_;
+    on_board_failed();
+    told_once_ |= whole;
+    if (!current) return;
+    if (newest < event_) {
+        went_back_ = true;
+        known_in_generation_ = false;
+        return;
+    }
+    if (!known_in_generation_ && !whole) return;
+    // Where it has been seen to go back, numbers count again only in the next generation.
+    if (went_back_) return;
+    known_in_generation_ = true;
+    event_ = newest;
+}
+
+void Acknowledgement::on_board_failed() { poll_out_ = poll_out_from_start_ = false; }
+
+std::optional<InForce> Acknowledgement::claim() const {
+    if (generation_.number == 0) return std::nullopt;
+    return InForce{generation_, known_in_generation_ && !went_back_ ? event_ : EventNumber{}, configuration_,
+                   went_back_};
+}
+
+}  // namespace irismux::fleet
--- /dev/null
+++ b/tests/fleet_digest_test.cpp
@@ -0,0 +1,497 @@
+// What is in force where: what a member may say of itself, how a site's digest is folded, and what a reader
+// may conclude. Parts by themselves; whole fleets are in fleet_in_force_test.cpp.
+#include <gtest/gtest.h>
+
+#include "fleet/fleet_status.hpp"
+
+using namespace irismux;
+using namespace irismux::fleet;
+
+namespace {
+
+const Span ms = Span::micros(1000);
+const Span term = ms * 4000, round_length = ms * 1000;
+const Generation first{1, "g1"}, second{2, "g2"};
+
+EventNumber event(std::int64_t n) { return EventNumber{n}; }
+
+// --- what a member may say of itself ---------------------------------------------------------------------
+
+// Told everything by the board in that generation.
+Acknowledgement told(const Generation& g, std::int64_t newest) {
+    Acknowledgement a;
+    a.on_generation(g);
+    a.on_board_asked(true);
+    a.on_board_told(event(newest));
+    return a;
+}
+
+TEST(Acknowledgement, ClaimsNothingBeforeTheGenerationIsKnownAndTheBoardHasToldAll) {
+    Acknowledgement a;
+    EXPECT_FALSE(a.claim());
+    EXPECT_TRUE(a.ask_from_start());
+    a.on_board_asked(true);
+    EXPECT_FALSE(a.ask_from_start());
+    a.on_generation(first);
+    // Asked before the generation was shown: it may be of the board's former history.
+    a.on_board_told(event(9));
+    EXPECT_EQ(a.claim()->event, event(0));
+    EXPECT_TRUE(a.told_once());
+    EXPECT_TRUE(a.ask_from_start());
+    // Only what is new since it started: events between are not known.
+    a.on_board_asked(false);
+    a.on_board_told(event(12));
+    EXPECT_EQ(a.claim()->event, event(0));
+    a.on_board_asked(true);
+    a.on_board_told(event(13));
+    EXPECT_EQ(a.claim()->event, event(13));
+    EXPECT_FALSE(a.ask_from_start());
+    a.on_board_asked(false);
+    a.on_board_told(event(14));
+    EXPECT_EQ(a.claim()->event, event(14));
+}
+
+TEST(Acknowledgement, AFailedPollTellsNothing) {
+    Acknowledgement a = told(first, 5);
+    a.on_board_asked(false);
+    a.on_board_failed();
+    a.on_board_told(event(8));
+    EXPECT_EQ(a.claim()->event, event(5));
+}
+
+TEST(Acknowledgement, ABoardThatWentBackCountsAgainOnlyInTheNextGeneration) {
+    Acknowledgement a = told(first, 100);
+    a.on_board_asked(false);
+    a.on_board_told(event(85));
+    EXPECT_TRUE(a.claim()->board_went_back);
+    EXPECT_EQ(a.claim()->event, event(0));
+    EXPECT_FALSE(a.ask_from_start());
+    // Its numbers come as far again: they are others.
+    a.on_board_asked(false);
+    a.on_board_told(event(120));
+    EXPECT_EQ(a.claim()->event, event(0));
+    a.on_generation(second);
+    EXPECT_FALSE(a.claim()->board_went_back);
+    EXPECT_EQ(a.claim()->event, event(0));
+    EXPECT_TRUE(a.ask_from_start());
+    a.on_board_asked(true);
+    a.on_board_told(event(121));
+    EXPECT_EQ(a.claim(), (InForce{second, event(121), {}, false}));
+}
+
+TEST(Acknowledgement, AnAnswerToAPollFromBeforeTheGenerationIsNotOfIt) {
+    Acknowledgement a = told(first, 100);
+    a.on_board_asked(true);
+    a.on_generation(second);
+    a.on_board_told(event(101));
+    EXPECT_EQ(a.claim()->event, event(0));
+}
+
+TEST(Acknowledgement, ALowerGenerationOrAnotherOfTheSameNumberIsNotTaken) {
+    Acknowledgement a = told(second, 7);
+    a.on_generation(first);
+    a.on_generation({2, "other"});
+    EXPECT_EQ(a.claim(), (InForce{second, event(7), {}, false}));
+}
+
+TEST(Acknowledgement, TheNextGenerationIsAboveAllThatIsKnown) {
+    EXPECT_FALSE(next_generation(first, first, false, "n"));
+    EXPECT_FALSE(next_generation(second, first, false, "n"));
+    EXPECT_EQ(next_generation(std::nullopt, {}, false, "n"), (Generation{1, "n"}));
+    EXPECT_EQ(next_generation(first, first, true, "n"), (Generation{2, "n"}));
+    EXPECT_EQ(next_generation(first, {5, "k"}, false, "n"), (Generation{6, "n"}));
+    EXPECT_EQ(next_generation(Generation{2, "other"}, second, false, "n"), (Generation{3, "n"}));
+}
+
+TEST(Acknowledgement, AHeartbeatWithAClaimIsReadByFormerVersionsAndOneWithoutIsNoClaim) {
+    const std::string plain = write(BeatRecord{StartNo{3}, Mark{"k"}, BeatNo{9}});
+    const InForce claim{first, event(12), ConfigurationNumber{4}, true};
+    const std::string with = with_claim(plain, claim);
+    EXPECT_EQ(read_beat(with)->beat, BeatNo{9});
+    EXPECT_EQ(read_claim(with), claim);
+    EXPECT_EQ(with_claim(plain, std::nullopt), plain);
+    EXPECT_FALSE(read_claim(plain));
+    for (std::size_t n = 0; n < with.size(); ++n) EXPECT_FALSE(read_claim(with.substr(0, n))) << n;
+    for (const char* bad :
+         {R"({"in_force":{}})", R"({"in_force":[]})", R"({"in_force":{"generation":0,"id":"x"}})",
+          R"({"in_force":{"generation":1,"id":"x","event":-1,"configuration":0}})"})
+        EXPECT_FALSE(read_claim(bad)) << bad;
+}
+
+// --- the digest ------------------------------------------------------------------------------------------
+
+// A site whose heartbeats the test writes; looks come once a round.
+class Site : public ::testing::Test {
+protected:
+    DigestKeeper keeper{{MemberName{"m0"}, "k0", term, ms * 250, round_length}};
+    Instant now = Instant::at_seconds(100);
+    std::int64_t number = 0;
+    Roster roster;
+    std::string generation = serialize(first);
+    struct Member {
+        bool runs = true;
+        std::int64_t heartbeat = 0, event = 0;
+        std::string id;
+        std::optional<Generation> generation = first;
+    };
+    std::map<MemberName, Member> members;  // besides the owner
+    std::int64_t own_event = 0;
+    std::optional<std::string> former;
+
+    void join(const std::string& name, std::int64_t in_force) {
+        members[MemberName{name}] = {true, 0, in_force, "id-" + name, first};
+        roster.names.insert(MemberName{name});
+    }
+    void SetUp() override { roster.names.insert(MemberName{"m0"}); }
+    std::string text(Member& m) {
+        if (m.runs) ++m.heartbeat;
+        const std::string plain = write(BeatRecord{StartNo{1}, Mark{m.id}, BeatNo{m.heartbeat}});
+        if (!m.generation) return plain;
+        return with_claim(plain, InForce{*m.generation, event(m.event), {}, false});
+    }
+    const Digest& look(Span took = ms * 20) {
+        Look l;
+        l.asked = now;
+        l.answered = now + took;
+        l.number = ++number;
+        l.unix_ms = now.seconds() > 0 ? static_cast<std::int64_t>(now.seconds() * 1000) : 0;
+        l.roster = serialize(roster);
+        l.former_digest = former;
+        l.generation = generation;
+        for (auto& [name, m] : members) l.heartbeats[name] = text(m);
+        keeper.on_look(l, InForce{first, event(own_event), {}, false}, {});
+        now = now + std::max(round_length, took);
+        return *keeper.digest();
+    }
+    const Digest& looks(int n) {
+        for (int k = 1; k < n; ++k) look();
+        return look();
+    }
+};
+
+TEST_F(Site, TheLowestOfAllLiveMembersIsWhatTheSiteHasInForce) {
+    join("m1", 10);
+    join("m2", 8);
+    own_event = 9;
+    const Digest& d = looks(5);
+    EXPECT_EQ(d.live, 3u);
+    EXPECT_EQ(d.lowest, event(8));
+    EXPECT_EQ(d.highest, event(10));
+    ASSERT_EQ(d.behind.size(), 2u);
+    EXPECT_EQ(d.behind[0].member, MemberName{"m2"});
+    EXPECT_TRUE(keeper.uneven());
+}
+
+// One heartbeat may have been sent by a process that has long ended, and have come late.
+TEST_F(Site, AMemberCountsOnceTwoOfItsHeartbeatsHaveBeenSeenToCome) {
+    join("m1", 10);
+    EXPECT_EQ(look().live, 1u);
+    EXPECT_EQ(look().live, 1u);
+    EXPECT_EQ(look().live, 2u);
+}
+
+TEST_F(Site, AMemberWhoseHeartbeatStandsStillIsAbsentSinceWhenItWasSeen) {
+    join("m1", 10);
+    looks(5);
+    members[MemberName{"m1"}].runs = false;
+    const Digest& d = looks(7);
+    EXPECT_EQ(d.live, 1u);
+    ASSERT_EQ(d.absent.size(), 1u);
+    EXPECT_EQ(d.absent[0].member, MemberName{"m1"});
+    const std::int64_t since = d.absent[0].since_ms;
+    EXPECT_EQ(looks(10).absent[0].since_ms, since);
+    EXPECT_EQ(looks(1).highest, event(10));  // what it last claimed is still a number of the board
+}
+
+TEST_F(Site, AnOwnerThatWasStoppedCountsNobodyByWhatItSawBefore) {
+    join("m1", 10);
+    looks(5);
+    EXPECT_EQ(look(term * 2).live, 1u);
+}
+
+TEST_F(Site, AHeartbeatThatARestoredRegistryShowsAgainIsNoSignOfLife) {
+    join("m1", 10);
+    looks(5);
+    members[MemberName{"m1"}].runs = false;
+    members[MemberName{"m1"}].heartbeat = 2;
+    EXPECT_EQ(look().live, 1u);
+}
+
+TEST_F(Site, ANewProcessUnderTheNameCountsOnlyByItsOwnHeartbeats) {
+    join("m1", 10);
+    looks(5);
+    members[MemberName{"m1"}] = {true, 50, 3, "another", first};
+    EXPECT_EQ(look().live, 1u);
+    EXPECT_EQ(looks(3).lowest, event(0));
+    EXPECT_EQ(keeper.digest()->live, 2u);
+}
+
+TEST_F(Site, AMemberThatSaysNothingOfItHasNothingInForce) {
+    join("m1", 10);
+    members[MemberName{"m1"}].generation.reset();
+    own_event = 10;
+    const Digest& d = looks(5);
+    EXPECT_EQ(d.live, 2u);
+    EXPECT_EQ(d.lowest, event(0));
+    EXPECT_EQ(d.behind[0].member, MemberName{"m1"});
+}
+
+TEST_F(Site, AClaimInAnotherGenerationIsNone) {
+    join("m1", 10);
+    own_event = 10;
+    looks(5);
+    members[MemberName{"m1"}].generation = Generation{1, "another"};
+    EXPECT_EQ(look().lowest, event(0));
+    EXPECT_EQ(keeper.next_generation("n"), (Generation{2, "n"}));
+    members[MemberName{"m1"}].generation = Generation{4, "higher"};
+    look();
+    EXPECT_EQ(keeper.next_generation("n"), (Generation{5, "n"}));
+}
+
+TEST_F(Site, WhoIsInTheRosterAndWasNeverSeenIsAbsent) {
+    roster.names.insert(MemberName{"m9"});
+    const Digest& d = looks(5);
+    EXPECT_EQ(d.known, 2u);
+    ASSERT_EQ(d.absent.size(), 1u);
+}
+
+TEST_F(Site, ASuccessorKeepsSinceWhenSomebodyIsAbsent) {
+    roster.names.insert(MemberName{"m9"});
+    Digest before;
+    before.absent = {{MemberName{"m9"}, 77}};
+    before.absent_count = 1;
+    former = serialize(before);
+    EXPECT_EQ(looks(3).absent[0].since_ms, 77);
+}
+
+TEST_F(Site, MoreThanADigestCanNameAreCounted) {
+    for (int n = 1; n <= 40; ++n) join("x" + std::to_string(n), n);
+    own_event = 40;
+    const Digest& d = looks(5);
+    EXPECT_EQ(d.live, 41u);
+    EXPECT_EQ(d.behind_count, 39u);
+    EXPECT_EQ(d.behind.size(), most_named);
+    EXPECT_EQ(d.behind[0].event, event(1));
+    for (auto& [name, m] : members) m.runs = false;
+    const Digest& still = looks(8);
+    EXPECT_EQ(still.absent_count, 40u);
+    EXPECT_EQ(still.absent.size(), most_named);
+    EXPECT_LE(serialize(still).size(), 4096u);
+}
+
+TEST_F(Site, ADigestIsWrittenOnChangeAtItsPaceAndElseToStayFresh) {
+    join("m1", 10);
+    looks(5);
+    EXPECT_TRUE(keeper.next(now));
+    EXPECT_FALSE(keeper.next(now + ms * 900));
+    EXPECT_TRUE(keeper.next(now + ms * 1000));
+    now = now + ms * 1000;
+    members[MemberName{"m1"}].event = 11;
+    const Instant changed = now;
+    look();
+    EXPECT_FALSE(keeper.next(changed + ms * 249));
+    EXPECT_TRUE(keeper.next(changed + ms * 250));
+}
+
+TEST_F(Site, ARecordThatCannotBeReadIsNone) {
+    join("m1", 10);
+    const std::string good = serialize(looks(5));
+    ASSERT_TRUE(read_digest(good));
+    EXPECT_EQ(serialize(*read_digest(good)), good);
+    for (std::size_t n = 0; n < good.size(); ++n) EXPECT_FALSE(read_digest(good.substr(0, n))) << n;
+    for (const char* bad : {"{}", "[]", R"({"names":3})", R"({"names":[1]})"}) EXPECT_FALSE(read_roster(bad));
+}
+
+TEST(Roster, HasRoomForSoManyAndSaysWhenThereIsNoMore) {
+    Roster r;
+    for (std::size_t n = 0; n < most_in_roster; ++n) r = *with_name(r, MemberName{std::to_string(n)});
+    EXPECT_FALSE(with_name(r, MemberName{"0"}));
+    EXPECT_FALSE(r.incomplete);
+    const auto over = with_name(r, MemberName{"one more"});
+    ASSERT_TRUE(over);
+    EXPECT_TRUE(over->incomplete);
+    EXPECT_EQ(read_roster(serialize(*over)), *over);
+    EXPECT_FALSE(with_name(*over, MemberName{"another"}));
+}
+
+// --- what a reader may conclude --------------------------------------------------------------------------
+
+class Reader : public ::testing::Test {
+protected:
+    using Reach = FleetStatus::Reach;
+    using Why = FleetStatus::Why;
+    std::map<SiteName, std::size_t> inventory{{SiteName{"a"}, 2}, {SiteName{"b"}, 1}};
+    std::optional<FleetStatus> status;
+    Instant now = Instant::at_seconds(100);
+    std::map<SiteName, Digest> sites;
+    std::optional<std::string> generation = serialize(first);
+    std::set<MemberName> old_form;
+    EventNumber board = event(10);
+
+    void SetUp() override {
+        sites[SiteName{"a"}] = site("a0", 2);
+        sites[SiteName{"b"}] = site("b0", 1);
+        status.emplace(term, inventory);
+    }
+    static Digest site(const std::string& owner, std::size_t live) {
+        Digest d;
+        d.owner = MemberName{owner};
+        d.owner_id = "id-" + owner;
+        d.as_of = 1;
+        d.generation = first;
+        d.known = d.live = live;
+        d.lowest = d.highest = event(10);
+        return d;
+    }
+    // Owners' heartbeats are one ahead of their digests, unless they stand still.
+    void read(bool moves = true) {
+        FleetStatus::Reading r;
+        r.asked = now;
+        r.generation = generation;
+        r.old_form = old_form;
+        for (auto& [name, d] : sites) {
+            if (moves) ++d.as_of;
+            r.digests[name] = serialize(d);
+            r.owner_heartbeats[name] = write(BeatRecord{StartNo{1}, Mark{d.owner_id}, BeatNo{d.as_of}});
+        }
+        status->on_reading(r);
+        now = now + ms * 100;
+        status->on_board(board);
+    }
+    FleetStatus::Verdict verdict(std::int64_t n = 10) {
+        read();
+        read();
+        return status->judge(now, {event(n), {}});
+    }
+    std::vector<Why> whys(const FleetStatus::Verdict& v) {
+        std::vector<Why> all;
+        for (const auto& m : v.missing) all.push_back(m.why);
+        return all;
+    }
+};
+
+TEST_F(Reader, SaysEverywhereOnceEachSiteHasBeenSeenToSpeak) {
+    read();
+    EXPECT_EQ(status->judge(now, {event(10), {}}).reach, Reach::all_but);
+    read();
+    EXPECT_EQ(status->judge(now, {event(10), {}}).reach, Reach::everywhere);
+    EXPECT_EQ(status->judge(now, {event(9), {}}).reach, Reach::everywhere);
+    const auto v = status->judge(now, {event(11), {}});
+    EXPECT_EQ(v.reach, Reach::not_yet);
+}
+
+TEST_F(Reader, ADigestWhoseOwnerStandsStillIsNotFresh) {
+    ASSERT_EQ(verdict().reach, Reach::everywhere);
+    for (int n = 0; n < 45; ++n) read(false);
+    const auto v = status->judge(now, {event(10), {}});
+    EXPECT_EQ(v.reach, Reach::all_but);
+    EXPECT_EQ(whys(v), (std::vector{Why::site_silent, Why::site_silent}));
+}
+
+// Its heartbeat had landed long before; the digest itself was under way for long.
+TEST_F(Reader, ADigestThatComesLateIsNotFresh) {
+    ASSERT_EQ(verdict().reach, Reach::everywhere);
+    for (auto& [name, d] : sites) ++d.as_of;
+    FleetStatus::Reading r;
+    r.generation = generation;
+    for (int n = 0; n < 45; ++n) {
+        r.asked = now;
+        for (const auto& [name, d] : sites) {
+            r.owner_heartbeats[name] = write(BeatRecord{StartNo{1}, Mark{d.owner_id}, BeatNo{d.as_of}});
+            Digest former = d;
+            --former.as_of;
+            r.digests[name] = serialize(n < 44 ? former : d);
+        }
+        status->on_reading(r);
+        now = now + ms * 100;
+    }
+    status->on_board(board);
+    EXPECT_EQ(status->judge(now, {event(10), {}}).reach, Reach::all_but);
+}
+
+TEST_F(Reader, NamesTheMembersThatAreAbsent) {
+    sites[SiteName{"a"}].absent = {{MemberName{"a1"}, 55}};
+    sites[SiteName{"a"}].absent_count = 1;
+    const auto v = verdict();
+    EXPECT_EQ(v.reach, Reach::all_but);
+    EXPECT_EQ(v.missing,
+              (std::vector<FleetStatus::Missing>{{Why::absent, SiteName{"a"}, MemberName{"a1"}, 55}}));
+}
+
+TEST_F(Reader, NeverSaysAllButTheseWhereTheListIsCut) {
+    sites[SiteName{"a"}].absent = {{MemberName{"a1"}, 55}};
+    sites[SiteName{"a"}].absent_count = 2;
+    EXPECT_EQ(verdict().reach, Reach::not_yet);
+    sites[SiteName{"a"}] = site("a0", 2);
+    sites[SiteName{"a"}].incomplete = true;
+    EXPECT_EQ(verdict().reach, Reach::not_yet);
+}
+
+TEST_F(Reader, NamesTheLiveThatLackIt) {
+    Digest& a = sites[SiteName{"a"}];
+    a.lowest = event(8);
+    a.behind = {{MemberName{"a1"}, event(8), {}}};
+    a.behind_count = 1;
+    const auto v = verdict(9);
+    EXPECT_EQ(v.reach, Reach::not_yet);
+    EXPECT_EQ(v.missing[0].member, MemberName{"a1"});
+    EXPECT_EQ(verdict(8).reach, Reach::everywhere);
+}
+
+TEST_F(Reader, AMissingOrEmptyOrNewSiteIsNotYet) {
+    sites.erase(SiteName{"b"});
+    EXPECT_EQ(whys(verdict()), std::vector{Why::never_reported});
+    sites[SiteName{"b"}] = site("b0", 1);
+    sites[SiteName{"c"}] = site("c0", 1);  // not in the inventory
+    EXPECT_EQ(whys(verdict()), std::vector{Why::too_few});
+    sites.erase(SiteName{"c"});
+    sites[SiteName{"a"}].known = 1;
+    EXPECT_EQ(whys(verdict()), std::vector{Why::too_few});
+    status.emplace(term, std::map<SiteName, std::size_t>{});
+    sites.clear();
+    EXPECT_EQ(whys(verdict()), std::vector{Why::no_inventory});
+    // A site that is to be empty, and is.
+    sites[SiteName{"a"}] = site("a0", 2);
+    status.emplace(term, std::map<SiteName, std::size_t>{{SiteName{"a"}, 2}, {SiteName{"e"}, 0}});
+    EXPECT_EQ(verdict().reach, Reach::everywhere);
+}
+
+TEST_F(Reader, AGatewayInTheOldFormIsNotYet) {
+    old_form.insert(MemberName{"o"});
+    const auto v = verdict();
+    EXPECT_EQ(v.reach, Reach::not_yet);
+    EXPECT_EQ(v.missing[0].member, MemberName{"o"});
+}
+
+TEST_F(Reader, ANumberOfAnotherGenerationIsNotYet) {
+    sites[SiteName{"b"}].generation = second;
+    EXPECT_EQ(whys(verdict()), std::vector{Why::other_generation});
+    sites[SiteName{"b"}].generation = first;
+    sites[SiteName{"b"}].board_went_back = true;
+    EXPECT_EQ(whys(verdict()), std::vector{Why::other_generation});
+    sites[SiteName{"b"}].board_went_back = false;
+    generation.reset();
+    EXPECT_EQ(verdict().reach, Reach::not_yet);
+}
+
+// Nobody has noticed yet that the board was restored.
+TEST_F(Reader, ABoardBelowWhatIsClaimedIsNotYet) {
+    board = event(9);
+    EXPECT_EQ(whys(verdict(8)), std::vector{Why::board_unknown});
+    board = event(10);
+    EXPECT_EQ(verdict(8).reach, Reach::everywhere);
+    read();
+    FleetStatus::Reading r;
+    r.asked = now;
+    status->on_reading(r);  // what the board said before is no answer to what was read after
+    EXPECT_EQ(whys(status->judge(now, {event(8), {}})).front(), Why::board_unknown);
+}
+
+TEST_F(Reader, AConfigurationIsAskedForAsAnEventIs) {
+    for (auto& [name, d] : sites) d.lowest_configuration = ConfigurationNumber{4};
+    verdict();
+    EXPECT_EQ(status->judge(now, {{}, ConfigurationNumber{4}}).reach, Reach::everywhere);
+    EXPECT_EQ(status->judge(now, {{}, ConfigurationNumber{5}}).reach, Reach::not_yet);
+}
+
+}  // namespace
