--- /dev/null
+++ b/lab/sites.cpp
@@ -0,0 +1,534 @@
+#include "lab/sites.hpp"
+
+#include <algorithm>
+
+namespace irismux::lab {
+
+using namespace irismux::fleet;
+
+namespace {
+
+const Span ms = Span::micros(1000);
+const Span trouble_every = ms * 100, poll_every = ms * 200, poll_fails_after = ms * 600;
+const Span acknowledge_every = ms * 250, read_every = ms * 250;
+constexpr std::size_t most_backups = 64, most_broken = 20;
+constexpr const char* outside = "-";  // in place of a site: members in the old form
+
+// What no watch tells lies behind `beat/`; a site's records behind its name.
+std::string where(const std::string& site, const Key& key) {
+    if (key == generation_key()) return key.raw();
+    if (const auto member = beat_of(key)) return "beat/" + site + '/' + member->raw();
+    if (key == digest_key()) return "beat/" + site + "/=digest";
+    return site + '/' + key.raw();
+}
+
+}  // namespace
+
+// One member's name: its process, if one runs, and what is between it and the others.
+struct Sites::Process final : public Asks, public Hears {
+    Process(Sites& w, std::size_t n, std::string in) : world(w), no(n), site(std::move(in)) {}
+
+    Sites& world;
+    std::size_t no;
+    std::string site;
+    MemberName name{"m" + std::to_string(no)};
+    std::unique_ptr<Fellow> agent;
+    std::unique_ptr<SiteReporter> reporter;  // none: in the old form
+    double rate = 1;
+    bool stopped = false, cut_out = false, cut_in = false, board_cut = false, leaving = false;
+    std::uint64_t ask = 0, life = 0, polls = 0, wake_no = 0, history = 0;
+    Revision told;
+    bool telling = false;
+    std::set<int> in_force;  // events
+    std::int64_t position = 0;
+    StartNo former;
+    std::string kept;
+    std::vector<std::function<void()>> waiting;
+
+    Instant clock() const { return Instant{} + Span::seconds(world.now_.seconds() * rate); }
+    Instant real(Instant local) const { return Instant::at_seconds(local.seconds() / rate + 1e-6); }
+    std::int64_t unix_ms() const { return static_cast<std::int64_t>(world.now_.seconds() * 1000); }
+
+    void deal(const Deal& d) override {
+        ++ask;
+        world.submit(*this, d);
+    }
+    void wake(Instant local) override {
+        const std::uint64_t mine = ++wake_no, born = life;
+        world.at(std::max(real(local), world.now_), [this, mine, born] {
+            if (born == life && mine == wake_no) world.wake(*this);
+        });
+    }
+    void tenancy_told(const DutyName&, Tenancy, EpochNo) override {}
+    void work_told(const DutyName&, const Key& key, Done) override {
+        if (reporter) reporter->on_written(key);
+    }
+    void remark(std::string_view) override {}
+    void registry_went_back() override {
+        if (reporter) reporter->acknowledgement().on_history_lost();
+    }
+    void heartbeat_told(Instant sent, BeatNo number, const std::vector<Entry>& shown) override {
+        if (reporter) reporter->on_heartbeat(clock(), unix_ms(), sent, number, shown, *agent);
+    }
+    void when_running(std::function<void()> then) {
+        if (!agent) return;
+        if (stopped)
+            waiting.push_back(std::move(then));
+        else
+            then();
+    }
+};
+
+struct Sites::Reader {
+    Reader(const Sites& w, std::map<SiteName, std::size_t> inventory, double clock_rate)
+        : status(w.articles_.term, std::move(inventory)), rate(clock_rate) {}
+    FleetStatus status;
+    double rate;
+    std::size_t no = 0;
+};
+
+Sites::Sites(std::uint32_t seed, const Shape& shape, const Articles& articles)
+    : shape_(shape), articles_(articles), chance_(seed) {
+    std::map<SiteName, std::size_t> inventory;
+    for (const auto& [site, count] : shape.inventory) inventory[SiteName{site}] = count;
+    for (std::size_t s = 0; s < shape.sites.size(); ++s) {
+        site_names_.push_back("s" + std::to_string(s));
+        if (!shape.inventory.contains(site_names_[s])) inventory[SiteName{site_names_[s]}] = shape.sites[s];
+        for (std::size_t n = 0; n < shape.sites[s]; ++n)
+            processes_.push_back(std::make_unique<Process>(*this, processes_.size(), site_names_[s]));
+    }
+    for (std::size_t n = 0; n < shape.old_form; ++n)
+        processes_.push_back(std::make_unique<Process>(*this, processes_.size(), outside));
+    for (const auto& p : processes_) {
+        // The first two stand at either end of what is allowed.
+        const double off = p->no == 0 ? -1 : p->no == 1 ? 1 : 2 * part() - 1;
+        p->rate = 1 + off * shape.drift;
+    }
+    for (const double end : {-1.0, 1.0}) {
+        readers_.push_back(std::make_unique<Reader>(*this, inventory, 1 + end * shape.drift));
+        readers_.back()->no = readers_.size() - 1;
+    }
+    said_.resize(readers_.size());
+    next_trouble_ = next_backup_ = next_publication_ = now_;
+    if (shape.readers)
+        for (const auto& r : readers_) read(*r);
+}
+
+Sites::~Sites() = default;
+
+void Sites::at(Instant due, std::function<void()> then) { events_[{due, next_++}] = std::move(then); }
+
+std::size_t Sites::member(std::size_t site, std::size_t place) const {
+    std::size_t first = 0;
+    for (std::size_t s = 0; s < site; ++s) first += shape_.sites[s];
+    return first + place;
+}
+
+std::size_t Sites::members() const { return processes_.size(); }
+
+std::size_t Sites::owner(std::size_t site) const {
+    for (const auto& p : processes_)
+        if (p->site == site_names_[site] && p->agent && p->agent->may_act(p->clock(), digest_duty()))
+            return p->no;
+    return members();
+}
+
+std::int64_t Sites::newest() const { return static_cast<std::int64_t>(board_.size()); }
+
+Span Sites::delay(double late) {
+    const Span usual = ms * (1 + 20 * part());
+    return chance(late) ? articles_.term * (2.5 * part()) : usual;
+}
+
+// --- processes -------------------------------------------------------------------------------------------
+
+void Sites::start(std::size_t member, std::size_t events_ago) {
+    Process& p = *processes_[member];
+    ++p.life;
+    p.waiting.clear();
+    p.stopped = p.leaving = p.telling = false;
+    p.told = {};
+    p.history = 0;
+    const std::size_t known = board_.size() - std::min(board_.size(), events_ago);
+    p.in_force = {board_.begin(), board_.begin() + static_cast<std::ptrdiff_t>(known)};
+    p.position = static_cast<std::int64_t>(known);
+    const std::string id = p.name.raw() + '.' + std::to_string(p.life);
+    Person person{p.name, Mark{id}, "1", p.former};
+    person.answer_in = ms * 300;
+    const bool of_a_site = p.site != outside;
+    if (of_a_site) person.acknowledge_every = acknowledge_every;
+    p.agent = std::make_unique<Fellow>(p, p, articles_, person, chance_());
+    if (!p.kept.empty()) p.agent->fence().kept_was(p.kept);
+    if (of_a_site)
+        p.reporter = std::make_unique<SiteReporter>(
+            SiteReporter::Settings{p.name, id, articles_.term, acknowledge_every, articles_.drift},
+            p.clock());
+    p.agent->duties_are(p.clock(), of_a_site ? std::set<DutyName>{digest_duty()} : std::set<DutyName>{});
+    p.agent->start(p.clock());
+    tell(p);
+    poll(p);
+}
+
+void Sites::start_all() {
+    for (const auto& p : processes_) start(p->no);
+}
+
+void Sites::kill(std::size_t member) {
+    Process& p = *processes_[member];
+    if (!p.agent) return;
+    p.kept = p.agent->fence().kept();
+    p.former = p.agent->start_no();
+    p.agent.reset();
+    p.reporter.reset();
+    ++p.life;
+    p.waiting.clear();
+}
+
+void Sites::leave(std::size_t member) {
+    Process& p = *processes_[member];
+    if (p.agent) p.agent->leave(p.clock());
+}
+
+void Sites::stop(std::size_t member) { processes_[member]->stopped = true; }
+
+void Sites::go_on(std::size_t member) {
+    Process& p = *processes_[member];
+    p.stopped = false;
+    for (const auto& then : std::exchange(p.waiting, {}))
+        if (p.agent && !p.stopped) then();
+}
+
+void Sites::cut(std::size_t member, bool in, bool out) {
+    Process& p = *processes_[member];
+    p.cut_in = in;
+    p.cut_out = out;
+    p.telling = false;
+    tell(p);
+}
+
+void Sites::cut_board(std::size_t member, bool is) { processes_[member]->board_cut = is; }
+
+void Sites::revive(std::size_t member) {
+    cut(member, false, false);
+    cut_board(member, false);
+    if (!processes_[member]->agent) return start(member);
+    go_on(member);
+}
+
+void Sites::wake(Process& p) {
+    p.when_running([this, &p] {
+        p.agent->on_wake(p.clock());
+        step(p);
+    });
+}
+
+void Sites::step(Process& p) {
+    if (p.reporter) p.reporter->go_on(p.clock(), *p.agent);
+}
+
+// --- the registry ----------------------------------------------------------------------------------------
+
+void Sites::submit(Process& p, const Deal& deal) {
+    if (p.cut_out || chance(troubles_.lose)) return;
+    const std::uint64_t ask = p.ask, life = p.life;
+    const std::size_t no = p.no;
+    const int times = chance(troubles_.repeat) ? 2 : 1;
+    for (int t = 0; t < times; ++t)
+        at(now_ + delay(troubles_.late), [this, no, ask, life, deal] { settle(no, ask, life, deal); });
+}
+
+void Sites::settle(std::size_t member, std::uint64_t ask, std::uint64_t life, const Deal& deal) {
+    ++transactions;
+    Process& p = *processes_[member];
+    Deal placed;
+    for (const auto& [key, text] : deal.holds) placed.holds.emplace_back(Key{where(p.site, key)}, text);
+    for (const auto& [key, text] : deal.writes) placed.writes.emplace_back(Key{where(p.site, key)}, text);
+    for (const Key& key : deal.shows) placed.shows.emplace_back(where(p.site, key));
+    Book::Outcome o = book_.settle(placed);
+    for (std::size_t n = 0; n < o.shown.size(); ++n)
+        o.shown[n].first = o.held ? deal.shows[n] : deal.holds[n].first;
+    const bool watched = std::any_of(placed.writes.begin(), placed.writes.end(), [&](const Entry& e) {
+        return e.first.raw().rfind(p.site + '/', 0) == 0;
+    });
+    if (watched && o.held)
+        for (const auto& other : processes_)
+            if (other->site == p.site) tell(*other);
+    if (p.life != life || p.ask != ask || p.cut_in || chance(troubles_.lose)) return;
+    const std::uint64_t history = histories_;
+    at(now_ + delay(troubles_.late), [this, &p, life, history, ask, o] {
+        if (p.life != life || history != histories_) return;
+        p.when_running([this, &p, ask, o] {
+            if (p.ask == ask) p.agent->on_dealt(p.clock(), o.at, o.held, o.shown);
+            step(p);
+        });
+    });
+}
+
+// The watch over the site's own records: everything up to some revision after a while, in order.
+void Sites::tell(Process& p) {
+    if (p.telling || !p.agent || p.cut_in) return;
+    p.telling = true;
+    const std::uint64_t life = p.life;
+    at(now_ + delay(troubles_.late / 4), [this, &p, life] {
+        if (p.life != life) return;
+        p.telling = false;
+        if (p.cut_in) return;
+        p.when_running([this, &p] {
+            const bool whole = p.history != histories_ + 1 || book_.forgotten(p.told);
+            std::vector<Entry> list;
+            for (const auto& [key, text] : whole ? book_.all() : book_.changes(p.told, book_.revision()))
+                if (key.raw().rfind(p.site + '/', 0) == 0)
+                    list.emplace_back(Key{key.raw().substr(p.site.size() + 1)}, text);
+            p.history = histories_ + 1;
+            p.told = book_.revision();
+            if (!whole && list.empty()) return;
+            deliveries += list.size();
+            p.agent->on_records(p.clock(), book_.revision(), list, whole);
+            step(p);
+        });
+    });
+}
+
+// Premise: a backup is more than a term old when the registry answers from it.
+void Sites::registry_back(Span age) {
+    for (auto b = backups_.rbegin(); b != backups_.rend(); ++b) {
+        if (now_ - b->taken <= age) continue;
+        book_.restore(b->records, b->revision);
+        ++histories_;
+        backups_.erase(b.base(), backups_.end());
+        for (const auto& p : processes_) {
+            p->telling = false;
+            tell(*p);
+        }
+        return;
+    }
+}
+
+// As the command line does: the name goes from the roster if nobody runs under it.
+void Sites::forget(std::size_t member) {
+    const Process& p = *processes_[member];
+    const Key roster{where(p.site, roster_key())}, is_member{where(p.site, key_of_member(p.name))};
+    const auto it = book_.records().find(roster);
+    if (it == book_.records().end() || book_.records().contains(is_member)) return;
+    Roster next = read_roster(it->second).value_or(Roster{});
+    next.names.erase(p.name);
+    book_.settle({{{roster, it->second}, {is_member, std::nullopt}}, {{roster, serialize(next)}}, {}});
+}
+
+// --- the board -------------------------------------------------------------------------------------------
+
+void Sites::publish() {
+    board_.push_back(++published_);
+    note_in_force();
+}
+
+// Polls, as the carrier does: what came last is told before the next one goes out.
+void Sites::poll(Process& p) {
+    const std::uint64_t life = p.life, mine = ++p.polls;
+    p.when_running([this, &p, life, mine] {
+        if (p.life != life || p.polls != mine) return;
+        const bool from_start = p.reporter && p.reporter->acknowledgement().ask_from_start();
+        if (from_start) p.position = 0;
+        if (p.reporter) p.reporter->acknowledgement().on_board_asked(from_start);
+        if (p.board_cut) {
+            at(now_ + poll_fails_after, [this, &p, life] {
+                if (p.life != life) return;
+                p.when_running([&p] {
+                    if (p.reporter) p.reporter->acknowledgement().on_board_failed();
+                });
+                poll(p);
+            });
+            return;
+        }
+        at(now_ + delay(troubles_.late / 4), [this, &p, life] {
+            const std::int64_t newest = this->newest();
+            std::vector<int> owed;
+            for (std::int64_t n = p.position; n < newest; ++n)
+                owed.push_back(board_[static_cast<std::size_t>(n)]);
+            at(now_ + delay(troubles_.late / 4), [this, &p, life, newest, owed] {
+                if (p.life != life) return;
+                p.when_running([this, &p, newest, owed] {
+                    p.in_force.insert(owed.begin(), owed.end());
+                    p.position = std::max(p.position, newest);
+                    if (p.reporter) p.reporter->acknowledgement().on_board_told(EventNumber{newest});
+                    note_in_force();
+                    step(p);
+                });
+                at(now_ + poll_every, [this, &p, life] {
+                    if (p.life == life) poll(p);
+                });
+            });
+        });
+    });
+}
+
+void Sites::board_back(std::size_t events, bool announced) {
+    const std::size_t left = board_.size() - std::min(events, board_.size());
+    board_.resize(left);
+    if (!announced) return;
+    const auto it = book_.records().find(generation_key());
+    const auto shown = it == book_.records().end() ? std::nullopt : read_generation(it->second);
+    const auto next = next_generation(shown, {}, true,
+                                      "operator." + std::to_string(published_) + '.' + std::to_string(next_));
+    book_.settle({{}, {{generation_key(), serialize(*next)}}, {}});
+}
+
+// --- what is said, and whether it is so ------------------------------------------------------------------
+
+void Sites::read(Reader& r) {
+    const Instant asked = Instant{} + Span::seconds(now_.seconds() * r.rate);
+    at(now_ + delay(troubles_.late), [this, &r, asked] {
+        FleetStatus::Reading reading;
+        reading.asked = asked;
+        const auto text = [&](const std::string& key) -> Text {
+            const auto it = book_.records().find(Key{key});
+            return it == book_.records().end() ? Text{} : Text{it->second};
+        };
+        reading.generation = text(generation_key().raw());
+        const auto owners = r.status.owners();
+        for (const std::string& site : site_names_) {
+            if (const Text digest = text(where(site, digest_key())))
+                reading.digests[SiteName{site}] = *digest;
+            if (const auto owner = owners.find(SiteName{site}); owner != owners.end())
+                if (const Text beat = text(where(site, key_of_beat(owner->second))))
+                    reading.owner_heartbeats[SiteName{site}] = *beat;
+        }
+        const std::string members = std::string(outside) + "/member/";
+        for (const auto& [key, record] : book_.records())
+            if (key.raw().rfind(members, 0) == 0) reading.old_form.emplace(key.raw().substr(members.size()));
+        at(now_ + delay(troubles_.late), [this, &r, reading] {
+            r.status.on_reading(reading);
+            r.status.on_board(EventNumber{newest()});
+            judge(r);
+            at(now_ + read_every, [this, &r] { read(r); });
+        });
+    });
+}
+
+bool Sites::acts_without(const Process& p, int event) const {
+    if (!p.agent || p.in_force.contains(event)) return false;
+    return !p.reporter || p.reporter->may_serve(p.clock());
+}
+
+bool Sites::in_force_everywhere() const {
+    return !board_.empty() && std::none_of(processes_.begin(), processes_.end(),
+                                           [&](const auto& p) { return acts_without(*p, board_.back()); });
+}
+
+void Sites::note_in_force() {
+    for (std::size_t n = board_.size(); n > 0 && n + 40 > board_.size(); --n) {
+        const int event = board_[n - 1];
+        if (in_force_since_.contains(event)) continue;
+        if (std::none_of(processes_.begin(), processes_.end(),
+                         [&](const auto& p) { return acts_without(*p, event); }))
+            in_force_since_[event] = now_;
+    }
+}
+
+FleetStatus::Verdict Sites::said_of(std::int64_t event) { return asked_about_[event]; }
+
+void Sites::judge(Reader& r) {
+    std::set<std::int64_t> numbers;
+    for (std::int64_t n = std::max<std::int64_t>(1, newest() - 30); n <= newest(); ++n) numbers.insert(n);
+    for (const auto& [n, verdict] : asked_about_)
+        if (n > 0 && n <= newest()) numbers.insert(n);
+    for (const std::int64_t n : numbers) judge(r, n);
+}
+
+void Sites::judge(Reader& r, std::int64_t n) {
+    const Instant local = Instant{} + Span::seconds(now_.seconds() * r.rate);
+    const auto verdict = r.status.judge(local, {EventNumber{n}, {}});
+    const int event = board_[static_cast<std::size_t>(n - 1)];
+    if (n == newest()) said_[r.no] = {now_, n, verdict};
+    if (const auto it = asked_about_.find(n); r.no == 0 && it != asked_about_.end()) it->second = verdict;
+    if (verdict.reach == FleetStatus::Reach::not_yet) return;
+    const bool all = verdict.reach == FleetStatus::Reach::everywhere;
+    ++(all ? everywhere : all_but);
+    if (all && r.no == 0 && said_everywhere_.insert(event).second && in_force_since_.contains(event))
+        longest_until_said = std::max(longest_until_said, now_ - in_force_since_.at(event));
+    for (const auto& p : processes_) {
+        const bool excepted = std::any_of(verdict.missing.begin(), verdict.missing.end(), [&](const auto& m) {
+            return m.site.raw() == p->site && (m.member == p->name || m.member.raw().empty());
+        });
+        if (excepted || !acts_without(*p, event) || broken.size() >= most_broken) continue;
+        broken.push_back((all ? "everywhere" : "all but others") + std::string(" said of event ") +
+                         std::to_string(n) + " at " + std::to_string(now_.seconds() - 1000) + ", and " +
+                         p->name.raw() + " acts without it");
+    }
+}
+
+void Sites::mark() { longest_until_said = {}; }
+
+// --- time ------------------------------------------------------------------------------------------------
+
+void Sites::trouble(const Troubles& t) {
+    const double share = trouble_every.seconds();
+    for (const auto& process : processes_) {
+        Process& p = *process;
+        if (chance(t.cut * share)) p.cut_in = true;
+        if (chance(t.cut * share)) p.cut_out = true;
+        if (chance(t.cut_board * share)) p.board_cut = true;
+        if (p.board_cut && t.cut_board > 0 && chance(share / 6)) p.board_cut = false;
+        if ((p.cut_in || p.cut_out) && t.cut > 0 && chance(share / 6)) cut(p.no, false, false);
+        if (p.agent && !p.stopped && chance(t.stop * share)) p.stopped = true;
+        if (p.stopped && t.stop > 0 && chance(share / 8)) go_on(p.no);
+        if (p.agent && chance(t.crash * share)) {
+            if (chance(0.5)) leave(p.no);
+            kill(p.no);
+        }
+        if (!p.agent && t.crash > 0 && chance(share * 2)) start(p.no, chance(0.7) ? chance_() % 40 : 0);
+    }
+    if (chance(t.registry_back * share)) registry_back(articles_.term * (1 + 2 * part()));
+    if (chance(t.board_back * share)) board_back(1 + chance_() % 10, true);
+}
+
+void Sites::run(Span time, const Troubles& troubles) {
+    troubles_ = troubles;
+    const Instant end = now_ + time;
+    while (broken.size() < most_broken) {
+        const Instant due = events_.empty() ? end : events_.begin()->first.first;
+        const Instant timed = std::min({next_trouble_, next_backup_, next_publication_});
+        if (std::min(due, timed) >= end) break;
+        if (timed <= due) {
+            now_ = std::max(now_, timed);
+            if (now_ >= next_trouble_) {
+                next_trouble_ = now_ + trouble_every;
+                trouble(troubles);
+            } else if (now_ >= next_backup_) {
+                next_backup_ = now_ + articles_.term * 0.5;
+                backups_.push_back({now_, book_.records(), book_.revision()});
+                if (backups_.size() > most_backups) backups_.erase(backups_.begin());
+            } else {
+                next_publication_ = now_ + shape_.publish_every;
+                if (publishing_) publish();
+            }
+            continue;
+        }
+        now_ = std::max(now_, due);
+        const auto then = std::move(events_.begin()->second);
+        events_.erase(events_.begin());
+        then();
+    }
+    now_ = std::max(now_, end);
+}
+
+std::string Sites::picture() const {
+    std::string all;
+    for (const auto& p : processes_) {
+        all += p->site + '/' + p->name.raw() + (p->agent ? (p->stopped ? " stopped" : " up") : " down");
+        if (p->agent) all += p->agent->membership().in() ? " in" : " out";
+        if (p->agent && p->agent->may_act(p->clock(), digest_duty())) all += " owner";
+        if (p->reporter)
+            if (const auto c = p->reporter->acknowledgement().claim())
+                all += " claims " + std::to_string(c->generation.number) + '/' +
+                       std::to_string(c->event.raw()) + (c->worn ? " worn" : "");
+        all += '\n';
+    }
+    for (const auto& [key, value] : book_.records()) all += key.raw() + ' ' + value + '\n';
+    for (const auto& m : said_.front().verdict.missing)
+        all += "missing " + std::to_string(static_cast<int>(m.why)) + ' ' + m.site.raw() + ' ' +
+               m.member.raw() + '\n';
+    return all;
+}
+
+}  // namespace irismux::lab
--- a/src/fleet/digest.cpp
+++ b/src/fleet/digest.cpp
@@ -12,6 +12,8 @@
 // Looks come once a quarter of a term, and it takes three of them until two heartbeats in a row have been
 // seen to come; one more may be lost.
 constexpr double unseen_of_term = 1.25;
+// As the Agent's: heartbeats at rest, and its look between them for what has become due.
+constexpr double round_of_term = 0.25, look_round_of_round = 0.25;
 
 std::optional<std::int64_t> count(const json& o, const char* key) {
     const auto it = o.find(key);
@@ -42,7 +44,7 @@
               {"configuration", d.lowest_configuration.raw()},
               {"absent_count", d.absent_count},
               {"behind_count", d.behind_count}};
-    if (d.board_went_back) o["went_back"] = true;
+    if (d.worn) o["worn"] = true;
     if (d.incomplete) o["incomplete"] = true;
     for (const auto& a : d.absent) o["absent"].push_back({a.member.raw(), a.since_ms});
     for (const auto& b : d.behind)
@@ -72,6 +74,21 @@
 Key digest_key() { return Key{"digest"}; }
 DutyName digest_duty() { return DutyName{"digest"}; }
 Span longest_unseen(Span term) { return term * unseen_of_term; }
+Span longest_stale(Span term) { return term; }
+
+Span longest_counted(Span term, double drift) {
+    return (longest_unseen(term) + longest_stale(term)) * ((1 + drift) / (1 - drift));
+}
+
+// Its heartbeat, behind a transaction that may be out; the owner's look, at its usual pace if it had seen
+// nobody behind; the digest, at its pace and behind another transaction; the reading, which may just have
+// been missed.
+Span longest_until_said(Span term, double drift, Span acknowledge_every, Span answer, Span read_every) {
+    const Span heartbeat = acknowledge_every + answer * 2;
+    const Span look = term * round_of_term + answer * 2;
+    const Span digest = acknowledge_every + term * (round_of_term * look_round_of_round) + answer * 2;
+    return (heartbeat + look + digest + read_every) * (1 + drift) + answer * 2;
+}
 
 std::string serialize(const Roster& r) {
     json o = {{"names", json::array()}};
@@ -128,7 +145,7 @@
     d.as_of = *as_of;
     d.as_of_ms = count(o, "as_of_ms").value_or(0);
     d.generation = {*generation, text(o, "id")};
-    d.board_went_back = flag(o, "went_back");
+    d.worn = flag(o, "worn");
     d.incomplete = flag(o, "incomplete");
     d.known = static_cast<std::size_t>(*known);
     d.live = static_cast<std::size_t>(*live);
@@ -208,7 +225,7 @@
         const bool counts = claim && claim->generation == d.generation;
         if (claim && claim->generation == d.generation) {
             d.highest = std::max(d.highest, claim->event);
-            d.board_went_back |= claim->board_went_back;
+            d.worn |= claim->worn;
         }
         if (!self && !live(name, look.answered)) {
             ++d.absent_count;
@@ -294,8 +311,8 @@
 
 std::optional<Generation> DigestKeeper::next_generation(const std::string& new_id) const {
     if (!digest_) return std::nullopt;
-    const bool worn = digest_->board_went_back || generations_differ_;
-    return fleet::next_generation(shown_generation_, known_generation_, worn, new_id);
+    return fleet::next_generation(shown_generation_, known_generation_, digest_->worn || generations_differ_,
+                                  new_id);
 }
 
 }  // namespace irismux::fleet
--- a/src/fleet/digest.hpp
+++ b/src/fleet/digest.hpp
@@ -55,7 +55,7 @@
     std::int64_t as_of = 0;     // the owner's heartbeat that showed it all this
     std::int64_t as_of_ms = 0;  // Unix time by the owner's clock; for people
     Generation generation;
-    bool board_went_back = false;  // seen by one of them under that generation
+    bool worn = false;  // as one of them claims
     std::size_t known = 0;         // names in the roster
     std::size_t live = 0;
     EventNumber lowest, highest;  // of live members; the highest also of those that are not
@@ -81,6 +81,15 @@
 
 // For how long a member counts as live after the last instant at which its process is known to have run.
 Span longest_unseen(Span term);
+// For how long a reader takes a digest for fresh, by its own clock.
+Span longest_stale(Span term);
+// For how long after its last sign of life a process may still be counted, by a clock at either end of what
+// is allowed. A new process that the board has not answered must not act until so long after its start.
+Span longest_counted(Span term, double drift);
+// How late a reader that reads each `read_every` says that an event is in force everywhere, after it has been
+// in force at the last gateway for the first time: all members live, the registry answering within `answer`,
+// the duty owned.
+Span longest_until_said(Span term, double drift, Span acknowledge_every, Span answer, Span read_every);
 
 // What the transaction of a heartbeat showed.
 struct Look {
@@ -110,6 +119,8 @@
     // The digest to be written now, by the duty's owner. It is taken as written from here on; if it was not,
     // a later one is.
     std::optional<std::string> next(Instant now);
+    // The duty is another's: what was seen so far is no digest any more.
+    void drop() { digest_.reset(); }
     // Whether one that is live lacks what another has: looks should be frequent.
     bool uneven() const { return digest_ && digest_->behind_count > 0; }
     const std::optional<Digest>& digest() const { return digest_; }
--- a/src/fleet/fleet_status.cpp
+++ b/src/fleet/fleet_status.cpp
@@ -4,12 +4,6 @@
 
 namespace irismux::fleet {
 
-Span longest_stale(Span term) { return term; }
-
-Span longest_counted(Span term, double drift) {
-    return (longest_unseen(term) + longest_stale(term)) * ((1 + drift) / (1 - drift));
-}
-
 std::map<SiteName, MemberName> FleetStatus::owners() const {
     std::map<SiteName, MemberName> all;
     for (const auto& [site, digest] : digests_) all[site] = digest.owner;
@@ -57,7 +51,7 @@
 void FleetStatus::judge_site(Instant now, const Question& question, const SiteName& site, const Digest& d,
                              std::vector<Missing>& missing) const {
     if (!fresh(now, site)) return missing.push_back({Why::site_silent, site, {}, d.as_of_ms});
-    if (!generation_ || d.generation != *generation_ || d.board_went_back)
+    if (!generation_ || d.generation != *generation_ || d.worn)
         return missing.push_back({Why::other_generation, site, {}, d.as_of_ms});
     const auto expected = inventory_.find(site);
     if (expected == inventory_.end() || d.known < expected->second)
--- a/src/fleet/fleet_status.hpp
+++ b/src/fleet/fleet_status.hpp
@@ -23,12 +23,6 @@
 
 namespace irismux::fleet {
 
-// For how long the reader takes a digest for fresh, by its own clock.
-Span longest_stale(Span term);
-// For how long after its last sign of life a process may still be counted, by a clock at either end of what
-// is allowed. A new process that the board has not answered must not act until so long after its start.
-Span longest_counted(Span term, double drift);
-
 class FleetStatus {
 public:
     enum class Reach { everywhere, all_but, not_yet };
--- a/src/fleet/in_force.cpp
+++ b/src/fleet/in_force.cpp
@@ -44,7 +44,7 @@
          {"id", claim->generation.id},
          {"event", claim->event.raw()},
          {"configuration", claim->configuration.raw()}};
-    if (claim->board_went_back) o["went_back"] = true;
+    if (claim->worn) o["worn"] = true;
     return all.dump();
 }
 
@@ -57,7 +57,7 @@
     const auto event = count(*it, "event"), configuration = count(*it, "configuration");
     if (!generation || !event || !configuration) return std::nullopt;
     return InForce{*generation, EventNumber{*event}, ConfigurationNumber{*configuration},
-                   it->contains("went_back")};
+                   it->contains("worn")};
 }
 
 std::optional<Generation> next_generation(const std::optional<Generation>& shown, const Generation& known,
@@ -70,14 +70,14 @@
 void Acknowledgement::on_generation(const Generation& shown) {
     if (shown.number <= generation_.number) return;
     generation_ = shown;
-    known_in_generation_ = went_back_ = false;
+    known_in_generation_ = worn_ = false;
     event_ = {};
 }
 
 // Where it was seen to go back, only the next generation gives its numbers a meaning again.
 bool Acknowledgement::ask_from_start() const {
     if (poll_out_from_start_) return false;
-    return !told_once_ || (generation_.number > 0 && !known_in_generation_ && !went_back_);
+    return !told_once_ || (generation_.number > 0 && !known_in_generation_ && !worn_);
 }
 
 void Acknowledgement::on_board_asked(bool from_start) {
@@ -94,24 +94,25 @@
     on_board_failed();
     told_once_ |= whole;
     if (!current) return;
-    if (newest < event_) {
-        went_back_ = true;
-        known_in_generation_ = false;
-        return;
-    }
+    if (newest < event_) return on_history_lost();
     if (!known_in_generation_ && !whole) return;
     // Where it has been seen to go back, numbers count again only in the next generation.
-    if (went_back_) return;
+    if (worn_) return;
     known_in_generation_ = true;
     event_ = newest;
 }
 
 void Acknowledgement::on_board_failed() { poll_out_ = poll_out_from_start_ = false; }
 
+void Acknowledgement::on_history_lost() {
+    worn_ = generation_.number > 0;
+    known_in_generation_ = false;
+}
+
 std::optional<InForce> Acknowledgement::claim() const {
     if (generation_.number == 0) return std::nullopt;
-    return InForce{generation_, known_in_generation_ && !went_back_ ? event_ : EventNumber{}, configuration_,
-                   went_back_};
+    return InForce{generation_, known_in_generation_ && !worn_ ? event_ : EventNumber{}, configuration_,
+                   worn_};
 }
 
 }  // namespace irismux::fleet
--- a/src/fleet/in_force.hpp
+++ b/src/fleet/in_force.hpp
@@ -39,7 +39,7 @@
     Generation generation;
     EventNumber event;
     ConfigurationNumber configuration;
-    bool board_went_back = false;  // seen under that generation; the event counts no more
+    bool worn = false;  // the board or the registry was seen to go back under it: it is to be replaced
     bool operator==(const InForce&) const = default;
 };
 
@@ -70,6 +70,8 @@
     // Each event up to that number which was owed to the last poll is in force.
     void on_board_told(EventNumber newest);
     void on_board_failed();
+    // The registry has gone back: a higher generation may have been lost with it.
+    void on_history_lost();
 
     std::optional<InForce> claim() const;
     const Generation& generation() const { return generation_; }
@@ -82,7 +84,7 @@
     EventNumber event_;
     ConfigurationNumber configuration_;
     bool known_in_generation_ = false;  // event_ is a position in generation_
-    bool went_back_ = false;            // seen under generation_
+    bool worn_ = false;            // seen under generation_
     bool told_once_ = false;
     bool poll_out_ = false, poll_out_from_start_ = false;
     Generation poll_generation_;  // when the poll went out
--- a/tests/fleet_digest_test.cpp
+++ b/tests/fleet_digest_test.cpp
@@ -63,7 +63,7 @@
     Acknowledgement a = told(first, 100);
     a.on_board_asked(false);
     a.on_board_told(event(85));
-    EXPECT_TRUE(a.claim()->board_went_back);
+    EXPECT_TRUE(a.claim()->worn);
     EXPECT_EQ(a.claim()->event, event(0));
     EXPECT_FALSE(a.ask_from_start());
     // Its numbers come as far again: they are others.
@@ -71,7 +71,7 @@
     a.on_board_told(event(120));
     EXPECT_EQ(a.claim()->event, event(0));
     a.on_generation(second);
-    EXPECT_FALSE(a.claim()->board_went_back);
+    EXPECT_FALSE(a.claim()->worn);
     EXPECT_EQ(a.claim()->event, event(0));
     EXPECT_TRUE(a.ask_from_start());
     a.on_board_asked(true);
@@ -467,9 +467,9 @@
     sites[SiteName{"b"}].generation = second;
     EXPECT_EQ(whys(verdict()), std::vector{Why::other_generation});
     sites[SiteName{"b"}].generation = first;
-    sites[SiteName{"b"}].board_went_back = true;
+    sites[SiteName{"b"}].worn = true;
     EXPECT_EQ(whys(verdict()), std::vector{Why::other_generation});
-    sites[SiteName{"b"}].board_went_back = false;
+    sites[SiteName{"b"}].worn = false;
     generation.reset();
     EXPECT_EQ(verdict().reach, Reach::not_yet);
 }
--- /dev/null
+++ b/tests/fleet_in_force_test.cpp
@@ -0,0 +1,322 @@
+// What is said to be in force everywhere is so, whatever happens: all sites of an installation in virtual
+// time.
+#include <gtest/gtest.h>
+
+#include "lab/sites.hpp"
+
+using namespace irismux;
+using namespace irismux::fleet;
+using lab::Sites;
+
+namespace {
+
+const Span ms = Span::micros(1000);
+
+Articles articles(double drift = 0.05) { return {"test", ms * 4000, drift}; }
+using Reach = FleetStatus::Reach;
+
+TEST(InForce, ACalmInstallationSaysEverywhereWithinTheStatedTime) {
+    Sites w(1, {.sites = {3, 5, 1}}, articles());
+    w.start_all();
+    w.run(ms * 25'000);
+    w.mark();
+    w.run(ms * 60'000);
+    EXPECT_EQ(w.broken, std::vector<std::string>{});
+    EXPECT_GT(w.everywhere, 1000u) << w.picture();
+    EXPECT_GT(w.longest_until_said, ms * 10);
+    EXPECT_LE(w.longest_until_said, longest_until_said(ms * 4000, 0.05, ms * 250, ms * 50, ms * 300));
+}
+
+Sites::Troubles all_troubles() {
+    return {.lose = 0.05,
+            .late = 0.05,
+            .repeat = 0.05,
+            .stop = 0.05,
+            .crash = 0.03,
+            .cut = 0.05,
+            .cut_board = 0.1,
+            .registry_back = 0.01,
+            .board_back = 0.02};
+}
+
+// Comes true by itself for what is the newest event now, and soon.
+void says_everywhere(Sites& w, Span within) {
+    const Instant by = w.now() + within;
+    const std::int64_t event = w.newest();
+    while (w.said_of(event).reach != Reach::everywhere && w.now() < by) w.run(ms * 500);
+    ASSERT_EQ(w.said_of(event).reach, Reach::everywhere) << event << '\n' << w.picture();
+}
+const Span settled = ms * 40'000;
+
+void play(std::uint32_t seed, const Sites::Shape& shape, const Sites::Troubles& troubles) {
+    SCOPED_TRACE(seed);
+    Sites w(seed, shape, articles(shape.drift));
+    w.start_all();
+    for (int stretch = 0; stretch < 4; ++stretch) {
+        w.run(ms * 30'000, troubles);
+        ASSERT_EQ(w.broken, std::vector<std::string>{}) << w.picture();
+        w.run(ms * 500);
+        for (std::size_t n = 0; n < w.members(); ++n) w.revive(n);
+        w.run(ms * 20'000);
+        says_everywhere(w, ms * 60'000);
+        ASSERT_EQ(w.broken, std::vector<std::string>{}) << w.picture();
+    }
+}
+
+TEST(InForce, ManySeedsOfAllTroubles) {
+    for (std::uint32_t seed = 1; seed <= 60; ++seed) {
+        play(seed, {.sites = {2 + seed % 4, 3, 1}, .drift = seed % 2 == 0 ? 0.2 : 0.05}, all_troubles());
+        if (::testing::Test::HasFailure()) return;
+    }
+}
+
+// All is in force everywhere, and that has been said.
+struct AtRest : Sites {
+    AtRest(std::uint32_t seed, const Shape& shape) : Sites(seed, shape, articles(shape.drift)) {
+        start_all();
+        run(ms * 25'000);
+        mark();
+    }
+};
+
+TEST(InForce, TheDigestsOwnerStoppedAndWokenLate) {
+    for (std::uint32_t seed = 1; seed <= 20; ++seed) {
+        SCOPED_TRACE(seed);
+        AtRest w(seed, {.sites = {3, 1, 2}});
+        for (const std::size_t site : {0u, 1u}) {
+            // It hears nothing of the board either, so that it lacks what comes while it stands still;
+            // another of its site lacks it, too.
+            const std::size_t owner = w.owner(site);
+            ASSERT_LT(owner, w.members()) << w.picture();
+            w.cut_board(owner, true);
+            w.cut_board(w.member(0, 0), true);
+            w.stop(owner);
+            w.run(ms * (1'000 + 700 * seed));
+            EXPECT_NE(w.said().verdict.reach, Reach::everywhere);
+            w.go_on(owner);
+            w.run(ms * 3'000);
+            EXPECT_NE(w.said().verdict.reach, Reach::everywhere);
+            w.revive(owner);
+            w.revive(w.member(0, 0));
+            says_everywhere(w, settled);
+        }
+        EXPECT_EQ(w.broken, std::vector<std::string>{});
+    }
+}
+
+TEST(InForce, TheDigestsOwnerCutOffBothWaysOrOne) {
+    enum { out, in, both };
+    for (const int ways : {out, in, both})
+        for (std::uint32_t seed = 1; seed <= 10; ++seed) {
+            SCOPED_TRACE(seed);
+            SCOPED_TRACE(ways);
+            AtRest w(seed, {.sites = {3, 2}});
+            const std::size_t owner = w.owner(0);
+            w.cut(owner, ways != out, ways != in);
+            w.cut_board(owner, true);
+            w.run(ms * 30'000);
+            // Where another of its site has the duty, the one that is cut off is named.
+            ASSERT_EQ(w.said().verdict.reach, Reach::all_but) << w.picture();
+            ASSERT_EQ(w.said().verdict.missing.size(), 1u);
+            EXPECT_EQ(w.said().verdict.missing[0].member.raw(), "m" + std::to_string(owner));
+            EXPECT_GT(w.said().verdict.missing[0].since_ms, 1'000'000);
+            w.revive(owner);
+            says_everywhere(w, settled);
+            EXPECT_EQ(w.broken, std::vector<std::string>{});
+        }
+}
+
+// A site is cut off from the registry and the board while an event is under way; its gateways are restarted
+// meanwhile, with what they knew long before, and come back so.
+TEST(InForce, ASiteCutOffItsGatewaysRestartedAndBackWithOldState) {
+    for (std::uint32_t seed = 1; seed <= 20; ++seed) {
+        SCOPED_TRACE(seed);
+        AtRest w(seed, {.sites = {3, 3}, .publish_every = ms * 300});
+        const auto site = [&](auto what) {
+            for (std::size_t n = 0; n < 3; ++n) what(w.member(0, n));
+        };
+        w.run(ms * (100 + 37 * seed));
+        site([&](std::size_t m) {
+            w.cut(m, true, true);
+            w.cut_board(m, true);
+        });
+        w.run(ms * (200 * (seed % 5)));
+        site([&](std::size_t m) {
+            w.kill(m);
+            w.start(m, 60);
+            if (seed % 3 != 0) return;
+            // Not stopped by its being cut: it was told to leave, and that came through.
+            w.cut(m, false, false);
+        });
+        w.run(ms * 1'000);
+        site([&](std::size_t m) { w.cut(m, seed % 2 == 0, seed % 2 == 0); });
+        w.run(ms * 60'000);
+        EXPECT_NE(w.said().verdict.reach, Reach::everywhere);
+        site([&](std::size_t m) { w.cut(m, false, false); });  // the board still says nothing
+        w.run(ms * 20'000);
+        EXPECT_EQ(w.said().verdict.reach, Reach::not_yet);
+        site([&](std::size_t m) { w.revive(m); });
+        says_everywhere(w, settled);
+        EXPECT_EQ(w.broken, std::vector<std::string>{});
+    }
+}
+
+// It has claimed an event, dies, and is back at once with what it knew before, at any instant of a round.
+TEST(InForce, AMemberThatDiesAfterItsWordAndIsBackWithOldState) {
+    for (std::uint32_t seed = 1; seed <= 40; ++seed) {
+        SCOPED_TRACE(seed);
+        AtRest w(seed, {.sites = {2 + seed % 3, 1}, .publish_every = ms * 100'000});
+        w.publish();
+        w.run(ms * (25 * seed));
+        const std::size_t victim = w.member(seed % 4 == 0, 0);
+        w.kill(victim);
+        w.cut_board(victim, true);
+        if (seed % 2 == 0) w.cut(victim, true, true);
+        w.run(ms * (seed % 7));
+        w.start(victim, 5);
+        w.run(ms * 40'000);  // longer than what it claimed may be counted
+        EXPECT_NE(w.said().verdict.reach, Reach::everywhere) << w.picture();
+        EXPECT_FALSE(w.in_force_everywhere());
+        w.revive(victim);
+        says_everywhere(w, settled);
+        EXPECT_EQ(w.broken, std::vector<std::string>{});
+    }
+}
+
+// It leaves as it should, and a process comes back under its name that can't join.
+TEST(InForce, WhoHasLeftIsNamedUntilItIsBackOrForgotten) {
+    AtRest w(3, {.sites = {3, 2}});
+    const std::size_t gone = w.member(0, 1);
+    w.leave(gone);
+    w.run(ms * 500);
+    w.kill(gone);
+    w.run(ms * 10'000);
+    ASSERT_EQ(w.said().verdict.reach, Reach::all_but) << w.picture();
+    EXPECT_EQ(w.said().verdict.missing[0].member.raw(), "m1");
+    w.cut(gone, true, true);
+    w.cut_board(gone, true);
+    w.start(gone, 20);
+    w.run(ms * 60'000);
+    EXPECT_EQ(w.said().verdict.reach, Reach::all_but);
+    w.kill(gone);
+    w.forget(gone);
+    w.run(ms * 10'000);
+    // Fewer than the inventory has: until that is lowered it could be one that has not joined yet.
+    EXPECT_EQ(w.said().verdict.reach, Reach::not_yet);
+    w.revive(gone);
+    says_everywhere(w, settled);
+    EXPECT_EQ(w.broken, std::vector<std::string>{});
+}
+
+TEST(InForce, ABoardThatIsRestoredBeginsANewGeneration) {
+    for (const bool announced : {true, false})
+        for (std::uint32_t seed = 1; seed <= 20; ++seed) {
+            SCOPED_TRACE(seed);
+            AtRest w(seed, {.sites = {3, 2}, .publish_every = ms * 200});
+            // One has not been told of the board's last events, and of none of those that take their numbers.
+            const std::size_t deaf = w.member(0, seed % 3);
+            w.cut_board(deaf, true);
+            w.run(ms * 4'000);
+            w.board_back(announced ? 3 : 100, announced);
+            w.run(ms * 30'000);
+            EXPECT_EQ(w.said().verdict.reach, Reach::not_yet);
+            EXPECT_FALSE(w.in_force_everywhere());
+            w.cut_board(deaf, false);
+            says_everywhere(w, settled);
+            EXPECT_EQ(w.broken, std::vector<std::string>{});
+        }
+}
+
+TEST(InForce, ARegistryThatIsRestoredSaysNothingThatIsNoLongerSo) {
+    for (std::uint32_t seed = 1; seed <= 20; ++seed) {
+        SCOPED_TRACE(seed);
+        AtRest w(seed, {.sites = {3, 2}, .publish_every = ms * 300});
+        w.run(ms * 10'000);
+        const std::size_t victim = w.member(0, 0);
+        w.kill(victim);
+        w.cut(victim, true, true);
+        w.cut_board(victim, true);
+        w.start(victim, 60);
+        w.run(ms * 30'000);
+        w.board_back(2, true);
+        w.run(ms * 500 * (seed % 4));
+        w.registry_back(ms * 5'000);
+        w.run(ms * 20'000);
+        EXPECT_NE(w.said().verdict.reach, Reach::everywhere);
+        w.revive(victim);
+        says_everywhere(w, settled);
+        EXPECT_EQ(w.broken, std::vector<std::string>{});
+    }
+}
+
+TEST(InForce, ASiteOfOneAnEmptyOneAndOneInTheOldForm) {
+    AtRest one(1, {.sites = {1, 3}});
+    says_everywhere(one, settled);
+    one.kill(0);
+    one.run(ms * 15'000);
+    // Nobody of that site is left to say so: the whole site is named.
+    ASSERT_EQ(one.said().verdict.reach, Reach::all_but);
+    EXPECT_EQ(one.said().verdict.missing[0].site.raw(), "s0");
+    EXPECT_EQ(one.said().verdict.missing[0].why, FleetStatus::Why::site_silent);
+
+    AtRest empty(2, {.sites = {2}, .inventory = {{"planned", 0}}});
+    says_everywhere(empty, settled);
+    AtRest missing(3, {.sites = {2}, .inventory = {{"planned", 4}}});
+    EXPECT_EQ(missing.said().verdict.reach, Reach::not_yet);
+    AtRest fewer(4, {.sites = {2}, .inventory = {{"s0", 3}}});
+    EXPECT_EQ(fewer.said().verdict.reach, Reach::not_yet);
+
+    AtRest old(5, {.sites = {2}, .old_form = 1});
+    EXPECT_EQ(old.said().verdict.reach, Reach::not_yet);
+    old.leave(2);
+    old.run(ms * 1'000);
+    old.kill(2);
+    says_everywhere(old, settled);
+    for (const Sites* w : {static_cast<Sites*>(&one), static_cast<Sites*>(&empty),
+                           static_cast<Sites*>(&missing), static_cast<Sites*>(&old)})
+        EXPECT_EQ(w->broken, std::vector<std::string>{});
+}
+
+// Its gateways go on, some are restarted, and events go on elsewhere.
+TEST(InForce, ARegionGoneForAnHour) {
+    AtRest w(6, {.sites = {2, 3, 2, 3}, .publish_every = ms * 5'000});
+    const auto region = [&](auto what) {
+        for (const std::size_t site : {0u, 1u})
+            for (std::size_t n = 0; n < 2 + site; ++n) what(w.member(site, n));
+    };
+    region([&](std::size_t m) {
+        w.cut(m, true, true);
+        w.cut_board(m, true);
+    });
+    for (int part = 0; part < 60; ++part) {
+        w.run(ms * 60'000);
+        ASSERT_EQ(w.said().verdict.reach, Reach::all_but) << w.picture();
+        ASSERT_EQ(w.said().verdict.missing.size(), 2u);
+        if (part % 10 == 5) {
+            const std::size_t m = w.member(part % 20 == 5, 0);
+            w.kill(m);
+            w.start(m, 10);
+        }
+    }
+    region([&](std::size_t m) { w.revive(m); });
+    says_everywhere(w, settled);
+    EXPECT_EQ(w.broken, std::vector<std::string>{});
+}
+
+TEST(InForce, AllGatewaysOfManySitesRestartedAtOnce) {
+    Sites w(7, {.sites = std::vector<std::size_t>(38, 15), .readers = true}, articles());
+    w.start_all();
+    w.run(ms * 30'000);
+    says_everywhere(w, settled);
+    for (std::size_t n = 0; n < w.members(); ++n) w.kill(n);
+    w.run(ms * 300);
+    const std::uint64_t before = w.deliveries;
+    for (std::size_t n = 0; n < w.members(); ++n) w.start(n, n % 5);
+    w.run(ms * 20'000);
+    says_everywhere(w, settled);
+    // Nobody is told of other sites: all that goes out grows with the sites' sizes, not the installation's.
+    EXPECT_LE(w.deliveries - before, 570u * 15 * 12);
+    EXPECT_EQ(w.broken, std::vector<std::string>{});
+}
+
+}  // namespace
