--- a/src/fleet/digest.cpp
+++ b/src/fleet/digest.cpp
@@ -179,12 +179,12 @@
 // Guards against a registry that has gone back: an older heartbeat that comes after a newer one shows nothing
 // of its sender.
 void DigestKeeper::note(const MemberName& name, const std::optional<std::string>& text_shown, Instant asked) {
-    const auto heartbeat = text_shown ? read_beat(*text_shown) : std::nullopt;
+    const auto heartbeat = text_shown ? read_heartbeat(*text_shown) : std::nullopt;
     const auto known = evidence_.find(name);
     const bool first = known == evidence_.end();
     Evidence next{text_shown.value_or(""),
-                  heartbeat ? heartbeat->mark.raw() : "",
-                  heartbeat ? heartbeat->beat.raw() : 0,
+                  heartbeat ? heartbeat->instance_id.raw() : "",
+                  heartbeat ? heartbeat->number.raw() : 0,
                   asked,
                   {},
                   {}};
--- a/src/fleet/digest.hpp
+++ b/src/fleet/digest.hpp
@@ -55,8 +55,8 @@
     std::int64_t as_of = 0;     // the owner's heartbeat that showed it all this
     std::int64_t as_of_ms = 0;  // Unix time by the owner's clock; for people
     Generation generation;
-    bool worn = false;  // as one of them claims
-    std::size_t known = 0;         // names in the roster
+    bool worn = false;      // as one of them claims
+    std::size_t known = 0;  // names in the roster
     std::size_t live = 0;
     EventNumber lowest, highest;  // of live members; the highest also of those that are not
     ConfigurationNumber lowest_configuration;
--- a/src/fleet/fleet_status.cpp
+++ b/src/fleet/fleet_status.cpp
@@ -23,10 +23,10 @@
             unreadable_.insert(site);
     }
     for (const auto& [site, text] : reading.owner_heartbeats) {
-        const auto heartbeat = read_beat(text);
+        const auto heartbeat = read_heartbeat(text);
         if (!heartbeat) continue;
         auto& shown = shown_[site];
-        shown.push_back({reading.asked, heartbeat->mark.raw(), heartbeat->beat.raw()});
+        shown.push_back({reading.asked, heartbeat->instance_id.raw(), heartbeat->number.raw()});
         if (shown.size() > most_readings) shown.pop_front();
     }
 }
--- a/src/fleet/site_reporter.cpp
+++ b/src/fleet/site_reporter.cpp
@@ -8,10 +8,10 @@
 // Of a term: as often as heartbeats go out at rest.
 constexpr double refresh_of_term = 0.25;
 
-std::map<CacheId, std::size_t> marks_of(const Fellow& agent) {
+std::map<CacheId, std::size_t> marks_of(const Agent& agent) {
     std::map<CacheId, std::size_t> marks;
-    for (const CacheId& cache : agent.marks()) ++marks[cache];
-    for (const auto& [name, other] : agent.membership().others())
+    for (const CacheId& cache : agent.marked_caches()) ++marks[cache];
+    for (const auto& [name, other] : agent.membership().peers())
         for (const CacheId& cache : other.member.marks) ++marks[cache];
     return marks;
 }
@@ -24,8 +24,8 @@
       keeper_({settings_.self, settings_.instance_id, settings_.term, settings_.acknowledge_every,
                settings_.term * refresh_of_term}) {}
 
-void SiteReporter::on_heartbeat(Instant now, std::int64_t unix_ms, Instant sent, BeatNo number,
-                                const std::vector<Entry>& shown, const Fellow& agent) {
+void SiteReporter::on_heartbeat(Instant now, std::int64_t unix_ms, Instant sent, HeartbeatNumber number,
+                                const std::vector<Entry>& shown, const Agent& agent) {
     Look look{sent, now, number.raw(), unix_ms, {}, {}, {}, {}};
     bool whole = false;
     for (const auto& [key, text] : shown) {
@@ -33,7 +33,7 @@
         if (key == roster_key()) look.roster = text;
         if (key == digest_key()) look.former_digest = text;
         if (key == generation_key()) look.generation = text;
-        if (const auto member = beat_of(key)) look.heartbeats[*member] = text;
+        if (const auto member = heartbeat_owner(key)) look.heartbeats[*member] = text;
     }
     generation_shown_ = look.generation;
     const auto generation = look.generation ? read_generation(*look.generation) : std::nullopt;
@@ -47,9 +47,9 @@
     if (key == digest_key()) digest_out_ = false;
 }
 
-void SiteReporter::go_on(Instant now, Fellow& agent) {
+void SiteReporter::go_on(Instant now, Agent& agent) {
     const bool owner = agent.may_begin(now, digest_duty());
-    SiteLook look;
+    HeartbeatReads look;
     look.records = {generation_key()};
     if (owner) {
         look.records.insert(look.records.end(), {roster_key(), digest_key()});
@@ -58,26 +58,26 @@
     } else {
         keeper_.drop();
     }
-    agent.look_at(now, std::move(look));
-    agent.claim_is(now, acknowledgement_.claim());
+    agent.set_heartbeat_reads(now, std::move(look));
+    agent.set_claim(now, acknowledgement_.claim());
     if (owner) write_due(now, agent);
 }
 
-void SiteReporter::write_due(Instant now, Fellow& agent) {
+void SiteReporter::write_due(Instant now, Agent& agent) {
     if (!generation_out_) {
         const std::string id = settings_.instance_id + '/' + std::to_string(generations_ + 1);
         if (const auto next = keeper_.next_generation(id)) {
             ++generations_;
             generation_out_ = true;
-            const Chore chore{{{generation_key(), generation_shown_}},
-                              {{generation_key(), serialize(*next)}}};
-            if (!agent.work(now, digest_duty(), generation_key(), chore)) generation_out_ = false;
+            const FencedWrite chore{{{generation_key(), generation_shown_}},
+                                    {{generation_key(), serialize(*next)}}};
+            if (!agent.write_fenced(now, digest_duty(), generation_key(), chore)) generation_out_ = false;
         }
     }
     if (digest_out_) return;
     if (const auto digest = keeper_.next(now)) {
         digest_out_ = true;
-        if (!agent.work(now, digest_duty(), digest_key(), *digest)) digest_out_ = false;
+        if (!agent.write_fenced(now, digest_duty(), digest_key(), *digest)) digest_out_ = false;
     }
 }
 
--- a/src/fleet/site_reporter.hpp
+++ b/src/fleet/site_reporter.hpp
@@ -6,7 +6,7 @@
 
 #include <string>
 
-#include "fleet/fellow.hpp"
+#include "fleet/agent.hpp"
 
 namespace irismux::fleet {
 
@@ -30,13 +30,13 @@
     Instant serves_from() const { return serves_from_; }
 
     // As AgentObserver is told.
-    void on_heartbeat(Instant now, std::int64_t unix_ms, Instant sent, BeatNo number,
-                      const std::vector<Entry>& shown, const Fellow& agent);
+    void on_heartbeat(Instant now, std::int64_t unix_ms, Instant sent, HeartbeatNumber number,
+                      const std::vector<Entry>& shown, const Agent& agent);
     void on_written(const Key& key);
-    void go_on(Instant now, Fellow& agent);
+    void go_on(Instant now, Agent& agent);
 
 private:
-    void write_due(Instant now, Fellow& agent);
+    void write_due(Instant now, Agent& agent);
 
     Settings settings_;
     Instant serves_from_;
