--- a/lab/arena.cpp
+++ b/lab/arena.cpp
@@ -84,6 +84,7 @@
           << "\nanswer_in = " << ms(shape.term * 0.125) << "quiet = " << ms(shape.term * 0.5)
           << "look_every = " << ms(shape.look_every) << "sweep_every = " << ms(shape.sweep_every);
     if (shape.keeps) parts << "keep_in = \"" << folder << "/store\"\n";
+    parts << shape.fleet_lines(n);
     g.log = folder + "/log";
     g.clock = folder + "/clock";
     std::ofstream(g.clock) << std::string(2 * sizeof(double), '\0');
--- a/lab/arena.hpp
+++ b/lab/arena.hpp
@@ -13,6 +13,7 @@
 
 #include <array>
 #include <filesystem>
+#include <functional>
 #include <map>
 #include <memory>
 #include <optional>
@@ -39,7 +40,9 @@
         Span ask_every = Span::micros(10'000);  // of each gateway's clients
         bool probes = true;
         bool keeps = false;  // epochs seen, in a folder of each gateway's own
-        std::string clock;   // the library that shows other clocks; empty: all have the machine's
+        // More keys of a gateway's [fleet].
+        std::function<std::string(std::size_t)> fleet_lines = [](std::size_t) { return std::string(); };
+        std::string clock;  // the library that shows other clocks; empty: all have the machine's
     };
 
     Arena(const Shape& shape, const std::string& folder);
--- a/lab/sites.cpp
+++ b/lab/sites.cpp
@@ -341,17 +341,18 @@
             });
             return;
         }
-        at(now_ + delay(troubles_.late / 4), [this, &p, life] {
+        const std::int64_t from = p.position;
+        at(now_ + delay(troubles_.late / 4), [this, &p, life, from] {
             const std::int64_t newest = this->newest();
             std::vector<int> owed;
-            for (std::int64_t n = p.position; n < newest; ++n)
-                owed.push_back(board_[static_cast<std::size_t>(n)]);
-            at(now_ + delay(troubles_.late / 4), [this, &p, life, newest, owed] {
+            for (std::int64_t n = from; n < newest; ++n) owed.push_back(board_[static_cast<std::size_t>(n)]);
+            at(now_ + delay(troubles_.late / 4), [this, &p, life, from, newest, owed] {
                 if (p.life != life) return;
-                p.when_running([this, &p, newest, owed] {
+                p.when_running([this, &p, from, newest, owed] {
                     p.in_force.insert(owed.begin(), owed.end());
                     p.position = std::max(p.position, newest);
-                    if (p.reporter) p.reporter->acknowledgement().on_board_told(EventNumber{newest});
+                    if (p.reporter)
+                        p.reporter->acknowledgement().on_board_told(EventNumber{newest}, EventNumber{from});
                     note_in_force();
                     step(p);
                 });
--- a/src/fleet/digest.hpp
+++ b/src/fleet/digest.hpp
@@ -26,9 +26,10 @@
 
 namespace irismux::fleet {
 
-constexpr std::size_t most_in_roster = 128;  // beyond it the roster is marked as incomplete
-constexpr std::size_t most_named = 16;       // of each list of a digest; the counts go on
-constexpr std::size_t most_caches = 32;      // marked ones in a digest, the most marked first
+// Beyond it the roster is marked as incomplete; a transaction of a registry may have 128 reads.
+constexpr std::size_t most_in_roster = 96;
+constexpr std::size_t most_named = 16;   // of each list of a digest; the counts go on
+constexpr std::size_t most_caches = 32;  // marked ones in a digest, the most marked first
 
 struct Roster {
     std::set<MemberName> names;
--- a/src/fleet/fleet_client.cpp
+++ b/src/fleet/fleet_client.cpp
@@ -25,9 +25,16 @@
 
 std::uint64_t mixed_with_chance(std::uint64_t seed) { return seed ^ std::random_device{}(); }
 
-registry::Settings watch_settings(registry::Settings settings) {
-    settings.prefix = watched_prefix(settings.prefix);
-    return settings;
+registry::Settings watch_settings(const Settings& settings) {
+    registry::Settings watched = settings.registry;
+    watched.prefix = watched_prefix(site_prefix(watched.prefix, settings.site));
+    return watched;
+}
+
+std::int64_t unix_ms_now() {
+    timespec t{};
+    ::clock_gettime(CLOCK_REALTIME, &t);
+    return static_cast<std::int64_t>(t.tv_sec) * 1000 + t.tv_nsec / 1'000'000;
 }
 
 }  // namespace
@@ -39,13 +46,24 @@
     return Key{path.rfind(roll, 0) == 0 ? path.substr(roll.size()) : path};
 }
 std::string watched_prefix(const std::string& prefix) { return prefix + std::string(roll); }
+std::string site_prefix(const std::string& prefix, const SiteName& site) {
+    return site.raw().empty() ? prefix : prefix + "site/" + site.raw() + '/';
+}
+std::string digest_prefix(const std::string& prefix) { return prefix + "digest/"; }
+std::string path_of(const Key& key, const SiteName& site) {
+    if (site.raw().empty()) return path_of(key);
+    if (key == generation_key()) return key.raw();
+    if (key == digest_key()) return digest_prefix("") + site.raw();
+    return site_prefix("", site) + path_of(key);
+}
 
 FleetClient::FleetClient(Loop& loop, GatewayPort& gateway, const Settings& settings, std::string version,
                          std::uint64_t seed)
     : loop_(loop),
       gateway_(gateway),
       settings_(settings),
-      watch_settings_(watch_settings(settings.registry)),
+      watch_settings_(watch_settings(settings)),
+      instance_id_(random_instance_id()),
       agent_((open_store(), *this), *this, settings.shared_config, identity(version),
              mixed_with_chance(seed)),
       health_watch_(*this, settings.look_every, agent_.membership().round()),
@@ -53,6 +71,13 @@
       asker_(loop, *this, settings_.registry),
       registry_member_(seed % settings.registry.members.size()),
       client_(loop, *this, watch_settings_, mixed_with_chance(seed), registry::Sort::plain) {
+    if (!settings.site.raw().empty()) {
+        site_reporter_.emplace(
+            SiteReporter::Settings{settings.name, instance_id_, settings.shared_config.term,
+                                   settings.acknowledge_every, settings.shared_config.drift},
+            clock());
+        site_reporter_->acknowledgement().on_configuration(settings.configuration);
+    }
     if (store_)
         if (const auto seen = store_->read(seen_name); seen && !agent_.fence().restore(*seen))
             gateway_.on_fleet_message(
@@ -74,11 +99,12 @@
 
 MemberIdentity FleetClient::identity(const std::string& version) {
     MemberIdentity p{settings_.name,
-                     InstanceId{random_instance_id()},
+                     InstanceId{instance_id_},
                      version,
                      {},
                      settings_.registry.pace.answer_in,
-                     true};
+                     true,
+                     settings_.site.raw().empty() ? Span{} : settings_.acknowledge_every};
     if (const auto start = store_ ? store_->read(start_name) : std::nullopt)
         p.last_incarnation = Incarnation{std::atoll(start->c_str())};
     return p;
@@ -137,7 +163,9 @@
     pending_transaction_ = d;
     std::vector<registry::etcd::KeyValue> holds, writes;
     std::vector<std::string> shows;
-    const auto path = [&](const Key& key) { return settings_.registry.prefix + path_of(key); };
+    const auto path = [&](const Key& key) {
+        return settings_.registry.prefix + path_of(key, settings_.site);
+    };
     for (const auto& [key, text] : d.compares) holds.emplace_back(path(key), text);
     for (const auto& [key, text] : d.writes) writes.emplace_back(path(key), text);
     for (const Key& key : d.reads) shows.push_back(path(key));
@@ -159,8 +187,9 @@
     const Transaction d = *std::exchange(pending_transaction_, std::nullopt);
     std::vector<Entry> shown;
     const auto show = [&](const Key& key) {
-        const auto it = std::find_if(settled.shown.begin(), settled.shown.end(),
-                                     [&](const auto& r) { return r.key.raw() == path_of(key); });
+        const auto it = std::find_if(settled.shown.begin(), settled.shown.end(), [&](const auto& r) {
+            return r.key.raw() == path_of(key, settings_.site);
+        });
         shown.emplace_back(key, it == settled.shown.end() ? Text{} : Text{it->value});
     };
     if (settled.held)
@@ -218,6 +247,7 @@
 
 void FleetClient::update_duties() {
     std::set<DutyName> wanted{garbage_collection_duty()};
+    if (site_reporter_) wanted.insert(digest_duty());
     for (const CacheId& c : health_watch_.watched(agent_)) wanted.insert(health_watch_duty(c));
     if (wanted == duties_) return;
     std::vector<Entry> records;
@@ -236,6 +266,7 @@
 void FleetClient::run_due_tasks() {
     loop_.forget(tasks_alarm_);
     const Instant now = clock();
+    if (site_reporter_) site_reporter_->go_on(now, agent_);
     health_watch_.tick(now, agent_);
     Instant due = health_watch_.due();
     if (agent_.may_begin(now, garbage_collection_duty())) {
@@ -252,7 +283,8 @@
     gateway_.on_duty_state(duty, state, token);
 }
 
-void FleetClient::on_write_outcome(const DutyName& duty, const Key&, WriteOutcome done) {
+void FleetClient::on_write_outcome(const DutyName& duty, const Key& key, WriteOutcome done) {
+    if (duty == digest_duty() && site_reporter_) site_reporter_->on_written(key);
     if (duty == garbage_collection_duty()) garbage_collector_.told(clock(), done);
 }
 
@@ -271,6 +303,45 @@
     call_soon([this, cache, at] { gateway_.trial_from(cache, to_loop_time(at)); });
 }
 
+// --- what is in force here
+
+bool FleetClient::ask_board_from_start() const {
+    return site_reporter_ && site_reporter_->acknowledgement().ask_from_start();
+}
+
+void FleetClient::on_board_asked(bool from_start) {
+    if (site_reporter_) site_reporter_->acknowledgement().on_board_asked(from_start);
+}
+
+void FleetClient::on_board_told(std::int64_t newest, std::int64_t asked_from) {
+    if (!site_reporter_) return;
+    site_reporter_->acknowledgement().on_board_told(EventNumber{newest}, EventNumber{asked_from});
+    site_reporter_->go_on(clock(), agent_);
+}
+
+void FleetClient::on_board_failed() {
+    if (site_reporter_) site_reporter_->acknowledgement().on_board_failed();
+}
+
+void FleetClient::on_board_event_left_out() {
+    if (site_reporter_) site_reporter_->acknowledgement().on_event_left_out();
+}
+
+void FleetClient::set_configuration(ConfigurationNumber number) {
+    settings_.configuration = number;
+    if (!site_reporter_) return;
+    site_reporter_->acknowledgement().on_configuration(number);
+    site_reporter_->go_on(clock(), agent_);
+}
+
+void FleetClient::on_heartbeat_result(Instant sent, HeartbeatNumber number, const std::vector<Entry>& shown) {
+    if (site_reporter_) site_reporter_->on_heartbeat(clock(), unix_ms_now(), sent, number, shown, agent_);
+}
+
+void FleetClient::on_registry_went_back() {
+    if (site_reporter_) site_reporter_->acknowledgement().on_history_lost();
+}
+
 // --- state that outlives the process
 
 void FleetClient::store_tokens_seen() {
--- a/src/fleet/fleet_client.hpp
+++ b/src/fleet/fleet_client.hpp
@@ -15,6 +15,7 @@
 #include "fleet/health_watch.hpp"
 #include "fleet/record_mirror.hpp"
 #include "fleet/settings.hpp"
+#include "fleet/site_reporter.hpp"
 #include "registry/client.hpp"
 #include "store/store.hpp"
 
@@ -40,6 +41,10 @@
 std::string path_of(const Key& key);
 Key key_at(const std::string& path);
 std::string watched_prefix(const std::string& prefix);
+// A site's records lie behind a prefix of its own; its digest and the board's generation stand apart.
+std::string site_prefix(const std::string& prefix, const SiteName& site);
+std::string path_of(const Key& key, const SiteName& site);
+std::string digest_prefix(const std::string& prefix);
 
 class FleetClient final : private RegistryPort,
                           private AgentObserver,
@@ -63,6 +68,17 @@
     // Whether the lease still covers a probe; asked right before its first byte is sent.
     bool may_probe(const CacheId& cache) const;
 
+    // --- of a site's member: what it has in force
+    // Whether lookups may be taken yet; if not, from when on at the latest.
+    bool may_serve() const { return !site_reporter_ || site_reporter_->may_serve(clock()); }
+    Instant serves_from() const { return to_loop_time(site_reporter_->serves_from()); }
+    bool ask_board_from_start() const;
+    void on_board_asked(bool from_start);
+    void on_board_told(std::int64_t newest, std::int64_t asked_from);
+    void on_board_failed();
+    void on_board_event_left_out();
+    void set_configuration(ConfigurationNumber);
+
     const Agent& agent() const { return agent_; }
 
 private:
@@ -73,6 +89,8 @@
     void on_lease_state(const DutyName&, LeaseState, FencingToken) override;
     void on_write_outcome(const DutyName&, const Key&, WriteOutcome) override;
     void remark(std::string_view plain_line) override;
+    void on_heartbeat_result(Instant sent, HeartbeatNumber, const std::vector<Entry>& shown) override;
+    void on_registry_went_back() override;
     // ProbePort
     void send_probe(const CacheId&) override;
     void trial_from(const CacheId&, Instant) override;
@@ -101,7 +119,9 @@
     Settings settings_;
     std::optional<Store> store_;
     registry::Settings watch_settings_;
+    std::string instance_id_;
     Agent agent_;
+    std::optional<SiteReporter> site_reporter_;
     HealthWatch health_watch_;
     GarbageCollector garbage_collector_;
     RecordMirror record_mirror_;
--- a/src/fleet/in_force.cpp
+++ b/src/fleet/in_force.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
+#include <utility>
 
 namespace irismux::fleet {
 namespace {
@@ -76,43 +77,45 @@
 
 // Where it was seen to go back, only the next generation gives its numbers a meaning again.
 bool Acknowledgement::ask_from_start() const {
-    if (poll_out_from_start_) return false;
+    if (from_start_ && from_start_generation_ == generation_) return false;
     return !told_once_ || (generation_.number > 0 && !known_in_generation_ && !worn_);
 }
 
 void Acknowledgement::on_board_asked(bool from_start) {
     poll_out_ = true;
-    poll_out_from_start_ = from_start;
     poll_generation_ = generation_;
+    if (!from_start) return;
+    from_start_ = true;
+    from_start_generation_ = generation_;
 }
 
 // Guards against an answer to a poll from before the generation was shown: it may be of the board's former
 // history.
-void Acknowledgement::on_board_told(EventNumber newest) {
-    const bool current = poll_out_ && poll_generation_ == generation_;
-    const bool whole = poll_out_from_start_;
-    on_board_failed();
+void Acknowledgement::on_board_told(EventNumber newest, EventNumber asked_from) {
+    if (!std::exchange(poll_out_, false)) return;
+    const bool whole = std::exchange(from_start_, false);
+    const bool whole_in_generation = whole && from_start_generation_ == generation_;
     told_once_ |= whole;
-    if (!current) return;
-    if (newest < event_) return on_history_lost();
-    if (!known_in_generation_ && !whole) return;
+    if (poll_generation_ != generation_) return;
+    if (newest < std::max(event_, asked_from)) return on_history_lost();
+    if (!known_in_generation_ && !whole_in_generation) return;
     // Where it has been seen to go back, numbers count again only in the next generation.
     if (worn_) return;
     known_in_generation_ = true;
     event_ = newest;
 }
 
-void Acknowledgement::on_board_failed() { poll_out_ = poll_out_from_start_ = false; }
+void Acknowledgement::on_board_failed() { poll_out_ = false; }
 
 void Acknowledgement::on_history_lost() {
     worn_ = generation_.number > 0;
-    known_in_generation_ = false;
+    known_in_generation_ = from_start_ = false;
 }
 
 std::optional<InForce> Acknowledgement::claim() const {
     if (generation_.number == 0) return std::nullopt;
-    return InForce{generation_, known_in_generation_ && !worn_ ? event_ : EventNumber{}, configuration_,
-                   worn_};
+    const bool counts = known_in_generation_ && !worn_ && !left_out_;
+    return InForce{generation_, counts ? event_ : EventNumber{}, configuration_, worn_};
 }
 
 }  // namespace irismux::fleet
--- a/src/fleet/in_force.hpp
+++ b/src/fleet/in_force.hpp
@@ -64,11 +64,14 @@
     void on_configuration(ConfigurationNumber number) { configuration_ = number; }
 
     // The board must be asked for all that it holds, since where this process stands in this generation is
-    // not known.
+    // not known. True until such a telling has begun; it may take several polls, each behind what has come.
     bool ask_from_start() const;
     void on_board_asked(bool from_start);
-    // Each event up to that number which was owed to the last poll is in force.
-    void on_board_told(EventNumber newest);
+    // Each event up to `newest` that the board still held is in force; `asked_from`: the number that the last
+    // poll named.
+    void on_board_told(EventNumber newest, EventNumber asked_from);
+    // An event could not be read: this process does not have it in force, and none after it counts.
+    void on_event_left_out() { left_out_ = true; }
     void on_board_failed();
     // The registry has gone back: a higher generation may have been lost with it.
     void on_history_lost();
@@ -84,10 +87,12 @@
     EventNumber event_;
     ConfigurationNumber configuration_;
     bool known_in_generation_ = false;  // event_ is a position in generation_
-    bool worn_ = false;            // seen under generation_
-    bool told_once_ = false;
-    bool poll_out_ = false, poll_out_from_start_ = false;
+    bool worn_ = false;                 // seen under generation_
+    bool told_once_ = false, left_out_ = false;
+    bool poll_out_ = false;
     Generation poll_generation_;  // when the poll went out
+    bool from_start_ = false;     // a telling from the start is under way, begun under that generation
+    Generation from_start_generation_;
 };
 
 }  // namespace irismux::fleet
--- a/src/fleet/settings.hpp
+++ b/src/fleet/settings.hpp
@@ -1,9 +1,10 @@
 // A gateway's own settings of its fleet: the table [fleet] of the parts file.
 #pragma once
 
+#include <map>
 #include <string>
 
-#include "fleet/records.hpp"
+#include "fleet/in_force.hpp"
 #include "registry/settings.hpp"
 
 namespace irismux::fleet {
@@ -15,6 +16,12 @@
     Span look_every = Span::micros(2'000'000);    // between probes of one cache
     Span sweep_every = Span::micros(60'000'000);  // between two passes of the garbage collector
     std::string keep_in;  // folder of the store of tokens seen; empty: they are not kept
+    // Of a site: its members know only one another, and say what they have in force. Empty: of the whole
+    // fleet.
+    SiteName site = {};
+    Span acknowledge_every = Span::micros(500'000);  // pace of acknowledgements and digests under way
+    ConfigurationNumber configuration = {};          // as its author numbers it; zero: not said
+    std::map<SiteName, std::size_t> inventory = {};  // each site with its number of gateways; for who asks
     bool operator==(const Settings&) const = default;
 };
 
--- a/src/process/host.cpp
+++ b/src/process/host.cpp
@@ -96,16 +96,47 @@
 
 Host::~Host() {
     loop_.forget(keep_);
+    loop_.forget(take_lookups_);
     loop_.forget(fleet_client_left_);
 }
 
 void Host::serve() {
-    front_.listen(Poco::Net::SocketAddress(listen_));
+    take_lookups();
     board_.poll();
     if (registry_) registry_->start();
     if (fleet_client_) fleet_client_->start();
 }
 
+// Guards against lookups that a new process would decide without an event that it is counted as having in
+// force: a member of a site takes none until the board has told it all, or its former process counts no more.
+void Host::take_lookups() {
+    loop_.forget(take_lookups_);
+    if (front_.listening() || leave_ != Leave::no) return;
+    if (fleet_client_ && !fleet_client_->may_serve()) {
+        take_lookups_ = loop_.at(fleet_client_->serves_from(), [this] { take_lookups(); });
+        return;
+    }
+    front_.listen(Poco::Net::SocketAddress(listen_));
+}
+
+void Host::on_board_asked(bool from_start) {
+    if (fleet_client_) fleet_client_->on_board_asked(from_start);
+}
+
+void Host::on_board_answered(std::int64_t newest, std::int64_t asked_from) {
+    if (!fleet_client_) return;
+    fleet_client_->on_board_told(newest, asked_from);
+    take_lookups();
+}
+
+void Host::on_board_failed() {
+    if (fleet_client_) fleet_client_->on_board_failed();
+}
+
+void Host::on_board_event_left_out() {
+    if (fleet_client_) fleet_client_->on_board_event_left_out();
+}
+
 // The list that was kept serves at once, marked as old, until the registry tells.
 void Host::start_registry() {
     registry_ = std::make_unique<registry::Client>(loop_, static_cast<registry::Knows&>(*this),
@@ -148,6 +179,11 @@
 void Host::reread(const Configuration& configuration, const Parts& parts) {
     if (leave_ != Leave::no) return log::write(log::Level::info, "leaving: the configuration is not reread");
     board_.move(configuration.board);
+    // A configuration's number alone is told, and nobody leaves for it.
+    if (fleet_client_ && parts.fleet && parts.fleet->configuration != fleet_settings_->configuration) {
+        fleet_settings_->configuration = parts.fleet->configuration;
+        fleet_client_->set_configuration(parts.fleet->configuration);
+    }
     if (parts.fleet != fleet_settings_) {
         end_fleet();
         fleet_settings_ = parts.fleet;
--- a/src/process/host.hpp
+++ b/src/process/host.hpp
@@ -73,6 +73,12 @@
     void keep_list();
     void list_in_force(const std::vector<ListLine>&, bool complete);
     void on_board_purge(Instant at, GroupNo, const std::optional<ObjectName>&) override;
+    bool wants_all_events() const override { return fleet_client_ && fleet_client_->ask_board_from_start(); }
+    void on_board_asked(bool from_start) override;
+    void on_board_answered(std::int64_t newest, std::int64_t asked_from) override;
+    void on_board_failed() override;
+    void on_board_event_left_out() override;
+    void take_lookups();
 
     void start_send(const LookupId&, Send);
     void expired(const LookupId&);
@@ -119,6 +125,7 @@
     Loop::Alarm fleet_client_left_{};
     Router router_;
     bool in_router_ = false;
+    Loop::Alarm take_lookups_{};
     std::map<LookupId, Held> exchanges_;
     std::map<std::pair<std::uint64_t, std::uint16_t>, LookupId> by_caller_;
     // Working: lookups are taken and answered. Ending: no connection is accepted or listened to any more, and
--- a/src/process/main.cpp
+++ b/src/process/main.cpp
@@ -152,6 +152,15 @@
     return fleet ? step(*fleet) : wrong(path + " has no [fleet]");
 }
 
+// Of the site that the file names, where it names one.
+template <class Step>
+int with_site(const std::string& path, Step step) {
+    return with_fleet(path, [&](fleet::Settings settings) {
+        settings.registry.prefix = fleet::site_prefix(settings.registry.prefix, settings.site);
+        return step(settings);
+    });
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
@@ -183,6 +192,18 @@
     release->add_option("duty", duty)->required();
     CLI::App* const restore = fellows->add_subcommand("restore", "take a release back");
     restore->add_option("duty", duty)->required();
+    cli::InForceQuestion question;
+    CLI::App* const in_force = fellows->add_subcommand("in-force", "whether an event is in force everywhere");
+    in_force->add_option("--event", question.event, "its number on the notice board");
+    in_force->add_option("--configuration", question.configuration, "a configuration's number");
+    in_force->add_option("--board", question.board, "address of the notice board");
+    in_force->add_option("--wait", question.wait_s, "seconds until it is everywhere, at most");
+    std::string site, member;
+    CLI::App* const forget = fellows->add_subcommand("forget", "a gateway of a site that will not come back");
+    forget->add_option("site", site)->required();
+    forget->add_option("name", member)->required();
+    CLI::App* const generation = fellows->add_subcommand(
+        "new-generation", "the notice board has been restored: its numbers begin anew");
     try {
         app.parse(argc, argv);
     } catch (const CLI::Success& e) {
@@ -202,11 +223,17 @@
     if (drain->parsed())
         return with_registry(
             parts, [&](const registry::Settings& s) { return cli::registry_state(s, id, "Terminating"); });
-    if (members->parsed()) return with_fleet(parts, cli::fleet_members);
-    if (duties->parsed()) return with_fleet(parts, cli::fleet_duties);
+    if (members->parsed()) return with_site(parts, cli::fleet_members);
+    if (duties->parsed()) return with_site(parts, cli::fleet_duties);
     if (release->parsed())
-        return with_fleet(parts, [&](const fleet::Settings& c) { return cli::fleet_release(c, duty); });
+        return with_site(parts, [&](const fleet::Settings& c) { return cli::fleet_release(c, duty); });
     if (restore->parsed())
-        return with_fleet(parts, [&](const fleet::Settings& c) { return cli::fleet_restore(c, duty); });
+        return with_site(parts, [&](const fleet::Settings& c) { return cli::fleet_restore(c, duty); });
+    if (in_force->parsed())
+        return with_fleet(parts, [&](const fleet::Settings& c) { return cli::fleet_in_force(c, question); });
+    if (forget->parsed())
+        return with_fleet(parts,
+                          [&](const fleet::Settings& c) { return cli::fleet_forget(c, site, member); });
+    if (generation->parsed()) return with_fleet(parts, cli::fleet_new_generation);
     return serve(parts);
 }
--- a/src/process/parts.cpp
+++ b/src/process/parts.cpp
@@ -11,11 +11,14 @@
 #include <numeric>
 #include <vector>
 
+#include "fleet/digest.hpp"
 #include "fleet/membership.hpp"
 
 namespace irismux {
 namespace {
 
+constexpr std::size_t most_sites = 1024;
+
 // A line for the operator; it ends the reading.
 struct Wrong {
     std::string line;
@@ -164,11 +167,36 @@
     return settings;
 }
 
+// Where the gateway stands, what it says of itself there, and which sites there are.
+void read_site(const Section& s, fleet::Settings& c) {
+    if (c.site.raw().find('/') != std::string::npos) s.wrong(s.find("site"), "'site' must have no '/'");
+    const Span round = fleet::Membership(c.shared_config, {}).round();
+    c.acknowledge_every =
+        s.span_or("acknowledge_every", std::min(c.acknowledge_every, round), Span::micros(10'000));
+    if (c.acknowledge_every > round)
+        s.wrong(s.find("acknowledge_every"), "'acknowledge_every' must be a quarter of 'term' at most");
+    c.configuration = fleet::ConfigurationNumber{
+        static_cast<std::int64_t>(s.count_or("configuration", 0, 1, std::int64_t{1} << 53))};
+    const toml::node* const sites = s.find("sites");
+    if (!sites) return;
+    const toml::table* const table = sites->as_table();
+    if (!table || table->size() > most_sites)
+        s.wrong(sites, "'sites' must name up to " + std::to_string(most_sites) +
+                           " sites, each with its number of gateways");
+    for (const auto& [name, node] : *table) {
+        const auto count = node.value_exact<std::int64_t>();
+        if (!count || *count < 0 || *count > static_cast<std::int64_t>(fleet::most_in_roster))
+            s.wrong(&node, "a site has 0 to " + std::to_string(fleet::most_in_roster) + " gateways");
+        c.inventory[fleet::SiteName{std::string(name.str())}] = static_cast<std::size_t>(*count);
+    }
+}
+
 fleet::Settings read_fleet(const std::string& file, const toml::table& table,
                            const std::optional<registry::Settings>& registry) {
     const Section s(file, "fleet", table,
                     {"members", "user", "password_file", "installation", "name", "prefix", "term", "drift",
-                     "answer_in", "quiet", "look_every", "sweep_every", "keep_in"});
+                     "answer_in", "quiet", "look_every", "sweep_every", "keep_in", "site",
+                     "acknowledge_every", "configuration", "sites"});
     fleet::Settings c;
     if (registry && !s.find("members")) c.registry = *registry;
     if (!registry || s.find("members")) read_place(s, c.registry);
@@ -208,6 +236,8 @@
     c.registry.pace.base = std::min(c.registry.pace.base, c.registry.pace.cap);
     c.look_every = s.span_or("look_every", c.look_every, Span::micros(50'000));
     c.sweep_every = s.span_or("sweep_every", c.sweep_every, Span::micros(50'000));
+    if (s.find("site")) c.site = fleet::SiteName{needed("site")};
+    read_site(s, c);
     c.keep_in = s.text_or("keep_in", "");
     while (c.keep_in.size() > 1 && c.keep_in.back() == '/') c.keep_in.pop_back();
     if (registry && !c.keep_in.empty() && registry->keep_in.rfind(c.keep_in, 0) == 0 &&
--- a/src/wire/board.cpp
+++ b/src/wire/board.cpp
@@ -186,6 +186,9 @@
 
 void Board::poll() {
     loop_.forget(next_poll_);
+    const bool from_start = observer_.wants_all_events();
+    if (from_start) revision_ = 0;
+    observer_.on_board_asked(from_start);
     polled_from_ = revision_;
     polled_at_ = loop_.now();
     try {
@@ -210,6 +213,7 @@
 }
 
 void Board::answer_complete(std::int64_t revision) {
+    observer_.on_board_answered(revision, polled_from_);
     revision_ = std::max(revision_, revision);
     last_poll_failed_ = false;
     // Guards against a board that neither holds a poll nor has anything new (one that has jumped back, say):
@@ -222,6 +226,7 @@
 // urgent: it is asked again at once, and after a second failure in a row only where the poll before brought
 // something, else after a pause.
 void Board::poll_failed(std::string_view why) {
+    observer_.on_board_failed();
     log::write(log::Level::info, "notice board: " + std::string(why));
     const bool progress = revision_ > polled_from_;
     const bool at_once = !std::exchange(last_poll_failed_, true) || progress;
@@ -256,6 +261,7 @@
     if (!error.empty()) {
         if (std::exchange(unreadable_behind_, revision_) != revision_) return false;
         log::write(log::Level::warning, "notice board: an event is left out: " + error);
+        observer_.on_board_event_left_out();
     }
     if (notice.numbered) revision_ = notice.revision;
     return true;
--- a/src/wire/board.hpp
+++ b/src/wire/board.hpp
@@ -29,6 +29,15 @@
     // Each line with its address.
     virtual void on_board_list(const std::vector<ListLine>& lines, bool complete) = 0;
     virtual void on_board_purge(Instant at, GroupNo group, const std::optional<ObjectName>& object) = 0;
+
+    // For those who say what is in force here. Asked before each poll: whether the board is to tell all that
+    // it holds, from its first event on.
+    virtual bool wants_all_events() const { return false; }
+    virtual void on_board_asked(bool /*from_start*/) {}
+    // All events up to `newest` took effect; the poll named `asked_from`.
+    virtual void on_board_answered(std::int64_t /*newest*/, std::int64_t /*asked_from*/) {}
+    virtual void on_board_failed() {}
+    virtual void on_board_event_left_out() {}
 };
 
 class BoardLink;
--- a/tests/fleet_digest_test.cpp
+++ b/tests/fleet_digest_test.cpp
@@ -17,12 +17,17 @@
 
 // --- what a member may say of itself ---------------------------------------------------------------------
 
+// The board has answered a poll that named the last event that came, or none.
+void told(Acknowledgement& a, std::int64_t newest, std::int64_t asked_from = 0) {
+    a.on_board_told(event(newest), event(asked_from));
+}
+
 // Told everything by the board in that generation.
 Acknowledgement told(const Generation& g, std::int64_t newest) {
     Acknowledgement a;
     a.on_generation(g);
     a.on_board_asked(true);
-    a.on_board_told(event(newest));
+    told(a, newest);
     return a;
 }
 
@@ -34,20 +39,20 @@
     EXPECT_FALSE(a.ask_from_start());
     a.on_generation(first);
     // Asked before the generation was shown: it may be of the board's former history.
-    a.on_board_told(event(9));
+    told(a, 9);
     EXPECT_EQ(a.claim()->event, event(0));
     EXPECT_TRUE(a.told_once());
     EXPECT_TRUE(a.ask_from_start());
     // Only what is new since it started: events between are not known.
     a.on_board_asked(false);
-    a.on_board_told(event(12));
+    told(a, 12);
     EXPECT_EQ(a.claim()->event, event(0));
     a.on_board_asked(true);
-    a.on_board_told(event(13));
+    told(a, 13);
     EXPECT_EQ(a.claim()->event, event(13));
     EXPECT_FALSE(a.ask_from_start());
     a.on_board_asked(false);
-    a.on_board_told(event(14));
+    told(a, 14);
     EXPECT_EQ(a.claim()->event, event(14));
 }
 
@@ -55,27 +60,27 @@
     Acknowledgement a = told(first, 5);
     a.on_board_asked(false);
     a.on_board_failed();
-    a.on_board_told(event(8));
+    told(a, 8);
     EXPECT_EQ(a.claim()->event, event(5));
 }
 
 TEST(Acknowledgement, ABoardThatWentBackCountsAgainOnlyInTheNextGeneration) {
     Acknowledgement a = told(first, 100);
     a.on_board_asked(false);
-    a.on_board_told(event(85));
+    told(a, 85);
     EXPECT_TRUE(a.claim()->worn);
     EXPECT_EQ(a.claim()->event, event(0));
     EXPECT_FALSE(a.ask_from_start());
     // Its numbers come as far again: they are others.
     a.on_board_asked(false);
-    a.on_board_told(event(120));
+    told(a, 120);
     EXPECT_EQ(a.claim()->event, event(0));
     a.on_generation(second);
     EXPECT_FALSE(a.claim()->worn);
     EXPECT_EQ(a.claim()->event, event(0));
     EXPECT_TRUE(a.ask_from_start());
     a.on_board_asked(true);
-    a.on_board_told(event(121));
+    told(a, 121);
     EXPECT_EQ(a.claim(), (InForce{second, event(121), {}, false}));
 }
 
@@ -83,7 +88,47 @@
     Acknowledgement a = told(first, 100);
     a.on_board_asked(true);
     a.on_generation(second);
-    a.on_board_told(event(101));
+    told(a, 101);
+    EXPECT_EQ(a.claim()->event, event(0));
+}
+
+// A long answer is broken off: the next poll goes on behind what has come, and is still the same telling.
+TEST(Acknowledgement, ATellingFromTheStartMayTakeSeveralPolls) {
+    Acknowledgement a;
+    a.on_generation(first);
+    a.on_board_asked(a.ask_from_start());
+    a.on_board_failed();
+    EXPECT_FALSE(a.ask_from_start());
+    EXPECT_FALSE(a.told_once());
+    a.on_board_asked(false);
+    told(a, 30, 20);
+    EXPECT_TRUE(a.told_once());
+    EXPECT_EQ(a.claim()->event, event(30));
+    // Restored in between: its numbers are below what has come.
+    Acknowledgement b;
+    b.on_generation(first);
+    b.on_board_asked(true);
+    b.on_board_failed();
+    b.on_board_asked(false);
+    told(b, 18, 20);
+    EXPECT_TRUE(b.claim()->worn);
+    // A new generation in between: it begins anew.
+    Acknowledgement c;
+    c.on_generation(first);
+    c.on_board_asked(true);
+    c.on_board_failed();
+    c.on_generation(second);
+    EXPECT_TRUE(c.ask_from_start());
+    c.on_board_asked(false);
+    told(c, 30, 20);
+    EXPECT_EQ(c.claim()->event, event(0));
+}
+
+TEST(Acknowledgement, AnEventThatCouldNotBeReadIsNotInForceNorAnyAfterIt) {
+    Acknowledgement a = told(first, 5);
+    a.on_event_left_out();
+    a.on_board_asked(false);
+    told(a, 9, 5);
     EXPECT_EQ(a.claim()->event, event(0));
 }
 
--- /dev/null
+++ b/tests/fleet_sites_test.cpp
@@ -0,0 +1,208 @@
+// What `irismux fleet in-force` says of processes of the program with faults between them: two sites, g1 and
+// g2 in `a`, g3 alone in `b`. The boards' ledgers tell what each gateway has taken.
+#include <gtest/gtest.h>
+
+#include <sys/wait.h>
+#include <unistd.h>
+
+#include <filesystem>
+#include <fstream>
+
+#include "fleet/digest.hpp"
+#include "lab/arena.hpp"
+
+using namespace irismux;
+using namespace irismux::fleet;
+namespace fs = std::filesystem;
+
+namespace {
+
+const Span ms = Span::micros(1000);
+const Span term = ms * 1'000;
+constexpr double drift = 0.05;
+
+const double some_terms = term.seconds() * 2.5;
+constexpr int everywhere = 0, all_but = 3, not_yet = 4;
+
+std::string site_of(std::size_t n) { return n < 2 ? "a" : "b"; }
+
+class Sites : public ::testing::Test {
+protected:
+    fs::path root = fs::temp_directory_path() / ("irismux_sites." + std::to_string(::getpid()));
+    std::unique_ptr<lab::Arena> a;
+    std::string parts;
+    std::string said;  // by the command line, last
+
+    void SetUp() override {
+        fs::create_directories(root);
+        lab::Arena::Shape shape;
+        shape.program = IRISMUX_PROGRAM;
+        shape.term = term;
+        shape.drift = drift;
+        shape.fleet_lines = [](std::size_t n) {
+            return "site = \"" + site_of(n) + "\"\nacknowledge_every = \"100ms\"\nconfiguration = 7\n";
+        };
+        a = std::make_unique<lab::Arena>(shape, root.string());
+        parts = (root / "operator.toml").string();
+        std::ofstream(parts) << "[fleet]\nmembers = [\"" << a->registry.address(0)
+                             << "\"]\ninstallation = \"arena\"\nprefix = \"" << lab::Arena::prefix
+                             << "\"\nterm = \"" << term.micros() / 1000 << "ms\"\ndrift = " << drift
+                             << "\nsites = { a = 2, b = 1 }\n";
+        a->start_all();
+    }
+    void TearDown() override {
+        if (HasFailure())
+            for (const auto& g : a->gateways)
+                std::system(("echo --- " + g.name + "; tail -30 " + g.log).c_str());
+        a.reset();
+        fs::remove_all(root);
+    }
+
+    int run(const std::vector<std::string>& words) {
+        const std::string out = (root / "out").string();
+        fs::remove(out);
+        std::vector<std::string> all = {IRISMUX_PROGRAM, "fleet", "--parts", parts};
+        all.insert(all.end(), words.begin(), words.end());
+        lab::Process p({all, {"PATH=/usr/bin:/bin"}, "", out});
+        EXPECT_TRUE(a->until([&] { return !p.running(); }, ms * 60'000));
+        std::ifstream in(out);
+        said.assign((std::istreambuf_iterator<char>(in)), {});
+        return WEXITSTATUS(p.status().value_or(0xff00));
+    }
+    int in_force(std::int64_t event, double wait_s = 0) {
+        return run({"in-force", "--event", std::to_string(event), "--board", a->gateways[0].board->address(),
+                    "--wait", std::to_string(wait_s)});
+    }
+    // A purge, told by each gateway's board under one number.
+    std::int64_t purge() {
+        std::int64_t number = 0;
+        for (const auto& g : a->gateways)
+            number = g.board->post({{"flush", {{"ms", 1'000}, {"asset", "x"}}}});
+        return number;
+    }
+    // It asks for what comes after that event: it has taken it.
+    bool has(std::size_t n, std::int64_t event) const {
+        return a->gateways[n].board->waiting_from() >= event;
+    }
+    void deaf(std::size_t n, bool is) {
+        for (const lab::Way way : {lab::Way::out, lab::Way::back}) a->gateways[n].to_board->hold(way, is);
+    }
+    bool listens(std::size_t n) const {
+        const auto seen = lab::sockets_of(a->gateways[n].process->id());
+        return std::any_of(seen.begin(), seen.end(), [](const lab::SeenSocket& s) { return s.listening; });
+    }
+    std::size_t owner() const {
+        const auto text = record("digest/a");
+        const auto digest = text ? read_digest(*text) : std::nullopt;
+        return digest && digest->owner == MemberName{"g1"} ? 0 : 1;
+    }
+    std::optional<std::string> record(const std::string& path) const {
+        const auto* state = a->registry.model.at(a->registry.model.newest());
+        const auto it = state->find(registry::RecordKey{lab::Arena::prefix + path});
+        return it == state->end() ? std::nullopt : std::optional(it->second.value);
+    }
+};
+
+TEST_F(Sites, SaysEverywhereOnceItIsAndNamesWhoLacksIt) {
+    ASSERT_EQ(in_force(1, 30), everywhere) << said;
+    EXPECT_EQ(run({"in-force", "--configuration", "7", "--wait", "20"}), everywhere) << said;
+    EXPECT_EQ(run({"in-force", "--configuration", "8"}), not_yet) << said;
+    deaf(1, true);
+    const std::int64_t event = purge();
+    EXPECT_EQ(in_force(event, some_terms), not_yet);
+    EXPECT_NE(said.find("site a g2 live, and without it"), std::string::npos) << said;
+    EXPECT_FALSE(has(1, event));
+    deaf(1, false);
+    EXPECT_EQ(in_force(event, 30), everywhere) << said;
+    for (std::size_t n = 0; n < 3; ++n) EXPECT_TRUE(has(n, event)) << n;
+}
+
+TEST_F(Sites, TheDigestsOwnerStoppedAndWokenLate) {
+    ASSERT_EQ(in_force(1, 30), everywhere) << said;
+    const std::size_t first = owner();
+    deaf(first, true);
+    a->stop(first);
+    const std::int64_t event = purge();
+    EXPECT_NE(in_force(event, some_terms), everywhere) << said;
+    a->go_on(first);
+    EXPECT_NE(in_force(event, some_terms), everywhere) << said;
+    EXPECT_FALSE(has(first, event));
+    deaf(first, false);
+    EXPECT_EQ(in_force(event, 30), everywhere) << said;
+}
+
+class CutOff : public Sites, public ::testing::WithParamInterface<std::pair<bool, bool>> {};
+
+TEST_P(CutOff, TheDigestsOwnerIsNamedAndNothingIsSaidOfItThatIsNotSo) {
+    ASSERT_EQ(in_force(1, 30), everywhere) << said;
+    const std::size_t first = owner();
+    deaf(first, true);
+    a->cut_registry(first, GetParam().first, GetParam().second);
+    const std::int64_t event = purge();
+    EXPECT_NE(in_force(event, some_terms), everywhere) << said;
+    // The other one of its site has the duty by and by, and names it.
+    ASSERT_TRUE(a->until([&] { return in_force(event) == all_but; }, ms * 40'000)) << said;
+    EXPECT_NE(said.find("site a g" + std::to_string(first + 1) + " cut off, dead or left, since "),
+              std::string::npos)
+        << said;
+    a->cut_registry(first, false, false);
+    EXPECT_NE(in_force(event, some_terms), everywhere) << said;
+    EXPECT_FALSE(has(first, event));
+    deaf(first, false);
+    EXPECT_EQ(in_force(event, 30), everywhere) << said;
+}
+
+INSTANTIATE_TEST_SUITE_P(Ways, CutOff,
+                         ::testing::Values(std::pair{true, true}, std::pair{true, false},
+                                           std::pair{false, true}));
+
+TEST_F(Sites, ASiteCutOffWhileAnEventIsUnderWayAndBackWithOldState) {
+    ASSERT_EQ(in_force(1, 30), everywhere) << said;
+    deaf(2, true);
+    a->cut_registry(2, true, true);
+    const std::int64_t event = purge();
+    a->kill(2);
+    a->start(2);  // its configuration's state is that of the first event
+    EXPECT_EQ(in_force(event, some_terms), all_but) << said;
+    EXPECT_NE(said.find("site b nothing new is heard of that site"), std::string::npos) << said;
+    a->cut_registry(2, false, false);
+    EXPECT_NE(in_force(event, some_terms), everywhere) << said;
+    EXPECT_FALSE(has(2, event));
+    deaf(2, false);
+    EXPECT_EQ(in_force(event, 30), everywhere) << said;
+}
+
+// It has said that an event is in force, dies, and is back at once without it: while its word may still be
+// counted it takes no lookups.
+TEST_F(Sites, AMemberThatDiesAfterItsWordTakesNoLookupsWithOldState) {
+    const std::int64_t event = purge();
+    ASSERT_EQ(in_force(event, 30), everywhere) << said;
+    deaf(1, true);
+    a->kill(1);
+    a->start(1);
+    const Instant started = a->loop.now();
+    const Span counted = longest_counted(term, drift);
+    ASSERT_TRUE(a->until([&] { return listens(1) || a->loop.now() - started > counted * 0.8; }));
+    EXPECT_FALSE(listens(1));
+    EXPECT_TRUE(a->until([&] { return listens(1); }));
+    EXPECT_GE(a->loop.now() - started, counted * 0.95);
+    EXPECT_EQ(in_force(event), not_yet) << said;
+    deaf(1, false);
+    EXPECT_EQ(in_force(event, 30), everywhere) << said;
+}
+
+TEST_F(Sites, WhoIsForgottenIsNotWaitedForAndAGenerationBeginsAnew) {
+    ASSERT_EQ(in_force(1, 30), everywhere) << said;
+    EXPECT_EQ(run({"forget", "a", "g2"}), 1) << said;  // it lives
+    a->kill(1);
+    ASSERT_TRUE(a->until([&] { return !record("site/a/roll/member/g2"); }));
+    EXPECT_EQ(in_force(1, some_terms), all_but) << said;
+    EXPECT_EQ(run({"forget", "a", "g2"}), 0) << said;
+    EXPECT_EQ(in_force(1, some_terms), not_yet) << said;  // fewer than the inventory has
+    a->start(1);
+    EXPECT_EQ(in_force(1, 30), everywhere) << said;
+    EXPECT_EQ(run({"new-generation"}), 0) << said;
+    EXPECT_EQ(in_force(1, 30), everywhere) << said;
+}
+
+}  // namespace
