--- a/lab/process.hpp
+++ b/lab/process.hpp
@@ -16,9 +16,10 @@
     struct Start {
         std::vector<std::string> command;  // a path, then the arguments
         std::vector<std::string> environment;
-        std::string folder;     // to start in; empty: the caller's
-        std::string log;        // file that its output is added to; empty: nowhere
-        bool may_write = true;  // false: the first byte written to any file kills it (SIGXFSZ)
+        std::string folder;         // to start in; empty: the caller's
+        std::string log;            // file that its output is added to; empty: nowhere
+        bool ends_with_us = false;  // killed once the thread that started it has ended, however it did
+        bool may_write = true;      // false: the first byte written to any file kills it (SIGXFSZ)
     };
     // Throws std::runtime_error where no process can be made.
     explicit Process(const Start& start);
@@ -50,6 +51,9 @@
 std::size_t threads_of(pid_t id);
 std::size_t children_of(pid_t id);
 std::string program_of(pid_t id);
+double processor_seconds(pid_t id);    // used so far, in user and system mode
+std::size_t resident_bytes(pid_t id);  // of its memory, in the machine's
+std::size_t descriptors_of(pid_t id);
 bool maps(pid_t id, const std::string& part_of_name);  // whether such a file is mapped into it
 
 }  // namespace irismux::lab
--- a/src/fleet/fleet_client.cpp
+++ b/src/fleet/fleet_client.cpp
@@ -57,8 +57,8 @@
     return site_prefix("", site) + path_of(key);
 }
 
-FleetClient::FleetClient(Loop& loop, GatewayPort& gateway, const Settings& settings, std::string version,
-                         std::uint64_t seed)
+FleetClient::FleetClient(Loop& loop, GatewayPort& gateway, const Settings& settings,
+                         const std::string& version, std::uint64_t seed)
     : loop_(loop),
       gateway_(gateway),
       settings_(settings),
@@ -221,6 +221,7 @@
 void FleetClient::records_told(Instant, registry::Revision at, const std::vector<registry::Change>& changes,
                                bool all) {
     std::vector<Entry> entries;
+    entries.reserve(changes.size());
     for (const auto& c : changes)
         entries.emplace_back(Key{c.record.key.raw()}, c.deleted ? Text{} : Text{c.record.value});
     record_mirror_.apply(entries, all);
