--- a/src/fleet/agent.cpp
+++ b/src/fleet/agent.cpp
@@ -72,6 +72,27 @@
     advance(now);
 }
 
+void Agent::set_claim(Instant now, const std::optional<InForce>& claim) {
+    if (claim == claim_) return;
+    claim_ = claim;
+    acknowledge_soon(now);
+    advance(now);
+}
+
+void Agent::set_heartbeat_reads(Instant now, HeartbeatReads reads) {
+    if (reads == reads_) return;
+    reads_ = std::move(reads);
+    if (reads_.frequent) acknowledge_soon(now);
+    advance(now);
+}
+
+// Changes within the pause go out together.
+void Agent::acknowledge_soon(Instant now) {
+    if (in_site())
+        next_heartbeat_ =
+            std::min(next_heartbeat_, std::max(now, heartbeat_sent_ + identity_.acknowledge_every));
+}
+
 void Agent::on_records(Instant now, registry::Revision at, const std::vector<Entry>& records,
                        bool full_list) {
     if (full_list) on_full_list(now, records);
@@ -84,12 +105,16 @@
     const Purpose purpose = std::exchange(purpose_, Purpose::none);
     if (purpose == Purpose::none) return;
     unanswered_ = 0;
+    if (at < newest_) observer_->on_registry_went_back();
+    newest_ = at;
     if (purpose == Purpose::write) finish_write(held ? WriteOutcome::written : WriteOutcome::refused);
     if (purpose == Purpose::join) join_unanswered_ = false;
     // Before any duty is judged: a heartbeat that has landed decides for how long we are in.
     if (held && (purpose == Purpose::join || purpose == Purpose::heartbeat)) on_heartbeat_landed(now);
     if (held && purpose != Purpose::read_own_records) learn(now, at, transaction_.writes);
     learn(now, at, shown);
+    if (held && purpose == Purpose::heartbeat)
+        observer_->on_heartbeat_result(heartbeat_sent_, heartbeat_in_transaction_, shown);
     if (!held) check_own_heartbeat(now, shown);
     if (purpose == Purpose::read_own_records) on_own_records(now, at, shown);
     if (purpose == Purpose::publish && held) record_text_ = transaction_.writes.front().second;
--- a/src/fleet/agent_join.cpp
+++ b/src/fleet/agent_join.cpp
@@ -18,8 +18,9 @@
 }  // namespace
 
 void Agent::read_own_records(Instant now) {
-    submit(now, Purpose::read_own_records,
-           {{}, {}, {shared_config_key(), member_key(identity_.name), heartbeat_key(identity_.name)}});
+    std::vector<Key> keys{shared_config_key(), member_key(identity_.name), heartbeat_key(identity_.name)};
+    if (in_site()) keys.push_back(roster_key());
+    submit(now, Purpose::read_own_records, {{}, {}, std::move(keys)});
 }
 
 void Agent::on_own_records(Instant now, registry::Revision at, const std::vector<Entry>& shown) {
@@ -36,22 +37,25 @@
     if (*config != own_config)
         return remark_once("the fleet there goes by other articles, " + config->substr(0, most_quoted) +
                            ": this gateway stays out");
-    if (!member && !heartbeat) return join(now, member, heartbeat);
+    const Text& roster = value_of(shown, roster_key());
+    if (roster && !read_roster(*roster))
+        return remark_once("the roster of this site can't be read: this gateway stays out");
+    if (!member && !heartbeat) return join(now, member, heartbeat, roster);
     const auto record = member ? read_member(*member) : std::nullopt;
     if (record) identity_.last_incarnation = std::max(identity_.last_incarnation, record->start);
     if (record && record->instance_id == identity_.instance_id)
-        return on_own_instance_found(now, record->start, member, heartbeat);
-    wait_for_name(now, member, heartbeat);
+        return on_own_instance_found(now, record->start, member, heartbeat, roster);
+    wait_for_name(now, member, heartbeat, roster);
 }
 
 // A join of ours has landed whose answer was lost, or the registry has been restored to a state with a former
 // join of ours.
 void Agent::on_own_instance_found(Instant now, Incarnation incarnation, const Text& member,
-                                  const Text& heartbeat) {
+                                  const Text& heartbeat, const Text& roster) {
     const auto record = heartbeat ? read_heartbeat(*heartbeat) : std::nullopt;
     const bool own_join = join_unanswered_ && incarnation == incarnation_ && record &&
                           record->instance_id == identity_.instance_id;
-    if (!own_join) return join(now, member, heartbeat);
+    if (!own_join) return join(now, member, heartbeat, roster);
     join_unanswered_ = false;
     heartbeat_text_ = heartbeat;
     membership_.confirmed(now, record->number);
@@ -59,10 +63,10 @@
 
 // Another instance holds the name: our former process, which is dead, or another gateway. Only waiting for
 // its next heartbeat tells which.
-void Agent::wait_for_name(Instant now, const Text& member, const Text& heartbeat) {
+void Agent::wait_for_name(Instant now, const Text& member, const Text& heartbeat, const Text& roster) {
     const std::pair<Text, Text> holder{member, heartbeat};
     if (name_holder_ == holder) {
-        if (now - name_holder_since_ >= membership_.wait()) join(now, member, heartbeat);
+        if (now - name_holder_since_ >= membership_.wait()) join(now, member, heartbeat, roster);
         return;
     }
     if (name_holder_ && name_holder_->first == member)
@@ -72,21 +76,31 @@
     name_holder_since_ = now;
 }
 
-void Agent::join(Instant now, const Text& member, const Text& heartbeat) {
+void Agent::join(Instant now, const Text& member, const Text& heartbeat, const Text& roster) {
     identity_.last_incarnation = Incarnation{identity_.last_incarnation.raw() + 1};
     incarnation_ = identity_.last_incarnation;
     record_text_ = serialize(own_record());
     join_unanswered_ = true;
     duties_.forget_given_up();
-    next_submit_ = now;
+    next_submit_ = heartbeat_sent_ = now;
     const std::string first_heartbeat = serialize(next_heartbeat_record());
     membership_.sent(now, heartbeat_in_transaction_);
     const Key own = member_key(identity_.name);
     const Key own_heartbeat = heartbeat_key(identity_.name);
-    submit(now, Purpose::join,
-           {{{shared_config_key(), serialize(shared_config_)}, {own, member}, {own_heartbeat, heartbeat}},
-            {{own, record_text_}, {own_heartbeat, first_heartbeat}},
-            {}});
+    Transaction transaction{
+        {{shared_config_key(), serialize(shared_config_)}, {own, member}, {own_heartbeat, heartbeat}},
+        {},
+        {}};
+    // Guards against a digest that knows nothing of a member: its name is in the roster from the first join
+    // on.
+    const Roster known = roster ? read_roster(*roster).value_or(Roster{}) : Roster{};
+    if (const auto next = in_site() ? with_name(known, identity_.name) : std::nullopt) {
+        transaction.compares.emplace_back(roster_key(), roster);
+        transaction.writes.emplace_back(roster_key(), serialize(*next));
+    }
+    transaction.writes.emplace_back(own, record_text_);
+    transaction.writes.emplace_back(own_heartbeat, first_heartbeat);
+    submit(now, Purpose::join, std::move(transaction));
 }
 
 void Agent::submit_leave(Instant now) {
