--- a/bench/scale/rig.cpp
+++ b/bench/scale/rig.cpp
@@ -151,12 +151,12 @@
     Child& child = *children_.back();
     child.role = role;
     child.number = number;
-    child.process = std::make_unique<lab::Process>(
-        lab::Process::Start{{settings_.self, "role", role, acceptor_->address(), std::to_string(number)},
-                            {},
-                            "",
-                            (folder_.path / (role + std::to_string(number) + ".log")).string(),
-                            true});
+    child.process = std::make_unique<lab::Process>(lab::Process::Start{
+        .command = {settings_.self, "role", role, acceptor_->address(), std::to_string(number)},
+        .environment = {},
+        .folder = {},
+        .log = (folder_.path / (role + std::to_string(number) + ".log")).string(),
+        .ends_with_us = true});
     return child;
 }
 
@@ -309,11 +309,11 @@
         if (const auto it = real_.find(g); it != real_.end()) {
             it->second.end();
             it->second.process = std::make_unique<lab::Process>(
-                lab::Process::Start{{settings_.program, "serve", "--parts", it->second.parts},
-                                    {"NODE_CONFIG=" + it->second.configuration},
-                                    "",
-                                    it->second.log,
-                                    true});
+                lab::Process::Start{.command = {settings_.program, "serve", "--parts", it->second.parts},
+                                    .environment = {"NODE_CONFIG=" + it->second.configuration},
+                                    .folder = {},
+                                    .log = it->second.log,
+                                    .ends_with_us = true});
         }
     ask_all("hollow", {{"start", gateways}});
 }
