--- a/bench/scale/output.cpp
+++ b/bench/scale/output.cpp
@@ -150,6 +150,7 @@
 
 std::string fits_of(const Variant& v) {
     constexpr double least_part = 0.1;
+    constexpr std::size_t least_freedom = 2;  // with less, no term of a size that matters would be seen
     std::string rows;
     for (const std::string& name : order)
         for (const Quantity& q : quantities()) {
@@ -166,7 +167,7 @@
             for (const double r : f.residuals) residuals += text("%s%.3g", residuals.empty() ? "" : ", ", r);
             rows += text("| %s | %s, %s | %.3g + %.4g n | %.2g ± %.2g | ", name.c_str(), q.name.c_str(),
                          q.unit.c_str(), f.intercept, f.slope, f.quadratic, f.quadratic_error);
-            rows += f.freedom > 0
+            rows += f.freedom >= least_freedom
                         ? text("%.1f (%.1f) | %.0f%% | %s | ", f.quadratic_t, bench::t_bound(f.freedom),
                                part * 100, quadratic ? "**quadratic**" : "linear")
                         : std::string("too few sizes | - | - | ");
@@ -255,7 +256,9 @@
         "Budget a gateway: "
         "15 KB/s, 1.7% of a core, 256 MB. The registry's members and the board are stand-ins: their "
         "processor time says "
-        "nothing of real ones.\n";
+        "nothing of real ones. Events follow each other in the order of the tables; publications that still "
+        "wait after "
+        "marks_change are sent, and counted, in the event behind it.\n";
     for (const Variant& v : variants_of(figures)) {
         out += "\n## " + v.name + "\n" + runs_of(v);
         for (const std::string& name : order) out += table_of(v, name);
