--- a/lab/hollow_gateway.hpp
+++ b/lab/hollow_gateway.hpp
@@ -87,7 +87,7 @@
     std::map<CacheId, Listing> list_;
     std::map<CacheId, bool> answers_;
     std::uint64_t purges_ = 0, purge_digest_ = 0;
-    Board board_;
+    irismux::Board board_;  // not the stand-in of this namespace
     std::unique_ptr<registry::Client> registry_;
     std::unique_ptr<fleet::FleetClient> fleet_client_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
