--- a/src/fleet/agent.hpp
+++ b/src/fleet/agent.hpp
@@ -23,6 +23,7 @@
 #include <utility>
 #include <vector>
 
+#include "fleet/digest.hpp"
 #include "fleet/duties.hpp"
 #include "fleet/fence.hpp"
 #include "fleet/membership.hpp"
@@ -48,6 +49,10 @@
     virtual void on_write_outcome(const DutyName&, const Key&, WriteOutcome) = 0;
     // One line for the log.
     virtual void remark(std::string_view plain_line) = 0;
+    // A heartbeat has landed: when it was sent, its number, and what its transaction showed.
+    virtual void on_heartbeat_result(Instant, HeartbeatNumber, const std::vector<Entry>&) {}
+    // An answer is of a lower revision than one before: the registry was restored.
+    virtual void on_registry_went_back() {}
 };
 
 // What tells a member apart from all others.
@@ -58,6 +63,17 @@
     Incarnation last_incarnation;  // the highest known of that name; zero: none
     Span answer_in = Span::micros(1'000'000);
     bool spread = true;  // heartbeats go out, and are read, at random; false in exhaustive models
+    // Of a site's member: a heartbeat goes out so soon after a change of what it claims, and the first join
+    // enters the name in the site's roster. Zero: of no site.
+    Span acknowledge_every = {};
+};
+
+// What each heartbeat of a site's member reads besides, and whether they go out as often as acknowledgements.
+struct HeartbeatReads {
+    std::set<MemberName> heartbeats;
+    std::vector<Key> records;
+    bool frequent = false;
+    bool operator==(const HeartbeatReads&) const = default;
 };
 
 // For how long at most a duty has no owner after its owner has stopped, if the registry answers within
@@ -83,6 +99,9 @@
 
     // Watched records as of a revision; they may lag behind transactions. `full_list`: they are all there
     // are. Keys of unknown sorts are ignored.
+    // What this gateway has in force, for its heartbeats.
+    void set_claim(Instant now, const std::optional<InForce>& claim);
+    void set_heartbeat_reads(Instant now, HeartbeatReads reads);
     void on_records(Instant now, registry::Revision at, const std::vector<Entry>& records, bool full_list);
     // `held`: the comparison succeeded and all is written. `shown`: see Transaction.
     void on_transaction_result(Instant now, registry::Revision at, bool held,
@@ -109,6 +128,7 @@
     const Duties& duties() const { return duties_; }
     Fence& fence() { return fence_; }
     Incarnation incarnation() const { return incarnation_; }
+    const std::set<CacheId>& marked_caches() const { return marked_caches_; }
     Instance self() const { return {identity_.name, incarnation_}; }
     // The record below which no removed duty may be claimed, as known.
     const Text& floor() const { return token_floor_; }
@@ -155,9 +175,11 @@
     void read_own_records(Instant now);
     void on_own_records(Instant now, registry::Revision at, const std::vector<Entry>& shown);
     void on_own_instance_found(Instant now, Incarnation incarnation, const Text& member,
-                               const Text& heartbeat);
-    void wait_for_name(Instant now, const Text& member, const Text& heartbeat);
-    void join(Instant now, const Text& member, const Text& heartbeat);
+                               const Text& heartbeat, const Text& roster);
+    void wait_for_name(Instant now, const Text& member, const Text& heartbeat, const Text& roster);
+    void join(Instant now, const Text& member, const Text& heartbeat, const Text& roster);
+    bool in_site() const { return identity_.acknowledge_every > Span{}; }
+    void acknowledge_soon(Instant now);
     void submit_leave(Instant now);
     void drop_membership(Instant now, std::string_view why);
     void remark_once(const std::string& line);
@@ -168,6 +190,7 @@
     void on_heartbeat_landed(Instant now);
     void check_own_heartbeat(Instant now, const std::vector<Entry>& shown);
     HeartbeatRecord next_heartbeat_record();
+    std::vector<Key> keys_to_read(Instant now);
     std::vector<Key> heartbeats_to_read(Instant now);
     Entry own_heartbeat() const { return {heartbeat_key(identity_.name), heartbeat_text_}; }
     bool reads_all_heartbeats() const;
@@ -240,6 +263,10 @@
     registry::Revision token_floor_at_;
     std::set<CacheId> marked_caches_;
     Instant next_publication_;
+    std::optional<InForce> claim_;
+    HeartbeatReads reads_;
+    registry::Revision newest_;
+    Instant heartbeat_sent_, next_peer_reads_;  // the newest; the next that reads others' for the membership
 };
 
 }  // namespace irismux::fleet
--- a/src/fleet/agent_heartbeat.cpp
+++ b/src/fleet/agent_heartbeat.cpp
@@ -15,15 +15,29 @@
 void Agent::send_heartbeat(Instant now) {
     Span pause = membership_.round();
     if (identity_.spread) pause = pause * (1 - heartbeat_spread * random_fraction());
+    if (in_site() && reads_.frequent) pause = std::min(pause, identity_.acknowledge_every);
     next_heartbeat_ = now + pause;
-    const std::string heartbeat = serialize(next_heartbeat_record());
+    heartbeat_sent_ = now;
+    const std::string heartbeat = with_claim(serialize(next_heartbeat_record()), claim_);
     membership_.sent(now, heartbeat_in_transaction_);
-    std::vector<Key> reads = heartbeats_to_read(now);
+    std::vector<Key> reads = keys_to_read(now);
     reads.insert(reads.end(), unsettled_keys_.begin(), unsettled_keys_.end());
     submit(now, Purpose::heartbeat,
            {{own_heartbeat()}, {{heartbeat_key(identity_.name), heartbeat}}, std::move(reads)});
 }
 
+// Heartbeats that go out early, to acknowledge, read others' only where the site's digest needs them.
+std::vector<Key> Agent::keys_to_read(Instant now) {
+    std::set<Key> keys(reads_.records.begin(), reads_.records.end());
+    for (const MemberName& name : reads_.heartbeats)
+        if (name != identity_.name) keys.insert(heartbeat_key(name));
+    if (!in_site() || now >= next_peer_reads_) {
+        next_peer_reads_ = now + membership_.round() * (1 - heartbeat_spread);
+        for (const Key& key : heartbeats_to_read(now)) keys.insert(key);
+    }
+    return {keys.begin(), keys.end()};
+}
+
 HeartbeatRecord Agent::next_heartbeat_record() {
     last_heartbeat_ = HeartbeatNumber{last_heartbeat_.raw() + 1};
     heartbeat_in_transaction_ = last_heartbeat_;
