--- a/bench/scale/output.cpp
+++ b/bench/scale/output.cpp
@@ -144,7 +144,7 @@
 
 // Of the line's value at the largest size, the part that the quadratic term makes.
 double part_at_largest(const bench::Fit& f) {
-    const double value = f.at(f.largest);
+    const double value = f.line(f.largest);
     return value != 0 ? f.quadratic * f.largest * f.largest / value : 0;
 }
 
