--- a/bench/scale/rig.hpp
+++ b/bench/scale/rig.hpp
@@ -61,6 +61,8 @@
     std::int64_t change_list();                    // the new version
     void lose_caches(std::size_t count, bool is);  // the last ones of the list
     void report_purges(bool is);
+    // Whether members know only those of their own site, by a line of [fleet].
+    bool by_site() const;
     // From now on gateways that know of all this tell so, as "whole" under the number returned.
     std::int64_t expect(std::size_t members);
 
--- a/src/cli/fleet_in_force.cpp
+++ b/src/cli/fleet_in_force.cpp
@@ -171,7 +171,7 @@
         status.on_reading(read_status(talk, settings, status));
         if (question.event > 0)
             if (const auto newest = newest_of_board(question.board)) status.on_board(*newest);
-        const auto verdict = status.judge(steady_now(), asked);
+        auto verdict = status.judge(steady_now(), asked);
         if (verdict.reach == FleetStatus::Reach::everywhere || steady_now() >= end) return verdict;
         std::this_thread::sleep_for(std::chrono::microseconds((term * read_of_term).micros()));
     }
