--- a/bench/capacity_page.cpp
+++ b/bench/capacity_page.cpp
@@ -177,32 +177,32 @@
     const double purges = 4 * 3 * t_.load.purges_per_s;
     row("processor time for lookups", "cpu_us_per_lookup.answer_kb", answer_kb, answer_kb, rate * parts / 1e6,
         rate * parts * loaded() / 1e6, "cores", cores, shown(cores) + " core (one thread)",
-        "one thread, `src/wire/loop.cpp`; more threads: none");
+        "one thread, `src/net/event_loop.cpp`; more threads: none");
     row("the same, asked at that pace", "core_share.pace", rate * parts, rate * parts * loaded(), 1, 1,
         "cores", cores, shown(cores) + " core (one thread)",
-        "one thread, `src/wire/loop.cpp`; more threads: none");
+        "one thread, `src/net/event_loop.cpp`; more threads: none");
     row("memory with lookups under way for a whole deadline (" + shown(deadline) + " s)", "memory_mb.held",
         rate * parts * deadline, rate * parts * deadline * loaded(), 1, 1, "MB", 0, "-",
-        "`maxOpen` of the configuration and the front's bounds, `src/wire/front.cpp`");
+        "`maxOpen` of the configuration and the front's bounds, `src/net/fastcgi_server.cpp`");
     row("memory for objects asked for of late", "memory_mb.recent_objects", generations,
         generations * loaded(), 1, 1, "MB", 0, "four deadlines of lookups",
-        "two generations, whatever the number of objects: `src/rules.cpp`");
+        "two generations, whatever the number of objects: `src/routing/router.cpp`");
     row("processor time a lookup with all " + shown(t_.fleet.caches) + " caches in one place (1 KB answers)",
         "cpu_us_per_lookup.caches", t_.fleet.caches, t_.fleet.caches, 1, 1, "us", 0, "-",
-        "order by hash over all listed in a place, `src/rules.cpp`");
+        "order by hash over all listed in a place, `src/routing/router.cpp`");
     row("processor time for purges, " + shown(purges) + " in force", "cpu_us_per_purge.purges", purges,
         purges, t_.load.purges_per_s / 1e4, t_.load.purges_per_s / 1e4, "% of a core",
         t_.budget.gateway_core_percent, shown(t_.budget.gateway_core_percent) + "% of a core",
-        "forgotten after twice the time within which they are done, `src/rules.cpp`");
+        "forgotten after twice the time within which they are done, `src/routing/router.cpp`");
     lacks("Gateway, data: more than one thread in a gateway");
     lacks(
         "Gateway, data: the objects of a generation are forgotten in one decision, which takes the longer "
         "the more "
-        "lookups a second there are (`src/rules.cpp`)");
+        "lookups a second there are (`src/routing/router.cpp`)");
     text += cells({"longest single decision, 3,000 lookups a second", not_measured,
                    estimate(data_, "longest_us.objects", 1e7).shown_value(1e-3, "ms"), "-", "-", "-",
                    "`longest_us.objects`: " + basis(data_, "longest_us.objects"),
-                   "none: a generation is freed at once, `src/rules.cpp`"});
+                   "none: a generation is freed at once, `src/routing/router.cpp`"});
     return text;
 }
 
@@ -248,7 +248,7 @@
 
 std::string mechanism_of(const ControlVariant& v, const std::string& event) {
     const bool by_site = v.name.find("site") != std::string::npos;
-    if (event == "purges") return "long poll of the board, `src/wire/board.cpp`";
+    if (event == "purges") return "long poll of the board, `src/net/notice_client.cpp`";
     if (event == "list_change") return "a watch of the list, `src/registry/watch.cpp`";
     if (event.rfind("bad_cache", 0) == 0)
         return by_site ? "records by site, a digest a site, `src/fleet/digest.cpp`"
@@ -358,12 +358,12 @@
                    shown(gateways_a_site * t_.lookups_per_gateway_s()),
                    shown(gateways_a_site * t_.gbit_per_gateway_s() * 1e6 / 8),
                    shown(gateways_a_site * t_.gbit_per_gateway_s()) + " Gbit/s", "arithmetic on the target",
-                   "each gateway alone, `src/rules.cpp`"});
+                   "each gateway alone, `src/routing/router.cpp`"});
     text += cells({"region, data", "that of " + shown(gateways_a_region) + " gateways",
                    shown(gateways_a_region * t_.lookups_per_gateway_s()),
                    shown(gateways_a_region * t_.gbit_per_gateway_s() * 1e6 / 8),
                    shown(gateways_a_region * t_.gbit_per_gateway_s()) + " Gbit/s", "arithmetic on the target",
-                   "each gateway alone, `src/rules.cpp`"});
+                   "each gateway alone, `src/routing/router.cpp`"});
     text += cells({"owner of a fleet's duty", "one record a duty", not_measured, not_measured, not_measured,
                    "costs of three gateways: [fleet_owner.md](measurements/fleet_owner.md)",
                    "one owner at a time, `src/fleet/duties.cpp`"});
@@ -455,7 +455,7 @@
                   "bound of lookups under way and of objects remembered",
                   "bench/targets.toml, an assumption"}) +
            cells({"An answer has " + shown(t_.premises.largest_answer_kb) + " KB at most",
-                  "the protocol's bound", "`most_bytes` in `src/wire/resp.cpp`"});
+                  "the protocol's bound", "`most_bytes` in `src/codec/resp.cpp`"});
 }
 
 }  // namespace
--- a/bench/data_path.cpp
+++ b/bench/data_path.cpp
@@ -16,7 +16,7 @@
 #include "bench/data_path_load.hpp"
 #include "bench/data_path_router.hpp"
 #include "bench/results.hpp"
-#include "lab/process.hpp"
+#include "testing/process.hpp"
 
 namespace {
 
--- a/bench/data_path_load.hpp
+++ b/bench/data_path_load.hpp
@@ -9,9 +9,9 @@
 #include <thread>
 #include <vector>
 
-#include "lab/fleet.hpp"
-#include "lab/process.hpp"
-#include "lab/solo.hpp"
+#include "testing/process.hpp"
+#include "testing/single_process.hpp"
+#include "testing/stand_ins.hpp"
 
 namespace irismux::bench {
 
--- a/bench/data_path_router.cpp
+++ b/bench/data_path_router.cpp
@@ -17,8 +17,8 @@
 #include <thread>
 #include <vector>
 
-#include "irismux/rules.hpp"
-#include "lab/process.hpp"
+#include "irismux/router.hpp"
+#include "testing/process.hpp"
 
 namespace irismux::bench {
 
--- a/bench/fleet_owner.cpp
+++ b/bench/fleet_owner.cpp
@@ -24,8 +24,8 @@
 #include <vector>
 
 #include "fleet/agent.hpp"
-#include "lab/arena.hpp"
-#include "lab/world.hpp"
+#include "testing/fleet_simulation.hpp"
+#include "testing/process_fleet.hpp"
 
 namespace {
 
--- a/bench/registry_load.cpp
+++ b/bench/registry_load.cpp
@@ -9,9 +9,9 @@
 #include <memory>
 #include <vector>
 
-#include "lab/registry.hpp"
-#include "lab/sockets.hpp"
 #include "registry/client.hpp"
+#include "testing/registry_stand_in.hpp"
+#include "testing/sockets.hpp"
 
 namespace {
 
--- a/bench/registry_staleness.cpp
+++ b/bench/registry_staleness.cpp
@@ -21,8 +21,8 @@
 #include <fstream>
 #include <iostream>
 
-#include "lab/fleet.hpp"
-#include "lab/registry.hpp"
+#include "testing/registry_stand_in.hpp"
+#include "testing/stand_ins.hpp"
 
 namespace {
 
--- a/bench/scale/control_channel.hpp
+++ b/bench/scale/control_channel.hpp
@@ -5,7 +5,7 @@
 #include <memory>
 #include <nlohmann/json.hpp>
 
-#include "lab/sockets.hpp"
+#include "testing/sockets.hpp"
 
 namespace irismux::scale {
 
--- a/bench/scale/counting.hpp
+++ b/bench/scale/counting.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "irismux/time.hpp"
-#include "lab/relay.hpp"
+#include "testing/fault_proxy.hpp"
 
 namespace irismux::scale {
 
--- a/bench/scale/rig.cpp
+++ b/bench/scale/rig.cpp
@@ -8,8 +8,8 @@
 #include <fstream>
 #include <stdexcept>
 
-#include "lab/fleet.hpp"
-#include "lab/registry_model.hpp"
+#include "testing/registry_model.hpp"
+#include "testing/stand_ins.hpp"
 
 namespace irismux::scale {
 namespace {
--- a/bench/scale/rig.hpp
+++ b/bench/scale/rig.hpp
@@ -12,8 +12,8 @@
 #include "bench/scale/control_channel.hpp"
 #include "bench/scale/counting.hpp"
 #include "bench/scale/topology.hpp"
-#include "lab/process.hpp"
-#include "lab/sockets.hpp"
+#include "testing/process.hpp"
+#include "testing/sockets.hpp"
 
 namespace irismux::scale {
 
--- a/bench/scale/roles.cpp
+++ b/bench/scale/roles.cpp
@@ -10,11 +10,11 @@
 #include "bench/scale/control_channel.hpp"
 #include "bench/scale/counting.hpp"
 #include "bench/scale/topology.hpp"
-#include "lab/fleet.hpp"
-#include "lab/hollow_gateway.hpp"
-#include "lab/registry.hpp"
-#include "lab/relay.hpp"
-#include "process/parts.hpp"
+#include "gateway/parts.hpp"
+#include "testing/fault_proxy.hpp"
+#include "testing/registry_stand_in.hpp"
+#include "testing/stand_ins.hpp"
+#include "testing/stub_gateway.hpp"
 
 namespace irismux::scale {
 namespace {
--- a/example/toy.cpp
+++ b/example/stub_cache.cpp
@@ -17,8 +17,8 @@
 #include <set>
 #include <thread>
 
-#include "wire/fastcgi.hpp"
-#include "wire/resp.hpp"
+#include "codec/fastcgi.hpp"
+#include "codec/resp.hpp"
 
 namespace {
 
--- a/sim/host.cpp
+++ b/sim/simulator_host.cpp
@@ -8,9 +8,9 @@
 #include <string>
 
 #include "base/reading.hpp"
-#include "irismux/rules.hpp"
-#include "process/deployment_reader.hpp"
-#include "sim/lookup_names.hpp"
+#include "gateway/deployment_reader.hpp"
+#include "irismux/router.hpp"
+#include "sim/request_names.hpp"
 
 namespace {
 
--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -6,7 +6,7 @@
 #include <thread>
 #include <variant>
 
-#include "cli/talk.hpp"
+#include "cli/registry_session.hpp"
 #include "fleet/fleet_client.hpp"
 #include "fleet/membership.hpp"
 
--- a/src/cli/fleet_in_force.cpp
+++ b/src/cli/fleet_in_force.cpp
@@ -14,7 +14,7 @@
 #include <variant>
 
 #include "cli/fleet.hpp"
-#include "cli/talk.hpp"
+#include "cli/registry_session.hpp"
 #include "fleet/fleet_client.hpp"
 #include "fleet/fleet_status.hpp"
 
--- a/src/cli/registry.cpp
+++ b/src/cli/registry.cpp
@@ -7,7 +7,7 @@
 #include <iostream>
 #include <nlohmann/json.hpp>
 
-#include "cli/talk.hpp"
+#include "cli/registry_session.hpp"
 #include "registry/client.hpp"
 
 namespace irismux::cli {
--- a/src/cli/talk.cpp
+++ b/src/cli/registry_session.cpp
@@ -1,4 +1,4 @@
-#include "cli/talk.hpp"
+#include "cli/registry_session.hpp"
 
 #include <Poco/Net/HTTPClientSession.h>
 #include <Poco/Net/HTTPRequest.h>
--- a/src/wire/fastcgi.cpp
+++ b/src/codec/fastcgi.cpp
@@ -1,4 +1,4 @@
-#include "wire/fastcgi.hpp"
+#include "codec/fastcgi.hpp"
 
 #include <array>
 
--- a/src/wire/fastcgi.hpp
+++ b/src/codec/fastcgi.hpp
@@ -8,8 +8,8 @@
 #include <utility>
 #include <vector>
 
-#include "wire/buffer.hpp"
-#include "wire/parsed.hpp"
+#include "codec/buffer.hpp"
+#include "codec/parse_status.hpp"
 
 namespace irismux::fastcgi {
 
--- a/src/wire/http.cpp
+++ b/src/codec/http.cpp
@@ -1,4 +1,4 @@
-#include "wire/http.hpp"
+#include "codec/http.hpp"
 
 #include <algorithm>
 #include <cctype>
--- a/src/wire/http.hpp
+++ b/src/codec/http.hpp
@@ -9,8 +9,8 @@
 #include <string>
 #include <string_view>
 
-#include "wire/buffer.hpp"
-#include "wire/parsed.hpp"
+#include "codec/buffer.hpp"
+#include "codec/parse_status.hpp"
 
 namespace irismux::http {
 
--- a/src/wire/notices.cpp
+++ b/src/codec/notices.cpp
@@ -1,4 +1,4 @@
-#include "wire/notices.hpp"
+#include "codec/notices.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/wire/resp.cpp
+++ b/src/codec/resp.cpp
@@ -1,4 +1,4 @@
-#include "wire/resp.hpp"
+#include "codec/resp.hpp"
 
 #include <charconv>
 
--- a/src/wire/resp.hpp
+++ b/src/codec/resp.hpp
@@ -7,8 +7,8 @@
 #include <string_view>
 #include <vector>
 
-#include "wire/buffer.hpp"
-#include "wire/parsed.hpp"
+#include "codec/buffer.hpp"
+#include "codec/parse_status.hpp"
 
 namespace irismux::resp {
 
--- a/src/state/list_line.cpp
+++ b/src/endpoint/endpoint_record.cpp
@@ -1,4 +1,4 @@
-#include "state/list_line.hpp"
+#include "endpoint/endpoint_record.hpp"
 
 #include <algorithm>
 #include <limits>
--- a/src/state/list_line.hpp
+++ b/src/endpoint/endpoint_record.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <utility>
 
-#include "irismux/rules.hpp"
+#include "irismux/router.hpp"
 
 namespace irismux {
 
--- a/src/state/roster.cpp
+++ b/src/endpoint/endpoint_table.cpp
@@ -1,4 +1,4 @@
-#include "state/roster.hpp"
+#include "endpoint/endpoint_table.hpp"
 
 #include <algorithm>
 
--- a/src/state/roster.hpp
+++ b/src/endpoint/endpoint_table.hpp
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "irismux/rules.hpp"
-#include "state/purges.hpp"
+#include "irismux/router.hpp"
+#include "routing/purge_table.hpp"
 
 namespace irismux {
 
--- a/src/process/configuration.cpp
+++ b/src/gateway/configuration.cpp
@@ -1,4 +1,4 @@
-#include "process/configuration.hpp"
+#include "gateway/configuration.hpp"
 
 #include <charconv>
 
--- a/src/process/configuration.hpp
+++ b/src/gateway/configuration.hpp
@@ -5,7 +5,7 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "process/deployment_reader.hpp"
+#include "gateway/deployment_reader.hpp"
 
 namespace irismux {
 
--- a/src/process/deployment_reader.cpp
+++ b/src/gateway/deployment_reader.cpp
@@ -1,4 +1,4 @@
-#include "process/deployment_reader.hpp"
+#include "gateway/deployment_reader.hpp"
 
 #include <algorithm>
 
--- a/src/process/host.cpp
+++ b/src/gateway/gateway.cpp
@@ -1,4 +1,4 @@
-#include "process/host.hpp"
+#include "gateway/gateway.hpp"
 
 #include <Poco/Net/SocketAddress.h>
 
--- a/src/process/host.hpp
+++ b/src/gateway/gateway.hpp
@@ -5,18 +5,18 @@
 #include <memory>
 #include <vector>
 
+#include "endpoint/endpoint_table.hpp"
 #include "fleet/fleet_client.hpp"
-#include "process/configuration.hpp"
-#include "process/parts.hpp"
+#include "gateway/configuration.hpp"
+#include "gateway/parts.hpp"
+#include "net/cache_connection_pool.hpp"
+#include "net/event_loop.hpp"
+#include "net/fastcgi_server.hpp"
+#include "net/notice_client.hpp"
 #include "registry/client.hpp"
-#include "state/exchange.hpp"
-#include "state/request_log.hpp"
-#include "state/roster.hpp"
+#include "request/active_request.hpp"
+#include "request/duplicate_request_filter.hpp"
 #include "store/store.hpp"
-#include "wire/board.hpp"
-#include "wire/caches.hpp"
-#include "wire/front.hpp"
-#include "wire/loop.hpp"
 
 namespace irismux {
 
--- a/src/process/main.cpp
+++ b/src/gateway/main.cpp
@@ -19,7 +19,7 @@
 #include "base/reading.hpp"
 #include "cli/fleet.hpp"
 #include "cli/registry.hpp"
-#include "process/host.hpp"
+#include "gateway/gateway.hpp"
 
 namespace {
 
--- a/src/process/parts.cpp
+++ b/src/gateway/parts.cpp
@@ -1,4 +1,4 @@
-#include "process/parts.hpp"
+#include "gateway/parts.hpp"
 
 #include <Poco/Exception.h>
 #include <Poco/Net/SocketAddress.h>
--- a/src/wire/caches.cpp
+++ b/src/net/cache_connection_pool.cpp
@@ -1,4 +1,4 @@
-#include "wire/caches.hpp"
+#include "net/cache_connection_pool.hpp"
 
 #include <Poco/Exception.h>
 
@@ -9,9 +9,9 @@
 #include <optional>
 
 #include "base/log.hpp"
-#include "wire/carried_names.hpp"
-#include "wire/link.hpp"
-#include "wire/resp.hpp"
+#include "codec/resp.hpp"
+#include "net/connection.hpp"
+#include "net/in_flight_request_ids.hpp"
 
 namespace irismux {
 namespace {
--- a/src/wire/caches.hpp
+++ b/src/net/cache_connection_pool.hpp
@@ -7,9 +7,9 @@
 #include <map>
 #include <string>
 
-#include "state/exchange.hpp"
-#include "state/roster.hpp"
-#include "wire/loop.hpp"
+#include "endpoint/endpoint_table.hpp"
+#include "net/event_loop.hpp"
+#include "request/active_request.hpp"
 
 namespace irismux {
 
--- a/src/wire/link.cpp
+++ b/src/net/connection.cpp
@@ -1,4 +1,4 @@
-#include "wire/link.hpp"
+#include "net/connection.hpp"
 
 #include <Poco/Exception.h>
 #include <Poco/NObserver.h>
--- a/src/wire/link.hpp
+++ b/src/net/connection.hpp
@@ -9,8 +9,8 @@
 #include <cstdint>
 #include <memory>
 
-#include "wire/buffer.hpp"
-#include "wire/loop.hpp"
+#include "codec/buffer.hpp"
+#include "net/event_loop.hpp"
 
 namespace irismux {
 
--- a/src/wire/loop.cpp
+++ b/src/net/event_loop.cpp
@@ -1,4 +1,4 @@
-#include "wire/loop.hpp"
+#include "net/event_loop.hpp"
 
 #include <algorithm>
 
--- a/src/state/event_times.cpp
+++ b/src/net/event_time_estimator.cpp
@@ -1,4 +1,4 @@
-#include "state/event_times.hpp"
+#include "net/event_time_estimator.hpp"
 
 #include <algorithm>
 #include <vector>
--- a/src/wire/front.cpp
+++ b/src/net/fastcgi_server.cpp
@@ -1,4 +1,4 @@
-#include "wire/front.hpp"
+#include "net/fastcgi_server.hpp"
 
 #include <Poco/Exception.h>
 #include <Poco/NObserver.h>
--- a/src/wire/front.hpp
+++ b/src/net/fastcgi_server.hpp
@@ -10,9 +10,9 @@
 #include <optional>
 #include <string>
 
-#include "state/exchange.hpp"
-#include "wire/fastcgi.hpp"
-#include "wire/link.hpp"
+#include "codec/fastcgi.hpp"
+#include "net/connection.hpp"
+#include "request/active_request.hpp"
 
 namespace irismux {
 
--- a/src/wire/carried_names.cpp
+++ b/src/net/in_flight_request_ids.cpp
@@ -1,4 +1,4 @@
-#include "wire/carried_names.hpp"
+#include "net/in_flight_request_ids.hpp"
 
 #include <algorithm>
 #include <vector>
--- a/src/wire/board.cpp
+++ b/src/net/notice_client.cpp
@@ -1,4 +1,4 @@
-#include "wire/board.hpp"
+#include "net/notice_client.hpp"
 
 #include <Poco/Exception.h>
 
@@ -8,8 +8,8 @@
 
 #include "base/log.hpp"
 #include "base/reading.hpp"
-#include "wire/http.hpp"
-#include "wire/link.hpp"
+#include "codec/http.hpp"
+#include "net/connection.hpp"
 
 namespace irismux {
 namespace {
--- a/src/wire/board.hpp
+++ b/src/net/notice_client.hpp
@@ -15,11 +15,11 @@
 #include <string_view>
 #include <vector>
 
-#include "irismux/rules.hpp"
-#include "state/event_times.hpp"
-#include "state/list_line.hpp"
-#include "wire/loop.hpp"
-#include "wire/notices.hpp"
+#include "codec/notices.hpp"
+#include "endpoint/endpoint_record.hpp"
+#include "irismux/router.hpp"
+#include "net/event_loop.hpp"
+#include "net/event_time_estimator.hpp"
 
 namespace irismux {
 
--- a/src/registry/client.hpp
+++ b/src/registry/client.hpp
@@ -6,11 +6,11 @@
 #include <string>
 #include <vector>
 
-#include "registry/asker.hpp"
+#include "net/event_loop.hpp"
 #include "registry/etcd.hpp"
+#include "registry/registry_connection.hpp"
 #include "registry/settings.hpp"
 #include "registry/watch.hpp"
-#include "wire/loop.hpp"
 
 namespace irismux::registry {
 
--- a/src/registry/view.cpp
+++ b/src/registry/endpoint_view.cpp
@@ -1,4 +1,4 @@
-#include "registry/view.hpp"
+#include "registry/endpoint_view.hpp"
 
 #include <nlohmann/json.hpp>
 #include <set>
--- a/src/registry/view.hpp
+++ b/src/registry/endpoint_view.hpp
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
+#include "endpoint/endpoint_record.hpp"
 #include "registry/record.hpp"
-#include "state/list_line.hpp"
 
 namespace irismux::registry {
 
--- a/src/registry/asker.cpp
+++ b/src/registry/registry_connection.cpp
@@ -1,11 +1,11 @@
-#include "registry/asker.hpp"
+#include "registry/registry_connection.hpp"
 
 #include <Poco/Exception.h>
 
 #include <optional>
 
-#include "wire/http.hpp"
-#include "wire/link.hpp"
+#include "codec/http.hpp"
+#include "net/connection.hpp"
 
 namespace irismux::registry {
 class AskerLink final : public Link {
--- a/src/registry/asker.hpp
+++ b/src/registry/registry_connection.hpp
@@ -6,9 +6,9 @@
 #include <string>
 #include <string_view>
 
+#include "net/event_loop.hpp"
 #include "registry/etcd.hpp"
 #include "registry/settings.hpp"
-#include "wire/loop.hpp"
 
 namespace irismux::registry {
 
--- a/src/registry/watch.hpp
+++ b/src/registry/watch.hpp
@@ -20,7 +20,7 @@
 #include <vector>
 
 #include "irismux/time.hpp"
-#include "registry/view.hpp"
+#include "registry/endpoint_view.hpp"
 
 namespace irismux::registry {
 
--- a/src/state/exchange.cpp
+++ b/src/request/active_request.cpp
@@ -1,4 +1,4 @@
-#include "state/exchange.hpp"
+#include "request/active_request.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/state/exchange.hpp
+++ b/src/request/active_request.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <string_view>
 
-#include "irismux/rules.hpp"
+#include "irismux/router.hpp"
 
 namespace irismux {
 
--- a/src/state/request_log.cpp
+++ b/src/request/duplicate_request_filter.cpp
@@ -1,4 +1,4 @@
-#include "state/request_log.hpp"
+#include "request/duplicate_request_filter.hpp"
 
 #include <functional>
 #include <utility>
--- a/src/state/purges.cpp
+++ b/src/routing/purge_table.cpp
@@ -1,4 +1,4 @@
-#include "state/purges.hpp"
+#include "routing/purge_table.hpp"
 
 #include <algorithm>
 #include <functional>
--- a/src/rules.cpp
+++ b/src/routing/router.cpp
@@ -1,12 +1,12 @@
 // Every decision of irismux: a host builds one Router a gateway and calls it for each thing that happens;
-// what is decided leaves through the Port at once (include/irismux/rules.hpp). No clock, thread, file or
+// what is decided leaves through the Port at once (include/irismux/router.hpp). No clock, thread, file or
 // socket: the instant comes with each call, chance from the seed.
 //
 // A lookup runs down the chain at the end of this file; each stage passes it on or ends it. What comes back
 // runs up the same chain; the top stage then ends the lookup or sends it down once more. docs/design.md says
 // what the design page settles, and when each exception below acts.
 
-#include "irismux/rules.hpp"
+#include "irismux/router.hpp"
 
 #include <algorithm>
 #include <array>
@@ -17,8 +17,8 @@
 #include <string>
 #include <utility>
 
-#include "state/purges.hpp"
-#include "state/windowed_sum.hpp"
+#include "routing/purge_table.hpp"
+#include "routing/windowed_sum.hpp"
 
 namespace irismux {
 namespace {
--- a/lab/failing_calls.cpp
+++ b/testing/failing_calls.cpp
@@ -1,7 +1,7 @@
 // A library to be loaded into a process (LD_PRELOAD) in which system calls fail now and then, each with an
 // error that Linux documents for it. Failures are drawn from a seed; lab/failing_calls.hpp says what fails
 // how often.
-#include "lab/failing_calls.hpp"
+#include "testing/failing_calls.hpp"
 
 #include <dlfcn.h>
 #include <fcntl.h>
--- a/lab/relay.cpp
+++ b/testing/fault_proxy.cpp
@@ -1,4 +1,4 @@
-#include "lab/relay.hpp"
+#include "testing/fault_proxy.hpp"
 
 namespace irismux::lab {
 namespace {
--- a/lab/relay.hpp
+++ b/testing/fault_proxy.hpp
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-#include "lab/sockets.hpp"
+#include "testing/sockets.hpp"
 
 namespace irismux::lab {
 
--- a/lab/world.cpp
+++ b/testing/fleet_simulation.cpp
@@ -1,4 +1,4 @@
-#include "lab/world.hpp"
+#include "testing/fleet_simulation.hpp"
 
 #include <algorithm>
 
--- a/lab/world.hpp
+++ b/testing/fleet_simulation.hpp
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "fleet/agent.hpp"
-#include "lab/ledger.hpp"
+#include "testing/transaction_ledger.hpp"
 
 namespace irismux::lab {
 
--- a/lab/explore.cpp
+++ b/testing/interleaving_explorer.cpp
@@ -1,4 +1,4 @@
-#include "lab/explore.hpp"
+#include "testing/interleaving_explorer.hpp"
 
 #include <xxhash.h>
 
@@ -8,7 +8,7 @@
 #include <unordered_set>
 
 #include "fleet/agent.hpp"
-#include "lab/ledger.hpp"
+#include "testing/transaction_ledger.hpp"
 
 namespace irismux::lab {
 
--- a/lab/known_list.hpp
+++ b/testing/known_endpoints.hpp
@@ -4,7 +4,7 @@
 #include <map>
 #include <vector>
 
-#include "state/list_line.hpp"
+#include "endpoint/endpoint_record.hpp"
 
 namespace irismux::lab {
 
--- a/lab/process.cpp
+++ b/testing/process.cpp
@@ -1,4 +1,4 @@
-#include "lab/process.hpp"
+#include "testing/process.hpp"
 
 #include <fcntl.h>
 #include <signal.h>
--- a/lab/arena.cpp
+++ b/testing/process_fleet.cpp
@@ -1,4 +1,4 @@
-#include "lab/arena.hpp"
+#include "testing/process_fleet.hpp"
 
 #include <signal.h>
 
--- a/lab/arena.hpp
+++ b/testing/process_fleet.hpp
@@ -22,10 +22,10 @@
 #include <vector>
 
 #include "fleet/records.hpp"
-#include "lab/fleet.hpp"
-#include "lab/process.hpp"
-#include "lab/registry.hpp"
-#include "lab/relay.hpp"
+#include "testing/fault_proxy.hpp"
+#include "testing/process.hpp"
+#include "testing/registry_stand_in.hpp"
+#include "testing/stand_ins.hpp"
 
 namespace irismux::lab {
 
--- a/lab/registry_model.cpp
+++ b/testing/registry_model.cpp
@@ -1,4 +1,4 @@
-#include "lab/registry_model.hpp"
+#include "testing/registry_model.hpp"
 
 #include <nlohmann/json.hpp>
 
--- a/lab/registry.cpp
+++ b/testing/registry_stand_in.cpp
@@ -1,4 +1,4 @@
-#include "lab/registry.hpp"
+#include "testing/registry_stand_in.hpp"
 
 #include <Poco/Base64Decoder.h>
 #include <Poco/Base64Encoder.h>
--- a/lab/registry.hpp
+++ b/testing/registry_stand_in.hpp
@@ -12,8 +12,8 @@
 #include <string>
 #include <vector>
 
-#include "lab/registry_model.hpp"
-#include "lab/sockets.hpp"
+#include "testing/registry_model.hpp"
+#include "testing/sockets.hpp"
 
 namespace irismux::lab {
 
--- a/lab/shims.cpp
+++ b/testing/shims.cpp
@@ -1,4 +1,4 @@
-#include "lab/shims.hpp"
+#include "testing/shims.hpp"
 
 #include <cstdlib>
 #include <filesystem>
--- a/lab/shims.hpp
+++ b/testing/shims.hpp
@@ -6,8 +6,8 @@
 #include <vector>
 
 #include "irismux/time.hpp"
-#include "lab/failing_calls.hpp"
-#include "lab/skewed_clock.hpp"
+#include "testing/failing_calls.hpp"
+#include "testing/skewed_clock.hpp"
 
 namespace irismux::lab {
 
--- a/lab/solo.cpp
+++ b/testing/single_process.cpp
@@ -1,12 +1,12 @@
-#include "lab/solo.hpp"
+#include "testing/single_process.hpp"
 
 #include <algorithm>
 #include <cstdlib>
 #include <filesystem>
 #include <fstream>
 
-#include "wire/fastcgi.hpp"
-#include "wire/resp.hpp"
+#include "codec/fastcgi.hpp"
+#include "codec/resp.hpp"
 
 namespace irismux::lab {
 
--- a/lab/solo.hpp
+++ b/testing/single_process.hpp
@@ -10,9 +10,9 @@
 #include <string>
 #include <vector>
 
-#include "lab/fleet.hpp"
-#include "lab/process.hpp"
-#include "lab/sockets.hpp"
+#include "testing/process.hpp"
+#include "testing/sockets.hpp"
+#include "testing/stand_ins.hpp"
 
 namespace irismux::lab {
 
--- a/lab/sites.cpp
+++ b/testing/site_simulation.cpp
@@ -1,4 +1,4 @@
-#include "lab/sites.hpp"
+#include "testing/site_simulation.hpp"
 
 #include <algorithm>
 
--- a/lab/sites.hpp
+++ b/testing/site_simulation.hpp
@@ -16,7 +16,7 @@
 
 #include "fleet/fleet_status.hpp"
 #include "fleet/site_reporter.hpp"
-#include "lab/ledger.hpp"
+#include "testing/transaction_ledger.hpp"
 
 namespace irismux::lab {
 
--- a/lab/skewed_clock.cpp
+++ b/testing/skewed_clock.cpp
@@ -1,7 +1,7 @@
 // A library to be loaded into a process (LD_PRELOAD) that shows it steady clocks of another rate, and lets
 // them jump: a machine that slept. It also steps the wall clock. The file named by IRISMUX_LAB_CLOCK holds
 // lab::ClockSkew, which may change while the process runs.
-#include "lab/skewed_clock.hpp"
+#include "testing/skewed_clock.hpp"
 
 #include <dlfcn.h>
 #include <fcntl.h>
--- a/lab/soak.cpp
+++ b/testing/soak.cpp
@@ -1,13 +1,13 @@
-#include "lab/soak.hpp"
+#include "testing/soak.hpp"
 
 #include <algorithm>
 #include <chrono>
 #include <csignal>
 #include <map>
 
-#include "lab/soak_client.hpp"
-#include "lab/soak_script.hpp"
-#include "wire/resp.hpp"
+#include "codec/resp.hpp"
+#include "testing/soak_client.hpp"
+#include "testing/soak_script.hpp"
 
 namespace irismux::lab {
 namespace {
--- a/lab/soak.hpp
+++ b/testing/soak.hpp
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/shims.hpp"
+#include "testing/shims.hpp"
 
 namespace irismux::lab {
 
--- a/lab/soak_client.cpp
+++ b/testing/soak_client.cpp
@@ -1,4 +1,4 @@
-#include "lab/soak_client.hpp"
+#include "testing/soak_client.hpp"
 
 #include <array>
 #include <cstdio>
--- a/lab/soak_client.hpp
+++ b/testing/soak_client.hpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/solo.hpp"
+#include "testing/single_process.hpp"
 
 namespace irismux::lab {
 
--- a/lab/soak_script.cpp
+++ b/testing/soak_script.cpp
@@ -1,4 +1,4 @@
-#include "lab/soak_script.hpp"
+#include "testing/soak_script.hpp"
 
 #include <sstream>
 
--- a/lab/sockets.hpp
+++ b/testing/sockets.hpp
@@ -11,7 +11,7 @@
 #include <string>
 #include <thread>
 
-#include "wire/link.hpp"
+#include "net/connection.hpp"
 
 namespace irismux::lab {
 
--- a/lab/fleet.cpp
+++ b/testing/stand_ins.cpp
@@ -1,9 +1,9 @@
-#include "lab/fleet.hpp"
+#include "testing/stand_ins.hpp"
 
 #include <algorithm>
 
-#include "wire/fastcgi.hpp"
-#include "wire/resp.hpp"
+#include "codec/fastcgi.hpp"
+#include "codec/resp.hpp"
 
 namespace irismux::lab {
 
--- a/lab/fleet.hpp
+++ b/testing/stand_ins.hpp
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
-#include "irismux/rules.hpp"
-#include "lab/sockets.hpp"
+#include "irismux/router.hpp"
+#include "testing/sockets.hpp"
 
 namespace irismux::lab {
 
--- a/lab/hollow_gateway.cpp
+++ b/testing/stub_gateway.cpp
@@ -1,4 +1,4 @@
-#include "lab/hollow_gateway.hpp"
+#include "testing/stub_gateway.hpp"
 
 namespace irismux::lab {
 namespace {
--- a/lab/hollow_gateway.hpp
+++ b/testing/stub_gateway.hpp
@@ -13,10 +13,10 @@
 #include <optional>
 #include <string>
 
+#include "endpoint/endpoint_table.hpp"
 #include "fleet/fleet_client.hpp"
+#include "net/notice_client.hpp"
 #include "registry/client.hpp"
-#include "state/roster.hpp"
-#include "wire/board.hpp"
 
 namespace irismux::lab {
 
--- a/lab/ledger.cpp
+++ b/testing/transaction_ledger.cpp
@@ -1,4 +1,4 @@
-#include "lab/ledger.hpp"
+#include "testing/transaction_ledger.hpp"
 
 #include <algorithm>
 
--- a/tests/caches_test.cpp
+++ b/tests/cache_connection_pool_test.cpp
@@ -2,10 +2,10 @@
 #include <deque>
 
 #include "base/log.hpp"
-#include "lab/sockets.hpp"
-#include "process/host.hpp"
-#include "support.hpp"
-#include "wire/resp.hpp"
+#include "codec/resp.hpp"
+#include "gateway/gateway.hpp"
+#include "router_test_support.hpp"
+#include "testing/sockets.hpp"
 
 namespace irismux::testing {
 namespace {
--- a/tests/client_gone_test.cpp
+++ b/tests/client_gone_test.cpp
@@ -1,6 +1,6 @@
 // Crossings of a client that leaves: whatever waits then does not begin any more. The far ends' ledgers say
 // so.
-#include "solo.hpp"
+#include "single_process_fixture.hpp"
 
 namespace irismux::testing {
 namespace {
--- a/tests/wire_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,10 +1,10 @@
 // The parsers are fed whole, byte by byte and mutated bytes; the writers are read back.
 #include <rapidcheck.h>
 
-#include "support.hpp"
-#include "wire/fastcgi.hpp"
-#include "wire/http.hpp"
-#include "wire/resp.hpp"
+#include "codec/fastcgi.hpp"
+#include "codec/http.hpp"
+#include "codec/resp.hpp"
+#include "router_test_support.hpp"
 
 namespace irismux::testing {
 namespace {
--- a/tests/roster_test.cpp
+++ b/tests/endpoint_table_test.cpp
@@ -1,7 +1,7 @@
 // Purges as the roster keeps them: what they bind, for how long, and how many are kept one by one.
-#include "state/roster.hpp"
+#include "endpoint/endpoint_table.hpp"
 
-#include "support.hpp"
+#include "router_test_support.hpp"
 
 namespace irismux::testing {
 namespace {
--- a/tests/crossing_test.cpp
+++ b/tests/event_order_test.cpp
@@ -1,7 +1,7 @@
 // Crossings of closes, windows and full tables with what is asked meanwhile.
 #include <csignal>
 
-#include "solo.hpp"
+#include "single_process_fixture.hpp"
 
 namespace irismux::testing {
 namespace {
--- a/tests/failing_calls_test.cpp
+++ b/tests/failing_calls_test.cpp
@@ -1,7 +1,7 @@
 // System calls that fail for a moment, with errors that Linux documents: the program comes up, serves, and
 // loses nothing.
-#include "lab/shims.hpp"
-#include "solo.hpp"
+#include "single_process_fixture.hpp"
+#include "testing/shims.hpp"
 
 namespace irismux::testing {
 namespace {
--- a/tests/fatal_signal_test.cpp
+++ b/tests/fatal_signal_test.cpp
@@ -1,7 +1,7 @@
 // A process that dies by a signal says so, with what happened last.
 #include <csignal>
 
-#include "solo.hpp"
+#include "single_process_fixture.hpp"
 
 namespace irismux::testing {
 namespace {
--- a/tests/fleet_in_force_test.cpp
+++ b/tests/fleet_in_force_test.cpp
@@ -4,7 +4,7 @@
 
 #include <cstdlib>
 
-#include "lab/sites.hpp"
+#include "testing/site_simulation.hpp"
 
 using namespace irismux;
 using namespace irismux::fleet;
--- a/tests/fleet_arena_test.cpp
+++ b/tests/fleet_process_test.cpp
@@ -8,7 +8,7 @@
 #include <fstream>
 
 #include "fleet/duties.hpp"
-#include "lab/arena.hpp"
+#include "testing/process_fleet.hpp"
 
 using namespace irismux;
 using namespace irismux::fleet;
--- a/tests/fleet_sites_test.cpp
+++ b/tests/fleet_sites_test.cpp
@@ -9,7 +9,7 @@
 #include <fstream>
 
 #include "fleet/digest.hpp"
-#include "lab/arena.hpp"
+#include "testing/process_fleet.hpp"
 
 using namespace irismux;
 using namespace irismux::fleet;
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -4,8 +4,8 @@
 
 #include "fleet/garbage_collector.hpp"
 #include "fleet/health_watch.hpp"
-#include "lab/ledger.hpp"
-#include "lab/world.hpp"
+#include "testing/fleet_simulation.hpp"
+#include "testing/transaction_ledger.hpp"
 
 using namespace irismux;
 using namespace irismux::fleet;
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -11,12 +11,12 @@
 #include <random>
 
 #include "base/log.hpp"
-#include "board_stand_in.hpp"
-#include "lab/registry.hpp"
-#include "process/host.hpp"
-#include "support.hpp"
-#include "wire/fastcgi.hpp"
-#include "wire/resp.hpp"
+#include "codec/fastcgi.hpp"
+#include "codec/resp.hpp"
+#include "gateway/gateway.hpp"
+#include "notice_board_stand_in.hpp"
+#include "router_test_support.hpp"
+#include "testing/registry_stand_in.hpp"
 
 namespace irismux::testing {
 namespace {
--- a/tests/explore.cpp
+++ b/tests/interleaving_explorer_main.cpp
@@ -4,7 +4,7 @@
 #include <cstdlib>
 #include <iostream>
 
-#include "lab/explore.hpp"
+#include "testing/interleaving_explorer.hpp"
 
 int main(int argc, char** argv) {
     irismux::lab::Exploration b;
--- a/tests/long_answer_test.cpp
+++ b/tests/long_notice_answer_test.cpp
@@ -6,9 +6,9 @@
 #include <utility>
 
 #include "base/log.hpp"
-#include "board_stand_in.hpp"
-#include "support.hpp"
-#include "wire/board.hpp"
+#include "net/notice_client.hpp"
+#include "notice_board_stand_in.hpp"
+#include "router_test_support.hpp"
 
 namespace irismux::testing {
 namespace {
--- a/tests/board_stand_in.hpp
+++ b/tests/notice_board_stand_in.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/sockets.hpp"
+#include "testing/sockets.hpp"
 
 namespace irismux::testing {
 
--- a/tests/board_catch_up_test.cpp
+++ b/tests/notice_catch_up_test.cpp
@@ -4,9 +4,9 @@
 #include <fstream>
 #include <sstream>
 
-#include "board_stand_in.hpp"
-#include "solo.hpp"
-#include "wire/resp.hpp"
+#include "codec/resp.hpp"
+#include "notice_board_stand_in.hpp"
+#include "single_process_fixture.hpp"
 
 namespace irismux::testing {
 namespace {
--- a/tests/board_test.cpp
+++ b/tests/notice_client_test.cpp
@@ -1,8 +1,8 @@
 // The list watch: what the notice board says, when it says nothing, too much or the same again.
-#include "wire/board.hpp"
+#include "net/notice_client.hpp"
 #include "base/log.hpp"
-#include "board_stand_in.hpp"
-#include "support.hpp"
+#include "notice_board_stand_in.hpp"
+#include "router_test_support.hpp"
 
 namespace irismux::testing {
 namespace {
--- a/tests/notices_test.cpp
+++ b/tests/notices_test.cpp
@@ -1,13 +1,13 @@
 // The reader of an answer's notices and the framing round them: whatever the pieces, the same notices in the
 // same order; bounded; and what came before something unreadable counts.
-#include "wire/notices.hpp"
+#include "codec/notices.hpp"
 
 #include <gtest/gtest.h>
 
 #include <functional>
 #include <random>
 
-#include "wire/http.hpp"
+#include "codec/http.hpp"
 
 namespace irismux::testing {
 namespace {
--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -5,7 +5,7 @@
 #include <fstream>
 #include <random>
 
-#include "process/parts.hpp"
+#include "gateway/parts.hpp"
 
 using namespace irismux;
 
--- a/tests/guard_test.cpp
+++ b/tests/platform_run_line_test.cpp
@@ -10,8 +10,8 @@
 #include <fstream>
 #include <set>
 
-#include "lab/fleet.hpp"
-#include "lab/process.hpp"
+#include "testing/process.hpp"
+#include "testing/stand_ins.hpp"
 
 using namespace irismux;
 namespace fs = std::filesystem;
--- a/tests/life.hpp
+++ b/tests/random_gateway_scenario.hpp
@@ -4,7 +4,7 @@
 
 #include <rapidcheck.h>
 
-#include "support.hpp"
+#include "router_test_support.hpp"
 
 namespace irismux::testing {
 
--- a/tests/sweep.cpp
+++ b/tests/random_seed_sweep.cpp
@@ -9,7 +9,7 @@
 #include <cstdlib>
 #include <string>
 
-#include "life.hpp"
+#include "random_gateway_scenario.hpp"
 
 int main(int argc, char** argv) {
     using namespace rc::detail;
--- a/tests/registry_cli_test.cpp
+++ b/tests/registry_cli_test.cpp
@@ -7,9 +7,9 @@
 #include <filesystem>
 #include <fstream>
 
-#include "lab/process.hpp"
-#include "lab/registry.hpp"
 #include "registry/etcd.hpp"
+#include "testing/process.hpp"
+#include "testing/registry_stand_in.hpp"
 
 using namespace irismux;
 namespace fs = std::filesystem;
--- a/tests/registry_client_test.cpp
+++ b/tests/registry_client_test.cpp
@@ -8,11 +8,11 @@
 #include <random>
 
 #include "base/log.hpp"
-#include "lab/known_list.hpp"
-#include "lab/registry.hpp"
 #include "registry/client.hpp"
 #include "registry/snapshot.hpp"
 #include "store/store.hpp"
+#include "testing/known_endpoints.hpp"
+#include "testing/registry_stand_in.hpp"
 
 using namespace irismux;
 using namespace irismux::registry;
--- a/tests/registry_test.cpp
+++ b/tests/registry_test.cpp
@@ -3,9 +3,9 @@
 
 #include <random>
 
-#include "lab/known_list.hpp"
-#include "lab/registry_model.hpp"
 #include "registry/watch.hpp"
+#include "testing/known_endpoints.hpp"
+#include "testing/registry_model.hpp"
 
 using namespace irismux;
 using namespace irismux::registry;
--- a/tests/repeated_id_test.cpp
+++ b/tests/repeated_id_test.cpp
@@ -3,8 +3,8 @@
 #include <array>
 #include <random>
 
-#include "solo.hpp"
-#include "wire/resp.hpp"
+#include "codec/resp.hpp"
+#include "single_process_fixture.hpp"
 
 namespace irismux::testing {
 namespace {
--- a/tests/identity_cores_test.cpp
+++ b/tests/request_identity_test.cpp
@@ -2,10 +2,10 @@
 // events happened, and a Router under identities that are never given twice.
 #include <random>
 
-#include "state/event_times.hpp"
-#include "state/request_log.hpp"
-#include "support.hpp"
-#include "wire/carried_names.hpp"
+#include "net/event_time_estimator.hpp"
+#include "net/in_flight_request_ids.hpp"
+#include "request/duplicate_request_filter.hpp"
+#include "router_test_support.hpp"
 
 namespace irismux::testing {
 namespace {
--- a/tests/random_test.cpp
+++ b/tests/router_random_test.cpp
@@ -1,5 +1,5 @@
 // Seeded random runs; many more seeds are tried by irismux_sweep.
-#include "life.hpp"
+#include "random_gateway_scenario.hpp"
 
 using namespace irismux;
 using namespace irismux::testing;
--- a/tests/plain_test.cpp
+++ b/tests/router_test.cpp
@@ -1,5 +1,5 @@
 // Plain cases: one for each failure met, and one for each part of the mechanism.
-#include "support.hpp"
+#include "router_test_support.hpp"
 
 using namespace irismux;
 using namespace irismux::testing;
--- a/tests/support.hpp
+++ b/tests/router_test_support.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "irismux/rules.hpp"
+#include "irismux/router.hpp"
 
 namespace irismux::testing {
 
--- a/tests/leave_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -2,7 +2,7 @@
 #include <csignal>
 #include <memory>
 
-#include "solo.hpp"
+#include "single_process_fixture.hpp"
 
 namespace irismux::testing {
 namespace {
--- a/tests/solo.hpp
+++ b/tests/single_process_fixture.hpp
@@ -8,7 +8,7 @@
 #include <fstream>
 #include <string>
 
-#include "lab/solo.hpp"
+#include "testing/single_process.hpp"
 
 namespace irismux::testing {
 
--- a/tests/cold_fleet_test.cpp
+++ b/tests/slow_start_fleet_test.cpp
@@ -6,7 +6,7 @@
 #include <queue>
 #include <random>
 
-#include "support.hpp"
+#include "router_test_support.hpp"
 
 namespace irismux::testing {
 namespace {
--- a/tests/soak.cpp
+++ b/tests/soak.cpp
@@ -5,7 +5,7 @@
 #include <iostream>
 #include <string>
 
-#include "lab/soak.hpp"
+#include "testing/soak.hpp"
 
 int main(int argc, char** argv) {
     using namespace irismux::lab;
--- a/tests/waiting_test.cpp
+++ b/tests/waiting_attempt_test.cpp
@@ -1,6 +1,6 @@
 // What the decisions say of a send that has waited, when its first byte could go. Windows and ends of the
 // process are forced on whole processes (crossing_test, leave_test).
-#include "support.hpp"
+#include "router_test_support.hpp"
 
 using namespace irismux;
 using namespace irismux::testing;
--- a/tests/wall_clock_test.cpp
+++ b/tests/wall_clock_test.cpp
@@ -3,9 +3,9 @@
 #include <chrono>
 #include <csignal>
 
-#include "lab/shims.hpp"
-#include "solo.hpp"
-#include "wire/resp.hpp"
+#include "codec/resp.hpp"
+#include "single_process_fixture.hpp"
+#include "testing/shims.hpp"
 
 namespace irismux::testing {
 namespace {
