--- a/bench/data_path_load.cpp
+++ b/bench/data_path_load.cpp
@@ -20,7 +20,7 @@
 constexpr std::size_t most_on_a_connection = 32;
 /// Of a tick: bounds how many lookups start in a burst.
 constexpr std::size_t most_a_tick = 64;
-const Span tick_every = Span::micros(1'000), over_every = Span::micros(20'000);
+const Duration tick_every = Duration::micros(1'000), over_every = Duration::micros(20'000);
 
 std::string hex16(std::uint64_t n) {
     char text[17];
@@ -53,12 +53,12 @@
 
 void LoopThread::look_whether_over() {
     if (over_) return loop.stop();
-    loop.at(loop.now() + over_every, [this] { look_whether_over(); });
+    loop.schedule_at(loop.now() + over_every, [this] { look_whether_over(); });
 }
 
 // --- clients ---------------------------------------------------------------------------------------------
 
-LoadClients::LoadClients(Loop& loop, const Load& load, std::size_t share_of, std::uint64_t number)
+LoadClients::LoadClients(EventLoop& loop, const Load& load, std::size_t share_of, std::uint64_t number)
     : outstanding(load.outstanding / share_of),
       loop_(loop),
       load_(load),
@@ -72,7 +72,7 @@
         Connection& c = *connections_.back();
         for (std::size_t slot = most_on_a_connection; slot > 0; --slot)
             c.free.push_back(static_cast<std::uint16_t>(slot));
-        c.asker = std::make_shared<lab::Asker>(loop_, gateway);
+        c.asker = std::make_shared<lab::FastCgiClient>(loop_, gateway);
         c.asker->wire->got = [this, &c, read = c.asker->wire->got](Buffer& in) {
             read(in);
             answered(c);
@@ -83,8 +83,8 @@
 }
 
 void LoadClients::tick() {
-    loop_.at(loop_.now() + tick_every, [this] { tick(); });
-    const Instant now = loop_.now();
+    loop_.schedule_at(loop_.now() + tick_every, [this] { tick(); });
+    const TimePoint now = loop_.now();
     owed_ += (now - ticked_).seconds() * load_.per_second / static_cast<double>(share_of_);
     ticked_ = now;
     ask_as_wanted();
@@ -105,11 +105,11 @@
         Connection& c = *connections_[next_connection_++ % connections_.size()];
         if (c.free.empty()) continue;
         const std::uint64_t count = asked++;
-        lab::Asker::Question q;
+        lab::FastCgiClient::Request q;
         q.id = hex16(number_ << 48 | count);
         q.object = hex16(load_.objects > 0 ? random_() % load_.objects : number_ << 48 | count);
         q.patience_ms = static_cast<int>(load_.patience_s * 1000);
-        c.asker->ask(c.free.back(), q);
+        c.asker->send(c.free.back(), q);
         c.free.pop_back();
         ++under_way_;
         return true;
@@ -118,12 +118,12 @@
 }
 
 void LoadClients::answered(Connection& on) {
-    for (const lab::Asker::Answer& a : on.asker->answers) {
+    for (const lab::FastCgiClient::Response& a : on.asker->responses) {
         on.free.push_back(a.number);
         --under_way_;
         ++(a.head.rfind("Status: 200", 0) == 0 ? satisfied : refused);
     }
-    on.asker->answers.clear();
+    on.asker->responses.clear();
     ask_as_wanted();
 }
 
@@ -134,15 +134,16 @@
       listen_(free_address()),
       answer_(load.answer_bytes, 'x') {
     if (!::mkdtemp(folder_.data())) throw std::runtime_error("no folder can be made");
-    board_ = std::make_unique<lab::Board>(board_thread_.loop);
+    board_ = std::make_unique<lab::NoticeBoard>(board_thread_.loop);
     for (std::size_t n = 0; n < cache_threads; ++n) cache_loops_.push_back(std::make_unique<LoopThread>());
     for (std::size_t n = 0; n < stand_ins; ++n) {
-        Loop& loop = cache_loops_[n % cache_threads]->loop;
-        caches_.push_back(std::make_unique<lab::Puppet>(loop, "stand-in", 1024));
+        EventLoop& loop = cache_loops_[n % cache_threads]->loop;
+        caches_.push_back(std::make_unique<lab::ScriptedCache>(loop, "stand-in", 1024));
         if (load.answer_bytes == 0) continue;
-        caches_.back()->then = [this, &cache = *caches_.back()](const lab::Puppet::Pull& pull) {
+        caches_.back()->then = [this,
+                                &cache = *caches_.back()](const lab::ScriptedCache::ReceivedAttempt& pull) {
             cache.answer(pull, "HIT", answer_);
-            cache.pulls.clear();
+            cache.received.clear();
         };
     }
     write_configuration(load);
@@ -172,10 +173,10 @@
 void LoadedGateway::write_configuration(const Load& load) {
     json lines = json::array();
     for (std::size_t n = 0; n < load.listed_caches; ++n)
-        lines.push_back(lab::list_line("edge-" + std::to_string(n), "node", "plant",
-                                       caches_[n % stand_ins]->address(), "Ready"));
-    lines.push_back(lab::list_line("parent", "parent", "hub", "127.0.0.1:9", "Ready"));
-    lines.push_back(lab::list_line("origin", "origin", "hub", "127.0.0.1:9", "Ready"));
+        lines.push_back(lab::endpoint_json("edge-" + std::to_string(n), "node", "plant",
+                                           caches_[n % stand_ins]->address(), "Ready"));
+    lines.push_back(lab::endpoint_json("parent", "parent", "hub", "127.0.0.1:9", "Ready"));
+    lines.push_back(lab::endpoint_json("origin", "origin", "hub", "127.0.0.1:9", "Ready"));
     board_->post({{"pool", {{"version", 1}, {"full", true}, {"servers", lines}}}});
     json config = lab::configuration(listen_, board_->address(), board_->known());
     config["limits"]["memory_mb"] = load.memory_mb;
--- a/bench/data_path_load.hpp
+++ b/bench/data_path_load.hpp
@@ -38,7 +38,7 @@
     LoopThread& operator=(const LoopThread&) = delete;
 
     /// Touched by others only before start().
-    Loop loop;
+    EventLoop loop;
     void start();
     void end();
 
@@ -52,7 +52,7 @@
 /// Clients on one loop: they keep so many lookups under way, or ask at a pace.
 class LoadClients {
 public:
-    LoadClients(Loop& loop, const Load& load, std::size_t share_of, std::uint64_t number);
+    LoadClients(EventLoop& loop, const Load& load, std::size_t share_of, std::uint64_t number);
     void start(const std::string& gateway);
 
     std::atomic<std::uint64_t> asked{0}, satisfied{0}, refused{0};
@@ -60,7 +60,7 @@
 
 private:
     struct Connection {
-        std::shared_ptr<lab::Asker> asker;
+        std::shared_ptr<lab::FastCgiClient> asker;
         std::vector<std::uint16_t> free;  // request numbers
     };
     void tick();
@@ -68,7 +68,7 @@
     bool ask_one();
     void answered(Connection& on);
 
-    Loop& loop_;
+    EventLoop& loop_;
     Load load_;
     std::size_t share_of_;  // of so many groups of clients this is one
     std::uint64_t number_;
@@ -76,7 +76,7 @@
     std::vector<std::unique_ptr<Connection>> connections_;
     std::size_t next_connection_ = 0, under_way_ = 0;
     double owed_ = 0;  // lookups that the pace asks for and that have not been asked
-    Instant ticked_;
+    TimePoint ticked_;
 };
 
 /// The gateway with all that it stands between. Throws std::runtime_error where it does not serve.
@@ -99,8 +99,8 @@
     std::string answer_;
     LoopThread board_thread_;
     std::vector<std::unique_ptr<LoopThread>> client_loops_, cache_loops_;
-    std::unique_ptr<lab::Board> board_;
-    std::vector<std::unique_ptr<lab::Puppet>> caches_;
+    std::unique_ptr<lab::NoticeBoard> board_;
+    std::vector<std::unique_ptr<lab::ScriptedCache>> caches_;
     std::vector<std::unique_ptr<LoadClients>> clients_;
     std::unique_ptr<lab::Process> process_;
 };
--- a/bench/data_path_router.cpp
+++ b/bench/data_path_router.cpp
@@ -34,7 +34,7 @@
 using Clock = std::chrono::steady_clock;
 
 const LocationId here{"here"};
-const MachineId edge{"edge"}, parent{"parent"}, origin{"origin"};
+const MachineType edge{"edge"}, parent{"parent"}, origin{"origin"};
 
 double thread_seconds() {
     timespec spent{};
@@ -54,29 +54,29 @@
     Deployment d;
     d.location = here;
     ObjectKind kind;
-    kind.budget = Span::seconds(0.25);
-    kind.deadline = Span::seconds(load.deadline_s);
+    kind.latency_objective = Duration::seconds(0.25);
+    kind.deadline = Duration::seconds(load.deadline_s);
     d.kinds = {kind};
     d.parent_machine = parent;
     d.origin_machine = origin;
-    d.permits.cancel = true;
-    d.permits.notes = Notes::all;
-    d.permits.sends = 6;
-    d.fall_window = Span::seconds(2);
-    d.purge_done = Span::seconds(6);
-    d.tick = Span::seconds(0.002);
-    d.flow_kb_per_s = 8300;
-    d.pipe_here_kb_per_s = 8.3e10;  // no limit turns a lookup away
+    d.capabilities.cancellation = true;
+    d.capabilities.cache_status = CacheStatusReporting::all;
+    d.capabilities.max_attempts = 6;
+    d.overload_window = Duration::seconds(2);
+    d.purge_retention = Duration::seconds(6);
+    d.timer_resolution = Duration::seconds(0.002);
+    d.transfer_rate_kb_per_s = 8300;
+    d.location_link_capacity_kb_per_s = 8.3e10;  // no limit turns a lookup away
     return d;
 }
 
-std::vector<Listing> list_of(const RouterLoad& load) {
-    std::vector<Listing> lines;
-    const auto add = [&](const std::string& name, const LocationId& at, const MachineId& machine) {
-        Listing l;
+std::vector<EndpointUpdate> list_of(const RouterLoad& load) {
+    std::vector<EndpointUpdate> lines;
+    const auto add = [&](const std::string& name, const LocationId& at, const MachineType& machine) {
+        EndpointUpdate l;
         l.cache = CacheId{name};
         l.location = at;
-        l.machine = machine;
+        l.machine_type = machine;
         lines.push_back(l);
     };
     for (int n = 0; n < load.listed_caches; ++n) add("edge-" + std::to_string(n), here, edge);
@@ -86,19 +86,19 @@
 }
 
 /// Keeps the last send and the alarms; counts what is turned away.
-class LastSend final : public Port {
+class LastSend final : public RouterCallbacks {
 public:
-    void send(const LookupId&, const CacheId& cache, Span) override { went(cache); }
-    void fill(const LookupId&, const Fill& f) override { went(f.cache); }
-    void cancel(const LookupId&, SendNo) override {}
-    void nack(const LookupId&, Span) override { ++refused; }
-    void fail(const LookupId&) override { ++refused; }
-    void probe(const CacheId&) override {}
-    void alarm(AlarmNo number, Instant at) override { alarms.emplace_back(number, at); }
-    void watch_list() override {}
-    void note_down(std::string_view) override {}
-
-    std::vector<std::pair<AlarmNo, Instant>> alarms;
+    void start_direct_attempt(const RequestId&, const CacheId& cache, Duration) override { went(cache); }
+    void start_attempt(const RequestId&, const AttemptPlan& f) override { went(f.cache); }
+    void cancel_attempt(const RequestId&, AttemptIndex) override {}
+    void reject(const RequestId&, Duration) override { ++refused; }
+    void fail(const RequestId&) override { ++refused; }
+    void request_health_check(const CacheId&) override {}
+    void set_timer(TimerId number, TimePoint at) override { alarms.emplace_back(number, at); }
+    void subscribe_to_endpoints() override {}
+    void log(std::string_view) override {}
+
+    std::vector<std::pair<TimerId, TimePoint>> alarms;
     CacheId to;
     bool sent = false;
     std::uint64_t refused = 0;
@@ -114,7 +114,7 @@
 public:
     explicit RouterRun(const RouterLoad& load)
         : load_(load), router_(port_, deployment(load), load.seed, now_), random_(load.seed) {
-        router_.on_list(now_, list_of(load_), true);
+        router_.on_endpoint_updates(now_, list_of(load_), true);
     }
 
     RouterCost run() {
@@ -134,35 +134,35 @@
 
 private:
     void one_lookup(std::uint64_t n) {
-        now_ = now_ + Span::seconds(1 / load_.per_second);
+        now_ = now_ + Duration::seconds(1 / load_.per_second);
         run_alarms();
         const std::string object = hex16(load_.objects > 0 ? random_() % load_.objects : n);
-        Arrival arrival;
-        arrival.id = LookupId{n};
+        Request arrival;
+        arrival.id = RequestId{n};
         arrival.object = ObjectName{object};
-        arrival.expires = now_ + Span::seconds(load_.deadline_s);
+        arrival.deadline = now_ + Duration::seconds(load_.deadline_s);
         const auto before = Clock::now();
         port_.sent = false;
-        router_.on_lookup(now_, arrival);
+        router_.on_request(now_, arrival);
         if (port_.sent) answer(arrival.id);
         const std::chrono::duration<double, std::micro> took = Clock::now() - before;
         longest_us_ = std::max(longest_us_, took.count());
     }
-    void answer(const LookupId& id) {
-        Answer a;
-        a.id = id;
+    void answer(const RequestId& id) {
+        AttemptResult a;
+        a.request = id;
         a.cache = port_.to;
-        a.note = Note::hit;
-        a.took = Span::micros(300);
-        a.last = true;
-        router_.on_answer(now_ + a.took, a);
+        a.cache_status = CacheStatus::hit;
+        a.elapsed = Duration::micros(300);
+        a.request_finished = true;
+        router_.on_attempt_result(now_ + a.elapsed, a);
     }
     void run_alarms() {
-        std::vector<std::pair<AlarmNo, Instant>> all;
+        std::vector<std::pair<TimerId, TimePoint>> all;
         std::swap(all, port_.alarms);
         for (const auto& [number, at] : all) {
             if (at <= now_)
-                router_.on_alarm(now_, number);
+                router_.on_timer(now_, number);
             else
                 port_.alarms.emplace_back(number, at);
         }
@@ -171,7 +171,7 @@
         for (int n = 0; n < load_.purges_in_force; ++n) purge(n);
     }
     void purge(int n) {
-        router_.on_purge(now_, Span{}, GroupNo{0},
+        router_.on_purge(now_, Duration{}, PurgeGroupId{0},
                          ObjectName{hex16(0xf000000000000000ULL + static_cast<unsigned>(n))});
     }
     double measure_purges() {
@@ -184,14 +184,14 @@
     }
     double measure_lists() {
         constexpr int times = 20;
-        const std::vector<Listing> lines = list_of(load_);
+        const std::vector<EndpointUpdate> lines = list_of(load_);
         const double started = thread_seconds();
-        for (int n = 0; n < times; ++n) router_.on_list(now_, lines, true);
+        for (int n = 0; n < times; ++n) router_.on_endpoint_updates(now_, lines, true);
         return (thread_seconds() - started) * 1e6 / times;
     }
 
     RouterLoad load_;
-    Instant now_ = Instant::at_seconds(1e9);
+    TimePoint now_ = TimePoint::at_seconds(1e9);
     LastSend port_;
     Router router_;
     std::mt19937_64 random_;
--- a/bench/fleet_owner.cpp
+++ b/bench/fleet_owner.cpp
@@ -33,7 +33,7 @@
 using namespace irismux::fleet;
 namespace fs = std::filesystem;
 
-const Span ms = Span::micros(1000);
+const Duration ms = Duration::micros(1000);
 const std::string duty = "sweep";
 constexpr std::size_t fleets = 12, gateways = 4;
 
@@ -63,28 +63,28 @@
             if (!a_.until([&] { return ready(); }) || !once(counted)) ++counted.stuck;
         for (const std::string& what : a_.broken) std::cerr << "broken: " << what << '\n';
     }
-    static lab::Arena::Shape shape(const std::string& program) {
-        lab::Arena::Shape s;
+    static lab::ProcessFleet::Options shape(const std::string& program) {
+        lab::ProcessFleet::Options s;
         s.program = program;
         s.gateways = gateways;
         s.caches = 1;
-        s.sweep_every = ms * 50;  // the least
+        s.collection_interval = ms * 50;  // the least
         return s;
     }
 
 private:
     // All are in, and the owner has been so for a term.
     bool ready() const {
-        return a_.all_in() && a_.owner(duty) && !a_.taken.empty() &&
-               a_.loop.now() - a_.taken.back().at > a_.shape.term;
+        return a_.all_joined() && a_.owner(duty) && !a_.ownership_changes.empty() &&
+               a_.loop.now() - a_.ownership_changes.back().at > a_.options.term;
     }
     bool once(Counted& counted) {
         const std::size_t who = *a_.owner(duty);
         const auto before = *a_.duty(duty);
-        const std::size_t claims = a_.taken.size(), writes = a_.written.size();
-        const Instant from = a_.loop.now();
+        const std::size_t claims = a_.ownership_changes.size(), writes = a_.written.size();
+        const TimePoint from = a_.loop.now();
         order(who, true);
-        Instant landed;
+        TimePoint landed;
         const bool followed = a_.until([&] {
             for (std::size_t n = writes; n < a_.written.size(); ++n) {
                 const auto& w = a_.written[n];
@@ -96,12 +96,12 @@
             return false;
         });
         if (followed) counted.without_ms.push_back((landed - from).seconds() * 1000);
-        for (std::size_t n = claims; n < a_.taken.size(); ++n)
-            counted.moved += !a_.taken[n].by.name.raw().empty();
+        for (std::size_t n = claims; n < a_.ownership_changes.size(); ++n)
+            counted.moved += !a_.ownership_changes[n].by.name.raw().empty();
         counted.least += fault_ != "registry member lost";
-        a_.pass(a_.shape.term * 0.25);
+        a_.pass(a_.options.term * 0.25);
         order(who, false);
-        a_.pass(a_.shape.term * 0.5);
+        a_.pass(a_.options.term * 0.5);
         for (std::size_t n = writes; n < a_.written.size(); ++n) {
             const auto& w = a_.written[n];
             if (!followed || w.at <= landed || w.token > before.token || fault_ == "registry member lost")
@@ -113,26 +113,26 @@
     }
     void order(std::size_t who, bool is) {
         if (fault_ == "killed") is ? a_.kill(who) : a_.start(who);
-        if (fault_ == "stopped") is ? a_.stop(who) : a_.go_on(who);
+        if (fault_ == "stopped") is ? a_.stop(who) : a_.resume(who);
         if (fault_ == "cut both ways") a_.cut_registry(who, is, is);
         if (fault_ == "cut on the way out") a_.cut_registry(who, is, false);
         if (fault_ == "cut on the way back") a_.cut_registry(who, false, is);
         if (fault_ == "link of 500 bytes a second")
             for (auto& r : a_.gateways[who].to_registry) {
-                for (const lab::Way w : {lab::Way::out, lab::Way::back})
+                for (const lab::Direction w : {lab::Direction::to_server, lab::Direction::to_client})
                     r->faults(w).bytes_a_second = is ? 500 : 0;
                 if (!is) r->break_all();  // what still crawls there is given up
             }
         if (fault_ == "registry member lost") {
             // Each in turn: the one that the owner talks to is among them.
-            if (is) lost_ = (lost_ + 1) % a_.shape.members;
+            if (is) lost_ = (lost_ + 1) % a_.options.members;
             is ? a_.registry.down(lost_) : a_.registry.up(lost_);
         }
     }
 
     std::string fault_;
     fs::path folder_;
-    lab::Arena a_;
+    lab::ProcessFleet a_;
     std::size_t lost_ = 0;
 };
 
@@ -145,7 +145,7 @@
                   "cut on the way back",
                   "link of 500 bytes a second",
                   "registry member lost"};
-    const lab::Arena::Shape s = Fleet::shape(program);
+    const lab::ProcessFleet::Options s = Fleet::shape(program);
     const double bound =
         longest_without_owner({"", s.term, s.drift}, s.term * 0.125, gateways - 2).seconds() * 1000;
     std::printf(
@@ -218,24 +218,24 @@
         "lookup median ms | 95th | 99th | failed or nacked |\n"
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
     for (const std::string state : {"off", "on", "on, churn", "off", "on"}) {
-        lab::Arena::Shape s;
+        lab::ProcessFleet::Options s;
         s.program = program;
         s.term = ms * 12'000;  // as an installation would have it
-        s.sweep_every = ms * 60'000;
-        s.look_every = ms * 2'000;
-        s.ask_every = ms * 2;
+        s.collection_interval = ms * 60'000;
+        s.health_check_interval = ms * 2'000;
+        s.request_interval = ms * 2;
         const bool on = state != "off", churn = state == "on, churn";
         if (churn) s.term = ms * 800;
         const fs::path folder = fs::temp_directory_path() / ("fleet_cost." + std::to_string(::getpid()));
         {
-            lab::Arena a(s, folder.string());
+            lab::ProcessFleet a(s, folder.string());
             auto& g = a.gateways[0];
             if (on)
                 a.start_all();
             else
                 g.process = std::make_unique<lab::Process>(
                     lab::Process::Start{{program}, {"NODE_CONFIG=" + g.configuration}, "", g.log});
-            a.until([&] { return a.said(0, "serves on") && (!on || a.all_in()); }, ms * 30'000);
+            a.until([&] { return a.logged(0, "serves on") && (!on || a.all_joined()); }, ms * 30'000);
             const pid_t id = g.process->id();
             const double idle = processor_seconds(id);
             a.pass(ms * 5'000);
@@ -244,8 +244,8 @@
             a.pass(ms * 1'000);
             g.clients->took_ms.clear();
             const double busy = processor_seconds(id);
-            const Instant begun = a.loop.now();
-            for (int n = 0; a.loop.now() - begun < Span::seconds(seconds); ++n) {
+            const TimePoint begun = a.loop.now();
+            for (int n = 0; a.loop.now() - begun < Duration::seconds(seconds); ++n) {
                 a.pass(ms * 400);
                 if (churn && n % 4 == 0) a.kill(1);
                 if (churn && n % 4 == 2) a.start(1);
@@ -256,7 +256,7 @@
                         state.c_str(), static_cast<double>(took.size()) / (a.loop.now() - begun).seconds(),
                         resident_mb(id), descriptors(id), rest, load, at(took, 0.5), at(took, 0.95),
                         at(took, 0.99),
-                        static_cast<unsigned long long>(g.clients->nacked + g.clients->failed));
+                        static_cast<unsigned long long>(g.clients->rejected + g.clients->failed));
             std::fflush(stdout);
         }
         fs::remove_all(folder);
@@ -275,26 +275,27 @@
         "| --- | --- | --- | --- | --- | --- | --- |\n");
     for (const std::size_t n : sizes)
         for (const bool spread : {true, false}) {
-            lab::World w(7, {.members = n, .duties = 8, .drift = 0.01, .spread = spread, .works = false},
-                         shared_config);
+            lab::FleetSimulation w(
+                7, {.members = n, .duties = 8, .drift = 0.01, .spread = spread, .works = false},
+                shared_config);
             w.start_all();
             w.run(shared_config.term * 4, {});
             w.mark();
             w.run(shared_config.term * 2, {});
             const double rest = static_cast<double>(w.asked.size()) / (shared_config.term * 2).seconds();
-            const std::size_t calm = w.worst(ms * 100);
+            const std::size_t calm = w.max_transactions_within(ms * 100);
             for (std::size_t m = 0; m < n; ++m) w.kill(m);
             w.mark();
             for (std::size_t m = 0; m < n; ++m) w.start(m);
             w.run(shared_config.term * 4, {});
-            const std::size_t restart = w.worst(ms * 100);
-            w.down(true);
+            const std::size_t restart = w.max_transactions_within(ms * 100);
+            w.set_registry_down(true);
             w.run(shared_config.term * 2, {});
             w.mark();
-            w.down(false);
+            w.set_registry_down(false);
             w.run(shared_config.term * 3, {});
             std::printf("| %zu | %s | %.1f | %zu | %zu | %zu | %zu |\n", n, spread ? "yes" : "no", rest, calm,
-                        restart, w.worst(ms * 100), w.broken.size());
+                        restart, w.max_transactions_within(ms * 100), w.broken.size());
             std::fflush(stdout);
         }
 }
--- a/bench/registry_load.cpp
+++ b/bench/registry_load.cpp
@@ -17,18 +17,18 @@
 
 using namespace irismux;
 
-const Span ms = Span::micros(1000);
+const Duration ms = Duration::micros(1000);
 constexpr std::size_t members = 3, listed = 200;
 
-class Ear final : public registry::Knows {
+class Ear final : public registry::WatchObserver {
 public:
-    void list_told(Instant, const std::vector<ListLine>&, bool) override {}
-    void sight_told(Instant, registry::Sight s, Instant) override { sight = s; }
-    void remark(std::string_view) override {}
-    registry::Sight sight = registry::Sight::reading;
+    void on_endpoints(TimePoint, const std::vector<EndpointRecord>&, bool) override {}
+    void on_sync_state(TimePoint, registry::SyncState s, TimePoint) override { sight = s; }
+    void on_warning(std::string_view) override {}
+    registry::SyncState sight = registry::SyncState::reading;
 };
 
-std::size_t worst(const std::vector<Instant>& asked, std::size_t from, Span window) {
+std::size_t worst(const std::vector<TimePoint>& asked, std::size_t from, Duration window) {
     std::size_t most = 0;
     for (std::size_t n = from, first = from; n < asked.size(); ++n) {
         while (asked[n] - asked[first] > window) ++first;
@@ -39,30 +39,30 @@
 
 // That many clients follow; then all connections break, or the registry is away for five seconds.
 void herd(std::size_t clients, bool away) {
-    Loop loop;
-    lab::Registry r(loop, members, ms * 100);
+    EventLoop loop;
+    lab::RegistryStandIn r(loop, members, ms * 100);
     for (std::size_t n = 0; n < listed; ++n)
         r.model.put("/caches/c" + std::to_string(n), lab::list_value("c" + std::to_string(n), "Ready"));
     registry::Settings settings;
     for (std::size_t m = 0; m < members; ++m) settings.members.push_back(r.address(m));
     settings.prefix = "/caches/";
-    settings.pace.members = members;
+    settings.poll_policy.members = members;
     std::vector<std::unique_ptr<Ear>> ears;
-    std::vector<std::unique_ptr<registry::Client>> all;
-    lab::Stretches stretches(loop);
+    std::vector<std::unique_ptr<registry::RegistryClient>> all;
+    lab::Intervals stretches(loop);
     for (std::size_t n = 0; n < clients; ++n) {
         ears.push_back(std::make_unique<Ear>());
-        all.push_back(std::make_unique<registry::Client>(loop, *ears.back(), settings, n * 7919 + 1));
+        all.push_back(std::make_unique<registry::RegistryClient>(loop, *ears.back(), settings, n * 7919 + 1));
         all.back()->start();
     }
     const auto following = [&] {
         return std::all_of(ears.begin(), ears.end(),
-                           [](const auto& e) { return e->sight == registry::Sight::following; });
+                           [](const auto& e) { return e->sight == registry::SyncState::following; });
     };
     stretches.until(following, ms * 30'000);
     const std::size_t from = r.ledger.asked.size();
     const int reads = r.ledger.reads;
-    const Instant broken = loop.now();
+    const TimePoint broken = loop.now();
     for (std::size_t m = 0; m < members; ++m) away ? r.down(m) : r.break_connections(m);
     if (away) {
         stretches.until([&] { return loop.now() - broken > ms * 5'000; });
@@ -70,7 +70,7 @@
     } else {
         stretches.until([&] { return loop.now() - broken > ms * 50; });
     }
-    const Instant back = loop.now();
+    const TimePoint back = loop.now();
     const bool whole = stretches.until(following, ms * 30'000);
     std::printf("| %zu | %s | %zu | %zu | %d | %s%.0f |\n", clients,
                 away ? "away for 5 s" : "all connections broken", r.ledger.asked.size() - from,
@@ -93,9 +93,9 @@
                                registry::Revision{1}});
         }
         const auto before = ::mallinfo2().uordblks;
-        auto view = std::make_unique<registry::View>();
+        auto view = std::make_unique<registry::EndpointView>();
         const auto read_from = Clock::now();
-        view->replace(registry::Revision{1}, records, Instant::at_seconds(1));
+        view->replace(registry::Revision{1}, records, TimePoint::at_seconds(1));
         const double read_us = std::chrono::duration<double, std::micro>(Clock::now() - read_from).count();
         const auto bytes = ::mallinfo2().uordblks - before;
         constexpr std::int64_t events = 50'000;
@@ -104,7 +104,7 @@
             registry::Record r = records[static_cast<std::size_t>(e) % n];
             r.modified = registry::Revision{e + 2};
             r.value = lab::list_value(r.key.raw(), e % 2 ? "Ready" : "Terminating");
-            view->apply(r.modified, {{r, false}}, Instant::at_seconds(2));
+            view->apply(r.modified, {{r, false}}, TimePoint::at_seconds(2));
         }
         const double us = std::chrono::duration<double, std::micro>(Clock::now() - from).count();
         std::printf("| %zu | %.0f | %.2f | %.2f |\n", n, static_cast<double>(bytes) / static_cast<double>(n),
--- a/bench/registry_staleness.cpp
+++ b/bench/registry_staleness.cpp
@@ -32,8 +32,8 @@
 const std::string prefix = "/caches/";
 constexpr std::size_t edge_caches = 6, members = 3;
 // Nothing drains twice within the time that its cache needs to be back.
-const Span between = Span::micros(200'000), watched = Span::micros(1'000'000);
-const Span grace = Span::micros(250'000);
+const Duration between = Duration::micros(200'000), watched = Duration::micros(1'000'000);
+const Duration grace = Duration::micros(250'000);
 
 class Case {
 public:
@@ -45,16 +45,16 @@
         json lines = json::array();
         for (std::size_t n = 0; n < edge_caches; ++n) {
             caches_.push_back(
-                std::make_unique<lab::Cache>(loop_, "c" + std::to_string(n), Span::micros(1'000)));
+                std::make_unique<lab::Cache>(loop_, "c" + std::to_string(n), Duration::micros(1'000)));
             lines.push_back(line(n, "Ready"));
         }
-        lines.push_back(lab::list_line("p1", "parent", "hub", "127.0.0.1:9", "Ready"));
-        lines.push_back(lab::list_line("o1", "origin", "hub", "127.0.0.1:9", "Ready"));
+        lines.push_back(lab::endpoint_json("p1", "parent", "hub", "127.0.0.1:9", "Ready"));
+        lines.push_back(lab::endpoint_json("o1", "origin", "hub", "127.0.0.1:9", "Ready"));
         for (const json& l : lines) registry_.model.put(prefix + l["id"].get<std::string>(), l.dump());
         board_.post({{"pool", {{"version", 1}, {"full", true}, {"servers", lines}}}});
         if (!start()) return false;
-        clients_ =
-            std::make_unique<lab::Clients>(loop_, listen_, "pages", Span::micros(2'500), Span::seconds(1.5));
+        clients_ = std::make_unique<lab::ClientLoad>(loop_, listen_, "pages", Duration::micros(2'500),
+                                                     Duration::seconds(1.5));
         after(0.5, [this] { clients_->start(); });
         after(1.5, [this] {
             trouble();
@@ -72,10 +72,10 @@
 
 private:
     void after(double seconds, std::function<void()> step) {
-        loop_.at(loop_.now() + Span::seconds(seconds), std::move(step));
+        loop_.schedule_at(loop_.now() + Duration::seconds(seconds), std::move(step));
     }
     json line(std::size_t n, const std::string& state) const {
-        return lab::list_line("c" + std::to_string(n), "node", "plant", caches_[n]->address(), state);
+        return lab::endpoint_json("c" + std::to_string(n), "node", "plant", caches_[n]->address(), state);
     }
     void post(const json& l) { board_.post({{"pool", {{"version", 2}, {"full", false}, {"servers", {l}}}}}); }
     void put(std::size_t n, const std::string& state) {
@@ -156,10 +156,10 @@
         if (made_ == drains_) return after(2, [this] { loop_.stop(); });
         const std::size_t n = static_cast<std::size_t>(made_++) % edge_caches;
         put(n, "Terminating");
-        const Instant at = loop_.now();
-        loop_.at(at + watched, [this, n, at] {
+        const TimePoint at = loop_.now();
+        loop_.schedule_at(at + watched, [this, n, at] {
             double last = 0;
-            for (const lab::Cache::Pull& p : caches_[n]->pulls) {
+            for (const lab::Cache::ReceivedAttempt& p : caches_[n]->received) {
                 if (p.first_byte <= at) continue;
                 last = std::max(last, (p.first_byte - at).seconds());
                 late_ += p.first_byte > at + grace;
@@ -167,7 +167,7 @@
             last_.push_back(last * 1000);
             put(n, "Ready");
         });
-        loop_.at(at + between, [this] { drain(); });
+        loop_.schedule_at(at + between, [this] { drain(); });
     }
 
     void row() {
@@ -178,18 +178,18 @@
         };
         std::printf("| %s | %zu | %.1f | %.1f | %.1f | %.1f | %llu | %llu of %llu |\n", name_.c_str(),
                     last_.size(), at(0.5), at(0.95), at(0.99), at(1), static_cast<unsigned long long>(late_),
-                    static_cast<unsigned long long>(clients_->satisfied),
-                    static_cast<unsigned long long>(clients_->asked));
+                    static_cast<unsigned long long>(clients_->served),
+                    static_cast<unsigned long long>(clients_->sent));
         std::fflush(stdout);
     }
 
     std::string program_, name_, listen_;
     int drains_, made_ = 0;
-    Loop loop_;
-    lab::Registry registry_{loop_, members, Span::micros(50'000)};
-    lab::Board board_{loop_};
+    EventLoop loop_;
+    lab::RegistryStandIn registry_{loop_, members, Duration::micros(50'000)};
+    lab::NoticeBoard board_{loop_};
     std::vector<std::unique_ptr<lab::Cache>> caches_;
-    std::unique_ptr<lab::Clients> clients_;
+    std::unique_ptr<lab::ClientLoad> clients_;
     std::filesystem::path folder_;
     pid_t pid_ = 0;
     std::map<std::size_t, std::string> polled_;
--- a/bench/scale/control_channel.cpp
+++ b/bench/scale/control_channel.cpp
@@ -4,7 +4,8 @@
 
 namespace irismux::scale {
 
-ControlChannel::ControlChannel(std::shared_ptr<lab::Wire> wire, Heard heard, std::function<void()> ended)
+ControlChannel::ControlChannel(std::shared_ptr<lab::StandInConnection> wire, Heard heard,
+                               std::function<void()> ended)
     : wire_(std::move(wire)) {
     wire_->got = [heard = std::move(heard)](Buffer& in) {
         for (;;) {
@@ -12,16 +13,16 @@
             const std::size_t end = all.find('\n');
             if (end == std::string_view::npos) return;
             const auto message = nlohmann::json::parse(all.substr(0, end), nullptr, false);
-            in.taken(end + 1);
+            in.consumed(end + 1);
             if (!message.is_discarded()) heard(message);
         }
     };
     wire_->ended = std::move(ended);
 }
 
-std::unique_ptr<ControlChannel> ControlChannel::connect(Loop& loop, const std::string& address, Heard heard,
-                                                        std::function<void()> ended) {
-    auto wire = std::make_shared<lab::Wire>(loop);
+std::unique_ptr<ControlChannel> ControlChannel::connect(EventLoop& loop, const std::string& address,
+                                                        Heard heard, std::function<void()> ended) {
+    auto wire = std::make_shared<lab::StandInConnection>(loop);
     auto channel = std::make_unique<ControlChannel>(wire, std::move(heard), std::move(ended));
     if (!wire->start(address)) throw std::runtime_error("no connection to " + address + " was possible");
     return channel;
@@ -35,7 +36,7 @@
 
 void ControlChannel::say(const nlohmann::json& message) {
     wire_->out().append(message.dump() + '\n');
-    if (wire_->state() == LinkState::open) wire_->say();
+    if (wire_->state() == ConnectionState::open) wire_->write();
 }
 
 }  // namespace irismux::scale
--- a/bench/scale/control_channel.hpp
+++ b/bench/scale/control_channel.hpp
@@ -14,15 +14,15 @@
 public:
     using Heard = std::function<void(const nlohmann::json&)>;
 
-    ControlChannel(std::shared_ptr<lab::Wire> wire, Heard heard, std::function<void()> ended);
+    ControlChannel(std::shared_ptr<lab::StandInConnection> wire, Heard heard, std::function<void()> ended);
     // Connects to whoever listens there; throws std::runtime_error where that is not possible.
-    static std::unique_ptr<ControlChannel> connect(Loop& loop, const std::string& address, Heard heard,
+    static std::unique_ptr<ControlChannel> connect(EventLoop& loop, const std::string& address, Heard heard,
                                                    std::function<void()> ended);
     ~ControlChannel();
     void say(const nlohmann::json& message);
 
 private:
-    std::shared_ptr<lab::Wire> wire_;
+    std::shared_ptr<lab::StandInConnection> wire_;
 };
 
 }  // namespace irismux::scale
--- a/bench/scale/events.cpp
+++ b/bench/scale/events.cpp
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-const Span seconds_1 = Span::micros(1'000'000);
+const Duration seconds_1 = Duration::micros(1'000'000);
 constexpr std::size_t purges_a_second = 3;
 constexpr std::size_t hour_of_purges = 3600 * purges_a_second;
 constexpr std::size_t batches_of_an_hour = 20;  // one a second
@@ -58,7 +58,7 @@
     void beside_until(std::size_t gateway) { beside_until_ = gateway; }
     void until_second(double since_begin) {
         const std::int64_t end = begun_us_ + static_cast<std::int64_t>(since_begin * 1e6);
-        rig_.until([&] { return rig_.now_us() >= end; }, Span::seconds(since_begin + 5));
+        rig_.until([&] { return rig_.now_us() >= end; }, Duration::seconds(since_begin + 5));
     }
     EventResult end() {
         rig_.to_next_second();
@@ -103,7 +103,8 @@
 // Waits until all of those know of all that is expected; whether they do.
 bool all_whole(Rig& rig, std::int64_t expected, const std::vector<std::size_t>& gateways, double most_s) {
     const std::size_t hollow = hollow_of(rig, gateways).size();
-    return rig.until([&] { return rig.in_force("whole", expected).size() >= hollow; }, Span::seconds(most_s));
+    return rig.until([&] { return rig.in_force("whole", expected).size() >= hollow; },
+                     Duration::seconds(most_s));
 }
 
 EventResult at_rest(Rig& rig) {
--- a/bench/scale/rig.cpp
+++ b/bench/scale/rig.cpp
@@ -17,11 +17,11 @@
 using nlohmann::json;
 namespace fs = std::filesystem;
 
-const Span ms = Span::micros(1000);
+const Duration ms = Duration::micros(1000);
 constexpr std::size_t relays_a_process = 100;  // gateways
 constexpr std::size_t most_processes = 200;
 constexpr std::size_t most_resident = std::size_t{12} << 30;  // half of a machine of 24 GB
-const Span lookup_every = ms * 20;                            // of each real gateway
+const Duration lookup_every = ms * 20;                        // of each real gateway
 constexpr std::size_t reachable_caches = 4;                   // of those listed, by the real gateways
 constexpr std::int64_t progress_ms = 800;  // of the registry's watches: twice within the shortest quiet, 2 s
 const std::string registry_prefix = "/caches/", real_zone = "plant";
@@ -61,7 +61,7 @@
     std::signal(SIGINT, on_end);
     acceptor_ = std::make_unique<lab::Acceptor>(
         loop_, [this](Poco::Net::StreamSocket s) { taken(std::move(s)); }, static_cast<int>(most_processes));
-    stretches_ = std::make_unique<lab::Stretches>(loop_);
+    stretches_ = std::make_unique<lab::Intervals>(loop_);
     start_registry();
     board_ = ask(start_child("board", 0), json::object()).at("address");
     start_relays();
@@ -110,11 +110,13 @@
 // --- children --------------------------------------------------------------------------------------------
 
 void Rig::taken(Poco::Net::StreamSocket socket) {
-    auto wire = std::make_shared<lab::Wire>(loop_, std::move(socket));
+    auto wire = std::make_shared<lab::StandInConnection>(loop_, std::move(socket));
     const auto child = std::make_shared<Child*>(nullptr);
     auto channel = std::make_unique<ControlChannel>(
         wire,
-        [this, child, weak = std::weak_ptr<lab::Wire>(wire)](const json& m) { heard(child, m, weak.lock()); },
+        [this, child, weak = std::weak_ptr<lab::StandInConnection>(wire)](const json& m) {
+            heard(child, m, weak.lock());
+        },
         [] {});
     *child = nullptr;
     unnamed_.push_back(std::move(channel));
@@ -123,7 +125,7 @@
 }
 
 void Rig::heard(const std::shared_ptr<Child*>& child, const json& message,
-                const std::shared_ptr<lab::Wire>& wire) {
+                const std::shared_ptr<lab::StandInConnection>& wire) {
     if (message.contains("hello")) {
         for (auto& c : children_)
             if (c->role == message["hello"] && c->number == message["number"]) *child = c.get();
@@ -206,9 +208,9 @@
 json Rig::list_line_of(std::size_t cache) const {
     const bool reachable = cache < cache_addresses_.size();
     json line =
-        lab::list_line(Topology::cache_name(cache), "node",
-                       reachable ? real_zone : "zone-" + std::to_string(cache / Topology::zone_caches),
-                       reachable ? cache_addresses_[cache] : "10.0.0.1:6379", "Ready");
+        lab::endpoint_json(Topology::cache_name(cache), "node",
+                           reachable ? real_zone : "zone-" + std::to_string(cache / Topology::zone_caches),
+                           reachable ? cache_addresses_[cache] : "10.0.0.1:6379", "Ready");
     // The version of the list is the weight of its first cache, in thousandths.
     if (cache == 0) line["weight"] = static_cast<double>(list_version_) / 1000;
     return line;
@@ -407,14 +409,14 @@
 // --- time ------------------------------------------------------------------------------------------------
 
 // Told to end, the rig does so where it waits, and takes its processes and its folder with it.
-bool Rig::until(std::function<bool()> so, Span most) {
+bool Rig::until(std::function<bool()> so, Duration most) {
     const bool has_come = stretches_->until([&] { return told_to_end || so(); }, most);
     if (told_to_end) throw std::runtime_error("told to end");
     return has_come;
 }
 
-void Rig::pass(Span time) {
-    const Instant end = loop_.now() + time;
+void Rig::pass(Duration time) {
+    const TimePoint end = loop_.now() + time;
     until([&] { return loop_.now() >= end; }, time + time);
 }
 
--- a/bench/scale/rig.hpp
+++ b/bench/scale/rig.hpp
@@ -67,10 +67,10 @@
     std::int64_t expect(std::size_t members);
 
     // --- time
-    bool until(std::function<bool()> so, Span most);
-    void pass(Span time);
+    bool until(std::function<bool()> so, Duration most);
+    void pass(Duration time);
     void to_next_second();
-    std::int64_t now_us() const { return (loop_.now() - Instant{}).micros(); }
+    std::int64_t now_us() const { return (loop_.now() - TimePoint{}).micros(); }
     std::int64_t now_second() const { return now_us() / 1'000'000; }
 
     // --- what is seen
@@ -113,7 +113,7 @@
     void check_descriptors() const;
     void taken(Poco::Net::StreamSocket socket);
     void heard(const std::shared_ptr<Child*>& child, const nlohmann::json& message,
-               const std::shared_ptr<lab::Wire>&);
+               const std::shared_ptr<lab::StandInConnection>&);
     Child& start_child(const std::string& role, std::size_t number);
     void start_children(const std::string& role, std::size_t count);
     std::vector<Child*> all_of(const std::string& role);
@@ -133,11 +133,11 @@
 
     RigSettings settings_;
     Folder folder_;
-    Loop loop_;
+    EventLoop loop_;
     std::unique_ptr<lab::Acceptor> acceptor_;
     std::vector<std::unique_ptr<Child>> children_;
     std::map<std::size_t, RealGateway> real_;
-    std::vector<std::shared_ptr<lab::Wire>> strangers_;
+    std::vector<std::shared_ptr<lab::StandInConnection>> strangers_;
     std::vector<std::unique_ptr<ControlChannel>> unnamed_;
     nlohmann::json members_, board_;                    // addresses
     std::map<std::size_t, nlohmann::json> by_gateway_;  // its relays' addresses
@@ -147,7 +147,7 @@
     std::int64_t next_order_ = 1, next_expected_ = 1, list_version_ = 1000, last_purge_ms_ = 0;
     std::uint64_t purges_posted_ = 0;
     std::size_t empty_hollow_ = 0;
-    std::unique_ptr<lab::Stretches> stretches_;  // the last: nothing of the above may go while the loop runs
+    std::unique_ptr<lab::Intervals> stretches_;  // the last: nothing of the above may go while the loop runs
 };
 
 }  // namespace irismux::scale
--- a/bench/scale/roles.cpp
+++ b/bench/scale/roles.cpp
@@ -21,11 +21,11 @@
 
 using nlohmann::json;
 
-const Span ms = Span::micros(1000);
+const Duration ms = Duration::micros(1000);
 
-Span milliseconds(const json& count) { return Span::micros(count.get<std::int64_t>() * 1000); }
+Duration milliseconds(const json& count) { return Duration::micros(count.get<std::int64_t>() * 1000); }
 
-std::int64_t unix_us(Instant at) { return (at - Instant{}).micros(); }
+std::int64_t unix_us(TimePoint at) { return (at - TimePoint{}).micros(); }
 
 // What all roles have in common: a loop, and the channel over which each order is answered with its number.
 class Role {
@@ -41,7 +41,7 @@
 protected:
     virtual json obey(const json& order) = 0;
     void say(const json& message) { channel_->say(message); }
-    Loop loop_;
+    EventLoop loop_;
 
 private:
     void heard(const json& order) {
@@ -60,9 +60,9 @@
 
     json obey(const json& order) override {
         if (order.contains("members")) {
-            registry_ = std::make_unique<lab::Registry>(loop_, order["members"].get<std::size_t>(),
-                                                        milliseconds(order["progress_ms"]));
-            registry_->settled = [this](const lab::Registry::Settled&) { compact(); };
+            registry_ = std::make_unique<lab::RegistryStandIn>(loop_, order["members"].get<std::size_t>(),
+                                                               milliseconds(order["progress_ms"]));
+            registry_->settled = [this](const lab::RegistryStandIn::Settled&) { compact(); };
             json addresses = json::array();
             for (std::size_t m = 0; m < order["members"].get<std::size_t>(); ++m)
                 addresses.push_back(registry_->address(m));
@@ -87,7 +87,7 @@
             model.compact(lab::Revision{model.newest().raw() - most_history});
         if (registry_->ledger.asked.size() > 100'000) registry_->ledger.asked.clear();
     }
-    std::unique_ptr<lab::Registry> registry_;
+    std::unique_ptr<lab::RegistryStandIn> registry_;
 };
 
 // --- the notice board ------------------------------------------------------------------------------------
@@ -97,7 +97,7 @@
         if (order.contains("post")) board_.post_all(order["post"].get<std::vector<json>>());
         return {{"address", board_.address()}};
     }
-    lab::Board board_{loop_};
+    lab::NoticeBoard board_{loop_};
 };
 
 // --- relays ----------------------------------------------------------------------------------------------
@@ -120,8 +120,8 @@
         json addresses = json::array();
         auto& all = relays_[gateway];
         for (std::size_t machine = 0; machine < targets.size(); ++machine) {
-            auto relay = std::make_unique<lab::Relay>(loop_, targets[machine].get<std::string>());
-            relay->seen_on = [this, gateway, machine](std::uint64_t connection, lab::Way way,
+            auto relay = std::make_unique<lab::FaultProxy>(loop_, targets[machine].get<std::string>());
+            relay->seen_on = [this, gateway, machine](std::uint64_t connection, lab::Direction way,
                                                       std::string_view bytes) {
                 auto& counter = counters_[{gateway, machine, connection}];
                 const Traffic traffic = counter.count(way, bytes);
@@ -135,11 +135,11 @@
         }
         return addresses;
     }
-    static void change(lab::Relay& relay, const json& order) {
+    static void change(lab::FaultProxy& relay, const json& order) {
         if (order.contains("cut")) relay.cut(order["cut"].get<bool>());
         if (order.contains("down")) relay.down(order["down"].get<bool>());
         if (order.contains("break")) relay.break_all();
-        for (const lab::Way way : {lab::Way::out, lab::Way::back}) {
+        for (const lab::Direction way : {lab::Direction::to_server, lab::Direction::to_client}) {
             if (order.contains("delay_ms")) relay.faults(way).delay = milliseconds(order["delay_ms"]);
             if (order.contains("bytes_a_second"))
                 relay.faults(way).bytes_a_second = order["bytes_a_second"].get<std::size_t>();
@@ -150,9 +150,9 @@
         const std::int64_t second = unix_us(loop_.now()) / 1'000'000;
         if (told_ > 0 && second > told_) say(to_json(told_, std::exchange(rows_, {})));
         told_ = second;
-        loop_.at(Instant{} + Span::micros((second + 1) * 1'000'000), [this] { tell(); });
+        loop_.schedule_at(TimePoint{} + Duration::micros((second + 1) * 1'000'000), [this] { tell(); });
     }
-    std::map<std::size_t, std::vector<std::unique_ptr<lab::Relay>>> relays_;
+    std::map<std::size_t, std::vector<std::unique_ptr<lab::FaultProxy>>> relays_;
     std::map<std::tuple<std::size_t, std::size_t, std::uint64_t>, ConnectionCounter> counters_;
     std::map<TrafficKey, Traffic> rows_;
     std::int64_t told_ = 0;
@@ -162,11 +162,11 @@
 
 constexpr std::size_t changing_first = 50, changing_caches = 40;  // of the list
 
-class HollowRole final : public Role, public lab::HollowObserver {
+class HollowRole final : public Role, public lab::StubGatewayObserver {
     struct Slot {
         std::size_t number = 0;
-        lab::HollowSettings settings;
-        std::unique_ptr<lab::HollowGateway> gateway;
+        lab::StubGatewaySettings settings;
+        std::unique_ptr<lab::StubGateway> gateway;
         bool whole_told = false;
         std::int64_t list_version = -1;
         CacheId marked;  // where marks change all the time
@@ -215,30 +215,30 @@
         slot.gateway.reset();
         slot.list_version = -1;
         slot.whole_told = false;
-        slot.gateway = std::make_unique<lab::HollowGateway>(loop_, *this, slot.settings);
+        slot.gateway = std::make_unique<lab::StubGateway>(loop_, *this, slot.settings);
         slot.gateway->start();
     }
     void mark(const json& order) {
         trials_told_.clear();
         const CacheId cache{order["mark"].get<std::string>()};
         each(order["by"], [&](Slot& s) {
-            if (s.gateway) s.gateway->mark(cache, order["is"].get<bool>());
+            if (s.gateway) s.gateway->set_ejected(cache, order["is"].get<bool>());
         });
     }
     // Each gateway its own cache, and each second the next one.
     void change_marks(bool is) {
-        loop_.forget(next_marks_);
+        loop_.cancel(next_marks_);
         for (auto& [number, slot] : slots_) {
             if (!slot.gateway) continue;
-            if (!slot.marked.raw().empty()) slot.gateway->mark(slot.marked, false);
+            if (!slot.marked.raw().empty()) slot.gateway->set_ejected(slot.marked, false);
             slot.marked = CacheId{};
             if (!is) continue;
             slot.marked =
                 CacheId{Topology::cache_name(changing_first + (number + mark_round_) % changing_caches)};
-            slot.gateway->mark(slot.marked, true);
+            slot.gateway->set_ejected(slot.marked, true);
         }
         ++mark_round_;
-        if (is) next_marks_ = loop_.at(loop_.now() + ms * 1000, [this] { change_marks(true); });
+        if (is) next_marks_ = loop_.schedule_at(loop_.now() + ms * 1000, [this] { change_marks(true); });
     }
     void expect(const json& e) {
         expected_ = {e.at("id").get<std::int64_t>(), e.at("members").get<std::size_t>(),
@@ -249,11 +249,11 @@
         json all = json::object();
         for (const auto& [number, slot] : slots_) {
             if (!slot.gateway) continue;
-            const lab::HollowGateway& g = *slot.gateway;
+            const lab::StubGateway& g = *slot.gateway;
             all[std::to_string(number)] = {{"joined", g.joined()},
                                            {"members", g.members_known()},
                                            {"member_digest", g.member_digest()},
-                                           {"listed", g.list().size()},
+                                           {"listed", g.endpoints().size()},
                                            {"list_version", slot.list_version},
                                            {"purges", g.purges()},
                                            {"purge_digest", g.purge_digest()}};
@@ -262,33 +262,33 @@
     }
 
     // lab::HollowObserver
-    void list_in_force(const std::string& gateway, Instant at) override {
+    void on_endpoints_applied(const std::string& gateway, TimePoint at) override {
         Slot& slot = slots_.at(numbers_.at(gateway));
         if (!slot.gateway) return;
         std::int64_t version = 0;
         // Versions of the list are written as the weight of its first cache, in thousandths.
-        const auto first = slot.gateway->list().find(CacheId{Topology::cache_name(0)});
-        if (first != slot.gateway->list().end())
+        const auto first = slot.gateway->endpoints().find(CacheId{Topology::cache_name(0)});
+        if (first != slot.gateway->endpoints().end())
             version = static_cast<std::int64_t>(first->second.weight * 1000 + 0.5);
         if (version <= slot.list_version) return;
         slot.list_version = version;
         force("list", slot.number, version, at);
     }
-    void purge_in_force(const std::string& gateway, Instant purged_at, Instant at) override {
+    void on_purge_applied(const std::string& gateway, TimePoint purged_at, TimePoint at) override {
         if (report_purges_) force("purge", numbers_.at(gateway), unix_us(purged_at) / 1000, at);
     }
-    void trial_put_off(const std::string& gateway, const CacheId&, Instant at) override {
+    void on_recovery_probe_postponed(const std::string& gateway, const CacheId&, TimePoint at) override {
         if (trials_told_.insert(gateway).second) force("trial", numbers_.at(gateway), 0, at);
     }
-    void force(const char* kind, std::size_t gateway, std::int64_t id, Instant at) {
+    void force(const char* kind, std::size_t gateway, std::int64_t id, TimePoint at) {
         forced_.push_back({gateway, kind, id, unix_us(at)});
     }
 
     void tick() {
-        const Instant now = loop_.now();
+        const TimePoint now = loop_.now();
         for (auto& [number, slot] : slots_) {
             if (!slot.gateway || slot.whole_told || expected_.id == 0) continue;
-            const lab::HollowGateway& g = *slot.gateway;
+            const lab::StubGateway& g = *slot.gateway;
             if (!g.joined() || g.members_known() != expected_.members ||
                 slot.list_version < expected_.list_version || g.purges() < expected_.purges)
                 continue;
@@ -299,7 +299,7 @@
             say({{"force", std::exchange(forced_, json::array())}});
             said_ = now;
         }
-        loop_.at(now + ms * 50, [this] { tick(); });
+        loop_.schedule_at(now + ms * 50, [this] { tick(); });
     }
 
     std::map<std::size_t, Slot> slots_;
@@ -307,8 +307,8 @@
     std::set<std::string> trials_told_;
     Expected expected_;
     json forced_ = json::array();
-    Instant said_;
-    Loop::Alarm next_marks_{};
+    TimePoint said_;
+    EventLoop::Timer next_marks_{};
     std::size_t mark_round_ = 0;
     bool report_purges_ = false;
 };
@@ -327,20 +327,20 @@
         }
         if (order.contains("ask"))
             for (const json& address : order["ask"]) {
-                clients_.push_back(std::make_unique<lab::Clients>(
+                clients_.push_back(std::make_unique<lab::ClientLoad>(
                     loop_, address.get<std::string>(), "pages",
-                    Span::micros(order["every_us"].get<std::int64_t>()), ms * 2000));
+                    Duration::micros(order["every_us"].get<std::int64_t>()), ms * 2000));
                 clients_.back()->start();
             }
         json counts = json::array();
         for (const auto& c : clients_) {
             c->took_ms.clear();
-            counts.push_back({c->asked, c->satisfied, c->nacked, c->failed});
+            counts.push_back({c->sent, c->served, c->rejected, c->failed});
         }
         return {{"lookups", counts}};
     }
     std::vector<std::unique_ptr<lab::Cache>> caches_;
-    std::vector<std::unique_ptr<lab::Clients>> clients_;
+    std::vector<std::unique_ptr<lab::ClientLoad>> clients_;
 };
 
 }  // namespace
--- a/example/stub_cache.cpp
+++ b/example/stub_cache.cpp
@@ -30,12 +30,12 @@
 
 void send_all(StreamSocket& to, Buffer& out) {
     while (!out.empty())
-        out.taken(static_cast<std::size_t>(to.sendBytes(out.view().data(), static_cast<int>(out.size()))));
+        out.consumed(static_cast<std::size_t>(to.sendBytes(out.view().data(), static_cast<int>(out.size()))));
 }
 
 bool receive(StreamSocket& from, Buffer& in) {
-    const int n = from.receiveBytes(in.room(4096), 4096);
-    if (n > 0) in.filled(static_cast<std::size_t>(n));
+    const int n = from.receiveBytes(in.prepare(4096), 4096);
+    if (n > 0) in.commit(static_cast<std::size_t>(n));
     return n > 0;
 }
 
@@ -48,15 +48,15 @@
 
 void serve_cache(StreamSocket& link, const std::string& name, Store& store) {
     Buffer in, out;
-    resp::Words w;
+    resp::Arguments w;
     std::size_t used = 0;
     {
         const std::lock_guard lock(store.mutex);
         store.links.push_back(link);
     }
     while (receive(link, in)) {
-        Parsed p;
-        while ((p = resp::parse_array(in.view(), w, used)) == Parsed::whole) {
+        ParseStatus p;
+        while ((p = resp::parse_array(in.view(), w, used)) == ParseStatus::complete) {
             if (w[0] == "ECHO") resp::write_array(out, {w[1], "PONG", "-", ""});
             if (w[0] == "PULL" && w.size() > 2) {
                 const std::string object(resp::field(w[2], "asset")), via(resp::field(w[2], "via"));
@@ -77,9 +77,9 @@
                     resp::write_array(out, {w[1], "NONE", "-", ""});
                 if (!via.empty() && !resp::field(w[2], "tier").empty()) store.kept.insert(object);
             }
-            in.taken(used);
+            in.consumed(used);
         }
-        if (p == Parsed::bad) return;
+        if (p == ParseStatus::invalid) return;
         send_all(link, out);
     }
 }
@@ -89,7 +89,7 @@
     Buffer in, out;
     while (receive(link, in)) {
         if (in.view().find("\r\n\r\n") == std::string_view::npos) continue;
-        in.taken(in.size());
+        in.consumed(in.size());
         std::this_thread::sleep_for(std::chrono::seconds(1));
         const std::string body = R"({"rev":1,"notices":[]})";
         out.append("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
@@ -178,10 +178,10 @@
     fastcgi::Record r;
     std::size_t used = 0;
     while (receive(gateway, in))
-        while (fastcgi::parse_record(in.view(), r, used) == Parsed::whole) {
+        while (fastcgi::parse_record(in.view(), r, used) == ParseStatus::complete) {
             if (r.type == fastcgi::Type::std_out) std::cout << r.content;
             if (r.type == fastcgi::Type::end_request) return 0;
-            in.taken(used);
+            in.consumed(used);
         }
     return 1;
 }
--- a/include/irismux/router.hpp
+++ b/include/irismux/router.hpp
@@ -17,134 +17,134 @@
 
 namespace irismux {
 
-enum class Phase { in_service, draining, gone };
+enum class EndpointStatus { active, draining, removed };
 enum class Outcome {
     completed,
     errored,
-    saturated,
-    overdue,
-    refused_conn,
-    severed,
-    recalled,
+    overloaded,
+    deadline_exceeded,
+    connection_refused,
+    connection_reset,
+    cancelled,
     superseded,
-    lookup_miss
+    cache_miss
 };
-enum class Note {
+enum class CacheStatus {
     none,
     hit,
     filled,
     via_origin,
-    joined,
+    coalesced,
     stale,
     source_refused,
-    source_lost,
-    source_lacks,
-    no_fill_place,
+    source_unreachable,
+    source_miss,
+    no_fill_slot,
     origin_failed
 };
 
 // One line of the list of caches.
-struct Listing {
+struct EndpointUpdate {
     CacheId cache;
     LocationId location;
-    MachineId machine;
-    CellNo cell;
+    MachineType machine_type;
+    CellId cell;
     double weight = 1;
-    Phase phase = Phase::in_service;
-    Instant started;  // zero: long ago
+    EndpointStatus status = EndpointStatus::active;
+    TimePoint started_at;  // zero: long ago
 };
 
-struct Arrival {
-    LookupId id;
-    KindNo kind;
+struct Request {
+    RequestId id;
+    ObjectKindIndex kind;
     ObjectName object;
-    GroupNo group;
-    Instant expires;
-    double kbytes = 0;  // 0: not told
-    bool repeated = false;
-    bool write = false;
+    PurgeGroupId purge_group;
+    TimePoint deadline;
+    double size_kb = 0;  // 0: not told
+    bool is_client_retry = false;
+    bool is_write = false;
 };
 
 // What a cache says of its load; absent where not told.
 struct LoadReport {
-    std::optional<double> held;  // lookups in work
-    std::optional<double> waiting;
-    std::optional<double> busy;  // share of its processor
-    std::optional<double> link;  // a cache: fill of its location's link; a parent: fetches out
+    std::optional<double> active_requests;  // lookups in work
+    std::optional<double> queued_requests;
+    std::optional<double> cpu_share;   // share of its processor
+    std::optional<double> link_share;  // a cache: fill of its location's link; a parent: fetches out
     std::optional<double> hit_share;
 };
 
-struct Answer {
-    LookupId id;
-    SendNo send;
+struct AttemptResult {
+    RequestId request;
+    AttemptIndex attempt;
     CacheId cache;
     Outcome outcome = Outcome::completed;
-    Note note = Note::none;
-    Span took;
-    Span fill_wait;
-    bool last = false;  // the lookup has ended
+    CacheStatus cache_status = CacheStatus::none;
+    Duration elapsed;
+    Duration fill_wait;
+    bool request_finished = false;  // the lookup has ended
     std::optional<LoadReport> load;
 };
 
-struct ProbeAnswer {
+struct HealthCheckResult {
     CacheId cache;
     Outcome outcome = Outcome::completed;
-    Span took;
+    Duration elapsed;
     std::optional<LoadReport> load;
 };
 
-struct Fill {
+struct AttemptPlan {
     CacheId cache;
-    CacheId source;  // the cache itself: fill nothing
-    int rank = 0;    // 0: keep nothing
-    Span oldest;     // zero: the kind's fresh time
-    bool join = false;
-    bool renew = false;
-    bool held_only = false;    // the source gives only what it holds
-    bool pass_parent = false;  // the parent keeps no copy
-    Span time_out;             // zero: until the client gives up
+    CacheId source;        // the cache itself: fill nothing
+    int storage_rank = 0;  // 0: keep nothing
+    Duration max_age;      // zero: the kind's fresh time
+    bool coalesce = false;
+    bool revalidate = false;
+    bool only_if_cached = false;       // the source gives only what it holds
+    bool bypass_parent_cache = false;  // the parent keeps no copy
+    Duration timeout;                  // zero: until the client gives up
 };
 
-class Port {
+class RouterCallbacks {
 public:
-    virtual ~Port() = default;
-    virtual void send(const LookupId&, const CacheId&, Span time_out) = 0;
-    virtual void fill(const LookupId&, const Fill&) = 0;
-    virtual void cancel(const LookupId&, SendNo) = 0;
-    virtual void nack(const LookupId&, Span come_back_in) = 0;
-    virtual void fail(const LookupId&) = 0;
-    virtual void probe(const CacheId&) = 0;
-    virtual void alarm(AlarmNo, Instant) = 0;
-    virtual void watch_list() = 0;  // ask for the list's changes
-    virtual void note_down(std::string_view) = 0;
+    virtual ~RouterCallbacks() = default;
+    virtual void start_direct_attempt(const RequestId&, const CacheId&, Duration time_out) = 0;
+    virtual void start_attempt(const RequestId&, const AttemptPlan&) = 0;
+    virtual void cancel_attempt(const RequestId&, AttemptIndex) = 0;
+    virtual void reject(const RequestId&, Duration come_back_in) = 0;
+    virtual void fail(const RequestId&) = 0;
+    virtual void request_health_check(const CacheId&) = 0;
+    virtual void set_timer(TimerId, TimePoint) = 0;
+    virtual void subscribe_to_endpoints() = 0;  // ask for the list's changes
+    virtual void log(std::string_view) = 0;
     // It is passed over from now on, or no more.
-    virtual void marked(const CacheId&, bool) {}
+    virtual void on_ejection_changed(const CacheId&, bool) {}
 };
 
 class Router {
 public:
-    Router(Port&, const Deployment&, std::uint64_t seed, Instant now);
+    Router(RouterCallbacks&, const Deployment&, std::uint64_t seed, TimePoint now);
     ~Router();
     Router(Router&&) noexcept;
 
-    void on_list(Instant now, const std::vector<Listing>&, bool complete);
-    void on_list_lost(Instant now);
-    void on_lookup(Instant now, const Arrival&);
-    void on_answer(Instant now, const Answer&);
-    void on_opened(Instant now, const LookupId&, SendNo);
-    void on_client_gone(Instant now, const LookupId&);
-    void on_purge(Instant now, Span age, GroupNo, const std::optional<ObjectName>&);
-    void on_probe(Instant now, const ProbeAnswer&);
+    void on_endpoint_updates(TimePoint now, const std::vector<EndpointUpdate>&, bool complete);
+    void on_endpoint_updates_lost(TimePoint now);
+    void on_request(TimePoint now, const Request&);
+    void on_attempt_result(TimePoint now, const AttemptResult&);
+    void on_opened(TimePoint now, const RequestId&, AttemptIndex);
+    void on_client_closed(TimePoint now, const RequestId&);
+    void on_purge(TimePoint now, Duration age, PurgeGroupId, const std::optional<ObjectName>&);
+    void on_probe(TimePoint now, const HealthCheckResult&);
     // Another gateway looks at a marked cache on behalf of all: the trial that ends the mark is worth its
     // while from then on. Puts it off by one longest back-off at most; of caches that are not marked nothing
     // is kept.
-    void on_trial_from(Instant now, const CacheId&, Instant from);
-    void on_alarm(Instant now, AlarmNo);
+    void postpone_recovery_probe(TimePoint now, const CacheId&, TimePoint from);
+    void on_timer(TimePoint now, TimerId);
     // The process ends by then: lookups still at work are answered before, by effect.
-    void on_leaving(Instant now, Instant by);
+    void on_drain(TimePoint now, TimePoint by);
     // Asked right before a send's first byte: whether it may still go. Nothing leaves through the Port. A
     // send that may not is answered as one that never ran.
-    bool may_begin(Instant now, const LookupId&, SendNo);
+    bool may_begin_attempt(TimePoint now, const RequestId&, AttemptIndex);
 
 private:
     class Core;
--- a/include/irismux/time.hpp
+++ b/include/irismux/time.hpp
@@ -7,41 +7,43 @@
 
 namespace irismux {
 
-class Span {
+class Duration {
 public:
-    constexpr Span() = default;
-    static constexpr Span micros(std::int64_t us) { return Span{us}; }
-    static Span seconds(double s) { return Span{std::llround(s * 1e6)}; }
+    constexpr Duration() = default;
+    static constexpr Duration micros(std::int64_t us) { return Duration{us}; }
+    static Duration seconds(double s) { return Duration{std::llround(s * 1e6)}; }
 
     constexpr std::int64_t micros() const { return us_; }
     constexpr double seconds() const { return static_cast<double>(us_) * 1e-6; }
 
-    constexpr auto operator<=>(const Span&) const = default;
-    constexpr Span operator+(Span o) const { return Span{us_ + o.us_}; }
-    constexpr Span operator-(Span o) const { return Span{us_ - o.us_}; }
-    Span operator*(double k) const { return Span{std::llround(static_cast<double>(us_) * k)}; }
-    constexpr double operator/(Span o) const { return static_cast<double>(us_) / static_cast<double>(o.us_); }
+    constexpr auto operator<=>(const Duration&) const = default;
+    constexpr Duration operator+(Duration o) const { return Duration{us_ + o.us_}; }
+    constexpr Duration operator-(Duration o) const { return Duration{us_ - o.us_}; }
+    Duration operator*(double k) const { return Duration{std::llround(static_cast<double>(us_) * k)}; }
+    constexpr double operator/(Duration o) const {
+        return static_cast<double>(us_) / static_cast<double>(o.us_);
+    }
 
 private:
-    constexpr explicit Span(std::int64_t us) : us_(us) {}
+    constexpr explicit Duration(std::int64_t us) : us_(us) {}
     std::int64_t us_ = 0;
 };
 
-class Instant {
+class TimePoint {
 public:
-    constexpr Instant() = default;
-    static Instant at_seconds(double s) { return Instant{Span::seconds(s)}; }
+    constexpr TimePoint() = default;
+    static TimePoint at_seconds(double s) { return TimePoint{Duration::seconds(s)}; }
 
     constexpr double seconds() const { return since_zero_.seconds(); }
 
-    constexpr auto operator<=>(const Instant&) const = default;
-    constexpr Instant operator+(Span s) const { return Instant{since_zero_ + s}; }
-    constexpr Instant operator-(Span s) const { return Instant{since_zero_ - s}; }
-    constexpr Span operator-(Instant o) const { return since_zero_ - o.since_zero_; }
+    constexpr auto operator<=>(const TimePoint&) const = default;
+    constexpr TimePoint operator+(Duration s) const { return TimePoint{since_zero_ + s}; }
+    constexpr TimePoint operator-(Duration s) const { return TimePoint{since_zero_ - s}; }
+    constexpr Duration operator-(TimePoint o) const { return since_zero_ - o.since_zero_; }
 
 private:
-    constexpr explicit Instant(Span s) : since_zero_(s) {}
-    Span since_zero_;
+    constexpr explicit TimePoint(Duration s) : since_zero_(s) {}
+    Duration since_zero_;
 };
 
 }  // namespace irismux
--- a/sim/request_names.hpp
+++ b/sim/request_names.hpp
@@ -14,24 +14,24 @@
 class LookupNames {
 public:
     // A new lookup of that name.
-    LookupId begin(const std::string& name) {
-        const LookupId id{++last_};
+    RequestId begin(const std::string& name) {
+        const RequestId id{++last_};
         by_name_[name] = id;
         lookups_[id] = {name};
         return id;
     }
-    std::optional<LookupId> find(const std::string& name) const {
+    std::optional<RequestId> find(const std::string& name) const {
         const auto it = by_name_.find(name);
         return it == by_name_.end() ? std::nullopt : std::optional(it->second);
     }
-    const std::string& name_of(LookupId id) const { return lookups_.at(id).name; }
+    const std::string& name_of(RequestId id) const { return lookups_.at(id).name; }
 
-    void send_began(LookupId id) { ++lookups_.at(id).out; }
-    void send_ended(LookupId id) {
+    void send_began(RequestId id) { ++lookups_.at(id).out; }
+    void send_ended(RequestId id) {
         if (Lookup& lookup = lookups_.at(id); lookup.out > 0) --lookup.out;
     }
-    void lookup_ended(LookupId id) { lookups_.at(id).ended = true; }
-    void forget_if_over(LookupId id) {
+    void lookup_ended(RequestId id) { lookups_.at(id).ended = true; }
+    void forget_if_over(RequestId id) {
         const auto it = lookups_.find(id);
         if (it == lookups_.end() || !it->second.ended || it->second.out > 0) return;
         const auto named = by_name_.find(it->second.name);
@@ -46,8 +46,8 @@
         bool ended = false;
     };
     std::uint64_t last_ = 0;
-    std::map<std::string, LookupId> by_name_;
-    std::map<LookupId, Lookup> lookups_;
+    std::map<std::string, RequestId> by_name_;
+    std::map<RequestId, Lookup> lookups_;
 };
 
 }  // namespace irismux::sim
--- a/src/base/reading.hpp
+++ b/src/base/reading.hpp
@@ -47,7 +47,7 @@
     return it == o.end() || it->is_null() ? other : get<T>(o, key);
 }
 
-inline Span span_of(const json& o, const char* key) { return Span::seconds(get_or(o, key, 0.0)); }
+inline Duration span_of(const json& o, const char* key) { return Duration::seconds(get_or(o, key, 0.0)); }
 
 inline const json& list_of(const json& o, const char* key) {
     const json& v = need(o, key);
--- a/src/cli/fleet_in_force.cpp
+++ b/src/cli/fleet_in_force.cpp
@@ -32,31 +32,31 @@
 constexpr int exit_all_but = 3, exit_not_yet = 4;
 // Of one transaction; a registry takes 128.
 constexpr std::size_t most_reads = 120;
-constexpr Span board_answers_in = Span::micros(2'000'000);
+constexpr Duration board_answers_in = Duration::micros(2'000'000);
 
 struct Failure {
     std::string words;
 };
 
 // Counts time during which the machine sleeps.
-Instant steady_now() {
+TimePoint steady_now() {
     timespec t{};
     ::clock_gettime(CLOCK_BOOTTIME, &t);
-    return Instant{} + Span::micros(static_cast<std::int64_t>(t.tv_sec) * 1'000'000 + t.tv_nsec / 1000);
+    return TimePoint{} + Duration::micros(static_cast<std::int64_t>(t.tv_sec) * 1'000'000 + t.tv_nsec / 1000);
 }
 
 // All records behind that prefix, by what follows it.
-std::map<std::string, std::string> read_all(Talk& talk, const registry::Settings& settings,
+std::map<std::string, std::string> read_all(RegistrySession& talk, const registry::Settings& settings,
                                             const std::string& prefix) {
     std::map<std::string, std::string> all;
     std::optional<registry::RecordKey> after;
     registry::Revision at;
     for (;;) {
-        const auto [status, body] = talk.ask(etcd::range(prefix, after, at, settings.page));
+        const auto [status, body] = talk.request(etcd::range(prefix, after, at, settings.page_size));
         const auto read = etcd::read_range(status, body, prefix);
-        if (const auto* problem = std::get_if<etcd::Problem>(&read)) throw Failure{problem->words};
+        if (const auto* problem = std::get_if<etcd::Error>(&read)) throw Failure{problem->message};
         const registry::Page& page = std::get<etcd::Range>(read).page;
-        if (at == registry::Revision{}) at = page.from.revision;
+        if (at == registry::Revision{}) at = page.origin.revision;
         for (const auto& r : page.records) all[r.key.raw()] = r.value;
         if (!page.more || page.records.empty()) return all;
         after = page.records.back().key;
@@ -64,24 +64,25 @@
 }
 
 // Those records, at one revision each for up to `most_reads` of them.
-std::map<std::string, std::string> read_keys(Talk& talk, const registry::Settings& settings,
+std::map<std::string, std::string> read_keys(RegistrySession& talk, const registry::Settings& settings,
                                              const std::vector<std::string>& paths) {
     std::map<std::string, std::string> all;
     for (std::size_t first = 0; first < paths.size(); first += most_reads) {
         std::vector<std::string> keys;
         for (std::size_t n = first; n < std::min(paths.size(), first + most_reads); ++n)
             keys.push_back(settings.prefix + paths[n]);
-        const auto [status, body] = talk.ask(etcd::settle({}, {}, keys));
-        const auto read = etcd::read_settled(status, body, settings.prefix);
-        if (const auto* problem = std::get_if<etcd::Problem>(&read)) throw Failure{problem->words};
-        for (const auto& r : std::get<etcd::Settled>(read).shown) all[r.key.raw()] = r.value;
+        const auto [status, body] = talk.request(etcd::transaction({}, {}, keys));
+        const auto read = etcd::read_transaction_result(status, body, settings.prefix);
+        if (const auto* problem = std::get_if<etcd::Error>(&read)) throw Failure{problem->message};
+        for (const auto& r : std::get<etcd::TransactionResult>(read).records) all[r.key.raw()] = r.value;
     }
     return all;
 }
 
 // The generation is read last: digests of a former one are told apart from it.
-FleetStatus::Reading read_status(Talk& talk, const Settings& settings, const FleetStatus& status) {
-    FleetStatus::Reading reading;
+FleetStatus::RegistryReading read_status(RegistrySession& talk, const Settings& settings,
+                                         const FleetStatus& status) {
+    FleetStatus::RegistryReading reading;
     reading.asked = steady_now();
     std::vector<std::string> paths;
     std::map<std::string, SiteName> sites;
@@ -119,8 +120,8 @@
     return EventNumber{all["rev"].get<std::int64_t>()};
 }
 
-std::string_view word_of(FleetStatus::Why why) {
-    using Why = FleetStatus::Why;
+std::string_view word_of(FleetStatus::MissingReason why) {
+    using Why = FleetStatus::MissingReason;
     switch (why) {
         case Why::absent:
             return "cut off, dead or left";
@@ -155,17 +156,18 @@
         std::cout << "  ";
         if (!m.site.raw().empty()) std::cout << "site " << m.site.raw() << ' ';
         if (!m.member.raw().empty()) std::cout << m.member.raw() << ' ';
-        std::cout << word_of(m.why);
+        std::cout << word_of(m.reason);
         if (m.since_ms > 0) std::cout << ", since " << m.since_ms << " (Unix ms)";
         std::cout << '\n';
     }
 }
 
-FleetStatus::Verdict ask_until(Talk& talk, const Settings& settings, const InForceQuestion& question) {
-    const FleetStatus::Question asked{EventNumber{question.event},
-                                      ConfigurationNumber{question.configuration}};
-    const Span term = settings.shared_config.term;
-    const Instant end = steady_now() + std::max(Span::seconds(question.wait_s), term * least_wait_of_term);
+FleetStatus::Verdict ask_until(RegistrySession& talk, const Settings& settings,
+                               const InForceQuestion& question) {
+    const FleetStatus::Query asked{EventNumber{question.event}, ConfigurationNumber{question.configuration}};
+    const Duration term = settings.shared_config.term;
+    const TimePoint end =
+        steady_now() + std::max(Duration::seconds(question.wait_s), term * least_wait_of_term);
     FleetStatus status(term, settings.inventory);
     for (;;) {
         status.on_reading(read_status(talk, settings, status));
@@ -178,25 +180,26 @@
 }
 
 // The exit code of a record that was written, or not.
-int settle(Talk& talk, const registry::Settings& settings, const std::vector<etcd::KeyValue>& compares,
-           const std::vector<etcd::KeyValue>& writes, const std::string& done) {
-    const auto answer = talk.ask_once(etcd::settle(compares, writes, {}));
-    if (!answer) return wrong("no answer: whether it is written can't be told, look again");
-    const auto read = etcd::read_settled(answer->first, answer->second, settings.prefix);
-    if (const auto* problem = std::get_if<etcd::Problem>(&read)) return wrong(problem->words);
-    if (!std::get<etcd::Settled>(read).held)
-        return wrong("the records have changed meanwhile: nothing is written, look again");
+int settle(RegistrySession& talk, const registry::Settings& settings,
+           const std::vector<etcd::KeyValue>& compares, const std::vector<etcd::KeyValue>& writes,
+           const std::string& done) {
+    const auto answer = talk.request_once(etcd::transaction(compares, writes, {}));
+    if (!answer) return print_error("no answer: whether it is written can't be told, look again");
+    const auto read = etcd::read_transaction_result(answer->first, answer->second, settings.prefix);
+    if (const auto* problem = std::get_if<etcd::Error>(&read)) return print_error(problem->message);
+    if (!std::get<etcd::TransactionResult>(read).succeeded)
+        return print_error("the records have changed meanwhile: nothing is written, look again");
     std::cout << done << '\n';
     return 0;
 }
 
 template <class Step>
 int guarded(const Settings& settings, Step step) {
-    return talking(settings.registry, [&](Talk& talk) {
+    return with_session(settings.registry, [&](RegistrySession& talk) {
         try {
             return step(talk);
         } catch (const Failure& f) {
-            return wrong(f.words);
+            return print_error(f.words);
         }
     });
 }
@@ -205,9 +208,9 @@
 
 int fleet_in_force(const Settings& settings, const InForceQuestion& question) {
     if (question.event <= 0 && question.configuration <= 0)
-        return wrong("ask for --event or --configuration");
-    if (question.event > 0 && question.board.empty()) return wrong("--event needs --board");
-    return guarded(settings, [&](Talk& talk) {
+        return print_error("ask for --event or --configuration");
+    if (question.event > 0 && question.board.empty()) return print_error("--event needs --board");
+    return guarded(settings, [&](RegistrySession& talk) {
         const auto verdict = ask_until(talk, settings, question);
         print(verdict);
         if (verdict.reach == FleetStatus::Reach::everywhere) return 0;
@@ -216,15 +219,15 @@
 }
 
 int fleet_forget(const Settings& settings, const std::string& site, const std::string& member) {
-    return guarded(settings, [&](Talk& talk) {
+    return guarded(settings, [&](RegistrySession& talk) {
         const std::string roster = path_of(roster_key(), SiteName{site}),
                           record = path_of(member_key(MemberName{member}), SiteName{site});
         const auto shown = read_keys(talk, settings.registry, {roster, record});
         const auto known = shown.contains(roster) ? read_roster(shown.at(roster)) : std::nullopt;
         if (!known || !known->names.contains(MemberName{member}))
-            return wrong("no gateway " + member + " is known in site " + site);
-        if (shown.contains(record)) return wrong(member + " is a member: stop it first");
-        Roster next = *known;
+            return print_error("no gateway " + member + " is known in site " + site);
+        if (shown.contains(record)) return print_error(member + " is a member: stop it first");
+        SiteRoster next = *known;
         next.names.erase(MemberName{member});
         const std::string& prefix = settings.registry.prefix;
         std::vector<etcd::KeyValue> writes{
@@ -239,7 +242,7 @@
 }
 
 int fleet_new_generation(const Settings& settings) {
-    return guarded(settings, [&](Talk& talk) {
+    return guarded(settings, [&](RegistrySession& talk) {
         const std::string path = path_of(generation_key(), SiteName{"-"});
         const auto shown = read_keys(talk, settings.registry, {path});
         const Text was = shown.contains(path) ? Text{shown.at(path)} : Text{};
--- a/src/cli/registry_session.hpp
+++ b/src/cli/registry_session.hpp
@@ -16,19 +16,19 @@
 
 namespace irismux::cli {
 
-class Talk {
+class RegistrySession {
 public:
     // The settings must outlive it.
-    explicit Talk(const registry::Settings& settings) : settings_(settings) {}
+    explicit RegistrySession(const registry::Settings& settings) : settings_(settings) {}
 
     // From the first member that takes connections. Throws Poco::Exception where none can be reached.
-    std::pair<int, std::string> ask(const registry::etcd::Request& request);
+    std::pair<int, std::string> request(const registry::etcd::Request& request);
     // As ask(), for what must not be sent twice: none where it went out and no answer came, which says
     // neither that it was done nor that it was not.
-    std::optional<std::pair<int, std::string>> ask_once(const registry::etcd::Request& request);
+    std::optional<std::pair<int, std::string>> request_once(const registry::etcd::Request& request);
 
 private:
-    void log_in(const registry::etcd::Request& request);
+    void authenticate(const registry::etcd::Request& request);
     std::pair<int, std::string> exchange(Poco::Net::HTTPClientSession& session,
                                          const registry::etcd::Request& request);
 
@@ -37,16 +37,16 @@
 };
 
 // One line on standard error, and the exit code that goes with it.
-int wrong(const std::string& why);
+int print_error(const std::string& why);
 
 // What the step returns, or that no member was reached.
 template <class Step>
-int talking(const registry::Settings& settings, Step step) {
+int with_session(const registry::Settings& settings, Step step) {
     try {
-        Talk talk(settings);
+        RegistrySession talk(settings);
         return step(talk);
     } catch (const Poco::Exception& e) {
-        return wrong(e.displayText());
+        return print_error(e.displayText());
     }
 }
 
--- a/src/codec/buffer.hpp
+++ b/src/codec/buffer.hpp
@@ -16,7 +16,7 @@
     std::size_t size() const { return tail_ - head_; }
 
     // Room for so many more bytes behind what is held.
-    char* room(std::size_t n) {
+    char* prepare(std::size_t n) {
         if (capacity_ - tail_ >= n) return store_.get() + tail_;
         if (head_ > 0 && capacity_ - size() >= n) {
             std::memmove(store_.get(), store_.get() + head_, size());
@@ -32,27 +32,27 @@
         return store_.get() + tail_;
     }
     std::size_t free_room() const { return capacity_ - tail_; }
-    void filled(std::size_t n) { tail_ += n; }
+    void commit(std::size_t n) { tail_ += n; }
 
     void append(std::string_view bytes) {
         if (bytes.empty()) return;
-        std::memcpy(room(bytes.size()), bytes.data(), bytes.size());
-        filled(bytes.size());
+        std::memcpy(prepare(bytes.size()), bytes.data(), bytes.size());
+        commit(bytes.size());
     }
     // Takes back the last bytes appended.
-    void cut(std::size_t n) { tail_ -= n; }
-    void taken(std::size_t n) {
+    void consume(std::size_t n) { tail_ -= n; }
+    void consumed(std::size_t n) {
         head_ += n;
         if (head_ != tail_) return;
         head_ = tail_ = 0;
-        if (capacity_ <= kept) return;
+        if (capacity_ <= capacity) return;
         // Hundreds of connections would each keep the largest message that they ever carried.
         store_.reset();
         capacity_ = 0;
     }
 
 private:
-    static constexpr std::size_t kept = 16 * 1024;
+    static constexpr std::size_t capacity = 16 * 1024;
     std::unique_ptr<char[]> store_;
     std::size_t capacity_ = 0, head_ = 0, tail_ = 0;
 };
--- a/src/codec/fastcgi.cpp
+++ b/src/codec/fastcgi.cpp
@@ -42,15 +42,15 @@
 
 }  // namespace
 
-Parsed parse_record(std::string_view bytes, Record& record, std::size_t& used) {
-    if (!bytes.empty() && byte_at(bytes, 0) != version) return Parsed::bad;
-    if (bytes.size() < header_size) return Parsed::more;
+ParseStatus parse_record(std::string_view bytes, Record& record, std::size_t& used) {
+    if (!bytes.empty() && byte_at(bytes, 0) != version) return ParseStatus::invalid;
+    if (bytes.size() < header_size) return ParseStatus::incomplete;
     const std::size_t content = two_at(bytes, 4);
     const std::size_t whole = header_size + content + byte_at(bytes, 6);
-    if (bytes.size() < whole) return Parsed::more;
+    if (bytes.size() < whole) return ParseStatus::incomplete;
     record = {static_cast<Type>(byte_at(bytes, 1)), two_at(bytes, 2), bytes.substr(header_size, content)};
     used = whole;
-    return Parsed::whole;
+    return ParseStatus::complete;
 }
 
 std::size_t announced(std::string_view bytes, Record& record) {
@@ -59,21 +59,21 @@
     return two_at(bytes, 4);
 }
 
-Parsed parse_begin(std::string_view content, Begin& begin) {
-    if (content.size() != 8) return Parsed::bad;
+ParseStatus parse_begin(std::string_view content, Begin& begin) {
+    if (content.size() != 8) return ParseStatus::invalid;
     begin = {two_at(content, 0), (byte_at(content, 2) & keep_conn) != 0};
-    return Parsed::whole;
+    return ParseStatus::complete;
 }
 
-Parsed parse_pairs(std::string_view bytes, Pairs& pairs) {
+ParseStatus parse_pairs(std::string_view bytes, Pairs& pairs) {
     while (!bytes.empty()) {
         std::size_t name = 0, value = 0;
-        if (!take_length(bytes, name) || !take_length(bytes, value)) return Parsed::bad;
-        if (name > bytes.size() || value > bytes.size() - name) return Parsed::bad;
+        if (!take_length(bytes, name) || !take_length(bytes, value)) return ParseStatus::invalid;
+        if (name > bytes.size() || value > bytes.size() - name) return ParseStatus::invalid;
         pairs.emplace_back(bytes.substr(0, name), bytes.substr(name, value));
         bytes.remove_prefix(name + value);
     }
-    return Parsed::whole;
+    return ParseStatus::complete;
 }
 
 void write_record(Buffer& out, Type type, std::uint16_t request, std::string_view content) {
--- a/src/codec/fastcgi.hpp
+++ b/src/codec/fastcgi.hpp
@@ -43,7 +43,7 @@
 };
 
 // The first record of the bytes; `used` counts its padding too.
-Parsed parse_record(std::string_view bytes, Record& record, std::size_t& used);
+ParseStatus parse_record(std::string_view bytes, Record& record, std::size_t& used);
 // The length of the content of a record that is not whole yet, as far as its head tells; and whose it is.
 std::size_t announced(std::string_view bytes, Record& record);
 
@@ -51,11 +51,11 @@
     std::uint16_t role = 0;
     bool keep = false;
 };
-Parsed parse_begin(std::string_view content, Begin& begin);
+ParseStatus parse_begin(std::string_view content, Begin& begin);
 
 using Pairs = std::vector<std::pair<std::string_view, std::string_view>>;
 // All pairs of a whole stream.
-Parsed parse_pairs(std::string_view bytes, Pairs& pairs);
+ParseStatus parse_pairs(std::string_view bytes, Pairs& pairs);
 
 void write_record(Buffer& out, Type type, std::uint16_t request, std::string_view content);
 // As many records as the bytes need; none for no bytes.
--- a/src/codec/http.hpp
+++ b/src/codec/http.hpp
@@ -14,7 +14,7 @@
 
 namespace irismux::http {
 
-struct Answer {
+struct Response {
     int status = 0;
     bool close = false;
     std::string body;
@@ -31,11 +31,11 @@
     bool framed() const { return chunked || sized; }
 };
 
-Parsed parse_head(std::string_view bytes, Head& head, std::size_t& used);
+ParseStatus parse_head(std::string_view bytes, Head& head, std::size_t& used);
 // One chunk; an empty one ends the stream.
-Parsed parse_chunk(std::string_view bytes, std::string_view& chunk, std::size_t& used);
+ParseStatus parse_chunk(std::string_view bytes, std::string_view& chunk, std::size_t& used);
 
-Parsed parse_answer(std::string_view bytes, Answer& answer, std::size_t& used);
+ParseStatus parse_response(std::string_view bytes, Response& answer, std::size_t& used);
 
 // Takes the framing (a length, or chunks) off one body as it arrives. Holds nothing of it.
 class BodyReader {
@@ -44,12 +44,12 @@
 
     // Reads from the first bytes not used yet: `piece` is the next part of the body, a view into `bytes`.
     // `more` with nothing used: further bytes have to arrive first. `whole`: the body has ended.
-    Parsed next(std::string_view bytes, std::string_view& piece, std::size_t& used);
+    ParseStatus next(std::string_view bytes, std::string_view& piece, std::size_t& used);
 
 private:
     enum class Expecting { data, chunk_size, chunk_end, trailer, nothing };
 
-    Parsed next_line(std::string_view bytes, std::size_t& used);
+    ParseStatus next_line(std::string_view bytes, std::size_t& used);
 
     bool chunked_;
     Expecting expecting_;
--- a/src/codec/notices.cpp
+++ b/src/codec/notices.cpp
@@ -115,7 +115,7 @@
     }
     waiting_bytes_ += text.size() + sizeof(Notice);
     waiting_.push_back(std::move(read));
-    if (waiting_bytes_ > most_waiting_bytes) fail("too many events without a number of their own");
+    if (waiting_bytes_ > max_waiting_bytes) fail("too many events without a number of their own");
 }
 
 Notice NoticeReader::read_element(const std::string& text, bool too_large) const {
@@ -179,7 +179,7 @@
 void NoticeReader::scan_bracket(char c) {
     if (c == '{' || c == '[') {
         ++depth_;
-        too_large_ = too_large_ || depth_ > deepest_notice;
+        too_large_ = too_large_ || depth_ > max_depth;
     } else if ((c == '}' || c == ']') && depth_ > 0) {
         --depth_;
     }
@@ -187,7 +187,7 @@
 
 // Guards the memory: what is too large is read through and not kept.
 void NoticeReader::keep(std::string_view bytes) {
-    too_large_ = too_large_ || text_.size() + bytes.size() > most_notice_bytes;
+    too_large_ = too_large_ || text_.size() + bytes.size() > max_notice_bytes;
     if (too_large_)
         text_.clear();
     else
--- a/src/codec/notices.hpp
+++ b/src/codec/notices.hpp
@@ -29,17 +29,17 @@
 class NoticeReader {
 public:
     // A longer one is not kept: it is told as one that can't be read. Enough for a list of some 5,000 caches.
-    static constexpr std::size_t most_notice_bytes = 1 << 20;
-    static constexpr int deepest_notice = 32;  // brackets within brackets
+    static constexpr std::size_t max_notice_bytes = 1 << 20;
+    static constexpr int max_depth = 32;  // brackets within brackets
     // Notices without a number of their own wait for the answer's, in so many bytes.
-    static constexpr std::size_t most_waiting_bytes = most_notice_bytes;
+    static constexpr std::size_t max_waiting_bytes = max_notice_bytes;
 
     // The next bytes, once next() has returned nothing.
     void feed(std::string_view piece);
     // The next notice; none: more bytes are needed, or the answer is whole, or it can't be read.
     std::optional<Notice> next();
 
-    bool whole() const { return place_ == Place::end && error_.empty(); }
+    bool complete() const { return place_ == Place::end && error_.empty(); }
     // Why the rest of the answer can't be read; empty: it can.
     const std::string& error() const { return error_; }
     std::optional<std::int64_t> revision() const { return revision_; }  // the answer's, once it has come
--- a/src/codec/parse_status.hpp
+++ b/src/codec/parse_status.hpp
@@ -3,6 +3,6 @@
 
 namespace irismux {
 
-enum class Parsed { more, whole, bad };
+enum class ParseStatus { incomplete, complete, invalid };
 
 }  // namespace irismux
--- a/src/codec/resp.cpp
+++ b/src/codec/resp.cpp
@@ -13,43 +13,44 @@
 constexpr std::size_t longest_head = 24;
 
 // A line "<mark><number>\r\n".
-Parsed take_number(std::string_view& s, char mark, long most, long& n) {
-    if (s.empty()) return Parsed::more;
-    if (s[0] != mark) return Parsed::bad;
+ParseStatus take_number(std::string_view& s, char mark, long most, long& n) {
+    if (s.empty()) return ParseStatus::incomplete;
+    if (s[0] != mark) return ParseStatus::invalid;
     const std::size_t end = s.find("\r\n");
-    if (end == std::string_view::npos) return s.size() > longest_head ? Parsed::bad : Parsed::more;
+    if (end == std::string_view::npos)
+        return s.size() > longest_head ? ParseStatus::invalid : ParseStatus::incomplete;
     const auto [p, error] = std::from_chars(s.data() + 1, s.data() + end, n);
-    if (error != std::errc{} || p != s.data() + end || n < -1 || n > most) return Parsed::bad;
+    if (error != std::errc{} || p != s.data() + end || n < -1 || n > most) return ParseStatus::invalid;
     s.remove_prefix(end + 2);
-    return Parsed::whole;
+    return ParseStatus::complete;
 }
 
 }  // namespace
 
-Parsed parse_array(std::string_view bytes, Words& words, std::size_t& used) {
+ParseStatus parse_array(std::string_view bytes, Arguments& words, std::size_t& used) {
     words.clear();
     std::string_view s = bytes;
     std::size_t all = 0;
     long count = 0;
-    if (const Parsed p = take_number(s, '*', most_words, count); p != Parsed::whole) return p;
+    if (const ParseStatus p = take_number(s, '*', most_words, count); p != ParseStatus::complete) return p;
     for (long i = 0; i < count; ++i) {
         long n = 0;
-        if (const Parsed p = take_number(s, '$', most_bytes, n); p != Parsed::whole) return p;
+        if (const ParseStatus p = take_number(s, '$', most_bytes, n); p != ParseStatus::complete) return p;
         if (n < 0) {
             words.emplace_back();
             continue;
         }
         const auto length = static_cast<std::size_t>(n);
         all += length;
-        if (all > most_bytes + most_besides) return Parsed::bad;
-        if (s.size() >= length + 1 && s[length] != '\r') return Parsed::bad;
-        if (s.size() < length + 2) return Parsed::more;
-        if (s[length + 1] != '\n') return Parsed::bad;
+        if (all > most_bytes + most_besides) return ParseStatus::invalid;
+        if (s.size() >= length + 1 && s[length] != '\r') return ParseStatus::invalid;
+        if (s.size() < length + 2) return ParseStatus::incomplete;
+        if (s[length + 1] != '\n') return ParseStatus::invalid;
         words.push_back(s.substr(0, length));
         s.remove_prefix(length + 2);
     }
     used = bytes.size() - s.size();
-    return Parsed::whole;
+    return ParseStatus::complete;
 }
 
 void write_array(Buffer& out, std::initializer_list<std::string_view> words) {
--- a/src/codec/resp.hpp
+++ b/src/codec/resp.hpp
@@ -12,10 +12,10 @@
 
 namespace irismux::resp {
 
-using Words = std::vector<std::string_view>;
+using Arguments = std::vector<std::string_view>;
 
 // The first array of the bytes. A null string reads as an empty one.
-Parsed parse_array(std::string_view bytes, Words& words, std::size_t& used);
+ParseStatus parse_array(std::string_view bytes, Arguments& words, std::size_t& used);
 void write_array(Buffer& out, std::initializer_list<std::string_view> words);
 
 // FIELDS, as in "name=value,name=value" or "-".
--- a/src/endpoint/endpoint_record.hpp
+++ b/src/endpoint/endpoint_record.hpp
@@ -11,12 +11,12 @@
 
 namespace irismux {
 
-using ListLine = std::pair<Listing, std::string>;  // with its address; empty: as before
+using EndpointRecord = std::pair<EndpointUpdate, std::string>;  // with its address; empty: as before
 
 // Throws std::runtime_error with plain words for what is wrong.
-ListLine read_list_line(const nlohmann::json& line);
+EndpointRecord parse_endpoint_record(const nlohmann::json& line);
 
 // An instant of the Unix clock.
-Instant unix_ms(std::int64_t ms);
+TimePoint time_from_unix_ms(std::int64_t ms);
 
 }  // namespace irismux
--- a/src/endpoint/endpoint_table.hpp
+++ b/src/endpoint/endpoint_table.hpp
@@ -14,37 +14,37 @@
 
 namespace irismux {
 
-class CacheLink;
+class CacheConnection;
 
 // The one record a cache.
-struct Peer {
-    Listing listing;
+struct Endpoint {
+    EndpointUpdate update;
     std::string address;
-    std::vector<std::shared_ptr<CacheLink>> links;
+    std::vector<std::shared_ptr<CacheConnection>> connections;
 };
 
-class Roster {
+class EndpointTable {
 public:
-    explicit Roster(Span purge_done) : purges_(purge_done) {}
+    explicit EndpointTable(Duration purge_done) : purges_(purge_done) {}
 
-    void told(const std::vector<std::pair<Listing, std::string>>& lines, bool complete);
-    Peer* find(const CacheId& id);
-    bool in_service(const CacheId& id) const;
-    void each(const std::function<void(Peer&)>& visit);
-    std::size_t listed_at(const LocationId& location) const;
+    void apply(const std::vector<std::pair<EndpointUpdate, std::string>>& lines, bool complete);
+    Endpoint* find(const CacheId& id);
+    bool is_active(const CacheId& id) const;
+    void for_each(const std::function<void(Endpoint&)>& visit);
+    std::size_t count_at(const LocationId& location) const;
     // Forgets a cache that is gone once nothing is connected to it.
-    void drop_if_gone(const CacheId& id);
+    void erase_if_removed(const CacheId& id);
 
-    static constexpr std::size_t most_purges = Purges::most_purges;
+    static constexpr std::size_t max_purges = PurgeTable::max_purges;
 
-    void purged(Instant at, GroupNo group, const std::optional<ObjectName>& object, Instant now);
-    std::size_t purges_kept() const { return purges_.kept(); }
+    void add_purge(TimePoint at, PurgeGroupId group, const std::optional<ObjectName>& object, TimePoint now);
+    std::size_t purge_count() const { return purges_.size(); }
     // The age that a copy may have at most after the purges so far; none if no purge binds.
-    std::optional<Span> purge_bound(const Arrival& lk, Instant now) const;
+    std::optional<Duration> max_age_after_purges(const Request& lk, TimePoint now) const;
 
 private:
-    std::map<CacheId, Peer> peers_;
-    Purges purges_;
+    std::map<CacheId, Endpoint> endpoints_;
+    PurgeTable purges_;
 };
 
 }  // namespace irismux
--- a/src/fleet/agent.cpp
+++ b/src/fleet/agent.cpp
@@ -16,10 +16,10 @@
 
 // The owner's last heartbeat is read a round late at worst, and found unchanged for the wait a round late
 // again; then follow an eviction, a claim, and the sleeps before either is found due.
-Span longest_without_owner(const SharedConfig& shared_config, Span answer, std::size_t places) {
+Duration longest_without_owner(const SharedConfig& shared_config, Duration answer, std::size_t places) {
     const Membership membership(shared_config, MemberName{});
     const double rounds = 2 + claim_delay_per_rank * static_cast<double>(places) + 2 * longest_sleep;
-    return membership.wait() + membership.round() * rounds + answer * 4;
+    return membership.eviction_timeout() + membership.heartbeat_interval() * rounds + answer * 4;
 }
 
 Agent::Agent(RegistryPort& registry, AgentObserver& observer, const SharedConfig& shared_config,
@@ -39,19 +39,21 @@
 // --- events
 
 // Members that start at the same time, as after a power failure, do not all send at the same time.
-void Agent::start(Instant now) {
+void Agent::start(TimePoint now) {
     started_ = true;
-    if (identity_.spread) next_submit_ = now + membership_.round() * (start_spread * random_fraction());
+    if (identity_.randomized)
+        next_submit_ = now + membership_.heartbeat_interval() * (start_spread * random_fraction());
     advance(now);
 }
 
-void Agent::leave(Instant now) {
+void Agent::leave(TimePoint now) {
     leaving_ = true;
     advance(now);
 }
 
-void Agent::set_duties(Instant now, const std::set<DutyName>& names) {
-    if (!duties_.set_names(names)) observer_->remark("there are more duties than this gateway can follow");
+void Agent::set_duties(TimePoint now, const std::set<DutyName>& names) {
+    if (!duties_.set_names(names))
+        observer_->on_warning("there are more duties than this gateway can follow");
     std::vector<DutyName> finished;
     for (auto& [name, duty] : duties_.all()) {
         if (duty.wanted) continue;
@@ -66,20 +68,20 @@
     advance(now);
 }
 
-void Agent::set_marked_caches(Instant now, std::set<CacheId> caches) {
-    while (caches.size() > most_marks) caches.erase(std::prev(caches.end()));
-    marked_caches_ = std::move(caches);
+void Agent::set_ejected_caches(TimePoint now, std::set<CacheId> caches) {
+    while (caches.size() > max_published_ejections) caches.erase(std::prev(caches.end()));
+    ejected_caches_ = std::move(caches);
     advance(now);
 }
 
-void Agent::set_claim(Instant now, const std::optional<InForce>& claim) {
-    if (claim == claim_) return;
-    claim_ = claim;
+void Agent::set_applied_revisions(TimePoint now, const std::optional<AppliedRevisions>& claim) {
+    if (claim == applied_revisions_) return;
+    applied_revisions_ = claim;
     acknowledge_soon(now);
     advance(now);
 }
 
-void Agent::set_heartbeat_reads(Instant now, HeartbeatReads reads) {
+void Agent::set_heartbeat_reads(TimePoint now, HeartbeatReads reads) {
     if (reads == reads_) return;
     reads_ = std::move(reads);
     if (reads_.frequent) acknowledge_soon(now);
@@ -87,25 +89,25 @@
 }
 
 // Changes within the pause go out together.
-void Agent::acknowledge_soon(Instant now) {
+void Agent::acknowledge_soon(TimePoint now) {
     if (in_site())
         next_heartbeat_ =
-            std::min(next_heartbeat_, std::max(now, heartbeat_sent_ + identity_.acknowledge_every));
+            std::min(next_heartbeat_, std::max(now, heartbeat_sent_ + identity_.acknowledge_interval));
 }
 
-void Agent::on_records(Instant now, registry::Revision at, const std::vector<Entry>& records,
+void Agent::on_records(TimePoint now, registry::Revision at, const std::vector<Entry>& records,
                        bool full_list) {
     if (full_list) on_full_list(now, records);
     learn(now, at, records);
     advance(now);
 }
 
-void Agent::on_transaction_result(Instant now, registry::Revision at, bool held,
+void Agent::on_transaction_result(TimePoint now, registry::Revision at, bool held,
                                   const std::vector<Entry>& shown) {
     const Purpose purpose = std::exchange(purpose_, Purpose::none);
     if (purpose == Purpose::none) return;
     unanswered_ = 0;
-    if (at < newest_) observer_->on_registry_went_back();
+    if (at < newest_) observer_->on_registry_restored();
     newest_ = at;
     if (purpose == Purpose::write) finish_write(held ? WriteOutcome::written : WriteOutcome::refused);
     if (purpose == Purpose::join) join_unanswered_ = false;
@@ -122,11 +124,11 @@
     // The cause may not be visible from here, such as a record in a newer form: not repeated at once.
     const bool may_fail_again =
         purpose == Purpose::claim || purpose == Purpose::evict || purpose == Purpose::publish;
-    if (!held && may_fail_again) next_submit_ = now + membership_.round() * retry_pause;
+    if (!held && may_fail_again) next_submit_ = now + membership_.heartbeat_interval() * retry_pause;
     advance(now);
 }
 
-void Agent::on_no_answer(Instant now) {
+void Agent::on_no_answer(TimePoint now) {
     const Purpose purpose = std::exchange(purpose_, Purpose::none);
     if (purpose == Purpose::none) return;
     if (purpose == Purpose::write) finish_write(WriteOutcome::unknown);
@@ -138,14 +140,14 @@
     advance(now);
 }
 
-void Agent::on_wake(Instant now) {
+void Agent::on_wake(TimePoint now) {
     if (purpose_ != Purpose::none && now >= answer_due_) return on_no_answer(now);
     advance(now);
 }
 
 // --- what records show
 
-void Agent::on_full_list(Instant now, const std::vector<Entry>& records) {
+void Agent::on_full_list(TimePoint now, const std::vector<Entry>& records) {
     std::set<MemberName> members;
     std::set<DutyName> duties;
     bool floor_listed = false;
@@ -160,7 +162,7 @@
     if (!floor_listed) token_floor_.reset();
 }
 
-void Agent::learn(Instant now, registry::Revision at, const std::vector<Entry>& shown) {
+void Agent::learn(TimePoint now, registry::Revision at, const std::vector<Entry>& shown) {
     const bool hold = reads_all_heartbeats();
     for (const auto& [key, text] : shown) {
         if (const auto name = member_of(key)) membership_.record(now, at, *name, text);
@@ -168,7 +170,7 @@
             if (duties_.record(at, *name, text)) on_duty_record(*name, duties_.all().at(*name));
         if (const auto name = released_duty_of(key))
             if (const auto it = duties_.all().find(*name); it != duties_.all().end())
-                it->second.released = text ? read_release(*text) : std::nullopt;
+                it->second.released = text ? parse_release(*text) : std::nullopt;
         if (key == floor_key() && at >= token_floor_at_) {
             token_floor_ = text;
             token_floor_at_ = at;
@@ -180,15 +182,15 @@
 
 // --- one transaction at a time
 
-void Agent::advance(Instant now) {
+void Agent::advance(TimePoint now) {
     update_leases(now);
     if (!started_) return;
     if (purpose_ == Purpose::none && now >= next_submit_) submit_next(now);
     schedule_next(now);
 }
 
-void Agent::submit_next(Instant now) {
-    if (!membership_.in()) {
+void Agent::submit_next(TimePoint now) {
+    if (!membership_.joined()) {
         if (!leaving_) read_own_records(now);
     } else if (leaving_) {
         submit_leave(now);
@@ -199,28 +201,28 @@
     }
 }
 
-void Agent::schedule_next(Instant now) {
-    Instant at = now + membership_.round() * longest_sleep;
+void Agent::schedule_next(TimePoint now) {
+    TimePoint at = now + membership_.heartbeat_interval() * longest_sleep;
     if (purpose_ != Purpose::none)
         at = std::min(at, answer_due_);
     else
-        at = std::min(at, std::max(next_submit_, membership_.in() ? next_heartbeat_ : next_submit_));
+        at = std::min(at, std::max(next_submit_, membership_.joined() ? next_heartbeat_ : next_submit_));
     if (membership_.in_term(now)) at = std::min(at, membership_.end());
     if (membership_.listening(now)) at = std::min(at, membership_.listens_until());
-    registry_->schedule_wake(std::max(at, now + Span::micros(1)));
+    registry_->schedule_wake(std::max(at, now + Duration::micros(1)));
 }
 
-void Agent::submit(Instant now, Purpose purpose, Transaction transaction) {
+void Agent::submit(TimePoint now, Purpose purpose, Transaction transaction) {
     purpose_ = purpose;
     transaction_ = std::move(transaction);
-    answer_due_ = now + identity_.answer_in;
+    answer_due_ = now + identity_.reply_timeout;
     registry_->submit(transaction_);
 }
 
-void Agent::back_off(Instant now) {
+void Agent::back_off(TimePoint now) {
     const double doubled = 1 << std::min(unanswered_++, most_doublings);
-    const double drawn = identity_.spread ? random_fraction() : 1.0;
-    next_submit_ = now + membership_.round() * (retry_pause * doubled * (0.5 + drawn / 2));
+    const double drawn = identity_.randomized ? random_fraction() : 1.0;
+    next_submit_ = now + membership_.heartbeat_interval() * (retry_pause * doubled * (0.5 + drawn / 2));
 }
 
 double Agent::random_fraction() {
--- a/src/fleet/agent.hpp
+++ b/src/fleet/agent.hpp
@@ -38,7 +38,7 @@
     // Replaces the transaction before, whose result must not be delivered any more.
     virtual void submit(const Transaction&) = 0;
     // Calls on_wake() at that instant; replaces the instant before.
-    virtual void schedule_wake(Instant at) = 0;
+    virtual void schedule_wake(TimePoint at) = 0;
 };
 
 // Who is told about an Agent's leases and writes.
@@ -48,11 +48,11 @@
     virtual void on_lease_state(const DutyName&, LeaseState, FencingToken) = 0;
     virtual void on_write_outcome(const DutyName&, const Key&, WriteOutcome) = 0;
     // One line for the log.
-    virtual void remark(std::string_view plain_line) = 0;
+    virtual void on_warning(std::string_view plain_line) = 0;
     // A heartbeat has landed: when it was sent, its number, and what its transaction showed.
-    virtual void on_heartbeat_result(Instant, HeartbeatNumber, const std::vector<Entry>&) {}
+    virtual void on_heartbeat_result(TimePoint, HeartbeatNumber, const std::vector<Entry>&) {}
     // An answer is of a lower revision than one before: the registry was restored.
-    virtual void on_registry_went_back() {}
+    virtual void on_registry_restored() {}
 };
 
 // What tells a member apart from all others.
@@ -61,11 +61,11 @@
     InstanceId instance_id;
     std::string version;           // of the program
     Incarnation last_incarnation;  // the highest known of that name; zero: none
-    Span answer_in = Span::micros(1'000'000);
-    bool spread = true;  // heartbeats go out, and are read, at random; false in exhaustive models
+    Duration reply_timeout = Duration::micros(1'000'000);
+    bool randomized = true;  // heartbeats go out, and are read, at random; false in exhaustive models
     // Of a site's member: a heartbeat goes out so soon after a change of what it claims, and the first join
     // enters the name in the site's roster. Zero: of no site.
-    Span acknowledge_every = {};
+    Duration acknowledge_interval = {};
 };
 
 // What each heartbeat of a site's member reads besides, and whether they go out as often as acknowledgements.
@@ -79,7 +79,7 @@
 // For how long at most a duty has no owner after its owner has stopped, if the registry answers within
 // `answer` and `places` live members stand before the first that can claim. Holds for fleets whose heartbeats
 // are all read each round; in larger ones each round in which the stopped owner's is not read adds a round.
-Span longest_without_owner(const SharedConfig& shared_config, Span answer, std::size_t places);
+Duration longest_without_owner(const SharedConfig& shared_config, Duration answer, std::size_t places);
 
 class Agent {
 public:
@@ -88,54 +88,54 @@
     // A copy of the state with other ports, for exhaustive exploration.
     Agent(const Agent& other, RegistryPort& registry, AgentObserver& observer);
 
-    void start(Instant now);
+    void start(TimePoint now);
     // Stops acting at once, then removes this member's records.
-    void leave(Instant now);
+    void leave(TimePoint now);
     // The duties that this member may own; one that is not named any more is given up. The records of duties
     // that are new here must be delivered again through on_records().
-    void set_duties(Instant now, const std::set<DutyName>& names);
+    void set_duties(TimePoint now, const std::set<DutyName>& names);
     // The caches that this gateway passes over; published at most once a round.
-    void set_marked_caches(Instant now, std::set<CacheId> caches);
+    void set_ejected_caches(TimePoint now, std::set<CacheId> caches);
 
     // Watched records as of a revision; they may lag behind transactions. `full_list`: they are all there
     // are. Keys of unknown sorts are ignored.
     // What this gateway has in force, for its heartbeats.
-    void set_claim(Instant now, const std::optional<InForce>& claim);
-    void set_heartbeat_reads(Instant now, HeartbeatReads reads);
-    void on_records(Instant now, registry::Revision at, const std::vector<Entry>& records, bool full_list);
+    void set_applied_revisions(TimePoint now, const std::optional<AppliedRevisions>& claim);
+    void set_heartbeat_reads(TimePoint now, HeartbeatReads reads);
+    void on_records(TimePoint now, registry::Revision at, const std::vector<Entry>& records, bool full_list);
     // `held`: the comparison succeeded and all is written. `shown`: see Transaction.
-    void on_transaction_result(Instant now, registry::Revision at, bool held,
+    void on_transaction_result(TimePoint now, registry::Revision at, bool held,
                                const std::vector<Entry>& shown);
     // The transaction may have landed, may still land, or never.
-    void on_no_answer(Instant now);
-    void on_wake(Instant now);
+    void on_no_answer(TimePoint now);
+    void on_wake(TimePoint now);
 
     // Whether this member owns the duty at that instant.
-    bool may_act(Instant now, const DutyName&) const;
+    bool may_act(TimePoint now, const DutyName&) const;
     // As may_act(), and the lease runs for long enough to begin something new.
-    bool may_begin(Instant now, const DutyName&) const;
+    bool may_begin_work(TimePoint now, const DutyName&) const;
     // The token of the duty's newest known record; zero: none.
     FencingToken token_of(const DutyName&) const;
     // Whether an order that another member gives as that holder is to be obeyed.
-    bool accepts(const DutyName& duty, const Holder& holder) { return fence_.accepts(duty, holder); }
+    bool accepts(const DutyName& duty, const LeaseHolder& holder) { return fence_.accepts(duty, holder); }
     // Writes if the duty is still owned when the write lands; the observer is told the outcome. False: the
     // duty is not owned, or too many writes wait.
-    bool write_fenced(Instant now, const DutyName&, const Key&, const std::string& value);
+    bool write_fenced(TimePoint now, const DutyName&, const Key&, const std::string& value);
     // As above; the outcome names `key`.
-    bool write_fenced(Instant now, const DutyName&, const Key& key, FencedWrite write_request);
+    bool write_fenced(TimePoint now, const DutyName&, const Key& key, FencedWrite write_request);
 
     const Membership& membership() const { return membership_; }
     const Duties& duties() const { return duties_; }
     Fence& fence() { return fence_; }
     Incarnation incarnation() const { return incarnation_; }
-    const std::set<CacheId>& marked_caches() const { return marked_caches_; }
+    const std::set<CacheId>& ejected_caches() const { return ejected_caches_; }
     Instance self() const { return {identity_.name, incarnation_}; }
     // The record below which no removed duty may be claimed, as known.
     const Text& floor() const { return token_floor_; }
     // Whether that very instance is a member, as far as is known. One whose record can't be parsed counts.
     bool is_member(const Instance&) const;
     // The whole state as text, instants relative to `now`: equal texts, equal behaviour.
-    std::string debug_state(Instant now) const;
+    std::string debug_state(TimePoint now) const;
 
 private:
     // Only for the copy with other ports.
@@ -162,67 +162,67 @@
     };
 
     // agent.cpp
-    void advance(Instant now);
-    void submit_next(Instant now);
-    void schedule_next(Instant now);
-    void submit(Instant now, Purpose purpose, Transaction transaction);
-    void back_off(Instant now);
+    void advance(TimePoint now);
+    void submit_next(TimePoint now);
+    void schedule_next(TimePoint now);
+    void submit(TimePoint now, Purpose purpose, Transaction transaction);
+    void back_off(TimePoint now);
     double random_fraction();  // from 0 to 1
-    void on_full_list(Instant now, const std::vector<Entry>& records);
-    void learn(Instant now, registry::Revision at, const std::vector<Entry>& shown);
+    void on_full_list(TimePoint now, const std::vector<Entry>& records);
+    void learn(TimePoint now, registry::Revision at, const std::vector<Entry>& shown);
 
     // agent_join.cpp
-    void read_own_records(Instant now);
-    void on_own_records(Instant now, registry::Revision at, const std::vector<Entry>& shown);
-    void on_own_instance_found(Instant now, Incarnation incarnation, const Text& member,
+    void read_own_records(TimePoint now);
+    void on_own_records(TimePoint now, registry::Revision at, const std::vector<Entry>& shown);
+    void on_own_instance_found(TimePoint now, Incarnation incarnation, const Text& member,
                                const Text& heartbeat, const Text& roster);
-    void wait_for_name(Instant now, const Text& member, const Text& heartbeat, const Text& roster);
-    void join(Instant now, const Text& member, const Text& heartbeat, const Text& roster);
-    bool in_site() const { return identity_.acknowledge_every > Span{}; }
-    void acknowledge_soon(Instant now);
-    void submit_leave(Instant now);
-    void drop_membership(Instant now, std::string_view why);
-    void remark_once(const std::string& line);
+    void wait_for_name(TimePoint now, const Text& member, const Text& heartbeat, const Text& roster);
+    void join(TimePoint now, const Text& member, const Text& heartbeat, const Text& roster);
+    bool in_site() const { return identity_.acknowledge_interval > Duration{}; }
+    void acknowledge_soon(TimePoint now);
+    void submit_leave(TimePoint now);
+    void drop_membership(TimePoint now, std::string_view why);
+    void warn_once(const std::string& line);
     MemberRecord own_record() const;
 
     // agent_heartbeat.cpp
-    void send_heartbeat(Instant now);
-    void on_heartbeat_landed(Instant now);
-    void check_own_heartbeat(Instant now, const std::vector<Entry>& shown);
+    void send_heartbeat(TimePoint now);
+    void on_heartbeat_landed(TimePoint now);
+    void check_own_heartbeat(TimePoint now, const std::vector<Entry>& shown);
     HeartbeatRecord next_heartbeat_record();
-    std::vector<Key> keys_to_read(Instant now);
-    std::vector<Key> heartbeats_to_read(Instant now);
+    std::vector<Key> keys_to_read(TimePoint now);
+    std::vector<Key> heartbeats_to_read(TimePoint now);
     Entry own_heartbeat() const { return {heartbeat_key(identity_.name), heartbeat_text_}; }
     bool reads_all_heartbeats() const;
-    bool next_eviction(Instant now);
+    bool next_eviction(TimePoint now);
 
     // agent_duties.cpp
     void on_duty_record(const DutyName&, const Duties::Duty&);
     void on_lower_token(const DutyName&, FencingToken shown, FencingToken seen);
-    void update_leases(Instant now);
-    bool next_duty(Instant now);
-    bool advance_duty(Instant now, const DutyName&, Duties::Duty&);
-    void claim_duty(Instant now, const DutyName&, const Duties::Duty&);
-    void give_up_duty(Instant now, const DutyName&, Duties::Duty&);
-    LeaseConditions lease_conditions(Instant now, const DutyName&, const Duties::Duty&) const;
+    void update_leases(TimePoint now);
+    bool next_duty(TimePoint now);
+    bool advance_duty(TimePoint now, const DutyName&, Duties::Duty&);
+    void claim_duty(TimePoint now, const DutyName&, const Duties::Duty&);
+    void give_up_duty(TimePoint now, const DutyName&, Duties::Duty&);
+    LeaseConditions lease_conditions(TimePoint now, const DutyName&, const Duties::Duty&) const;
     bool owned_here(const Duties::Duty&) const;
-    bool holds_lease(Instant now, const Duties::Duty&) const;
+    bool holds_lease(TimePoint now, const Duties::Duty&) const;
     bool unowned(const Duties::Duty&) const;
     FencingToken next_token(const DutyName&, const Duties::Duty&) const;
     FencingToken highest_refused_by_others(const DutyName&) const;
     // Live members that come before this one in the duty's order; `settled`: only those that have been in for
     // long enough to be handed a duty.
-    std::size_t rank(Instant now, const DutyName&, const Duties::Duty&, bool settled) const;
+    std::size_t rank(TimePoint now, const DutyName&, const Duties::Duty&, bool settled) const;
 
     // agent_writes.cpp
-    bool next_publication(Instant now);
-    bool next_write(Instant now);
+    bool next_publication(TimePoint now);
+    bool next_write(TimePoint now);
     void finish_write(WriteOutcome outcome);
 
     // agent_debug.cpp
-    std::string debug_peers(Instant now) const;
-    std::string debug_duties(Instant now) const;
-    std::string debug_age(Instant now, Instant since) const;
+    std::string debug_peers(TimePoint now) const;
+    std::string debug_duties(TimePoint now) const;
+    std::string debug_age(TimePoint now, TimePoint since) const;
 
     RegistryPort* registry_;
     AgentObserver* observer_;
@@ -244,11 +244,11 @@
     Purpose purpose_ = Purpose::none;
     Transaction transaction_;  // the one under way
     HeartbeatNumber heartbeat_in_transaction_;
-    Instant answer_due_;   // of the one under way
-    Instant next_submit_;  // nothing is submitted before
-    Instant next_heartbeat_;
-    Instant next_give_up_;  // no duty is handed back before
-    int unanswered_ = 0;    // transactions in a row
+    TimePoint answer_due_;   // of the one under way
+    TimePoint next_submit_;  // nothing is submitted before
+    TimePoint next_heartbeat_;
+    TimePoint next_give_up_;  // no duty is handed back before
+    int unanswered_ = 0;      // transactions in a row
 
     // Records written by transactions without an answer; read with the next heartbeat.
     std::set<Key> unsettled_keys_;
@@ -256,17 +256,18 @@
     bool join_unanswered_ = false;  // a join went out, and its result is not known
     // Member record and heartbeat of another instance that holds our name, and since when they are unchanged.
     std::optional<std::pair<Text, Text>> name_holder_;
-    Instant name_holder_since_;
-    std::string last_remark_;  // on why we are not in
+    TimePoint name_holder_since_;
+    std::string last_warning_;  // on why we are not in
     std::deque<PendingWrite> pending_writes_;
     Text token_floor_;
     registry::Revision token_floor_at_;
-    std::set<CacheId> marked_caches_;
-    Instant next_publication_;
-    std::optional<InForce> claim_;
+    std::set<CacheId> ejected_caches_;
+    TimePoint next_publication_;
+    std::optional<AppliedRevisions> applied_revisions_;
     HeartbeatReads reads_;
     registry::Revision newest_;
-    Instant heartbeat_sent_, next_peer_reads_;  // the newest; the next that reads others' for the membership
+    TimePoint heartbeat_sent_,
+        next_peer_reads_;  // the newest; the next that reads others' for the membership
 };
 
 }  // namespace irismux::fleet
--- a/src/fleet/agent_debug.cpp
+++ b/src/fleet/agent_debug.cpp
@@ -10,19 +10,20 @@
 constexpr double most_waits_told = 3;
 
 // Past instants are all alike.
-std::string until(Instant now, Instant at) {
+std::string until(TimePoint now, TimePoint at) {
     return std::to_string(std::max((at - now).micros(), std::int64_t{-1})) + ' ';
 }
 
 }  // namespace
 
-std::string Agent::debug_age(Instant now, Instant since) const {
-    return std::to_string(std::min(now - since, membership_.wait() * most_waits_told).micros()) + ' ';
+std::string Agent::debug_age(TimePoint now, TimePoint since) const {
+    return std::to_string(std::min(now - since, membership_.eviction_timeout() * most_waits_told).micros()) +
+           ' ';
 }
 
-std::string Agent::debug_peers(Instant now) const {
+std::string Agent::debug_peers(TimePoint now) const {
     std::string all;
-    for (const auto& [name, peer] : membership_.peers()) {
+    for (const auto& [name, peer] : membership_.members()) {
         all += '\n' + name.raw() + ' ' + peer.text + debug_age(now, peer.since);
         if (!peer.observed) continue;
         all += peer.heartbeat_text.value_or("-") + ' ';
@@ -31,21 +32,21 @@
     return all;
 }
 
-std::string Agent::debug_duties(Instant now) const {
+std::string Agent::debug_duties(TimePoint now) const {
     std::string all;
     for (const auto& [name, duty] : duties_.all()) {
-        all += '\n' + name.raw() + ' ' + std::string(word_of(duty.lease.state()));
+        all += '\n' + name.raw() + ' ' + std::string(to_string(duty.lease.state()));
         all += (duty.known ? " k " : " u ") + duty.text.value_or("-") + std::to_string(duty.given_up.raw());
         if (duty.unowned_since) all += ' ' + debug_age(now, *duty.unowned_since);
     }
     return all;
 }
 
-std::string Agent::debug_state(Instant now) const {
+std::string Agent::debug_state(TimePoint now) const {
     std::string all = std::to_string(static_cast<int>(purpose_)) + (leaving_ ? "L" : "");
-    all += (membership_.in() ? "in " : "out ") + std::to_string(incarnation_.raw()) + ' ';
-    for (const Instant at : {membership_.end(), membership_.listens_until(), next_submit_, next_heartbeat_,
-                             next_give_up_, answer_due_})
+    all += (membership_.joined() ? "in " : "out ") + std::to_string(incarnation_.raw()) + ' ';
+    for (const TimePoint at : {membership_.end(), membership_.listens_until(), next_submit_, next_heartbeat_,
+                               next_give_up_, answer_due_})
         all += until(now, at);
     all += heartbeat_text_.value_or("-") + record_text_.value_or("-");
     all += std::to_string(unanswered_) + (join_unanswered_ ? "j" : "");
@@ -56,7 +57,7 @@
     for (const auto& [name, token] : refused_tokens_) all += name.raw() + std::to_string(token.raw());
     for (const PendingWrite& write : pending_writes_) all += write.key.raw();
     for (const Key& key : unsettled_keys_) all += key.raw();
-    for (const CacheId& cache : marked_caches_) all += cache.raw();
+    for (const CacheId& cache : ejected_caches_) all += cache.raw();
     all += token_floor_.value_or("-");
     return all;
 }
--- a/src/fleet/agent_duties.cpp
+++ b/src/fleet/agent_duties.cpp
@@ -8,12 +8,12 @@
 
 // --- questions
 
-bool Agent::may_act(Instant now, const DutyName& name) const {
+bool Agent::may_act(TimePoint now, const DutyName& name) const {
     const auto it = duties_.all().find(name);
     return it != duties_.all().end() && holds_lease(now, it->second) && membership_.in_term(now) && !leaving_;
 }
 
-bool Agent::may_begin(Instant now, const DutyName& name) const {
+bool Agent::may_begin_work(TimePoint now, const DutyName& name) const {
     return may_act(now, name) && !membership_.near_end(now);
 }
 
@@ -23,20 +23,20 @@
 }
 
 bool Agent::is_member(const Instance& who) const {
-    if (who.name == identity_.name) return membership_.in() && who.start == incarnation_;
-    const auto it = membership_.peers().find(who.name);
-    if (it == membership_.peers().end()) return false;
-    return !it->second.readable || it->second.member.start == who.start;
+    if (who.name == identity_.name) return membership_.joined() && who.incarnation == incarnation_;
+    const auto it = membership_.members().find(who.name);
+    if (it == membership_.members().end()) return false;
+    return !it->second.readable || it->second.member.incarnation == who.incarnation;
 }
 
 // The record names this very instance.
 bool Agent::owned_here(const Duties::Duty& duty) const {
-    return membership_.in() && duty.record && duty.record->owner == identity_.name &&
-           duty.record->start == incarnation_;
+    return membership_.joined() && duty.record && duty.record->owner == identity_.name &&
+           duty.record->incarnation == incarnation_;
 }
 
 // The record names this instance, and nothing forbids to rely on it.
-bool Agent::holds_lease(Instant now, const Duties::Duty& duty) const {
+bool Agent::holds_lease(TimePoint now, const Duties::Duty& duty) const {
     return owned_here(duty) && duty.wanted && duty.record->token > duty.given_up &&
            !membership_.listening(now);
 }
@@ -46,13 +46,13 @@
     if (!duty.known || (duty.text && !duty.record)) return false;
     if (!duty.record || duty.record->owner.raw().empty()) return true;
     if (duty.record->owner == identity_.name) return !owned_here(duty) || duty.record->token <= duty.given_up;
-    return !is_member({duty.record->owner, duty.record->start});
+    return !is_member({duty.record->owner, duty.record->incarnation});
 }
 
-std::size_t Agent::rank(Instant now, const DutyName& name, const Duties::Duty& duty, bool settled) const {
+std::size_t Agent::rank(TimePoint now, const DutyName& name, const Duties::Duty& duty, bool settled) const {
     const bool released_by_us = duty.released && *duty.released == self();
     std::size_t ahead = 0;
-    for (const auto& [other, peer] : membership_.peers()) {
+    for (const auto& [other, peer] : membership_.members()) {
         if (membership_.suspected(peer) || (settled && !membership_.settled(now, peer))) continue;
         if (duty.released && duty.released->name == other && is_member(*duty.released)) continue;
         ahead += released_by_us || Duties::precedes(name, other, identity_.name);
@@ -62,8 +62,8 @@
 
 FencingToken Agent::highest_refused_by_others(const DutyName& name) const {
     FencingToken highest;
-    for (const auto& [other, peer] : membership_.peers())
-        if (const auto it = peer.member.refuses.find(name); it != peer.member.refuses.end())
+    for (const auto& [other, peer] : membership_.members())
+        if (const auto it = peer.member.refused_tokens.find(name); it != peer.member.refused_tokens.end())
             highest = std::max(highest, it->second);
     return highest;
 }
@@ -74,13 +74,13 @@
     if (duty.record)
         recorded = duty.record->token;
     else if (token_floor_)
-        recorded = read_floor(*token_floor_);
+        recorded = parse_floor(*token_floor_);
     const FencingToken highest =
         std::max({recorded, duty.given_up, fence_.highest(name), highest_refused_by_others(name)});
     return FencingToken{highest.raw() + 1};
 }
 
-LeaseConditions Agent::lease_conditions(Instant now, const DutyName& name, const Duties::Duty& duty) const {
+LeaseConditions Agent::lease_conditions(TimePoint now, const DutyName& name, const Duties::Duty& duty) const {
     LeaseConditions conditions;
     conditions.named = holds_lease(now, duty);
     conditions.in_term = membership_.in_term(now) && !leaving_;
@@ -94,11 +94,11 @@
 
 void Agent::on_duty_record(const DutyName& name, const Duties::Duty& duty) {
     if (duty.text && !duty.record)
-        return observer_->remark("the record of duty " + name.raw() +
-                                 " can't be read: it is left alone until an operator has mended it");
+        return observer_->on_warning("the record of duty " + name.raw() +
+                                     " can't be read: it is left alone until an operator has mended it");
     if (!duty.text) fence_.forget(name);
     if (!duty.record || duty.record->owner.raw().empty()) return;
-    const Holder holder{duty.record->token, duty.record->owner, duty.record->start};
+    const LeaseHolder holder{duty.record->token, duty.record->owner, duty.record->incarnation};
     const FencingToken seen = fence_.conflicting_token(name, holder);
     if (seen != FencingToken{}) return on_lower_token(name, holder.token, seen);
     fence_.on_record(name, holder);
@@ -107,14 +107,15 @@
 
 // The registry was restored from a backup: the refusal is published, and the owner claims above it.
 void Agent::on_lower_token(const DutyName& name, FencingToken shown, FencingToken seen) {
-    if (refused_tokens_.size() < most_refusals || refused_tokens_.contains(name))
+    if (refused_tokens_.size() < max_published_refusals || refused_tokens_.contains(name))
         refused_tokens_[name] = seen;
-    observer_->remark("duty " + name.raw() + " stands at epoch " + std::to_string(shown.raw()) + ", and " +
-                      std::to_string(seen.raw()) +
-                      " has been seen: the registry has gone back; the owner is told to take a higher one");
+    observer_->on_warning(
+        "duty " + name.raw() + " stands at epoch " + std::to_string(shown.raw()) + ", and " +
+        std::to_string(seen.raw()) +
+        " has been seen: the registry has gone back; the owner is told to take a higher one");
 }
 
-void Agent::update_leases(Instant now) {
+void Agent::update_leases(TimePoint now) {
     for (auto& [name, duty] : duties_.all()) {
         if (!unowned(duty))
             duty.unowned_since.reset();
@@ -128,7 +129,7 @@
 
 // --- claims and hand-backs
 
-bool Agent::next_duty(Instant now) {
+bool Agent::next_duty(TimePoint now) {
     if (membership_.listening(now)) return false;
     auto& all = duties_.all();
     for (auto it = all.begin(); it != all.end();) {
@@ -145,11 +146,11 @@
     return false;
 }
 
-bool Agent::advance_duty(Instant now, const DutyName& name, Duties::Duty& duty) {
+bool Agent::advance_duty(TimePoint now, const DutyName& name, Duties::Duty& duty) {
     if (!duty.wanted) return give_up_duty(now, name, duty), true;
     if (unowned(duty)) {
         const auto before_us = static_cast<double>(rank(now, name, duty, false));
-        const Span delay = membership_.round() * (claim_delay_per_rank * before_us);
+        const Duration delay = membership_.heartbeat_interval() * (claim_delay_per_rank * before_us);
         if (now - *duty.unowned_since < delay) return false;
         return claim_duty(now, name, duty), true;
     }
@@ -161,14 +162,14 @@
     return give_up_duty(now, name, duty), true;
 }
 
-void Agent::claim_duty(Instant now, const DutyName& name, const Duties::Duty& duty) {
+void Agent::claim_duty(TimePoint now, const DutyName& name, const Duties::Duty& duty) {
     const Key key = duty_key(name);
     const DutyRecord claim{next_token(name, duty), identity_.name, incarnation_};
     Transaction transaction{{own_heartbeat(), {key, duty.text}}, {{key, serialize(claim)}}, {}};
     // The registry itself must know that the former owner is gone.
     if (duty.record && !duty.record->owner.raw().empty() && duty.record->owner != identity_.name) {
-        const auto it = membership_.peers().find(duty.record->owner);
-        const Text member = it == membership_.peers().end() ? Text{} : Text{it->second.text};
+        const auto it = membership_.members().find(duty.record->owner);
+        const Text member = it == membership_.members().end() ? Text{} : Text{it->second.text};
         transaction.compares.emplace_back(member_key(duty.record->owner), member);
     }
     // A removed record's tokens are at most the floor, which must still be as known.
@@ -177,9 +178,9 @@
 }
 
 // From here on nothing is done under that token, whatever becomes of the transaction.
-void Agent::give_up_duty(Instant now, const DutyName& name, Duties::Duty& duty) {
+void Agent::give_up_duty(TimePoint now, const DutyName& name, Duties::Duty& duty) {
     duty.given_up = duty.record->token;
-    if (duty.wanted) next_give_up_ = now + membership_.round();
+    if (duty.wanted) next_give_up_ = now + membership_.heartbeat_interval();
     update_leases(now);
     const Key key = duty_key(name);
     const DutyRecord given_up{duty.record->token, MemberName{}, Incarnation{}};
--- a/src/fleet/agent_heartbeat.cpp
+++ b/src/fleet/agent_heartbeat.cpp
@@ -12,14 +12,14 @@
 
 }  // namespace
 
-void Agent::send_heartbeat(Instant now) {
-    Span pause = membership_.round();
-    if (identity_.spread) pause = pause * (1 - heartbeat_spread * random_fraction());
-    if (in_site() && reads_.frequent) pause = std::min(pause, identity_.acknowledge_every);
+void Agent::send_heartbeat(TimePoint now) {
+    Duration pause = membership_.heartbeat_interval();
+    if (identity_.randomized) pause = pause * (1 - heartbeat_spread * random_fraction());
+    if (in_site() && reads_.frequent) pause = std::min(pause, identity_.acknowledge_interval);
     next_heartbeat_ = now + pause;
     heartbeat_sent_ = now;
-    const std::string heartbeat = with_claim(serialize(next_heartbeat_record()), claim_);
-    membership_.sent(now, heartbeat_in_transaction_);
+    const std::string heartbeat = with_claim(serialize(next_heartbeat_record()), applied_revisions_);
+    membership_.on_heartbeat_sent(now, heartbeat_in_transaction_);
     std::vector<Key> reads = keys_to_read(now);
     reads.insert(reads.end(), unsettled_keys_.begin(), unsettled_keys_.end());
     submit(now, Purpose::heartbeat,
@@ -27,12 +27,12 @@
 }
 
 // Heartbeats that go out early, to acknowledge, read others' only where the site's digest needs them.
-std::vector<Key> Agent::keys_to_read(Instant now) {
+std::vector<Key> Agent::keys_to_read(TimePoint now) {
     std::set<Key> keys(reads_.records.begin(), reads_.records.end());
     for (const MemberName& name : reads_.heartbeats)
         if (name != identity_.name) keys.insert(heartbeat_key(name));
     if (!in_site() || now >= next_peer_reads_) {
-        next_peer_reads_ = now + membership_.round() * (1 - heartbeat_spread);
+        next_peer_reads_ = now + membership_.heartbeat_interval() * (1 - heartbeat_spread);
         for (const Key& key : heartbeats_to_read(now)) keys.insert(key);
     }
     return {keys.begin(), keys.end()};
@@ -44,37 +44,38 @@
     return {incarnation_, identity_.instance_id, last_heartbeat_};
 }
 
-void Agent::on_heartbeat_landed(Instant now) {
+void Agent::on_heartbeat_landed(TimePoint now) {
     heartbeat_text_ = transaction_.writes.back().second;
-    membership_.confirmed(now, heartbeat_in_transaction_);
+    membership_.on_heartbeat_confirmed(now, heartbeat_in_transaction_);
     unsettled_keys_.clear();
 }
 
 // A transaction failed. If it shows another heartbeat under our name, a later one of ours has landed without
 // an answer, or we are not a member any more.
-void Agent::check_own_heartbeat(Instant now, const std::vector<Entry>& shown) {
+void Agent::check_own_heartbeat(TimePoint now, const std::vector<Entry>& shown) {
     const Key own = heartbeat_key(identity_.name);
     const auto it = std::find_if(shown.begin(), shown.end(), [&](const Entry& e) { return e.first == own; });
-    if (!membership_.in() || it == shown.end() || it->second == heartbeat_text_) return;
+    if (!membership_.joined() || it == shown.end() || it->second == heartbeat_text_) return;
     const Text& text = it->second;
-    const auto record = text ? read_heartbeat(*text) : std::nullopt;
-    const bool ours = record && record->instance_id == identity_.instance_id && record->start == incarnation_;
+    const auto record = text ? parse_heartbeat(*text) : std::nullopt;
+    const bool ours =
+        record && record->instance_id == identity_.instance_id && record->incarnation == incarnation_;
     if (ours && record->number > membership_.last()) {
         heartbeat_text_ = text;
-        return membership_.confirmed(now, record->number);
+        return membership_.on_heartbeat_confirmed(now, record->number);
     }
     drop_membership(now, ours ? "the registry has gone back: joining anew" : "evicted: joining anew");
 }
 
 bool Agent::reads_all_heartbeats() const {
-    return membership_.peers().size() <= heartbeats_read_at_random + most_overdue_heartbeats_read;
+    return membership_.members().size() <= heartbeats_read_at_random + most_overdue_heartbeats_read;
 }
 
-std::vector<Key> Agent::heartbeats_to_read(Instant now) {
-    const auto& peers = membership_.peers();
+std::vector<Key> Agent::heartbeats_to_read(TimePoint now) {
+    const auto& peers = membership_.members();
     std::set<Key> keys;
     for (const auto& [name, peer] : peers) {
-        const bool overdue = peer.observed && now - peer.unchanged_since > membership_.round();
+        const bool overdue = peer.observed && now - peer.unchanged_since > membership_.heartbeat_interval();
         if (reads_all_heartbeats() || (overdue && keys.size() < most_overdue_heartbeats_read))
             keys.insert(heartbeat_key(name));
     }
@@ -87,9 +88,9 @@
 }
 
 // Compares the very heartbeat that was found unchanged: one that has landed since makes the eviction fail.
-bool Agent::next_eviction(Instant now) {
+bool Agent::next_eviction(TimePoint now) {
     if (membership_.listening(now)) return false;
-    for (const auto& [name, peer] : membership_.peers()) {
+    for (const auto& [name, peer] : membership_.members()) {
         if (!membership_.evictable(peer)) continue;
         const Key member = member_key(name);
         const Key heartbeat = heartbeat_key(name);
--- a/src/fleet/agent_join.cpp
+++ b/src/fleet/agent_join.cpp
@@ -17,16 +17,16 @@
 
 }  // namespace
 
-void Agent::read_own_records(Instant now) {
+void Agent::read_own_records(TimePoint now) {
     std::vector<Key> keys{shared_config_key(), member_key(identity_.name), heartbeat_key(identity_.name)};
     if (in_site()) keys.push_back(roster_key());
     submit(now, Purpose::read_own_records, {{}, {}, std::move(keys)});
 }
 
-void Agent::on_own_records(Instant now, registry::Revision at, const std::vector<Entry>& shown) {
+void Agent::on_own_records(TimePoint now, registry::Revision at, const std::vector<Entry>& shown) {
     // All earlier incarnations of that name are below the registry's revision, also those without a record.
     identity_.last_incarnation = std::max(identity_.last_incarnation, Incarnation{at.raw()});
-    next_submit_ = now + membership_.round();
+    next_submit_ = now + membership_.heartbeat_interval();
     const std::string own_config = serialize(shared_config_);
     const Text& config = value_of(shown, shared_config_key());
     const Text& member = value_of(shown, member_key(identity_.name));
@@ -35,48 +35,48 @@
         return submit(now, Purpose::found_fleet,
                       {{{shared_config_key(), std::nullopt}}, {{shared_config_key(), own_config}}, {}});
     if (*config != own_config)
-        return remark_once("the fleet there goes by other articles, " + config->substr(0, most_quoted) +
-                           ": this gateway stays out");
+        return warn_once("the fleet there goes by other articles, " + config->substr(0, most_quoted) +
+                         ": this gateway stays out");
     const Text& roster = value_of(shown, roster_key());
     if (roster && !read_roster(*roster))
-        return remark_once("the roster of this site can't be read: this gateway stays out");
+        return warn_once("the roster of this site can't be read: this gateway stays out");
     if (!member && !heartbeat) return join(now, member, heartbeat, roster);
-    const auto record = member ? read_member(*member) : std::nullopt;
-    if (record) identity_.last_incarnation = std::max(identity_.last_incarnation, record->start);
+    const auto record = member ? parse_member(*member) : std::nullopt;
+    if (record) identity_.last_incarnation = std::max(identity_.last_incarnation, record->incarnation);
     if (record && record->instance_id == identity_.instance_id)
-        return on_own_instance_found(now, record->start, member, heartbeat, roster);
+        return on_own_instance_found(now, record->incarnation, member, heartbeat, roster);
     wait_for_name(now, member, heartbeat, roster);
 }
 
 // A join of ours has landed whose answer was lost, or the registry has been restored to a state with a former
 // join of ours.
-void Agent::on_own_instance_found(Instant now, Incarnation incarnation, const Text& member,
+void Agent::on_own_instance_found(TimePoint now, Incarnation incarnation, const Text& member,
                                   const Text& heartbeat, const Text& roster) {
-    const auto record = heartbeat ? read_heartbeat(*heartbeat) : std::nullopt;
+    const auto record = heartbeat ? parse_heartbeat(*heartbeat) : std::nullopt;
     const bool own_join = join_unanswered_ && incarnation == incarnation_ && record &&
                           record->instance_id == identity_.instance_id;
     if (!own_join) return join(now, member, heartbeat, roster);
     join_unanswered_ = false;
     heartbeat_text_ = heartbeat;
-    membership_.confirmed(now, record->number);
+    membership_.on_heartbeat_confirmed(now, record->number);
 }
 
 // Another instance holds the name: our former process, which is dead, or another gateway. Only waiting for
 // its next heartbeat tells which.
-void Agent::wait_for_name(Instant now, const Text& member, const Text& heartbeat, const Text& roster) {
+void Agent::wait_for_name(TimePoint now, const Text& member, const Text& heartbeat, const Text& roster) {
     const std::pair<Text, Text> holder{member, heartbeat};
     if (name_holder_ == holder) {
-        if (now - name_holder_since_ >= membership_.wait()) join(now, member, heartbeat, roster);
+        if (now - name_holder_since_ >= membership_.eviction_timeout()) join(now, member, heartbeat, roster);
         return;
     }
     if (name_holder_ && name_holder_->first == member)
-        remark_once("the name " + identity_.name.raw() +
-                    " is held by another living gateway: this one stays out until that has left");
+        warn_once("the name " + identity_.name.raw() +
+                  " is held by another living gateway: this one stays out until that has left");
     name_holder_ = holder;
     name_holder_since_ = now;
 }
 
-void Agent::join(Instant now, const Text& member, const Text& heartbeat, const Text& roster) {
+void Agent::join(TimePoint now, const Text& member, const Text& heartbeat, const Text& roster) {
     identity_.last_incarnation = Incarnation{identity_.last_incarnation.raw() + 1};
     incarnation_ = identity_.last_incarnation;
     record_text_ = serialize(own_record());
@@ -84,7 +84,7 @@
     duties_.forget_given_up();
     next_submit_ = heartbeat_sent_ = now;
     const std::string first_heartbeat = serialize(next_heartbeat_record());
-    membership_.sent(now, heartbeat_in_transaction_);
+    membership_.on_heartbeat_sent(now, heartbeat_in_transaction_);
     const Key own = member_key(identity_.name);
     const Key own_heartbeat = heartbeat_key(identity_.name);
     Transaction transaction{
@@ -93,7 +93,7 @@
         {}};
     // Guards against a digest that knows nothing of a member: its name is in the roster from the first join
     // on.
-    const Roster known = roster ? read_roster(*roster).value_or(Roster{}) : Roster{};
+    const SiteRoster known = roster ? read_roster(*roster).value_or(SiteRoster{}) : SiteRoster{};
     if (const auto next = in_site() ? with_name(known, identity_.name) : std::nullopt) {
         transaction.compares.emplace_back(roster_key(), roster);
         transaction.writes.emplace_back(roster_key(), serialize(*next));
@@ -103,30 +103,30 @@
     submit(now, Purpose::join, std::move(transaction));
 }
 
-void Agent::submit_leave(Instant now) {
+void Agent::submit_leave(TimePoint now) {
     const Key own = member_key(identity_.name);
     submit(now, Purpose::leave,
            {{own_heartbeat()}, {{own, std::nullopt}, {heartbeat_key(identity_.name), std::nullopt}}, {}});
 }
 
-void Agent::drop_membership(Instant now, std::string_view why) {
-    membership_.out();
-    membership_.forget_waits();
+void Agent::drop_membership(TimePoint now, std::string_view why) {
+    membership_.on_removed();
+    membership_.restart_observations();
     name_holder_.reset();
     join_unanswered_ = false;
     unsettled_keys_.clear();
     for (const PendingWrite& write : std::exchange(pending_writes_, {}))
         observer_->on_write_outcome(write.duty, write.key, WriteOutcome::refused);
-    observer_->remark(why);
+    observer_->on_warning(why);
     update_leases(now);
 }
 
-void Agent::remark_once(const std::string& line) {
-    if (std::exchange(last_remark_, line) != line) observer_->remark(line);
+void Agent::warn_once(const std::string& line) {
+    if (std::exchange(last_warning_, line) != line) observer_->on_warning(line);
 }
 
 MemberRecord Agent::own_record() const {
-    return {incarnation_, identity_.instance_id, identity_.version, refused_tokens_, marked_caches_};
+    return {incarnation_, identity_.instance_id, identity_.version, refused_tokens_, ejected_caches_};
 }
 
 }  // namespace irismux::fleet
--- a/src/fleet/agent_writes.cpp
+++ b/src/fleet/agent_writes.cpp
@@ -13,29 +13,29 @@
 
 }  // namespace
 
-bool Agent::next_publication(Instant now) {
+bool Agent::next_publication(TimePoint now) {
     const std::string wanted = serialize(own_record());
     if (record_text_ == wanted || now < next_publication_) return false;
-    const double rounds =
-        static_cast<double>(membership_.peers().size()) / static_cast<double>(members_per_publication_round);
-    next_publication_ = now + membership_.round() * std::max(1.0, rounds);
+    const double rounds = static_cast<double>(membership_.members().size()) /
+                          static_cast<double>(members_per_publication_round);
+    next_publication_ = now + membership_.heartbeat_interval() * std::max(1.0, rounds);
     const Key own = member_key(identity_.name);
     submit(now, Purpose::publish, {{own_heartbeat(), {own, record_text_}}, {{own, wanted}}, {}});
     return true;
 }
 
-bool Agent::write_fenced(Instant now, const DutyName& duty, const Key& key, const std::string& value) {
+bool Agent::write_fenced(TimePoint now, const DutyName& duty, const Key& key, const std::string& value) {
     return write_fenced(now, duty, key, FencedWrite{{}, {{key, value}}});
 }
 
-bool Agent::write_fenced(Instant now, const DutyName& duty, const Key& key, FencedWrite write_request) {
-    if (!may_begin(now, duty) || pending_writes_.size() >= most_pending_writes) return false;
+bool Agent::write_fenced(TimePoint now, const DutyName& duty, const Key& key, FencedWrite write_request) {
+    if (!may_begin_work(now, duty) || pending_writes_.size() >= most_pending_writes) return false;
     pending_writes_.push_back({duty, key, std::move(write_request)});
     advance(now);
     return true;
 }
 
-bool Agent::next_write(Instant now) {
+bool Agent::next_write(TimePoint now) {
     while (!pending_writes_.empty() && !may_act(now, pending_writes_.front().duty))
         finish_write(WriteOutcome::refused);
     if (pending_writes_.empty()) return false;
--- a/src/fleet/digest.cpp
+++ b/src/fleet/digest.cpp
@@ -44,12 +44,12 @@
               {"configuration", d.lowest_configuration.raw()},
               {"absent_count", d.absent_count},
               {"behind_count", d.behind_count}};
-    if (d.worn) o["worn"] = true;
+    if (d.restart_required) o["worn"] = true;
     if (d.incomplete) o["incomplete"] = true;
     for (const auto& a : d.absent) o["absent"].push_back({a.member.raw(), a.since_ms});
     for (const auto& b : d.behind)
         o["behind"].push_back({b.member.raw(), b.event.raw(), b.configuration.raw()});
-    for (const auto& [cache, members] : d.marks) o["marks"].push_back({cache.raw(), members});
+    for (const auto& [cache, members] : d.ejected_caches) o["marks"].push_back({cache.raw(), members});
     return o;
 }
 
@@ -73,38 +73,39 @@
 Key roster_key() { return Key{"roster"}; }
 Key digest_key() { return Key{"digest"}; }
 DutyName digest_duty() { return DutyName{"digest"}; }
-Span longest_unseen(Span term) { return term * unseen_of_term; }
-Span longest_stale(Span term) { return term; }
+Duration max_unseen_time(Duration term) { return term * unseen_of_term; }
+Duration max_staleness(Duration term) { return term; }
 
-Span longest_counted(Span term, double drift) {
-    return (longest_unseen(term) + longest_stale(term)) * ((1 + drift) / (1 - drift));
+Duration longest_counted(Duration term, double drift) {
+    return (max_unseen_time(term) + max_staleness(term)) * ((1 + drift) / (1 - drift));
 }
 
 // Its heartbeat, behind a transaction that may be out; the owner's look, at its usual pace if it had seen
 // nobody behind; the digest, at its pace and behind another transaction; the reading, which may just have
 // been missed.
-Span longest_until_said(Span term, double drift, Span acknowledge_every, Span answer, Span read_every) {
-    const Span heartbeat = acknowledge_every + answer * 2;
-    const Span look = term * round_of_term + answer * 2;
-    const Span digest = acknowledge_every + term * (round_of_term * look_round_of_round) + answer * 2;
+Duration max_report_delay(Duration term, double drift, Duration acknowledge_every, Duration answer,
+                          Duration read_every) {
+    const Duration heartbeat = acknowledge_every + answer * 2;
+    const Duration look = term * round_of_term + answer * 2;
+    const Duration digest = acknowledge_every + term * (round_of_term * look_round_of_round) + answer * 2;
     return (heartbeat + look + digest + read_every) * (1 + drift) + answer * 2;
 }
 
-std::string serialize(const Roster& r) {
+std::string serialize(const SiteRoster& r) {
     json o = {{"names", json::array()}};
     for (const MemberName& name : r.names) o["names"].push_back(name.raw());
     if (r.incomplete) o["incomplete"] = true;
     return o.dump();
 }
 
-std::optional<Roster> read_roster(std::string_view bytes) {
+std::optional<SiteRoster> read_roster(std::string_view bytes) {
     const json o = json::parse(bytes, nullptr, false);
     if (!o.is_object() || !o.contains("names") || !o["names"].is_array()) return std::nullopt;
-    Roster r;
+    SiteRoster r;
     r.incomplete = flag(o, "incomplete");
     for (const json& name : o["names"]) {
         if (!name.is_string()) return std::nullopt;
-        if (r.names.size() >= most_in_roster)
+        if (r.names.size() >= max_roster_names)
             r.incomplete = true;
         else
             r.names.emplace(name.get<std::string>());
@@ -112,10 +113,10 @@
     return r;
 }
 
-std::optional<Roster> with_name(const Roster& roster, const MemberName& name) {
+std::optional<SiteRoster> with_name(const SiteRoster& roster, const MemberName& name) {
     if (roster.names.contains(name)) return std::nullopt;
-    Roster next = roster;
-    if (next.names.size() < most_in_roster)
+    SiteRoster next = roster;
+    if (next.names.size() < max_roster_names)
         next.names.insert(name);
     else if (std::exchange(next.incomplete, true))
         return std::nullopt;
@@ -145,7 +146,7 @@
     d.as_of = *as_of;
     d.as_of_ms = count(o, "as_of_ms").value_or(0);
     d.generation = {*generation, text(o, "id")};
-    d.worn = flag(o, "worn");
+    d.restart_required = flag(o, "worn");
     d.incomplete = flag(o, "incomplete");
     d.known = static_cast<std::size_t>(*known);
     d.live = static_cast<std::size_t>(*live);
@@ -155,18 +156,18 @@
     d.absent_count = static_cast<std::size_t>(*absent);
     d.behind_count = static_cast<std::size_t>(*behind);
     const bool lists_read =
-        each(o, "absent", 1, most_named,
+        each(o, "absent", 1, max_named_members,
              [&](const json& e) {
                  d.absent.push_back({MemberName{e[0].get<std::string>()}, e[1].get<std::int64_t>()});
              }) &&
-        each(o, "behind", 2, most_named,
+        each(o, "behind", 2, max_named_members,
              [&](const json& e) {
                  d.behind.push_back({MemberName{e[0].get<std::string>()},
                                      EventNumber{e[1].get<std::int64_t>()},
                                      ConfigurationNumber{e[2].get<std::int64_t>()}});
              }) &&
-        each(o, "marks", 1, most_caches, [&](const json& e) {
-            d.marks.emplace_back(CacheId{e[0].get<std::string>()}, e[1].get<std::size_t>());
+        each(o, "marks", 1, max_reported_caches, [&](const json& e) {
+            d.ejected_caches.emplace_back(CacheId{e[0].get<std::string>()}, e[1].get<std::size_t>());
         });
     // Lists that are shorter than their counts are cut; longer ones can't be.
     if (!lists_read || d.absent.size() > d.absent_count || d.behind.size() > d.behind_count)
@@ -178,8 +179,9 @@
 
 // Guards against a registry that has gone back: an older heartbeat that comes after a newer one shows nothing
 // of its sender.
-void DigestKeeper::note(const MemberName& name, const std::optional<std::string>& text_shown, Instant asked) {
-    const auto heartbeat = text_shown ? read_heartbeat(*text_shown) : std::nullopt;
+void DigestKeeper::note(const MemberName& name, const std::optional<std::string>& text_shown,
+                        TimePoint asked) {
+    const auto heartbeat = text_shown ? parse_heartbeat(*text_shown) : std::nullopt;
     const auto known = evidence_.find(name);
     const bool first = known == evidence_.end();
     Evidence next{text_shown.value_or(""),
@@ -202,13 +204,13 @@
 
 // The sender of the heartbeat shown ran after the one before had landed, and that had not when
 // `before_previous` was asked.
-bool DigestKeeper::live(const MemberName& name, Instant answered) const {
+bool DigestKeeper::live(const MemberName& name, TimePoint answered) const {
     const auto it = evidence_.find(name);
     if (it == evidence_.end() || it->second.id.empty() || !it->second.before_previous) return false;
-    return answered - *it->second.before_previous <= longest_unseen(settings_.term);
+    return answered - *it->second.before_previous <= max_unseen_time(settings_.term);
 }
 
-Digest DigestKeeper::fold(const Look& look, const std::optional<InForce>& own) const {
+Digest DigestKeeper::merge(const FleetSnapshot& look, const std::optional<AppliedRevisions>& own) const {
     Digest d;
     d.owner = settings_.self;
     d.owner_id = settings_.own_id;
@@ -225,12 +227,12 @@
         const bool counts = claim && claim->generation == d.generation;
         if (claim && claim->generation == d.generation) {
             d.highest = std::max(d.highest, claim->event);
-            d.worn |= claim->worn;
+            d.restart_required |= claim->worn;
         }
         if (!self && !live(name, look.answered)) {
             ++d.absent_count;
             const auto since = absent_since_.find(name);
-            if (d.absent.size() < most_named)
+            if (d.absent.size() < max_named_members)
                 d.absent.push_back({name, since == absent_since_.end() ? look.unix_ms : since->second});
             continue;
         }
@@ -252,14 +254,14 @@
     for (const auto& m : live_ones) {
         if (m.event == d.highest && m.configuration == highest_configuration) continue;
         ++d.behind_count;
-        if (d.behind.size() < most_named) d.behind.push_back(m);
+        if (d.behind.size() < max_named_members) d.behind.push_back(m);
     }
     return d;
 }
 
 // Guards against a registry that has gone back: who has taken a higher generation, or another under the same
 // number, takes the one shown for none.
-void DigestKeeper::note_generations(const std::optional<InForce>& own) {
+void DigestKeeper::note_generations(const std::optional<AppliedRevisions>& own) {
     generations_differ_ = false;
     const auto take = [&](const Generation& g) {
         if (shown_generation_ && g.number == shown_generation_->number && g != *shown_generation_)
@@ -272,8 +274,8 @@
         if (const auto claim = read_claim(e.text)) take(claim->generation);
 }
 
-void DigestKeeper::on_look(const Look& look, const std::optional<InForce>& own,
-                           const std::map<CacheId, std::size_t>& marks) {
+void DigestKeeper::on_snapshot(const FleetSnapshot& look, const std::optional<AppliedRevisions>& own,
+                               const std::map<CacheId, std::size_t>& marks) {
     const auto roster = look.roster ? read_roster(*look.roster) : std::nullopt;
     roster_read_ = roster.has_value();
     if (roster) roster_ = *roster;
@@ -285,23 +287,23 @@
     // Since when somebody has been absent goes from owner to owner.
     if (const auto former = look.former_digest ? read_digest(*look.former_digest) : std::nullopt)
         for (const auto& a : former->absent) absent_since_.try_emplace(a.member, a.since_ms);
-    Digest d = fold(look, own);
+    Digest d = merge(look, own);
     for (const auto& a : d.absent) absent_since_.try_emplace(a.member, a.since_ms);
     std::erase_if(absent_since_, [&](const auto& since) {
         return !roster_.names.contains(since.first) || since.first == settings_.self ||
                live(since.first, look.answered);
     });
-    for (const auto& [cache, members] : marks) d.marks.emplace_back(cache, members);
-    std::stable_sort(d.marks.begin(), d.marks.end(),
+    for (const auto& [cache, members] : marks) d.ejected_caches.emplace_back(cache, members);
+    std::stable_sort(d.ejected_caches.begin(), d.ejected_caches.end(),
                      [](const auto& a, const auto& b) { return a.second > b.second; });
-    if (d.marks.size() > most_caches) d.marks.resize(most_caches);
+    if (d.ejected_caches.size() > max_reported_caches) d.ejected_caches.resize(max_reported_caches);
     digest_ = std::move(d);
 }
 
-std::optional<std::string> DigestKeeper::next(Instant now) {
+std::optional<std::string> DigestKeeper::next(TimePoint now) {
     if (!digest_) return std::nullopt;
     const std::string is = content(*digest_).dump();
-    const Span since = now - written_at_;
+    const Duration since = now - written_at_;
     if (ever_written_ && since < (is == written_ ? settings_.refresh : settings_.pace)) return std::nullopt;
     ever_written_ = true;
     written_ = is;
@@ -311,8 +313,8 @@
 
 std::optional<Generation> DigestKeeper::next_generation(const std::string& new_id) const {
     if (!digest_) return std::nullopt;
-    return fleet::next_generation(shown_generation_, known_generation_, digest_->worn || generations_differ_,
-                                  new_id);
+    return fleet::next_generation(shown_generation_, known_generation_,
+                                  digest_->restart_required || generations_differ_, new_id);
 }
 
 }  // namespace irismux::fleet
--- a/src/fleet/digest.hpp
+++ b/src/fleet/digest.hpp
@@ -27,15 +27,15 @@
 namespace irismux::fleet {
 
 // Beyond it the roster is marked as incomplete; a transaction of a registry may have 128 reads.
-constexpr std::size_t most_in_roster = 96;
-constexpr std::size_t most_named = 16;   // of each list of a digest; the counts go on
-constexpr std::size_t most_caches = 32;  // marked ones in a digest, the most marked first
+constexpr std::size_t max_roster_names = 96;
+constexpr std::size_t max_named_members = 16;    // of each list of a digest; the counts go on
+constexpr std::size_t max_reported_caches = 32;  // marked ones in a digest, the most marked first
 
-struct Roster {
+struct SiteRoster {
     std::set<MemberName> names;
     bool incomplete = false;  // a name found no room: the site is never wholly known again until an operator
                               // has mended it
-    bool operator==(const Roster&) const = default;
+    bool operator==(const SiteRoster&) const = default;
 };
 
 struct Digest {
@@ -56,8 +56,8 @@
     std::int64_t as_of = 0;     // the owner's heartbeat that showed it all this
     std::int64_t as_of_ms = 0;  // Unix time by the owner's clock; for people
     Generation generation;
-    bool worn = false;      // as one of them claims
-    std::size_t known = 0;  // names in the roster
+    bool restart_required = false;  // as one of them claims
+    std::size_t known = 0;          // names in the roster
     std::size_t live = 0;
     EventNumber lowest, highest;  // of live members; the highest also of those that are not
     ConfigurationNumber lowest_configuration;
@@ -66,36 +66,37 @@
     std::vector<Behind>
         behind;  // live, and below the site's highest event or configuration; the lowest first
     std::size_t behind_count = 0;
-    bool incomplete = false;                             // the roster is
-    std::vector<std::pair<CacheId, std::size_t>> marks;  // how many members pass that cache over
+    bool incomplete = false;                                      // the roster is
+    std::vector<std::pair<CacheId, std::size_t>> ejected_caches;  // how many members pass that cache over
 };
 
 Key roster_key();
 Key digest_key();
 DutyName digest_duty();
-std::string serialize(const Roster&);
+std::string serialize(const SiteRoster&);
 std::string serialize(const Digest&);
-std::optional<Roster> read_roster(std::string_view);
+std::optional<SiteRoster> read_roster(std::string_view);
 std::optional<Digest> read_digest(std::string_view);
 // With that name in it. None: it is there already.
-std::optional<Roster> with_name(const Roster&, const MemberName&);
+std::optional<SiteRoster> with_name(const SiteRoster&, const MemberName&);
 
 // For how long a member counts as live after the last instant at which its process is known to have run.
-Span longest_unseen(Span term);
+Duration max_unseen_time(Duration term);
 // For how long a reader takes a digest for fresh, by its own clock.
-Span longest_stale(Span term);
+Duration max_staleness(Duration term);
 // For how long after its last sign of life a process may still be counted, by a clock at either end of what
 // is allowed. A new process that the board has not answered must not act until so long after its start.
-Span longest_counted(Span term, double drift);
+Duration longest_counted(Duration term, double drift);
 // How late a reader that reads each `read_every` says that an event is in force everywhere, after it has been
 // in force at the last gateway for the first time: all members live, the registry answering within `answer`,
 // the duty owned.
-Span longest_until_said(Span term, double drift, Span acknowledge_every, Span answer, Span read_every);
+Duration max_report_delay(Duration term, double drift, Duration acknowledge_every, Duration answer,
+                          Duration read_every);
 
 // What the transaction of a heartbeat showed.
-struct Look {
-    Instant asked, answered;  // by the owner's clock
-    std::int64_t number = 0;  // of that heartbeat, its own
+struct FleetSnapshot {
+    TimePoint asked, answered;  // by the owner's clock
+    std::int64_t number = 0;    // of that heartbeat, its own
     std::int64_t unix_ms = 0;
     std::optional<std::string> roster, former_digest, generation;
     std::map<MemberName, std::optional<std::string>> heartbeats;  // of others that were asked for
@@ -106,22 +107,22 @@
     struct Settings {
         MemberName self;
         std::string own_id;
-        Span term;
-        Span pace;     // between two digests, at least
-        Span refresh;  // a digest is written anew after so long, also if nothing has changed
+        Duration term;
+        Duration pace;     // between two digests, at least
+        Duration refresh;  // a digest is written anew after so long, also if nothing has changed
     };
     explicit DigestKeeper(Settings settings) : settings_(std::move(settings)) {}
 
     // Whose heartbeats the next look must show.
     const std::set<MemberName>& names() const { return roster_.names; }
     // Each look, whether or not this member owns the duty; `own` is what this member has in force.
-    void on_look(const Look& look, const std::optional<InForce>& own,
-                 const std::map<CacheId, std::size_t>& marks);
+    void on_snapshot(const FleetSnapshot& look, const std::optional<AppliedRevisions>& own,
+                     const std::map<CacheId, std::size_t>& marks);
     // The digest to be written now, by the duty's owner. It is taken as written from here on; if it was not,
     // a later one is.
-    std::optional<std::string> next(Instant now);
+    std::optional<std::string> next(TimePoint now);
     // The duty is another's: what was seen so far is no digest any more.
-    void drop() { digest_.reset(); }
+    void reset() { digest_.reset(); }
     // Whether one that is live lacks what another has: looks should be frequent.
     bool uneven() const { return digest_ && digest_->behind_count > 0; }
     const std::optional<Digest>& digest() const { return digest_; }
@@ -133,19 +134,19 @@
     struct Evidence {
         std::string text, id;  // of the heartbeat last shown, and of its sender's process
         std::int64_t number = 0;
-        Instant last_asked;  // the last look that showed it, whatever it showed
+        TimePoint last_asked;  // the last look that showed it, whatever it showed
         // Asked at that instant, a look did not yet show this text; and so of the text before, of the same
         // process.
-        std::optional<Instant> before_text, before_previous;
+        std::optional<TimePoint> before_text, before_previous;
     };
 
-    void note(const MemberName& name, const std::optional<std::string>& text, Instant asked);
-    void note_generations(const std::optional<InForce>& own);
-    bool live(const MemberName& name, Instant answered) const;
-    Digest fold(const Look& look, const std::optional<InForce>& own) const;
+    void note(const MemberName& name, const std::optional<std::string>& text, TimePoint asked);
+    void note_generations(const std::optional<AppliedRevisions>& own);
+    bool live(const MemberName& name, TimePoint answered) const;
+    Digest merge(const FleetSnapshot& look, const std::optional<AppliedRevisions>& own) const;
 
     Settings settings_;
-    Roster roster_;
+    SiteRoster roster_;
     bool roster_read_ = false;
     std::map<MemberName, Evidence> evidence_;  // of names in the roster
     std::map<MemberName, std::int64_t> absent_since_;
@@ -154,7 +155,7 @@
     bool generations_differ_ = false;
     std::optional<Digest> digest_;
     std::string written_;  // the last one's content, without when and by whom
-    Instant written_at_;
+    TimePoint written_at_;
     bool ever_written_ = false;
 };
 
--- a/src/fleet/duties.cpp
+++ b/src/fleet/duties.cpp
@@ -47,7 +47,7 @@
     if (d.known && d.text == text) return false;
     d.known = true;
     d.text = text;
-    d.record = text ? read_duty(*text) : std::nullopt;
+    d.record = text ? parse_duty(*text) : std::nullopt;
     return true;
 }
 
--- a/src/fleet/duties.hpp
+++ b/src/fleet/duties.hpp
@@ -17,15 +17,15 @@
 public:
     // One duty as this member knows it.
     struct Duty {
-        std::optional<std::string> text;       // of the newest record known
-        std::optional<DutyRecord> record;      // none: there is none, or it can't be parsed
-        registry::Revision at;                 // of that record
-        bool known = false;                    // a record, or that there is none, has been shown
-        bool wanted = true;                    // false: it is removed as soon as it has been given up
-        std::optional<Instance> released;      // an operator wants this instance to leave it to others
-        std::optional<Instant> unowned_since;  // none: it is owned, as far as is known
-        FencingToken given_up;                 // records that name us with a token up to this are ignored
-        Lease lease;                           // of this member
+        std::optional<std::string> text;         // of the newest record known
+        std::optional<DutyRecord> record;        // none: there is none, or it can't be parsed
+        registry::Revision at;                   // of that record
+        bool known = false;                      // a record, or that there is none, has been shown
+        bool wanted = true;                      // false: it is removed as soon as it has been given up
+        std::optional<Instance> released;        // an operator wants this instance to leave it to others
+        std::optional<TimePoint> unowned_since;  // none: it is owned, as far as is known
+        FencingToken given_up;                   // records that name us with a token up to this are ignored
+        Lease lease;                             // of this member
     };
 
     // The duties that are wanted; records of any others are ignored. False: there are too many, and some are
--- a/src/fleet/fence.cpp
+++ b/src/fleet/fence.cpp
@@ -6,13 +6,13 @@
 
 using nlohmann::json;
 
-FencingToken Fence::conflicting_token(const DutyName& duty, const Holder& holder) const {
+FencingToken Fence::conflicting_token(const DutyName& duty, const LeaseHolder& holder) const {
     const auto it = seen_.find(duty);
     if (it == seen_.end() || holder.token > it->second.token || holder == it->second) return FencingToken{};
     return it->second.token;
 }
 
-bool Fence::accepts(const DutyName& duty, const Holder& holder) {
+bool Fence::accepts(const DutyName& duty, const LeaseHolder& holder) {
     return (seen_.contains(duty) || holder.token > forgotten_) && on_record(duty, holder);
 }
 
@@ -23,7 +23,7 @@
     seen_.erase(it);
 }
 
-bool Fence::on_record(const DutyName& duty, const Holder& holder) {
+bool Fence::on_record(const DutyName& duty, const LeaseHolder& holder) {
     if (holder.token == FencingToken{} || conflicting_token(duty, holder) != FencingToken{}) return false;
     if (seen_.size() >= most_ && !seen_.contains(duty)) return false;
     seen_[duty] = holder;
@@ -37,7 +37,7 @@
 
 std::string Fence::serialize() const {
     json all = json::object();
-    for (const auto& [duty, h] : seen_) all[duty.raw()] = {h.token.raw(), h.owner.raw(), h.start.raw()};
+    for (const auto& [duty, h] : seen_) all[duty.raw()] = {h.token.raw(), h.owner.raw(), h.incarnation.raw()};
     if (forgotten_ > FencingToken{}) all[""] = {forgotten_.raw(), "", 0};
     return all.dump();
 }
@@ -45,7 +45,7 @@
 bool Fence::restore(std::string_view bytes) {
     const json all = json::parse(bytes, nullptr, false);
     if (!all.is_object()) return false;
-    std::map<DutyName, Holder> read;
+    std::map<DutyName, LeaseHolder> read;
     for (const auto& [duty, h] : all.items()) {
         if (!h.is_array() || h.size() != 3 || !h[0].is_number_integer() || !h[1].is_string() ||
             !h[2].is_number_integer())
--- a/src/fleet/fence.hpp
+++ b/src/fleet/fence.hpp
@@ -21,11 +21,11 @@
 namespace irismux::fleet {
 
 // Who holds a duty under which token.
-struct Holder {
+struct LeaseHolder {
     FencingToken token;
     MemberName owner;
-    Incarnation start;
-    auto operator<=>(const Holder&) const = default;
+    Incarnation incarnation;
+    auto operator<=>(const LeaseHolder&) const = default;
 };
 
 class Fence {
@@ -34,13 +34,13 @@
     explicit Fence(std::size_t most = 4096) : most_(most) {}
 
     // Whether an order under that token is to be obeyed; if so, no lower one is ever again.
-    bool accepts(const DutyName& duty, const Holder& holder);
+    bool accepts(const DutyName& duty, const LeaseHolder& holder);
     // As accepts(), for the registry's own record.
-    bool on_record(const DutyName& duty, const Holder& holder);
+    bool on_record(const DutyName& duty, const LeaseHolder& holder);
     // The duty's record has been removed: its next owner has a higher token.
     void forget(const DutyName& duty);
     // The token seen because of which this holder is refused; zero: none.
-    FencingToken conflicting_token(const DutyName& duty, const Holder& holder) const;
+    FencingToken conflicting_token(const DutyName& duty, const LeaseHolder& holder) const;
     // The highest token seen of that duty; zero: none.
     FencingToken highest(const DutyName& duty) const;
 
@@ -51,7 +51,7 @@
 private:
     std::size_t most_;
     FencingToken forgotten_;  // the highest of forgotten duties
-    std::map<DutyName, Holder> seen_;
+    std::map<DutyName, LeaseHolder> seen_;
 };
 
 }  // namespace irismux::fleet
--- a/src/fleet/fleet_client.cpp
+++ b/src/fleet/fleet_client.cpp
@@ -12,7 +12,7 @@
 constexpr const char* seen_name = "fleet epochs seen";
 constexpr const char* start_name = "fleet last start";
 // The tokens seen are stored at most this often; a crash loses those of the last such interval.
-constexpr Span store_every = Span::micros(250'000);
+constexpr Duration store_every = Duration::micros(250'000);
 
 constexpr std::string_view roll = "roll/", beats = "beat/";
 
@@ -57,24 +57,24 @@
     return site_prefix("", site) + path_of(key);
 }
 
-FleetClient::FleetClient(Loop& loop, GatewayPort& gateway, const Settings& settings,
+FleetClient::FleetClient(EventLoop& loop, GatewayCallbacks& gateway, const Settings& settings,
                          const std::string& version, std::uint64_t seed)
-    : loop_(loop),
+    : event_loop_(loop),
       gateway_(gateway),
       settings_(settings),
       watch_settings_(watch_settings(settings)),
       instance_id_(random_instance_id()),
       agent_((open_store(), *this), *this, settings.shared_config, identity(version),
              mixed_with_chance(seed)),
-      health_watch_(*this, settings.look_every, agent_.membership().round()),
-      garbage_collector_(settings.sweep_every, agent_.membership().wait() * 2),
-      asker_(loop, *this, settings_.registry),
+      health_watch_(*this, settings.health_check_interval, agent_.membership().heartbeat_interval()),
+      garbage_collector_(settings.collection_interval, agent_.membership().eviction_timeout() * 2),
+      connection_(loop, *this, settings_.registry),
       registry_member_(seed % settings.registry.members.size()),
-      client_(loop, *this, watch_settings_, mixed_with_chance(seed), registry::Sort::plain) {
+      watch_client_(loop, *this, watch_settings_, mixed_with_chance(seed), registry::RecordKind::opaque) {
     if (!settings.site.raw().empty()) {
         site_reporter_.emplace(
             SiteReporter::Settings{settings.name, instance_id_, settings.shared_config.term,
-                                   settings.acknowledge_every, settings.shared_config.drift},
+                                   settings.acknowledge_interval, settings.shared_config.drift},
             clock());
         site_reporter_->acknowledgement().on_configuration(settings.configuration);
     }
@@ -85,13 +85,13 @@
 }
 
 FleetClient::~FleetClient() {
-    *alive_ = false;
-    for (const auto& alarm : {wake_alarm_, tasks_alarm_, store_alarm_}) loop_.forget(alarm);
+    *liveness_token_ = false;
+    for (const auto& alarm : {wake_timer_, tasks_timer_, store_timer_}) event_loop_.cancel(alarm);
 }
 
 void FleetClient::open_store() {
-    if (settings_.keep_in.empty()) return;
-    auto opened = Store::open(settings_.keep_in, most_stored);
+    if (settings_.token_store_folder.empty()) return;
+    auto opened = Store::open(settings_.token_store_folder, most_stored);
     if (const auto* why = std::get_if<std::string>(&opened))
         return gateway_.on_fleet_message("epochs seen are not kept: " + *why, true);
     store_ = std::move(std::get<Store>(opened));
@@ -102,23 +102,23 @@
                      InstanceId{instance_id_},
                      version,
                      {},
-                     settings_.registry.pace.answer_in,
+                     settings_.registry.poll_policy.reply_timeout,
                      true,
-                     settings_.site.raw().empty() ? Span{} : settings_.acknowledge_every};
+                     settings_.site.raw().empty() ? Duration{} : settings_.acknowledge_interval};
     if (const auto start = store_ ? store_->read(start_name) : std::nullopt)
         p.last_incarnation = Incarnation{std::atoll(start->c_str())};
     return p;
 }
 
-Instant FleetClient::clock() const {
+TimePoint FleetClient::clock() const {
     timespec t{};
     ::clock_gettime(CLOCK_BOOTTIME, &t);
-    return Instant{} + Span::micros(static_cast<std::int64_t>(t.tv_sec) * 1'000'000 + t.tv_nsec / 1000);
+    return TimePoint{} + Duration::micros(static_cast<std::int64_t>(t.tv_sec) * 1'000'000 + t.tv_nsec / 1000);
 }
 
 // Runs it after the current call has returned; never after this client has been destroyed.
 void FleetClient::call_soon(std::function<void()> then) {
-    loop_.soon([alive = std::weak_ptr<bool>(alive_), then = std::move(then)] {
+    event_loop_.schedule_now([alive = std::weak_ptr<bool>(liveness_token_), then = std::move(then)] {
         if (alive.lock()) then();
     });
 }
@@ -126,7 +126,7 @@
 void FleetClient::start() {
     update_duties();
     agent_.start(clock());
-    client_.start();
+    watch_client_.start();
     run_due_tasks();
     store_tokens_seen();
 }
@@ -137,22 +137,22 @@
     agent_.leave(clock());
 }
 
-void FleetClient::marked(const CacheId& cache, bool is) {
-    health_watch_.marked(cache, is);
+void FleetClient::on_ejection_changed(const CacheId& cache, bool is) {
+    health_watch_.on_ejection_changed(cache, is);
     // Where probes are not permitted the Router's own trial counts as the probe.
     call_soon([this, cache, is] {
-        if (!is) health_watch_.on_probe_done(clock(), cache, true, agent_);
-        agent_.set_marked_caches(clock(), health_watch_.marks());
+        if (!is) health_watch_.on_health_check_done(clock(), cache, true, agent_);
+        agent_.set_ejected_caches(clock(), health_watch_.ejected_caches());
         update_duties();
     });
 }
 
-void FleetClient::probed(const CacheId& cache, bool answered) {
-    health_watch_.on_probe_done(clock(), cache, answered, agent_);
+void FleetClient::on_health_check_done(const CacheId& cache, bool answered) {
+    health_watch_.on_health_check_done(clock(), cache, answered, agent_);
 }
 
-bool FleetClient::may_probe(const CacheId& cache) const {
-    return health_watch_.may_probe(clock(), cache, agent_);
+bool FleetClient::may_check_health(const CacheId& cache) const {
+    return health_watch_.may_check(clock(), cache, agent_);
 }
 
 // --- transactions
@@ -169,48 +169,49 @@
     for (const auto& [key, text] : d.compares) holds.emplace_back(path(key), text);
     for (const auto& [key, text] : d.writes) writes.emplace_back(path(key), text);
     for (const Key& key : d.reads) shows.push_back(path(key));
-    asker_.ask(registry_member_, registry::etcd::settle(holds, writes, shows), false);
+    connection_.send_request(registry_member_, registry::etcd::transaction(holds, writes, shows), false);
 }
 
 void FleetClient::use_next_registry_member() {
-    registry_member_ = registry::MemberNo{(registry_member_.raw() + 1) % settings_.registry.members.size()};
+    registry_member_ =
+        registry::MemberIndex{(registry_member_.raw() + 1) % settings_.registry.members.size()};
 }
 
-void FleetClient::replied(int status, const std::string& body) {
-    const auto read = registry::etcd::read_settled(status, body, settings_.registry.prefix);
-    if (const auto* wrong = std::get_if<registry::etcd::Problem>(&read)) {
-        if (wrong->fault == registry::etcd::Fault::refused && asker_.with_a_new_token()) return;
-        return broke(wrong->words.c_str());
+void FleetClient::on_reply(int status, const std::string& body) {
+    const auto read = registry::etcd::read_transaction_result(status, body, settings_.registry.prefix);
+    if (const auto* wrong = std::get_if<registry::etcd::Error>(&read)) {
+        if (wrong->code == registry::etcd::ErrorCode::refused && connection_.retry_with_new_token()) return;
+        return on_connection_lost(wrong->message.c_str());
     }
     if (!pending_transaction_) return;
-    const auto& settled = std::get<registry::etcd::Settled>(read);
+    const auto& settled = std::get<registry::etcd::TransactionResult>(read);
     const Transaction d = *std::exchange(pending_transaction_, std::nullopt);
     std::vector<Entry> shown;
     const auto show = [&](const Key& key) {
-        const auto it = std::find_if(settled.shown.begin(), settled.shown.end(), [&](const auto& r) {
+        const auto it = std::find_if(settled.records.begin(), settled.records.end(), [&](const auto& r) {
             return r.key.raw() == path_of(key, settings_.site);
         });
-        shown.emplace_back(key, it == settled.shown.end() ? Text{} : Text{it->value});
+        shown.emplace_back(key, it == settled.records.end() ? Text{} : Text{it->value});
     };
-    if (settled.held)
+    if (settled.succeeded)
         for (const Key& key : d.reads) show(key);
     else
         for (const auto& [key, text] : d.compares) show(key);
-    agent_.on_transaction_result(clock(), settled.from.revision, settled.held, shown);
+    agent_.on_transaction_result(clock(), settled.origin.revision, settled.succeeded, shown);
     run_due_tasks();
 }
 
-void FleetClient::broke(const char*) {
-    asker_.hang_up();
+void FleetClient::on_connection_lost(const char*) {
+    connection_.close();
     use_next_registry_member();
     if (!std::exchange(pending_transaction_, std::nullopt)) return;
     agent_.on_no_answer(clock());
     run_due_tasks();
 }
 
-void FleetClient::schedule_wake(Instant at) {
-    loop_.forget(wake_alarm_);
-    wake_alarm_ = loop_.at(to_loop_time(at), [this] {
+void FleetClient::schedule_wake(TimePoint at) {
+    event_loop_.cancel(wake_timer_);
+    wake_timer_ = event_loop_.schedule_at(to_event_loop_time(at), [this] {
         agent_.on_wake(clock());
         run_due_tasks();
     });
@@ -218,8 +219,8 @@
 
 // --- watched records
 
-void FleetClient::records_told(Instant, registry::Revision at, const std::vector<registry::Change>& changes,
-                               bool all) {
+void FleetClient::on_records(TimePoint, registry::Revision at, const std::vector<registry::Change>& changes,
+                             bool all) {
     std::vector<Entry> entries;
     entries.reserve(changes.size());
     for (const auto& c : changes)
@@ -228,18 +229,18 @@
     mirrored_revision_ = at;
     agent_.on_records(clock(), at, entries, all);
     for (const auto& [key, text] : entries)
-        if (const auto cache = probed_cache_of(key))
-            if (const auto f = text ? read_probe_result(*text) : std::nullopt) {
+        if (const auto cache = health_record_cache(key))
+            if (const auto f = text ? parse_health_record(*text) : std::nullopt) {
                 const DutyName duty = health_watch_duty(*cache);
-                if (agent_.accepts(duty, {f->token, f->by.name, f->by.start}))
+                if (agent_.accepts(duty, {f->token, f->by.name, f->by.incarnation}))
                     health_watch_.on_probe_result(clock(), *cache, *f, agent_);
             }
     update_duties();
     run_due_tasks();
 }
 
-void FleetClient::sight_told(Instant, registry::Sight sight, Instant) {
-    const bool blind = sight == registry::Sight::blind;
+void FleetClient::on_sync_state(TimePoint, registry::SyncState sight, TimePoint) {
+    const bool blind = sight == registry::SyncState::disconnected;
     if (std::exchange(registry_silent_, blind) != blind)
         gateway_.on_fleet_message(blind ? "the registry says nothing: what is known of the fleet ages"
                                         : "the registry is heard again",
@@ -249,7 +250,7 @@
 void FleetClient::update_duties() {
     std::set<DutyName> wanted{garbage_collection_duty()};
     if (site_reporter_) wanted.insert(digest_duty());
-    for (const CacheId& c : health_watch_.watched(agent_)) wanted.insert(health_watch_duty(c));
+    for (const CacheId& c : health_watch_.monitored(agent_)) wanted.insert(health_watch_duty(c));
     if (wanted == duties_) return;
     std::vector<Entry> records;
     for (const DutyName& d : wanted)
@@ -265,19 +266,19 @@
 
 // Probes and garbage collection that are due; sets the alarm for the next.
 void FleetClient::run_due_tasks() {
-    loop_.forget(tasks_alarm_);
-    const Instant now = clock();
-    if (site_reporter_) site_reporter_->go_on(now, agent_);
+    event_loop_.cancel(tasks_timer_);
+    const TimePoint now = clock();
+    if (site_reporter_) site_reporter_->advance(now, agent_);
     health_watch_.tick(now, agent_);
-    Instant due = health_watch_.due();
-    if (agent_.may_begin(now, garbage_collection_duty())) {
+    TimePoint due = health_watch_.due();
+    if (agent_.may_begin_work(now, garbage_collection_duty())) {
         if (auto write_request = garbage_collector_.next(now, record_mirror_, agent_))
             if (!agent_.write_fenced(now, garbage_collection_duty(), collection_progress_key(),
                                      std::move(*write_request)))
-                garbage_collector_.told(now, WriteOutcome::refused);
+                garbage_collector_.on_written(now, WriteOutcome::refused);
         if (garbage_collector_.due() > now) due = std::min(due, garbage_collector_.due());
     }
-    tasks_alarm_ = loop_.at(to_loop_time(due), [this] { run_due_tasks(); });
+    tasks_timer_ = event_loop_.schedule_at(to_event_loop_time(due), [this] { run_due_tasks(); });
 }
 
 void FleetClient::on_lease_state(const DutyName& duty, LeaseState state, FencingToken token) {
@@ -286,68 +287,69 @@
 
 void FleetClient::on_write_outcome(const DutyName& duty, const Key& key, WriteOutcome done) {
     if (duty == digest_duty() && site_reporter_) site_reporter_->on_written(key);
-    if (duty == garbage_collection_duty()) garbage_collector_.told(clock(), done);
+    if (duty == garbage_collection_duty()) garbage_collector_.on_written(clock(), done);
 }
 
-void FleetClient::remark(std::string_view plain_line) { gateway_.on_fleet_message(plain_line, true); }
+void FleetClient::on_warning(std::string_view plain_line) { gateway_.on_fleet_message(plain_line, true); }
 
-void FleetClient::send_probe(const CacheId& cache) {
+void FleetClient::start_health_check(const CacheId& cache) {
     call_soon([this, cache] {
         // The process may have been stopped since it was asked for: the lease is checked again right before
         // the first byte.
-        if (!may_probe(cache)) return;
-        if (!gateway_.send_probe(cache)) health_watch_.not_permitted(clock(), cache, agent_);
+        if (!may_check_health(cache)) return;
+        if (!gateway_.start_health_check(cache)) health_watch_.not_permitted(clock(), cache, agent_);
     });
 }
 
-void FleetClient::trial_from(const CacheId& cache, Instant at) {
-    call_soon([this, cache, at] { gateway_.trial_from(cache, to_loop_time(at)); });
+void FleetClient::postpone_recovery_probe(const CacheId& cache, TimePoint at) {
+    call_soon([this, cache, at] { gateway_.postpone_recovery_probe(cache, to_event_loop_time(at)); });
 }
 
 // --- what is in force here
 
-bool FleetClient::ask_board_from_start() const {
-    return site_reporter_ && site_reporter_->acknowledgement().ask_from_start();
+bool FleetClient::needs_full_notice_history() const {
+    return site_reporter_ && site_reporter_->acknowledgement().needs_full_history();
 }
 
-void FleetClient::on_board_asked(bool from_start) {
-    if (site_reporter_) site_reporter_->acknowledgement().on_board_asked(from_start);
+void FleetClient::on_poll_started(bool from_start) {
+    if (site_reporter_) site_reporter_->acknowledgement().on_poll_started(from_start);
 }
 
-void FleetClient::on_board_told(std::int64_t newest, std::int64_t asked_from) {
+void FleetClient::on_poll_completed(std::int64_t newest, std::int64_t asked_from) {
     if (!site_reporter_) return;
-    site_reporter_->acknowledgement().on_board_told(EventNumber{newest}, EventNumber{asked_from});
-    site_reporter_->go_on(clock(), agent_);
+    site_reporter_->acknowledgement().on_poll_completed(EventNumber{newest}, EventNumber{asked_from});
+    site_reporter_->advance(clock(), agent_);
 }
 
-void FleetClient::on_board_failed() {
-    if (site_reporter_) site_reporter_->acknowledgement().on_board_failed();
+void FleetClient::on_poll_failed() {
+    if (site_reporter_) site_reporter_->acknowledgement().on_poll_failed();
 }
 
-void FleetClient::on_board_event_left_out() {
-    if (site_reporter_) site_reporter_->acknowledgement().on_event_left_out();
+void FleetClient::on_notice_skipped() {
+    if (site_reporter_) site_reporter_->acknowledgement().on_notice_skipped();
 }
 
 void FleetClient::set_configuration(ConfigurationNumber number) {
     settings_.configuration = number;
     if (!site_reporter_) return;
     site_reporter_->acknowledgement().on_configuration(number);
-    site_reporter_->go_on(clock(), agent_);
+    site_reporter_->advance(clock(), agent_);
 }
 
-void FleetClient::on_heartbeat_result(Instant sent, HeartbeatNumber number, const std::vector<Entry>& shown) {
+void FleetClient::on_heartbeat_result(TimePoint sent, HeartbeatNumber number,
+                                      const std::vector<Entry>& shown) {
     if (site_reporter_) site_reporter_->on_heartbeat(clock(), unix_ms_now(), sent, number, shown, agent_);
 }
 
-void FleetClient::on_registry_went_back() {
+void FleetClient::on_registry_restored() {
     if (site_reporter_) site_reporter_->acknowledgement().on_history_lost();
 }
 
 // --- state that outlives the process
 
 void FleetClient::store_tokens_seen() {
-    loop_.forget(store_alarm_);
-    store_alarm_ = loop_.at(loop_.now() + store_every, [this] { store_tokens_seen(); });
+    event_loop_.cancel(store_timer_);
+    store_timer_ = event_loop_.schedule_at(event_loop_.now() + store_every, [this] { store_tokens_seen(); });
     if (!store_) return;
     const std::string seen = agent_.fence().serialize() + std::to_string(agent_.incarnation().raw());
     if (seen == stored_tokens_) return;
--- a/src/fleet/fleet_status.cpp
+++ b/src/fleet/fleet_status.cpp
@@ -10,7 +10,7 @@
     return all;
 }
 
-void FleetStatus::on_reading(const Reading& reading) {
+void FleetStatus::on_reading(const RegistryReading& reading) {
     board_newest_.reset();
     generation_ = reading.generation ? read_generation(*reading.generation) : std::nullopt;
     old_form_ = reading.old_form;
@@ -23,22 +23,22 @@
             unreadable_.insert(site);
     }
     for (const auto& [site, text] : reading.owner_heartbeats) {
-        const auto heartbeat = read_heartbeat(text);
+        const auto heartbeat = parse_heartbeat(text);
         if (!heartbeat) continue;
         auto& shown = shown_[site];
         shown.push_back({reading.asked, heartbeat->instance_id.raw(), heartbeat->number.raw()});
-        if (shown.size() > most_readings) shown.pop_front();
+        if (shown.size() > max_readings) shown.pop_front();
     }
 }
 
 // The heartbeat that the digest is as of landed after a reading was asked that still showed one below it.
-bool FleetStatus::fresh(Instant now, const SiteName& site) const {
+bool FleetStatus::fresh(TimePoint now, const SiteName& site) const {
     const auto digest = digests_.find(site);
     const auto shown = shown_.find(site);
     if (digest == digests_.end() || shown == shown_.end()) return false;
     return std::any_of(shown->second.begin(), shown->second.end(), [&](const Shown& s) {
         return s.owner_id == digest->second.owner_id && s.number < digest->second.as_of &&
-               now - s.asked <= longest_stale(term_);
+               now - s.asked <= max_staleness(term_);
     });
 }
 
@@ -48,42 +48,45 @@
     return all;
 }
 
-void FleetStatus::judge_site(Instant now, const Question& question, const SiteName& site, const Digest& d,
+void FleetStatus::judge_site(TimePoint now, const Query& question, const SiteName& site, const Digest& d,
                              std::vector<Missing>& missing) const {
-    if (!fresh(now, site)) return missing.push_back({Why::site_silent, site, {}, d.as_of_ms});
-    if (!generation_ || d.generation != *generation_ || d.worn)
-        return missing.push_back({Why::other_generation, site, {}, d.as_of_ms});
+    if (!fresh(now, site)) return missing.push_back({MissingReason::site_silent, site, {}, d.as_of_ms});
+    if (!generation_ || d.generation != *generation_ || d.restart_required)
+        return missing.push_back({MissingReason::other_generation, site, {}, d.as_of_ms});
     const auto expected = inventory_.find(site);
     if (expected == inventory_.end() || d.known < expected->second)
-        missing.push_back({Why::too_few, site, {}, 0});
-    if (d.incomplete || d.absent_count > d.absent.size()) missing.push_back({Why::too_many, site, {}, 0});
-    for (const auto& a : d.absent) missing.push_back({Why::absent, site, a.member, a.since_ms});
+        missing.push_back({MissingReason::too_few, site, {}, 0});
+    if (d.incomplete || d.absent_count > d.absent.size())
+        missing.push_back({MissingReason::too_many, site, {}, 0});
+    for (const auto& a : d.absent) missing.push_back({MissingReason::absent, site, a.member, a.since_ms});
     if (d.lowest >= question.event && d.lowest_configuration >= question.configuration) return;
     bool named = false;
     for (const auto& b : d.behind)
         if (b.event < question.event || b.configuration < question.configuration) {
-            missing.push_back({Why::behind, site, b.member, 0});
+            missing.push_back({MissingReason::behind, site, b.member, 0});
             named = true;
         }
     // All of the site stand below it alike, or those below it found no room.
-    if (!named || d.behind_count > d.behind.size()) missing.push_back({Why::behind, site, {}, 0});
+    if (!named || d.behind_count > d.behind.size()) missing.push_back({MissingReason::behind, site, {}, 0});
 }
 
-FleetStatus::Verdict FleetStatus::judge(Instant now, const Question& question) const {
+FleetStatus::Verdict FleetStatus::judge(TimePoint now, const Query& question) const {
     Verdict v;
-    if (inventory_.empty()) v.missing.push_back({Why::no_inventory, {}, {}, 0});
+    if (inventory_.empty()) v.missing.push_back({MissingReason::no_inventory, {}, {}, 0});
     // Guards against numbers from before the board was restored: what it has, it has no less of than was
     // claimed when it was asked.
     if (question.event > EventNumber{} &&
         (!board_newest_ || *board_newest_ < question.event || *board_newest_ < highest()))
-        v.missing.push_back({Why::board_unknown, {}, {}, 0});
-    for (const MemberName& name : old_form_) v.missing.push_back({Why::old_form, {}, name, 0});
+        v.missing.push_back({MissingReason::board_unknown, {}, {}, 0});
+    for (const MemberName& name : old_form_) v.missing.push_back({MissingReason::old_form, {}, name, 0});
     for (const auto& [site, count] : inventory_)
-        if (count > 0 && !digests_.contains(site)) v.missing.push_back({Why::never_reported, site, {}, 0});
-    for (const SiteName& site : unreadable_) v.missing.push_back({Why::never_reported, site, {}, 0});
+        if (count > 0 && !digests_.contains(site))
+            v.missing.push_back({MissingReason::never_reported, site, {}, 0});
+    for (const SiteName& site : unreadable_)
+        v.missing.push_back({MissingReason::never_reported, site, {}, 0});
     for (const auto& [site, digest] : digests_) judge_site(now, question, site, digest, v.missing);
     const bool all_cut_off = std::all_of(v.missing.begin(), v.missing.end(), [](const Missing& m) {
-        return m.why == Why::absent || m.why == Why::site_silent;
+        return m.reason == MissingReason::absent || m.reason == MissingReason::site_silent;
     });
     v.reach = v.missing.empty() ? Reach::everywhere : all_cut_off ? Reach::all_but : Reach::not_yet;
     return v;
