--- a/src/fleet/fleet_status.hpp
+++ b/src/fleet/fleet_status.hpp
@@ -26,7 +26,7 @@
 class FleetStatus {
 public:
     enum class Reach { everywhere, all_but, not_yet };
-    enum class Why {
+    enum class MissingReason {
         absent,            // a member that no heartbeat shows to run: cut off, dead or left
         site_silent,       // nothing fresh from that site
         behind,            // live, and without the event
@@ -39,7 +39,7 @@
         board_unknown,     // the board's newest number is not known, or is lower than what is claimed
     };
     struct Missing {
-        Why why;
+        MissingReason reason;
         SiteName site;      // may be empty
         MemberName member;  // empty: the whole site
         std::int64_t since_ms = 0;
@@ -49,13 +49,13 @@
         Reach reach = Reach::not_yet;
         std::vector<Missing> missing;  // at most so many as digests name; if more are known of, it is not yet
     };
-    struct Question {
+    struct Query {
         EventNumber event;                  // zero: not asked
         ConfigurationNumber configuration;  // zero: not asked
     };
     // What one reading of the registry showed, all at one revision.
-    struct Reading {
-        Instant asked;
+    struct RegistryReading {
+        TimePoint asked;
         std::optional<std::string> generation;
         std::map<SiteName, std::string> digests;
         std::map<SiteName, std::string> owner_heartbeats;  // of those that owners() named
@@ -63,32 +63,31 @@
     };
 
     // The inventory: each site with the number of its gateways, at least.
-    FleetStatus(Span term, std::map<SiteName, std::size_t> inventory)
+    FleetStatus(Duration term, std::map<SiteName, std::size_t> inventory)
         : term_(term), inventory_(std::move(inventory)) {}
 
     // Whose heartbeats the next reading must show.
     std::map<SiteName, MemberName> owners() const;
-    void on_reading(const Reading&);
+    void on_reading(const RegistryReading&);
     // What the board answered to a question that was asked after the last reading.
     void on_board(EventNumber newest) { board_newest_ = newest; }
 
-    Verdict judge(Instant now, const Question&) const;
-    bool fresh(Instant now, const SiteName&) const;
+    Verdict judge(TimePoint now, const Query&) const;
+    bool fresh(TimePoint now, const SiteName&) const;
     const std::map<SiteName, Digest>& digests() const { return digests_; }
 
 private:
-    static constexpr std::size_t most_readings = 256;  // remembered of a site; beyond, the oldest goes
+    static constexpr std::size_t max_readings = 256;  // remembered of a site; beyond, the oldest goes
 
     struct Shown {
-        Instant asked;
+        TimePoint asked;
         std::string owner_id;
         std::int64_t number = 0;
     };
-    void judge_site(Instant now, const Question&, const SiteName&, const Digest&,
-                    std::vector<Missing>&) const;
+    void judge_site(TimePoint now, const Query&, const SiteName&, const Digest&, std::vector<Missing>&) const;
     EventNumber highest() const;
 
-    Span term_;
+    Duration term_;
     std::map<SiteName, std::size_t> inventory_;
     std::optional<Generation> generation_;
     std::map<SiteName, Digest> digests_;
--- a/src/fleet/garbage_collector.cpp
+++ b/src/fleet/garbage_collector.cpp
@@ -23,12 +23,12 @@
     if (const auto duty = duty_of(key); duty && watched_cache_of(*duty))
         return duty_removal(key, text, *duty, record_mirror, agent);
     if (released_duty_of(key)) {
-        const auto instance = read_release(text);
+        const auto instance = parse_release(text);
         const auto absence = instance ? absence_of(*instance, record_mirror, agent) : std::nullopt;
         if (!absence) return std::nullopt;
         return FencedWrite{{unchanged, *absence}, {removed}};
     }
-    if (const auto cache = probed_cache_of(key)) {
+    if (const auto cache = health_record_cache(key)) {
         const Key duty = duty_key(health_watch_duty(*cache));
         if (record_mirror.at(duty)) return std::nullopt;
         return FencedWrite{{unchanged, {duty, std::nullopt}}, {removed}};
@@ -41,56 +41,56 @@
                                                           const DutyName& duty,
                                                           const RecordMirror& record_mirror,
                                                           const Agent& agent) const {
-    const auto record = read_duty(text);
+    const auto record = parse_duty(text);
     if (!record || agent.duties().all().contains(duty)) return std::nullopt;
     FencedWrite write{{{key, text}, {floor_key(), agent.floor()}}, {{key, std::nullopt}}};
     if (!record->owner.raw().empty()) {
-        const auto absence = absence_of({record->owner, record->start}, record_mirror, agent);
+        const auto absence = absence_of({record->owner, record->incarnation}, record_mirror, agent);
         if (!absence) return std::nullopt;
         write.compares.push_back(*absence);
     }
-    const FencingToken floor = agent.floor() ? read_floor(*agent.floor()) : FencingToken{};
+    const FencingToken floor = agent.floor() ? parse_floor(*agent.floor()) : FencingToken{};
     if (record->token > floor) write.writes.emplace_back(floor_key(), serialize_floor(record->token));
     return write;
 }
 
 // Once a pass: finds the records that have been garbage for long enough.
-void GarbageCollector::scan(Instant now, const RecordMirror& record_mirror, const Agent& agent) {
+void GarbageCollector::scan(TimePoint now, const RecordMirror& record_mirror, const Agent& agent) {
     std::map<Key, Candidate> candidates;
-    ready_.clear();
+    ready_removals_.clear();
     for (const auto& [key, text] : record_mirror.records()) {
         if (!removal(key, text, record_mirror, agent)) continue;
         const auto known = candidates_.find(key);
         const bool same = known != candidates_.end() && known->second.text == text;
-        const Instant since = same ? known->second.since : now;
+        const TimePoint since = same ? known->second.since : now;
         candidates[key] = {text, since};
-        if (now - since >= minimum_age_) ready_.insert(key);
+        if (now - since >= minimum_age_) ready_removals_.insert(key);
     }
     candidates_ = std::move(candidates);
     scanned_ = true;
 }
 
-std::optional<FencedWrite> GarbageCollector::next(Instant now, const RecordMirror& record_mirror,
+std::optional<FencedWrite> GarbageCollector::next(TimePoint now, const RecordMirror& record_mirror,
                                                   const Agent& agent) {
     if (write_under_way_ || now < next_) return std::nullopt;
     const Text former = record_mirror.at(collection_progress_key());
     CollectionProgress place =
-        former ? read_collection_progress(*former).value_or(CollectionProgress{}) : CollectionProgress{};
+        former ? parse_collection_progress(*former).value_or(CollectionProgress{}) : CollectionProgress{};
     // A new owner continues the pass that it finds; what the one before removed is not there any more.
     if (!scanned_) scan(now, record_mirror, agent);
     std::optional<FencedWrite> write_request;
     Key at;
-    while (!ready_.empty() && !write_request) {
-        at = *ready_.begin();
-        ready_.erase(ready_.begin());
+    while (!ready_removals_.empty() && !write_request) {
+        at = *ready_removals_.begin();
+        ready_removals_.erase(ready_removals_.begin());
         const Text text = record_mirror.at(at);
-        if (text && at.raw() > place.behind) write_request = removal(at, *text, record_mirror, agent);
+        if (text && at.raw() > place.last_key) write_request = removal(at, *text, record_mirror, agent);
     }
     ends_pass_ = !write_request;
     if (!write_request) write_request.emplace();
-    place.taken += !ends_pass_;
+    place.removed_records += !ends_pass_;
     place.pass += ends_pass_;
-    place.behind = ends_pass_ ? "" : at.raw();
+    place.last_key = ends_pass_ ? "" : at.raw();
     place.token = agent.token_of(garbage_collection_duty());
     place.by = agent.self();
     write_request->writes.emplace_back(collection_progress_key(), serialize(place));
@@ -99,11 +99,11 @@
 }
 
 // What was refused or may not have landed is tried again in the next pass, from the records as they are then.
-void GarbageCollector::told(Instant now, WriteOutcome) {
+void GarbageCollector::on_written(TimePoint now, WriteOutcome) {
     write_under_way_ = false;
     if (!ends_pass_) return;
     scanned_ = false;
-    next_ = now + every_;
+    next_ = now + interval_;
 }
 
 }  // namespace irismux::fleet
--- a/src/fleet/garbage_collector.hpp
+++ b/src/fleet/garbage_collector.hpp
@@ -25,20 +25,20 @@
 class GarbageCollector {
 public:
     // A pass begins `every` after the end of the one before, by this owner's clock.
-    GarbageCollector(Span every, Span minimum_age) : every_(every), minimum_age_(minimum_age) {}
+    GarbageCollector(Duration every, Duration minimum_age) : interval_(every), minimum_age_(minimum_age) {}
 
     // The next write, if one is due. One is under way at a time.
-    std::optional<FencedWrite> next(Instant now, const RecordMirror& record_mirror, const Agent& agent);
+    std::optional<FencedWrite> next(TimePoint now, const RecordMirror& record_mirror, const Agent& agent);
     // The outcome of that write.
-    void told(Instant now, WriteOutcome outcome);
+    void on_written(TimePoint now, WriteOutcome outcome);
     // When next() has something to do again, if nothing is under way.
-    Instant due() const { return next_; }
+    TimePoint due() const { return next_; }
 
 private:
     // Garbage as it was first seen.
     struct Candidate {
         std::string text;
-        Instant since;
+        TimePoint since;
     };
 
     std::optional<FencedWrite> removal(const Key& key, const std::string& text,
@@ -46,13 +46,13 @@
 
     std::optional<FencedWrite> duty_removal(const Key& key, const std::string& text, const DutyName& duty,
                                             const RecordMirror& record_mirror, const Agent& agent) const;
-    void scan(Instant now, const RecordMirror& record_mirror, const Agent& agent);
+    void scan(TimePoint now, const RecordMirror& record_mirror, const Agent& agent);
 
-    Span every_, minimum_age_;
+    Duration interval_, minimum_age_;
     bool write_under_way_ = false;
     bool ends_pass_ = false;  // that write
-    Instant next_;
-    std::set<Key> ready_;                  // to be removed in this pass
+    TimePoint next_;
+    std::set<Key> ready_removals_;         // to be removed in this pass
     bool scanned_ = false;                 // in this pass
     std::map<Key, Candidate> candidates_;  // at most as many as there are records
 };
--- a/src/fleet/health_watch.hpp
+++ b/src/fleet/health_watch.hpp
@@ -21,52 +21,52 @@
 namespace irismux::fleet {
 
 // What a HealthWatch needs of its carrier.
-class ProbePort {
+class HealthCheckCallbacks {
 public:
-    virtual ~ProbePort() = default;
+    virtual ~HealthCheckCallbacks() = default;
     // The outcome comes back through on_probe_done().
-    virtual void send_probe(const CacheId&) = 0;
+    virtual void start_health_check(const CacheId&) = 0;
     // The gateway's own next trial of the marked cache is due at that instant of the watch's clock.
-    virtual void trial_from(const CacheId&, Instant) = 0;
+    virtual void postpone_recovery_probe(const CacheId&, TimePoint) = 0;
 };
 
-class HealthWatch {
+class HealthMonitor {
 public:
-    HealthWatch(ProbePort& port, Span look_every, Span round)
-        : port_(port), look_every_(look_every), round_(round) {}
+    HealthMonitor(HealthCheckCallbacks& port, Duration look_every, Duration round)
+        : port_(port), interval_(look_every), round_(round) {}
 
     // The own Router has begun or ended to pass over that cache.
-    void marked(const CacheId&, bool);
-    const std::set<CacheId>& marks() const { return marks_; }
+    void on_ejection_changed(const CacheId&, bool);
+    const std::set<CacheId>& ejected_caches() const { return ejected_caches_; }
     // Updates and returns the caches to be watched, by the marks that the members publish.
-    const std::set<CacheId>& watched(const Agent& agent);
+    const std::set<CacheId>& monitored(const Agent& agent);
     // A result that the owner of a watch has published.
-    void on_probe_result(Instant now, const CacheId&, const ProbeResult&, const Agent& agent);
+    void on_probe_result(TimePoint now, const CacheId&, const HealthRecord&, const Agent& agent);
     // The outcome of an own probe.
-    void on_probe_done(Instant now, const CacheId&, bool well, Agent& agent);
+    void on_health_check_done(TimePoint now, const CacheId&, bool well, Agent& agent);
     // Whether a probe that was asked for may still be sent.
-    bool may_probe(Instant now, const CacheId&, const Agent& agent) const;
+    bool may_check(TimePoint now, const CacheId&, const Agent& agent) const;
     // Probes of that cache are not permitted: the gateway's own trial takes their place.
-    void not_permitted(Instant now, const CacheId&, Agent& agent);
+    void not_permitted(TimePoint now, const CacheId&, Agent& agent);
     // Sends the probes that are due. One without an outcome by its next time was not answered.
-    void tick(Instant now, Agent& agent);
+    void tick(TimePoint now, Agent& agent);
     // When tick() has something to do again.
-    Instant due() const { return due_; }
+    TimePoint due() const { return due_; }
 
 private:
-    struct Probe {
-        Instant next;
+    struct HealthCheck {
+        TimePoint next;
         bool under_way = false;
-        ProbeResult last;
+        HealthRecord last;
     };
 
-    ProbePort& port_;
-    Span look_every_, round_;
-    std::set<CacheId> marks_;
-    std::set<CacheId> watched_;
-    std::map<CacheId, Probe> probes_;  // of watches that this member owns
-    std::set<CacheId> well_;           // marked here, published as well, and the Router was told
-    Instant due_;
+    HealthCheckCallbacks& port_;
+    Duration interval_, round_;
+    std::set<CacheId> ejected_caches_;
+    std::set<CacheId> monitored_;
+    std::map<CacheId, HealthCheck> checks_;  // of watches that this member owns
+    std::set<CacheId> healthy_;              // marked here, published as well, and the Router was told
+    TimePoint due_;
 };
 
 }  // namespace irismux::fleet
--- a/src/fleet/in_force.cpp
+++ b/src/fleet/in_force.cpp
@@ -37,7 +37,7 @@
 
 std::optional<Generation> read_generation(std::string_view bytes) { return generation_of(object_of(bytes)); }
 
-std::string with_claim(const std::string& heartbeat, const std::optional<InForce>& claim) {
+std::string with_claim(const std::string& heartbeat, const std::optional<AppliedRevisions>& claim) {
     if (!claim) return heartbeat;
     json all = object_of(heartbeat);
     json& o = all[claim_field];
@@ -50,15 +50,15 @@
 }
 
 // What is there and can't be read is no claim.
-std::optional<InForce> read_claim(std::string_view heartbeat) {
+std::optional<AppliedRevisions> read_claim(std::string_view heartbeat) {
     const json all = object_of(heartbeat);
     const auto it = all.find(claim_field);
     if (it == all.end() || !it->is_object()) return std::nullopt;
     const auto generation = generation_of(*it);
     const auto event = count(*it, "event"), configuration = count(*it, "configuration");
     if (!generation || !event || !configuration) return std::nullopt;
-    return InForce{*generation, EventNumber{*event}, ConfigurationNumber{*configuration},
-                   it->contains("worn")};
+    return AppliedRevisions{*generation, EventNumber{*event}, ConfigurationNumber{*configuration},
+                            it->contains("worn")};
 }
 
 std::optional<Generation> next_generation(const std::optional<Generation>& shown, const Generation& known,
@@ -76,13 +76,13 @@
 }
 
 // Where it was seen to go back, only the next generation gives its numbers a meaning again.
-bool Acknowledgement::ask_from_start() const {
+bool Acknowledgement::needs_full_history() const {
     if (from_start_ && from_start_generation_ == generation_) return false;
-    return !told_once_ || (generation_.number > 0 && !known_in_generation_ && !worn_);
+    return !has_full_history_ || (generation_.number > 0 && !known_in_generation_ && !worn_);
 }
 
-void Acknowledgement::on_board_asked(bool from_start) {
-    poll_out_ = true;
+void Acknowledgement::on_poll_started(bool from_start) {
+    poll_in_flight_ = true;
     poll_generation_ = generation_;
     if (!from_start) return;
     from_start_ = true;
@@ -91,11 +91,11 @@
 
 // Guards against an answer to a poll from before the generation was shown: it may be of the board's former
 // history.
-void Acknowledgement::on_board_told(EventNumber newest, EventNumber asked_from) {
-    if (!std::exchange(poll_out_, false)) return;
+void Acknowledgement::on_poll_completed(EventNumber newest, EventNumber asked_from) {
+    if (!std::exchange(poll_in_flight_, false)) return;
     const bool whole = std::exchange(from_start_, false);
     const bool whole_in_generation = whole && from_start_generation_ == generation_;
-    told_once_ |= whole;
+    has_full_history_ |= whole;
     if (poll_generation_ != generation_) return;
     if (newest < std::max(event_, asked_from)) return on_history_lost();
     if (!known_in_generation_ && !whole_in_generation) return;
@@ -105,17 +105,17 @@
     event_ = newest;
 }
 
-void Acknowledgement::on_board_failed() { poll_out_ = false; }
+void Acknowledgement::on_poll_failed() { poll_in_flight_ = false; }
 
 void Acknowledgement::on_history_lost() {
     worn_ = generation_.number > 0;
     known_in_generation_ = from_start_ = false;
 }
 
-std::optional<InForce> Acknowledgement::claim() const {
+std::optional<AppliedRevisions> Acknowledgement::claim() const {
     if (generation_.number == 0) return std::nullopt;
-    const bool counts = known_in_generation_ && !worn_ && !left_out_;
-    return InForce{generation_, counts ? event_ : EventNumber{}, configuration_, worn_};
+    const bool counts = known_in_generation_ && !worn_ && !notice_skipped_;
+    return AppliedRevisions{generation_, counts ? event_ : EventNumber{}, configuration_, worn_};
 }
 
 }  // namespace irismux::fleet
--- a/src/fleet/in_force.hpp
+++ b/src/fleet/in_force.hpp
@@ -35,21 +35,21 @@
 };
 
 // What a heartbeat says of its sender.
-struct InForce {
+struct AppliedRevisions {
     Generation generation;
     EventNumber event;
     ConfigurationNumber configuration;
     bool worn = false;  // the board or the registry was seen to go back under it: it is to be replaced
-    bool operator==(const InForce&) const = default;
+    bool operator==(const AppliedRevisions&) const = default;
 };
 
 Key generation_key();
 std::string serialize(const Generation&);
 std::optional<Generation> read_generation(std::string_view);
 // The heartbeat's value with one more field; without a claim, as it is.
-std::string with_claim(const std::string& heartbeat, const std::optional<InForce>& claim);
+std::string with_claim(const std::string& heartbeat, const std::optional<AppliedRevisions>& claim);
 // None: the heartbeat says nothing of it, as those of older versions do.
-std::optional<InForce> read_claim(std::string_view heartbeat);
+std::optional<AppliedRevisions> read_claim(std::string_view heartbeat);
 
 // The generation to be written if the one that the registry shows can't stand: there is none, it is below one
 // that is known, it has a known number under another id, or it is worn: the board has gone back under it.
@@ -65,22 +65,22 @@
 
     // The board must be asked for all that it holds, since where this process stands in this generation is
     // not known. True until such a telling has begun; it may take several polls, each behind what has come.
-    bool ask_from_start() const;
-    void on_board_asked(bool from_start);
+    bool needs_full_history() const;
+    void on_poll_started(bool from_start);
     // Each event up to `newest` that the board still held is in force; `asked_from`: the number that the last
     // poll named.
-    void on_board_told(EventNumber newest, EventNumber asked_from);
+    void on_poll_completed(EventNumber newest, EventNumber asked_from);
     // An event could not be read: this process does not have it in force, and none after it counts.
-    void on_event_left_out() { left_out_ = true; }
-    void on_board_failed();
+    void on_notice_skipped() { notice_skipped_ = true; }
+    void on_poll_failed();
     // The registry has gone back: a higher generation may have been lost with it.
     void on_history_lost();
 
-    std::optional<InForce> claim() const;
+    std::optional<AppliedRevisions> claim() const;
     const Generation& generation() const { return generation_; }
     // Whether the board has told all that it held since the process began: from then on this process lacks no
     // event that a former process under its name had claimed.
-    bool told_once() const { return told_once_; }
+    bool has_full_history() const { return has_full_history_; }
 
 private:
     Generation generation_;
@@ -88,8 +88,8 @@
     ConfigurationNumber configuration_;
     bool known_in_generation_ = false;  // event_ is a position in generation_
     bool worn_ = false;                 // seen under generation_
-    bool told_once_ = false, left_out_ = false;
-    bool poll_out_ = false;
+    bool has_full_history_ = false, notice_skipped_ = false;
+    bool poll_in_flight_ = false;
     Generation poll_generation_;  // when the poll went out
     bool from_start_ = false;     // a telling from the start is under way, begun under that generation
     Generation from_start_generation_;
--- a/src/fleet/lease.cpp
+++ b/src/fleet/lease.cpp
@@ -2,15 +2,15 @@
 
 namespace irismux::fleet {
 
-std::string_view word_of(LeaseState t) {
+std::string_view to_string(LeaseState t) {
     constexpr std::string_view words[] = {"idle", "seeking", "owning", "resting", "lost"};
     return words[static_cast<std::size_t>(t)];
 }
 
 LeaseState Lease::enter(const LeaseConditions& g) {
-    const bool had = state_ == LeaseState::owning || state_ == LeaseState::resting;
+    const bool had = state_ == LeaseState::owning || state_ == LeaseState::released;
     if (g.named && g.in_term)
-        state_ = g.near_end ? LeaseState::resting : LeaseState::owning;
+        state_ = g.near_end ? LeaseState::released : LeaseState::owning;
     else if (had || (g.named && state_ == LeaseState::lost))
         state_ = LeaseState::lost;
     else
--- a/src/fleet/lease.hpp
+++ b/src/fleet/lease.hpp
@@ -15,9 +15,9 @@
 
 namespace irismux::fleet {
 
-enum class LeaseState { idle, seeking, owning, resting, lost };
+enum class LeaseState { idle, seeking, owning, released, lost };
 // As the log names it.
-std::string_view word_of(LeaseState);
+std::string_view to_string(LeaseState);
 
 // What decides the state, all at one instant of the member's own clock.
 struct LeaseConditions {
--- a/src/fleet/membership.hpp
+++ b/src/fleet/membership.hpp
@@ -22,80 +22,82 @@
 
 // A member as another sees it. `suspected`: its heartbeat is overdue; `back`: it was gone and has joined
 // anew.
-enum class MemberStatus { joined, suspected, gone, back };
+enum class MemberStatus { joined, suspected, removed, rejoined };
 
 class Membership {
 public:
     Membership(const SharedConfig& shared_config, MemberName self);
 
     // --- this member's own term
-    void sent(Instant now, HeartbeatNumber heartbeat);
+    void on_heartbeat_sent(TimePoint now, HeartbeatNumber heartbeat);
     // The registry holds that heartbeat. If the term had lapsed before it was sent, the new one begins with
     // listening: for a wait nothing is owned, so that terms which a registry's former state granted have
     // ended.
-    void confirmed(Instant now, HeartbeatNumber heartbeat);
-    void out() { in_ = false; }
-    bool in() const { return in_; }
-    bool in_term(Instant now) const { return in_ && now < end_; }
-    bool listening(Instant now) const { return now < listen_until_; }
-    bool near_end(Instant now) const { return now + rest_ >= end_; }
-    Instant end() const { return end_; }
-    Instant listens_until() const { return listen_until_; }
+    void on_heartbeat_confirmed(TimePoint now, HeartbeatNumber heartbeat);
+    void on_removed() { joined_ = false; }
+    bool joined() const { return joined_; }
+    bool in_term(TimePoint now) const { return joined_ && now < end_; }
+    bool listening(TimePoint now) const { return now < listen_until_; }
+    bool near_end(TimePoint now) const { return now + renewal_margin_ >= end_; }
+    TimePoint end() const { return end_; }
+    TimePoint listens_until() const { return listen_until_; }
     HeartbeatNumber last() const { return confirmed_; }
 
     // --- the others
     // A member's record as of that revision; no text: there is none. Older ones than known are ignored. True:
     // it was news.
-    bool record(Instant now, registry::Revision at, const MemberName&,
+    bool record(TimePoint now, registry::Revision at, const MemberName&,
                 const std::optional<std::string>& text);
     // All records follow, of a possibly lower revision; who is not listed is gone.
-    void on_full_list(Instant now, const std::set<MemberName>& listed);
+    void on_full_list(TimePoint now, const std::set<MemberName>& listed);
     // A heartbeat as the registry showed it. The same one again lets the wait go on; a new one starts it
     // again or, unless `hold`, ends it until that member is observed anew.
-    void on_heartbeat(Instant now, const MemberName&, const std::optional<std::string>& text, bool hold);
+    void on_heartbeat(TimePoint now, const MemberName&, const std::optional<std::string>& text, bool hold);
     // The registry was restored: heartbeats observed before say nothing.
-    void forget_waits();
+    void restart_observations();
 
     // Another member.
-    struct Peer {
+    struct Member {
         std::string text;       // of its record
         bool readable = true;   // false: a newer form; it is alive, and what it owns is left to it
         MemberRecord member;    // its record
-        Instant since;          // first seen with this incarnation
+        TimePoint since;        // first seen with this incarnation
         bool returned = false;  // it was a member before
         bool observed = false;  // its heartbeats are being observed
         std::optional<std::string> heartbeat_text;
-        Instant unchanged_since;  // that heartbeat was first shown
-        Instant last_seen;        // that heartbeat was last shown
-        registry::Revision at;    // of its record
+        TimePoint unchanged_since;  // that heartbeat was first shown
+        TimePoint last_seen;        // that heartbeat was last shown
+        registry::Revision at;      // of its record
     };
-    const std::map<MemberName, Peer>& peers() const { return peers_; }
-    MemberStatus status_of(Instant now, const MemberName&) const;
+    const std::map<MemberName, Member>& members() const { return members_; }
+    MemberStatus status_of(TimePoint now, const MemberName&) const;
     // Its heartbeat was shown unchanged for the whole wait.
-    bool evictable(const Peer& peer) const {
-        return peer.observed && peer.last_seen - peer.unchanged_since >= wait_;
+    bool evictable(const Member& peer) const {
+        return peer.observed && peer.last_seen - peer.unchanged_since >= eviction_timeout_;
     }
-    bool suspected(const Peer& peer) const;
+    bool suspected(const Member& peer) const;
     // It has been a member for long enough to be handed a duty.
-    bool settled(Instant now, const Peer& peer) const { return now - peer.since >= wait_ + wait_; }
+    bool settled(TimePoint now, const Member& peer) const {
+        return now - peer.since >= eviction_timeout_ + eviction_timeout_;
+    }
 
     // The time between two heartbeats.
-    Span round() const { return round_; }
+    Duration heartbeat_interval() const { return heartbeat_interval_; }
     // How long a heartbeat must have been unchanged before an eviction.
-    Span wait() const { return wait_; }
+    Duration eviction_timeout() const { return eviction_timeout_; }
 
 private:
     // Heartbeats without an answer that are remembered; beyond, the oldest is forgotten.
-    static constexpr std::size_t most_sent = 16;
-    static constexpr std::size_t most_peers = 1024;
+    static constexpr std::size_t max_unconfirmed = 16;
+    static constexpr std::size_t max_members = 1024;
 
     MemberName self_;
-    Span term_, wait_, round_, rest_;
-    bool in_ = false;
-    std::map<HeartbeatNumber, Instant> sent_;
+    Duration term_, eviction_timeout_, heartbeat_interval_, renewal_margin_;
+    bool joined_ = false;
+    std::map<HeartbeatNumber, TimePoint> sent_;
     HeartbeatNumber confirmed_;
-    Instant end_, listen_until_;
-    std::map<MemberName, Peer> peers_;
+    TimePoint end_, listen_until_;
+    std::map<MemberName, Member> members_;
     std::map<MemberName, registry::Revision> gone_;  // 1,024 at most, then all are forgotten
 };
 
--- a/src/fleet/records.cpp
+++ b/src/fleet/records.cpp
@@ -35,7 +35,7 @@
 
 void put(json& o, const Instance& who) {
     o["owner"] = who.name.raw();
-    o["start"] = who.start.raw();
+    o["start"] = who.incarnation.raw();
 }
 
 std::optional<Instance> instance(const json& o) {
@@ -59,9 +59,9 @@
 Key floor_key() { return Key{"floor"}; }
 Key collection_progress_key() { return Key{"swept"}; }
 Key release_key(const DutyName& d) { return Key{std::string(asides) + d.raw()}; }
-Key probe_result_key(const CacheId& c) { return Key{std::string(findings) + c.raw()}; }
+Key health_record_key(const CacheId& c) { return Key{std::string(findings) + c.raw()}; }
 std::optional<DutyName> released_duty_of(const Key& key) { return behind<DutyName>(key, asides); }
-std::optional<CacheId> probed_cache_of(const Key& key) { return behind<CacheId>(key, findings); }
+std::optional<CacheId> health_record_cache(const Key& key) { return behind<CacheId>(key, findings); }
 DutyName health_watch_duty(const CacheId& c) { return DutyName{std::string(watches) + c.raw()}; }
 std::optional<CacheId> watched_cache_of(const DutyName& d) { return behind<CacheId>(Key{d.raw()}, watches); }
 std::optional<MemberName> member_of(const Key& key) { return behind<MemberName>(key, members); }
@@ -73,19 +73,20 @@
 }
 
 std::string serialize(const MemberRecord& m) {
-    json o = {{"start", m.start.raw()}, {"mark", m.instance_id.raw()}, {"version", m.version}};
-    for (const auto& [duty, token] : m.refuses) o["refuses"][duty.raw()] = token.raw();
-    for (const CacheId& c : m.marks) o["marks"].push_back(c.raw());
+    json o = {{"start", m.incarnation.raw()}, {"mark", m.instance_id.raw()}, {"version", m.version}};
+    for (const auto& [duty, token] : m.refused_tokens) o["refuses"][duty.raw()] = token.raw();
+    for (const CacheId& c : m.ejected_caches) o["marks"].push_back(c.raw());
     return o.dump();
 }
 
 std::string serialize(const HeartbeatRecord& b) {
-    return json{{"start", b.start.raw()}, {"mark", b.instance_id.raw()}, {"beat", b.number.raw()}}.dump();
+    return json{{"start", b.incarnation.raw()}, {"mark", b.instance_id.raw()}, {"beat", b.number.raw()}}
+        .dump();
 }
 
 std::string serialize(const DutyRecord& d) {
     json o = {{"epoch", d.token.raw()}, {"owner", d.owner.raw()}};
-    if (!d.owner.raw().empty()) o["start"] = d.start.raw();
+    if (!d.owner.raw().empty()) o["start"] = d.incarnation.raw();
     return o.dump();
 }
 
@@ -95,21 +96,22 @@
     return o.dump();
 }
 
-std::string serialize(const ProbeResult& f) {
-    json o = {{"epoch", f.token.raw()}, {"well", f.well}, {"looks", f.streak}};
+std::string serialize(const HealthRecord& f) {
+    json o = {{"epoch", f.token.raw()}, {"well", f.healthy}, {"looks", f.streak}};
     put(o, f.by);
     return o.dump();
 }
 
 std::string serialize(const CollectionProgress& s) {
-    json o = {{"epoch", s.token.raw()}, {"pass", s.pass}, {"taken", s.taken}, {"behind", s.behind}};
+    json o = {
+        {"epoch", s.token.raw()}, {"pass", s.pass}, {"taken", s.removed_records}, {"behind", s.last_key}};
     put(o, s.by);
     return o.dump();
 }
 
 std::string serialize_floor(FencingToken e) { return json{{"epoch", e.raw()}}.dump(); }
 
-std::optional<MemberRecord> read_member(std::string_view bytes) {
+std::optional<MemberRecord> parse_member(std::string_view bytes) {
     const json o = object_of(bytes);
     const auto start = number(o, "start");
     const auto mark = text(o, "mark");
@@ -117,15 +119,16 @@
     MemberRecord m{Incarnation{*start}, InstanceId{*mark}, text(o, "version").value_or(""), {}, {}};
     if (const auto it = o.find("refuses"); it != o.end() && it->is_object())
         for (const auto& [duty, token] : it->items())
-            if (token.is_number_integer() && token >= 1 && m.refuses.size() < most_refusals)
-                m.refuses[DutyName{duty}] = FencingToken{token.get<std::int64_t>()};
+            if (token.is_number_integer() && token >= 1 && m.refused_tokens.size() < max_published_refusals)
+                m.refused_tokens[DutyName{duty}] = FencingToken{token.get<std::int64_t>()};
     if (const auto it = o.find("marks"); it != o.end() && it->is_array())
         for (const json& c : *it)
-            if (c.is_string() && m.marks.size() < most_marks) m.marks.emplace(c.get<std::string>());
+            if (c.is_string() && m.ejected_caches.size() < max_published_ejections)
+                m.ejected_caches.emplace(c.get<std::string>());
     return m;
 }
 
-std::optional<HeartbeatRecord> read_heartbeat(std::string_view bytes) {
+std::optional<HeartbeatRecord> parse_heartbeat(std::string_view bytes) {
     const json o = object_of(bytes);
     const auto start = number(o, "start"), heartbeat = number(o, "beat");
     const auto mark = text(o, "mark");
@@ -133,7 +136,7 @@
     return HeartbeatRecord{Incarnation{*start}, InstanceId{*mark}, HeartbeatNumber{*heartbeat}};
 }
 
-std::optional<DutyRecord> read_duty(std::string_view bytes) {
+std::optional<DutyRecord> parse_duty(std::string_view bytes) {
     const json o = object_of(bytes);
     const auto token = number(o, "epoch"), start = number(o, "start");
     const auto owner = text(o, "owner");
@@ -141,18 +144,18 @@
     return DutyRecord{FencingToken{*token}, MemberName{*owner}, Incarnation{start.value_or(0)}};
 }
 
-std::optional<Instance> read_release(std::string_view bytes) { return instance(object_of(bytes)); }
+std::optional<Instance> parse_release(std::string_view bytes) { return instance(object_of(bytes)); }
 
-std::optional<ProbeResult> read_probe_result(std::string_view bytes) {
+std::optional<HealthRecord> parse_health_record(std::string_view bytes) {
     const json o = object_of(bytes);
     const auto token = number(o, "epoch");
     const auto by = instance(o);
     const auto well = o.find("well");
     if (!token || !by || well == o.end() || !well->is_boolean()) return std::nullopt;
-    return ProbeResult{FencingToken{*token}, *by, well->get<bool>(), number_or_none(o, "looks")};
+    return HealthRecord{FencingToken{*token}, *by, well->get<bool>(), number_or_none(o, "looks")};
 }
 
-std::optional<CollectionProgress> read_collection_progress(std::string_view bytes) {
+std::optional<CollectionProgress> parse_collection_progress(std::string_view bytes) {
     const json o = object_of(bytes);
     const auto token = number(o, "epoch");
     const auto by = instance(o);
@@ -161,7 +164,7 @@
                               number_or_none(o, "taken"), text(o, "behind").value_or("")};
 }
 
-FencingToken read_floor(std::string_view bytes) {
+FencingToken parse_floor(std::string_view bytes) {
     return FencingToken{number_or_none(object_of(bytes), "epoch")};
 }
 
--- a/src/fleet/records.hpp
+++ b/src/fleet/records.hpp
@@ -30,39 +30,41 @@
 using DutyName = Id<struct DutyNameTag, std::string>;
 // Number of a member's join. Higher at each join of that name, and above the registry's revision at that
 // time.
-using Incarnation = Id<struct StartTag, std::int64_t>;
+using Incarnation = Id<struct IncarnationTag, std::int64_t>;
 // Drawn at random once a process, to tell apart instances of one name.
-using InstanceId = Id<struct MarkTag, std::string>;
+using InstanceId = Id<struct InstanceIdTag, std::string>;
 // Rises with each owner of a duty; zero: none. Writes and orders under a lower one are refused.
-using FencingToken = Id<struct EpochTag, std::int64_t>;
+using FencingToken = Id<struct FencingTokenTag, std::int64_t>;
 // Rises with each heartbeat of one instance.
-using HeartbeatNumber = Id<struct BeatTag, std::int64_t>;
+using HeartbeatNumber = Id<struct HeartbeatNumberTag, std::int64_t>;
 // A record's key, behind the fleet's prefix.
 using Key = Id<struct FleetKeyTag, std::string>;
 
 // Settings that must be equal at all members, since the safety of each rests on the others' keeping them.
 struct SharedConfig {
     std::string installation;
-    Span term = Span::micros(12'000'000);  // a heartbeat lets its sender act for so long, less the drift
-    double drift = 0.01;                   // largest error of a clock's rate, either way; at most 0.5
+    Duration term =
+        Duration::micros(12'000'000);  // a heartbeat lets its sender act for so long, less the drift
+    double drift = 0.01;               // largest error of a clock's rate, either way; at most 0.5
     bool operator==(const SharedConfig&) const = default;
 };
 
-constexpr std::size_t most_refusals = 16;  // in a member's record; further ones, by duty's name, wait
-constexpr std::size_t most_marks = 64;     // in a member's record; further ones are not published
+constexpr std::size_t max_published_refusals =
+    16;  // in a member's record; further ones, by duty's name, wait
+constexpr std::size_t max_published_ejections = 64;  // in a member's record; further ones are not published
 
 // One living member.
 struct MemberRecord {
-    Incarnation start;
+    Incarnation incarnation;
     InstanceId instance_id;
-    std::string version;                       // of the program
-    std::map<DutyName, FencingToken> refuses;  // tokens seen that are above that of the duty's record
-    std::set<CacheId> marks = {};              // caches that it passes over because they do not answer
+    std::string version;                              // of the program
+    std::map<DutyName, FencingToken> refused_tokens;  // tokens seen that are above that of the duty's record
+    std::set<CacheId> ejected_caches = {};            // caches that it passes over because they do not answer
 };
 
 // A member's last heartbeat.
 struct HeartbeatRecord {
-    Incarnation start;
+    Incarnation incarnation;
     InstanceId instance_id;
     HeartbeatNumber number;
 };
@@ -70,22 +72,22 @@
 // The owner of a duty.
 struct DutyRecord {
     FencingToken token;
-    MemberName owner;   // empty: given up
-    Incarnation start;  // of the owner
+    MemberName owner;         // empty: given up
+    Incarnation incarnation;  // of the owner
 };
 
 // One instance of a member, as others refer to it.
 struct Instance {
     MemberName name;
-    Incarnation start;
+    Incarnation incarnation;
     bool operator==(const Instance&) const = default;
 };
 
 // The outcome of a health watch's last probes, written by the owner of its duty.
-struct ProbeResult {
+struct HealthRecord {
     FencingToken token;
     Instance by;
-    bool well = false;        // the last probe was answered
+    bool healthy = false;     // the last probe was answered
     std::int64_t streak = 0;  // consecutive probes with that outcome
 };
 
@@ -93,9 +95,9 @@
 struct CollectionProgress {
     FencingToken token;
     Instance by;
-    std::int64_t pass = 0;   // passes begun, by all owners together
-    std::int64_t taken = 0;  // records removed, by all owners together
-    std::string behind;      // last key handled in this pass; empty: at the pass's start
+    std::int64_t pass = 0;             // passes begun, by all owners together
+    std::int64_t removed_records = 0;  // records removed, by all owners together
+    std::string last_key;              // last key handled in this pass; empty: at the pass's start
 };
 
 // --- keys
@@ -107,14 +109,14 @@
 Key heartbeat_key(const MemberName&);
 Key duty_key(const DutyName&);
 Key release_key(const DutyName&);
-Key probe_result_key(const CacheId&);
+Key health_record_key(const CacheId&);
 
 // What a key refers to; none if it is of another sort.
 std::optional<MemberName> member_of(const Key&);
 std::optional<MemberName> heartbeat_owner(const Key&);
 std::optional<DutyName> duty_of(const Key&);
 std::optional<DutyName> released_duty_of(const Key&);
-std::optional<CacheId> probed_cache_of(const Key&);
+std::optional<CacheId> health_record_cache(const Key&);
 
 // The health watch over a cache is a duty of its own.
 DutyName health_watch_duty(const CacheId&);
@@ -127,16 +129,16 @@
 std::string serialize(const HeartbeatRecord&);
 std::string serialize(const DutyRecord&);
 std::string serialize(const Instance&);
-std::string serialize(const ProbeResult&);
+std::string serialize(const HealthRecord&);
 std::string serialize(const CollectionProgress&);
 std::string serialize_floor(FencingToken);
 // None: it can't be parsed.
-std::optional<MemberRecord> read_member(std::string_view);
-std::optional<HeartbeatRecord> read_heartbeat(std::string_view);
-std::optional<DutyRecord> read_duty(std::string_view);
-std::optional<Instance> read_release(std::string_view);
-std::optional<ProbeResult> read_probe_result(std::string_view);
-std::optional<CollectionProgress> read_collection_progress(std::string_view);
-FencingToken read_floor(std::string_view);  // zero: it can't be parsed
+std::optional<MemberRecord> parse_member(std::string_view);
+std::optional<HeartbeatRecord> parse_heartbeat(std::string_view);
+std::optional<DutyRecord> parse_duty(std::string_view);
+std::optional<Instance> parse_release(std::string_view);
+std::optional<HealthRecord> parse_health_record(std::string_view);
+std::optional<CollectionProgress> parse_collection_progress(std::string_view);
+FencingToken parse_floor(std::string_view);  // zero: it can't be parsed
 
 }  // namespace irismux::fleet
--- a/src/fleet/site_reporter.hpp
+++ b/src/fleet/site_reporter.hpp
@@ -15,36 +15,38 @@
     struct Settings {
         MemberName self;
         std::string instance_id;  // of this process
-        Span term, acknowledge_every;
+        Duration term, acknowledge_interval;
         double drift = 0;
     };
     // `began`: when the process did.
-    SiteReporter(Settings settings, Instant began);
+    SiteReporter(Settings settings, TimePoint began);
 
     // The board's polls are told here, configurations too.
     Acknowledgement& acknowledgement() { return acknowledgement_; }
     const Acknowledgement& acknowledgement() const { return acknowledgement_; }
     // Until then lookups must not be taken: a former process under this name may be counted as having in
     // force what this one does not have yet.
-    bool may_serve(Instant now) const { return acknowledgement_.told_once() || now >= serves_from_; }
-    Instant serves_from() const { return serves_from_; }
+    bool may_serve(TimePoint now) const {
+        return acknowledgement_.has_full_history() || now >= serving_allowed_at_;
+    }
+    TimePoint serving_allowed_at() const { return serving_allowed_at_; }
 
     // As AgentObserver is told.
-    void on_heartbeat(Instant now, std::int64_t unix_ms, Instant sent, HeartbeatNumber number,
+    void on_heartbeat(TimePoint now, std::int64_t unix_ms, TimePoint sent, HeartbeatNumber number,
                       const std::vector<Entry>& shown, const Agent& agent);
     void on_written(const Key& key);
-    void go_on(Instant now, Agent& agent);
+    void advance(TimePoint now, Agent& agent);
 
 private:
-    void write_due(Instant now, Agent& agent);
+    void write_due(TimePoint now, Agent& agent);
 
     Settings settings_;
-    Instant serves_from_;
+    TimePoint serving_allowed_at_;
     Acknowledgement acknowledgement_;
     DigestKeeper keeper_;
     std::optional<std::string> generation_shown_;
     std::int64_t generations_ = 0;  // proposed by this process
-    bool digest_out_ = false, generation_out_ = false;
+    bool digest_write_pending_ = false, generation_write_pending_ = false;
 };
 
 }  // namespace irismux::fleet
--- a/src/gateway/configuration.cpp
+++ b/src/gateway/configuration.cpp
@@ -24,7 +24,7 @@
         Configuration config;
         config.name = get<std::string>(all, "name");
         config.listen = get<std::string>(all, "listen");
-        config.board = get<std::string>(all, "board");
+        config.notice_board = get<std::string>(all, "board");
         const auto seed = get<std::string>(all, "seed");
         const auto [end, error] = std::from_chars(seed.data(), seed.data() + seed.size(), config.seed, 16);
         if (error != std::errc{} || end != seed.data() + seed.size()) bad("field 'seed' is not a hex number");
@@ -32,7 +32,7 @@
         config.descriptors = get<std::size_t>(limits, "sockets");
         config.memory = get<std::size_t>(limits, "memory_mb") << 20;
         config.known = need(all, "known");
-        config.reading = read_deployment(need(all, "settings"));
+        config.settings = read_deployment(need(all, "settings"));
         return config;
     } catch (const std::exception& e) {
         std::string what = e.what();
--- a/src/gateway/configuration.hpp
+++ b/src/gateway/configuration.hpp
@@ -12,12 +12,12 @@
 struct Configuration {
     std::string name;
     std::string listen;
-    std::string board;
+    std::string notice_board;
     std::uint64_t seed = 0;
     std::size_t descriptors = 0;
     std::size_t memory = 0;  // bytes
     nlohmann::json known;    // the notice board's events up to the start
-    Reading reading;
+    DeploymentSettings settings;
 };
 
 // Throws std::runtime_error with one plain line; a TransientError where the file may be read before long.
--- a/src/gateway/deployment_reader.hpp
+++ b/src/gateway/deployment_reader.hpp
@@ -9,11 +9,11 @@
 
 namespace irismux {
 
-struct Reading {
+struct DeploymentSettings {
     Deployment deployment;
-    std::map<std::string, KindNo> kind_places;
+    std::map<std::string, ObjectKindIndex> kind_indexes;
 };
 
-Reading read_deployment(const nlohmann::json& told);
+DeploymentSettings read_deployment(const nlohmann::json& told);
 
 }  // namespace irismux
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -14,13 +14,14 @@
 // Of the protocol: work may come for so long after SIGTERM, and SIGKILL comes no sooner than that and the
 // longest deadline after it, of which no more than this counts. Clients hold a third of the descriptors at
 // most.
-constexpr Span work_after_leave = Span::micros(700'000), longest_waited_for = Span::micros(3'000'000);
+constexpr Duration work_after_leave = Duration::micros(700'000),
+                   longest_waited_for = Duration::micros(3'000'000);
 // Of that first stretch, kept for the end: to hear of the signal, and to end connections in peace. Clients
 // hear of an end within 50 ms.
 constexpr double end_part = 0.35;
-constexpr Span look_round_every = Span::micros(10'000);
+constexpr Duration look_round_every = Duration::micros(10'000);
 // A gateway is to be ready 10 s after its start.
-constexpr Span longest_start = Span::micros(8'000'000), listen_again_after = Span::micros(50'000);
+constexpr Duration longest_start = Duration::micros(8'000'000), listen_again_after = Duration::micros(50'000);
 // Descriptors for the listener, the board, the log, the poll set and the libraries.
 constexpr std::size_t own_descriptors = 24;
 // Clients that keep to it are never in the way of each other: there is room for half as many again.
@@ -30,39 +31,39 @@
 
 // The list of a registry is kept this often at most; the same list again when a quarter of its time has
 // passed.
-constexpr Span keep_every = Span::micros(2'000'000);
+constexpr Duration keep_every = Duration::micros(2'000'000);
 constexpr double renewed_at = 0.25;
 constexpr std::size_t most_kept = 64 << 20;  // of the store's file; only what is used takes memory or disk
 constexpr const char* list_name = "registry list";
 
-FrontLimits front_limits(const Configuration& config) {
+FastCgiServerLimits front_limits(const Configuration& config) {
     return {config.descriptors / front_part, config.memory / held_part,
-            config.reading.deployment.connections.time_out};
+            config.settings.deployment.connections.connect_timeout};
 }
 
-ServedKinds served_kinds(const Reading& r) {
+ServedKinds served_kinds(const DeploymentSettings& r) {
     ServedKinds kinds;
-    for (const auto& [name, n] : r.kind_places) {
+    for (const auto& [name, n] : r.kind_indexes) {
         const ObjectKind& k = r.deployment.kinds[n.raw()];
         kinds[name] = {n, k.deadline, k.uncacheable};
     }
     return kinds;
 }
 
-CacheLimits cache_limits(const Configuration& config) {
-    const Connections& c = config.reading.deployment.connections;
+CacheConnectionLimits cache_limits(const Configuration& config) {
+    const ConnectionSettings& c = config.settings.deployment.connections;
     const std::size_t others = config.descriptors / front_part + own_descriptors;
     // A cache closes idle connections by the same clock: ours has to be first, or a send may cross its end.
     return {config.descriptors > others ? config.descriptors - others : 1,
-            static_cast<std::size_t>(c.streams),
-            c.time_out,
-            std::max(c.idle - c.time_out, c.time_out),
-            config.reading.deployment.tick,
-            c.time_out};
+            static_cast<std::size_t>(c.max_streams),
+            c.connect_timeout,
+            std::max(c.idle_timeout - c.connect_timeout, c.connect_timeout),
+            config.settings.deployment.timer_resolution,
+            c.connect_timeout};
 }
 
-Span longest_deadline(const Deployment& d) {
-    Span longest;
+Duration longest_deadline(const Deployment& d) {
+    Duration longest;
     for (const ObjectKind& k : d.kinds) longest = std::max(longest, k.deadline);
     return longest;
 }
@@ -82,103 +83,105 @@
 
 }  // namespace
 
-Host::Host(Loop& loop, const Configuration& config, const Parts& parts)
-    : loop_(loop),
-      longest_deadline_(longest_deadline(config.reading.deployment)),
-      effects_(effects_of(config.reading.deployment)),
-      most_held_(static_cast<std::size_t>(config.reading.deployment.most_held)),
+Gateway::Gateway(EventLoop& loop, const Configuration& config, const Parts& parts)
+    : event_loop_(loop),
+      longest_deadline_(longest_deadline(config.settings.deployment)),
+      effects_(effects_of(config.settings.deployment)),
+      max_pending_requests_(static_cast<std::size_t>(config.settings.deployment.max_pending_requests)),
       listen_(config.listen),
-      roster_(config.reading.deployment.purge_done),
-      front_(loop, *this, served_kinds(config.reading), front_limits(config)),
-      caches_(loop, roster_, *this, config.reading.deployment, cache_limits(config)),
-      board_(loop, *this, config.board, config.reading.deployment.connections.time_out),
+      endpoints_(config.settings.deployment.purge_retention),
+      server_(loop, *this, served_kinds(config.settings), front_limits(config)),
+      cache_connections_(loop, endpoints_, *this, config.settings.deployment, cache_limits(config)),
+      notice_client_(loop, *this, config.notice_board,
+                     config.settings.deployment.connections.connect_timeout),
       seed_(config.seed),
       registry_settings_(parts.registry),
-      owner_(config.reading.deployment.location.raw() + ' '),
+      snapshot_owner_(config.settings.deployment.location.raw() + ' '),
       fleet_settings_(parts.fleet),
       name_(config.name),
-      looks_at_{config.reading.deployment.permits.probes, config.reading.deployment.permits.direct,
-                config.reading.deployment.location, config.reading.deployment.parent_machine,
-                config.reading.deployment.origin_machine},
-      router_(*this, config.reading.deployment, config.seed, loop.now()) {
+      health_check_scope_{config.settings.deployment.capabilities.probes,
+                          config.settings.deployment.capabilities.direct_attempts,
+                          config.settings.deployment.location, config.settings.deployment.parent_machine,
+                          config.settings.deployment.origin_machine},
+      router_(*this, config.settings.deployment, config.seed, loop.now()) {
     // What the board knew at the start serves until the registry has told its list.
-    board_.load(config.known);
+    notice_client_.load_known(config.known);
     if (registry_settings_) start_registry();
     if (fleet_settings_) start_fleet();
 }
 
-Host::~Host() {
-    loop_.forget(keep_);
-    loop_.forget(take_lookups_);
-    loop_.forget(fleet_client_left_);
+Gateway::~Gateway() {
+    event_loop_.cancel(snapshot_timer_);
+    event_loop_.cancel(listen_timer_);
+    event_loop_.cancel(fleet_leave_timer_);
 }
 
-void Host::serve() {
-    start_by_ = loop_.now() + longest_start;
-    take_lookups();
-    board_.poll();
+void Gateway::serve() {
+    start_by_ = event_loop_.now() + longest_start;
+    start_listening();
+    notice_client_.poll();
     if (registry_) registry_->start();
     if (fleet_client_) fleet_client_->start();
 }
 
 // Guards against lookups that a new process would decide without an event that it is counted as having in
 // force: a member of a site takes none until the board has told it all, or its former process counts no more.
-void Host::take_lookups() {
-    loop_.forget(take_lookups_);
-    if (front_.listening() || leave_ != Leave::no) return;
+void Gateway::start_listening() {
+    event_loop_.cancel(listen_timer_);
+    if (server_.listening() || shutdown_ != Shutdown::none) return;
     if (fleet_client_ && !fleet_client_->may_serve()) {
-        take_lookups_ = loop_.at(fleet_client_->serves_from(), [this] { take_lookups(); });
+        listen_timer_ = event_loop_.schedule_at(fleet_client_->serves_from(), [this] { start_listening(); });
         return;
     }
-    if (const auto why = front_.listen(Poco::Net::SocketAddress(listen_))) return listen_again(*why);
+    if (const auto why = server_.listen(Poco::Net::SocketAddress(listen_))) return retry_listening(*why);
     log::write(log::Level::info, name_ + " serves on " + listen_);
 }
 
 // A call may fail for a moment, and the process before may not have let go of the address yet.
-void Host::listen_again(const std::string& why) {
-    const Instant now = loop_.now();
+void Gateway::retry_listening(const std::string& why) {
+    const TimePoint now = event_loop_.now();
     if (now >= start_by_) {
         start_failure_ = "cannot listen on " + listen_ + ": " + why;
-        return loop_.stop();
+        return event_loop_.stop();
     }
     if (!std::exchange(start_held_up_, true))
         log::write(log::Level::warning, "cannot listen on " + listen_ + " yet: " + why + "; tried again");
-    take_lookups_ = loop_.at(now + listen_again_after, [this] { take_lookups(); });
+    listen_timer_ = event_loop_.schedule_at(now + listen_again_after, [this] { start_listening(); });
 }
 
-void Host::on_board_asked(bool from_start) {
-    if (fleet_client_) fleet_client_->on_board_asked(from_start);
+void Gateway::on_poll_started(bool from_start) {
+    if (fleet_client_) fleet_client_->on_poll_started(from_start);
 }
 
-void Host::on_board_answered(std::int64_t newest, std::int64_t asked_from) {
+void Gateway::on_poll_completed(std::int64_t newest, std::int64_t asked_from) {
     if (!fleet_client_) return;
-    fleet_client_->on_board_told(newest, asked_from);
-    take_lookups();
+    fleet_client_->on_poll_completed(newest, asked_from);
+    start_listening();
 }
 
-void Host::on_board_failed() {
-    if (fleet_client_) fleet_client_->on_board_failed();
+void Gateway::on_poll_failed() {
+    if (fleet_client_) fleet_client_->on_poll_failed();
 }
 
-void Host::on_board_event_left_out() {
-    if (fleet_client_) fleet_client_->on_board_event_left_out();
+void Gateway::on_notice_skipped() {
+    if (fleet_client_) fleet_client_->on_notice_skipped();
 }
 
 // The list that was kept serves at once, marked as old, until the registry tells.
-void Host::start_registry() {
-    registry_ = std::make_unique<registry::Client>(loop_, static_cast<registry::Knows&>(*this),
-                                                   *registry_settings_, seed_);
-    kept_ = {};
-    if (registry_settings_->keep_in.empty()) return;
-    auto opened = Store::open(registry_settings_->keep_in, most_kept);
+void Gateway::start_registry() {
+    registry_ = std::make_unique<registry::RegistryClient>(
+        event_loop_, static_cast<registry::WatchObserver&>(*this), *registry_settings_, seed_);
+    stored_revision_ = {};
+    if (registry_settings_->snapshot_folder.empty()) return;
+    auto opened = Store::open(registry_settings_->snapshot_folder, most_kept);
     if (const auto* why = std::get_if<std::string>(&opened))
         return log::write(log::Level::warning, "registry: the list is not kept: " + *why);
     store_ = std::move(std::get<Store>(opened));
-    keep_ = loop_.at(loop_.now() + keep_every, [this] { keep_list(); });
+    snapshot_timer_ = event_loop_.schedule_at(event_loop_.now() + keep_every, [this] { store_endpoints(); });
     const auto bytes = store_->read(list_name);
     if (!bytes) return;
-    const auto read = registry::read_kept(*bytes, owner_ + registry_settings_->prefix, loop_.now(),
-                                          registry_settings_->keep_for);
+    const auto read = registry::parse_snapshot(*bytes, snapshot_owner_ + registry_settings_->prefix,
+                                               event_loop_.now(), registry_settings_->snapshot_max_age);
     if (const auto* why = std::get_if<std::string>(&read))
         return log::write(log::Level::warning, "registry: " + *why + "; the registry is waited for");
     const auto& kept = std::get<registry::Snapshot>(read);
@@ -186,33 +189,36 @@
 }
 
 // Off the lookups' path, and seldom: when the list has changed, or what is kept has grown old.
-void Host::keep_list() {
-    keep_ = loop_.at(loop_.now() + keep_every, [this] { keep_list(); });
+void Gateway::store_endpoints() {
+    snapshot_timer_ = event_loop_.schedule_at(event_loop_.now() + keep_every, [this] { store_endpoints(); });
     const registry::Watch& watch = registry_->watch();
-    const bool grown_old = watch.as_of() - kept_at_ > registry_settings_->keep_for * renewed_at;
-    if (watch.sight() != registry::Sight::following || (watch.view().revision() == kept_ && !grown_old))
+    const bool grown_old =
+        watch.last_complete_at() - stored_as_of_ > registry_settings_->snapshot_max_age * renewed_at;
+    if (watch.sync_state() != registry::SyncState::following ||
+        (watch.view().revision() == stored_revision_ && !grown_old))
         return;
-    const auto why =
-        store_->write(list_name, registry::kept_form(watch.view(), watch.cluster(), watch.as_of(),
-                                                     owner_ + registry_settings_->prefix));
-    if (why && !std::exchange(not_kept_, true))
+    const auto why = store_->write(
+        list_name, registry::serialize_snapshot(watch.view(), watch.cluster(), watch.last_complete_at(),
+                                                snapshot_owner_ + registry_settings_->prefix));
+    if (why && !std::exchange(store_failure_logged_, true))
         log::write(log::Level::warning, "registry: the list is " + *why);
     if (why) return;
-    not_kept_ = false;
-    kept_ = watch.view().revision();
-    kept_at_ = watch.as_of();
+    store_failure_logged_ = false;
+    stored_revision_ = watch.view().revision();
+    stored_as_of_ = watch.last_complete_at();
 }
 
-void Host::reread(const Configuration& configuration, const Parts& parts) {
-    if (leave_ != Leave::no) return log::write(log::Level::info, "leaving: the configuration is not reread");
-    board_.move(configuration.board);
+void Gateway::reload(const Configuration& configuration, const Parts& parts) {
+    if (shutdown_ != Shutdown::none)
+        return log::write(log::Level::info, "leaving: the configuration is not reread");
+    notice_client_.set_address(configuration.notice_board);
     // A configuration's number alone is told, and nobody leaves for it.
     if (fleet_client_ && parts.fleet && parts.fleet->configuration != fleet_settings_->configuration) {
         fleet_settings_->configuration = parts.fleet->configuration;
         fleet_client_->set_configuration(parts.fleet->configuration);
     }
     if (parts.fleet != fleet_settings_) {
-        end_fleet();
+        stop_fleet();
         fleet_settings_ = parts.fleet;
         if (fleet_settings_) start_fleet();
         if (fleet_client_) fleet_client_->start();
@@ -220,7 +226,7 @@
     if (parts.registry == registry_settings_) return;
     registry_settings_ = parts.registry;
     registry_.reset();
-    loop_.forget(keep_);
+    event_loop_.cancel(snapshot_timer_);
     store_.reset();
     if (!registry_settings_)
         return log::write(log::Level::warning,
@@ -233,56 +239,59 @@
 
 // Guards against lookups that SIGKILL would find unanswered: what was taken before with a longer time, too,
 // is answered before it can come.
-void Host::leave() {
-    if (leave_ != Leave::no) return;
-    leave_ = Leave::working;
-    leaving_since_ = loop_.now();
-    leave_by_ =
-        leaving_since_ + std::min(longest_deadline_, longest_waited_for) + work_after_leave * (1 - end_part);
+void Gateway::begin_shutdown() {
+    if (shutdown_ != Shutdown::none) return;
+    shutdown_ = Shutdown::draining;
+    drain_started_at_ = event_loop_.now();
+    drain_deadline_ = drain_started_at_ + std::min(longest_deadline_, longest_waited_for) +
+                      work_after_leave * (1 - end_part);
     if (fleet_client_) fleet_client_->leave();
-    log::write(log::Level::info, "leaving: " + std::to_string(held()) + " lookups at work");
-    guarded_flag(in_router_, [&] { router_.on_leaving(loop_.now(), leave_by_); });
-    for (auto& [id, h] : exchanges_) expire_at(id, leave_by_);
-    look_round();
+    log::write(log::Level::info, "leaving: " + std::to_string(pending_request_count()) + " lookups at work");
+    guarded_flag(inside_router_call_, [&] { router_.on_drain(event_loop_.now(), drain_deadline_); });
+    for (auto& [id, h] : pending_requests_) shorten_deadline(id, drain_deadline_);
+    check_shutdown_progress();
 }
 
-void Host::expire_at(const LookupId& id, Instant by) {
-    Held& h = exchanges_.at(id);
-    if (by >= h.exchange->expires()) return;
-    h.exchange->expire_by(by);
-    loop_.forget(h.expiry);
-    h.expiry = loop_.at(by, [this, id] { expired(id); });
+void Gateway::shorten_deadline(const RequestId& id, TimePoint by) {
+    PendingRequest& h = pending_requests_.at(id);
+    if (by >= h.active->deadline()) return;
+    h.active->shorten_deadline(by);
+    event_loop_.cancel(h.expiry);
+    h.expiry = event_loop_.schedule_at(by, [this, id] { on_deadline(id); });
 }
 
 // What is still out for those that have left is nobody's answer.
-bool Host::owes_answer() const {
-    return std::any_of(exchanges_.begin(), exchanges_.end(),
-                       [](const auto& e) { return !e.second.exchange->answered(); });
+bool Gateway::has_unanswered_request() const {
+    return std::any_of(pending_requests_.begin(), pending_requests_.end(),
+                       [](const auto& e) { return !e.second.active->answered(); });
 }
 
 // Once nothing can come any more, the last answer ends the program: first nobody is accepted any more, then,
 // when those that were have their answers too, each connection is ended, then the loop.
-void Host::look_round() {
-    const Instant now = loop_.now();
-    const bool last_moment = now >= leave_by_ + work_after_leave * (end_part / 2);
-    if (leave_ == Leave::working && now >= leaving_since_ + work_after_leave) {
-        if (!owes_answer() && front_.drained()) front_.stop_listening();
-        if (last_moment || (!front_.listening() && !owes_answer() && front_.drained())) {
-            leave_ = Leave::ending;
-            leave_by_ = std::min(now, leave_by_);
-            front_.stop_listening();
-            front_.end_all();
-            log::write(log::Level::info, "leaving: connections end, " + std::to_string(front_.links()));
+void Gateway::check_shutdown_progress() {
+    const TimePoint now = event_loop_.now();
+    const bool last_moment = now >= drain_deadline_ + work_after_leave * (end_part / 2);
+    if (shutdown_ == Shutdown::draining && now >= drain_started_at_ + work_after_leave) {
+        if (!has_unanswered_request() && server_.drained()) server_.stop_listening();
+        if (last_moment || (!server_.listening() && !has_unanswered_request() && server_.drained())) {
+            shutdown_ = Shutdown::closing;
+            drain_deadline_ = std::min(now, drain_deadline_);
+            server_.stop_listening();
+            server_.close_all();
+            log::write(log::Level::info,
+                       "leaving: connections end, " + std::to_string(server_.connection_count()));
         }
     }
-    if (leave_ == Leave::ending && (front_.links() == 0 || now >= leave_by_ + work_after_leave * end_part)) {
-        caches_.close_all();
-        log::write(log::Level::info, "left with " + std::to_string(held()) +
+    if (shutdown_ == Shutdown::closing &&
+        (server_.connection_count() == 0 || now >= drain_deadline_ + work_after_leave * end_part)) {
+        cache_connections_.close_all();
+        log::write(log::Level::info, "left with " + std::to_string(pending_request_count()) +
                                          " lookups at work; alarms up to " +
-                                         std::to_string(loop_.latest().micros()) + " us late");
-        return loop_.stop();
+                                         std::to_string(event_loop_.max_timer_delay().micros()) + " us late");
+        return event_loop_.stop();
     }
-    loop_.at(std::max(leaving_since_ + work_after_leave, now + look_round_every), [this] { look_round(); });
+    event_loop_.schedule_at(std::max(drain_started_at_ + work_after_leave, now + look_round_every),
+                            [this] { check_shutdown_progress(); });
 }
 
 // --- what happens ----------------------------------------------------------------------------------------
@@ -290,343 +299,367 @@
 // What a client calls its request names nothing here. One connection has one request open under a name; on
 // others the name is anybody's. A request that comes again in the very same words is not taken beside the
 // first one, and a side-effecting one not behind it either.
-Host::Verdict Host::judge(const Caller& caller, const Asked& asked) {
-    if (open_names_.contains({caller.link, asked.request})) return Verdict::id_in_use;
-    const Arrival& arrival = asked.arrival;
-    const RequestWords words{asked.request, asked.kind, arrival.object.raw(), asked.part, asked.body};
-    const Span behind = has_effect(arrival.kind) ? longest_deadline_ : Span{};
-    const bool taken = request_log_.take(words, arrival.id, arrival.expires + behind, loop_.now());
-    return taken ? Verdict::taken : Verdict::sent_twice;
-}
-
-bool Host::has_effect(KindNo kind) const { return effects_[kind.raw()] == Effect::side_effecting; }
-
-Host::Verdict Host::taken(const Caller& caller, Asked asked) {
-    const LookupId id{++last_lookup_};
-    asked.arrival.id = id;
-    const Verdict verdict = judge(caller, asked);
-    if (verdict != Verdict::taken) return verdict;
-    const Arrival arrival = asked.arrival;
-    flight_recorder::note("taken", id.raw(), caller.link);
+Gateway::Admission Gateway::admit(const ClientStream& caller, const ClientRequest& asked) {
+    if (open_client_request_ids_.contains({caller.connection, asked.client_request_id}))
+        return Admission::id_in_use;
+    const Request& arrival = asked.request;
+    const RequestFingerprint words{asked.client_request_id, asked.kind_name, arrival.object.raw(),
+                                   asked.object_part, asked.body};
+    const Duration behind = has_effect(arrival.kind) ? longest_deadline_ : Duration{};
+    const bool taken =
+        duplicate_filter_.accept(words, arrival.id, arrival.deadline + behind, event_loop_.now());
+    return taken ? Admission::accepted : Admission::duplicate;
+}
+
+bool Gateway::has_effect(ObjectKindIndex kind) const {
+    return effects_[kind.raw()] == Effect::non_idempotent;
+}
+
+Gateway::Admission Gateway::on_client_request(const ClientStream& caller, ClientRequest asked) {
+    const RequestId id{++last_request_};
+    asked.request.id = id;
+    const Admission verdict = admit(caller, asked);
+    if (verdict != Admission::accepted) return verdict;
+    const Request arrival = asked.request;
+    flight_recorder::note("taken", id.raw(), caller.connection);
     if (log::shown(log::Level::debug))
         log::event(log::Level::debug, "taken",
-                   {{"lookup", asked.request.raw()},
+                   {{"lookup", asked.client_request_id.raw()},
                     {"number", id.raw()},
-                    {"client", caller.link},
-                    {"request", caller.request},
-                    {"kind", asked.kind},
+                    {"client", caller.connection},
+                    {"request", caller.fastcgi_request},
+                    {"kind", asked.kind_name},
                     {"object", arrival.object.raw()}});
-    open_names_[{caller.link, asked.request}] = id;
-    Held& h = exchanges_[id];
-    h.exchange = std::make_shared<Exchange>(front_, caller, std::move(asked));
-    by_caller_[caller] = id;
-    if (most_held_ > 0 && exchanges_.size() > most_held_) {
-        nack(id, Span{});
+    open_client_request_ids_[{caller.connection, asked.client_request_id}] = id;
+    PendingRequest& h = pending_requests_[id];
+    h.active = std::make_shared<ActiveRequest>(server_, caller, std::move(asked));
+    by_client_stream_[caller] = id;
+    if (max_pending_requests_ > 0 && pending_requests_.size() > max_pending_requests_) {
+        reject(id, Duration{});
     } else {
-        h.expiry = loop_.at(arrival.expires, [this, id] { expired(id); });
-        if (leave_ != Leave::no) expire_at(id, leave_by_);
-        guarded_flag(in_router_, [&] { router_.on_lookup(loop_.now(), arrival); });
+        h.expiry = event_loop_.schedule_at(arrival.deadline, [this, id] { on_deadline(id); });
+        if (shutdown_ != Shutdown::none) shorten_deadline(id, drain_deadline_);
+        guarded_flag(inside_router_call_, [&] { router_.on_request(event_loop_.now(), arrival); });
     }
-    drop_if_over(id);
-    return Verdict::taken;
+    erase_if_finished(id);
+    return Admission::accepted;
 }
 
 // Its client has its answer, or has left: the name is free again on that connection.
-void Host::note_answered(Exchange& x, bool without_effect) {
-    flight_recorder::note("answered", x.id().raw(), x.sends());
-    const auto name = open_names_.find({x.caller().link, x.request()});
-    if (name != open_names_.end() && name->second == x.id()) open_names_.erase(name);
-    if (without_effect || !has_effect(x.asked().arrival.kind)) request_log_.forget_lookup(x.id());
-}
-
-void Host::left(const Caller& caller) {
-    const auto it = by_caller_.find(caller);
-    if (it == by_caller_.end()) return;
-    const LookupId id = it->second;
-    Exchange& x = *exchanges_.at(id).exchange;
+void Gateway::on_request_answered(ActiveRequest& x, bool without_effect) {
+    flight_recorder::note("answered", x.id().raw(), x.attempt_count());
+    const auto name = open_client_request_ids_.find({x.client_stream().connection, x.client_request_id()});
+    if (name != open_client_request_ids_.end() && name->second == x.id())
+        open_client_request_ids_.erase(name);
+    if (without_effect || !has_effect(x.client_request().request.kind))
+        duplicate_filter_.forget_request(x.id());
+}
+
+void Gateway::on_client_closed(const ClientStream& caller) {
+    const auto it = by_client_stream_.find(caller);
+    if (it == by_client_stream_.end()) return;
+    const RequestId id = it->second;
+    ActiveRequest& x = *pending_requests_.at(id).active;
     if (log::shown(log::Level::debug))
         log::event(log::Level::debug, "client_left",
-                   {{"lookup", x.request().raw()}, {"early_us", (x.expires() - loop_.now()).micros()}});
+                   {{"lookup", x.client_request_id().raw()},
+                    {"early_us", (x.deadline() - event_loop_.now()).micros()}});
     // What is out goes on until it ends by itself or the client's time would have been over: whether to call
     // it back is the Router's to say, and how it ends tells it of the cache.
-    x.client_left();
-    note_answered(x, false);
-    guarded_flag(in_router_, [&] { router_.on_client_gone(loop_.now(), id); });
+    x.on_client_closed();
+    on_request_answered(x, false);
+    guarded_flag(inside_router_call_, [&] { router_.on_client_closed(event_loop_.now(), id); });
     // What waits, for a connection, for room or to be moved to another, does not begin any more.
-    caches_.withdraw(x);
-    for (std::size_t n = 0; n < x.sends(); ++n)
-        if (x.send(n).reach == Reach::unconnected) end_send(x, n, {.outcome = Outcome::recalled});
-    drop_if_over(id);
+    cache_connections_.withdraw_unstarted_attempts(x);
+    for (std::size_t n = 0; n < x.attempt_count(); ++n)
+        if (x.attempt(n).progress == TransmitProgress::not_connected)
+            end_attempt(x, n, {.outcome = Outcome::cancelled});
+    erase_if_finished(id);
 }
 
 // The client's time is over.
-void Host::expired(const LookupId& id) {
-    const auto it = exchanges_.find(id);
-    if (it == exchanges_.end()) return;
-    Exchange& x = *it->second.exchange;
+void Gateway::on_deadline(const RequestId& id) {
+    const auto it = pending_requests_.find(id);
+    if (it == pending_requests_.end()) return;
+    ActiveRequest& x = *it->second.active;
     // The Router hears of what has ended before it hears that the time is over.
-    if (x.owes_word()) return (void)loop_.soon([this, id] { expired(id); });
-    end_all_sends(x, Outcome::overdue);
+    if (x.has_unreported_result()) return (void)event_loop_.schedule_now([this, id] { on_deadline(id); });
+    end_all_attempts(x, Outcome::deadline_exceeded);
     // Guards the first rule: whatever the Router waits for, there is no time left.
     if (x.fail()) {
-        note_answered(x, false);
-        log::event(log::Level::error, "unanswered_in_time",
-                   {{"lookup", x.request().raw()}, {"number", id.raw()}, {"sends", x.sends()}});
-        guarded_flag(in_router_, [&] { router_.on_client_gone(loop_.now(), id); });
+        on_request_answered(x, false);
+        log::event(
+            log::Level::error, "unanswered_in_time",
+            {{"lookup", x.client_request_id().raw()}, {"number", id.raw()}, {"sends", x.attempt_count()}});
+        guarded_flag(inside_router_call_, [&] { router_.on_client_closed(event_loop_.now(), id); });
     }
-    drop_if_over(id);
+    erase_if_finished(id);
 }
 
-bool Host::may_begin(Exchange& x, std::size_t n) {
-    return !x.answered() && router_.may_begin(loop_.now(), x.id(), SendNo{n});
+bool Gateway::may_begin_attempt(ActiveRequest& x, std::size_t n) {
+    return !x.answered() && router_.may_begin_attempt(event_loop_.now(), x.id(), AttemptIndex{n});
 }
 
-void Host::end_all_sends(Exchange& x, Outcome outcome) {
-    for (std::size_t n = 0; n < x.sends(); ++n) {
-        if (x.send(n).ended) continue;
-        caches_.give_up(x, n);
-        end_send(x, n, {.outcome = outcome});
+void Gateway::end_all_attempts(ActiveRequest& x, Outcome outcome) {
+    for (std::size_t n = 0; n < x.attempt_count(); ++n) {
+        if (x.attempt(n).ended) continue;
+        cache_connections_.cancel_attempt(x, n);
+        end_attempt(x, n, {.outcome = outcome});
     }
 }
 
-void Host::ended(Exchange& x, std::size_t n, const End& end) {
-    const LookupId id = x.id();
-    end_send(x, n, end);
-    drop_if_over(id);
+void Gateway::on_attempt_ended(ActiveRequest& x, std::size_t n, const AttemptEnd& end) {
+    const RequestId id = x.id();
+    end_attempt(x, n, end);
+    erase_if_finished(id);
 }
 
 // No connection may carry the client's name for it: each has carried it for another lookup whose answers may
 // still come. Who names its requests anew each time never meets this, and a first send has not run.
-void Host::name_in_use(Exchange& x, std::size_t n) {
+void Gateway::on_request_id_in_use(ActiveRequest& x, std::size_t n) {
     log::event(log::Level::info, "refused",
                {{"reason", "the id is in use for another lookup at the caches"},
-                {"request_id", x.request().raw()},
-                {"client", x.caller().link},
+                {"request_id", x.client_request_id().raw()},
+                {"client", x.client_stream().connection},
                 {"send", n}});
-    if (n > 0) return ended(x, n, {.outcome = Outcome::saturated});
-    if (x.nack(Span{})) note_answered(x, true);
-    ended(x, n, {.outcome = Outcome::recalled});
+    if (n > 0) return on_attempt_ended(x, n, {.outcome = Outcome::overloaded});
+    if (x.reject(Duration{})) on_request_answered(x, true);
+    on_attempt_ended(x, n, {.outcome = Outcome::cancelled});
 }
 
 // Keeps the exchange, for callers that go on with it.
-void Host::end_send(Exchange& x, std::size_t n, const End& end) {
-    Send& s = x.send(n);
+void Gateway::end_attempt(ActiveRequest& x, std::size_t n, const AttemptEnd& end) {
+    Attempt& s = x.attempt(n);
     if (s.ended) return;
     s.ended = true;
-    const LookupId id = x.id();
-    forget_time_out(id, n);
-    if (end.outcome == Outcome::completed && x.satisfy(end)) note_answered(x, false);
-    const Answer a{id,      SendNo{n},    s.cache,     end.outcome, end.note, loop_.now() - s.decided,
-                   end.lag, x.answered(), std::nullopt};
+    const RequestId id = x.id();
+    cancel_timeout(id, n);
+    if (end.outcome == Outcome::completed && x.respond(end)) on_request_answered(x, false);
+    const AttemptResult a{id,
+                          AttemptIndex{n},
+                          s.cache,
+                          end.outcome,
+                          end.cache_status,
+                          event_loop_.now() - s.decided_at,
+                          end.fill_wait,
+                          x.answered(),
+                          std::nullopt};
     if (log::shown(log::Level::debug))
         log::event(log::Level::debug, "send_ended",
-                   {{"lookup", x.request().raw()},
+                   {{"lookup", x.client_request_id().raw()},
                     {"number", id.raw()},
                     {"send", n},
                     {"cache", s.cache.raw()},
-                    {"source", s.names_source() ? s.fill->source.raw() : ""},
+                    {"source", s.has_fill_source() ? s.plan->source.raw() : ""},
                     {"outcome", static_cast<int>(end.outcome)},
-                    {"note", static_cast<int>(end.note)},
-                    {"reach", static_cast<int>(s.reach)},
-                    {"connection", s.link},
-                    {"took_us", a.took.micros()}});
+                    {"note", static_cast<int>(end.cache_status)},
+                    {"reach", static_cast<int>(s.progress)},
+                    {"connection", s.connection},
+                    {"took_us", a.elapsed.micros()}});
     // The Router is not called from within its own calls.
-    if (in_router_)
-        loop_.soon([this, id, a] {
-            tell_router(id, a);
-            drop_if_over(id);
+    if (inside_router_call_)
+        event_loop_.schedule_now([this, id, a] {
+            report_to_router(id, a);
+            erase_if_finished(id);
         });
     else
-        tell_router(id, a);
+        report_to_router(id, a);
 }
 
-void Host::tell_router(const LookupId& id, const Answer& a) {
-    const auto it = exchanges_.find(id);
-    if (it == exchanges_.end()) return;
-    it->second.exchange->send(a.send.raw()).told = true;
-    Answer late = a;
-    late.last = it->second.exchange->answered();
-    guarded_flag(in_router_, [&] { router_.on_answer(loop_.now(), late); });
+void Gateway::report_to_router(const RequestId& id, const AttemptResult& a) {
+    const auto it = pending_requests_.find(id);
+    if (it == pending_requests_.end()) return;
+    it->second.active->attempt(a.attempt.raw()).router_notified = true;
+    AttemptResult late = a;
+    late.request_finished = it->second.active->answered();
+    guarded_flag(inside_router_call_, [&] { router_.on_attempt_result(event_loop_.now(), late); });
 }
 
-void Host::drop_if_over(const LookupId& id) {
-    const auto it = exchanges_.find(id);
-    if (it == exchanges_.end() || !it->second.exchange->over()) return;
-    loop_.forget(it->second.expiry);
-    by_caller_.erase(it->second.exchange->caller());
-    exchanges_.erase(it);
+void Gateway::erase_if_finished(const RequestId& id) {
+    const auto it = pending_requests_.find(id);
+    if (it == pending_requests_.end() || !it->second.active->finished()) return;
+    event_loop_.cancel(it->second.expiry);
+    by_client_stream_.erase(it->second.active->client_stream());
+    pending_requests_.erase(it);
 }
 
-void Host::forget_time_out(LookupId id, std::size_t n) {
-    const auto it = exchanges_.find(id);
-    if (it == exchanges_.end()) return;
-    const auto time_out = it->second.time_outs.find(n);
-    if (time_out == it->second.time_outs.end()) return;
-    loop_.forget(time_out->second);
-    it->second.time_outs.erase(time_out);
+void Gateway::cancel_timeout(RequestId id, std::size_t n) {
+    const auto it = pending_requests_.find(id);
+    if (it == pending_requests_.end()) return;
+    const auto time_out = it->second.timeouts.find(n);
+    if (time_out == it->second.timeouts.end()) return;
+    event_loop_.cancel(time_out->second);
+    it->second.timeouts.erase(time_out);
 }
 
 // What a fleet's duties need of a gateway; the client that is left keeps its connection until it has been
 // heard.
-void Host::start_fleet() {
+void Gateway::start_fleet() {
     fleet::Settings c = *fleet_settings_;
     if (c.name.raw().empty()) c.name = fleet::MemberName{name_};
-    fleet_client_ = std::make_unique<fleet::FleetClient>(loop_, static_cast<fleet::GatewayPort&>(*this), c,
-                                                         IRISMUX_VERSION, seed_);
+    fleet_client_ = std::make_unique<fleet::FleetClient>(
+        event_loop_, static_cast<fleet::GatewayCallbacks&>(*this), c, IRISMUX_VERSION, seed_);
 }
 
-void Host::end_fleet() {
+void Gateway::stop_fleet() {
     if (!fleet_client_) return;
     fleet_client_->leave();
     leaving_fleet_client_ = std::move(fleet_client_);
-    loop_.forget(fleet_client_left_);
-    fleet_client_left_ = loop_.at(loop_.now() + fleet_settings_->registry.pace.answer_in,
-                                  [this] { leaving_fleet_client_.reset(); });
-}
-
-void Host::marked(const CacheId& cache, bool is) {
-    if (fleet_client_) fleet_client_->marked(cache, is);
-}
-
-bool Host::send_probe(const CacheId& cache) {
-    const Peer* const peer = roster_.find(cache);
-    if (!peer || !looks_at_.any) return false;
-    const Listing& l = peer->listing;
-    const bool edge =
-        l.location == looks_at_.here && l.machine != looks_at_.parent && l.machine != looks_at_.origin;
-    if (!edge && !looks_at_.direct) return false;
-    caches_.probe(cache, [this, cache] { return fleet_client_ && fleet_client_->may_probe(cache); });
+    event_loop_.cancel(fleet_leave_timer_);
+    fleet_leave_timer_ =
+        event_loop_.schedule_at(event_loop_.now() + fleet_settings_->registry.poll_policy.reply_timeout,
+                                [this] { leaving_fleet_client_.reset(); });
+}
+
+void Gateway::on_ejection_changed(const CacheId& cache, bool is) {
+    if (fleet_client_) fleet_client_->on_ejection_changed(cache, is);
+}
+
+bool Gateway::start_health_check(const CacheId& cache) {
+    const Endpoint* const peer = endpoints_.find(cache);
+    if (!peer || !health_check_scope_.allowed) return false;
+    const EndpointUpdate& l = peer->update;
+    const bool edge = l.location == health_check_scope_.here &&
+                      l.machine_type != health_check_scope_.parent &&
+                      l.machine_type != health_check_scope_.origin;
+    if (!edge && !health_check_scope_.direct) return false;
+    cache_connections_.start_health_check(
+        cache, [this, cache] { return fleet_client_ && fleet_client_->may_check_health(cache); });
     return true;
 }
 
-void Host::trial_from(const CacheId& cache, Instant at) {
-    guarded_flag(in_router_, [&] { router_.on_trial_from(loop_.now(), cache, at); });
+void Gateway::postpone_recovery_probe(const CacheId& cache, TimePoint at) {
+    guarded_flag(inside_router_call_, [&] { router_.postpone_recovery_probe(event_loop_.now(), cache, at); });
 }
 
-void Host::on_duty_state(const fleet::DutyName& duty, fleet::LeaseState state, fleet::FencingToken token) {
+void Gateway::on_duty_state(const fleet::DutyName& duty, fleet::LeaseState state, fleet::FencingToken token) {
     log::event(state == fleet::LeaseState::lost ? log::Level::warning : log::Level::info, "duty",
-               {{"duty", duty.raw()}, {"tenancy", fleet::word_of(state)}, {"epoch", token.raw()}});
+               {{"duty", duty.raw()}, {"tenancy", fleet::to_string(state)}, {"epoch", token.raw()}});
 }
 
-void Host::on_fleet_message(std::string_view plain_line, bool trouble) {
+void Gateway::on_fleet_message(std::string_view plain_line, bool trouble) {
     log::write(trouble ? log::Level::warning : log::Level::info, "fleet: " + std::string(plain_line));
 }
 
-void Host::probed(const ProbeAnswer& a) {
-    if (fleet_client_) fleet_client_->probed(a.cache, a.outcome == Outcome::completed);
-    guarded_flag(in_router_, [&] { router_.on_probe(loop_.now(), a); });
+void Gateway::on_health_check_result(const HealthCheckResult& a) {
+    if (fleet_client_) fleet_client_->on_health_check_done(a.cache, a.outcome == Outcome::completed);
+    guarded_flag(inside_router_call_, [&] { router_.on_probe(event_loop_.now(), a); });
 }
 
 // The board's list counts only where no registry tells one.
-void Host::on_board_list(const std::vector<ListLine>& lines, bool complete) {
-    if (!registry_) list_in_force(lines, complete);
+void Gateway::on_endpoint_notice(const std::vector<EndpointRecord>& lines, bool complete) {
+    if (!registry_) apply_endpoints(lines, complete);
 }
 
-void Host::list_told(Instant, const std::vector<ListLine>& lines, bool complete) {
-    list_in_force(lines, complete);
+void Gateway::on_endpoints(TimePoint, const std::vector<EndpointRecord>& lines, bool complete) {
+    apply_endpoints(lines, complete);
 }
 
-void Host::sight_told(Instant now, registry::Sight sight, Instant as_of) {
-    const bool bad = sight == registry::Sight::blind;
+void Gateway::on_sync_state(TimePoint now, registry::SyncState sight, TimePoint as_of) {
+    const bool bad = sight == registry::SyncState::disconnected;
     log::write(bad ? log::Level::warning : log::Level::info,
-               "registry: " + std::string(registry::word_of(sight)) +
-                   (as_of > Instant{}
+               "registry: " + std::string(registry::to_string(sight)) +
+                   (as_of > TimePoint{}
                         ? ", the list was whole " + std::to_string((now - as_of).micros() / 1000) + " ms ago"
                         : ", no list yet"));
-    if (bad) guarded_flag(in_router_, [&] { router_.on_list_lost(now); });
+    if (bad) guarded_flag(inside_router_call_, [&] { router_.on_endpoint_updates_lost(now); });
 }
 
-void Host::remark(std::string_view plain_line) {
+void Gateway::on_warning(std::string_view plain_line) {
     log::write(log::Level::warning, "registry: " + std::string(plain_line));
 }
 
-void Host::list_in_force(const std::vector<ListLine>& lines, bool complete) {
-    roster_.told(lines, complete);
-    std::vector<Listing> listings;
+void Gateway::apply_endpoints(const std::vector<EndpointRecord>& lines, bool complete) {
+    endpoints_.apply(lines, complete);
+    std::vector<EndpointUpdate> listings;
     for (const auto& [l, address] : lines) listings.push_back(l);
-    guarded_flag(in_router_, [&] { router_.on_list(loop_.now(), listings, complete); });
-    for (const Listing& l : listings)
-        if (fleet_client_ && l.phase == Phase::gone) fleet_client_->gone(l.cache);
-    caches_.close_unlisted();
+    guarded_flag(inside_router_call_,
+                 [&] { router_.on_endpoint_updates(event_loop_.now(), listings, complete); });
+    for (const EndpointUpdate& l : listings)
+        if (fleet_client_ && l.status == EndpointStatus::removed) fleet_client_->on_endpoint_removed(l.cache);
+    cache_connections_.close_unlisted();
 }
 
-void Host::on_board_purge(const PurgeNotice& purge) {
-    const Instant now = loop_.now();
-    const Span age = std::max(now - purge.at, Span{});
-    roster_.purged(purge.at, purge.group, purge.object, now);
-    guarded_flag(in_router_, [&] { router_.on_purge(now, age, purge.group, purge.object); });
+void Gateway::on_purge_notice(const PurgeNotice& purge) {
+    const TimePoint now = event_loop_.now();
+    const Duration age = std::max(now - purge.at, Duration{});
+    endpoints_.add_purge(purge.at, purge.group, purge.object, now);
+    guarded_flag(inside_router_call_, [&] { router_.on_purge(now, age, purge.group, purge.object); });
 }
 
 // --- what the Router wants ---------------------------------------------------------------------------------
 
-void Host::send(const LookupId& id, const CacheId& cache, Span time_out) {
-    Fill plain;
+void Gateway::start_direct_attempt(const RequestId& id, const CacheId& cache, Duration time_out) {
+    AttemptPlan plain;
     plain.cache = plain.source = cache;
-    plain.time_out = time_out;
-    start_send(id, {.cache = cache, .fill = plain, .decided = loop_.now()});
+    plain.timeout = time_out;
+    start_pending_attempt(id, {.cache = cache, .plan = plain, .decided_at = event_loop_.now()});
 }
 
-void Host::fill(const LookupId& id, const Fill& f) {
-    start_send(id, {.cache = f.cache, .fill = f, .decided = loop_.now()});
+void Gateway::start_attempt(const RequestId& id, const AttemptPlan& f) {
+    start_pending_attempt(id, {.cache = f.cache, .plan = f, .decided_at = event_loop_.now()});
 }
 
-void Host::start_send(const LookupId& id, Send s) {
-    const auto it = exchanges_.find(id);
-    if (it == exchanges_.end()) return;
-    Exchange& x = *it->second.exchange;
-    const Span time_out = s.fill ? s.fill->time_out : Span{};
-    const std::size_t n = x.add(std::move(s));
+void Gateway::start_pending_attempt(const RequestId& id, Attempt s) {
+    const auto it = pending_requests_.find(id);
+    if (it == pending_requests_.end()) return;
+    ActiveRequest& x = *it->second.active;
+    const Duration time_out = s.plan ? s.plan->timeout : Duration{};
+    const std::size_t n = x.add_attempt(std::move(s));
     flight_recorder::note("send", id.raw(), n);
-    if (time_out > Span{} && loop_.now() + time_out < x.expires())
-        it->second.time_outs[n] = loop_.at(loop_.now() + time_out, [this, id, n] { timed_out(id, n); });
-    caches_.pull(x, n);
-}
-
-void Host::timed_out(LookupId id, std::size_t n) {
-    const auto it = exchanges_.find(id);
-    if (it == exchanges_.end()) return;
-    Exchange& x = *it->second.exchange;
-    it->second.time_outs.erase(n);
-    caches_.give_up(x, n);
-    ended(x, n, {.outcome = Outcome::overdue});
-}
-
-void Host::cancel(const LookupId& id, SendNo n) {
-    const auto it = exchanges_.find(id);
-    if (it == exchanges_.end() || n.raw() >= it->second.exchange->sends()) return;
-    Exchange& x = *it->second.exchange;
-    if (x.send(n.raw()).ended) return;
-    caches_.give_up(x, n.raw());
-    end_send(x, n.raw(), {.outcome = Outcome::recalled});
-}
-
-void Host::nack(const LookupId& id, Span come_back_in) {
-    const auto it = exchanges_.find(id);
-    if (it == exchanges_.end()) return;
-    Exchange& x = *it->second.exchange;
+    if (time_out > Duration{} && event_loop_.now() + time_out < x.deadline())
+        it->second.timeouts[n] = event_loop_.schedule_at(event_loop_.now() + time_out,
+                                                         [this, id, n] { on_attempt_timeout(id, n); });
+    cache_connections_.start_attempt(x, n);
+}
+
+void Gateway::on_attempt_timeout(RequestId id, std::size_t n) {
+    const auto it = pending_requests_.find(id);
+    if (it == pending_requests_.end()) return;
+    ActiveRequest& x = *it->second.active;
+    it->second.timeouts.erase(n);
+    cache_connections_.cancel_attempt(x, n);
+    on_attempt_ended(x, n, {.outcome = Outcome::deadline_exceeded});
+}
+
+void Gateway::cancel_attempt(const RequestId& id, AttemptIndex n) {
+    const auto it = pending_requests_.find(id);
+    if (it == pending_requests_.end() || n.raw() >= it->second.active->attempt_count()) return;
+    ActiveRequest& x = *it->second.active;
+    if (x.attempt(n.raw()).ended) return;
+    cache_connections_.cancel_attempt(x, n.raw());
+    end_attempt(x, n.raw(), {.outcome = Outcome::cancelled});
+}
+
+void Gateway::reject(const RequestId& id, Duration come_back_in) {
+    const auto it = pending_requests_.find(id);
+    if (it == pending_requests_.end()) return;
+    ActiveRequest& x = *it->second.active;
     if (log::shown(log::Level::debug))
         log::event(log::Level::debug, "nacked",
-                   {{"lookup", x.request().raw()}, {"come_back_in_us", come_back_in.micros()}});
-    if (x.nack(come_back_in)) note_answered(x, true);
+                   {{"lookup", x.client_request_id().raw()}, {"come_back_in_us", come_back_in.micros()}});
+    if (x.reject(come_back_in)) on_request_answered(x, true);
 }
 
-void Host::fail(const LookupId& id) {
-    const auto it = exchanges_.find(id);
-    if (it == exchanges_.end()) return;
-    Exchange& x = *it->second.exchange;
+void Gateway::fail(const RequestId& id) {
+    const auto it = pending_requests_.find(id);
+    if (it == pending_requests_.end()) return;
+    ActiveRequest& x = *it->second.active;
     if (log::shown(log::Level::debug))
-        log::event(log::Level::debug, "failed", {{"lookup", x.request().raw()}});
-    if (x.fail()) note_answered(x, false);
+        log::event(log::Level::debug, "failed", {{"lookup", x.client_request_id().raw()}});
+    if (x.fail()) on_request_answered(x, false);
 }
 
-void Host::probe(const CacheId& cache) {
-    caches_.probe(cache, [] { return true; });
+void Gateway::request_health_check(const CacheId& cache) {
+    cache_connections_.start_health_check(cache, [] { return true; });
 }
 
-void Host::alarm(AlarmNo n, Instant at) {
-    loop_.at(at, [this, n] { guarded_flag(in_router_, [&] { router_.on_alarm(loop_.now(), n); }); });
+void Gateway::set_timer(TimerId n, TimePoint at) {
+    event_loop_.schedule_at(at, [this, n] {
+        guarded_flag(inside_router_call_, [&] { router_.on_timer(event_loop_.now(), n); });
+    });
 }
 
-void Host::note_down(std::string_view text) { log::write(log::Level::info, text); }
+void Gateway::log(std::string_view text) { log::write(log::Level::info, text); }
 
 }  // namespace irismux
--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -121,7 +121,7 @@
     }
 }
 
-void make_loop(std::optional<Loop>& loop) {
+void make_loop(std::optional<EventLoop>& loop) {
     try_until_it_passes([&] {
         try {
             loop.emplace();
@@ -132,11 +132,11 @@
 }
 
 // A file that can't be used changes nothing; one that can't be read for a moment is read again. False: again.
-bool reread(Host& host, const Files& files, bool last_try) {
+bool reread(Gateway& host, const Files& files, bool last_try) {
     try {
         const auto parts = parts_of(files);
         if (const auto* why = std::get_if<std::string>(&parts)) throw std::runtime_error(*why);
-        host.reread(read_configuration(files.configuration), std::get<Parts>(parts));
+        host.reload(read_configuration(files.configuration), std::get<Parts>(parts));
     } catch (const TransientError& e) {
         if (!last_try) return false;
         log::write(log::Level::error, std::string(e.what()) + "; nothing changes");
@@ -148,7 +148,7 @@
 
 constexpr int reread_tries = 20;
 
-void look_for_signals(Loop& loop, Host& host, const Files& files, const HeldSignals& signals) {
+void look_for_signals(EventLoop& loop, Gateway& host, const Files& files, const HeldSignals& signals) {
     static int tries = 0;
     signals.deliver();
     if (told_to_reread) {
@@ -156,8 +156,9 @@
         tries = reread_tries;
     }
     if (tries > 0) tries = reread(host, files, tries == 1) ? 0 : tries - 1;
-    if (told_to_leave) host.leave();
-    loop.at(loop.now() + Span::micros(50'000), [&] { look_for_signals(loop, host, files, signals); });
+    if (told_to_leave) host.begin_shutdown();
+    loop.schedule_at(loop.now() + Duration::micros(50'000),
+                     [&] { look_for_signals(loop, host, files, signals); });
 }
 
 int serve(std::string parts_path) {
@@ -187,9 +188,9 @@
             try_until_it_passes([&] { return read_configuration(files.configuration); });
         log::by(configuration.name);
         if (const char* listen = std::getenv("NODE_LISTEN")) configuration.listen = listen;
-        std::optional<Loop> loop;
+        std::optional<EventLoop> loop;
         make_loop(loop);
-        Host host(*loop, configuration, std::get<Parts>(parts));
+        Gateway host(*loop, configuration, std::get<Parts>(parts));
         host.serve();
         look_for_signals(*loop, host, files, signals);
         loop->run();
--- a/src/gateway/parts.cpp
+++ b/src/gateway/parts.cpp
@@ -36,14 +36,14 @@
     return row[b.size()];
 }
 
-std::optional<Span> span_of(std::string_view text) {
+std::optional<Duration> span_of(std::string_view text) {
     double n = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), n);
     if (error != std::errc{} || n < 0) return std::nullopt;
     const std::string_view unit(end, static_cast<std::size_t>(text.data() + text.size() - end));
     for (const auto& [name, seconds] :
          {std::pair<std::string_view, double>{"ms", 1e-3}, {"s", 1.0}, {"min", 60.0}})
-        if (unit == name && n * seconds <= 86'400) return Span::seconds(n * seconds);
+        if (unit == name && n * seconds <= 86'400) return Duration::seconds(n * seconds);
     return std::nullopt;
 }
 
@@ -84,7 +84,7 @@
         const toml::node* const node = find(key);
         return node ? text(*node, key) : std::move(other);
     }
-    Span span_or(std::string_view key, Span other, Span least) const {
+    Duration span_or(std::string_view key, Duration other, Duration least) const {
         const toml::node* const node = find(key);
         if (!node) return other;
         const auto said = node->value_exact<std::string>();
@@ -142,7 +142,7 @@
     }
     if (settings.user.empty() != settings.password.empty())
         s.wrong(nullptr, s.name() + " needs both 'user' and 'password_file', or neither");
-    settings.pace.members = settings.members.size();
+    settings.poll_policy.members = settings.members.size();
 }
 
 registry::Settings read_registry(const std::string& file, const toml::table& table) {
@@ -154,26 +154,26 @@
     settings.prefix = s.text(s.need("prefix"), "prefix");
     if (settings.prefix.empty())
         s.wrong(s.find("prefix"), "'prefix' must not be empty: the whole registry would be read");
-    registry::Pace& pace = settings.pace;
-    const Span least = Span::micros(1000);
-    settings.page = s.count_or("page", settings.page, 1, 2'000);
-    settings.keep_in = s.text_or("keep_in", "");
-    settings.keep_for = s.span_or("keep_for", settings.keep_for, Span::micros(1'000'000));
-    pace.most_records = s.count_or("most_records", pace.most_records, 1, 100'000);
-    pace.quiet = s.span_or("quiet", pace.quiet, Span::micros(50'000));
-    pace.answer_in = s.span_or("answer_in", pace.answer_in, least);
-    pace.base = s.span_or("retry_base", pace.base, least);
-    pace.cap = s.span_or("retry_cap", pace.cap, pace.base);
+    registry::PollPolicy& pace = settings.poll_policy;
+    const Duration least = Duration::micros(1000);
+    settings.page_size = s.count_or("page", settings.page_size, 1, 2'000);
+    settings.snapshot_folder = s.text_or("keep_in", "");
+    settings.snapshot_max_age = s.span_or("keep_for", settings.snapshot_max_age, Duration::micros(1'000'000));
+    pace.max_records = s.count_or("most_records", pace.max_records, 1, 100'000);
+    pace.watch_timeout = s.span_or("quiet", pace.watch_timeout, Duration::micros(50'000));
+    pace.reply_timeout = s.span_or("answer_in", pace.reply_timeout, least);
+    pace.backoff_base = s.span_or("retry_base", pace.backoff_base, least);
+    pace.backoff_cap = s.span_or("retry_cap", pace.backoff_cap, pace.backoff_base);
     return settings;
 }
 
 // Where the gateway stands, what it says of itself there, and which sites there are.
 void read_site(const Section& s, fleet::Settings& c) {
     if (c.site.raw().find('/') != std::string::npos) s.wrong(s.find("site"), "'site' must have no '/'");
-    const Span round = fleet::Membership(c.shared_config, {}).round();
-    c.acknowledge_every =
-        s.span_or("acknowledge_every", std::min(c.acknowledge_every, round), Span::micros(10'000));
-    if (c.acknowledge_every > round)
+    const Duration round = fleet::Membership(c.shared_config, {}).heartbeat_interval();
+    c.acknowledge_interval =
+        s.span_or("acknowledge_every", std::min(c.acknowledge_interval, round), Duration::micros(10'000));
+    if (c.acknowledge_interval > round)
         s.wrong(s.find("acknowledge_every"), "'acknowledge_every' must be a quarter of 'term' at most");
     c.configuration = fleet::ConfigurationNumber{
         static_cast<std::int64_t>(s.count_or("configuration", 0, 1, std::int64_t{1} << 53))};
@@ -185,8 +185,8 @@
                            " sites, each with its number of gateways");
     for (const auto& [name, node] : *table) {
         const auto count = node.value_exact<std::int64_t>();
-        if (!count || *count < 0 || *count > static_cast<std::int64_t>(fleet::most_in_roster))
-            s.wrong(&node, "a site has 0 to " + std::to_string(fleet::most_in_roster) + " gateways");
+        if (!count || *count < 0 || *count > static_cast<std::int64_t>(fleet::max_roster_names))
+            s.wrong(&node, "a site has 0 to " + std::to_string(fleet::max_roster_names) + " gateways");
         c.inventory[fleet::SiteName{std::string(name.str())}] = static_cast<std::size_t>(*count);
     }
 }
@@ -200,7 +200,7 @@
     fleet::Settings c;
     if (registry && !s.find("members")) c.registry = *registry;
     if (!registry || s.find("members")) read_place(s, c.registry);
-    c.registry.keep_in.clear();
+    c.registry.snapshot_folder.clear();
     const auto needed = [&](const char* key) {
         const std::string said = s.text(s.need(key), key);
         if (said.empty() || said.size() > 128 ||
@@ -217,7 +217,7 @@
                      registry->prefix.rfind(c.registry.prefix, 0) == 0))
         s.wrong(s.find("prefix"),
                 "'prefix' must lie apart from that of [registry], '" + registry->prefix + "'");
-    c.shared_config.term = s.span_or("term", c.shared_config.term, Span::micros(400'000));
+    c.shared_config.term = s.span_or("term", c.shared_config.term, Duration::micros(400'000));
     if (const toml::node* const node = s.find("drift")) {
         const auto drift = node->value<double>();
         if (!drift || *drift < 0.0001 || *drift > 0.25)
@@ -225,23 +225,27 @@
                     "'drift' must be a share from 0.0001 to 0.25: how far the rate of a clock may be off");
         c.shared_config.drift = *drift;
     }
-    const Span round = fleet::Membership(c.shared_config, {}).round();
-    c.registry.pace.answer_in =
-        s.span_or("answer_in", std::min(c.registry.pace.answer_in, round), Span::micros(1000));
-    if (c.registry.pace.answer_in > round)
+    const Duration round = fleet::Membership(c.shared_config, {}).heartbeat_interval();
+    c.registry.poll_policy.reply_timeout =
+        s.span_or("answer_in", std::min(c.registry.poll_policy.reply_timeout, round), Duration::micros(1000));
+    if (c.registry.poll_policy.reply_timeout > round)
         s.wrong(s.find("answer_in"),
                 "'answer_in' must be a quarter of 'term' at most: signs of life would be late");
-    c.registry.pace.quiet = s.span_or("quiet", c.registry.pace.quiet, Span::micros(50'000));
-    c.registry.pace.cap = std::min(c.registry.pace.cap, c.shared_config.term);
-    c.registry.pace.base = std::min(c.registry.pace.base, c.registry.pace.cap);
-    c.look_every = s.span_or("look_every", c.look_every, Span::micros(50'000));
-    c.sweep_every = s.span_or("sweep_every", c.sweep_every, Span::micros(50'000));
+    c.registry.poll_policy.watch_timeout =
+        s.span_or("quiet", c.registry.poll_policy.watch_timeout, Duration::micros(50'000));
+    c.registry.poll_policy.backoff_cap = std::min(c.registry.poll_policy.backoff_cap, c.shared_config.term);
+    c.registry.poll_policy.backoff_base =
+        std::min(c.registry.poll_policy.backoff_base, c.registry.poll_policy.backoff_cap);
+    c.health_check_interval = s.span_or("look_every", c.health_check_interval, Duration::micros(50'000));
+    c.collection_interval = s.span_or("sweep_every", c.collection_interval, Duration::micros(50'000));
     if (s.find("site")) c.site = fleet::SiteName{needed("site")};
     read_site(s, c);
-    c.keep_in = s.text_or("keep_in", "");
-    while (c.keep_in.size() > 1 && c.keep_in.back() == '/') c.keep_in.pop_back();
-    if (registry && !c.keep_in.empty() && registry->keep_in.rfind(c.keep_in, 0) == 0 &&
-        registry->keep_in.find_first_not_of('/', c.keep_in.size()) == std::string::npos)
+    c.token_store_folder = s.text_or("keep_in", "");
+    while (c.token_store_folder.size() > 1 && c.token_store_folder.back() == '/')
+        c.token_store_folder.pop_back();
+    if (registry && !c.token_store_folder.empty() &&
+        registry->snapshot_folder.rfind(c.token_store_folder, 0) == 0 &&
+        registry->snapshot_folder.find_first_not_of('/', c.token_store_folder.size()) == std::string::npos)
         s.wrong(s.find("keep_in"), "'keep_in' must be a folder of its own, not that of [registry]");
     return c;
 }
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -14,59 +14,59 @@
 
 namespace irismux {
 
-enum class LinkState { connecting, open, ended };
+enum class ConnectionState { connecting, open, closed };
 
-class Link : public std::enable_shared_from_this<Link> {
+class Connection : public std::enable_shared_from_this<Connection> {
 public:
-    virtual ~Link();
-    Link(const Link&) = delete;
-    Link& operator=(const Link&) = delete;
+    virtual ~Connection();
+    Connection(const Connection&) = delete;
+    Connection& operator=(const Connection&) = delete;
 
-    LinkState state() const { return state_; }
+    ConnectionState state() const { return state_; }
     // Open, and no write has failed; the end of one that has is told in the next turn.
-    bool writable() const { return state_ == LinkState::open && !failed_; }
+    bool writable() const { return state_ == ConnectionState::open && !failed_; }
     // Closes at once; what waits to be written is lost, and so is what the other side has yet to read if
     // bytes of its own lie unread here: the system resets such a connection. Tells nobody.
     void close();
     // Closes as a conversation: what waits is written, the own direction ends, and what still comes is read
     // and discarded until the other side ends too, or to a bound. on_bytes() is not called any more; on_end()
     // is, in the end.
-    void linger(Span most);
+    void linger(Duration most);
     bool lingering() const { return lingering_; }
     // Whether the other side has ended or reset it, though the loop has not told yet.
-    bool ended_unheard() const;
+    bool peer_closed() const;
     // Whether bytes wait to be read.
-    bool holds_unread() const;
+    bool has_unread_data() const;
 
 protected:
-    Link(Loop& loop, Poco::Net::StreamSocket socket, LinkState state);
+    Connection(EventLoop& loop, Poco::Net::StreamSocket socket, ConnectionState state);
 
     // From here on the loop tells this connection what happens.
-    void join();
+    void register_handlers();
     // How an attempt to connect began, or why it did not: for want of something of ours (a descriptor, a
     // port, memory), or because the system knows no way there.
-    enum class Attempt { begun, short_of_resources, unreachable };
-    Attempt connect(const Poco::Net::SocketAddress& to);
+    enum class ConnectResult { started, short_of_resources, unreachable };
+    ConnectResult connect(const Poco::Net::SocketAddress& to);
 
     virtual void on_open() {}
-    virtual void on_bytes() = 0;
+    virtual void on_data() = 0;
     // The socket can be written to: the time to say more. What it did not take is still in out_.
-    virtual void on_room() { send_out(); }
-    virtual void on_end() = 0;  // broken or ended by the other side; never called within send_out()
+    virtual void on_write_ready() { write_pending(); }
+    virtual void on_closed() = 0;  // broken or ended by the other side; never called within send_out()
     // Whether an attempt to connect ended with a reset: then somebody had taken it.
     bool was_reset() const { return reset_; }
 
     // Has on_room() called before the loop waits again.
-    void flush();
+    void schedule_write();
     // Writes what waits, as far as the socket takes it.
-    void send_out();
-    void read_on(bool wanted);
+    void write_pending();
+    void set_reading(bool wanted);
     // What the system may hold of our output; the rest stays here.
-    void hold_in_system(int bytes);
-    std::uint64_t written() const { return written_; }  // bytes handed to the socket so far
+    void limit_send_buffer(int bytes);
+    std::uint64_t bytes_written() const { return bytes_written_; }  // bytes handed to the socket so far
 
-    Loop& loop_;
-    Buffer in_, out_;
+    EventLoop& loop_;
+    Buffer input_, output_;
 
 private:
     void on_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&);
@@ -75,7 +75,7 @@
     void guarded(Step step);
     void watch(bool for_bytes, bool for_room);
     void update_watch();
-    void watch_again_later();
+    void schedule_rewatch();
     template <class Observer>
     bool add_handler(const Observer& observer);
     template <class Observer>
@@ -83,25 +83,25 @@
     void pause_reading();
     void pause_writing();
     bool is_connected() const;
-    void broke();
+    void on_broken();
     bool read_some();
     bool discard_some();
-    void end_own_direction();
+    void shut_down_sending();
 
     Poco::Net::StreamSocket socket_;
-    LinkState state_;
+    ConnectionState state_;
     bool failed_ = false;  // a write has failed
     bool reset_ = false;
     bool reading_ = true;  // bytes are wanted
-    bool flushing_ = false;
-    bool lingering_ = false, shut_ = false;  // shut: the own direction has ended
+    bool write_scheduled_ = false;
+    bool lingering_ = false, sending_shut_down_ = false;  // shut: the own direction has ended
     std::size_t discarded_ = 0;
-    bool wants_bytes_ = false, wants_room_ = false;  // what the loop is to watch for
-    bool for_bytes_ = false, for_room_ = false;      // what it watches for
-    bool watches_later_ = false;
+    bool wants_reads_ = false, wants_writes_ = false;        // what the loop is to watch for
+    bool watching_reads_ = false, watching_writes_ = false;  // what it watches for
+    bool rewatch_scheduled_ = false;
     // The system was short of memory: nothing is read, or written, for a moment.
-    bool reads_later_ = false, writes_later_ = false;
-    std::uint64_t written_ = 0;
+    bool read_paused_ = false, write_paused_ = false;
+    std::uint64_t bytes_written_ = 0;
 };
 
 }  // namespace irismux
--- a/src/net/event_time_estimator.hpp
+++ b/src/net/event_time_estimator.hpp
@@ -27,38 +27,38 @@
 
 namespace irismux {
 
-class EventTimes {
+class EventTimeEstimator {
 public:
     // Starts that are remembered, so that one which is told again is the same one; at the bound the older
     // half is forgotten, and one of those would count as a start of the moment in which it is told again.
-    static constexpr std::size_t most_starts = 16'384;
+    static constexpr std::size_t max_starts = 16'384;
 
     // What is told from now on is history as it was known at `known_at`; `newest` is the newest time of a
     // purge in it, or else of a start; zero: none.
-    void begin_history(Instant known_at, Instant newest);
+    void begin_history(TimePoint known_at, TimePoint newest);
     // What is told from now on is news, since a poll that was sent at `earliest` or later.
-    void begin_news(Instant now, Instant earliest);
+    void begin_news(TimePoint now, TimePoint earliest);
 
     // Of a purge whose event bears that time.
-    Instant purge(Instant stamp);
+    TimePoint purge(TimePoint stamp);
     // Of a cache's start whose event bears that time; zero is zero: long ago.
-    Instant start(const CacheId& cache, Instant stamp);
+    TimePoint start(const CacheId& cache, TimePoint stamp);
 
 private:
-    Instant dated(Instant stamp) const;
-    Instant start_in_news(Instant stamp) const;
-    void learn(Instant stamp);
-    Span least_ahead() const;
+    TimePoint dated(TimePoint stamp) const;
+    TimePoint start_in_news(TimePoint stamp) const;
+    void learn(TimePoint stamp);
+    Duration least_ahead() const;
     void forget_older_half();
 
     bool history_ = true;
-    Instant now_, earliest_;
+    TimePoint now_, earliest_;
     // By how much the writers' clock is ahead of the own one at least, and when that was seen; none: nothing
     // was.
-    std::optional<Span> ahead_;
-    Instant ahead_seen_;
+    std::optional<Duration> ahead_;
+    TimePoint ahead_seen_;
     struct Start {
-        Instant stamp, at;
+        TimePoint stamp, at;
     };
     std::map<CacheId, Start> starts_;
 };
--- a/src/net/in_flight_request_ids.cpp
+++ b/src/net/in_flight_request_ids.cpp
@@ -5,28 +5,28 @@
 
 namespace irismux {
 
-void CarriedNames::carry(const RequestId& name, LookupId lookup, Instant until, Instant now) {
-    if (names_.size() >= forget_above_) forget(now);
-    names_[name] = {lookup, until};
+void InFlightRequestIds::add(const ClientRequestId& name, RequestId lookup, TimePoint until, TimePoint now) {
+    if (entries_.size() >= erase_threshold_) erase_expired(now);
+    entries_[name] = {lookup, until};
 }
 
-bool CarriedNames::belongs_to_other(const RequestId& name, LookupId lookup, Instant now) const {
-    const auto it = names_.find(name);
-    return it != names_.end() && it->second.lookup != lookup && now < it->second.until;
+bool InFlightRequestIds::used_by_another(const ClientRequestId& name, RequestId lookup, TimePoint now) const {
+    const auto it = entries_.find(name);
+    return it != entries_.end() && it->second.request != lookup && now < it->second.until;
 }
 
-void CarriedNames::forget(Instant now) {
+void InFlightRequestIds::erase_expired(TimePoint now) {
     constexpr std::size_t least = 64;
-    std::erase_if(names_, [&](const auto& name) { return now >= name.second.until; });
-    if (names_.size() >= most_names) {
-        std::vector<Instant> ends;
-        ends.reserve(names_.size());
-        for (const auto& [name, carried] : names_) ends.push_back(carried.until);
+    std::erase_if(entries_, [&](const auto& name) { return now >= name.second.until; });
+    if (entries_.size() >= max_entries) {
+        std::vector<TimePoint> ends;
+        ends.reserve(entries_.size());
+        for (const auto& [name, carried] : entries_) ends.push_back(carried.until);
         const auto middle = ends.begin() + static_cast<std::ptrdiff_t>(ends.size() / 2);
         std::nth_element(ends.begin(), middle, ends.end());
-        std::erase_if(names_, [&](const auto& name) { return name.second.until <= *middle; });
+        std::erase_if(entries_, [&](const auto& name) { return name.second.until <= *middle; });
     }
-    forget_above_ = std::clamp(names_.size() * 2, least, most_names);
+    erase_threshold_ = std::clamp(entries_.size() * 2, least, max_entries);
 }
 
 }  // namespace irismux
--- a/src/net/in_flight_request_ids.hpp
+++ b/src/net/in_flight_request_ids.hpp
@@ -11,26 +11,26 @@
 
 namespace irismux {
 
-class CarriedNames {
+class InFlightRequestIds {
 public:
     // More are not remembered: the half that ends first is forgotten. What may happen then: an answer that is
     // later than so many further sends of the connection is taken for that of another lookup of the same id.
-    static constexpr std::size_t most_names = 4096;
+    static constexpr std::size_t max_entries = 4096;
 
-    void carry(const RequestId& name, LookupId lookup, Instant until, Instant now);
+    void add(const ClientRequestId& name, RequestId lookup, TimePoint until, TimePoint now);
     // Whether an answer under that name may be meant for another lookup.
-    bool belongs_to_other(const RequestId& name, LookupId lookup, Instant now) const;
-    std::size_t size() const { return names_.size(); }
+    bool used_by_another(const ClientRequestId& name, RequestId lookup, TimePoint now) const;
+    std::size_t size() const { return entries_.size(); }
 
 private:
-    void forget(Instant now);
+    void erase_expired(TimePoint now);
 
-    struct Carried {
-        LookupId lookup;
-        Instant until;
+    struct Entry {
+        RequestId request;
+        TimePoint until;
     };
-    std::map<RequestId, Carried> names_;
-    std::size_t forget_above_ = 64;  // rises with what is worth keeping: looking through all takes time
+    std::map<ClientRequestId, Entry> entries_;
+    std::size_t erase_threshold_ = 64;  // rises with what is worth keeping: looking through all takes time
 };
 
 }  // namespace irismux
--- a/src/net/notice_client.cpp
+++ b/src/net/notice_client.cpp
@@ -18,45 +18,46 @@
 
 // The board may hold a poll for 5 s and is told to for a fifth of that: a board that has gone silent is
 // noticed well before what it has to say counts as told.
-constexpr Span longest_linger = Span::micros(5'000'000);
-const Span poll_linger = longest_linger * 0.2;
+constexpr Duration longest_linger = Duration::micros(5'000'000);
+const Duration poll_linger = longest_linger * 0.2;
 // From the poll to the end of its answer. An answer that takes longer is broken off, and the next poll goes
 // on behind what has come of it.
-constexpr Span longest_answer = longest_linger;
+constexpr Duration longest_answer = longest_linger;
 // Notices take effect for so long in one turn of the loop; the rest waits for the next turn.
-constexpr Span longest_batch = Span::micros(2'000);
+constexpr Duration longest_batch = Duration::micros(2'000);
 
 }  // namespace
 
 // One connection to the board, with one poll at a time.
-class BoardLink final : public Link {
+class NoticeConnection final : public Connection {
 public:
-    explicit BoardLink(Board& board)
-        : Link(board.loop_, Poco::Net::StreamSocket(), LinkState::connecting), board_(board) {}
+    explicit NoticeConnection(NoticeClient& board)
+        : Connection(board.event_loop_, Poco::Net::StreamSocket(), ConnectionState::connecting),
+          board_(board) {}
 
     bool start(const std::string& address) {
-        return connect(Poco::Net::SocketAddress(address)) == Attempt::begun;
+        return connect(Poco::Net::SocketAddress(address)) == ConnectResult::started;
     }
     void get(const std::string& host, const std::string& target) {
-        http::write_get(out_, host, target);
-        flush();
+        http::write_get(output_, host, target);
+        schedule_write();
         answer_.emplace();
         polled_at_ = loop_.now();
         expect_bytes();
     }
     void stop() {
-        loop_.forget(silence_);
+        loop_.cancel(silence_);
         close();
     }
 
 protected:
-    void on_open() override { flush(); }
-    void on_bytes() override {
+    void on_open() override { schedule_write(); }
+    void on_data() override {
         if (!answer_) return discard();
         expect_bytes();
         read_answer();
     }
-    void on_end() override { end("connection lost"); }
+    void on_closed() override { end("connection lost"); }
 
 private:
     // The answer to the poll under way.
@@ -70,12 +71,13 @@
     // Guards against an answer that stands still: the clock starts anew with what arrives, to the bound of
     // the whole answer.
     void expect_bytes() {
-        const Instant quiet = loop_.now() + poll_linger + board_.retry_delay_;
-        loop_.forget(silence_);
-        silence_ = loop_.at(std::min(quiet, polled_at_ + longest_answer), [self = weak_from_this(), this] {
-            if (const auto alive = self.lock(); alive && state() != LinkState::ended)
-                end("no whole answer in time");
-        });
+        const TimePoint quiet = loop_.now() + poll_linger + board_.retry_delay_;
+        loop_.cancel(silence_);
+        silence_ =
+            loop_.schedule_at(std::min(quiet, polled_at_ + longest_answer), [self = weak_from_this(), this] {
+                if (const auto alive = self.lock(); alive && state() != ConnectionState::closed)
+                    end("no whole answer in time");
+            });
     }
 
     // Guards the loop's turns: what does not fit into this one's batch stays in the buffer, and nothing more
@@ -83,10 +85,10 @@
     void read_answer() {
         const auto alive = shared_from_this();
         begin_batch();
-        while (state() == LinkState::open && answer_) {
+        while (state() == ConnectionState::open && answer_) {
             if (loop_.now() - batch_began_ >= longest_batch) {
                 batch_cut_ = true;
-                return read_on(false);
+                return set_reading(false);
             }
             if (!read_step()) return;
         }
@@ -95,14 +97,14 @@
     void begin_batch() {
         if (std::exchange(in_batch_, true)) return;
         batch_began_ = loop_.now();
-        loop_.next_turn([self = weak_from_this(), this] {
+        loop_.run_next_iteration([self = weak_from_this(), this] {
             const auto alive = self.lock();
             if (!alive) return;
             in_batch_ = false;
             // Only a batch that ran out of time goes on: whoever waits for the board must not wake the loop
             // in each of its turns.
-            if (state() != LinkState::open || !std::exchange(batch_cut_, false)) return;
-            read_on(true);
+            if (state() != ConnectionState::open || !std::exchange(batch_cut_, false)) return;
+            set_reading(true);
             if (answer_) read_answer();
         });
     }
@@ -120,12 +122,12 @@
     bool read_head() {
         http::Head head;
         std::size_t used = 0;
-        const Parsed parsed = http::parse_head(in_.view(), head, used);
-        if (parsed == Parsed::more) return false;
-        if (parsed == Parsed::bad) return end("not HTTP/1.1");
+        const ParseStatus parsed = http::parse_head(input_.view(), head, used);
+        if (parsed == ParseStatus::incomplete) return false;
+        if (parsed == ParseStatus::invalid) return end("not HTTP/1.1");
         if (head.status != 200) return end("a status other than 200");
         if (!head.framed()) return end("an answer whose end can't be told");
-        in_.taken(used);
+        input_.consumed(used);
         answer_->head = head;
         answer_->body.emplace(head);
         return true;
@@ -134,25 +136,25 @@
     bool read_body() {
         std::string_view piece;
         std::size_t used = 0;
-        const Parsed parsed = answer_->body->next(in_.view(), piece, used);
-        if (parsed == Parsed::bad) return end("a body that is not HTTP/1.1");
+        const ParseStatus parsed = answer_->body->next(input_.view(), piece, used);
+        if (parsed == ParseStatus::invalid) return end("a body that is not HTTP/1.1");
         answer_->notices.feed(piece);
-        in_.taken(used);
-        answer_->body_ended = parsed == Parsed::whole;
+        input_.consumed(used);
+        answer_->body_ended = parsed == ParseStatus::complete;
         return answer_->body_ended || used > 0;
     }
 
     // All that has come took effect.
     bool finish() {
-        if (!answer_->notices.whole()) return end("an answer that is not whole JSON");
+        if (!answer_->notices.complete()) return end("an answer that is not whole JSON");
         const auto revision = answer_->notices.revision();
         if (!revision) return end("missing field 'rev'");
-        const bool reusable = !answer_->head->close && in_.empty();
+        const bool reusable = !answer_->head->close && input_.empty();
         answer_.reset();
-        loop_.forget(silence_);
+        loop_.cancel(silence_);
         if (!reusable) {
             stop();
-            board_.link_.reset();
+            board_.connection_.reset();
         }
         board_.answer_complete(*revision);
         return false;
@@ -164,7 +166,7 @@
         const std::string reason(why);
         stop();
         answer_.reset();
-        board_.link_.reset();
+        board_.connection_.reset();
         board_.poll_failed(reason);
         return false;
     }
@@ -173,99 +175,100 @@
     void discard() {
         const auto alive = shared_from_this();
         stop();
-        board_.link_.reset();
+        board_.connection_.reset();
     }
 
-    Board& board_;
+    NoticeClient& board_;
     std::optional<Answer> answer_;  // none: no poll is under way
-    Instant polled_at_, batch_began_;
+    TimePoint polled_at_, batch_began_;
     bool in_batch_ = false;
     bool batch_cut_ = false;  // by the time that it may take
-    Loop::Alarm silence_{};
+    EventLoop::Timer silence_{};
 };
 
-Board::Board(Loop& loop, BoardObserver& observer, std::string address, Span retry_delay)
-    : loop_(loop),
+NoticeClient::NoticeClient(EventLoop& loop, NoticeObserver& observer, std::string address,
+                           Duration retry_delay)
+    : event_loop_(loop),
       observer_(observer),
       address_(std::move(address)),
       retry_delay_(retry_delay),
       told_all_at_(loop.now()) {}
 
-Board::~Board() {
-    loop_.forget(next_poll_);
-    if (link_) link_->stop();
+NoticeClient::~NoticeClient() {
+    event_loop_.cancel(next_poll_);
+    if (connection_) connection_->stop();
 }
 
-void Board::poll() {
-    loop_.forget(next_poll_);
-    const bool from_start = observer_.wants_all_events();
+void NoticeClient::poll() {
+    event_loop_.cancel(next_poll_);
+    const bool from_start = observer_.wants_full_history();
     if (from_start) {
         // What was told before is told again, and is no news.
         history_ = std::max(history_, revision_);
-        history_known_at_ = loop_.now();
+        history_known_at_ = event_loop_.now();
         revision_ = 0;
     }
-    observer_.on_board_asked(from_start);
+    observer_.on_poll_started(from_start);
     polled_from_ = revision_;
-    polled_at_ = loop_.now();
+    polled_at_ = event_loop_.now();
     try {
-        if (!link_ || link_->state() == LinkState::ended) {
-            link_ = std::make_shared<BoardLink>(*this);
-            if (!link_->start(address_)) {
-                link_.reset();
+        if (!connection_ || connection_->state() == ConnectionState::closed) {
+            connection_ = std::make_shared<NoticeConnection>(*this);
+            if (!connection_->start(address_)) {
+                connection_.reset();
                 return poll_failed("no attempt to connect was possible");
             }
         }
-        link_->get(address_, "/board/poll?watch=" + std::to_string(revision_) +
-                                 "&linger=" + std::to_string(poll_linger.micros() / 1000));
+        connection_->get(address_, "/board/poll?watch=" + std::to_string(revision_) +
+                                       "&linger=" + std::to_string(poll_linger.micros() / 1000));
     } catch (const Poco::Exception& e) {
-        link_.reset();
+        connection_.reset();
         poll_failed(e.displayText());
     }
 }
 
-void Board::poll_at(Instant due) {
-    loop_.forget(next_poll_);
-    next_poll_ = loop_.at(due, [this] { poll(); });
+void NoticeClient::poll_at(TimePoint due) {
+    event_loop_.cancel(next_poll_);
+    next_poll_ = event_loop_.schedule_at(due, [this] { poll(); });
 }
 
-void Board::answer_complete(std::int64_t revision) {
-    observer_.on_board_answered(revision, polled_from_);
+void NoticeClient::answer_complete(std::int64_t revision) {
+    observer_.on_poll_completed(revision, polled_from_);
     told_all_at_ = polled_at_;
     revision_ = std::max(revision_, revision);
     last_poll_failed_ = false;
     // Guards against a board that neither holds a poll nor has anything new (one that has jumped back, say):
     // it would be asked again and again without end.
-    if (revision_ > polled_from_ || loop_.now() - polled_at_ >= retry_delay_) return poll();
+    if (revision_ > polled_from_ || event_loop_.now() - polled_at_ >= retry_delay_) return poll();
     poll_at(polled_at_ + retry_delay_);
 }
 
 // What is known goes on being used. A break says nothing of the board and what it was about to tell may be
 // urgent: it is asked again at once, and after a second failure in a row only where the poll before brought
 // something, else after a pause.
-void Board::poll_failed(std::string_view why) {
-    observer_.on_board_failed();
+void NoticeClient::poll_failed(std::string_view why) {
+    observer_.on_poll_failed();
     log::write(log::Level::info, "notice board: " + std::string(why));
     const bool progress = revision_ > polled_from_;
     const bool at_once = !std::exchange(last_poll_failed_, true) || progress;
-    poll_at(loop_.now() + (at_once ? Span{} : retry_delay_));
+    poll_at(event_loop_.now() + (at_once ? Duration{} : retry_delay_));
 }
 
 // Guards against events lost in a move: what the old board has not told whole is asked of the new one.
-void Board::move(const std::string& address) {
+void NoticeClient::set_address(const std::string& address) {
     if (address == address_) return;
     log::write(log::Level::info, "notice board: now at " + address);
     address_ = address;
-    if (link_) link_->stop();
-    link_.reset();
+    if (connection_) connection_->stop();
+    connection_.reset();
     last_poll_failed_ = false;
     poll();
 }
 
-void Board::load(const json& known) {
+void NoticeClient::load_known(const json& known) {
     const auto last = get<std::int64_t>(known, "rev");
     history_ = std::max(history_, last);
-    history_known_at_ = loop_.now();
+    history_known_at_ = event_loop_.now();
     find_newest(known);
     for (const json& event : list_of(known, "notices")) {
         const Notice notice = notice_of(event, last);
@@ -276,22 +279,24 @@
 
 // An event that can't be read is asked for once more, then left out with a line in the log; those behind it
 // still count.
-bool Board::apply(const Notice& notice) {
+bool NoticeClient::apply(const Notice& notice) {
     if (notice.numbered && notice.revision <= revision_) return true;
     const std::string error = notice.error.empty() ? deliver(notice) : notice.error;
     if (!error.empty()) {
         if (std::exchange(unreadable_behind_, revision_) != revision_) return false;
         log::write(log::Level::warning, "notice board: an event is left out: " + error);
-        observer_.on_board_event_left_out();
+        observer_.on_notice_skipped();
     }
     if (notice.numbered) revision_ = notice.revision;
     return true;
 }
 
 // The newest time of a purge known at the start, or else of a start; an event that can't be read bears none.
-void Board::find_newest(const json& known) {
-    Instant newest_purge, newest_start;
-    const auto count = [](Instant& newest, std::int64_t ms) { newest = std::max(newest, unix_ms(ms)); };
+void NoticeClient::find_newest(const json& known) {
+    TimePoint newest_purge, newest_start;
+    const auto count = [](TimePoint& newest, std::int64_t ms) {
+        newest = std::max(newest, time_from_unix_ms(ms));
+    };
     for (const json& event : list_of(known, "notices")) try {
             if (const auto flush = event.find("flush"); flush != event.end())
                 count(newest_purge, get<std::int64_t>(*flush, "ms"));
@@ -301,18 +306,18 @@
         } catch (const std::exception&) {
             continue;
         }
-    newest_in_history_ = newest_purge != Instant{} ? newest_purge : newest_start;
+    newest_in_history_ = newest_purge != TimePoint{} ? newest_purge : newest_start;
 }
 
-void Board::set_times(std::int64_t revision) {
+void NoticeClient::set_times(std::int64_t revision) {
     if (revision <= history_)
         times_.begin_history(history_known_at_, newest_in_history_);
     else
-        times_.begin_news(loop_.now(), told_all_at_);
+        times_.begin_news(event_loop_.now(), told_all_at_);
 }
 
 // Returns why the event can't be read; empty: it took effect.
-std::string Board::deliver(const Notice& notice) {
+std::string NoticeClient::deliver(const Notice& notice) {
     const json& event = notice.content;
     set_times(notice.revision);
     try {
@@ -327,23 +332,23 @@
     }
 }
 
-void Board::deliver_list(const json& pool) {
-    std::vector<ListLine> lines;
+void NoticeClient::deliver_list(const json& pool) {
+    std::vector<EndpointRecord> lines;
     for (const json& line : list_of(pool, "servers")) {
-        lines.push_back(read_list_line(line));
-        Listing& listing = lines.back().first;
-        listing.started = times_.start(listing.cache, listing.started);
+        lines.push_back(parse_endpoint_record(line));
+        EndpointUpdate& listing = lines.back().first;
+        listing.started_at = times_.start(listing.cache, listing.started_at);
     }
-    observer_.on_board_list(lines, get_or(pool, "full", false));
+    observer_.on_endpoint_notice(lines, get_or(pool, "full", false));
 }
 
-void Board::deliver_purge(const json& flush) {
+void NoticeClient::deliver_purge(const json& flush) {
     PurgeNotice purge;
-    purge.stamp = unix_ms(get<std::int64_t>(flush, "ms"));
-    purge.group = GroupNo{get_or<std::int64_t>(flush, "collection", 0)};
+    purge.stamp = time_from_unix_ms(get<std::int64_t>(flush, "ms"));
+    purge.group = PurgeGroupId{get_or<std::int64_t>(flush, "collection", 0)};
     if (flush.contains("asset")) purge.object = ObjectName{get<std::string>(flush, "asset")};
     purge.at = times_.purge(purge.stamp);
-    observer_.on_board_purge(purge);
+    observer_.on_purge_notice(purge);
 }
 
 }  // namespace irismux
--- a/src/registry/client.hpp
+++ b/src/registry/client.hpp
@@ -14,52 +14,53 @@
 
 namespace irismux::registry {
 
-class Client final : private Asks, private Replies {
+class RegistryClient final : private WatchTransport, private ReplyHandler {
 public:
-    Client(Loop& loop, Knows& knows, Settings settings, std::uint64_t seed, Sort sort = Sort::caches);
-    ~Client() override;
+    RegistryClient(EventLoop& loop, WatchObserver& knows, Settings settings, std::uint64_t seed,
+                   RecordKind sort = RecordKind::endpoints);
+    ~RegistryClient() override;
 
-    void start() { watch_.start(loop_.now()); }
+    void start() { watch_.start(event_loop_.now()); }
     // As Watch::start_from; before start().
     void start_from(const ClusterId& cluster, Revision at, const std::vector<Record>& records,
-                    Instant as_of) {
-        watch_.start_from(loop_.now(), cluster, at, records, as_of);
+                    TimePoint as_of) {
+        watch_.start_from(event_loop_.now(), cluster, at, records, as_of);
     }
     const Watch& watch() const { return watch_; }
     const std::string& prefix() const { return settings_.prefix; }
 
 private:
     enum class Kind { none, read, check, follow };
-    struct Ask {
+    struct PendingRequest {
         Kind kind = Kind::none;
-        MemberNo member;
+        MemberIndex member;
         std::optional<RecordKey> after;
         Revision at;
     };
 
-    void read(MemberNo, const std::optional<RecordKey>& after, Revision at) override;
-    void check(MemberNo, Revision at) override;
-    void follow(MemberNo, Revision from) override;
-    void hang_up() override;
-    void wake(Instant at) override;
+    void read_page(MemberIndex, const std::optional<RecordKey>& after, Revision at) override;
+    void check_revision(MemberIndex, Revision at) override;
+    void open_watch(MemberIndex, Revision from) override;
+    void close() override;
+    void schedule_wake(TimePoint at) override;
 
-    void go(Ask ask);
+    void send(PendingRequest ask);
     etcd::Request request() const;
     void take_page(const Page& page, std::size_t bytes);
-    void replied(int status, const std::string& body) override;
-    void streamed(std::string_view message) override;
-    void too_long() override;
-    void answer_too_long() override;
-    void broke(const char* why) override;
-    void went_wrong(const etcd::Problem& problem);
+    void on_reply(int status, const std::string& body) override;
+    void on_stream_message(std::string_view message) override;
+    void on_message_too_long() override;
+    void on_reply_too_long() override;
+    void on_connection_lost(const char* why) override;
+    void on_error(const etcd::Error& problem);
 
-    Loop& loop_;
+    EventLoop& event_loop_;
     Settings settings_;
     Watch watch_;
-    Ask ask_;
-    std::size_t page_;  // records a page, as many as fit into an answer
-    Asker asker_;
-    Loop::Alarm wake_{};
+    PendingRequest pending_;
+    std::size_t page_size_;  // records a page, as many as fit into an answer
+    RegistryConnection connection_;
+    EventLoop::Timer wake_timer_{};
 };
 
 }  // namespace irismux::registry
--- a/src/registry/endpoint_view.hpp
+++ b/src/registry/endpoint_view.hpp
@@ -15,15 +15,15 @@
 namespace irismux::registry {
 
 // The line that a record holds; none where it can't be read or does not name its own key.
-std::optional<ListLine> line_of(const Record& record);
+std::optional<EndpointRecord> parse_endpoint(const Record& record);
 
-class View {
+class EndpointView {
 public:
     struct Entry {
         Revision created, modified;
-        std::string value;             // the last good form, as the registry holds it; empty: none yet
-        std::optional<ListLine> line;  // as told
-        bool unreadable = false;       // the newest form can't be read
+        std::string value;  // the last good form, as the registry holds it; empty: none yet
+        std::optional<EndpointRecord> endpoint;  // as told
+        bool unreadable = false;                 // the newest form can't be read
     };
 
     Revision revision() const { return revision_; }
@@ -32,22 +32,23 @@
 
     // The whole list at a revision. What is no longer there is told as gone, what was deleted and created
     // anew as gone and then as new and cold, what only changed once, the rest not at all.
-    std::vector<ListLine> replace(Revision at, const std::vector<Record>& records, Instant now);
+    std::vector<EndpointRecord> replace(Revision at, const std::vector<Record>& records, TimePoint now);
 
     // All changes up to a revision, in its order. What is not newer than the view is dropped as a repeat.
-    std::vector<ListLine> apply(Revision upto, const std::vector<Change>& changes, Instant now);
+    std::vector<EndpointRecord> apply(Revision upto, const std::vector<Change>& changes, TimePoint now);
 
     // Nothing has changed up to here.
     void advance(Revision to) { revision_ = std::max(revision_, to); }
 
 private:
-    void put(const Record& record, Instant now, std::vector<ListLine>& told);
-    void take_away(std::map<RecordKey, Entry>::iterator it, std::vector<ListLine>& told);
+    void put(const Record& record, TimePoint now, std::vector<EndpointRecord>& told);
+    void remove(std::map<RecordKey, Entry>::iterator it, std::vector<EndpointRecord>& told);
 
     Revision revision_;
-    bool in_force_ = false;
+    bool complete_ = false;
     std::map<RecordKey, Entry> entries_;
-    std::map<RecordKey, Instant> left_;  // starts of those taken away: 1,024 at most, then all are forgotten
+    std::map<RecordKey, TimePoint>
+        removed_since_;  // starts of those taken away: 1,024 at most, then all are forgotten
     std::size_t unreadable_ = 0;
 };
 
--- a/src/registry/etcd.cpp
+++ b/src/registry/etcd.cpp
@@ -73,13 +73,13 @@
 }
 
 Record record(const json& kv, const std::string& prefix) {
-    const std::string key = plain(get<std::string>(kv, "key"));
+    const std::string key = plain(irismux::get<std::string>(kv, "key"));
     if (key.compare(0, prefix.size(), prefix) != 0) bad("a key outside the prefix");
     return {RecordKey{key.substr(prefix.size())}, plain(get_or<std::string>(kv, "value", "")),
             Revision{number(kv, "create_revision")}, Revision{number(kv, "mod_revision")}};
 }
 
-Problem problem(Fault fault, std::string words) {
+Error problem(ErrorCode fault, std::string words) {
     for (char& c : words)
         if (static_cast<unsigned char>(c) < ' ') c = ' ';
     words.resize(std::min(words.size(), most_words));
@@ -87,7 +87,7 @@
 }
 
 // What an error says, in whichever of its published forms.
-Problem said_problem(const json& o, int status) {
+Error said_problem(const json& o, int status) {
     const json& e = o.contains("error") && o["error"].is_object() ? o["error"] : o;
     std::string words = "status " + std::to_string(status);
     for (const char* key : {"message", "error"})
@@ -97,26 +97,27 @@
         if (const auto it = e.find(key); it != e.end() && it->is_number_integer())
             code = it->get<std::int64_t>();
     const auto says = [&](const char* part) { return words.find(part) != std::string::npos; };
-    if (code == code_out_of_range && says("compacted")) return problem(Fault::compacted, words);
-    if (code == code_out_of_range && says("future revision")) return problem(Fault::not_there, words);
+    if (code == code_out_of_range && says("compacted")) return problem(ErrorCode::compacted, words);
+    if (code == code_out_of_range && says("future revision"))
+        return problem(ErrorCode::revision_not_reached, words);
     if (status == 401 || code == code_unauthenticated || code == code_denied || says("invalid auth token") ||
         says("user name is empty"))
-        return problem(Fault::refused, words);
-    return problem(Fault::other, words);
+        return problem(ErrorCode::refused, words);
+    return problem(ErrorCode::other, words);
 }
 
 // Reads an answer, or says why not.
 template <class T, class Step>
-Read<T> reading(int status, std::string_view body, Step step) {
+ReadResult<T> reading(int status, std::string_view body, Step step) {
     const json o = json::parse(body, nullptr, false);
     if (!o.is_object())
-        return problem(status == 200 ? Fault::unreadable : Fault::other,
+        return problem(status == 200 ? ErrorCode::unreadable : ErrorCode::other,
                        "status " + std::to_string(status) + ", not JSON");
     try {
         if (status != 200 || o.contains("error")) return said_problem(o, status);
         return step(o);
     } catch (const std::exception& e) {
-        return problem(Fault::unreadable, e.what());
+        return problem(ErrorCode::unreadable, e.what());
     }
 }
 
@@ -136,7 +137,7 @@
     return {"/v3/kv/range", body.dump()};
 }
 
-Request last(const std::string& prefix, Revision at, std::size_t most) {
+Request most_recently_changed(const std::string& prefix, Revision at, std::size_t most) {
     json body = keys(prefix);
     body["revision"] = text(at.raw());
     body["limit"] = std::to_string(most);
@@ -174,8 +175,8 @@
                               .dump()};
 }
 
-Request settle(const std::vector<KeyValue>& holds, const std::vector<KeyValue>& writes,
-               const std::vector<std::string>& shows) {
+Request transaction(const std::vector<KeyValue>& holds, const std::vector<KeyValue>& writes,
+                    const std::vector<std::string>& shows) {
     const auto look = [](const std::string& key) { return json{{"request_range", {{"key", base64(key)}}}}; };
     json compare = json::array(), success = json::array(), failure = json::array();
     for (const auto& [key, value] : holds) {
@@ -197,7 +198,7 @@
     return {"/v3/kv/txn", json{{"compare", compare}, {"success", success}, {"failure", failure}}.dump()};
 }
 
-Request one(const std::string& key) { return {"/v3/kv/range", json{{"key", base64(key)}}.dump()}; }
+Request get(const std::string& key) { return {"/v3/kv/range", json{{"key", base64(key)}}.dump()}; }
 
 Request erase(const std::string& key) { return {"/v3/kv/deleterange", json{{"key", base64(key)}}.dump()}; }
 Request authenticate(const std::string& name, const std::string& password) {
@@ -207,10 +208,10 @@
 Request keep_alive(std::int64_t lease) { return {"/v3/lease/keepalive", json{{"ID", text(lease)}}.dump()}; }
 Request revoke(std::int64_t lease) { return {"/v3/lease/revoke", json{{"ID", text(lease)}}.dump()}; }
 
-Read<Range> read_range(int status, std::string_view body, const std::string& prefix) {
-    return reading<Range>(status, body, [&](const json& o) -> Read<Range> {
+ReadResult<Range> read_range(int status, std::string_view body, const std::string& prefix) {
+    return reading<Range>(status, body, [&](const json& o) -> ReadResult<Range> {
         Range r;
-        r.page.from = origin(o);
+        r.page.origin = origin(o);
         r.page.more = get_or(o, "more", false);
         if (o.contains("kvs"))
             for (const json& kv : list_of(o, "kvs")) r.page.records.push_back(record(kv, prefix));
@@ -219,16 +220,16 @@
     });
 }
 
-Read<Said> read_watch(std::string_view message, const std::string& prefix) {
-    return reading<Said>(200, message, [&](const json& o) -> Read<Said> {
+ReadResult<WatchMessage> read_watch(std::string_view message, const std::string& prefix) {
+    return reading<WatchMessage>(200, message, [&](const json& o) -> ReadResult<WatchMessage> {
         const json& result = need(o, "result");
-        Said s;
-        s.from = origin(result);
+        WatchMessage s;
+        s.origin = origin(result);
         s.created = get_or(result, "created", false);
-        s.goes_on = get_or(result, "fragment", false);
+        s.fragment = get_or(result, "fragment", false);
         s.canceled = get_or(result, "canceled", false);
         if (s.canceled && number(result, "compact_revision") > 0)
-            return problem(Fault::compacted, "the revision to watch from has been compacted");
+            return problem(ErrorCode::compacted, "the revision to watch from has been compacted");
         if (result.contains("events"))
             for (const json& e : list_of(result, "events")) {
                 const std::string type = get_or<std::string>(e, "type", "PUT");
@@ -239,41 +240,44 @@
     });
 }
 
-Read<std::string> read_token(int status, std::string_view body) {
-    return reading<std::string>(
-        status, body, [](const json& o) -> Read<std::string> { return get<std::string>(o, "token"); });
+ReadResult<std::string> read_token(int status, std::string_view body) {
+    return reading<std::string>(status, body, [](const json& o) -> ReadResult<std::string> {
+        return irismux::get<std::string>(o, "token");
+    });
 }
 
-Read<Lease> read_lease(int status, std::string_view body) {
-    return reading<Lease>(status, body, [](const json& o) -> Read<Lease> {
+ReadResult<Lease> read_lease(int status, std::string_view body) {
+    return reading<Lease>(status, body, [](const json& o) -> ReadResult<Lease> {
         const json& r = o.contains("result") ? o["result"] : o;
         return Lease{number(r, "ID"), number(r, "TTL")};
     });
 }
 
-Read<Outcome> read_txn(int status, std::string_view body) {
-    return reading<Outcome>(status, body, [](const json& o) -> Read<Outcome> {
-        Outcome out;
-        out.held = get_or(o, "succeeded", false);
-        if (out.held || !o.contains("responses")) return out;
-        for (const json& r : list_of(o, "responses"))
-            if (r.contains("response_range") && r["response_range"].contains("kvs"))
-                for (const json& kv : list_of(r["response_range"], "kvs"))
-                    out.standing = plain(get_or<std::string>(kv, "value", ""));
-        return out;
-    });
+ReadResult<ConditionalWriteResult> read_conditional_write_result(int status, std::string_view body) {
+    return reading<ConditionalWriteResult>(
+        status, body, [](const json& o) -> ReadResult<ConditionalWriteResult> {
+            ConditionalWriteResult out;
+            out.succeeded = get_or(o, "succeeded", false);
+            if (out.succeeded || !o.contains("responses")) return out;
+            for (const json& r : list_of(o, "responses"))
+                if (r.contains("response_range") && r["response_range"].contains("kvs"))
+                    for (const json& kv : list_of(r["response_range"], "kvs"))
+                        out.conflicting_value = plain(get_or<std::string>(kv, "value", ""));
+            return out;
+        });
 }
 
-Read<Settled> read_settled(int status, std::string_view body, const std::string& prefix) {
-    return reading<Settled>(status, body, [&](const json& o) -> Read<Settled> {
-        Settled out;
-        out.from = origin(o);
-        out.held = get_or(o, "succeeded", false);
+ReadResult<TransactionResult> read_transaction_result(int status, std::string_view body,
+                                                      const std::string& prefix) {
+    return reading<TransactionResult>(status, body, [&](const json& o) -> ReadResult<TransactionResult> {
+        TransactionResult out;
+        out.origin = origin(o);
+        out.succeeded = get_or(o, "succeeded", false);
         if (!o.contains("responses")) return out;
         for (const json& r : list_of(o, "responses"))
             if (r.contains("response_range") && r["response_range"].contains("kvs"))
                 for (const json& kv : list_of(r["response_range"], "kvs"))
-                    out.shown.push_back(record(kv, prefix));
+                    out.records.push_back(record(kv, prefix));
         return out;
     });
 }
--- a/src/registry/record.hpp
+++ b/src/registry/record.hpp
@@ -13,7 +13,7 @@
 
 using Revision = Id<struct RevisionTag, std::int64_t>;   // zero: none
 using ClusterId = Id<struct ClusterTag, std::string>;    // empty: not told
-using MemberNo = Id<struct MemberTag, std::size_t>;      // place of a registry's member in the settings
+using MemberIndex = Id<struct MemberTag, std::size_t>;   // place of a registry's member in the settings
 using RecordKey = Id<struct RecordKeyTag, std::string>;  // behind the prefix
 
 struct Record {
@@ -35,7 +35,7 @@
 };
 
 struct Page {
-    Origin from;
+    Origin origin;
     std::vector<Record> records;  // by key, rising
     bool more = false;
 };
--- a/src/registry/registry_connection.hpp
+++ b/src/registry/registry_connection.hpp
@@ -13,54 +13,54 @@
 namespace irismux::registry {
 
 // Of an answer, and of a message of a stream, whatever the chunks that they come in.
-constexpr std::size_t most_answer = 1 << 20;
+constexpr std::size_t max_reply_bytes = 1 << 20;
 
 // Who hears what comes of a question. Never called from within ask(), hang_up() or with_a_new_token().
-class Replies {
+class ReplyHandler {
 public:
-    virtual ~Replies() = default;
-    virtual void replied(int status, const std::string& body) = 0;  // whole
-    virtual void streamed(std::string_view message) = 0;            // one of a stream, which goes on
-    virtual void too_long() = 0;                                    // a message of a stream
+    virtual ~ReplyHandler() = default;
+    virtual void on_reply(int status, const std::string& body) = 0;  // whole
+    virtual void on_stream_message(std::string_view message) = 0;    // one of a stream, which goes on
+    virtual void on_message_too_long() = 0;                          // a message of a stream
     // An answer that is not read to its end. Asked for again as it was, it would come again.
-    virtual void answer_too_long() { broke("an answer that is too long"); }
-    virtual void broke(const char* why) = 0;  // what was asked may have been done or not
+    virtual void on_reply_too_long() { on_connection_lost("an answer that is too long"); }
+    virtual void on_connection_lost(const char* why) = 0;  // what was asked may have been done or not
 };
 
-class AskerLink;
+class RegistrySocket;
 
-class Asker {
+class RegistryConnection {
 public:
     // The settings must outlive it.
-    Asker(Loop& loop, Replies& replies, const Settings& settings);
-    ~Asker();
-    Asker(const Asker&) = delete;
-    Asker& operator=(const Asker&) = delete;
+    RegistryConnection(EventLoop& loop, ReplyHandler& replies, const Settings& settings);
+    ~RegistryConnection();
+    RegistryConnection(const RegistryConnection&) = delete;
+    RegistryConnection& operator=(const RegistryConnection&) = delete;
 
     // Replaces the question before, whose answer is not told any more.
-    void ask(MemberNo member, etcd::Request request, bool stream);
-    void hang_up();
+    void send_request(MemberIndex member, etcd::Request request, bool stream);
+    void close();
     // What was asked has been refused: asks it again under a new token, once each question. False: it can't
     // be.
-    bool with_a_new_token();
+    bool retry_with_new_token();
 
 private:
-    friend class AskerLink;
-    void say();
-    void answered(int status, const std::string& body);
-    void refused();
+    friend class RegistrySocket;
+    void write_request();
+    void on_reply(int status, const std::string& body);
+    void on_refused();
 
-    Loop& loop_;
-    Replies& replies_;
+    EventLoop& event_loop_;
+    ReplyHandler& reply_handler_;
     const Settings& settings_;
-    MemberNo member_;
+    MemberIndex member_;
     etcd::Request request_;
-    bool stream_ = false, asked_ = false;
+    bool stream_ = false, request_pending_ = false;
     std::string token_;
     bool authenticating_ = false;
     bool token_tried_ = false;  // the question at hand was refused with a new token already
-    Loop::Alarm no_attempt_{};
-    std::shared_ptr<AskerLink> link_;
+    EventLoop::Timer failure_timer_{};
+    std::shared_ptr<RegistrySocket> socket_;
 };
 
 }  // namespace irismux::registry
--- a/src/registry/snapshot.cpp
+++ b/src/registry/snapshot.cpp
@@ -21,23 +21,24 @@
 
 }  // namespace
 
-std::string kept_form(const View& view, const ClusterId& cluster, Instant as_of, const std::string& owner) {
+std::string serialize_snapshot(const EndpointView& view, const ClusterId& cluster, TimePoint as_of,
+                               const std::string& owner) {
     json records = json::array();
     for (const auto& [key, e] : view.entries())
-        if (e.line) records.push_back({key.raw(), e.value, e.created.raw(), e.modified.raw()});
+        if (e.endpoint) records.push_back({key.raw(), e.value, e.created.raw(), e.modified.raw()});
     const json all = {{"format", format},
                       {"owner", owner},
                       {"cluster", cluster.raw()},
                       {"revision", view.revision().raw()},
-                      {"as_of_us", (as_of - Instant{}).micros()},
+                      {"as_of_us", (as_of - TimePoint{}).micros()},
                       {"records", std::move(records)}};
     const std::vector<std::uint8_t> coded = json::to_cbor(all);
     const std::string body(coded.begin(), coded.end());
     return sum_of(body) + body;
 }
 
-std::variant<Snapshot, std::string> read_kept(std::string_view bytes, const std::string& owner, Instant now,
-                                              Span oldest) {
+std::variant<Snapshot, std::string> parse_snapshot(std::string_view bytes, const std::string& owner,
+                                                   TimePoint now, Duration oldest) {
     if (bytes.size() < sum_size || sum_of(bytes.substr(sum_size)) != bytes.substr(0, sum_size))
         return "the kept list is damaged";
     try {
@@ -47,7 +48,7 @@
         Snapshot s;
         s.cluster = ClusterId{get<std::string>(all, "cluster")};
         s.revision = Revision{get<std::int64_t>(all, "revision")};
-        s.as_of = Instant{} + Span::micros(get<std::int64_t>(all, "as_of_us"));
+        s.as_of = TimePoint{} + Duration::micros(get<std::int64_t>(all, "as_of_us"));
         if (s.as_of > now) return "the kept list is from the future";
         if (now - s.as_of > oldest) return "the kept list is too old";
         for (const json& r : list_of(all, "records"))
--- a/src/registry/snapshot.hpp
+++ b/src/registry/snapshot.hpp
@@ -18,15 +18,16 @@
 struct Snapshot {
     ClusterId cluster;
     Revision revision;
-    Instant as_of;
+    TimePoint as_of;
     std::vector<Record> records;
 };
 
 // What can be read of a view, for the owner named (a deployment's place and the prefix of the keys).
-std::string kept_form(const View& view, const ClusterId& cluster, Instant as_of, const std::string& owner);
+std::string serialize_snapshot(const EndpointView& view, const ClusterId& cluster, TimePoint as_of,
+                               const std::string& owner);
 
 // The snapshot, or one plain line: damaged, of another owner, older than `oldest`, or from the future.
-std::variant<Snapshot, std::string> read_kept(std::string_view bytes, const std::string& owner, Instant now,
-                                              Span oldest);
+std::variant<Snapshot, std::string> parse_snapshot(std::string_view bytes, const std::string& owner,
+                                                   TimePoint now, Duration oldest);
 
 }  // namespace irismux::registry
--- a/src/request/active_request.cpp
+++ b/src/request/active_request.cpp
@@ -5,42 +5,45 @@
 
 namespace irismux {
 
-Exchange::Exchange(Clients& clients, Caller caller, Asked asked)
-    : clients_(clients), caller_(caller), asked_(std::move(asked)) {}
+ActiveRequest::ActiveRequest(ResponseSender& clients, ClientStream caller, ClientRequest asked)
+    : response_sender_(clients), client_stream_(caller), client_request_(std::move(asked)) {}
 
-std::size_t Exchange::add(Send send) {
-    sends_.push_back(std::move(send));
-    return sends_.size() - 1;
+std::size_t ActiveRequest::add_attempt(Attempt send) {
+    attempts_.push_back(std::move(send));
+    return attempts_.size() - 1;
 }
 
-bool Exchange::satisfy(const End& end) {
+bool ActiveRequest::respond(const AttemptEnd& end) {
     if (std::exchange(answered_, true)) return false;
-    clients_.satisfied(caller_, end.body, end.client_copy_holds);
+    response_sender_.send_response(client_stream_, end.body, end.not_modified);
     return true;
 }
 
-bool Exchange::nack(Span come_back_in) {
+bool ActiveRequest::reject(Duration come_back_in) {
     if (std::exchange(answered_, true)) return false;
-    clients_.nacked(caller_, come_back_in);
+    response_sender_.send_rejection(client_stream_, come_back_in);
     return true;
 }
 
-bool Exchange::fail() {
+bool ActiveRequest::fail() {
     if (std::exchange(answered_, true)) return false;
-    clients_.failed(caller_);
+    response_sender_.send_failure(client_stream_);
     return true;
 }
 
-bool Exchange::over() const {
-    return answered_ && std::all_of(sends_.begin(), sends_.end(), [](const Send& s) { return s.told; });
+bool ActiveRequest::finished() const {
+    return answered_ && std::all_of(attempts_.begin(), attempts_.end(),
+                                    [](const Attempt& s) { return s.router_notified; });
 }
 
-bool Exchange::has_used(std::uint64_t link) const {
-    return std::any_of(sends_.begin(), sends_.end(), [&](const Send& s) { return s.link == link; });
+bool ActiveRequest::has_used_connection(std::uint64_t link) const {
+    return std::any_of(attempts_.begin(), attempts_.end(),
+                       [&](const Attempt& s) { return s.connection == link; });
 }
 
-bool Exchange::owes_word() const {
-    return std::any_of(sends_.begin(), sends_.end(), [](const Send& s) { return s.ended && !s.told; });
+bool ActiveRequest::has_unreported_result() const {
+    return std::any_of(attempts_.begin(), attempts_.end(),
+                       [](const Attempt& s) { return s.ended && !s.router_notified; });
 }
 
 }  // namespace irismux
--- a/src/request/active_request.hpp
+++ b/src/request/active_request.hpp
@@ -16,99 +16,101 @@
 
 // Where an answer goes: a request of a client's connection. Its number there is the client's choice and is
 // used again; what tells it from all others is the place at which it began.
-struct Caller {
-    std::uint64_t link = 0;
-    std::uint16_t request = 0;
-    std::uint64_t begun = 0;  // counted on the connection
-    auto operator<=>(const Caller&) const = default;
+struct ClientStream {
+    std::uint64_t connection = 0;
+    std::uint16_t fastcgi_request = 0;
+    std::uint64_t sequence = 0;  // counted on the connection
+    auto operator<=>(const ClientStream&) const = default;
 };
 
 // What a client asks.
-struct Asked {
-    Arrival arrival;              // the host gives it its identity
-    RequestId request;            // the client's name for it, which the caches are told
-    std::string kind;             // its name
-    std::string part;             // of the object
-    std::string known;            // the tag of the client's copy
+struct ClientRequest {
+    Request request;                    // the host gives it its identity
+    ClientRequestId client_request_id;  // the client's name for it, which the caches are told
+    std::string kind_name;              // its name
+    std::string object_part;            // of the object
+    std::string client_etag;            // the tag of the client's copy
     std::string idempotency_key;  // by which whoever runs a deduplicated lookup knows a repeat; may be absent
     std::string body;
 };
 
 // The server component, as an exchange sees it.
-class Clients {
+class ResponseSender {
 public:
-    virtual ~Clients() = default;
-    virtual void satisfied(const Caller&, std::string_view body, bool client_copy_holds) = 0;
-    virtual void nacked(const Caller&, Span come_back_in) = 0;
-    virtual void failed(const Caller&) = 0;
+    virtual ~ResponseSender() = default;
+    virtual void send_response(const ClientStream&, std::string_view body, bool client_copy_holds) = 0;
+    virtual void send_rejection(const ClientStream&, Duration come_back_in) = 0;
+    virtual void send_failure(const ClientStream&) = 0;
 };
 
 // How far a send came. Only what never came whole to a cache is known not to have run.
-enum class Reach { unconnected, unwritten, partly, whole, begun };
+enum class TransmitProgress { not_connected, not_written, partially_written, fully_written, response_begun };
 
-struct Send {
+struct Attempt {
     CacheId cache;
-    std::optional<Fill> fill;  // none: asks only for what the cache holds
-    Instant decided;
-    Reach reach = Reach::unconnected;
-    std::uint64_t link = 0;  // the connection that carries it
-    bool moved = false;      // its connection broke before it was out, and it has got another
+    std::optional<AttemptPlan> plan;  // none: asks only for what the cache holds
+    TimePoint decided_at;
+    TransmitProgress progress = TransmitProgress::not_connected;
+    std::uint64_t connection = 0;            // the connection that carries it
+    bool retried_on_new_connection = false;  // its connection broke before it was out, and it has got another
     bool ended = false;
-    bool told = false;  // the Router knows that it has ended
+    bool router_notified = false;  // the Router knows that it has ended
 
-    bool names_source() const { return fill && fill->source != fill->cache; }
+    bool has_fill_source() const { return plan && plan->source != plan->cache; }
 };
 
 // How a send ended.
-struct End {
+struct AttemptEnd {
     Outcome outcome = Outcome::completed;
-    Note note = Note::none;
-    Span lag{};
-    bool client_copy_holds = false;
+    CacheStatus cache_status = CacheStatus::none;
+    Duration fill_wait{};
+    bool not_modified = false;
     std::string_view body{};
 };
 
-class Exchange : public std::enable_shared_from_this<Exchange> {
+class ActiveRequest : public std::enable_shared_from_this<ActiveRequest> {
 public:
-    Exchange(Clients& clients, Caller caller, Asked asked);
+    ActiveRequest(ResponseSender& clients, ClientStream caller, ClientRequest asked);
 
-    LookupId id() const { return asked_.arrival.id; }
-    const RequestId& request() const { return asked_.request; }
-    const Caller& caller() const { return caller_; }
-    const Asked& asked() const { return asked_; }
-    Instant expires() const { return asked_.arrival.expires; }
+    RequestId id() const { return client_request_.request.id; }
+    const ClientRequestId& client_request_id() const { return client_request_.client_request_id; }
+    const ClientStream& client_stream() const { return client_stream_; }
+    const ClientRequest& client_request() const { return client_request_; }
+    TimePoint deadline() const { return client_request_.request.deadline; }
 
-    Send& send(std::size_t n) { return sends_[n]; }
-    std::size_t sends() const { return sends_.size(); }
-    std::size_t add(Send send);
+    Attempt& attempt(std::size_t n) { return attempts_[n]; }
+    std::size_t attempt_count() const { return attempts_.size(); }
+    std::size_t add_attempt(Attempt send);
     // Whether one of its sends has been given to that connection.
-    bool has_used(std::uint64_t link) const;
+    bool has_used_connection(std::uint64_t link) const;
 
     // The one final answer; false if there has been one.
-    bool satisfy(const End& end);
-    bool nack(Span come_back_in);
+    bool respond(const AttemptEnd& end);
+    bool reject(Duration come_back_in);
     bool fail();
-    void client_left() { answered_ = true; }
+    void on_client_closed() { answered_ = true; }
     // It is to be over sooner.
-    void expire_by(Instant t) { asked_.arrival.expires = std::min(asked_.arrival.expires, t); }
+    void shorten_deadline(TimePoint t) {
+        client_request_.request.deadline = std::min(client_request_.request.deadline, t);
+    }
 
     // A cache that is to give a send up, or to find its connection closed, may read that later than another
     // one reads the next send: until then the two would be out at once.
-    void rest_until(Instant t) { rests_until_ = std::max(rests_until_, t); }
-    Instant rests_until() const { return rests_until_; }
+    void delay_reuse_until(TimePoint t) { reuse_delayed_until_ = std::max(reuse_delayed_until_, t); }
+    TimePoint reuse_delayed_until() const { return reuse_delayed_until_; }
 
     bool answered() const { return answered_; }
-    bool over() const;
+    bool finished() const;
     // Whether a send has ended of which the Router has not been told yet.
-    bool owes_word() const;
+    bool has_unreported_result() const;
 
 private:
-    Clients& clients_;
-    Caller caller_;
-    Asked asked_;
-    std::deque<Send> sends_;
+    ResponseSender& response_sender_;
+    ClientStream client_stream_;
+    ClientRequest client_request_;
+    std::deque<Attempt> attempts_;
     bool answered_ = false;
-    Instant rests_until_{};
+    TimePoint reuse_delayed_until_{};
 };
 
 }  // namespace irismux
--- a/src/request/duplicate_request_filter.hpp
+++ b/src/request/duplicate_request_filter.hpp
@@ -14,39 +14,39 @@
 namespace irismux {
 
 // What makes two requests the same one.
-struct RequestWords {
-    RequestId id;
-    std::string kind, object, part, body;
+struct RequestFingerprint {
+    ClientRequestId id;
+    std::string kind, object, object_part, body;
 };
 
-class RequestLog {
+class DuplicateRequestFilter {
 public:
     // More are not remembered: those that end first are forgotten.
-    static constexpr std::size_t most_entries = 16'384;
+    static constexpr std::size_t max_entries = 16'384;
 
     // False: it was taken before, and is to be remembered until a time that has yet to come.
-    bool take(const RequestWords& words, LookupId lookup, Instant until, Instant now);
+    bool accept(const RequestFingerprint& words, RequestId lookup, TimePoint until, TimePoint now);
     // The same words may come again: the lookup has been answered, or has had no effect.
-    void forget_lookup(LookupId lookup);
+    void forget_request(RequestId lookup);
     std::size_t size() const { return entries_.size(); }
 
 private:
     struct Key {
-        RequestId id;
+        ClientRequestId id;
         std::uint64_t digest = 0;  // of all else
         auto operator<=>(const Key&) const = default;
     };
     struct Entry {
-        LookupId lookup;
-        Instant until;
+        RequestId request;
+        TimePoint until;
     };
-    static Key key_of(const RequestWords& words);
+    static Key key_of(const RequestFingerprint& words);
     void erase(std::map<Key, Entry>::iterator entry);
-    void forget(Instant now);
+    void erase_expired(TimePoint now);
 
     std::map<Key, Entry> entries_;
-    std::map<LookupId, Key> by_lookup_;
-    std::multimap<Instant, LookupId> ends_;
+    std::map<RequestId, Key> by_request_;
+    std::multimap<TimePoint, RequestId> expiries_;
 };
 
 }  // namespace irismux
--- a/src/routing/purge_table.cpp
+++ b/src/routing/purge_table.cpp
@@ -15,41 +15,43 @@
 
 }  // namespace
 
-void Purges::add(Instant at, GroupNo group, const std::optional<ObjectName>& object, Instant now) {
-    if (over(at, now)) return;
-    forget(now);
-    Instant& kept = object ? objects_[hash_of(*object)] : groups_[group.raw()];
+void PurgeTable::add(TimePoint at, PurgeGroupId group, const std::optional<ObjectName>& object,
+                     TimePoint now) {
+    if (expired(at, now)) return;
+    erase_expired(now);
+    TimePoint& kept = object ? objects_[hash_of(*object)] : groups_[group.raw()];
     kept = std::max(kept, at);
-    if (objects_.size() > most_purges) merge_older_half(objects_);
-    if (groups_.size() > most_purges) merge_older_half(groups_);
+    if (objects_.size() > max_purges) merge_older_half(objects_);
+    if (groups_.size() > max_purges) merge_older_half(groups_);
 }
 
-std::optional<Instant> Purges::newest(const ObjectName& object, GroupNo group, Instant now) const {
-    std::optional<Instant> at = everything_;
-    const auto count = [&](Instant purge) { at = std::max(at.value_or(purge), purge); };
+std::optional<TimePoint> PurgeTable::newest(const ObjectName& object, PurgeGroupId group,
+                                            TimePoint now) const {
+    std::optional<TimePoint> at = everything_;
+    const auto count = [&](TimePoint purge) { at = std::max(at.value_or(purge), purge); };
     if (const auto o = objects_.find(hash_of(object)); o != objects_.end()) count(o->second);
     if (const auto g = groups_.find(group.raw()); g != groups_.end()) count(g->second);
-    return at && over(*at, now) ? std::nullopt : at;
+    return at && expired(*at, now) ? std::nullopt : at;
 }
 
 // Guards long runs of purges: looking through all that are kept at each of them would take the square of
 // their number.
-void Purges::forget(Instant now) {
-    if (now < forget_at_) return;
-    forget_at_ = now + in_force_ * forget_every;
-    const auto is_over = [&](const auto& purge) { return over(purge.second, now); };
+void PurgeTable::erase_expired(TimePoint now) {
+    if (now < next_erase_at_) return;
+    next_erase_at_ = now + retention_ * forget_every;
+    const auto is_over = [&](const auto& purge) { return expired(purge.second, now); };
     std::erase_if(objects_, is_over);
     std::erase_if(groups_, is_over);
 }
 
 template <class Table>
-void Purges::merge_older_half(Table& purges) {
-    std::vector<Instant> times;
+void PurgeTable::merge_older_half(Table& purges) {
+    std::vector<TimePoint> times;
     times.reserve(purges.size());
     for (const auto& purge : purges) times.push_back(purge.second);
     const auto middle = times.begin() + static_cast<std::ptrdiff_t>(times.size() / 2);
     std::nth_element(times.begin(), middle, times.end());
-    const Instant newest_merged = *middle;
+    const TimePoint newest_merged = *middle;
     everything_ = std::max(everything_.value_or(newest_merged), newest_merged);
     std::erase_if(purges, [&](const auto& purge) { return purge.second <= newest_merged; });
 }
