--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -25,8 +25,8 @@
 
 // --- tuned values: ratios wherever a figure from the settings can carry them -------------------------
 // The back-off of a mark doubles from 2 s to 30 s (the design page's own figures).
-const Span back_off_first = Span::micros(2'000'000);
-const Span back_off_longest = back_off_first * 15;
+const Duration back_off_first = Duration::micros(2'000'000);
+const Duration back_off_longest = back_off_first * 15;
 // A silence that a busy member would show by chance once in e^14 gaps is no chance.
 constexpr double silence_in_gaps = 14;
 // Gaps and errors are averaged over about this many answers.
@@ -58,8 +58,8 @@
 // A share of fills shrinks at the pace of e in this long while they fail or come late, and regains all in
 // that long while they do not (longer for an origin that stops). By time: at many gateways each sees few
 // answers.
-const Span regained_in = back_off_first, falling_regained_in = back_off_first * 3;
-const Span cut_in = back_off_first * 0.4, speaks_for = back_off_first * 0.5;
+const Duration regained_in = back_off_first, falling_regained_in = back_off_first * 3;
+const Duration cut_in = back_off_first * 0.4, speaks_for = back_off_first * 0.5;
 constexpr double fetch_least = 0.05;
 // A fetch that waits this many times as long as they do on average tells of an origin that is not at ease.
 constexpr double fetch_unusual = 2;
@@ -83,7 +83,7 @@
 // A nacked client is asked to stay away for this part of the longest wait that clients heed, at least.
 constexpr double come_back_least = 0.1;
 
-const AlarmNo watch_alarm{0}, list_alarm{1};
+const TimerId watch_alarm{0}, list_alarm{1};
 
 // --- hashing: FNV-1a over the bytes, then the 64-bit finalizer of MurmurHash3 ---------------------------
 std::uint64_t mixed(std::uint64_t h) {
@@ -105,11 +105,11 @@
 
 // How much may be asked of what shows by late or failed fills that it is asked for too much.
 struct Allowance {
-    Span back = regained_in;
+    Duration back = regained_in;
     double left = 1;
-    Instant cut{};
-    double share(Instant now) const { return std::min(1.0, left * std::exp2((now - cut) / back)); }
-    void tell(bool bad, Instant now) {
+    TimePoint cut{};
+    double share(TimePoint now) const { return std::min(1.0, left * std::exp2((now - cut) / back)); }
+    void tell(bool bad, TimePoint now) {
         if (!bad) return;
         left = std::max(fetch_least, share(now) * std::exp(-(std::min(now - cut, speaks_for) / cut_in)));
         cut = now;
@@ -120,34 +120,34 @@
     CacheId id;
     std::uint64_t hash = 0, score = 0;  // of its id; with the object at hand
     Role role = Role::elsewhere;
-    CellNo cell;
+    CellId cell;
     double weight = 1;
     bool listed = false, gone = false;  // in service by the list; not in it any more
-    Instant started, told;              // when the list last named it
+    TimePoint started, told;            // when the list last named it
 
     bool marked = false;
-    Instant back_at, back_off_ends;  // a trial may go; it might by our own back-off alone
-    int strikes = 0;                 // marks in a row, for the doubling
-    bool on_trial = false;           // one send is out to see whether it is back
-
-    int out = 0;          // sends out: at an edge cache, or with this source
-    int late = 0;         // sends out here that have outlived their latency budgets
-    Instant heard;        // the last sign of life
-    Instant busy_since;   // since when sends have been out without a break
-    Span gap;             // between signs of life while busy, on average
-    double errors = 0;    // share of late answers that were errors
-    double lost = 0;      // share of sends left unanswered while others, sent later, were answered
-    Instant loses_until;  // taken for one that loses sends
-    double pace = 1;      // how crowded its answers and reports show it: transfers for each that fits
-    Instant paced;
+    TimePoint back_at, back_off_ends;  // a trial may go; it might by our own back-off alone
+    int strikes = 0;                   // marks in a row, for the doubling
+    bool on_trial = false;             // one send is out to see whether it is back
+
+    int out = 0;            // sends out: at an edge cache, or with this source
+    int late = 0;           // sends out here that have outlived their latency budgets
+    TimePoint heard;        // the last sign of life
+    TimePoint busy_since;   // since when sends have been out without a break
+    Duration gap;           // between signs of life while busy, on average
+    double errors = 0;      // share of late answers that were errors
+    double lost = 0;        // share of sends left unanswered while others, sent later, were answered
+    TimePoint loses_until;  // taken for one that loses sends
+    double pace = 1;        // how crowded its answers and reports show it: transfers for each that fits
+    TimePoint paced;
     Allowance fills;  // cut by late ones, whatever slows the member
 
     bool died = false;  // refused when nothing was out: its return is a start that the list has yet to tell
-    std::optional<Instant> cold_since;
-    Instant cold_known;  // since when we have known it
-    double tokens = 0;   // cold budget, in seconds of sending time
-    double phase = 1;    // of a lookup's work, that must be saved up before it is sent
-    Instant tokens_at;
+    std::optional<TimePoint> cold_since;
+    TimePoint cold_known;  // since when we have known it
+    double tokens = 0;     // cold budget, in seconds of sending time
+    double phase = 1;      // of a lookup's work, that must be saved up before it is sent
+    TimePoint tokens_at;
     WindowedSum<window_parts> sent;
 };
 
@@ -158,9 +158,10 @@
 
 struct SendRecord {
     CacheId cache, source;
-    CellNo cell;                        // the cache's, which may be gone by the time another send is weighed
-    Instant at, weighed;                // decided; last judged
-    std::optional<Instant> late_after;  // it will have outlived its latency budget; none: that is not watched
+    CellId cell;            // the cache's, which may be gone by the time another send is weighed
+    TimePoint at, weighed;  // decided; last judged
+    std::optional<TimePoint>
+        late_after;  // it will have outlived its latency budget; none: that is not watched
     bool out = true;
     bool may_have_run = false;
     bool recalled = false, late = false, missed = false;  // by us; counted at its cache; a fill for certain
@@ -169,10 +170,10 @@
 };
 
 struct Held {
-    Arrival lk;
+    Request lk;
     std::vector<SendRecord> sends;
     std::vector<CacheId> shunned;  // tried and failed for this lookup
-    Fill plan;
+    AttemptPlan plan;
     bool trial_edge = false, trial_source = false;
     bool stale_will_do = false;
     bool repeated = false;  // the object was asked for not long ago
@@ -183,7 +184,9 @@
 };
 
 // The notes that lay a failure on the source or behind it, not on the cache.
-bool source_at_fault(Note n) { return n >= Note::source_refused && n != Note::no_fill_place; }
+bool source_at_fault(CacheStatus n) {
+    return n >= CacheStatus::source_refused && n != CacheStatus::no_fill_slot;
+}
 
 bool among(const std::vector<CacheId>& v, const CacheId& id) {
     return std::find(v.begin(), v.end(), id) != v.end();
@@ -195,47 +198,51 @@
 
 class Router::Core {
 public:
-    Core(Port& port, const Deployment& d, std::uint64_t seed, Instant now);
+    Core(RouterCallbacks& port, const Deployment& d, std::uint64_t seed, TimePoint now);
 
-    Core& at(Instant t) { return now = t, *this; }
-    void list(const std::vector<Listing>& lines, bool complete);
+    Core& at(TimePoint t) { return now = t, *this; }
+    void list(const std::vector<EndpointUpdate>& lines, bool complete);
     void list_lost();
-    void lookup(const Arrival& lk);
-    void answer(const Answer& a);
-    void client_gone(const LookupId& id);
-    void purge(Span age, GroupNo group, const std::optional<ObjectName>& object);
+    void lookup(const Request& lk);
+    void answer(const AttemptResult& a);
+    void client_gone(const RequestId& id);
+    void purge(Duration age, PurgeGroupId group, const std::optional<ObjectName>& object);
     void watch();
-    void trial_from(const CacheId& id, Instant from);
-    bool may_begin(const LookupId& id, SendNo n);
-    void leaving(Instant by);
+    void trial_from(const CacheId& id, TimePoint from);
+    bool may_begin(const RequestId& id, AttemptIndex n);
+    void leaving(TimePoint by);
 
-    Instant now;
-    Port& port;
+    TimePoint now;
+    RouterCallbacks& port;
 
 private:
     struct Stage {
         Pass (Core::*down)(Held&);
-        Pass (Core::*up)(Held&, SendRecord&, const Answer&);
+        Pass (Core::*up)(Held&, SendRecord&, const AttemptResult&);
     };
     static const std::array<Stage, 6> chain;
     // the chain, down and up
     Pass limits_down(Held&), effects_down(Held&), freshness_down(Held&);
     Pass edge_down(Held&), source_down(Held&), dispatch_down(Held&);
-    Pass limits_up(Held&, SendRecord&, const Answer&), effects_up(Held&, SendRecord&, const Answer&);
-    Pass freshness_up(Held&, SendRecord&, const Answer&), edge_up(Held&, SendRecord&, const Answer&);
-    Pass source_up(Held&, SendRecord&, const Answer&), dispatch_up(Held&, SendRecord&, const Answer&);
+    Pass limits_up(Held&, SendRecord&, const AttemptResult&),
+        effects_up(Held&, SendRecord&, const AttemptResult&);
+    Pass freshness_up(Held&, SendRecord&, const AttemptResult&),
+        edge_up(Held&, SendRecord&, const AttemptResult&);
+    Pass source_up(Held&, SendRecord&, const AttemptResult&),
+        dispatch_up(Held&, SendRecord&, const AttemptResult&);
     void run_down(Held& h);
     Pass give_up(Held& h);
     bool effects_allow(const Held& h, const SendRecord* itself) const;
     void not_late(SendRecord& s);
-    void drop_if_over(const LookupId& id);
+    void drop_if_over(const RequestId& id);
     // members
     const std::vector<Member*>& in_service(Role role) const;
     std::vector<Member*> in_hash_order(const ObjectName& object, Role role) const;
     bool may_take(const Member& m, const Held& h) const;
     void mark(Member&), give_back(Member&), unmark(Member&), sign_of_life(Member&), lost_seen(Member&);
     void count_peers();
-    void starts_cold(Member&, Instant since), error_seen(Member&, bool bad), pace_seen(Member&, double pace);
+    void starts_cold(Member&, TimePoint since), error_seen(Member&, bool bad),
+        pace_seen(Member&, double pace);
     double chance();
     bool silent(const Member&) const, peers_speak(const Member&) const, fills_jammed(double work) const;
     bool loses(const Member& m) const { return now < m.loses_until; }
@@ -243,29 +250,29 @@
     void charge(Member& m, double work);
     double capacity(const Member&) const, crowd(const Member&) const, work_of(const Held&) const;
     double pipe_here() const, cheapness(double work) const;
-    Span in_time(const Held& h, double work) const;
-    Span purge_bound(const Arrival& lk) const;
+    Duration in_time(const Held& h, double work) const;
+    Duration purge_bound(const Request& lk) const;
     bool seen_again(const ObjectName& object);
-    Span oldest_for(const Held& h, bool stale_will_do) const;
+    Duration oldest_for(const Held& h, bool stale_will_do) const;
     void held_only(Held& h, bool no_source);
 
     // derived at start
     std::vector<KindFigures> kinds_;
-    Permits permits_;
-    ColdStart cold_edge_, cold_parent_;
+    Capabilities permits_;
+    SlowStart cold_edge_, cold_parent_;
     LocationId here_;
-    std::optional<MachineId> parent_machine_, origin_machine_;
-    std::optional<Instant> leave_by_;
+    std::optional<MachineType> parent_machine_, origin_machine_;
+    std::optional<TimePoint> leave_by_;
     bool weights_told_;
     double flow_, pipe_here_, pipes_all_;  // the links in transfers at full pace; 0: not told
     int gateways_, gateways_here_, locations_;
-    Span fall_window_, tick_, watch_every_, longest_budget_;
+    Duration fall_window_, tick_, watch_every_, longest_budget_;
 
     std::map<CacheId, Member> members_;
     std::vector<Member*> edges_, parents_, origins_;  // those in service
     std::size_t most_edges_ = 1, most_parents_ = 1;   // the most that were in service at once
-    std::map<LookupId, Held> held_;
-    Purges purges_;
+    std::map<RequestId, Held> held_;
+    PurgeTable purges_;
     double further_ = 0, further_most_ = 0;
     double mean_work_ = 0;  // over the lookups of late
     // A slow origin is asked for less, behind parents too: else misses hold places, and it is pushed over.
@@ -275,8 +282,8 @@
     int late_ = 0;            // sends out that have outlived their latency budget
     // When sends will have; an entry goes with its send's end.
     struct LateSend {
-        Instant after;
-        LookupId lookup;
+        TimePoint after;
+        RequestId lookup;
         std::size_t send = 0;
         auto operator<=>(const LateSend&) const = default;
     };
@@ -284,50 +291,50 @@
     bool watching_ = false;
     // The objects of this generation and the last one, with the least sending time seen; 0: none yet.
     std::map<ObjectName, double> seen_, seen_before_;
-    Instant generation_since_;
-    Span generation_;
+    TimePoint generation_since_;
+    Duration generation_;
     std::ranlux24_base chance_;
 };
 
-Router::Core::Core(Port& out, const Deployment& d, std::uint64_t seed, Instant start)
+Router::Core::Core(RouterCallbacks& out, const Deployment& d, std::uint64_t seed, TimePoint start)
     : now(start),
       port(out),
-      permits_(d.permits),
-      cold_edge_(d.cold_edge),
-      cold_parent_(d.cold_parent),
+      permits_(d.capabilities),
+      cold_edge_(d.edge_slow_start),
+      cold_parent_(d.parent_slow_start),
       here_(d.location),
       parent_machine_(d.parent_machine),
       origin_machine_(d.origin_machine),
-      weights_told_(d.weights_told),
-      flow_(d.flow_kb_per_s),
+      weights_told_(d.weights_known),
+      flow_(d.transfer_rate_kb_per_s),
       gateways_(std::max(1, d.gateways)),
-      gateways_here_(std::max(1, d.gateways_here)),
+      gateways_here_(std::max(1, d.gateways_in_location)),
       locations_(std::max(1, d.locations)),
-      fall_window_(d.fall_window),
-      tick_(d.tick),
-      purges_(d.purge_done),
+      fall_window_(d.overload_window),
+      tick_(d.timer_resolution),
+      purges_(d.purge_retention),
       chance_(static_cast<std::uint_fast32_t>(seed ^ (seed >> 32))) {
-    pipe_here_ = flow_ > 0 ? d.pipe_here_kb_per_s / flow_ : 0;
-    pipes_all_ = flow_ > 0 ? d.pipes_all_kb_per_s / flow_ : 0;
-    Span shortest = back_off_first;
+    pipe_here_ = flow_ > 0 ? d.location_link_capacity_kb_per_s / flow_ : 0;
+    pipes_all_ = flow_ > 0 ? d.total_link_capacity_kb_per_s / flow_ : 0;
+    Duration shortest = back_off_first;
     for (const ObjectKind& k : d.kinds) {
-        kinds_.push_back({k, k.budget.seconds()});
-        shortest = std::min(shortest, k.budget);
-        longest_budget_ = std::max(longest_budget_, k.budget);
+        kinds_.push_back({k, k.latency_objective.seconds()});
+        shortest = std::min(shortest, k.latency_objective);
+        longest_budget_ = std::max(longest_budget_, k.latency_objective);
         generation_ = std::max(generation_, k.deadline * generation_deadlines);
     }
     for (const KindFigures& k : kinds_) mean_work_ += k.mean_work / static_cast<double>(kinds_.size());
     watch_every_ = std::max(shortest * watch_share, tick_);
-    further_ = further_most_ = further_reserve_per_send * permits_.sends;
-    if (d.origin_falls) fetches_.back = falling_regained_in;
-    if (d.list_on_request) port.watch_list();
+    further_ = further_most_ = further_reserve_per_send * permits_.max_attempts;
+    if (d.origin_stops_when_overloaded) fetches_.back = falling_regained_in;
+    if (d.subscribe_to_endpoints) port.subscribe_to_endpoints();
 }
 
 // --- the list ------------------------------------------------------------------------------------------
-void Router::Core::list(const std::vector<Listing>& lines, bool complete) {
+void Router::Core::list(const std::vector<EndpointUpdate>& lines, bool complete) {
     if (complete)
         for (auto& [id, m] : members_) m.listed = false, m.gone = true;
-    for (const Listing& l : lines) {
+    for (const EndpointUpdate& l : lines) {
         const auto [it, fresh] = members_.try_emplace(l.cache);
         Member& m = it->second;
         if (fresh) {
@@ -336,28 +343,28 @@
             m.gap = longest_budget_;
             m.heard = now;
         }
-        m.role = origin_machine_ && l.machine == *origin_machine_   ? Role::origin
-                 : parent_machine_ && l.machine == *parent_machine_ ? Role::parent
-                 : l.location == here_                              ? Role::edge
-                                                                    : Role::elsewhere;
+        m.role = origin_machine_ && l.machine_type == *origin_machine_   ? Role::origin
+                 : parent_machine_ && l.machine_type == *parent_machine_ ? Role::parent
+                 : l.location == here_                                   ? Role::edge
+                                                                         : Role::elsewhere;
         m.cell = l.cell;
         m.weight = l.weight;
-        m.listed = l.phase == Phase::in_service;
-        m.gone = l.phase == Phase::gone;
+        m.listed = l.status == EndpointStatus::active;
+        m.gone = l.status == EndpointStatus::removed;
         m.told = now;
-        if (l.phase == Phase::gone || l.started == m.started) continue;
+        if (l.status == EndpointStatus::removed || l.started_at == m.started) continue;
         // A new start: what was held against the old process is void, and the new one is cold.
-        m.started = l.started;
-        const ColdStart& cold = m.role == Role::parent ? cold_parent_ : cold_edge_;
-        if (m.role == Role::origin || now - l.started >= cold.warm_after) continue;
+        m.started = l.started_at;
+        const SlowStart& cold = m.role == Role::parent ? cold_parent_ : cold_edge_;
+        if (m.role == Role::origin || now - l.started_at >= cold.window) continue;
         unmark(m);
         m.strikes = 0;
         m.errors = 0;
-        starts_cold(m, l.started);
+        starts_cold(m, l.started_at);
     }
     // What has long been gone and owes no answer is forgotten: nothing grows with caches that come and go.
     // Not before it would be warm: a list may err, and what a cold one was sent counts.
-    const Span warm = std::max(cold_edge_.warm_after, cold_parent_.warm_after);
+    const Duration warm = std::max(cold_edge_.window, cold_parent_.window);
     std::erase_if(members_, [&](const auto& entry) {
         return entry.second.gone && entry.second.out == 0 && now > entry.second.told + warm;
     });
@@ -373,12 +380,12 @@
 // beside all who were in service at once. In a first list heard amid a replacement those that drain stand for
 // their successors, which come up cold.
 void Router::Core::count_peers() {
-    const auto at_once = [&](Role role, const ColdStart& cold) {
+    const auto at_once = [&](Role role, const SlowStart& cold) {
         std::size_t in_service = 0, before = 0;
         for (const auto& [id, m] : members_) {
             if (m.role != role || m.gone) continue;
             in_service += m.listed;
-            before += !m.listed || now - m.started >= cold.warm_after;
+            before += !m.listed || now - m.started >= cold.window;
         }
         return std::max(in_service, before);
     };
@@ -386,7 +393,7 @@
     most_parents_ = std::max(most_parents_, at_once(Role::parent, cold_parent_));
 }
 
-void Router::Core::starts_cold(Member& m, Instant since) {
+void Router::Core::starts_cold(Member& m, TimePoint since) {
     m.died = false;
     m.cold_since = since;
     // All gateways hear of a start at once, and a share is less than a lookup: chance spreads them.
@@ -396,7 +403,7 @@
 }
 
 // The list's service may be crowded by all who lost it at once: ask again only after a back-off.
-void Router::Core::list_lost() { port.alarm(list_alarm, now + back_off_first * (1 + chance())); }
+void Router::Core::list_lost() { port.set_timer(list_alarm, now + back_off_first * (1 + chance())); }
 
 // --- health ----------------------------------------------------------------------------------------------
 const std::vector<Member*>& Router::Core::in_service(Role role) const {
@@ -416,7 +423,7 @@
 
 void Router::Core::mark(Member& m) {
     if (m.marked && !m.on_trial && now < m.back_at) return;
-    if (!std::exchange(m.marked, true)) port.marked(m.id, true);
+    if (!std::exchange(m.marked, true)) port.on_ejection_changed(m.id, true);
     m.on_trial = false;
     m.back_at = m.back_off_ends =
         now + std::min(back_off_first * std::pow(2.0, std::min(m.strikes, 8)), back_off_longest);
@@ -425,18 +432,18 @@
 
 void Router::Core::unmark(Member& m) {
     m.on_trial = false;
-    if (std::exchange(m.marked, false)) port.marked(m.id, false);
+    if (std::exchange(m.marked, false)) port.on_ejection_changed(m.id, false);
 }
 
 // Whoever looks may be cut off from what we can reach: its word is worth one back-off.
-void Router::Core::trial_from(const CacheId& id, Instant from) {
+void Router::Core::trial_from(const CacheId& id, TimePoint from) {
     const auto it = members_.find(id);
     if (it == members_.end() || !it->second.marked || it->second.on_trial) return;
     it->second.back_at = std::min(from, it->second.back_off_ends + back_off_longest);
 }
 
 void Router::Core::sign_of_life(Member& m) {
-    const Span gap = now - std::max(m.heard, m.busy_since);
+    const Duration gap = now - std::max(m.heard, m.busy_since);
     m.gap = m.gap + (gap - m.gap) * (1 / gap_memory);
     m.heard = now;
 }
@@ -460,13 +467,13 @@
 // Accrual failure detection: silence is judged against the gaps that this member has shown.
 bool Router::Core::silent(const Member& m) const {
     if (m.out == 0) return false;
-    const Span silence = now - std::max(m.heard, m.busy_since);
+    const Duration silence = now - std::max(m.heard, m.busy_since);
     return silence > longest_budget_ && silence > m.gap * silence_in_gaps;
 }
 
 // If nobody else has answered since, the cause is common (a slow origin, a full link) and marks only harm.
 bool Router::Core::peers_speak(const Member& m) const {
-    const Instant since = std::max(m.heard, m.busy_since);
+    const TimePoint since = std::max(m.heard, m.busy_since);
     for (const Member* o : in_service(m.role))
         if (o != &m && !o->marked && o->heard > since) return true;
     return false;
@@ -502,19 +509,19 @@
     double full = capacity(m) / (m.role == Role::edge ? gateways_here_ : gateways_), rate = full, spare = 0;
     if (m.role != Role::origin) {
         if (!m.cold_since) return true;
-        const ColdStart& cold = m.role == Role::parent ? cold_parent_ : cold_edge_;
-        if (now - *m.cold_since >= cold.warm_after) {
+        const SlowStart& cold = m.role == Role::parent ? cold_parent_ : cold_edge_;
+        if (now - *m.cold_since >= cold.window) {
             m.cold_since.reset();
             return true;
         }
-        const double pace = std::min(cold_pace, cold.multiple * cold_multiple_share);
-        const auto at = [&](Instant t) {
-            const double age = std::max(0.0, (t - *m.cold_since) / cold.warm_after);
-            return full * pace * (cold.floor + (1 - cold.floor) * age);
+        const double pace = std::min(cold_pace, cold.overload_multiple * cold_multiple_share);
+        const auto at = [&](TimePoint t) {
+            const double age = std::max(0.0, (t - *m.cold_since) / cold.window);
+            return full * pace * (cold.initial_capacity_share + (1 - cold.initial_capacity_share) * age);
         };
         rate = at(now);
         m.tokens += (at(m.tokens_at) - rate) / 2 * (now - m.tokens_at).seconds();  // it was less before
-        spare = rate * fall_window_.seconds() * std::max(0.0, cold.multiple / pace - 1) * cold_spare;
+        spare = rate * fall_window_.seconds() * std::max(0.0, cold.overload_multiple / pace - 1) * cold_spare;
     }
     const double window = rate * fall_window_.seconds(), most = std::max(window * cold_burst, work);
     m.tokens += rate * (now - m.tokens_at).seconds();
@@ -558,7 +565,7 @@
 // Our own sends tell little of a cache that many gateways share: what its answers show stands for the others.
 double Router::Core::crowd(const Member& m) const {
     const double own = (m.out - (loses(m) ? m.late : 0)) * gateways_here_ / std::max(0.1, capacity(m));
-    if (m.paced == Instant{}) return own;
+    if (m.paced == TimePoint{}) return own;
     const double fade = std::exp(-((now - m.paced) / (longest_budget_ * pace_fades)));
     return (own + (gateways_here_ - 1) * (1 + (m.pace - 1) * fade)) / gateways_here_;
 }
@@ -570,15 +577,15 @@
 }
 
 double Router::Core::work_of(const Held& h) const {
-    if (h.lk.kbytes > 0 && flow_ > 0) return h.lk.kbytes / flow_;
+    if (h.lk.size_kb > 0 && flow_ > 0) return h.lk.size_kb / flow_;
     // Where sizes are not told they are learnt: a hit takes its sending time, and more only when slowed.
     if (const auto o = seen_.find(h.lk.object); o != seen_.end() && o->second > 0) return o->second;
     return kinds_[h.lk.kind.raw()].mean_work;
 }
 
-Span Router::Core::in_time(const Held& h, double work) const {
+Duration Router::Core::in_time(const Held& h, double work) const {
     const ObjectKind& k = kinds_[h.lk.kind.raw()].kind;
-    return k.budget + Span::seconds(work * k.budget_stretch);
+    return k.latency_objective + Duration::seconds(work * k.latency_objective_stretch);
 }
 
 bool Router::Core::may_take(const Member& m, const Held& h) const {
@@ -590,32 +597,33 @@
 
 // --- the chain: limits ---------------------------------------------------------------------------------
 Pass Router::Core::limits_down(Held& h) {
-    if (now + tick_ >= h.lk.expires || static_cast<int>(h.sends.size()) >= permits_.sends) return give_up(h);
+    if (now + tick_ >= h.lk.deadline || static_cast<int>(h.sends.size()) >= permits_.max_attempts)
+        return give_up(h);
     if (h.sends.empty()) further_ = std::min(further_most_, further_ + further_share);
     return Pass::on;
 }
 
-Pass Router::Core::limits_up(Held& h, SendRecord&, const Answer& a) {
-    if (a.last || a.outcome == Outcome::completed) h.done = true;
+Pass Router::Core::limits_up(Held& h, SendRecord&, const AttemptResult& a) {
+    if (a.request_finished || a.outcome == Outcome::completed) h.done = true;
     if (h.done) {
         // A copy that is still out can only waste work.
         for (std::size_t n = 0; n < h.sends.size(); ++n)
-            if (h.sends[n].out && permits_.cancel && !h.sends[n].recalled) {
+            if (h.sends[n].out && permits_.cancellation && !h.sends[n].recalled) {
                 h.sends[n].recalled = true;
-                port.cancel(h.lk.id, SendNo{n});
+                port.cancel_attempt(h.lk.id, AttemptIndex{n});
             }
         return Pass::ended;
     }
     for (const SendRecord& o : h.sends)
         if (o.out) return Pass::ended;  // another copy is still at work
-    if (h.looking && a.outcome == Outcome::lookup_miss) {
+    if (h.looking && a.outcome == Outcome::cache_miss) {
         h.missed = true;
         return Pass::on;
     }
-    if (a.outcome == Outcome::superseded || (h.unfilled && a.outcome == Outcome::lookup_miss))
+    if (a.outcome == Outcome::superseded || (h.unfilled && a.outcome == Outcome::cache_miss))
         return give_up(h);
     // A connection refused has cost nothing; all else draws on the allowance for further sends.
-    if (a.outcome == Outcome::refused_conn) return Pass::on;
+    if (a.outcome == Outcome::connection_refused) return Pass::on;
     return further_ < 1 ? give_up(h) : (further_ -= 1, Pass::on);
 }
 
@@ -626,10 +634,10 @@
     bool ran = false;
     for (const SendRecord& s : h.sends) ran = ran || s.may_have_run || s.out;
     const bool harmless = k.effect == Effect::idempotent || !ran ||
-                          (k.effect == Effect::deduplicated && k.group == DedupGroup::all);
-    const Span wait = permits_.longest_retry_after * (come_back_least + (1 - come_back_least) * chance());
+                          (k.effect == Effect::deduplicated && k.dedup_scope == DedupScope::all);
+    const Duration wait = permits_.max_retry_after * (come_back_least + (1 - come_back_least) * chance());
     if (harmless)
-        port.nack(h.lk.id, permits_.retry_after ? wait : Span{});
+        port.reject(h.lk.id, permits_.retry_after ? wait : Duration{});
     else
         port.fail(h.lk.id);
     return Pass::ended;
@@ -637,9 +645,9 @@
 
 // --- effects ---------------------------------------------------------------------------------------------
 // Rule 2, from the outcomes alone: what may have run bounds every later send and the nack.
-Pass Router::Core::effects_up(Held&, SendRecord& s, const Answer& a) {
-    s.may_have_run = a.outcome != Outcome::saturated && a.outcome != Outcome::refused_conn &&
-                     a.outcome != Outcome::superseded && a.outcome != Outcome::lookup_miss;
+Pass Router::Core::effects_up(Held&, SendRecord& s, const AttemptResult& a) {
+    s.may_have_run = a.outcome != Outcome::overloaded && a.outcome != Outcome::connection_refused &&
+                     a.outcome != Outcome::superseded && a.outcome != Outcome::cache_miss;
     return Pass::on;
 }
 
@@ -650,8 +658,8 @@
     const ObjectKind& k = kinds_[h.lk.kind.raw()].kind;
     for (const SendRecord& s : h.sends) {
         if (&s == itself || !(s.may_have_run || s.out)) continue;
-        if (k.effect == Effect::side_effecting) return false;
-        if (k.effect == Effect::deduplicated && now + tick_ > s.at + k.window) return false;
+        if (k.effect == Effect::non_idempotent) return false;
+        if (k.effect == Effect::deduplicated && now + tick_ > s.at + k.dedup_window) return false;
     }
     return true;
 }
@@ -659,7 +667,7 @@
 // A wait is a crossing: what was judged before a send waited (for a connection, for room) is judged again
 // right before its first byte. Guards against a client that has left, a window that has run out, and a start
 // told meanwhile, against whose cold budget the send has not been weighed.
-bool Router::Core::may_begin(const LookupId& id, SendNo n) {
+bool Router::Core::may_begin(const RequestId& id, AttemptIndex n) {
     const auto it = held_.find(id);
     if (it == held_.end() || it->second.done || n.raw() >= it->second.sends.size()) return false;
     SendRecord& s = it->second.sends[n.raw()];
@@ -679,33 +687,34 @@
 
 // --- freshness ---------------------------------------------------------------------------------------------
 // Rule 5: how old a copy may be at most after the purges heard of; zero if none binds.
-Span Router::Core::purge_bound(const Arrival& lk) const {
-    const std::optional<Instant> at = purges_.newest(lk.object, lk.group, now);
-    if (!at) return Span{};
-    return std::max(now - *at - tick_, Span::micros(1));
+Duration Router::Core::purge_bound(const Request& lk) const {
+    const std::optional<TimePoint> at = purges_.newest(lk.object, lk.purge_group, now);
+    if (!at) return Duration{};
+    return std::max(now - *at - tick_, Duration::micros(1));
 }
 
-Span Router::Core::oldest_for(const Held& h, bool stale_will_do) const {
+Duration Router::Core::oldest_for(const Held& h, bool stale_will_do) const {
     const ObjectKind& k = kinds_[h.lk.kind.raw()].kind;
-    const Span bound = purge_bound(h.lk);
-    const Span usual = stale_will_do && k.fresh > Span{} ? k.fresh + k.grace : k.fresh;
-    if (bound > Span{}) return usual > Span{} ? std::min(usual, bound) : bound;
-    return stale_will_do ? usual : Span{};
+    const Duration bound = purge_bound(h.lk);
+    const Duration usual =
+        stale_will_do && k.fresh_for > Duration{} ? k.fresh_for + k.stale_if_error_for : k.fresh_for;
+    if (bound > Duration{}) return usual > Duration{} ? std::min(usual, bound) : bound;
+    return stale_will_do ? usual : Duration{};
 }
 
 Pass Router::Core::freshness_down(Held& h) {
     const ObjectKind& k = kinds_[h.lk.kind.raw()].kind;
-    h.plan = Fill{};
-    h.plan.rank = k.uncacheable ? 0 : h.repeated ? rank_repeated : rank_middle;
-    h.plan.join = permits_.joins && !k.uncacheable;
-    h.plan.renew = k.fresh > Span{};
+    h.plan = AttemptPlan{};
+    h.plan.storage_rank = k.uncacheable ? 0 : h.repeated ? rank_repeated : rank_middle;
+    h.plan.coalesce = permits_.coalescing && !k.uncacheable;
+    h.plan.revalidate = k.fresh_for > Duration{};
     // A copy past its fresh time carries a lookup whose source has failed it once.
-    h.plan.oldest = oldest_for(h, h.stale_will_do);
+    h.plan.max_age = oldest_for(h, h.stale_will_do);
     return Pass::on;
 }
 
-Pass Router::Core::freshness_up(Held& h, SendRecord&, const Answer& a) {
-    if (source_at_fault(a.note)) h.stale_will_do = true;
+Pass Router::Core::freshness_up(Held& h, SendRecord&, const AttemptResult& a) {
+    if (source_at_fault(a.cache_status)) h.stale_will_do = true;
     return Pass::on;
 }
 
@@ -713,7 +722,7 @@
 Pass Router::Core::edge_down(Held& h) {
     const ObjectKind& k = kinds_[h.lk.kind.raw()].kind;
     h.trial_edge = h.trial_source = h.unfilled = h.looking = false;
-    if (k.uncacheable && permits_.direct) {
+    if (k.uncacheable && permits_.direct_attempts) {
         for (Member* m : in_hash_order(h.lk.object, Role::origin)) h.plan.cache = h.plan.source = m->id;
         if (h.plan.cache != CacheId{}) return Pass::on;
     }
@@ -726,7 +735,8 @@
     const double room = fills_jammed(work_of(h)) ? std::max(crowded, full) : std::min(crowded, full);
     Member *pick = nullptr, *roomiest = nullptr, *marked = nullptr;
     for (Member* m : in_hash_order(h.lk.object, Role::edge)) {
-        if (k.effect == Effect::deduplicated && ran && k.group == DedupGroup::cell && ran->cell != m->cell)
+        if (k.effect == Effect::deduplicated && ran && k.dedup_scope == DedupScope::cell &&
+            ran->cell != m->cell)
             continue;
         if (!has_budget(*m, mean)) continue;
         if (!may_take(*m, h)) {
@@ -748,36 +758,37 @@
     return Pass::on;
 }
 
-Pass Router::Core::edge_up(Held& h, SendRecord& s, const Answer& a) {
+Pass Router::Core::edge_up(Held& h, SendRecord& s, const AttemptResult& a) {
     Member& m = members_[s.cache];
     const bool edge = m.role == Role::edge;
     // A held copy sent too late is a fault of the cache like an error: it may only grow slower and never
     // fail.
-    const bool slow = a.outcome == Outcome::completed && a.note == Note::hit && a.took > in_time(h, s.work);
+    const bool slow = a.outcome == Outcome::completed && a.cache_status == CacheStatus::hit &&
+                      a.elapsed > in_time(h, s.work);
     const bool bad = a.outcome == Outcome::errored || slow;
     switch (a.outcome) {
-        case Outcome::saturated:
+        case Outcome::overloaded:
             // A cache that hangs still turns away: only with a note has it worked.
-            if (a.note == Note::none) break;
+            if (a.cache_status == CacheStatus::none) break;
             [[fallthrough]];
         case Outcome::completed:
-        case Outcome::lookup_miss:
+        case Outcome::cache_miss:
         case Outcome::errored:
             sign_of_life(m);
             if (m.marked && (s.trial_edge || m.out == 0 || !edge) && !bad) unmark(m);
             // A rack that restarts at once is back before the list tells: full traffic would push it over.
             if (m.died && edge) starts_cold(m, now);
-            if (!source_at_fault(a.note)) error_seen(m, bad);
+            if (!source_at_fault(a.cache_status)) error_seen(m, bad);
             break;
-        case Outcome::refused_conn:
+        case Outcome::connection_refused:
             mark(m);
             m.died = m.died || m.out == 0;  // a full table of connections has sends out
             break;
-        case Outcome::severed:
+        case Outcome::connection_reset:
             // Connections also break while the process lives on; if it died, the next send is refused.
             error_seen(m, true);
             break;
-        case Outcome::overdue:
+        case Outcome::deadline_exceeded:
             // Only a cache that has said nothing since is held to be the cause.
             if (m.heard <= s.at && peers_speak(m)) mark(m);
             break;
@@ -786,12 +797,12 @@
     }
     if (s.trial_edge && m.on_trial) m.on_trial = false;
     // A broken transfer may be the network's; the cache that holds the object gets a second chance.
-    const bool broke = a.outcome == Outcome::severed || a.outcome == Outcome::errored ||
-                       (a.outcome == Outcome::overdue && m.heard > s.at);
+    const bool broke = a.outcome == Outcome::connection_reset || a.outcome == Outcome::errored ||
+                       (a.outcome == Outcome::deadline_exceeded && m.heard > s.at);
     int here = 0;
     for (const SendRecord& o : h.sends) here += o.cache == s.cache;
-    const bool looked = h.looking && a.outcome == Outcome::lookup_miss;
-    if (a.outcome != Outcome::completed && !source_at_fault(a.note) && !looked &&
+    const bool looked = h.looking && a.outcome == Outcome::cache_miss;
+    if (a.outcome != Outcome::completed && !source_at_fault(a.cache_status) && !looked &&
         !(broke && here < 2 && !m.marked))
         h.shunned.push_back(s.cache);
     return Pass::on;
@@ -801,8 +812,8 @@
 // Only what is held already will do, and then a copy in its grace as well.
 void Router::Core::held_only(Held& h, bool no_source) {
     if (no_source) h.plan.source = h.plan.cache;
-    h.plan.held_only = h.unfilled = true;
-    h.plan.oldest = oldest_for(h, true);
+    h.plan.only_if_cached = h.unfilled = true;
+    h.plan.max_age = oldest_for(h, true);
 }
 
 Pass Router::Core::source_down(Held& h) {
@@ -855,49 +866,53 @@
     return Pass::on;
 }
 
-Pass Router::Core::source_up(Held& h, SendRecord& s, const Answer& a) {
+Pass Router::Core::source_up(Held& h, SendRecord& s, const AttemptResult& a) {
     if (s.source == s.cache) return Pass::on;
     Member& m = members_[s.source];
-    if (a.note == Note::via_origin)
+    if (a.cache_status == CacheStatus::via_origin)
         fetches_.tell(a.fill_wait > longest_budget_, now);
-    else if (a.note == Note::origin_failed || (source_at_fault(a.note) && m.role == Role::origin))
+    else if (a.cache_status == CacheStatus::origin_failed ||
+             (source_at_fault(a.cache_status) && m.role == Role::origin))
         fetches_.tell(true, now);
-    const bool hit = a.note == Note::hit || a.note == Note::stale || a.note == Note::joined;
+    const bool hit = a.cache_status == CacheStatus::hit || a.cache_status == CacheStatus::stale ||
+                     a.cache_status == CacheStatus::coalesced;
     if (parent_machine_ && !hit) {
         // What the origin behind a parent took is not the parent's doing.
-        const Span own = m.role == Role::parent && a.note == Note::via_origin ? a.took - a.fill_wait : a.took;
+        const Duration own = m.role == Role::parent && a.cache_status == CacheStatus::via_origin
+                                 ? a.elapsed - a.fill_wait
+                                 : a.elapsed;
         if (a.outcome == Outcome::completed)
             m.fills.tell(own > in_time(h, s.work), now);
-        else if (a.note != Note::origin_failed && a.outcome != Outcome::lookup_miss)
+        else if (a.cache_status != CacheStatus::origin_failed && a.outcome != Outcome::cache_miss)
             m.fills.tell(fetches_.share(now) >= 1, now);
     }
-    if (a.note == Note::via_origin && parent_machine_) {
+    if (a.cache_status == CacheStatus::via_origin && parent_machine_) {
         const double wait = a.fill_wait.seconds();
         for (Member* o : in_hash_order(h.lk.object, Role::origin))
             if (wait > fetch_usual_ * fetch_unusual && fetch_usual_ > 0) o->fills.tell(true, now);
         fetch_usual_ += (wait - fetch_usual_) / (fetch_usual_ > 0 ? gap_memory * gap_memory : 1);
     }
     // Where notes are not told, a trial that completes is the only sign there is.
-    const bool told = a.note != Note::none || s.trial_source;
+    const bool told = a.cache_status != CacheStatus::none || s.trial_source;
     if (a.outcome == Outcome::completed && !hit && told) {
         sign_of_life(m);
         error_seen(m, false);
         if (m.marked) unmark(m);
-    } else if (a.note == Note::source_refused) {
+    } else if (a.cache_status == CacheStatus::source_refused) {
         sign_of_life(m);
         error_seen(m, true);
         h.shunned.push_back(s.source);
-    } else if (a.note == Note::source_lost) {
+    } else if (a.cache_status == CacheStatus::source_unreachable) {
         // Turned away with the source not reached: no connection to it. But a slow origin or a full link lets
         // the fills of all parents run out of time: then none is marked.
-        if (a.outcome == Outcome::saturated)
+        if (a.outcome == Outcome::overloaded)
             mark(m);
         else if (a.fill_wait < longest_budget_)
             error_seen(m, true);  // it broke off; nothing ran out of time
         else if (s.trial_source || (m.heard <= s.at && peers_speak(m)))
             mark(m);
         h.shunned.push_back(s.source);
-    } else if (a.note == Note::origin_failed) {
+    } else if (a.cache_status == CacheStatus::origin_failed) {
         sign_of_life(m);
         h.shunned.push_back(s.source);
     }
@@ -920,8 +935,8 @@
     s.cell = cache.cell;
     const auto known = seen_.find(h.lk.object);
     if (h.looking && known != seen_.end() && known->second > 0 && loses(cache))
-        h.plan.time_out = Span::seconds(s.work * lost_work * std::max(1.0, crowd(cache))) +
-                          kinds_[h.lk.kind.raw()].kind.budget * lost_budget;
+        h.plan.timeout = Duration::seconds(s.work * lost_work * std::max(1.0, crowd(cache))) +
+                         kinds_[h.lk.kind.raw()].kind.latency_objective * lost_budget;
     if (cache.out++ == 0) cache.busy_since = now;
     if (s.source != s.cache) {
         Member& source = members_[s.source];
@@ -935,26 +950,27 @@
     }
     h.sends.push_back(s);
     if (cache.role == Role::origin)
-        port.send(h.lk.id, s.cache, Span{});
+        port.start_direct_attempt(h.lk.id, s.cache, Duration{});
     else
-        port.fill(h.lk.id, h.plan);
+        port.start_attempt(h.lk.id, h.plan);
     if (!watching_) {
         watching_ = true;
-        port.alarm(watch_alarm, now + watch_every_);
+        port.set_timer(watch_alarm, now + watch_every_);
     }
     return Pass::on;
 }
 
-Pass Router::Core::dispatch_up(Held& h, SendRecord& s, const Answer& a) {
+Pass Router::Core::dispatch_up(Held& h, SendRecord& s, const AttemptResult& a) {
     s.out = false;
     if (s.late_after)
         late_sends_.erase({*s.late_after, h.lk.id, static_cast<std::size_t>(&s - h.sends.data())});
     Member& cache = members_[s.cache];
     // A late answer takes back what its lateness was counted for.
-    if (a.outcome == Outcome::completed || a.outcome == Outcome::lookup_miss || a.outcome == Outcome::errored)
+    if (a.outcome == Outcome::completed || a.outcome == Outcome::cache_miss || a.outcome == Outcome::errored)
         cache.lost =
             std::max(0.0, cache.lost - (cache.lost + (s.late && s.source == s.cache ? 1 : 0)) / gap_memory);
-    else if (a.outcome == Outcome::overdue && !(s.late && s.source == s.cache) && cache.heard > s.at)
+    else if (a.outcome == Outcome::deadline_exceeded && !(s.late && s.source == s.cache) &&
+             cache.heard > s.at)
         lost_seen(cache);
     not_late(s);
     fills_out_ -= s.missed;
@@ -962,17 +978,18 @@
     if (s.source != s.cache) --members_[s.source].out;
     KindFigures& k = kinds_[h.lk.kind.raw()];
     if (!k.kind.uncacheable) mean_work_ += (s.work - mean_work_) / (gap_memory * gap_memory);
-    const bool sized = h.lk.kbytes > 0 && flow_ > 0;
+    const bool sized = h.lk.size_kb > 0 && flow_ > 0;
     const auto seen = seen_.find(h.lk.object);
     const double work = sized ? s.work : seen != seen_.end() ? seen->second : 0;
-    if (a.outcome == Outcome::completed && a.note == Note::hit && work > 0)
-        pace_seen(cache, 1 + std::max(0.0, a.took.seconds() - work) / std::max(work, mean_work_));
-    if (a.outcome == Outcome::completed && (a.note == Note::hit || a.note == Note::filled)) {
+    if (a.outcome == Outcome::completed && a.cache_status == CacheStatus::hit && work > 0)
+        pace_seen(cache, 1 + std::max(0.0, a.elapsed.seconds() - work) / std::max(work, mean_work_));
+    if (a.outcome == Outcome::completed &&
+        (a.cache_status == CacheStatus::hit || a.cache_status == CacheStatus::filled)) {
         double& least = seen_[h.lk.object];
-        least = least > 0 ? std::min(least, a.took.seconds()) : a.took.seconds();
+        least = least > 0 ? std::min(least, a.elapsed.seconds()) : a.elapsed.seconds();
     }
-    if (a.outcome == Outcome::completed && (sized || a.note == Note::hit))
-        k.mean_work += ((sized ? s.work : a.took.seconds()) - k.mean_work) / (gap_memory * gap_memory);
+    if (a.outcome == Outcome::completed && (sized || a.cache_status == CacheStatus::hit))
+        k.mean_work += ((sized ? s.work : a.elapsed.seconds()) - k.mean_work) / (gap_memory * gap_memory);
     return Pass::on;
 }
 
@@ -1001,30 +1018,30 @@
     return !seen_.try_emplace(object, known ? before->second : 0).second || known;
 }
 
-void Router::Core::lookup(const Arrival& lk) {
+void Router::Core::lookup(const Request& lk) {
     const auto [held, fresh] = held_.try_emplace(lk.id);
     if (!fresh) return;  // a host that gives an identity twice
     Held& h = held->second;
     h.lk = lk;
-    h.lk.expires = std::min(lk.expires, leave_by_.value_or(lk.expires));
+    h.lk.deadline = std::min(lk.deadline, leave_by_.value_or(lk.deadline));
     h.repeated = seen_again(lk.object);
     run_down(h);
     drop_if_over(lk.id);
 }
 
-void Router::Core::answer(const Answer& a) {
-    const auto it = held_.find(a.id);
-    if (it == held_.end() || a.send.raw() >= it->second.sends.size()) return;
+void Router::Core::answer(const AttemptResult& a) {
+    const auto it = held_.find(a.request);
+    if (it == held_.end() || a.attempt.raw() >= it->second.sends.size()) return;
     Held& h = it->second;
-    SendRecord& s = h.sends[a.send.raw()];
+    SendRecord& s = h.sends[a.attempt.raw()];
     if (!s.out) return;
     for (auto stage = chain.rbegin(); stage != chain.rend(); ++stage)
-        if ((this->*stage->up)(h, s, a) == Pass::ended) return drop_if_over(a.id);
+        if ((this->*stage->up)(h, s, a) == Pass::ended) return drop_if_over(a.request);
     run_down(h);
-    drop_if_over(a.id);
+    drop_if_over(a.request);
 }
 
-void Router::Core::client_gone(const LookupId& id) {
+void Router::Core::client_gone(const RequestId& id) {
     const auto it = held_.find(id);
     if (it == held_.end()) return;
     it->second.done = true;
@@ -1032,16 +1049,16 @@
 }
 
 // The process ends by then, whatever its clients would wait for: nobody finds their lookups unanswered.
-void Router::Core::leaving(Instant by) {
+void Router::Core::leaving(TimePoint by) {
     leave_by_ = by;
-    for (auto& [id, h] : held_) h.lk.expires = std::min(h.lk.expires, by);
+    for (auto& [id, h] : held_) h.lk.deadline = std::min(h.lk.deadline, by);
 }
 
 void Router::Core::not_late(SendRecord& s) {
     if (std::exchange(s.late, false)) --members_[s.cache].late;
 }
 
-void Router::Core::drop_if_over(const LookupId& id) {
+void Router::Core::drop_if_over(const RequestId& id) {
     const auto it = held_.find(id);
     if (it == held_.end() || !it->second.done) return;
     bool out = false;
@@ -1052,7 +1069,7 @@
     if (!out) held_.erase(it);
 }
 
-void Router::Core::purge(Span age, GroupNo group, const std::optional<ObjectName>& object) {
+void Router::Core::purge(Duration age, PurgeGroupId group, const std::optional<ObjectName>& object) {
     purges_.add(now - age, group, object, now);
 }
 
@@ -1080,7 +1097,7 @@
             if (!m->marked && silent(*m) && peers_speak(*m)) give_back(*m);
     if (!held_.empty()) {
         watching_ = true;
-        port.alarm(watch_alarm, now + watch_every_);
+        port.set_timer(watch_alarm, now + watch_every_);
     }
 }
 
@@ -1088,38 +1105,46 @@
 void Router::Core::give_back(Member& m) {
     mark(m);
     for (auto& [lookup_id, h] : held_) {
-        if (h.done || kinds_[h.lk.kind.raw()].kind.effect == Effect::side_effecting) continue;
+        if (h.done || kinds_[h.lk.kind.raw()].kind.effect == Effect::non_idempotent) continue;
         for (std::size_t n = 0; n < h.sends.size(); ++n) {
             SendRecord& s = h.sends[n];
-            if (!s.out || s.recalled || (s.cache != m.id && s.source != m.id) || !permits_.cancel) continue;
+            if (!s.out || s.recalled || (s.cache != m.id && s.source != m.id) || !permits_.cancellation)
+                continue;
             s.recalled = true;
             h.shunned.push_back(m.id);
-            port.cancel(lookup_id, SendNo{n});
+            port.cancel_attempt(lookup_id, AttemptIndex{n});
         }
     }
 }
 
 // --- the interface -----------------------------------------------------------------------------------------
-Router::Router(Port& port, const Deployment& d, std::uint64_t seed, Instant now)
+Router::Router(RouterCallbacks& port, const Deployment& d, std::uint64_t seed, TimePoint now)
     : core_(std::make_unique<Core>(port, d, seed, now)) {}
 Router::~Router() = default;
 Router::Router(Router&&) noexcept = default;
 
-void Router::on_list(Instant now, const std::vector<Listing>& l, bool all) { core_->at(now).list(l, all); }
-void Router::on_list_lost(Instant now) { core_->at(now).list_lost(); }
-void Router::on_lookup(Instant now, const Arrival& lk) { core_->at(now).lookup(lk); }
-void Router::on_answer(Instant now, const Answer& a) { core_->at(now).answer(a); }
-void Router::on_opened(Instant now, const LookupId&, SendNo) { core_->at(now); }
-void Router::on_client_gone(Instant now, const LookupId& id) { core_->at(now).client_gone(id); }
-void Router::on_purge(Instant now, Span age, GroupNo group, const std::optional<ObjectName>& object) {
+void Router::on_endpoint_updates(TimePoint now, const std::vector<EndpointUpdate>& l, bool all) {
+    core_->at(now).list(l, all);
+}
+void Router::on_endpoint_updates_lost(TimePoint now) { core_->at(now).list_lost(); }
+void Router::on_request(TimePoint now, const Request& lk) { core_->at(now).lookup(lk); }
+void Router::on_attempt_result(TimePoint now, const AttemptResult& a) { core_->at(now).answer(a); }
+void Router::on_opened(TimePoint now, const RequestId&, AttemptIndex) { core_->at(now); }
+void Router::on_client_closed(TimePoint now, const RequestId& id) { core_->at(now).client_gone(id); }
+void Router::on_purge(TimePoint now, Duration age, PurgeGroupId group,
+                      const std::optional<ObjectName>& object) {
     core_->at(now).purge(age, group, object);
 }
-void Router::on_probe(Instant now, const ProbeAnswer&) { core_->at(now); }
-void Router::on_trial_from(Instant now, const CacheId& c, Instant at) { core_->at(now).trial_from(c, at); }
-bool Router::may_begin(Instant now, const LookupId& id, SendNo n) { return core_->at(now).may_begin(id, n); }
-void Router::on_leaving(Instant now, Instant by) { core_->at(now).leaving(by); }
-void Router::on_alarm(Instant now, AlarmNo n) {
-    if (n == list_alarm) return core_->at(now).port.watch_list();
+void Router::on_probe(TimePoint now, const HealthCheckResult&) { core_->at(now); }
+void Router::postpone_recovery_probe(TimePoint now, const CacheId& c, TimePoint at) {
+    core_->at(now).trial_from(c, at);
+}
+bool Router::may_begin_attempt(TimePoint now, const RequestId& id, AttemptIndex n) {
+    return core_->at(now).may_begin(id, n);
+}
+void Router::on_drain(TimePoint now, TimePoint by) { core_->at(now).leaving(by); }
+void Router::on_timer(TimePoint now, TimerId n) {
+    if (n == list_alarm) return core_->at(now).port.subscribe_to_endpoints();
     core_->at(now).watch();
 }
 
--- a/src/routing/windowed_sum.hpp
+++ b/src/routing/windowed_sum.hpp
@@ -13,14 +13,14 @@
 template <std::size_t parts>
 class WindowedSum {
 public:
-    void add(double amount, Instant now, Span window) {
+    void add(double amount, TimePoint now, Duration window) {
         const std::int64_t part = part_of(now, window);
         Part& p = parts_[static_cast<std::size_t>(part) % parts_.size()];
         if (p.no != part) p = {part, 0};
         p.amount += amount;
     }
     // Since then, within the window; a part that began before counts whole.
-    double since(Instant start, Instant now, Span window) const {
+    double since(TimePoint start, TimePoint now, Duration window) const {
         const std::int64_t first = part_of(std::max(start, now - window), window);
         double sum = 0;
         for (const Part& p : parts_) sum += p.no >= first ? p.amount : 0;
@@ -33,9 +33,9 @@
         double amount = 0;
     };
     std::array<Part, parts + 1> parts_{};
-    static std::int64_t part_of(Instant t, Span window) {
+    static std::int64_t part_of(TimePoint t, Duration window) {
         const std::int64_t part = window.micros() / static_cast<std::int64_t>(parts);
-        return (t - Instant{}).micros() / std::max<std::int64_t>(1, part);
+        return (t - TimePoint{}).micros() / std::max<std::int64_t>(1, part);
     }
 };
 
--- a/testing/fault_proxy.cpp
+++ b/testing/fault_proxy.cpp
@@ -3,19 +3,21 @@
 namespace irismux::lab {
 namespace {
 
-std::size_t no(Way w) { return static_cast<std::size_t>(w); }
+std::size_t no(Direction w) { return static_cast<std::size_t>(w); }
 
 }  // namespace
 
-Relay::Relay(Loop& loop, std::string to) : loop_(loop), to_(std::move(to)) { listen("127.0.0.1:0"); }
+FaultProxy::FaultProxy(EventLoop& loop, std::string to) : loop_(loop), to_(std::move(to)) {
+    listen("127.0.0.1:0");
+}
 
-void Relay::listen(const std::string& at) {
+void FaultProxy::listen(const std::string& at) {
     acceptor_ = std::make_unique<Acceptor>(
         loop_, [this](Poco::Net::StreamSocket s) { taken(std::move(s)); }, 64, at);
     address_ = acceptor_->address();
 }
 
-void Relay::down(bool is) {
+void FaultProxy::down(bool is) {
     if (!is) {
         if (!acceptor_) listen(address_);
         return;
@@ -24,37 +26,38 @@
     break_all();
 }
 
-Relay::~Relay() {
+FaultProxy::~FaultProxy() {
     alive_.reset();
     for (const auto& p : pairs_)
         for (const auto& w : p->ends) w->close();
 }
 
-void Relay::taken(Poco::Net::StreamSocket socket) {
+void FaultProxy::taken(Poco::Net::StreamSocket socket) {
     std::erase_if(pairs_, [this](const PairPtr& p) {
         if (p->over) closed(p->number);
         return p->over;
     });
     auto p = std::make_shared<Pair>();
     p->number = ++last_number_;
-    p->ends = {std::make_shared<Wire>(loop_, std::move(socket)), std::make_shared<Wire>(loop_)};
+    p->ends = {std::make_shared<StandInConnection>(loop_, std::move(socket)),
+               std::make_shared<StandInConnection>(loop_)};
     pairs_.push_back(p);
-    for (const Way w : {Way::out, Way::back}) {
-        Wire& end = *p->ends[no(w)];
+    for (const Direction w : {Direction::to_server, Direction::to_client}) {
+        StandInConnection& end = *p->ends[no(w)];
         end.got = [this, weak = std::weak_ptr<Pair>(p), w](Buffer& in) {
             std::string bytes(in.view());
-            in.taken(bytes.size());
-            if (const PairPtr pair = weak.lock()) came(pair, w, std::move(bytes));
+            in.consumed(bytes.size());
+            if (const PairPtr pair = weak.lock()) on_accepted(pair, w, std::move(bytes));
         };
         end.ended = [this, weak = std::weak_ptr<Pair>(p), w] {
-            if (const PairPtr pair = weak.lock()) Relay::end(pair, w);
+            if (const PairPtr pair = weak.lock()) FaultProxy::end(pair, w);
         };
     }
     p->ends[0]->start();
     if (!p->ends[1]->start(to_)) reset(p);
 }
 
-void Relay::came(const PairPtr& p, Way w, std::string bytes) {
+void FaultProxy::on_accepted(const PairPtr& p, Direction w, std::string bytes) {
     ++pieces_[no(w)];
     seen(w, bytes);
     seen_on(p->number, w, bytes);
@@ -63,9 +66,10 @@
     if (f.reset_in > 0 && bytes.size() >= f.reset_in) {
         bytes.resize(std::exchange(f.reset_in, 0));
         pass(p, w, std::move(bytes));
-        loop_.at(loop_.now() + Span::micros(2000), [this, alive = std::weak_ptr<bool>(alive_), p] {
-            if (alive.lock()) reset(p);
-        });
+        loop_.schedule_at(loop_.now() + Duration::micros(2000),
+                          [this, alive = std::weak_ptr<bool>(alive_), p] {
+                              if (alive.lock()) reset(p);
+                          });
         return;
     }
     if (f.reset_in > 0) f.reset_in -= bytes.size();
@@ -75,42 +79,42 @@
         pass(p, w, std::move(bytes));
 }
 
-void Relay::pass(const PairPtr& p, Way w, std::string bytes) {
+void FaultProxy::pass(const PairPtr& p, Direction w, std::string bytes) {
     const Faults& f = faults(w);
-    Instant& free = p->free[no(w)];
+    TimePoint& free = p->free[no(w)];
     free = std::max(free, loop_.now() + f.delay);
     if (f.bytes_a_second > 0)
-        free =
-            free + Span::seconds(static_cast<double>(bytes.size()) / static_cast<double>(f.bytes_a_second));
+        free = free +
+               Duration::seconds(static_cast<double>(bytes.size()) / static_cast<double>(f.bytes_a_second));
     const auto go = [p, w, bytes = std::move(bytes)] {
-        Wire& to = *p->ends[1 - no(w)];
-        if (to.state() == LinkState::ended) return;
+        StandInConnection& to = *p->ends[1 - no(w)];
+        if (to.state() == ConnectionState::closed) return;
         to.out().append(bytes);
-        if (to.state() == LinkState::open) to.say();
+        if (to.state() == ConnectionState::open) to.write();
     };
     if (free <= loop_.now())
         go();
     else
-        loop_.at(free, go);
+        loop_.schedule_at(free, go);
 }
 
 // A cut link loses the ends of connections, too.
-void Relay::end(const PairPtr& p, Way w) {
+void FaultProxy::end(const PairPtr& p, Direction w) {
     p->ended[no(w)] = true;
     if (faults(w).hold || p->over) return;
-    const Instant at = std::max(p->free[no(w)], loop_.now() + Span::micros(1000));
-    loop_.at(at, [p] {
+    const TimePoint at = std::max(p->free[no(w)], loop_.now() + Duration::micros(1000));
+    loop_.schedule_at(at, [p] {
         p->over = true;
         for (const auto& e : p->ends) e->close();
     });
 }
 
-void Relay::reset(const PairPtr& p) {
+void FaultProxy::reset(const PairPtr& p) {
     p->over = true;
     for (const auto& e : p->ends) e->reset();
 }
 
-void Relay::hold(Way w, bool is) {
+void FaultProxy::hold(Direction w, bool is) {
     faults(w).hold = is;
     if (is) return;
     for (const PairPtr& p : pairs_) {
@@ -119,11 +123,11 @@
     }
 }
 
-void Relay::cut(bool is) {
-    for (const Way w : {Way::out, Way::back}) hold(w, is);
+void FaultProxy::cut(bool is) {
+    for (const Direction w : {Direction::to_server, Direction::to_client}) hold(w, is);
 }
 
-void Relay::break_all() {
+void FaultProxy::break_all() {
     for (const PairPtr& p : std::exchange(pairs_, {})) reset(p);
 }
 
--- a/testing/fault_proxy.hpp
+++ b/testing/fault_proxy.hpp
@@ -14,43 +14,43 @@
 
 namespace irismux::lab {
 
-enum class Way { out, back };  // from whoever connects, and to it
+enum class Direction { to_server, to_client };  // from whoever connects, and to it
 
-class Relay {
+class FaultProxy {
 public:
     struct Faults {
         bool hold = false;  // what comes is kept; ends of connections, too. Undone: it all goes on
-        Span delay;         // of each piece
+        Duration delay;     // of each piece
         std::size_t bytes_a_second = 0;  // zero: as fast as it goes
         std::size_t reset_in = 0;        // so many bytes from now both ends are reset; zero: never
     };
 
-    Relay(Loop& loop, std::string to);
-    ~Relay();
+    FaultProxy(EventLoop& loop, std::string to);
+    ~FaultProxy();
     const std::string& address() const { return address_; }
     // From now on to there; open connections stay as they are.
-    void lead_to(std::string to) { to_ = std::move(to); }
+    void set_target(std::string to) { to_ = std::move(to); }
 
-    Faults& faults(Way w) { return faults_[static_cast<std::size_t>(w)]; }
-    void hold(Way w, bool is);
+    Faults& faults(Direction w) { return faults_[static_cast<std::size_t>(w)]; }
+    void hold(Direction w, bool is);
     void cut(bool is);   // both ways; connections that come are taken, and nothing passes
     void down(bool is);  // connections are reset, those that come are refused by the system
     void break_all();    // every connection, with a reset
 
     // Each piece as it comes in, before anything is done with it.
-    std::function<void(Way, std::string_view)> seen = [](Way, std::string_view) {};
+    std::function<void(Direction, std::string_view)> seen = [](Direction, std::string_view) {};
     // As above, with the number of its connection, which is never given again.
-    std::function<void(std::uint64_t connection, Way, std::string_view)> seen_on = [](std::uint64_t, Way,
-                                                                                      std::string_view) {};
+    std::function<void(std::uint64_t connection, Direction, std::string_view)> seen_on =
+        [](std::uint64_t, Direction, std::string_view) {};
     std::function<void(std::uint64_t connection)> closed = [](std::uint64_t) {};
-    std::uint64_t pieces(Way w) const { return pieces_[static_cast<std::size_t>(w)]; }
+    std::uint64_t pieces(Direction w) const { return pieces_[static_cast<std::size_t>(w)]; }
 
 private:
     struct Pair {
         std::uint64_t number = 0;
-        std::array<std::shared_ptr<Wire>, 2> ends;  // the near one, the far one
+        std::array<std::shared_ptr<StandInConnection>, 2> ends;  // the near one, the far one
         std::array<std::deque<std::string>, 2> held;
-        std::array<Instant, 2> free;  // by then what was passed on before has gone
+        std::array<TimePoint, 2> free;  // by then what was passed on before has gone
         std::array<bool, 2> ended{};
         bool over = false;
     };
@@ -58,12 +58,12 @@
 
     void listen(const std::string& at);
     void taken(Poco::Net::StreamSocket socket);
-    void came(const PairPtr& p, Way w, std::string bytes);
-    void pass(const PairPtr& p, Way w, std::string bytes);
-    void end(const PairPtr& p, Way w);
+    void on_accepted(const PairPtr& p, Direction w, std::string bytes);
+    void pass(const PairPtr& p, Direction w, std::string bytes);
+    void end(const PairPtr& p, Direction w);
     void reset(const PairPtr& p);
 
-    Loop& loop_;
+    EventLoop& loop_;
     std::string to_;
     std::array<Faults, 2> faults_;
     std::array<std::uint64_t, 2> pieces_{};
--- a/testing/fleet_simulation.cpp
+++ b/testing/fleet_simulation.cpp
@@ -8,16 +8,16 @@
 
 namespace {
 
-const Span ms = Span::micros(1000);
-const Span trouble_every = ms * 100, work_every = ms * 400;
+const Duration ms = Duration::micros(1000);
+const Duration trouble_every = ms * 100, work_every = ms * 400;
 constexpr std::size_t most_backups = 64, most_broken = 20;
 
 }  // namespace
 
-struct World::Node final : public RegistryPort, public AgentObserver {
-    Node(World& w, std::size_t n) : world(w), no(n), name("m" + std::to_string(n)) {}
+struct FleetSimulation::Node final : public RegistryPort, public AgentObserver {
+    Node(FleetSimulation& w, std::size_t n) : world(w), no(n), name("m" + std::to_string(n)) {}
 
-    World& world;
+    FleetSimulation& world;
     std::size_t no;
     MemberName name;
     std::unique_ptr<Agent> agent;
@@ -25,7 +25,7 @@
     bool stopped = false, cut_out = false, cut_in = false;
     std::uint64_t ask = 0;   // the transaction under way
     std::uint64_t life = 0;  // of the process
-    std::optional<Instant> wake_at;
+    std::optional<TimePoint> wake_at;
     std::uint64_t wake_no = 0;
     Revision told;  // by the watch
     std::uint64_t history = 0;
@@ -34,14 +34,14 @@
     Incarnation former;
     std::vector<std::function<void()>> waiting;  // for a stopped process to go on
 
-    Instant clock() const { return Instant{} + Span::seconds(world.now_.seconds() * rate); }
-    Instant real(Instant local) const { return Instant::at_seconds(local.seconds() / rate + 1e-6); }
+    TimePoint clock() const { return TimePoint{} + Duration::seconds(world.now_.seconds() * rate); }
+    TimePoint real(TimePoint local) const { return TimePoint::at_seconds(local.seconds() / rate + 1e-6); }
 
     void submit(const Transaction& d) override {
         ++ask;
         world.on_submit(*this, d);
     }
-    void schedule_wake(Instant local) override {
+    void schedule_wake(TimePoint local) override {
         const std::uint64_t mine = ++wake_no, born = life;
         world.at(std::max(real(local), world.now_), [this, mine, born] {
             if (born == life && mine == wake_no) world.wake(*this);
@@ -49,7 +49,7 @@
     }
     void on_lease_state(const DutyName&, LeaseState, FencingToken) override {}
     void on_write_outcome(const DutyName&, const Key&, WriteOutcome) override {}
-    void remark(std::string_view) override {}
+    void on_warning(std::string_view) override {}
     // Runs at once, or when a stopped process goes on; never for a former one.
     void when_running(std::function<void()> then) {
         if (!agent) return;
@@ -60,7 +60,7 @@
     }
 };
 
-World::World(std::uint32_t seed, const Shape& shape, const SharedConfig& shared_config)
+FleetSimulation::FleetSimulation(std::uint32_t seed, const Shape& shape, const SharedConfig& shared_config)
     : shape_(shape), shared_config_(shared_config), chance_(seed) {
     for (std::size_t d = 0; d < shape.duties; ++d) duties_.emplace_back("d" + std::to_string(d));
     owned_.resize(shape.duties);
@@ -68,17 +68,19 @@
     for (std::size_t n = 0; n < shape.members; ++n) {
         nodes_.push_back(std::make_unique<Node>(*this, n));
         // The first two stand at either end of what is allowed.
-        const double off = n == 0 ? -1 : n == 1 ? 1 : 2 * part() - 1;
+        const double off = n == 0 ? -1 : n == 1 ? 1 : 2 * random_fraction() - 1;
         nodes_.back()->rate = 1 + off * shape.drift;
     }
-    next_trouble_ = next_backup_ = next_work_ = now_;
+    next_fault_ = next_backup_ = next_work_ = now_;
 }
 
-World::~World() = default;
+FleetSimulation::~FleetSimulation() = default;
 
-void World::at(Instant due, std::function<void()> then) { events_[{due, next_++}] = std::move(then); }
+void FleetSimulation::at(TimePoint due, std::function<void()> then) {
+    events_[{due, next_++}] = std::move(then);
+}
 
-void World::start(std::size_t member) {
+void FleetSimulation::start(std::size_t member) {
     Node& n = *nodes_[member];
     ++n.life;
     n.waiting.clear();
@@ -86,20 +88,20 @@
     n.told = {};
     n.history = 0;
     MemberIdentity identity{n.name, InstanceId{n.name.raw() + '.' + std::to_string(n.life)}, "1", n.former};
-    identity.answer_in = ms * 300;
-    identity.spread = shape_.spread;
+    identity.reply_timeout = ms * 300;
+    identity.randomized = shape_.spread;
     n.agent = std::make_unique<Agent>(n, n, shared_config_, identity, chance_());
     if (!n.kept.empty()) n.agent->fence().restore(n.kept);
     n.agent->set_duties(n.clock(), {duties_.begin(), duties_.end()});
     n.agent->start(n.clock());
-    tell(n);
+    deliver_records(n);
 }
 
-void World::start_all() {
+void FleetSimulation::start_all() {
     for (std::size_t n = 0; n < nodes_.size(); ++n) start(n);
 }
 
-void World::kill(std::size_t member) {
+void FleetSimulation::kill(std::size_t member) {
     Node& n = *nodes_[member];
     if (!n.agent) return;
     n.kept = n.agent->fence().serialize();
@@ -109,49 +111,49 @@
     n.waiting.clear();
 }
 
-void World::stop(std::size_t member) { nodes_[member]->stopped = true; }
+void FleetSimulation::stop(std::size_t member) { nodes_[member]->stopped = true; }
 
-void World::go_on(std::size_t member) {
+void FleetSimulation::resume(std::size_t member) {
     Node& n = *nodes_[member];
     n.stopped = false;
     for (const auto& then : std::exchange(n.waiting, {}))
         if (n.agent && !n.stopped) then();
 }
 
-void World::revive(std::size_t member) {
+void FleetSimulation::revive(std::size_t member) {
     Node& n = *nodes_[member];
     if (!n.agent) return start(member);
     n.cut_in = n.cut_out = n.telling = false;
-    go_on(member);
-    tell(n);
+    resume(member);
+    deliver_records(n);
 }
 
-void World::wake(Node& n) {
+void FleetSimulation::wake(Node& n) {
     n.when_running([this, &n] {
         n.agent->on_wake(n.clock());
         check(false);
     });
 }
 
-Span World::delay(double late) {
-    const Span usual = ms * (1 + 20 * part());
-    return chance(late) ? shared_config_.term * (2.5 * part()) : usual;
+Duration FleetSimulation::delay(double late) {
+    const Duration usual = ms * (1 + 20 * random_fraction());
+    return happens(late) ? shared_config_.term * (2.5 * random_fraction()) : usual;
 }
 
-void World::on_submit(Node& n, const Transaction& transaction) {
-    if (n.cut_out || chance(troubles_.lose)) return;
+void FleetSimulation::on_submit(Node& n, const Transaction& transaction) {
+    if (n.cut_out || happens(fault_rates_.lose)) return;
     const std::uint64_t ask = n.ask;
     const std::size_t no = n.no;
-    const int times = chance(troubles_.repeat) ? 2 : 1;
+    const int times = happens(fault_rates_.repeat) ? 2 : 1;
     for (int t = 0; t < times; ++t)
-        at(now_ + delay(troubles_.late), [this, no, ask, transaction] { settle(no, ask, transaction); });
+        at(now_ + delay(fault_rates_.late), [this, no, ask, transaction] { settle(no, ask, transaction); });
 }
 
-void World::settle(std::size_t member, std::uint64_t ask, const Transaction& transaction) {
+void FleetSimulation::settle(std::size_t member, std::uint64_t ask, const Transaction& transaction) {
     if (down_) return;
     ++transactions;
     asked.push_back(now_);
-    const Ledger::Outcome o = ledger_.settle(transaction);
+    const TransactionLedger::Outcome o = ledger_.settle(transaction);
     // The registry's ledger: what was written on behalf of the fleet, in the registry's order.
     for (const auto& [key, value] : transaction.writes) {
         if (key.raw().rfind("work/", 0) == 0) ++(o.held ? written : refused);
@@ -163,10 +165,11 @@
             // DUTY/EPOCH/NAME/START: a member of that incarnation, and no token below one that has written.
             const std::size_t a = value->find('/', slash + 1), b = value->rfind('/');
             const MemberName who{value->substr(a + 1, b - a - 1)};
-            const Holder holder{FencingToken{token}, who, Incarnation{std::atoll(value->c_str() + b + 1)}};
+            const LeaseHolder holder{FencingToken{token}, who,
+                                     Incarnation{std::atoll(value->c_str() + b + 1)}};
             const auto it = ledger_.records().find(member_key(who));
-            const auto writer = it == ledger_.records().end() ? std::nullopt : read_member(it->second);
-            if (!writer || writer->start != holder.start)
+            const auto writer = it == ledger_.records().end() ? std::nullopt : parse_member(it->second);
+            if (!writer || writer->incarnation != holder.incarnation)
                 broken.push_back("a write by one who is no member: " + *value);
             for (int n = 0; n < 2; ++n) order(DutyName{duty}, holder);
             if (token < highest_[duty])
@@ -175,10 +178,10 @@
             highest_[duty] = std::max(highest_[duty], token);
         }
         const auto duty = duty_of(key);
-        const auto record = duty ? read_duty(*value) : std::nullopt;
+        const auto record = duty ? parse_duty(*value) : std::nullopt;
         if (!record || record->owner.raw().empty()) continue;
         ++owners;
-        const std::string who = record->owner.raw() + '/' + std::to_string(record->start.raw());
+        const std::string who = record->owner.raw() + '/' + std::to_string(record->incarnation.raw());
         const auto [it, fresh] = given_.try_emplace({duty->raw(), record->token.raw()}, who);
         if (!fresh && it->second != who)
             broken.push_back("epoch " + std::to_string(record->token.raw()) + " of " + duty->raw() +
@@ -188,11 +191,11 @@
     const bool watched = std::any_of(transaction.writes.begin(), transaction.writes.end(),
                                      [](const Entry& e) { return e.first.raw().rfind("beat/", 0) != 0; });
     if (watched && o.held)
-        for (const auto& n : nodes_) tell(*n);
+        for (const auto& n : nodes_) deliver_records(*n);
     Node& n = *nodes_[member];
-    if (n.ask != ask || n.cut_in || chance(troubles_.lose)) return;
+    if (n.ask != ask || n.cut_in || happens(fault_rates_.lose)) return;
     const std::uint64_t life = n.life, history = histories_;
-    at(now_ + delay(troubles_.late), [this, &n, life, history, ask, o] {
+    at(now_ + delay(fault_rates_.late), [this, &n, life, history, ask, o] {
         if (n.life != life || history != histories_) return;
         n.when_running([this, &n, ask, o] {
             if (n.ask == ask) n.agent->on_transaction_result(n.clock(), o.at, o.held, o.shown);
@@ -202,9 +205,9 @@
 }
 
 // An owner's order to some member, by another way than the registry: late, out of order, from former owners.
-void World::order(const DutyName& duty, const Holder& holder) {
+void FleetSimulation::order(const DutyName& duty, const LeaseHolder& holder) {
     Node& n = *nodes_[chance_() % nodes_.size()];
-    at(now_ + shared_config_.term * (3 * part()), [this, &n, duty, holder] {
+    at(now_ + shared_config_.term * (3 * random_fraction()), [this, &n, duty, holder] {
         if (!n.agent || n.stopped || !n.agent->accepts(duty, holder)) return;
         FencingToken& heeded = heeded_[{n.no, duty}];
         if (holder.token < heeded)
@@ -215,11 +218,11 @@
 }
 
 // The watch: everything up to some revision after a while, in order.
-void World::tell(Node& n) {
+void FleetSimulation::deliver_records(Node& n) {
     if (n.telling || !n.agent) return;
     n.telling = true;
     const std::uint64_t life = n.life;
-    at(now_ + delay(troubles_.late / 4), [this, &n, life] {
+    at(now_ + delay(fault_rates_.late / 4), [this, &n, life] {
         if (n.life != life) return;
         n.telling = false;
         if (n.cut_in || down_) {
@@ -238,27 +241,27 @@
     });
 }
 
-void World::trouble(const Troubles& t) {
+void FleetSimulation::inject_fault(const FaultRates& t) {
     const double share = trouble_every.seconds();
     for (const auto& node : nodes_) {
         Node& n = *node;
-        if (chance(t.cut * share)) n.cut_in = true;
-        if (chance(t.cut * share)) n.cut_out = true;
-        if ((n.cut_in || n.cut_out) && t.cut > 0 && chance(share / 6)) {
+        if (happens(t.cut * share)) n.cut_in = true;
+        if (happens(t.cut * share)) n.cut_out = true;
+        if ((n.cut_in || n.cut_out) && t.cut > 0 && happens(share / 6)) {
             n.cut_in = n.cut_out = false;
             n.telling = false;
-            tell(n);
+            deliver_records(n);
         }
-        if (n.agent && !n.stopped && chance(t.stop * share)) n.stopped = true;
-        if (n.stopped && t.stop > 0 && chance(share / 8)) go_on(n.no);
-        if (n.agent && chance(t.crash * share)) kill(n.no);
-        if (!n.agent && t.crash > 0 && chance(share / 5)) start(n.no);
+        if (n.agent && !n.stopped && happens(t.stop * share)) n.stopped = true;
+        if (n.stopped && t.stop > 0 && happens(share / 8)) resume(n.no);
+        if (n.agent && happens(t.crash * share)) kill(n.no);
+        if (!n.agent && t.crash > 0 && happens(share / 5)) start(n.no);
     }
-    if (chance(t.restore * share)) back(shared_config_.term * (1 + 2 * part()));
+    if (happens(t.restore * share)) restore_backup(shared_config_.term * (1 + 2 * random_fraction()));
 }
 
 // Premise of the guarantees: a backup is more than a term old when the registry answers from it.
-void World::back(Span age) {
+void FleetSimulation::restore_backup(Duration age) {
     for (auto b = backups_.rbegin(); b != backups_.rend(); ++b) {
         if (now_ - b->taken <= age) continue;
         ledger_.restore(b->records, b->revision);
@@ -268,30 +271,30 @@
         backups_.erase(b.base(), backups_.end());
         for (const auto& n : nodes_) {
             n->telling = false;
-            tell(*n);
+            deliver_records(*n);
         }
         return;
     }
 }
 
-void World::down(bool is) {
+void FleetSimulation::set_registry_down(bool is) {
     down_ = is;
     if (!is)
         for (const auto& n : nodes_) {
             n->telling = false;
-            tell(*n);
+            deliver_records(*n);
         }
 }
 
-void World::cut(std::size_t member, bool in, bool out) {
+void FleetSimulation::cut(std::size_t member, bool in, bool out) {
     Node& n = *nodes_[member];
     n.cut_in = in;
     n.cut_out = out;
     n.telling = false;
-    tell(n);
+    deliver_records(n);
 }
 
-std::size_t World::worst(Span window) const {
+std::size_t FleetSimulation::max_transactions_within(Duration window) const {
     std::size_t most = 0;
     for (std::size_t first = 0, last = 0; last < asked.size(); ++last) {
         while (asked[last] - asked[first] > window) ++first;
@@ -300,18 +303,18 @@
     return most;
 }
 
-void World::run(Span time, const Troubles& troubles) {
-    troubles_ = troubles;
-    const Instant end = now_ + time;
+void FleetSimulation::run(Duration time, const FaultRates& troubles) {
+    fault_rates_ = troubles;
+    const TimePoint end = now_ + time;
     while (broken.size() < most_broken) {
-        const Instant due = events_.empty() ? end : events_.begin()->first.first;
-        const Instant timed = std::min({next_trouble_, next_backup_, next_work_});
+        const TimePoint due = events_.empty() ? end : events_.begin()->first.first;
+        const TimePoint timed = std::min({next_fault_, next_backup_, next_work_});
         if (std::min(due, timed) >= end) break;
         if (timed <= due) {
             now_ = std::max(now_, timed);
-            if (now_ >= next_trouble_) {
-                next_trouble_ = now_ + trouble_every;
-                trouble(troubles);
+            if (now_ >= next_fault_) {
+                next_fault_ = now_ + trouble_every;
+                inject_fault(troubles);
                 check(true);
             } else if (now_ >= next_backup_) {
                 next_backup_ = now_ + shared_config_.term * 0.5;
@@ -321,7 +324,8 @@
                 next_work_ = now_ + work_every;
                 for (const auto& n : nodes_)
                     for (const DutyName& d : duties_)
-                        if (shape_.works && n->agent && !n->stopped && n->agent->may_begin(n->clock(), d))
+                        if (shape_.works && n->agent && !n->stopped &&
+                            n->agent->may_begin_work(n->clock(), d))
                             n->agent->write_fenced(
                                 n->clock(), d, Key{"work/" + d.raw() + '/' + std::to_string(++works_ % 8)},
                                 d.raw() + '/' + std::to_string(n->agent->token_of(d).raw()) + '/' +
@@ -338,21 +342,21 @@
     check(true);
 }
 
-std::optional<std::size_t> World::owner(std::size_t duty) const {
+std::optional<std::size_t> FleetSimulation::owner(std::size_t duty) const {
     for (const auto& n : nodes_)
         if (n->agent && n->agent->may_act(n->clock(), duties_[duty])) return n->no;
     return std::nullopt;
 }
 
-void World::mark() {
+void FleetSimulation::mark() {
     longest_without = {};
     asked.clear();
-    for (Instant& t : without_since_) t = now_;
+    for (TimePoint& t : without_since_) t = now_;
 }
 
 // Every process is asked what it would do now, by its own clock; of a large fleet all of them only now and
 // then, and else those that did something.
-void World::check(bool all) {
+void FleetSimulation::check(bool all) {
     if (nodes_.size() > 12 && !all && ++checks_ % 64 != 0) return;
     for (std::size_t d = 0; d < duties_.size(); ++d) {
         std::optional<std::size_t> first;
@@ -369,7 +373,7 @@
     }
 }
 
-std::string World::debug_state() const {
+std::string FleetSimulation::debug_state() const {
     std::string all;
     for (const auto& n : nodes_)
         all += n->name.raw() + (n->agent ? (n->stopped ? " stopped\n" : " up\n") : " down\n") +
--- a/testing/fleet_simulation.hpp
+++ b/testing/fleet_simulation.hpp
@@ -18,10 +18,10 @@
 
 namespace irismux::lab {
 
-class World {
+class FleetSimulation {
 public:
     // Chances: of a message, and, of the others, a second and a member (of `restore` a second).
-    struct Troubles {
+    struct FaultRates {
         double lose = 0, late = 0, repeat = 0;
         double stop = 0, crash = 0, cut = 0, restore = 0;
     };
@@ -31,59 +31,62 @@
         bool spread = true;
         bool works = true;  // owners write on behalf of the fleet all the while
     };
-    World(std::uint32_t seed, const Shape& shape, const fleet::SharedConfig& shared_config);
-    ~World();
+    FleetSimulation(std::uint32_t seed, const Shape& shape, const fleet::SharedConfig& shared_config);
+    ~FleetSimulation();
 
     void start_all();
-    void run(Span time, const Troubles& troubles);
+    void run(Duration time, const FaultRates& troubles);
     void kill(std::size_t member);
     void start(std::size_t member);
     void stop(std::size_t member);
-    void go_on(std::size_t member);
+    void resume(std::size_t member);
     void revive(std::size_t member);  // runs and is linked, whatever it was
-    void down(bool is);               // the registry, for all
-    void back(Span age);  // the registry, to a backup at least so old; one more than a term old is expected
+    void set_registry_down(bool is);  // the registry, for all
+    void restore_backup(
+        Duration age);  // the registry, to a backup at least so old; one more than a term old is expected
     void cut(std::size_t member, bool in, bool out);
-    std::size_t worst(
-        Span window) const;  // transactions that reached the registry within such a stretch, since mark()
+    std::size_t max_transactions_within(
+        Duration window) const;  // transactions that reached the registry within such a stretch, since mark()
 
-    Instant now() const { return now_; }
+    TimePoint now() const { return now_; }
     std::optional<std::size_t> owner(std::size_t duty) const;  // who may act on it at this instant
     std::string debug_state() const;
 
     std::vector<std::string> broken;  // guarantees, each with its instant; checked on each event
     std::uint64_t transactions = 0, written = 0, refused = 0,
-                  owners = 0;    // of the registry; owners: changes of
-    std::vector<Instant> asked;  // of transactions as they reached the registry
-    Span longest_without;        // of any duty, since the last mark()
+                  owners = 0;      // of the registry; owners: changes of
+    std::vector<TimePoint> asked;  // of transactions as they reached the registry
+    Duration longest_without;      // of any duty, since the last mark()
     void mark();
 
 private:
     struct Node;
-    void at(Instant due, std::function<void()> then);
+    void at(TimePoint due, std::function<void()> then);
     void check(bool all);
-    void trouble(const Troubles& t);
+    void inject_fault(const FaultRates& t);
     void on_submit(Node& n, const Transaction& transaction);
     void settle(std::size_t member, std::uint64_t ask, const Transaction& transaction);
-    void tell(Node& n);
-    void order(const fleet::DutyName& duty, const fleet::Holder& holder);
+    void deliver_records(Node& n);
+    void order(const fleet::DutyName& duty, const fleet::LeaseHolder& holder);
     void wake(Node& n);
-    bool chance(double p) { return p > 0 && part() < p; }
-    double part() { return static_cast<double>(chance_()) / static_cast<double>(std::ranlux24_base::max()); }
-    Span delay(double late);
+    bool happens(double p) { return p > 0 && random_fraction() < p; }
+    double random_fraction() {
+        return static_cast<double>(chance_()) / static_cast<double>(std::ranlux24_base::max());
+    }
+    Duration delay(double late);
 
     Shape shape_;
     fleet::SharedConfig shared_config_;
     std::ranlux24_base chance_;
-    Instant now_ = Instant::at_seconds(1000);
+    TimePoint now_ = TimePoint::at_seconds(1000);
     std::uint64_t next_ = 0;
-    std::map<std::pair<Instant, std::uint64_t>, std::function<void()>> events_;
-    Ledger ledger_;
+    std::map<std::pair<TimePoint, std::uint64_t>, std::function<void()>> events_;
+    TransactionLedger ledger_;
     std::uint64_t histories_ = 0;
     bool down_ = false;
     struct Backup {
-        Instant taken;
-        Ledger::Records records;
+        TimePoint taken;
+        TransactionLedger::Records records;
         Revision revision;
     };
     std::vector<Backup> backups_;
@@ -94,9 +97,9 @@
     std::map<std::pair<std::size_t, fleet::DutyName>, fleet::FencingToken>
         heeded_;  // by each, restarts and all
     std::vector<std::optional<std::size_t>> owned_;
-    std::vector<Instant> without_since_;
-    Troubles troubles_;
-    Instant next_trouble_, next_backup_, next_work_;
+    std::vector<TimePoint> without_since_;
+    FaultRates fault_rates_;
+    TimePoint next_fault_, next_backup_, next_work_;
     std::uint64_t works_ = 0, checks_ = 0;
 };
 
--- a/testing/interleaving_explorer.cpp
+++ b/testing/interleaving_explorer.cpp
@@ -31,12 +31,12 @@
 
 struct Ports final : RegistryPort, AgentObserver {
     std::optional<Transaction> asked;
-    Instant wake_at;
+    TimePoint wake_at;
     void submit(const Transaction& d) override { asked = d; }
-    void schedule_wake(Instant at) override { wake_at = at; }
+    void schedule_wake(TimePoint at) override { wake_at = at; }
     void on_lease_state(const DutyName&, LeaseState, FencingToken) override {}
     void on_write_outcome(const DutyName&, const Key&, WriteOutcome) override {}
-    void remark(std::string_view) override {}
+    void on_warning(std::string_view) override {}
 };
 
 struct Node {
@@ -50,7 +50,7 @@
     Incarnation former;
     Revision told;
     int history = -1;
-    std::optional<Ledger::Outcome> answer;  // waits for a stopped process
+    std::optional<TransactionLedger::Outcome> answer;  // waits for a stopped process
 
     Node() = default;
     Node(const Node& o)
@@ -68,8 +68,8 @@
           answer(o.answer) {}
     Node& operator=(const Node&) = delete;
 
-    Instant clock(int tick) const {
-        return Instant{} + Span::micros(1'000'000) + Span::micros(tick_us) * (tick * rate);
+    TimePoint clock(int tick) const {
+        return TimePoint{} + Duration::micros(1'000'000) + Duration::micros(tick_us) * (tick * rate);
     }
 };
 
@@ -83,12 +83,12 @@
 struct State {
     int tick = 0, faults_left = 0, history = 0;
     double drift = 0;
-    Ledger ledger{most_history};
+    TransactionLedger ledger{most_history};
     std::vector<std::unique_ptr<Node>> nodes;
     std::vector<Transaction> late;
     struct Backup {
         int taken = 0;
-        Ledger::Records records;
+        TransactionLedger::Records records;
         Revision revision;
     };
     std::vector<std::shared_ptr<const Backup>> backups;  // one every half term
@@ -113,16 +113,16 @@
         for (const auto& n : o.nodes) nodes.push_back(std::make_unique<Node>(*n));
     }
 
-    Ledger::Outcome settle(const Transaction& transaction) {
-        const Ledger::Outcome o = ledger.settle(transaction);
+    TransactionLedger::Outcome settle(const Transaction& transaction) {
+        const TransactionLedger::Outcome o = ledger.settle(transaction);
         for (const auto& [key, value] : transaction.writes) {
             if (!o.held || !value || key.raw().rfind("work/", 0) != 0) continue;
             // EPOCH/NAME/START: a member of that incarnation, and no token below one that has written.
             const std::size_t a = value->find('/'), b = value->rfind('/');
             const std::int64_t token = std::atoll(value->c_str());
             const auto it = ledger.records().find(member_key(MemberName{value->substr(a + 1, b - a - 1)}));
-            const auto writer = it == ledger.records().end() ? std::nullopt : read_member(it->second);
-            if (!writer || writer->start.raw() != std::atoll(value->c_str() + b + 1))
+            const auto writer = it == ledger.records().end() ? std::nullopt : parse_member(it->second);
+            if (!writer || writer->incarnation.raw() != std::atoll(value->c_str() + b + 1))
                 broken = "a write by one who is no member: " + *value;
             if (token < highest) broken = "a write by epoch " + *value + " after " + std::to_string(highest);
             highest = std::max(highest, token);
@@ -144,10 +144,11 @@
         n.told = {};
         n.history = -1;
         MemberIdentity identity{n.name, InstanceId{n.name.raw() + std::to_string(n.life)}, "1", n.former};
-        identity.answer_in = Span::micros(tick_us);
-        identity.spread = false;
-        n.agent = std::make_unique<Agent>(
-            n.ports, n.ports, SharedConfig{"x", Span::micros(tick_us * ticks_a_term), drift}, identity, 1);
+        identity.reply_timeout = Duration::micros(tick_us);
+        identity.randomized = false;
+        n.agent = std::make_unique<Agent>(n.ports, n.ports,
+                                          SharedConfig{"x", Duration::micros(tick_us * ticks_a_term), drift},
+                                          identity, 1);
         if (!n.kept.empty()) n.agent->fence().restore(n.kept);
         n.agent->set_duties(n.clock(tick), {the_duty});
         n.agent->start(n.clock(tick));
@@ -155,7 +156,7 @@
 
     // One process through one tick; a fault takes its first transaction under way.
     void play(Node& n, Fault fault) {
-        const Instant now = n.clock(tick);
+        const TimePoint now = n.clock(tick);
         if (fault == Fault::die) {
             n.kept = n.agent->fence().serialize();
             n.former = n.agent->incarnation();
@@ -166,7 +167,7 @@
         if (fault == Fault::cut) n.cut = true;
         if (!n.agent || n.stopped) return;
         if (n.answer) {
-            const Ledger::Outcome o = *std::exchange(n.answer, std::nullopt);
+            const TransactionLedger::Outcome o = *std::exchange(n.answer, std::nullopt);
             n.agent->on_transaction_result(now, o.at, o.held, o.shown);
         }
         if (!n.cut && (n.history != history || n.told < ledger.revision())) {
@@ -177,7 +178,7 @@
             if (whole || !list.empty()) n.agent->on_records(now, ledger.revision(), list, whole);
         }
         if (n.ports.wake_at <= now) n.agent->on_wake(now);
-        if (n.agent->may_begin(now, the_duty))
+        if (n.agent->may_begin_work(now, the_duty))
             n.agent->write_fenced(now, the_duty, Key{"work/d"},
                                   std::to_string(n.agent->token_of(the_duty).raw()) + '/' + n.name.raw() +
                                       '/' + std::to_string(n.agent->incarnation().raw()));
@@ -189,7 +190,7 @@
                 n.stopped = f == Fault::stop_sent;
                 return late.push_back(transaction);
             }
-            const Ledger::Outcome o = settle(transaction);
+            const TransactionLedger::Outcome o = settle(transaction);
             if (f == Fault::answer_lost) return;
             if (f == Fault::stop_settled) {
                 n.stopped = true;
--- a/testing/known_endpoints.hpp
+++ b/testing/known_endpoints.hpp
@@ -8,12 +8,12 @@
 
 namespace irismux::lab {
 
-using KnownList = std::map<CacheId, Listing>;
+using KnownEndpoints = std::map<CacheId, EndpointUpdate>;
 
-inline void hear(KnownList& list, const std::vector<ListLine>& lines, bool complete) {
+inline void apply(KnownEndpoints& list, const std::vector<EndpointRecord>& lines, bool complete) {
     if (complete) list.clear();
     for (const auto& [l, address] : lines) {
-        if (l.phase == Phase::gone)
+        if (l.status == EndpointStatus::removed)
             list.erase(l.cache);
         else
             list[l.cache] = l;
--- a/testing/process_fleet.cpp
+++ b/testing/process_fleet.cpp
@@ -17,7 +17,7 @@
 constexpr std::int64_t most_history = 4000;
 constexpr int looks_under_way = 1;
 
-std::string words(const Instance& i) { return i.name.raw() + '/' + std::to_string(i.start.raw()); }
+std::string words(const Instance& i) { return i.name.raw() + '/' + std::to_string(i.incarnation.raw()); }
 
 // A port that nobody listens on now.
 std::string free_address() {
@@ -27,64 +27,66 @@
 
 }  // namespace
 
-Arena::Arena(const Shape& s, const std::string& folder)
-    : registry(loop, s.members, Span::micros(50'000)), shape(s) {
-    for (std::size_t c = 0; c < shape.caches; ++c)
-        caches.push_back(std::make_unique<Cache>(loop, "c" + std::to_string(c + 1), Span::micros(2'000)));
-    gateways.resize(shape.gateways);
-    for (std::size_t n = 0; n < shape.gateways; ++n) build(n, folder + "/g" + std::to_string(n + 1));
-    registry.settled = [this](const Registry::Settled& t) {
+ProcessFleet::ProcessFleet(const Options& s, const std::string& folder)
+    : registry(loop, s.members, Duration::micros(50'000)), options(s) {
+    for (std::size_t c = 0; c < options.caches; ++c)
+        caches.push_back(std::make_unique<Cache>(loop, "c" + std::to_string(c + 1), Duration::micros(2'000)));
+    gateways.resize(options.gateways);
+    for (std::size_t n = 0; n < options.gateways; ++n) build(n, folder + "/g" + std::to_string(n + 1));
+    registry.settled = [this](const RegistryStandIn::Settled& t) {
         check(t);
-        at_deal(t);
+        on_transaction(t);
         if (registry.model.newest().raw() - registry.model.oldest().raw() > 2 * most_history)
             registry.model.compact(Revision{registry.model.newest().raw() - most_history});
     };
 }
 
-Arena::~Arena() {
+ProcessFleet::~ProcessFleet() {
     for (Gateway& g : gateways) g.process.reset();
 }
 
-void Arena::build(std::size_t n, const std::string& folder) {
+void ProcessFleet::build(std::size_t n, const std::string& folder) {
     fs::create_directories(folder);
     Gateway& g = gateways[n];
     g.name = "g" + std::to_string(n + 1);
-    g.board = std::make_unique<Board>(loop);
-    g.to_board = std::make_unique<Relay>(loop, g.board->address());
-    for (std::size_t m = 0; m < shape.members; ++m)
-        g.to_registry.push_back(std::make_unique<Relay>(loop, registry.address(m)));
+    g.board = std::make_unique<NoticeBoard>(loop);
+    g.to_board = std::make_unique<FaultProxy>(loop, g.board->address());
+    for (std::size_t m = 0; m < options.members; ++m)
+        g.to_registry.push_back(std::make_unique<FaultProxy>(loop, registry.address(m)));
     nlohmann::json lines = nlohmann::json::array();
-    for (std::size_t c = 0; c < shape.caches; ++c) {
-        g.to_caches.push_back(std::make_unique<Relay>(loop, caches[c]->address()));
-        g.to_caches[c]->seen = [this, n, c](Way w, std::string_view bytes) {
-            if (w == Way::out && bytes.find("ECHO") != std::string_view::npos) check_look(n, c);
+    for (std::size_t c = 0; c < options.caches; ++c) {
+        g.to_caches.push_back(std::make_unique<FaultProxy>(loop, caches[c]->address()));
+        g.to_caches[c]->seen = [this, n, c](Direction w, std::string_view bytes) {
+            if (w == Direction::to_server && bytes.find("ECHO") != std::string_view::npos)
+                check_health_check(n, c);
         };
-        lines.push_back(list_line(caches[c]->id(), "node", "plant", g.to_caches[c]->address(), "Ready"));
+        lines.push_back(endpoint_json(caches[c]->id(), "node", "plant", g.to_caches[c]->address(), "Ready"));
     }
     g.board->post({{"pool", {{"version", 1}, {"full", true}, {"servers", lines}}}});
     g.listen = free_address();
-    g.from_clients = std::make_unique<Relay>(loop, g.listen);
-    g.clients = std::make_unique<Clients>(loop, g.from_clients->address(), "pages", shape.ask_every,
-                                          Span::micros(2'000'000));
+    g.from_clients = std::make_unique<FaultProxy>(loop, g.listen);
+    g.clients = std::make_unique<ClientLoad>(loop, g.from_clients->address(), "pages",
+                                             options.request_interval, Duration::micros(2'000'000));
     nlohmann::json c = configuration(g.listen, g.to_board->address(), g.board->known());
     c["name"] = g.name;
     c["seed"] = std::to_string(n + 1);
-    c["settings"]["balancers"] = shape.gateways;
-    c["settings"]["specifics"]["zoneBalancers"] = {0, shape.gateways};
-    c["settings"]["ceilings"]["probes"] = shape.probes;
+    c["settings"]["balancers"] = options.gateways;
+    c["settings"]["specifics"]["zoneBalancers"] = {0, options.gateways};
+    c["settings"]["ceilings"]["probes"] = options.probes;
     g.configuration = folder + "/config.json";
     std::ofstream(g.configuration) << c.dump();
     std::string members;
     for (const auto& r : g.to_registry) members += (members.empty() ? "\"" : ", \"") + r->address() + '"';
-    const auto ms = [](Span s) { return '"' + std::to_string(s.micros() / 1000) + "ms\"\n"; };
+    const auto ms = [](Duration s) { return '"' + std::to_string(s.micros() / 1000) + "ms\"\n"; };
     g.parts = folder + "/parts.toml";
     std::ofstream parts(g.parts);
     parts << "[fleet]\nmembers = [" << members << "]\ninstallation = \"arena\"\nprefix = \"" << prefix
-          << "\"\nterm = " << ms(shape.term) << "drift = " << shape.drift
-          << "\nanswer_in = " << ms(shape.term * 0.125) << "quiet = " << ms(shape.term * 0.5)
-          << "look_every = " << ms(shape.look_every) << "sweep_every = " << ms(shape.sweep_every);
-    if (shape.keeps) parts << "keep_in = \"" << folder << "/store\"\n";
-    parts << shape.fleet_lines(n);
+          << "\"\nterm = " << ms(options.term) << "drift = " << options.drift
+          << "\nanswer_in = " << ms(options.term * 0.125) << "quiet = " << ms(options.term * 0.5)
+          << "look_every = " << ms(options.health_check_interval)
+          << "sweep_every = " << ms(options.collection_interval);
+    if (options.stores_tokens) parts << "keep_in = \"" << folder << "/store\"\n";
+    parts << options.fleet_lines(n);
     g.log = folder + "/log";
     g.clock = folder + "/clock";
     std::ofstream(g.clock) << std::string(2 * sizeof(double), '\0');
@@ -93,46 +95,46 @@
 
 // --- orders ----------------------------------------------------------------------------------------------
 
-void Arena::start(std::size_t n) {
+void ProcessFleet::start(std::size_t n) {
     Gateway& g = gateways[n];
     g.stopped = false;
     std::vector<std::string> environment{"NODE_CONFIG=" + g.configuration};
-    if (!shape.clock.empty())
-        for (const std::string& e : {"LD_PRELOAD=" + shape.clock, "IRISMUX_LAB_CLOCK=" + g.clock,
+    if (!options.clock.empty())
+        for (const std::string& e : {"LD_PRELOAD=" + options.clock, "IRISMUX_LAB_CLOCK=" + g.clock,
                                      std::string("ASAN_OPTIONS=verify_asan_link_order=0")})
             environment.push_back(e);
     g.process = std::make_unique<Process>(
-        Process::Start{{shape.program, "serve", "--parts", g.parts}, environment, "", g.log});
+        Process::Start{{options.program, "serve", "--parts", g.parts}, environment, "", g.log});
 }
 
-void Arena::start_all() {
+void ProcessFleet::start_all() {
     for (std::size_t n = 0; n < gateways.size(); ++n) start(n);
 }
 
-void Arena::kill(std::size_t n) { gateways[n].process.reset(); }
+void ProcessFleet::kill(std::size_t n) { gateways[n].process.reset(); }
 
-void Arena::stop(std::size_t n) {
+void ProcessFleet::stop(std::size_t n) {
     gateways[n].stopped = true;
     if (gateways[n].process) gateways[n].process->signal(SIGSTOP);
 }
 
-void Arena::go_on(std::size_t n) {
+void ProcessFleet::resume(std::size_t n) {
     gateways[n].stopped = false;
     if (gateways[n].process) gateways[n].process->signal(SIGCONT);
 }
 
-void Arena::cut_registry(std::size_t n, bool out, bool back) {
+void ProcessFleet::cut_registry(std::size_t n, bool out, bool back) {
     for (const auto& r : gateways[n].to_registry) {
-        r->hold(Way::out, out);
-        r->hold(Way::back, back);
+        r->hold(Direction::to_server, out);
+        r->hold(Direction::to_client, back);
     }
 }
 
-void Arena::cut_caches(std::size_t n, bool is) {
+void ProcessFleet::cut_caches(std::size_t n, bool is) {
     for (const auto& r : gateways[n].to_caches) r->cut(is);
 }
 
-void Arena::cache_dies(std::size_t c, bool is) {
+void ProcessFleet::set_cache_dead(std::size_t c, bool is) {
     if (is)
         caches[c]->die();
     else
@@ -140,7 +142,7 @@
     for (const Gateway& g : gateways) g.to_caches[c]->down(is);
 }
 
-void Arena::clock(std::size_t n, double rate, Span ahead) {
+void ProcessFleet::clock(std::size_t n, double rate, Duration ahead) {
     const std::int64_t us = ahead.micros();
     // In place: the process has the file mapped.
     std::fstream file(gateways[n].clock, std::ios::in | std::ios::out | std::ios::binary);
@@ -148,7 +150,7 @@
     file.write(reinterpret_cast<const char*>(&us), sizeof us);
 }
 
-void Arena::serve(std::size_t n) {
+void ProcessFleet::serve(std::size_t n) {
     until([&] {
         const auto seen = sockets_of(gateways[n].process->id());
         return std::any_of(seen.begin(), seen.end(), [](const SeenSocket& s) { return s.listening; });
@@ -156,63 +158,66 @@
     gateways[n].clients->start();
 }
 
-bool Arena::until(std::function<bool()> so, Span most) { return stretches_.until(std::move(so), most); }
+bool ProcessFleet::until(std::function<bool()> so, Duration most) {
+    return intervals_.until(std::move(so), most);
+}
 
-void Arena::pass(Span time) {
-    const Instant end = loop.now() + time;
-    stretches_.until([&] { return loop.now() >= end; }, time + time);
+void ProcessFleet::pass(Duration time) {
+    const TimePoint end = loop.now() + time;
+    intervals_.until([&] { return loop.now() >= end; }, time + time);
 }
 
 // --- what the far ends show ------------------------------------------------------------------------------
 
-std::optional<std::string> Arena::record(const std::string& key) const {
+std::optional<std::string> ProcessFleet::record(const std::string& key) const {
     const auto* state = registry.model.at(registry.model.newest());
     const auto it = state->find(RecordKey{prefix + path_of(Key{key})});
     return it == state->end() ? std::nullopt : std::optional(it->second.value);
 }
 
-std::optional<DutyRecord> Arena::duty(const std::string& name) const {
+std::optional<DutyRecord> ProcessFleet::duty(const std::string& name) const {
     const auto text = record(duty_key(DutyName{name}).raw());
-    return text ? read_duty(*text) : std::nullopt;
+    return text ? parse_duty(*text) : std::nullopt;
 }
 
-std::optional<MemberRecord> Arena::member(std::size_t n) const {
+std::optional<MemberRecord> ProcessFleet::member(std::size_t n) const {
     const auto text = record(member_key(MemberName{gateways[n].name}).raw());
-    return text ? read_member(*text) : std::nullopt;
+    return text ? parse_member(*text) : std::nullopt;
 }
 
-std::optional<std::size_t> Arena::number_of(const MemberName& name) const {
+std::optional<std::size_t> ProcessFleet::number_of(const MemberName& name) const {
     for (std::size_t n = 0; n < gateways.size(); ++n)
         if (gateways[n].name == name.raw()) return n;
     return std::nullopt;
 }
 
-std::optional<std::size_t> Arena::owner(const std::string& name) const {
+std::optional<std::size_t> ProcessFleet::owner(const std::string& name) const {
     const auto d = duty(name);
     const auto n = d ? number_of(d->owner) : std::nullopt;
     const auto m = n ? member(*n) : std::nullopt;
-    return m && m->start == d->start ? n : std::nullopt;
+    return m && m->incarnation == d->incarnation ? n : std::nullopt;
 }
 
-bool Arena::all_in() const {
+bool ProcessFleet::all_joined() const {
     for (std::size_t n = 0; n < gateways.size(); ++n)
         if (!member(n)) return false;
     return true;
 }
 
-std::size_t Arena::accepted(const std::string& name, std::size_t n, Incarnation start) const {
-    return static_cast<std::size_t>(std::count_if(written.begin(), written.end(), [&](const Written& w) {
-        return w.held && w.duty == name && w.by == Instance{MemberName{gateways[n].name}, start};
-    }));
+std::size_t ProcessFleet::accepted(const std::string& name, std::size_t n, Incarnation start) const {
+    return static_cast<std::size_t>(
+        std::count_if(written.begin(), written.end(), [&](const FencedWriteSeen& w) {
+            return w.held && w.duty == name && w.by == Instance{MemberName{gateways[n].name}, start};
+        }));
 }
 
-bool Arena::said(std::size_t n, const std::string& part) const {
+bool ProcessFleet::logged(std::size_t n, const std::string& part) const {
     std::ifstream in(gateways[n].log);
     const std::string all((std::istreambuf_iterator<char>(in)), {});
     return all.find(part) != std::string::npos;
 }
 
-void Arena::all_answered() {
+void ProcessFleet::all_answered() {
     for (const Gateway& g : gateways) g.clients->stop();
     until([&] {
         return std::all_of(gateways.begin(), gateways.end(),
@@ -226,33 +231,34 @@
 }
 
 // At each transaction that the registry settles.
-void Arena::check(const Registry::Settled& t) {
+void ProcessFleet::check(const RegistryStandIn::Settled& t) {
     for (const auto& [path, value] : t.writes) {
         if (!value || path.rfind(prefix, 0) != 0) continue;
         const Key key = key_at(path.substr(std::string_view(prefix).size()));
         if (const auto d = duty_of(key)) {
-            const auto r = read_duty(*value);
+            const auto r = parse_duty(*value);
             if (!r || !t.held) continue;
-            const Instance by{r->owner, r->start};
-            taken.push_back({t.at, d->raw(), r->token, by});
+            const Instance by{r->owner, r->incarnation};
+            ownership_changes.push_back({t.at, d->raw(), r->token, by});
             if (by.name.raw().empty()) continue;
             const auto [it, fresh] = given_.try_emplace({d->raw(), r->token}, by);
             if (!fresh && it->second != by)
                 broken.insert("epoch " + std::to_string(r->token.raw()) + " of " + d->raw() + " given to " +
                               words(it->second) + " and " + words(by));
         }
-        std::optional<Written> w;
-        if (const auto s = key == collection_progress_key() ? read_collection_progress(*value) : std::nullopt)
-            w = Written{t.at, "sweep", s->token, s->by, t.held};
-        if (const auto c = probed_cache_of(key))
-            if (const auto f = read_probe_result(*value))
-                w = Written{t.at, health_watch_duty(*c).raw(), f->token, f->by, t.held};
+        std::optional<FencedWriteSeen> w;
+        if (const auto s =
+                key == collection_progress_key() ? parse_collection_progress(*value) : std::nullopt)
+            w = FencedWriteSeen{t.at, "sweep", s->token, s->by, t.held};
+        if (const auto c = health_record_cache(key))
+            if (const auto f = parse_health_record(*value))
+                w = FencedWriteSeen{t.at, health_watch_duty(*c).raw(), f->token, f->by, t.held};
         if (!w) continue;
         written.push_back(*w);
         if (!w->held) continue;
         const auto now_owns = duty(w->duty);
         if (!now_owns || now_owns->token != w->token || now_owns->owner != w->by.name ||
-            now_owns->start != w->by.start)
+            now_owns->incarnation != w->by.incarnation)
             broken.insert("a write on " + w->duty + " by " + words(w->by) + " under epoch " +
                           std::to_string(w->token.raw()) + ", which does not own it");
         FencingToken& highest = highest_[w->duty];
@@ -264,16 +270,16 @@
 }
 
 // Whoever looked at a cache before another did is a former owner of that watch, until it owns it again.
-void Arena::check_look(std::size_t gateway, std::size_t cache) {
-    looks.push_back({loop.now(), gateway, cache});
-    auto& order = lookers_[cache];
+void ProcessFleet::check_health_check(std::size_t gateway, std::size_t cache) {
+    health_checks.push_back({loop.now(), gateway, cache});
+    auto& order = health_checkers_[cache];
     if (!order.empty() && order.back() == gateway) return;
     const auto d = duty(health_watch_duty(CacheId{caches[cache]->id()}).raw());
     const bool owns = d && d->owner.raw() == gateways[gateway].name;
     if (order.empty() || owns) {
         order.push_back(gateway);
-        late_looks_[cache] = 0;
-    } else if (++late_looks_[cache] > looks_under_way) {
+        late_health_checks_[cache] = 0;
+    } else if (++late_health_checks_[cache] > looks_under_way) {
         broken.insert(gateways[gateway].name + " goes on looking at " + caches[cache]->id() +
                       " after another has begun to");
     }
--- a/testing/process_fleet.hpp
+++ b/testing/process_fleet.hpp
@@ -29,31 +29,32 @@
 
 namespace irismux::lab {
 
-class Arena {
+class ProcessFleet {
 public:
-    struct Shape {
+    struct Options {
         std::string program;
         std::size_t gateways = 3, caches = 2, members = 3;
-        Span term = Span::micros(800'000);
+        Duration term = Duration::micros(800'000);
         double drift = 0.05;
-        Span look_every = Span::micros(200'000), sweep_every = Span::micros(100'000);
-        Span ask_every = Span::micros(10'000);  // of each gateway's clients
+        Duration health_check_interval = Duration::micros(200'000),
+                 collection_interval = Duration::micros(100'000);
+        Duration request_interval = Duration::micros(10'000);  // of each gateway's clients
         bool probes = true;
-        bool keeps = false;  // stores the tokens seen, in a folder of each gateway's own
+        bool stores_tokens = false;  // stores the tokens seen, in a folder of each gateway's own
         // More keys of a gateway's [fleet].
         std::function<std::string(std::size_t)> fleet_lines = [](std::size_t) { return std::string(); };
         std::string clock;  // the library that shows other clocks; empty: all have the machine's
     };
 
-    Arena(const Shape& shape, const std::string& folder);
-    ~Arena();
+    ProcessFleet(const Options& shape, const std::string& folder);
+    ~ProcessFleet();
 
     struct Gateway {
         std::string name;
-        std::unique_ptr<Board> board;
-        std::unique_ptr<Relay> to_board, from_clients;
-        std::vector<std::unique_ptr<Relay>> to_registry, to_caches;
-        std::unique_ptr<Clients> clients;
+        std::unique_ptr<NoticeBoard> board;
+        std::unique_ptr<FaultProxy> to_board, from_clients;
+        std::vector<std::unique_ptr<FaultProxy>> to_registry, to_caches;
+        std::unique_ptr<ClientLoad> clients;
         std::unique_ptr<Process> process;
         std::string configuration, parts, log, listen, clock;
         bool stopped = false;
@@ -63,71 +64,72 @@
     void start(std::size_t n);
     void start_all();
     void kill(std::size_t n);
-    void stop(std::size_t n);   // SIGSTOP: the process and its clock's reader stand still, time goes on
-    void go_on(std::size_t n);  // SIGCONT
+    void stop(std::size_t n);    // SIGSTOP: the process and its clock's reader stand still, time goes on
+    void resume(std::size_t n);  // SIGCONT
     void cut_registry(std::size_t n, bool out, bool back);
     void cut_caches(std::size_t n, bool is);
-    void cache_dies(std::size_t c, bool is);  // for all; a process of no gateway's
-    void serve(std::size_t n);                // its clients ask, from now on
+    void set_cache_dead(std::size_t c, bool is);  // for all; a process of no gateway's
+    void serve(std::size_t n);                    // its clients ask, from now on
     // What its steady clocks show from now on, where the shape has a clock: their rate, and how far ahead
     // they are.
-    void clock(std::size_t n, double rate, Span ahead = {});
-    bool until(std::function<bool()> so, Span most = Span::micros(20'000'000));
-    void pass(Span time);  // nothing is waited for; only to let harm happen that must not
+    void clock(std::size_t n, double rate, Duration ahead = {});
+    bool until(std::function<bool()> so, Duration most = Duration::micros(20'000'000));
+    void pass(Duration time);  // nothing is waited for; only to let harm happen that must not
 
     // --- what the far ends show
     std::optional<fleet::DutyRecord> duty(const std::string& name) const;
     std::optional<std::size_t> owner(const std::string& duty) const;  // who lives, as the registry has it
     std::optional<fleet::MemberRecord> member(std::size_t n) const;
     std::optional<std::string> record(const std::string& key) const;  // behind what is watched
-    bool all_in() const;
-    struct Written {
-        Instant at;
+    bool all_joined() const;
+    struct FencedWriteSeen {
+        TimePoint at;
         std::string duty;
         fleet::FencingToken token;
         fleet::Instance by;
         bool held = false;
     };
-    std::vector<Written> written;  // tries, too
-    struct Looked {
-        Instant at;
+    std::vector<FencedWriteSeen> written;  // tries, too
+    struct HealthCheckSeen {
+        TimePoint at;
         std::size_t gateway = 0, cache = 0;
     };
-    std::vector<Looked> looks;
-    struct Taken {
-        Instant at;
+    std::vector<HealthCheckSeen> health_checks;
+    struct OwnershipChange {
+        TimePoint at;
         std::string duty;
         fleet::FencingToken token;
         fleet::Instance by;  // nobody: given up
     };
-    std::vector<Taken> taken;
+    std::vector<OwnershipChange> ownership_changes;
     std::size_t accepted(const std::string& duty, std::size_t n, fleet::Incarnation start) const;
     std::set<std::string> broken;
-    bool said(std::size_t n, const std::string& part_of_a_line) const;
+    bool logged(std::size_t n, const std::string& part_of_a_line) const;
     // What the last-named rule says of the clients: no answer twice, and in the end none owed.
     void all_answered();
 
-    Loop loop;
-    Registry registry;
+    EventLoop loop;
+    RegistryStandIn registry;
     std::vector<std::unique_ptr<Cache>> caches;
     std::vector<Gateway> gateways;
-    const Shape shape;
+    const Options options;
     // Called for each settled transaction, after it has been checked.
-    std::function<void(const Registry::Settled&)> at_deal = [](const Registry::Settled&) {};
+    std::function<void(const RegistryStandIn::Settled&)> on_transaction =
+        [](const RegistryStandIn::Settled&) {};
 
     static constexpr const char* prefix = "/fleet/";
 
 private:
     void build(std::size_t n, const std::string& folder);
-    void check(const Registry::Settled&);
-    void check_look(std::size_t gateway, std::size_t cache);
+    void check(const RegistryStandIn::Settled&);
+    void check_health_check(std::size_t gateway, std::size_t cache);
     std::optional<std::size_t> number_of(const fleet::MemberName&) const;
 
     std::map<std::string, fleet::FencingToken> highest_;
     std::map<std::pair<std::string, fleet::FencingToken>, fleet::Instance> given_;
-    std::map<std::size_t, std::vector<std::size_t>> lookers_;  // of a cache, in order
-    std::map<std::size_t, int> late_looks_;
-    Stretches stretches_{loop};  // the last: nothing of the above may go while the loop runs
+    std::map<std::size_t, std::vector<std::size_t>> health_checkers_;  // of a cache, in order
+    std::map<std::size_t, int> late_health_checks_;
+    Intervals intervals_{loop};  // the last: nothing of the above may go while the loop runs
 };
 
 }  // namespace irismux::lab
--- a/testing/registry_stand_in.cpp
+++ b/testing/registry_stand_in.cpp
@@ -40,31 +40,32 @@
 
 }  // namespace
 
-Registry::Registry(Loop& loop, std::size_t members, Span progress) : loop_(loop), progress_(progress) {
+RegistryStandIn::RegistryStandIn(EventLoop& loop, std::size_t members, Duration progress)
+    : loop_(loop), progress_(progress) {
     for (std::size_t n = 0; n < members; ++n) {
         members_.push_back(std::make_unique<Member>());
         members_.back()->no = n;
         listen(*members_.back(), "127.0.0.1:0");
     }
-    Registry::progress();
+    RegistryStandIn::progress();
 }
 
-Registry::~Registry() { loop_.forget(tick_); }
+RegistryStandIn::~RegistryStandIn() { loop_.cancel(tick_); }
 
-Revision Registry::shown(const Member& m) const {
+Revision RegistryStandIn::shown(const Member& m) const {
     return std::max(model.oldest(), Revision{model.newest().raw() - m.faults.lag});
 }
 
-void Registry::listen(Member& m, const std::string& at) {
+void RegistryStandIn::listen(Member& m, const std::string& at) {
     m.acceptor = std::make_unique<Acceptor>(
         loop_,
         [this, &m](Poco::Net::StreamSocket s) {
             ++ledger.connections;
             if (m.faults.refuse) return s.close();
-            auto w = std::make_shared<Wire>(loop_, std::move(s));
-            std::erase_if(m.wires, [](const auto& old) { return old->state() == LinkState::ended; });
+            auto w = std::make_shared<StandInConnection>(loop_, std::move(s));
+            std::erase_if(m.wires, [](const auto& old) { return old->state() == ConnectionState::closed; });
             m.wires.push_back(w);
-            w->got = [this, &m, raw = std::weak_ptr<Wire>(w)](Buffer& in) {
+            w->got = [this, &m, raw = std::weak_ptr<StandInConnection>(w)](Buffer& in) {
                 const auto wire = raw.lock();
                 while (wire) {
                     const std::string_view all = in.view();
@@ -80,9 +81,9 @@
                     const std::string token(
                         auth < head ? all.substr(auth + 15, all.find('\r', auth) - auth - 15) : "");
                     const std::string body(all.substr(head + 4, length));
-                    in.taken(head + 4 + length);
+                    in.consumed(head + 4 + length);
                     if (!m.faults.mute) asked(m, wire, target, token, body);
-                    if (wire->state() != LinkState::open) return;
+                    if (wire->state() != ConnectionState::open) return;
                 }
             };
             w->start();
@@ -91,36 +92,40 @@
     m.address = m.acceptor->address();
 }
 
-void Registry::answer(Member& m, const std::shared_ptr<Wire>& w, int status, std::string body) {
+void RegistryStandIn::answer(Member& m, const std::shared_ptr<StandInConnection>& w, int status,
+                             std::string body) {
     if (std::exchange(m.faults.garble, false)) std::reverse(body.begin(), body.end());
-    loop_.at(loop_.now() + m.faults.delay, [weak = std::weak_ptr<Wire>(w), status, body] {
-        const auto to = weak.lock();
-        if (!to || to->state() != LinkState::open) return;
-        to->out().append("HTTP/1.1 " + std::to_string(status) +
-                         " X\r\nContent-Type: application/json\r\nContent-Length: " +
-                         std::to_string(body.size()) + "\r\n\r\n" + body);
-        to->say();
-    });
+    loop_.schedule_at(loop_.now() + m.faults.delay,
+                      [weak = std::weak_ptr<StandInConnection>(w), status, body] {
+                          const auto to = weak.lock();
+                          if (!to || to->state() != ConnectionState::open) return;
+                          to->out().append("HTTP/1.1 " + std::to_string(status) +
+                                           " X\r\nContent-Type: application/json\r\nContent-Length: " +
+                                           std::to_string(body.size()) + "\r\n\r\n" + body);
+                          to->write();
+                      });
 }
 
-void Registry::stream(Member& m, const std::shared_ptr<Wire>& w, std::string message) {
+void RegistryStandIn::stream(Member& m, const std::shared_ptr<StandInConnection>& w, std::string message) {
     message += '\n';
     std::ostringstream chunk;
     chunk << std::hex << message.size() << "\r\n" << message << "\r\n";
     std::string bytes = chunk.str();
     const bool cut = std::exchange(m.faults.cut, false);
     if (cut) bytes.resize(bytes.size() / 2);
-    loop_.at(loop_.now() + m.faults.delay, [weak = std::weak_ptr<Wire>(w), bytes, cut, this] {
-        const auto to = weak.lock();
-        if (!to || to->state() != LinkState::open) return;
-        to->out().append(bytes);
-        to->say();
-        if (cut) loop_.at(loop_.now() + Span::micros(2000), [to] { to->close(); });
-    });
+    loop_.schedule_at(loop_.now() + m.faults.delay,
+                      [weak = std::weak_ptr<StandInConnection>(w), bytes, cut, this] {
+                          const auto to = weak.lock();
+                          if (!to || to->state() != ConnectionState::open) return;
+                          to->out().append(bytes);
+                          to->write();
+                          if (cut)
+                              loop_.schedule_at(loop_.now() + Duration::micros(2000), [to] { to->close(); });
+                      });
 }
 
-void Registry::asked(Member& m, const std::shared_ptr<Wire>& w, const std::string& target,
-                     const std::string& token, const std::string& body) {
+void RegistryStandIn::asked(Member& m, const std::shared_ptr<StandInConnection>& w, const std::string& target,
+                            const std::string& token, const std::string& body) {
     ledger.asked.push_back(loop_.now());
     const json o = json::parse(body, nullptr, false);
     const json header = {{"cluster_id", model.cluster().raw()},
@@ -205,7 +210,7 @@
 }
 
 // Members that lag take part in transactions as all do: those are agreed on.
-json Registry::transact(std::size_t member, const json& asked) {
+json RegistryStandIn::transact(std::size_t member, const json& asked) {
     ++ledger.txns;
     const RegistryModel::State& state = *model.at(model.newest());
     const auto found = [](const RegistryModel::State& in, const std::string& key) {
@@ -257,17 +262,17 @@
     return out;
 }
 
-void Registry::cancel(Member& m, const std::shared_ptr<Wire>& w) {
+void RegistryStandIn::cancel(Member& m, const std::shared_ptr<StandInConnection>& w) {
     const json header = {{"cluster_id", model.cluster().raw()}, {"revision", std::to_string(shown(m).raw())}};
     const json result = {
         {"header", header}, {"canceled", true}, {"compact_revision", std::to_string(model.oldest().raw())}};
     stream(m, w, json{{"result", result}}.dump());
 }
 
-void Registry::feed(Member& m) {
+void RegistryStandIn::feed(Member& m) {
     std::erase_if(m.watchers, [](const Watcher& x) {
         const auto w = x.wire.lock();
-        return !w || w->state() == LinkState::ended;
+        return !w || w->state() == ConnectionState::closed;
     });
     if (m.faults.silent) return;
     // Watchers of the same prefix that are as far as each other get the same messages: encoded once.
@@ -290,8 +295,8 @@
 }
 
 // What a watch of that prefix is told from that revision on; none: that is compacted.
-std::optional<Registry::Messages> Registry::messages(const Member& m, const std::string& prefix,
-                                                     Revision from) const {
+std::optional<RegistryStandIn::Messages> RegistryStandIn::messages(const Member& m, const std::string& prefix,
+                                                                   Revision from) const {
     const auto all = model.changes(from, shown(m));
     if (!all) return std::nullopt;
     std::vector<Change> ours;
@@ -318,36 +323,36 @@
     return made;
 }
 
-void Registry::publish() {
+void RegistryStandIn::publish() {
     for (const auto& m : members_) feed(*m);
 }
 
 // What a registry says when there is nothing to say.
-void Registry::progress() {
+void RegistryStandIn::progress() {
     for (const auto& m : members_) {
         feed(*m);
         for (const Watcher& x : m->watchers) {
             const auto w = x.wire.lock();
-            if (!w || w->state() != LinkState::open || m->faults.silent || m->faults.mute) continue;
+            if (!w || w->state() != ConnectionState::open || m->faults.silent || m->faults.mute) continue;
             const json header = {{"cluster_id", model.cluster().raw()},
                                  {"revision", std::to_string(shown(*m).raw())}};
             stream(*m, w, json{{"result", {{"header", header}}}}.dump());
         }
     }
-    tick_ = loop_.at(loop_.now() + progress_, [this] { progress(); });
+    tick_ = loop_.schedule_at(loop_.now() + progress_, [this] { progress(); });
 }
 
-void Registry::break_connections(std::size_t member) {
+void RegistryStandIn::break_connections(std::size_t member) {
     for (const auto& w : std::exchange(members_[member]->wires, {})) w->close();
     members_[member]->watchers.clear();
 }
 
-void Registry::down(std::size_t member) {
+void RegistryStandIn::down(std::size_t member) {
     break_connections(member);
     members_[member]->acceptor.reset();
 }
 
-void Registry::up(std::size_t member) {
+void RegistryStandIn::up(std::size_t member) {
     if (!members_[member]->acceptor) listen(*members_[member], members_[member]->address);
 }
 
--- a/testing/registry_stand_in.hpp
+++ b/testing/registry_stand_in.hpp
@@ -17,7 +17,7 @@
 
 namespace irismux::lab {
 
-class Registry {
+class RegistryStandIn {
 public:
     struct Faults {
         bool refuse = false;  // connections are closed as they come
@@ -28,24 +28,24 @@
         bool vanish = false;  // the next write is done, and the connection closed without an answer
         int lag = 0;          // revisions that this member is behind
         int fragment = 0;     // changes a piece of a watch's message; zero: whole
-        Span delay;           // before anything is said
+        Duration delay;       // before anything is said
     };
     struct Ledger {
         int reads = 0, checks = 0, watches = 0, connections = 0, refused = 0, logins = 0;
         int txns = 0, held = 0;  // transactions, and those that wrote
         std::uint64_t told = 0;  // changes, each as often as a watch was told of it
-        std::vector<Instant> asked;
+        std::vector<TimePoint> asked;
     };
 
-    Registry(Loop& loop, std::size_t members, Span progress);
-    ~Registry();
+    RegistryStandIn(EventLoop& loop, std::size_t members, Duration progress);
+    ~RegistryStandIn();
 
     std::string address(std::size_t member) const { return members_[member]->address; }
     RegistryModel model;
     Ledger ledger;
     // Each transaction once it has been settled and before it is answered; nothing of it may be changed.
     struct Settled {
-        Instant at;
+        TimePoint at;
         std::size_t member = 0;
         std::vector<std::string> compared;  // keys
         std::vector<std::pair<std::string, std::optional<std::string>>> writes;
@@ -64,7 +64,7 @@
 
 private:
     struct Watcher {
-        std::weak_ptr<Wire> wire;
+        std::weak_ptr<StandInConnection> wire;
         std::string prefix;
         Revision next;
     };
@@ -72,19 +72,19 @@
         std::size_t no = 0;
         std::string address;
         std::unique_ptr<Acceptor> acceptor;
-        std::vector<std::shared_ptr<Wire>> wires;
+        std::vector<std::shared_ptr<StandInConnection>> wires;
         std::vector<Watcher> watchers;
         Faults faults;
     };
 
     void listen(Member& m, const std::string& at);
-    void asked(Member& m, const std::shared_ptr<Wire>& w, const std::string& target, const std::string& token,
-               const std::string& body);
-    void answer(Member& m, const std::shared_ptr<Wire>& w, int status, std::string body);
-    void stream(Member& m, const std::shared_ptr<Wire>& w, std::string message);
+    void asked(Member& m, const std::shared_ptr<StandInConnection>& w, const std::string& target,
+               const std::string& token, const std::string& body);
+    void answer(Member& m, const std::shared_ptr<StandInConnection>& w, int status, std::string body);
+    void stream(Member& m, const std::shared_ptr<StandInConnection>& w, std::string message);
     // The answer to a transaction, which is done by then.
     nlohmann::json transact(std::size_t member, const nlohmann::json& asked);
-    void cancel(Member& m, const std::shared_ptr<Wire>& w);
+    void cancel(Member& m, const std::shared_ptr<StandInConnection>& w);
     void feed(Member& m);
     // What a watch is told, and of how many changes.
     struct Messages {
@@ -95,9 +95,9 @@
     void progress();
     Revision shown(const Member& m) const;
 
-    Loop& loop_;
-    Span progress_;
-    Loop::Alarm tick_{};
+    EventLoop& loop_;
+    Duration progress_;
+    EventLoop::Timer tick_{};
     std::vector<std::unique_ptr<Member>> members_;
     std::set<std::string> tokens_;
     int made_ = 0;
--- a/testing/single_process.hpp
+++ b/testing/single_process.hpp
@@ -17,72 +17,72 @@
 namespace irismux::lab {
 
 // A cache that does nothing by itself.
-class Puppet {
+class ScriptedCache {
 public:
-    Puppet(Loop& loop, std::string id, int backlog = 64);
+    ScriptedCache(EventLoop& loop, std::string id, int backlog = 64);
     const std::string& id() const { return id_; }
     std::string address() const { return address_; }
 
-    struct Pull {
-        Instant at;  // its last byte
-        std::string lookup, fields, body;
-        std::shared_ptr<Wire> wire;
+    struct ReceivedAttempt {
+        TimePoint at;  // its last byte
+        std::string request_id, fields, body;
+        std::shared_ptr<StandInConnection> wire;
     };
-    std::deque<Pull> pulls;
-    std::size_t pulled(const std::string& lookup) const;
-    void answer(const Pull&, const std::string& word = "HIT", const std::string& body = "a body");
+    std::deque<ReceivedAttempt> received;
+    std::size_t find_received(const std::string& lookup) const;
+    void answer(const ReceivedAttempt&, const std::string& word = "HIT", const std::string& body = "a body");
 
     // No connection comes up until take_again(), where the backlog is 0.
     void hold_connections();
-    void take_again();
-    std::vector<std::shared_ptr<Wire>> wires;              // in the order in which they came
-    std::set<std::string> peers;                           // whose they are
-    std::function<void(const Pull&)> then = [](auto&) {};  // with each lookup
+    void resume_accepting();
+    std::vector<std::shared_ptr<StandInConnection>> wires;            // in the order in which they came
+    std::set<std::string> peers;                                      // whose they are
+    std::function<void(const ReceivedAttempt&)> then = [](auto&) {};  // with each lookup
 
 private:
     void listen(int backlog);
-    void got(const std::shared_ptr<Wire>& w, Buffer& in);
-    Loop& loop_;
+    void on_data(const std::shared_ptr<StandInConnection>& w, Buffer& in);
+    EventLoop& loop_;
     std::string id_, address_;
-    std::vector<Poco::Net::StreamSocket> in_the_way_;
+    std::vector<Poco::Net::StreamSocket> blockers_;
     std::unique_ptr<Acceptor> acceptor_;
 };
 
 // A web server's connection to the gateway.
-class Asker {
+class FastCgiClient {
 public:
-    Asker(Loop& loop, const std::string& gateway);
-    struct Question {
+    FastCgiClient(EventLoop& loop, const std::string& gateway);
+    struct Request {
         std::string id, object = "00000000000000a1", kind = "pages", body = {};
         int patience_ms = 3000;
         std::string idempotency_key = {};
     };
-    std::string request(std::uint16_t number, const Question& q) const;  // its bytes
-    void ask(std::uint16_t number, const Question& q);
-    void say(std::string_view bytes);
+    std::string request(std::uint16_t number, const Request& q) const;  // its bytes
+    void send(std::uint16_t number, const Request& q);
+    void write(std::string_view bytes);
     void abort(std::uint16_t number);
     void close();
 
-    struct Answer {
+    struct Response {
         std::uint16_t number = 0;
         std::string head;
         std::string body = {};
     };
-    std::vector<Answer> answers;
+    std::vector<Response> responses;
     // Whether that one is here and begins so.
-    bool answered(std::uint16_t number, const std::string& status = "Status: ") const;
+    bool has_response(std::uint16_t number, const std::string& status = "Status: ") const;
     bool ended = false;  // by the gateway
-    std::shared_ptr<Wire> wire;
+    std::shared_ptr<StandInConnection> wire;
 
 private:
-    void got(Buffer& in);
-    Loop& loop_;
-    std::map<std::uint16_t, std::string> heard_;
+    void on_data(Buffer& in);
+    EventLoop& loop_;
+    std::map<std::uint16_t, std::string> received_;
 };
 
-class Solo {
+class SingleProcess {
 public:
-    struct Shape {
+    struct Options {
         std::string program;
         std::size_t caches = 2;
         int backlog = 64;
@@ -91,33 +91,33 @@
         std::vector<std::string> environment = {};                   // beside the configuration's
     };
     // Returns when the gateway serves; throws std::runtime_error where it does not.
-    explicit Solo(const Shape& shape);
-    ~Solo();
+    explicit SingleProcess(const Options& shape);
+    ~SingleProcess();
 
-    bool until(std::function<bool()> so, Span most = Span::micros(10'000'000)) {
-        return stretches_.until(std::move(so), most);
+    bool until(std::function<bool()> so, Duration most = Duration::micros(10'000'000)) {
+        return intervals_.until(std::move(so), most);
     }
-    std::shared_ptr<Asker> asker();
-    bool gone();  // by itself, with exit code 0, before long
+    std::shared_ptr<FastCgiClient> connect_client();
+    bool exited_cleanly();  // by itself, with exit code 0, before long
     // The cache that has the lookup whole, once one has.
-    Puppet* cache_of(const std::string& lookup);
-    std::size_t pulls(const std::string& lookup) const;
+    ScriptedCache* cache_serving(const std::string& lookup);
+    std::size_t attempts_received(const std::string& lookup) const;
     // Connections that the gateway has begun there and that are not taken yet.
-    std::size_t coming_up(const Puppet&) const;
-    bool said(const std::string& part_of_a_line) const;
+    std::size_t pending_connections(const ScriptedCache&) const;
+    bool logged(const std::string& part_of_a_line) const;
     // The end of what the process has logged, without its records of lookups.
-    std::string last_words() const;
+    std::string log_tail() const;
 
-    Loop loop;
-    std::vector<std::unique_ptr<Puppet>> caches;
-    std::unique_ptr<Board> board;
+    EventLoop loop;
+    std::vector<std::unique_ptr<ScriptedCache>> caches;
+    std::unique_ptr<NoticeBoard> notice_board;
     std::unique_ptr<Process> process;
     std::string listen, folder, log, configuration_file;
     nlohmann::json configured;
 
 private:
-    std::vector<std::shared_ptr<Asker>> askers_;
-    Stretches stretches_{loop};  // the last: nothing of the above may go while the loop runs
+    std::vector<std::shared_ptr<FastCgiClient>> clients_;
+    Intervals intervals_{loop};  // the last: nothing of the above may go while the loop runs
 };
 
 }  // namespace irismux::lab
--- a/testing/site_simulation.cpp
+++ b/testing/site_simulation.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-const Span ms = Span::micros(1000);
-const Span trouble_every = ms * 100, poll_every = ms * 200, poll_fails_after = ms * 600;
-const Span acknowledge_every = ms * 250, read_every = ms * 250;
+const Duration ms = Duration::micros(1000);
+const Duration trouble_every = ms * 100, poll_every = ms * 200, poll_fails_after = ms * 600;
+const Duration acknowledge_every = ms * 250, read_every = ms * 250;
 constexpr std::size_t most_backups = 64, most_broken = 20;
 constexpr const char* outside = "-";  // in place of a site: members in the old form
 
@@ -25,10 +25,10 @@
 }  // namespace
 
 // One member's name: its process, if one runs, and what is between it and the others.
-struct Sites::Process final : public RegistryPort, public AgentObserver {
-    Process(Sites& w, std::size_t n, std::string in) : world(w), no(n), site(std::move(in)) {}
+struct SiteSimulation::Process final : public RegistryPort, public AgentObserver {
+    Process(SiteSimulation& w, std::size_t n, std::string in) : world(w), no(n), site(std::move(in)) {}
 
-    Sites& world;
+    SiteSimulation& world;
     std::size_t no;
     std::string site;
     MemberName name{"m" + std::to_string(no)};
@@ -45,15 +45,15 @@
     std::string kept;
     std::vector<std::function<void()>> waiting;
 
-    Instant clock() const { return Instant{} + Span::seconds(world.now_.seconds() * rate); }
-    Instant real(Instant local) const { return Instant::at_seconds(local.seconds() / rate + 1e-6); }
+    TimePoint clock() const { return TimePoint{} + Duration::seconds(world.now_.seconds() * rate); }
+    TimePoint real(TimePoint local) const { return TimePoint::at_seconds(local.seconds() / rate + 1e-6); }
     std::int64_t unix_ms() const { return static_cast<std::int64_t>(world.now_.seconds() * 1000); }
 
     void submit(const Transaction& d) override {
         ++ask;
         world.submit(*this, d);
     }
-    void schedule_wake(Instant local) override {
+    void schedule_wake(TimePoint local) override {
         const std::uint64_t mine = ++wake_no, born = life;
         world.at(std::max(real(local), world.now_), [this, mine, born] {
             if (born == life && mine == wake_no) world.wake(*this);
@@ -63,11 +63,12 @@
     void on_write_outcome(const DutyName&, const Key& key, WriteOutcome) override {
         if (reporter) reporter->on_written(key);
     }
-    void remark(std::string_view) override {}
-    void on_registry_went_back() override {
+    void on_warning(std::string_view) override {}
+    void on_registry_restored() override {
         if (reporter) reporter->acknowledgement().on_history_lost();
     }
-    void on_heartbeat_result(Instant sent, HeartbeatNumber number, const std::vector<Entry>& shown) override {
+    void on_heartbeat_result(TimePoint sent, HeartbeatNumber number,
+                             const std::vector<Entry>& shown) override {
         if (reporter) reporter->on_heartbeat(clock(), unix_ms(), sent, number, shown, *agent);
     }
     void when_running(std::function<void()> then) {
@@ -79,15 +80,15 @@
     }
 };
 
-struct Sites::Reader {
-    Reader(const Sites& w, std::map<SiteName, std::size_t> inventory, double clock_rate)
+struct SiteSimulation::Reader {
+    Reader(const SiteSimulation& w, std::map<SiteName, std::size_t> inventory, double clock_rate)
         : status(w.shared_config_.term, std::move(inventory)), rate(clock_rate) {}
     FleetStatus status;
     double rate;
     std::size_t no = 0;
 };
 
-Sites::Sites(std::uint32_t seed, const Shape& shape, const SharedConfig& shared_config)
+SiteSimulation::SiteSimulation(std::uint32_t seed, const Shape& shape, const SharedConfig& shared_config)
     : shape_(shape), shared_config_(shared_config), chance_(seed) {
     std::map<SiteName, std::size_t> inventory;
     for (const auto& [site, count] : shape.inventory) inventory[SiteName{site}] = count;
@@ -101,7 +102,7 @@
         processes_.push_back(std::make_unique<Process>(*this, processes_.size(), outside));
     for (const auto& p : processes_) {
         // The first two stand at either end of what is allowed.
-        const double off = p->no == 0 ? -1 : p->no == 1 ? 1 : 2 * part() - 1;
+        const double off = p->no == 0 ? -1 : p->no == 1 ? 1 : 2 * random_fraction() - 1;
         p->rate = 1 + off * shape.drift;
     }
     for (const double end : {-1.0, 1.0}) {
@@ -109,40 +110,42 @@
         readers_.back()->no = readers_.size() - 1;
     }
     said_.resize(readers_.size());
-    next_trouble_ = next_backup_ = next_publication_ = now_;
+    next_fault_ = next_backup_ = next_publication_ = now_;
     if (shape.readers)
         for (const auto& r : readers_) read(*r);
 }
 
-Sites::~Sites() = default;
+SiteSimulation::~SiteSimulation() = default;
 
-void Sites::at(Instant due, std::function<void()> then) { events_[{due, next_++}] = std::move(then); }
+void SiteSimulation::at(TimePoint due, std::function<void()> then) {
+    events_[{due, next_++}] = std::move(then);
+}
 
-std::size_t Sites::member(std::size_t site, std::size_t place) const {
+std::size_t SiteSimulation::member(std::size_t site, std::size_t place) const {
     std::size_t first = 0;
     for (std::size_t s = 0; s < site; ++s) first += shape_.sites[s];
     return first + place;
 }
 
-std::size_t Sites::members() const { return processes_.size(); }
+std::size_t SiteSimulation::members() const { return processes_.size(); }
 
-std::size_t Sites::owner(std::size_t site) const {
+std::size_t SiteSimulation::owner(std::size_t site) const {
     for (const auto& p : processes_)
         if (p->site == site_names_[site] && p->agent && p->agent->may_act(p->clock(), digest_duty()))
             return p->no;
     return members();
 }
 
-std::int64_t Sites::newest() const { return static_cast<std::int64_t>(board_.size()); }
+std::int64_t SiteSimulation::newest() const { return static_cast<std::int64_t>(board_.size()); }
 
-Span Sites::delay(double late) {
-    const Span usual = ms * (1 + 20 * part());
-    return chance(late) ? shared_config_.term * (2.5 * part()) : usual;
+Duration SiteSimulation::delay(double late) {
+    const Duration usual = ms * (1 + 20 * random_fraction());
+    return happens(late) ? shared_config_.term * (2.5 * random_fraction()) : usual;
 }
 
 // --- processes -------------------------------------------------------------------------------------------
 
-void Sites::start(std::size_t member, std::size_t events_ago) {
+void SiteSimulation::start(std::size_t member, std::size_t events_ago) {
     Process& p = *processes_[member];
     ++p.life;
     p.waiting.clear();
@@ -154,9 +157,9 @@
     p.position = static_cast<std::int64_t>(known);
     const std::string id = p.name.raw() + '.' + std::to_string(p.life);
     MemberIdentity identity{p.name, InstanceId{id}, "1", p.former};
-    identity.answer_in = ms * 300;
+    identity.reply_timeout = ms * 300;
     const bool of_a_site = p.site != outside;
-    if (of_a_site) identity.acknowledge_every = acknowledge_every;
+    if (of_a_site) identity.acknowledge_interval = acknowledge_every;
     p.agent = std::make_unique<Agent>(p, p, shared_config_, identity, chance_());
     if (!p.kept.empty()) p.agent->fence().restore(p.kept);
     if (of_a_site)
@@ -165,15 +168,15 @@
             p.clock());
     p.agent->set_duties(p.clock(), of_a_site ? std::set<DutyName>{digest_duty()} : std::set<DutyName>{});
     p.agent->start(p.clock());
-    tell(p);
+    deliver_records(p);
     poll(p);
 }
 
-void Sites::start_all() {
+void SiteSimulation::start_all() {
     for (const auto& p : processes_) start(p->no);
 }
 
-void Sites::kill(std::size_t member) {
+void SiteSimulation::kill(std::size_t member) {
     Process& p = *processes_[member];
     if (!p.agent) return;
     p.kept = p.agent->fence().serialize();
@@ -184,67 +187,68 @@
     p.waiting.clear();
 }
 
-void Sites::leave(std::size_t member) {
+void SiteSimulation::leave(std::size_t member) {
     Process& p = *processes_[member];
     if (p.agent) p.agent->leave(p.clock());
 }
 
-void Sites::stop(std::size_t member) { processes_[member]->stopped = true; }
+void SiteSimulation::stop(std::size_t member) { processes_[member]->stopped = true; }
 
-void Sites::go_on(std::size_t member) {
+void SiteSimulation::resume(std::size_t member) {
     Process& p = *processes_[member];
     p.stopped = false;
     for (const auto& then : std::exchange(p.waiting, {}))
         if (p.agent && !p.stopped) then();
 }
 
-void Sites::cut(std::size_t member, bool in, bool out) {
+void SiteSimulation::cut(std::size_t member, bool in, bool out) {
     Process& p = *processes_[member];
     p.cut_in = in;
     p.cut_out = out;
     p.telling = false;
-    tell(p);
+    deliver_records(p);
 }
 
-void Sites::cut_board(std::size_t member, bool is) { processes_[member]->board_cut = is; }
+void SiteSimulation::cut_board(std::size_t member, bool is) { processes_[member]->board_cut = is; }
 
-void Sites::revive(std::size_t member) {
+void SiteSimulation::revive(std::size_t member) {
     cut(member, false, false);
     cut_board(member, false);
     if (!processes_[member]->agent) return start(member);
-    go_on(member);
+    resume(member);
 }
 
-void Sites::wake(Process& p) {
+void SiteSimulation::wake(Process& p) {
     p.when_running([this, &p] {
         p.agent->on_wake(p.clock());
         step(p);
     });
 }
 
-void Sites::step(Process& p) {
-    if (p.reporter) p.reporter->go_on(p.clock(), *p.agent);
+void SiteSimulation::step(Process& p) {
+    if (p.reporter) p.reporter->advance(p.clock(), *p.agent);
 }
 
 // --- the registry ----------------------------------------------------------------------------------------
 
-void Sites::submit(Process& p, const Transaction& deal) {
-    if (p.cut_out || chance(troubles_.lose)) return;
+void SiteSimulation::submit(Process& p, const Transaction& deal) {
+    if (p.cut_out || happens(fault_rates_.lose)) return;
     const std::uint64_t ask = p.ask, life = p.life;
     const std::size_t no = p.no;
-    const int times = chance(troubles_.repeat) ? 2 : 1;
+    const int times = happens(fault_rates_.repeat) ? 2 : 1;
     for (int t = 0; t < times; ++t)
-        at(now_ + delay(troubles_.late), [this, no, ask, life, deal] { settle(no, ask, life, deal); });
+        at(now_ + delay(fault_rates_.late), [this, no, ask, life, deal] { settle(no, ask, life, deal); });
 }
 
-void Sites::settle(std::size_t member, std::uint64_t ask, std::uint64_t life, const Transaction& deal) {
+void SiteSimulation::settle(std::size_t member, std::uint64_t ask, std::uint64_t life,
+                            const Transaction& deal) {
     ++transactions;
     Process& p = *processes_[member];
     Transaction placed;
     for (const auto& [key, text] : deal.compares) placed.compares.emplace_back(Key{where(p.site, key)}, text);
     for (const auto& [key, text] : deal.writes) placed.writes.emplace_back(Key{where(p.site, key)}, text);
     for (const Key& key : deal.reads) placed.reads.emplace_back(where(p.site, key));
-    Ledger::Outcome o = ledger_.settle(placed);
+    TransactionLedger::Outcome o = ledger_.settle(placed);
     for (std::size_t n = 0; n < o.shown.size(); ++n)
         o.shown[n].first = o.held ? deal.reads[n] : deal.compares[n].first;
     const bool watched = std::any_of(placed.writes.begin(), placed.writes.end(), [&](const Entry& e) {
@@ -252,10 +256,10 @@
     });
     if (watched && o.held)
         for (const auto& other : processes_)
-            if (other->site == p.site) tell(*other);
-    if (p.life != life || p.ask != ask || p.cut_in || chance(troubles_.lose)) return;
+            if (other->site == p.site) deliver_records(*other);
+    if (p.life != life || p.ask != ask || p.cut_in || happens(fault_rates_.lose)) return;
     const std::uint64_t history = histories_;
-    at(now_ + delay(troubles_.late), [this, &p, life, history, ask, o] {
+    at(now_ + delay(fault_rates_.late), [this, &p, life, history, ask, o] {
         if (p.life != life || history != histories_) return;
         p.when_running([this, &p, ask, o] {
             if (p.ask == ask) p.agent->on_transaction_result(p.clock(), o.at, o.held, o.shown);
@@ -265,11 +269,11 @@
 }
 
 // The watch over the site's own records: everything up to some revision after a while, in order.
-void Sites::tell(Process& p) {
+void SiteSimulation::deliver_records(Process& p) {
     if (p.telling || !p.agent || p.cut_in) return;
     p.telling = true;
     const std::uint64_t life = p.life;
-    at(now_ + delay(troubles_.late / 4), [this, &p, life] {
+    at(now_ + delay(fault_rates_.late / 4), [this, &p, life] {
         if (p.life != life) return;
         p.telling = false;
         if (p.cut_in) return;
@@ -291,7 +295,7 @@
 }
 
 // Premise: a backup is more than a term old when the registry answers from it.
-void Sites::registry_back(Span age) {
+void SiteSimulation::registry_back(Duration age) {
     for (auto b = backups_.rbegin(); b != backups_.rend(); ++b) {
         if (now_ - b->taken <= age) continue;
         ledger_.restore(b->records, b->revision);
@@ -299,60 +303,61 @@
         backups_.erase(b.base(), backups_.end());
         for (const auto& p : processes_) {
             p->telling = false;
-            tell(*p);
+            deliver_records(*p);
         }
         return;
     }
 }
 
 // As the command line does: the name goes from the roster if nobody runs under it.
-void Sites::forget(std::size_t member) {
+void SiteSimulation::forget(std::size_t member) {
     const Process& p = *processes_[member];
     const Key roster{where(p.site, roster_key())}, is_member{where(p.site, member_key(p.name))};
     const auto it = ledger_.records().find(roster);
     if (it == ledger_.records().end() || ledger_.records().contains(is_member)) return;
-    Roster next = read_roster(it->second).value_or(Roster{});
+    SiteRoster next = read_roster(it->second).value_or(SiteRoster{});
     next.names.erase(p.name);
     ledger_.settle({{{roster, it->second}, {is_member, std::nullopt}}, {{roster, serialize(next)}}, {}});
 }
 
 // --- the board -------------------------------------------------------------------------------------------
 
-void Sites::publish() {
+void SiteSimulation::publish() {
     board_.push_back(++published_);
     note_in_force();
 }
 
 // Polls, as the carrier does: what came last is told before the next one goes out.
-void Sites::poll(Process& p) {
+void SiteSimulation::poll(Process& p) {
     const std::uint64_t life = p.life, mine = ++p.polls;
     p.when_running([this, &p, life, mine] {
         if (p.life != life || p.polls != mine) return;
-        const bool from_start = p.reporter && p.reporter->acknowledgement().ask_from_start();
+        const bool from_start = p.reporter && p.reporter->acknowledgement().needs_full_history();
         if (from_start) p.position = 0;
-        if (p.reporter) p.reporter->acknowledgement().on_board_asked(from_start);
+        if (p.reporter) p.reporter->acknowledgement().on_poll_started(from_start);
         if (p.board_cut) {
             at(now_ + poll_fails_after, [this, &p, life] {
                 if (p.life != life) return;
                 p.when_running([&p] {
-                    if (p.reporter) p.reporter->acknowledgement().on_board_failed();
+                    if (p.reporter) p.reporter->acknowledgement().on_poll_failed();
                 });
                 poll(p);
             });
             return;
         }
         const std::int64_t from = p.position;
-        at(now_ + delay(troubles_.late / 4), [this, &p, life, from] {
+        at(now_ + delay(fault_rates_.late / 4), [this, &p, life, from] {
             const std::int64_t newest = this->newest();
             std::vector<int> owed;
             for (std::int64_t n = from; n < newest; ++n) owed.push_back(board_[static_cast<std::size_t>(n)]);
-            at(now_ + delay(troubles_.late / 4), [this, &p, life, from, newest, owed] {
+            at(now_ + delay(fault_rates_.late / 4), [this, &p, life, from, newest, owed] {
                 if (p.life != life) return;
                 p.when_running([this, &p, from, newest, owed] {
                     p.in_force.insert(owed.begin(), owed.end());
                     p.position = std::max(p.position, newest);
                     if (p.reporter)
-                        p.reporter->acknowledgement().on_board_told(EventNumber{newest}, EventNumber{from});
+                        p.reporter->acknowledgement().on_poll_completed(EventNumber{newest},
+                                                                        EventNumber{from});
                     note_in_force();
                     step(p);
                 });
@@ -364,7 +369,7 @@
     });
 }
 
-void Sites::board_back(std::size_t events, bool announced) {
+void SiteSimulation::board_back(std::size_t events, bool announced) {
     const std::size_t left = board_.size() - std::min(events, board_.size());
     board_.resize(left);
     if (!announced) return;
@@ -377,10 +382,10 @@
 
 // --- what is said, and whether it is so ------------------------------------------------------------------
 
-void Sites::read(Reader& r) {
-    const Instant asked = Instant{} + Span::seconds(now_.seconds() * r.rate);
-    at(now_ + delay(troubles_.late), [this, &r, asked] {
-        FleetStatus::Reading reading;
+void SiteSimulation::read(Reader& r) {
+    const TimePoint asked = TimePoint{} + Duration::seconds(now_.seconds() * r.rate);
+    at(now_ + delay(fault_rates_.late), [this, &r, asked] {
+        FleetStatus::RegistryReading reading;
         reading.asked = asked;
         const auto text = [&](const std::string& key) -> Text {
             const auto it = ledger_.records().find(Key{key});
@@ -398,7 +403,7 @@
         const std::string members = std::string(outside) + "/member/";
         for (const auto& [key, record] : ledger_.records())
             if (key.raw().rfind(members, 0) == 0) reading.old_form.emplace(key.raw().substr(members.size()));
-        at(now_ + delay(troubles_.late), [this, &r, reading] {
+        at(now_ + delay(fault_rates_.late), [this, &r, reading] {
             r.status.on_reading(reading);
             r.status.on_board(EventNumber{newest()});
             judge(r);
@@ -407,17 +412,17 @@
     });
 }
 
-bool Sites::acts_without(const Process& p, int event) const {
+bool SiteSimulation::acts_without(const Process& p, int event) const {
     if (!p.agent || p.in_force.contains(event)) return false;
     return !p.reporter || p.reporter->may_serve(p.clock());
 }
 
-bool Sites::in_force_everywhere() const {
+bool SiteSimulation::in_force_everywhere() const {
     return !board_.empty() && std::none_of(processes_.begin(), processes_.end(),
                                            [&](const auto& p) { return acts_without(*p, board_.back()); });
 }
 
-void Sites::note_in_force() {
+void SiteSimulation::note_in_force() {
     for (std::size_t n = board_.size(); n > 0 && n + 40 > board_.size(); --n) {
         const int event = board_[n - 1];
         if (in_force_since_.contains(event)) continue;
@@ -427,9 +432,9 @@
     }
 }
 
-FleetStatus::Verdict Sites::said_of(std::int64_t event) { return asked_about_[event]; }
+FleetStatus::Verdict SiteSimulation::said_of(std::int64_t event) { return asked_about_[event]; }
 
-void Sites::judge(Reader& r) {
+void SiteSimulation::judge(Reader& r) {
     std::set<std::int64_t> numbers;
     for (std::int64_t n = std::max<std::int64_t>(1, newest() - 30); n <= newest(); ++n) numbers.insert(n);
     for (const auto& [n, verdict] : asked_about_)
@@ -437,8 +442,8 @@
     for (const std::int64_t n : numbers) judge(r, n);
 }
 
-void Sites::judge(Reader& r, std::int64_t n) {
-    const Instant local = Instant{} + Span::seconds(now_.seconds() * r.rate);
+void SiteSimulation::judge(Reader& r, std::int64_t n) {
+    const TimePoint local = TimePoint{} + Duration::seconds(now_.seconds() * r.rate);
     const auto verdict = r.status.judge(local, {EventNumber{n}, {}});
     const int event = board_[static_cast<std::size_t>(n - 1)];
     if (n == newest()) said_[r.no] = {now_, n, verdict};
@@ -459,43 +464,43 @@
     }
 }
 
-void Sites::mark() { longest_until_said = {}; }
+void SiteSimulation::mark() { longest_until_said = {}; }
 
 // --- time ------------------------------------------------------------------------------------------------
 
-void Sites::trouble(const Troubles& t) {
+void SiteSimulation::inject_fault(const FaultRates& t) {
     const double share = trouble_every.seconds();
     for (const auto& process : processes_) {
         Process& p = *process;
-        if (chance(t.cut * share)) p.cut_in = true;
-        if (chance(t.cut * share)) p.cut_out = true;
-        if (chance(t.cut_board * share)) p.board_cut = true;
-        if (p.board_cut && t.cut_board > 0 && chance(share / 6)) p.board_cut = false;
-        if ((p.cut_in || p.cut_out) && t.cut > 0 && chance(share / 6)) cut(p.no, false, false);
-        if (p.agent && !p.stopped && chance(t.stop * share)) p.stopped = true;
-        if (p.stopped && t.stop > 0 && chance(share / 8)) go_on(p.no);
-        if (p.agent && chance(t.crash * share)) {
-            if (chance(0.5)) leave(p.no);
+        if (happens(t.cut * share)) p.cut_in = true;
+        if (happens(t.cut * share)) p.cut_out = true;
+        if (happens(t.cut_board * share)) p.board_cut = true;
+        if (p.board_cut && t.cut_board > 0 && happens(share / 6)) p.board_cut = false;
+        if ((p.cut_in || p.cut_out) && t.cut > 0 && happens(share / 6)) cut(p.no, false, false);
+        if (p.agent && !p.stopped && happens(t.stop * share)) p.stopped = true;
+        if (p.stopped && t.stop > 0 && happens(share / 8)) resume(p.no);
+        if (p.agent && happens(t.crash * share)) {
+            if (happens(0.5)) leave(p.no);
             kill(p.no);
         }
-        if (!p.agent && t.crash > 0 && chance(share * 2)) start(p.no, chance(0.7) ? chance_() % 40 : 0);
+        if (!p.agent && t.crash > 0 && happens(share * 2)) start(p.no, happens(0.7) ? chance_() % 40 : 0);
     }
-    if (chance(t.registry_back * share)) registry_back(shared_config_.term * (1 + 2 * part()));
-    if (chance(t.board_back * share)) board_back(1 + chance_() % 10, true);
+    if (happens(t.registry_back * share)) registry_back(shared_config_.term * (1 + 2 * random_fraction()));
+    if (happens(t.board_back * share)) board_back(1 + chance_() % 10, true);
 }
 
-void Sites::run(Span time, const Troubles& troubles) {
-    troubles_ = troubles;
-    const Instant end = now_ + time;
+void SiteSimulation::run(Duration time, const FaultRates& troubles) {
+    fault_rates_ = troubles;
+    const TimePoint end = now_ + time;
     while (broken.size() < most_broken) {
-        const Instant due = events_.empty() ? end : events_.begin()->first.first;
-        const Instant timed = std::min({next_trouble_, next_backup_, next_publication_});
+        const TimePoint due = events_.empty() ? end : events_.begin()->first.first;
+        const TimePoint timed = std::min({next_fault_, next_backup_, next_publication_});
         if (std::min(due, timed) >= end) break;
         if (timed <= due) {
             now_ = std::max(now_, timed);
-            if (now_ >= next_trouble_) {
-                next_trouble_ = now_ + trouble_every;
-                trouble(troubles);
+            if (now_ >= next_fault_) {
+                next_fault_ = now_ + trouble_every;
+                inject_fault(troubles);
             } else if (now_ >= next_backup_) {
                 next_backup_ = now_ + shared_config_.term * 0.5;
                 backups_.push_back({now_, ledger_.records(), ledger_.revision()});
@@ -514,11 +519,11 @@
     now_ = std::max(now_, end);
 }
 
-std::string Sites::picture() const {
+std::string SiteSimulation::picture() const {
     std::string all;
     for (const auto& p : processes_) {
         all += p->site + '/' + p->name.raw() + (p->agent ? (p->stopped ? " stopped" : " up") : " down");
-        if (p->agent) all += p->agent->membership().in() ? " in" : " out";
+        if (p->agent) all += p->agent->membership().joined() ? " in" : " out";
         if (p->agent && p->agent->may_act(p->clock(), digest_duty())) all += " owner";
         if (p->reporter)
             if (const auto c = p->reporter->acknowledgement().claim())
@@ -528,7 +533,7 @@
     }
     for (const auto& [key, value] : ledger_.records()) all += key.raw() + ' ' + value + '\n';
     for (const auto& m : said_.front().verdict.missing)
-        all += "missing " + std::to_string(static_cast<int>(m.why)) + ' ' + m.site.raw() + ' ' +
+        all += "missing " + std::to_string(static_cast<int>(m.reason)) + ' ' + m.site.raw() + ' ' +
                m.member.raw() + '\n';
     return all;
 }
--- a/testing/site_simulation.hpp
+++ b/testing/site_simulation.hpp
@@ -20,10 +20,10 @@
 
 namespace irismux::lab {
 
-class Sites {
+class SiteSimulation {
 public:
     // Chances: of a message, and, of the others, a second and a member (of restores a second).
-    struct Troubles {
+    struct FaultRates {
         double lose = 0, late = 0, repeat = 0;
         double stop = 0, crash = 0, cut = 0, cut_board = 0, registry_back = 0, board_back = 0;
     };
@@ -32,22 +32,22 @@
         std::size_t old_form = 0;                           // members outside of all sites, that say nothing
         std::map<std::string, std::size_t> inventory = {};  // besides the sites above
         double drift = 0.05;
-        Span publish_every = Span::micros(1'000'000);
+        Duration publish_every = Duration::micros(1'000'000);
         bool readers = true;
     };
     // What a reader said last of the newest event that it asked about.
     struct Said {
-        Instant at;
+        TimePoint at;
         std::int64_t event = 0;
         fleet::FleetStatus::Verdict verdict;
     };
 
-    Sites(std::uint32_t seed, const Shape& shape, const fleet::SharedConfig& shared_config);
-    ~Sites();
+    SiteSimulation(std::uint32_t seed, const Shape& shape, const fleet::SharedConfig& shared_config);
+    ~SiteSimulation();
 
     void start_all();
-    void run(Span time, const Troubles& troubles);
-    void run(Span time) { run(time, Troubles{}); }
+    void run(Duration time, const FaultRates& troubles);
+    void run(Duration time) { run(time, FaultRates{}); }
     std::size_t member(std::size_t site, std::size_t place) const;  // its number among all
     std::size_t members() const;
     std::size_t owner(std::size_t site) const;  // of its digest; members() if nobody
@@ -58,7 +58,7 @@
     void start(std::size_t member, std::size_t events_ago = 0);
     void leave(std::size_t member);
     void stop(std::size_t member);
-    void go_on(std::size_t member);
+    void resume(std::size_t member);
     void cut(std::size_t member, bool in, bool out);
     void cut_board(std::size_t member, bool is);
     void revive(std::size_t member);
@@ -66,10 +66,10 @@
     void publish();
     // The board, to what it was so many events ago; announced: with the operator's word before it goes on.
     void board_back(std::size_t events, bool announced);
-    void registry_back(Span age);
+    void registry_back(Duration age);
     void forget(std::size_t member);  // an operator's command
 
-    Instant now() const { return now_; }
+    TimePoint now() const { return now_; }
     const Said& said() const { return said_.front(); }
     // What the first reader said last of that event; it is asked about until it is everywhere, however old it
     // is.
@@ -81,8 +81,8 @@
     std::vector<std::string> broken;
     std::uint64_t transactions = 0, deliveries = 0;  // at the registry; to watches
     std::uint64_t everywhere = 0, all_but = 0;       // verdicts, of all events asked about
-    Span longest_until_said;  // from an event's being in force everywhere until the reader said so, since
-                              // mark()
+    Duration longest_until_said;  // from an event's being in force everywhere until the reader said so, since
+                                  // mark()
     void mark();
 
 private:
@@ -90,13 +90,15 @@
     struct Reader;
     using Key = fleet::Key;
 
-    void at(Instant due, std::function<void()> then);
-    Span delay(double late);
-    bool chance(double p) { return p > 0 && part() < p; }
-    double part() { return static_cast<double>(chance_()) / static_cast<double>(std::ranlux24_base::max()); }
+    void at(TimePoint due, std::function<void()> then);
+    Duration delay(double late);
+    bool happens(double p) { return p > 0 && random_fraction() < p; }
+    double random_fraction() {
+        return static_cast<double>(chance_()) / static_cast<double>(std::ranlux24_base::max());
+    }
     void submit(Process& p, const fleet::Transaction& deal);
     void settle(std::size_t member, std::uint64_t ask, std::uint64_t life, const fleet::Transaction& deal);
-    void tell(Process& p);
+    void deliver_records(Process& p);
     void poll(Process& p);
     void wake(Process& p);
     void step(Process& p);
@@ -105,20 +107,20 @@
     void judge(Reader& r, std::int64_t event);
     bool acts_without(const Process& p, int event) const;
     void note_in_force();
-    void trouble(const Troubles& t);
+    void inject_fault(const FaultRates& t);
 
     Shape shape_;
     fleet::SharedConfig shared_config_;
     std::ranlux24_base chance_;
-    Instant now_ = Instant::at_seconds(1000);
+    TimePoint now_ = TimePoint::at_seconds(1000);
     std::uint64_t next_ = 0;
-    std::map<std::pair<Instant, std::uint64_t>, std::function<void()>> events_;
+    std::map<std::pair<TimePoint, std::uint64_t>, std::function<void()>> events_;
 
-    Ledger ledger_;
+    TransactionLedger ledger_;
     std::uint64_t histories_ = 0;  // of the registry
     struct Backup {
-        Instant taken;
-        Ledger::Records records;
+        TimePoint taken;
+        TransactionLedger::Records records;
         Revision revision;
     };
     std::vector<Backup> backups_;
@@ -126,7 +128,7 @@
     std::vector<int> board_;  // its events, by number; each event ever published is a number of its own
     int published_ = 0;
     bool publishing_ = true;
-    std::map<int, Instant> in_force_since_;  // everywhere for the first time
+    std::map<int, TimePoint> in_force_since_;  // everywhere for the first time
     std::set<int> said_everywhere_;
 
     std::vector<std::string> site_names_;
@@ -134,8 +136,8 @@
     std::vector<std::unique_ptr<Reader>> readers_;
     std::vector<Said> said_;
     std::map<std::int64_t, fleet::FleetStatus::Verdict> asked_about_;
-    Troubles troubles_;
-    Instant next_trouble_, next_backup_, next_publication_;
+    FaultRates fault_rates_;
+    TimePoint next_fault_, next_backup_, next_publication_;
 };
 
 }  // namespace irismux::lab
--- a/testing/soak.cpp
+++ b/testing/soak.cpp
@@ -15,15 +15,16 @@
 using nlohmann::json;
 
 // Of the platform's page.
-constexpr Span work_after_term = Span::micros(700'000), longest_waited_for = Span::micros(3'000'000);
-constexpr Span new_connections_after_term = Span::micros(300'000);
-constexpr Span late_answer = Span::micros(500'000), crossing = Span::micros(50'000);
-constexpr Span after_client_left = Span::micros(100'000), drain_grace = Span::micros(250'000);
+constexpr Duration work_after_term = Duration::micros(700'000),
+                   longest_waited_for = Duration::micros(3'000'000);
+constexpr Duration new_connections_after_term = Duration::micros(300'000);
+constexpr Duration late_answer = Duration::micros(500'000), crossing = Duration::micros(50'000);
+constexpr Duration after_client_left = Duration::micros(100'000), drain_grace = Duration::micros(250'000);
 constexpr double patience_slack_ms = 150;
 constexpr std::size_t descriptors = 256;
 // What the far ends themselves may be late, on a machine that does other things.
-constexpr Span slack = Span::micros(60'000);
-constexpr Span tick = Span::micros(2'000);
+constexpr Duration slack = Duration::micros(60'000);
+constexpr Duration tick = Duration::micros(2'000);
 
 std::int64_t unix_now_ms() {
     return std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -33,10 +34,10 @@
 
 // An event of the board, and since when the gateway has been seen to have it.
 struct ToldEvent {
-    Instant posted;
+    TimePoint posted;
     std::int64_t revision = 0;
     std::string drained;  // the cache; empty: it is a purge
-    std::optional<Instant> seen;
+    std::optional<TimePoint> seen;
 };
 
 class Soak {
@@ -46,7 +47,7 @@
           script_(SoakScript::draw(options.seed)),
           random_(options.seed),
           shims_(options.shims) {
-        solo_ = std::make_unique<Solo>(shape());
+        solo_ = std::make_unique<SingleProcess>(shape());
         for (const auto& cache : solo_->caches) misbehave(*cache);
     }
 
@@ -54,11 +55,11 @@
         start_clients();
         plan();
         started_ = solo_->loop.now();
-        while (solo_->loop.now() < started_ + Span::seconds(options_.seconds)) turn(false);
+        while (solo_->loop.now() < started_ + Duration::seconds(options_.seconds)) turn(false);
         leave();
         check();
         result_.script = script_.text();
-        result_.last_words = solo_->last_words();
+        result_.last_words = solo_->log_tail();
         return result_;
     }
 
@@ -71,7 +72,7 @@
         if (result_.violations.size() < most) result_.violations.push_back(what);
     }
 
-    Solo::Shape shape() {
+    SingleProcess::Options shape() {
         if (script_.clock_off_from_start) step_clock();
         if (script_.calls_fail_one_in > 0) {
             CallFaults faults;
@@ -80,7 +81,7 @@
             faults.one_in[static_cast<std::size_t>(Call::write)] = 0;
             shims_.set_calls(faults);
         }
-        Solo::Shape shape;
+        SingleProcess::Options shape;
         shape.program = options_.program;
         shape.caches = script_.caches;
         shape.environment = shims_.environment();
@@ -102,15 +103,16 @@
         shims_.set_clock(skew);
     }
 
-    void answer_pull(Puppet& cache, const Puppet::Pull& pull, const std::string& word) {
+    void answer_pull(ScriptedCache& cache, const ScriptedCache::ReceivedAttempt& pull,
+                     const std::string& word) {
         cache.answer(pull, word, word == "HIT" ? soak_bytes(resp::field(pull.fields, "asset")) : "");
     }
 
-    void misbehave(Puppet& cache) {
-        cache.then = [this, &cache](const Puppet::Pull& pull) {
+    void misbehave(ScriptedCache& cache) {
+        cache.then = [this, &cache](const ScriptedCache::ReceivedAttempt& pull) {
             const auto later = [&](int least_ms, int most_ms) {
-                solo_->loop.at(solo_->loop.now() + Span::micros(pick(least_ms, most_ms) * 1000),
-                               [this, &cache, pull] { answer_pull(cache, pull, "HIT"); });
+                solo_->loop.schedule_at(solo_->loop.now() + Duration::micros(pick(least_ms, most_ms) * 1000),
+                                        [this, &cache, pull] { answer_pull(cache, pull, "HIT"); });
             };
             if (hanging_) return;
             if (pick(1, 100) > script_.misbehaving) return later(0, 8);
@@ -131,7 +133,7 @@
                     return;
                 case 7:
                     pull.wire->out().append("*4\r\n$3\r\nspoilt");
-                    return pull.wire->say();
+                    return pull.wire->write();
                 default:
                     return;  // no answer
             }
@@ -154,17 +156,17 @@
     // What happens when, from the start of the clients on.
     void plan() {
         const auto at = [&](double share, std::function<void()> what) {
-            plan_.emplace(Span::seconds(options_.seconds * share), std::move(what));
+            plan_.emplace(Duration::seconds(options_.seconds * share), std::move(what));
         };
         const auto any = [&] { return pick(5, 95) / 100.0; };
         if (!script_.clock_off_from_start) at(any(), [this] { step_clock(); });
         for (int n = 0; n < script_.reloads; ++n) at(any(), [this] { solo_->process->signal(SIGHUP); });
         for (int n = 0; n < 3; ++n) at(any(), [this] { purge(); });
         if (script_.caches_drain) at(any(), [this] { drain(); });
-        if (script_.board_breaks) at(any(), [this] { solo_->board->break_connections(); });
+        if (script_.board_breaks) at(any(), [this] { solo_->notice_board->break_connections(); });
         if (script_.board_falls_silent) {
-            at(0.3, [this] { solo_->board->silent = true; });
-            at(0.6, [this] { solo_->board->silent = false; });
+            at(0.3, [this] { solo_->notice_board->silent = true; });
+            at(0.6, [this] { solo_->notice_board->silent = false; });
         }
         if (script_.crowd > 0) at(0.9, [this] { crowd(); });
         if (script_.hangs_at_end) at(0.95, [this] { hanging_ = true; });
@@ -172,22 +174,23 @@
 
     void purge() {
         events_.push_back({solo_->loop.now(), 0, "", {}});
-        events_.back().revision = solo_->board->post({{"flush", {{"collection", 1}, {"ms", unix_now_ms()}}}});
+        events_.back().revision =
+            solo_->notice_board->post({{"flush", {{"collection", 1}, {"ms", unix_now_ms()}}}});
     }
     // The last cache, which leaves others behind.
     void drain() {
-        const Puppet& cache = *solo_->caches.back();
+        const ScriptedCache& cache = *solo_->caches.back();
         events_.push_back({solo_->loop.now(), 0, cache.id(), {}});
-        json line = list_line(cache.id(), "node", "plant", "", "Terminating");
+        json line = endpoint_json(cache.id(), "node", "plant", "", "Terminating");
         events_.back().revision =
-            solo_->board->post({{"pool", {{"version", 2}, {"full", false}, {"servers", {line}}}}});
+            solo_->notice_board->post({{"pool", {{"version", 2}, {"full", false}, {"servers", {line}}}}});
     }
     void crowd() {
-        for (int n = 0; n < script_.crowd; ++n) crowd_.push_back(solo_->asker());
+        for (int n = 0; n < script_.crowd; ++n) crowd_.push_back(solo_->connect_client());
     }
 
     void turn(bool stays) {
-        const Instant now = solo_->loop.now();
+        const TimePoint now = solo_->loop.now();
         while (!plan_.empty() && now >= started_ + plan_.begin()->first) {
             const auto what = plan_.begin()->second;
             plan_.erase(plan_.begin());
@@ -196,7 +199,7 @@
         for (const auto& client : clients_) client->step(stays);
         solo_->until([] { return false; }, tick);
         for (ToldEvent& e : events_)
-            if (!e.seen && solo_->board->waiting_from() >= e.revision) e.seen = solo_->loop.now();
+            if (!e.seen && solo_->notice_board->waiting_from() >= e.revision) e.seen = solo_->loop.now();
         if (!solo_->process->running() && !leaving_ && !std::exchange(died_, true))
             violation("the process ended by itself");
         if (descriptors_of(solo_->process->id()) > descriptors) violation("over the limit of descriptors");
@@ -204,11 +207,11 @@
 
     // SIGTERM, more signals behind it, and SIGKILL at the earliest moment; clients go on until then.
     void leave() {
-        const Instant told = solo_->loop.now();
+        const TimePoint told = solo_->loop.now();
         leaving_ = true;
         if (!died_) solo_->process->signal(SIGTERM);
-        const Span longest = std::min(Span::seconds(script_.deadline_s), longest_waited_for);
-        const Instant killed = told + longest + work_after_term;
+        const Duration longest = std::min(Duration::seconds(script_.deadline_s), longest_waited_for);
+        const TimePoint killed = told + longest + work_after_term;
         started_ = told;
         plan_.clear();
         for (int n = 0; n < script_.further_signals; ++n)
@@ -222,7 +225,7 @@
         if (!died_ && !result_.killed && !solo_->process->left())
             violation("it left with a status other than 0");
         solo_->process->kill_and_wait();
-        const Instant heard_by = solo_->loop.now() + Span::micros(100'000);
+        const TimePoint heard_by = solo_->loop.now() + Duration::micros(100'000);
         while (solo_->loop.now() < heard_by) {
             solo_->until([] { return false; }, tick);
             for (const auto& client : clients_) client->look();
@@ -235,8 +238,8 @@
             for (const std::string& s : client->surprises()) violation(s);
         }
         for (const auto& cache : solo_->caches) {
-            result_.sends += cache->pulls.size();
-            for (const Puppet::Pull& pull : cache->pulls) check_pull(*cache, pull);
+            result_.sends += cache->received.size();
+            for (const ScriptedCache::ReceivedAttempt& pull : cache->received) check_pull(*cache, pull);
         }
         check_effects();
     }
@@ -263,38 +266,38 @@
                       " ms after it was said: " + r.question.id);
     }
 
-    void check_pull(const Puppet& cache, const Puppet::Pull& pull) {
+    void check_pull(const ScriptedCache& cache, const ScriptedCache::ReceivedAttempt& pull) {
         for (const ToldEvent& e : events_) {
             if (!e.seen || pull.at <= *e.seen + slack) continue;
             if (e.drained == cache.id() && pull.at > *e.seen + drain_grace + slack)
-                violation("3: sent to one that drains: " + pull.lookup);
+                violation("3: sent to one that drains: " + pull.request_id);
             if (e.drained.empty()) check_fresh(e, pull);
         }
-        const auto known = by_id_.find(pull.lookup);
+        const auto known = by_id_.find(pull.request_id);
         if (known == by_id_.end()) return;
         const SoakRequest& r = *known->second;
         const double left_ms = (r.due() - pull.at).seconds() * 1000;
         const std::string patience(resp::field(pull.fields, "patience"));
         if (std::atof(patience.c_str()) > left_ms + patience_slack_ms + slack.seconds() * 1000)
-            violation("a deadline passed on that is longer than what is left: " + pull.lookup);
+            violation("a deadline passed on that is longer than what is left: " + pull.request_id);
         if (r.taken_back && pull.at > *r.taken_back + after_client_left + slack)
-            violation("1: begun after its client had left: " + pull.lookup);
+            violation("1: begun after its client had left: " + pull.request_id);
     }
 
-    void check_fresh(const ToldEvent& purge, const Puppet::Pull& pull) {
+    void check_fresh(const ToldEvent& purge, const ScriptedCache::ReceivedAttempt& pull) {
         constexpr double purge_done_s = 6;
         if ((pull.at - purge.posted).seconds() > purge_done_s) return;
         const std::string fresh(resp::field(pull.fields, "fresh"));
         if (fresh.empty() || std::atof(fresh.c_str()) > (pull.at - purge.posted).seconds() * 1000 + 2)
-            violation("5: a copy from before a purge would do: " + pull.lookup + " fresh=" + fresh);
+            violation("5: a copy from before a purge would do: " + pull.request_id + " fresh=" + fresh);
     }
 
     void check_effects() {
-        std::map<std::string, std::vector<Instant>> runs;
+        std::map<std::string, std::vector<TimePoint>> runs;
         for (const auto& cache : solo_->caches)
-            for (const Puppet::Pull& p : cache->pulls)
+            for (const ScriptedCache::ReceivedAttempt& p : cache->received)
                 if (resp::field(p.fields, "sort") == "bids")
-                    runs[p.lookup + ' ' + std::string(resp::field(p.fields, "asset")) + ' ' + p.body]
+                    runs[p.request_id + ' ' + std::string(resp::field(p.fields, "asset")) + ' ' + p.body]
                         .push_back(p.at);
         for (auto& [what, at] : runs) {
             std::sort(at.begin(), at.end());
@@ -307,13 +310,13 @@
     SoakScript script_;
     std::mt19937_64 random_;
     Shims shims_;
-    std::unique_ptr<Solo> solo_;
+    std::unique_ptr<SingleProcess> solo_;
     std::vector<std::unique_ptr<SoakClient>> clients_;
-    std::vector<std::shared_ptr<Asker>> crowd_;
-    std::multimap<Span, std::function<void()>> plan_;
+    std::vector<std::shared_ptr<FastCgiClient>> crowd_;
+    std::multimap<Duration, std::function<void()>> plan_;
     std::vector<ToldEvent> events_;
     std::map<std::string, const SoakRequest*> by_id_;
-    Instant started_;
+    TimePoint started_;
     bool hanging_ = false, leaving_ = false, died_ = false;
     SoakResult result_;
 };
--- a/testing/soak_client.cpp
+++ b/testing/soak_client.cpp
@@ -25,7 +25,7 @@
     return bytes;
 }
 
-SoakClient::SoakClient(Solo& solo, std::mt19937_64& random, Manner manner, int number,
+SoakClient::SoakClient(SingleProcess& solo, std::mt19937_64& random, Manner manner, int number,
                        int longest_patience_ms)
     : solo_(solo),
       random_(random),
@@ -40,7 +40,7 @@
 }
 
 void SoakClient::connect() {
-    asker_ = solo_.asker();
+    asker_ = solo_.connect_client();
     seen_ = 0;
     open_.clear();
     aborted_.clear();
@@ -86,7 +86,7 @@
     r.asked = solo_.loop.now();
     open_[number] = requests_.size();
     requests_.push_back(r);
-    asker_->ask(number, r.question);
+    asker_->send(number, r.question);
 }
 
 void SoakClient::take_back() {
@@ -105,14 +105,14 @@
     std::string bytes(static_cast<std::size_t>(pick(1, 400)), '\0');
     for (char& c : bytes) c = static_cast<char>(pick(0, 255));
     if (pick(1, 2) == 1) bytes[0] = 1;  // FastCGI's version
-    asker_->say(bytes);
-    solo_.until([] { return false; }, Span::micros(1'000));
+    asker_->write(bytes);
+    solo_.until([] { return false; }, Duration::micros(1'000));
     look();
     close();
     connect();
 }
 
-void SoakClient::note_answer(const Asker::Answer& answer) {
+void SoakClient::note_answer(const FastCgiClient::Response& answer) {
     if (aborted_.erase(answer.number) > 0) return;
     if (!open_.contains(answer.number)) {
         if (manner_ != Manner::garbling) surprises_.push_back("1: an answer to nothing that is open");
@@ -126,7 +126,7 @@
 }
 
 void SoakClient::look() {
-    for (; seen_ < asker_->answers.size(); ++seen_) note_answer(asker_->answers[seen_]);
+    for (; seen_ < asker_->responses.size(); ++seen_) note_answer(asker_->responses[seen_]);
     if (!asker_->ended) return;
     for (const auto& [number, place] : open_) requests_[place].connection_ended = solo_.loop.now();
     open_.clear();
--- a/testing/soak_client.hpp
+++ b/testing/soak_client.hpp
@@ -17,19 +17,20 @@
 
 // One request, from when it was said to what became of it.
 struct SoakRequest {
-    Asker::Question question;
+    FastCgiClient::Request question;
     Manner manner = Manner::good;
-    Instant asked;
-    std::optional<Instant> answered, taken_back;
-    std::optional<Instant> connection_ended;  // by the gateway, with no answer
+    TimePoint asked;
+    std::optional<TimePoint> answered, taken_back;
+    std::optional<TimePoint> connection_ended;  // by the gateway, with no answer
     std::string status, body;
 
-    Instant due() const { return asked + Span::micros(question.patience_ms * 1000); }
+    TimePoint due() const { return asked + Duration::micros(question.patience_ms * 1000); }
 };
 
 class SoakClient {
 public:
-    SoakClient(Solo& solo, std::mt19937_64& random, Manner manner, int number, int longest_patience_ms);
+    SoakClient(SingleProcess& solo, std::mt19937_64& random, Manner manner, int number,
+               int longest_patience_ms);
     // Does what comes next, or nothing. No connection is made any more once `stays` is true.
     void step(bool stays);
     // Takes in what has come.
@@ -46,14 +47,14 @@
     void ask();
     void take_back();
     void garble();
-    void note_answer(const Asker::Answer& answer);
+    void note_answer(const FastCgiClient::Response& answer);
     SoakRequest& request(std::uint16_t number) { return requests_[open_.at(number)]; }
 
-    Solo& solo_;
+    SingleProcess& solo_;
     std::mt19937_64& random_;
     Manner manner_;
     int number_, longest_patience_ms_, asked_ = 0;
-    std::shared_ptr<Asker> asker_;
+    std::shared_ptr<FastCgiClient> asker_;
     std::size_t seen_ = 0;
     std::vector<SoakRequest> requests_;
     std::map<std::uint16_t, std::size_t> open_;  // by the number on the connection
--- a/testing/stand_ins.cpp
+++ b/testing/stand_ins.cpp
@@ -14,8 +14,8 @@
 constexpr std::size_t most_kept = 4096;
 constexpr int most_waiting = 4096;  // to be accepted by a board
 
-void drop_ended(std::vector<std::shared_ptr<Wire>>& wires) {
-    std::erase_if(wires, [](const auto& w) { return w->state() == LinkState::ended; });
+void drop_ended(std::vector<std::shared_ptr<StandInConnection>>& wires) {
+    std::erase_if(wires, [](const auto& w) { return w->state() == ConnectionState::closed; });
 }
 
 }  // namespace
@@ -23,7 +23,7 @@
 // --- caches
 // ---------------------------------------------------------------------------------------------------
 
-Cache::Cache(Loop& loop, std::string id, Span answers_after)
+Cache::Cache(EventLoop& loop, std::string id, Duration answers_after)
     : loop_(loop), id_(std::move(id)), after_(answers_after) {
     listen("127.0.0.1:0");
 }
@@ -33,9 +33,9 @@
         loop_,
         [this](Poco::Net::StreamSocket s) {
             drop_ended(wires_);
-            auto w = std::make_shared<Wire>(loop_, std::move(s));
-            w->got = [this, raw = std::weak_ptr<Wire>(w)](Buffer& in) {
-                if (const auto wire = raw.lock()) got(wire, in);
+            auto w = std::make_shared<StandInConnection>(loop_, std::move(s));
+            w->got = [this, raw = std::weak_ptr<StandInConnection>(w)](Buffer& in) {
+                if (const auto wire = raw.lock()) on_data(wire, in);
             };
             wires_.push_back(w);
             w->start();
@@ -53,60 +53,60 @@
     if (!acceptor_) listen(address_);
 }
 
-void Cache::got(const std::shared_ptr<Wire>& w, Buffer& in) {
-    resp::Words words;
+void Cache::on_data(const std::shared_ptr<StandInConnection>& w, Buffer& in) {
+    resp::Arguments words;
     std::size_t used = 0;
-    while (resp::parse_array(in.view(), words, used) == Parsed::whole) {
-        looks += words[0] == "ECHO";
+    while (resp::parse_array(in.view(), words, used) == ParseStatus::complete) {
+        health_checks += words[0] == "ECHO";
         if (words[0] == "ECHO") resp::write_array(w->out(), {words[1], "PONG", "-", ""});
         if (words[0] == "PULL" && words.size() > 2) {
             const std::string id(words[1]);
-            pulls.push_back({loop_.now(), id});
+            received.push_back({loop_.now(), id});
             ++total;
-            if (pulls.size() > most_kept) pulls.pop_front();
-            loop_.at(loop_.now() + after_, [id, weak = std::weak_ptr<Wire>(w)] {
+            if (received.size() > most_kept) received.pop_front();
+            loop_.schedule_at(loop_.now() + after_, [id, weak = std::weak_ptr<StandInConnection>(w)] {
                 const auto to = weak.lock();
-                if (!to || to->state() != LinkState::open) return;
+                if (!to || to->state() != ConnectionState::open) return;
                 resp::write_array(to->out(), {id, "HIT", "tag=t1,minted=1,n=cached", "a body"});
-                to->say();
+                to->write();
             });
         }
-        in.taken(used);
+        in.consumed(used);
     }
-    w->say();
+    w->write();
 }
 
 // --- the board
 // ------------------------------------------------------------------------------------------------
 
-Board::Board(Loop& loop)
+NoticeBoard::NoticeBoard(EventLoop& loop)
     : loop_(loop),
       acceptor_(
           loop,
           [this](Poco::Net::StreamSocket s) {
               drop_ended(wires_);
-              auto w = std::make_shared<Wire>(loop_, std::move(s));
-              w->got = [this, raw = std::weak_ptr<Wire>(w)](Buffer& in) {
+              auto w = std::make_shared<StandInConnection>(loop_, std::move(s));
+              w->got = [this, raw = std::weak_ptr<StandInConnection>(w)](Buffer& in) {
                   const std::string said(in.view());
                   if (said.find("\r\n\r\n") == std::string::npos) return;
-                  in.taken(said.size());
+                  in.consumed(said.size());
                   const std::size_t watch = said.find("watch="), linger = said.find("linger=");
                   if (watch == std::string::npos || linger == std::string::npos) return;
                   polls_.push_back(
                       {raw, std::atoll(said.c_str() + watch + 6),
-                       loop_.now() + Span::micros(std::atoll(said.c_str() + linger + 7) * 1000)});
+                       loop_.now() + Duration::micros(std::atoll(said.c_str() + linger + 7) * 1000)});
                   answer();
               };
               wires_.push_back(w);
               w->start();
           },
           most_waiting) {
-    look_round();
+    check_polls();
 }
 
-std::int64_t Board::post(json event) { return post_all({std::move(event)}); }
+std::int64_t NoticeBoard::post(json event) { return post_all({std::move(event)}); }
 
-std::int64_t Board::post_all(std::vector<json> events) {
+std::int64_t NoticeBoard::post_all(std::vector<json> events) {
     for (json& event : events) {
         event["rev"] = events_.size() + 1;
         events_.push_back(std::move(event));
@@ -115,26 +115,26 @@
     return static_cast<std::int64_t>(events_.size());
 }
 
-json Board::known() const { return {{"rev", events_.size()}, {"notices", events_}}; }
+json NoticeBoard::known() const { return {{"rev", events_.size()}, {"notices", events_}}; }
 
-void Board::break_connections() {
+void NoticeBoard::break_connections() {
     polls_.clear();
     for (const auto& w : std::exchange(wires_, {})) w->close();
 }
 
-void Board::look_round() {
+void NoticeBoard::check_polls() {
     answer();
-    loop_.at(loop_.now() + Span::micros(10'000), [this] { look_round(); });
+    loop_.schedule_at(loop_.now() + Duration::micros(10'000), [this] { check_polls(); });
 }
 
-void Board::answer() {
+void NoticeBoard::answer() {
     if (silent) return;
     const auto newest = static_cast<std::int64_t>(events_.size());
     // Those that watch from the same event are told the same: it is encoded once.
     std::map<std::int64_t, std::string> encoded;
     for (const Poll& p : std::exchange(polls_, {})) {
         const auto w = p.wire.lock();
-        if (!w || w->state() != LinkState::open) continue;
+        if (!w || w->state() != ConnectionState::open) continue;
         if (p.since >= newest && loop_.now() < p.until) {
             polls_.push_back(p);
             continue;
@@ -149,38 +149,39 @@
         }
         w->out().append("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
                         body);
-        w->say();
+        w->write();
     }
 }
 
 // --- clients
 // --------------------------------------------------------------------------------------------------
 
-Clients::Clients(Loop& loop, std::string gateway, std::string kind, Span every, Span patience)
-    : loop_(loop), gateway_(std::move(gateway)), kind_(std::move(kind)), every_(every), patience_(patience) {}
+ClientLoad::ClientLoad(EventLoop& loop, std::string gateway, std::string kind, Duration every,
+                       Duration patience)
+    : loop_(loop), gateway_(std::move(gateway)), kind_(std::move(kind)), every_(every), timeout_(patience) {}
 
-void Clients::start() {
-    wire_ = std::make_shared<Wire>(loop_);
-    wire_->got = [this](Buffer& in) { got(in); };
+void ClientLoad::start() {
+    wire_ = std::make_shared<StandInConnection>(loop_);
+    wire_->got = [this](Buffer& in) { on_data(in); };
     wire_->start(gateway_);
     going_ = true;
-    loop_.at(loop_.now() + every_, [this] { ask(); });
+    loop_.schedule_at(loop_.now() + every_, [this] { send_request(); });
 }
 
-void Clients::ask() {
+void ClientLoad::send_request() {
     if (!going_) return;
-    loop_.at(loop_.now() + every_, [this] { ask(); });
+    loop_.schedule_at(loop_.now() + every_, [this] { send_request(); });
     if (open_.contains(next_)) return;  // 65,535 open: there is no number for one more
     const std::uint16_t request = next_;
     next_ = static_cast<std::uint16_t>(next_ == 65'535 ? 1 : next_ + 1);
     char id[17], object[17];
-    std::snprintf(id, sizeof id, "%016llx", static_cast<unsigned long long>(++asked));
-    std::snprintf(object, sizeof object, "%016llx", static_cast<unsigned long long>(asked * 7919 % 997));
+    std::snprintf(id, sizeof id, "%016llx", static_cast<unsigned long long>(++sent));
+    std::snprintf(object, sizeof object, "%016llx", static_cast<unsigned long long>(sent * 7919 % 997));
     std::string params;
     const auto put = [&](const char* k, const std::string& v) { fastcgi::write_pair(params, k, v); };
     put("SCRIPT_NAME", "/api/v2/" + kind_);
     put("HTTP_X_REQUEST_ID", id);
-    put("HTTP_X_TIMEOUT_MS", std::to_string(patience_.micros() / 1000));
+    put("HTTP_X_TIMEOUT_MS", std::to_string(timeout_.micros() / 1000));
     put("HTTP_X_OBJECT", object);
     put("HTTP_X_BLOCK", "0");
     put("HTTP_X_FAMILY", "1");
@@ -190,13 +191,13 @@
     fastcgi::write_record(out, fastcgi::Type::params, request, {});
     fastcgi::write_record(out, fastcgi::Type::std_in, request, {});
     open_[request] = {loop_.now(), ""};
-    wire_->say();
+    wire_->write();
 }
 
-void Clients::got(Buffer& in) {
+void ClientLoad::on_data(Buffer& in) {
     fastcgi::Record r;
     std::size_t used = 0;
-    while (fastcgi::parse_record(in.view(), r, used) == Parsed::whole) {
+    while (fastcgi::parse_record(in.view(), r, used) == ParseStatus::complete) {
         const auto it = open_.find(r.request);
         if (it == open_.end()) {
             twice += r.type == fastcgi::Type::end_request;
@@ -205,22 +206,22 @@
         } else if (r.type == fastcgi::Type::end_request) {
             const std::string& said = it->second.second;
             if (said.find("Status: 200") == 0) {
-                ++satisfied;
+                ++served;
                 took_ms.push_back((loop_.now() - it->second.first).seconds() * 1000);
             } else {
-                ++(said.find("Status: 503") == 0 ? nacked : failed);
+                ++(said.find("Status: 503") == 0 ? rejected : failed);
             }
             open_.erase(it);
         }
-        in.taken(used);
+        in.consumed(used);
     }
 }
 
 // --- the gateway
 // ----------------------------------------------------------------------------------------------
 
-json list_line(const std::string& id, const std::string& kind, const std::string& zone,
-               const std::string& address, const std::string& state) {
+json endpoint_json(const std::string& id, const std::string& kind, const std::string& zone,
+                   const std::string& address, const std::string& state) {
     return {{"id", id},  {"addr", address}, {"zone", zone}, {"kind", kind},
             {"cell", 0}, {"state", state},  {"weight", 1}};
 }
--- a/testing/stand_ins.hpp
+++ b/testing/stand_ins.hpp
@@ -18,35 +18,35 @@
 // A cache that holds everything and answers after a while.
 class Cache {
 public:
-    Cache(Loop& loop, std::string id, Span answers_after);
+    Cache(EventLoop& loop, std::string id, Duration answers_after);
     const std::string& id() const { return id_; }
     std::string address() const { return address_; }
 
-    struct Pull {
-        Instant first_byte;
-        std::string lookup;
+    struct ReceivedAttempt {
+        TimePoint first_byte;
+        std::string request_id;
     };
-    std::deque<Pull> pulls;  // the last 4,096
-    std::uint64_t total = 0, looks = 0;
+    std::deque<ReceivedAttempt> received;  // the last 4,096
+    std::uint64_t total = 0, health_checks = 0;
     // Its process is gone: connections are reset, those that come are refused.
     void die();
     void live();
 
 private:
-    void got(const std::shared_ptr<Wire>& w, Buffer& in);
-    Loop& loop_;
+    void on_data(const std::shared_ptr<StandInConnection>& w, Buffer& in);
+    EventLoop& loop_;
     std::string id_;
-    Span after_;
+    Duration after_;
     void listen(const std::string& at);
-    std::vector<std::shared_ptr<Wire>> wires_;
+    std::vector<std::shared_ptr<StandInConnection>> wires_;
     std::string address_;
     std::unique_ptr<Acceptor> acceptor_;
 };
 
 // A board that answers each poll when there is something new, or when it has lingered.
-class Board {
+class NoticeBoard {
 public:
-    explicit Board(Loop& loop);
+    explicit NoticeBoard(EventLoop& loop);
     std::string address() const { return acceptor_.address(); }
     // One more event; numbered here. Returns its number.
     std::int64_t post(nlohmann::json event);
@@ -60,39 +60,39 @@
 
 private:
     struct Poll {
-        std::weak_ptr<Wire> wire;
+        std::weak_ptr<StandInConnection> wire;
         std::int64_t since;
-        Instant until;
+        TimePoint until;
     };
-    void look_round();
+    void check_polls();
     void answer();
-    Loop& loop_;
+    EventLoop& loop_;
     std::vector<nlohmann::json> events_;
-    std::vector<std::shared_ptr<Wire>> wires_;
+    std::vector<std::shared_ptr<StandInConnection>> wires_;
     std::vector<Poll> polls_;
     Acceptor acceptor_;
 };
 
 // Asks a gateway at an even pace and counts what comes back.
-class Clients {
+class ClientLoad {
 public:
-    Clients(Loop& loop, std::string gateway, std::string kind, Span every, Span patience);
+    ClientLoad(EventLoop& loop, std::string gateway, std::string kind, Duration every, Duration patience);
     void start();
     void stop() { going_ = false; }
 
-    std::uint64_t asked = 0, satisfied = 0, nacked = 0, failed = 0, twice = 0;
+    std::uint64_t sent = 0, served = 0, rejected = 0, failed = 0, twice = 0;
     std::size_t open() const { return open_.size(); }
     std::vector<double> took_ms;  // of those satisfied
 
 private:
-    void ask();
-    void got(Buffer& in);
-    Loop& loop_;
+    void send_request();
+    void on_data(Buffer& in);
+    EventLoop& loop_;
     std::string gateway_, kind_;
-    Span every_, patience_;
+    Duration every_, timeout_;
     bool going_ = false;
-    std::shared_ptr<Wire> wire_;
-    std::map<std::uint16_t, std::pair<Instant, std::string>> open_;
+    std::shared_ptr<StandInConnection> wire_;
+    std::map<std::uint16_t, std::pair<TimePoint, std::string>> open_;
     std::uint16_t next_ = 1;
 };
 
@@ -101,7 +101,7 @@
                              const nlohmann::json& known);
 
 // A line of the list as board and registry hold it.
-nlohmann::json list_line(const std::string& id, const std::string& kind, const std::string& zone,
-                         const std::string& address, const std::string& state);
+nlohmann::json endpoint_json(const std::string& id, const std::string& kind, const std::string& zone,
+                             const std::string& address, const std::string& state);
 
 }  // namespace irismux::lab
