--- a/testing/transaction_ledger.cpp
+++ b/testing/transaction_ledger.cpp
@@ -9,7 +9,7 @@
 
 }  // namespace
 
-Ledger::Outcome Ledger::settle(const Transaction& transaction) {
+TransactionLedger::Outcome TransactionLedger::settle(const Transaction& transaction) {
     const auto text = [&](const Key& key) {
         const auto it = records_.find(key);
         return it == records_.end() ? fleet::Text{} : fleet::Text{it->second};
@@ -39,21 +39,21 @@
     return o;
 }
 
-std::vector<Entry> Ledger::all() const {
+std::vector<Entry> TransactionLedger::all() const {
     std::vector<Entry> list;
     for (const auto& [key, value] : records_)
         if (watched(key)) list.emplace_back(key, value);
     return list;
 }
 
-std::vector<Entry> Ledger::changes(Revision told, Revision upto) const {
+std::vector<Entry> TransactionLedger::changes(Revision told, Revision upto) const {
     std::vector<Entry> list;
     for (auto it = history_.upper_bound(told); it != history_.end() && it->first <= upto; ++it)
         list.insert(list.end(), it->second.begin(), it->second.end());
     return list;
 }
 
-void Ledger::restore(const Records& backup, Revision at) {
+void TransactionLedger::restore(const Records& backup, Revision at) {
     records_ = backup;
     revision_ = at;
     history_.clear();
--- a/testing/transaction_ledger.hpp
+++ b/testing/transaction_ledger.hpp
@@ -15,11 +15,11 @@
 using fleet::Transaction;
 using registry::Revision;
 
-class Ledger {
+class TransactionLedger {
 public:
     using Records = std::map<Key, std::string>;
 
-    explicit Ledger(std::size_t most_history = 2048) : most_history_(most_history) {}
+    explicit TransactionLedger(std::size_t most_history = 2048) : most_history_(most_history) {}
 
     struct Outcome {
         Revision at;
--- a/tests/cache_connection_pool_test.cpp
+++ b/tests/cache_connection_pool_test.cpp
@@ -11,39 +11,40 @@
 namespace {
 
 using lab::Acceptor;
-using lab::Wire;
+using lab::StandInConnection;
 
 // The client side alone, before caches that answer as told.
-struct CachesDay final : Ends, Clients {
-    Loop loop;
+struct CachesDay final : AttemptObserver, ResponseSender {
+    EventLoop loop;
     Deployment d = deployment();
-    Roster roster{d.purge_done};
-    std::unique_ptr<Caches> caches;
-    std::vector<std::shared_ptr<Wire>> wires;
+    EndpointTable roster{d.purge_retention};
+    std::unique_ptr<CacheConnectionPool> caches;
+    std::vector<std::shared_ptr<StandInConnection>> wires;
     std::map<std::string, std::unique_ptr<Acceptor>> accepts;  // by cache
     std::vector<std::string> pulled, done;                     // ids in order
     std::map<std::string, Outcome> outcomes;
-    std::map<std::string, Span> took;
-    std::deque<std::shared_ptr<Exchange>> lookups;
+    std::map<std::string, Duration> took;
+    std::deque<std::shared_ptr<ActiveRequest>> lookups;
     bool lingers = false, hears = true;  // its ends are no resets; it reads
     int looks = 0;                       // of looks, those that arrived
     bool quiet = false;                  // nothing is to be told now
-    std::function<void(Wire&, const std::string&)> then;
+    std::function<void(StandInConnection&, const std::string&)> then;
     std::function<bool(Poco::Net::StreamSocket&)> accepted = [](auto&) { return true; };
 
     explicit CachesDay(std::size_t links, int backlog = 64) {
         log::show(log::Level::error);
-        then = [this](Wire& w, const std::string& id) { say(w, id, "NONE", "-", ""); };
-        std::vector<std::pair<Listing, std::string>> lines;
+        then = [this](StandInConnection& w, const std::string& id) { say(w, id, "NONE", "-", ""); };
+        std::vector<std::pair<EndpointUpdate, std::string>> lines;
         for (const char* id : {"e1", "e2"}) {
             accepts[id] = std::make_unique<Acceptor>(
                 loop, [this](Poco::Net::StreamSocket s) { take(std::move(s)); }, backlog);
             lines.emplace_back(listing(id, edge_machine), accepts[id]->address());
         }
-        roster.told(lines, true);
-        caches = std::make_unique<Caches>(
+        roster.apply(lines, true);
+        caches = std::make_unique<CacheConnectionPool>(
             loop, roster, *this, d,
-            CacheLimits{links, 10, Span::seconds(0.2), Span::seconds(5), d.tick, Span::seconds(0.2)});
+            CacheConnectionLimits{links, 10, Duration::seconds(0.2), Duration::seconds(5), d.timer_resolution,
+                                  Duration::seconds(0.2)});
     }
     ~CachesDay() override {
         caches->close_all();
@@ -52,14 +53,14 @@
     void take(Poco::Net::StreamSocket s) {
         if (!lingers) s.setLinger(true, 0);
         if (!accepted(s)) return;
-        wires.push_back(std::make_shared<Wire>(loop, std::move(s)));
+        wires.push_back(std::make_shared<StandInConnection>(loop, std::move(s)));
         wires.back()->got = [this, raw = wires.back().get()](Buffer& in) {
-            resp::Words w;
+            resp::Arguments w;
             std::size_t used = 0;
-            while (raw->state() == LinkState::open &&
-                   resp::parse_array(in.view(), w, used) == Parsed::whole) {
+            while (raw->state() == ConnectionState::open &&
+                   resp::parse_array(in.view(), w, used) == ParseStatus::complete) {
                 const std::string word(w[0]), id(w[1]);
-                in.taken(used);
+                in.consumed(used);
                 looks += word == "ECHO";
                 if (word != "PULL") continue;
                 pulled.push_back(id);
@@ -68,27 +69,28 @@
         };
         if (!hears) wires.back()->hear_little();
         wires.back()->start();
-        if (!hears) wires.back()->hear(false);
+        if (!hears) wires.back()->start_reading(false);
     }
-    void say(Wire& w, const std::string& id, const char* word, const char* fields, const std::string& body) {
+    void say(StandInConnection& w, const std::string& id, const char* word, const char* fields,
+             const std::string& body) {
         resp::write_array(w.out(), {id, word, fields, body});
-        w.say();
+        w.write();
     }
     void ask(const std::string& id, const std::string& cache = "e1", std::string body = {}) {
-        Asked a;
+        ClientRequest a;
         a.body = std::move(body);
-        a.arrival = arrival(id, "a1", loop.now() + Span::seconds(1));
-        a.request = RequestId{id};
-        a.known = "k1";
-        lookups.push_back(std::make_shared<Exchange>(*this, Caller{}, std::move(a)));
-        Send s;
+        a.request = arrival(id, "a1", loop.now() + Duration::seconds(1));
+        a.client_request_id = ClientRequestId{id};
+        a.client_etag = "k1";
+        lookups.push_back(std::make_shared<ActiveRequest>(*this, ClientStream{}, std::move(a)));
+        Attempt s;
         s.cache = CacheId{cache};
-        s.decided = loop.now();
-        lookups.back()->add(std::move(s));
-        caches->pull(*lookups.back(), 0);
+        s.decided_at = loop.now();
+        lookups.back()->add_attempt(std::move(s));
+        caches->start_attempt(*lookups.back(), 0);
     }
     void run(double seconds) {
-        loop.at(loop.now() + Span::seconds(seconds), [this] { loop.stop(); });
+        loop.schedule_at(loop.now() + Duration::seconds(seconds), [this] { loop.stop(); });
         loop.run();
     }
     // Once that is so, the next; after the last the loop ends. Ten seconds at most.
@@ -110,23 +112,27 @@
             next();
         }
         if (steps.empty()) return loop.stop();
-        loop.at(loop.now() + Span::micros(500), [this] { look(); });
+        loop.schedule_at(loop.now() + Duration::micros(500), [this] { look(); });
     }
     std::vector<Step> steps;
-    void ended(Exchange& x, std::size_t n, const End& e) override {
-        EXPECT_FALSE(quiet) << x.request().raw();
-        outcomes[x.request().raw()] = e.outcome;
-        took[x.request().raw()] = loop.now() - x.send(n).decided;
-        done.push_back(x.request().raw());
+    void on_attempt_ended(ActiveRequest& x, std::size_t n, const AttemptEnd& e) override {
+        EXPECT_FALSE(quiet) << x.client_request_id().raw();
+        outcomes[x.client_request_id().raw()] = e.outcome;
+        took[x.client_request_id().raw()] = loop.now() - x.attempt(n).decided_at;
+        done.push_back(x.client_request_id().raw());
+    }
+    void on_health_check_result(const HealthCheckResult&) override {}
+    bool may_begin_attempt(ActiveRequest& x, std::size_t) override {
+        return !refused.contains(x.client_request_id().raw());
+    }
+    void on_request_id_in_use(ActiveRequest& x, std::size_t) override {
+        names_in_use.push_back(x.client_request_id().raw());
     }
-    void probed(const ProbeAnswer&) override {}
-    bool may_begin(Exchange& x, std::size_t) override { return !refused.contains(x.request().raw()); }
-    void name_in_use(Exchange& x, std::size_t) override { names_in_use.push_back(x.request().raw()); }
     std::vector<std::string> names_in_use;
     std::set<std::string> refused;  // whose sends may not begin any more
-    void satisfied(const Caller&, std::string_view, bool) override {}
-    void nacked(const Caller&, Span) override {}
-    void failed(const Caller&) override {}
+    void send_response(const ClientStream&, std::string_view, bool) override {}
+    void send_rejection(const ClientStream&, Duration) override {}
+    void send_failure(const ClientStream&) override {}
 };
 
 // A cache that resets its connection just before sends go out: they go out on another, and the gateway does
@@ -134,14 +140,14 @@
 TEST(Caches, AFailedWriteEndsTheConnectionOnce) {
     CachesDay day(1);
     day.ask("b1");
-    day.loop.at(day.loop.now() + Span::seconds(0.2), [&] {
+    day.loop.schedule_at(day.loop.now() + Duration::seconds(0.2), [&] {
         day.wires.at(0)->close();
         day.ask("b2");
         day.ask("b3");
     });
     day.run(0.6);
     EXPECT_EQ(day.pulled, (std::vector<std::string>{"b1", "b2", "b3"}));
-    for (const char* id : {"b1", "b2", "b3"}) EXPECT_EQ(day.outcomes.at(id), Outcome::lookup_miss) << id;
+    for (const char* id : {"b1", "b2", "b3"}) EXPECT_EQ(day.outcomes.at(id), Outcome::cache_miss) << id;
 }
 
 // What can't be an answer, or stops short, ends its connection: nothing of it counts, and what else waited
@@ -164,24 +170,24 @@
         head + mark + "$9\r\nabc"};
     for (const std::string& bytes : spoilt) {
         CachesDay day(1);
-        day.then = [&](Wire& w, const std::string& id) {
+        day.then = [&](StandInConnection& w, const std::string& id) {
             if (id == "b1") return;  // waits
             w.out().append(bytes);
-            w.say();
+            w.write();
         };
         day.ask("b1");
         day.ask("b2");
         day.run(0.35);
         ASSERT_EQ(day.outcomes.size(), 2u) << bytes;
-        EXPECT_EQ(day.outcomes.at("b1"), Outcome::severed) << bytes;
-        EXPECT_EQ(day.outcomes.at("b2"), Outcome::severed) << bytes;
+        EXPECT_EQ(day.outcomes.at("b1"), Outcome::connection_reset) << bytes;
+        EXPECT_EQ(day.outcomes.at("b2"), Outcome::connection_reset) << bytes;
     }
 }
 
 // More than belongs to an answer harms nobody.
 TEST(Caches, SecondCopiesAndUnknownIdsAreLeftOut) {
     CachesDay day(1);
-    day.then = [&](Wire& w, const std::string& id) {
+    day.then = [&](StandInConnection& w, const std::string& id) {
         day.say(w, "ffff", "HIT", "tag=k1,minted=99", "of nobody");
         for (int i = 0; i < 2; ++i) day.say(w, id, "VALID", "tag=k1,minted=99,n=cached", "");
     };
@@ -201,39 +207,40 @@
         return !resetting;
     };
     day.ask("b1");
-    day.loop.at(day.loop.now() + Span::seconds(0.1), [&] {
+    day.loop.schedule_at(day.loop.now() + Duration::seconds(0.1), [&] {
         // Which of the two is seen depends on whether the send had gone out whole before the reset came.
-        EXPECT_TRUE(day.outcomes.at("b1") == Outcome::saturated || day.outcomes.at("b1") == Outcome::severed);
+        EXPECT_TRUE(day.outcomes.at("b1") == Outcome::overloaded ||
+                    day.outcomes.at("b1") == Outcome::connection_reset);
         resetting = false;
-        day.then = [&](Wire& w, const std::string& id) {
-            day.loop.at(day.loop.now() + Span::seconds(0.15),
-                        [&day, &w, id] { day.say(w, id, "NONE", "-", ""); });
+        day.then = [&](StandInConnection& w, const std::string& id) {
+            day.loop.schedule_at(day.loop.now() + Duration::seconds(0.15),
+                                 [&day, &w, id] { day.say(w, id, "NONE", "-", ""); });
         };
         day.ask("b2", "e1");
         day.ask("b3", "e2");  // the one connection is at work
     });
-    day.loop.at(day.loop.now() + Span::seconds(0.8), [&] {
-        EXPECT_EQ(day.outcomes.at("b2"), Outcome::lookup_miss);
-        EXPECT_EQ(day.outcomes.at("b3"), Outcome::lookup_miss);
-        EXPECT_GT(day.took.at("b3"), Span::seconds(0.15));
+    day.loop.schedule_at(day.loop.now() + Duration::seconds(0.8), [&] {
+        EXPECT_EQ(day.outcomes.at("b2"), Outcome::cache_miss);
+        EXPECT_EQ(day.outcomes.at("b3"), Outcome::cache_miss);
+        EXPECT_GT(day.took.at("b3"), Duration::seconds(0.15));
         day.accepts.at("e1").reset();
         for (const auto& w : day.wires) w->close();
         day.ask("b4", "e1");
     });
     day.run(1.0);
-    EXPECT_EQ(day.outcomes.at("b4"), Outcome::refused_conn);
+    EXPECT_EQ(day.outcomes.at("b4"), Outcome::connection_refused);
 }
 
 // While no new connection to a cache comes up, what waits for one goes out with the first answer on another.
 TEST(Caches, AnAnswerElsewhereTakesAlongWhatWaitsToConnect) {
     CachesDay day(8, 0);
     std::vector<Poco::Net::StreamSocket> in_the_way(3);
-    day.then = [&](Wire& w, const std::string& id) {
-        day.loop.at(day.loop.now() + Span::seconds(0.05),
-                    [&day, &w, id] { day.say(w, id, "NONE", "-", ""); });
+    day.then = [&](StandInConnection& w, const std::string& id) {
+        day.loop.schedule_at(day.loop.now() + Duration::seconds(0.05),
+                             [&day, &w, id] { day.say(w, id, "NONE", "-", ""); });
     };
     day.ask("b1");
-    day.loop.at(day.loop.now() + Span::seconds(0.02), [&] {
+    day.loop.schedule_at(day.loop.now() + Duration::seconds(0.02), [&] {
         day.accepts.at("e1")->stop();
         for (auto& s : in_the_way) s.connectNB(Poco::Net::SocketAddress(day.accepts.at("e1")->address()));
         day.ask("b2");
@@ -256,7 +263,7 @@
                }},
               {[&] { return day.done.size() == 2; }, [] {}}});
     EXPECT_EQ(day.pulled, (std::vector<std::string>{"b1", "b2"}));
-    EXPECT_EQ(day.outcomes.at("b2"), Outcome::lookup_miss);
+    EXPECT_EQ(day.outcomes.at("b2"), Outcome::cache_miss);
 }
 
 // Too large for the system to take whole while the cache does not read: its client leaves, and neither the
@@ -266,20 +273,20 @@
     day.hears = false;
     day.ask("b1", "e1", std::string(16 << 20, 'w'));
     const auto leave = [&](std::size_t n) {
-        day.lookups.at(n)->client_left();
+        day.lookups.at(n)->on_client_closed();
         // Whoever is told of an end may let go of the exchange: not from within.
         day.quiet = true;
-        day.caches->withdraw(*day.lookups.at(n));
+        day.caches->withdraw_unstarted_attempts(*day.lookups.at(n));
         day.quiet = false;
     };
-    day.play({{[&] { return day.lookups.at(0)->send(0).reach == Reach::partly; },
+    day.play({{[&] { return day.lookups.at(0)->attempt(0).progress == TransmitProgress::partially_written; },
                [&] {
                    day.ask("b2");
-                   EXPECT_EQ(day.lookups.at(1)->send(0).reach, Reach::unconnected);
+                   EXPECT_EQ(day.lookups.at(1)->attempt(0).progress, TransmitProgress::not_connected);
                    leave(1);
                    leave(0);
                    day.hears = true;
-                   for (const auto& w : day.wires) w->hear(true);
+                   for (const auto& w : day.wires) w->start_reading(true);
                    day.ask("b3");
                }},
               {[&] { return day.outcomes.contains("b3"); }, [] {}}});
@@ -292,7 +299,7 @@
     for (const bool still : {true, false}) {
         CachesDay day(4);
         bool may = true;
-        day.caches->probe(CacheId{"e1"}, [&] { return may; });
+        day.caches->start_health_check(CacheId{"e1"}, [&] { return may; });
         may = still;
         day.ask("b1");  // on the same connection, behind it
         day.play({{[&] { return day.done.size() == 1; }, [] {}}});
@@ -309,7 +316,7 @@
     day.refused.insert("b1");
     day.play({{[&] { return day.done.size() == 2; }, [] {}}});
     EXPECT_EQ(day.pulled, std::vector<std::string>{"b2"});
-    EXPECT_EQ(day.outcomes.at("b1"), Outcome::saturated);
+    EXPECT_EQ(day.outcomes.at("b1"), Outcome::overloaded);
 }
 
 }  // namespace
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -23,9 +23,9 @@
     std::size_t used = 0;
     for (std::size_t n = 0; n < whole.size(); ++n) {
         const std::string prefix(whole, 0, n);
-        RC_ASSERT(parse(prefix, used) == Parsed::more);
+        RC_ASSERT(parse(prefix, used) == ParseStatus::incomplete);
     }
-    RC_ASSERT(parse(whole + "tail", used) == Parsed::whole);
+    RC_ASSERT(parse(whole + "tail", used) == ParseStatus::complete);
     RC_ASSERT(used == whole.size());
     const auto changes = *rc::gen::inRange(1, 4);
     for (int i = 0; i < changes; ++i) {
@@ -33,7 +33,7 @@
         whole[at] = *rc::gen::arbitrary<char>();
     }
     const std::string mutated(whole);
-    if (parse(mutated, used) == Parsed::whole) RC_ASSERT(used <= mutated.size());
+    if (parse(mutated, used) == ParseStatus::complete) RC_ASSERT(used <= mutated.size());
 }
 
 TEST(Buffer, GivesBackWhatWasPutIn) {
@@ -49,7 +49,7 @@
             } else {
                 const auto n = *rc::gen::inRange<std::size_t>(0, model.size() + 1);
                 const bool front = *rc::gen::arbitrary<bool>();
-                front ? b.taken(n) : b.cut(n);
+                front ? b.consumed(n) : b.consume(n);
                 front ? model.erase(0, n) : model.erase(model.size() - n);
             }
             RC_ASSERT(b.view() == model);
@@ -67,7 +67,7 @@
         feed(bytes_of(out),
              [&](std::string_view s, std::size_t& used) { return fastcgi::parse_record(s, r, used); });
         std::size_t used = 0;
-        RC_ASSERT(fastcgi::parse_record(out.view(), r, used) == Parsed::whole);
+        RC_ASSERT(fastcgi::parse_record(out.view(), r, used) == ParseStatus::complete);
         RC_ASSERT(r.type == fastcgi::Type::std_in);
         RC_ASSERT(r.request == request);
         RC_ASSERT(r.content == content);
@@ -84,9 +84,9 @@
         std::size_t used = 0;
         fastcgi::Record r;
         while (!out.empty()) {
-            ASSERT_EQ(fastcgi::parse_record(out.view(), r, used), Parsed::whole);
+            ASSERT_EQ(fastcgi::parse_record(out.view(), r, used), ParseStatus::complete);
             got += r.content;
-            out.taken(used);
+            out.consumed(used);
         }
         EXPECT_EQ(got, body);
     }
@@ -102,7 +102,7 @@
             fastcgi::write_pair(all, pairs.back().first, pairs.back().second);
         }
         fastcgi::Pairs got;
-        RC_ASSERT(fastcgi::parse_pairs(all, got) == Parsed::whole);
+        RC_ASSERT(fastcgi::parse_pairs(all, got) == ParseStatus::complete);
         RC_ASSERT(got.size() == pairs.size());
         for (std::size_t i = 0; i < got.size(); ++i) {
             RC_ASSERT(got[i].first == pairs[i].first);
@@ -113,7 +113,7 @@
         got.clear();
         const std::string cut(all, 0, all.size() - 1);
         const bool last_empty = pairs.back().first.empty() && pairs.back().second.empty();
-        if (!last_empty) RC_ASSERT(fastcgi::parse_pairs(cut, got) == Parsed::bad);
+        if (!last_empty) RC_ASSERT(fastcgi::parse_pairs(cut, got) == ParseStatus::invalid);
     });
 }
 
@@ -122,23 +122,23 @@
         const std::string a = any_bytes(20), b = any_bytes(2'000), c = any_bytes(10);
         Buffer out;
         resp::write_array(out, {a, b, c});
-        resp::Words words;
+        resp::Arguments words;
         feed(bytes_of(out),
              [&](std::string_view s, std::size_t& used) { return resp::parse_array(s, words, used); });
         std::size_t used = 0;
-        RC_ASSERT(resp::parse_array(out.view(), words, used) == Parsed::whole);
-        RC_ASSERT(words == resp::Words({a, b, c}));
+        RC_ASSERT(resp::parse_array(out.view(), words, used) == ParseStatus::complete);
+        RC_ASSERT(words == resp::Arguments({a, b, c}));
     });
 }
 
 TEST(Resp, LengthsThatNoMessageHasAreBadAtOnce) {
-    resp::Words words;
+    resp::Arguments words;
     std::size_t used = 0;
     for (const char* s : {"*2000000000\r\n", "*1\r\n$240001\r\n", "*9\r\n", "*-5\r\n", "*1\r\n$x\r\n",
                           "+OK\r\n", "*1\r\n$1\r\nabc"})
-        EXPECT_EQ(resp::parse_array(s, words, used), Parsed::bad) << s;
-    EXPECT_EQ(resp::parse_array("*2\r\n$-1\r\n$1\r\na\r\n", words, used), Parsed::whole);
-    EXPECT_EQ(words, resp::Words({"", "a"}));
+        EXPECT_EQ(resp::parse_array(s, words, used), ParseStatus::invalid) << s;
+    EXPECT_EQ(resp::parse_array("*2\r\n$-1\r\n$1\r\na\r\n", words, used), ParseStatus::complete);
+    EXPECT_EQ(words, resp::Arguments({"", "a"}));
 }
 
 TEST(Resp, FieldsAreFoundByName) {
@@ -170,10 +170,10 @@
         } else {
             said += "content-length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
         }
-        http::Answer a;
-        feed(said, [&](std::string_view s, std::size_t& used) { return http::parse_answer(s, a, used); });
+        http::Response a;
+        feed(said, [&](std::string_view s, std::size_t& used) { return http::parse_response(s, a, used); });
         std::size_t used = 0;
-        RC_ASSERT(http::parse_answer(said, a, used) == Parsed::whole);
+        RC_ASSERT(http::parse_response(said, a, used) == ParseStatus::complete);
         RC_ASSERT(a.status == 200);
         RC_ASSERT(a.body == body);
     });
--- a/tests/event_order_test.cpp
+++ b/tests/event_order_test.cpp
@@ -6,9 +6,9 @@
 namespace irismux::testing {
 namespace {
 
-using lab::Asker;
-using lab::Puppet;
-using lab::Solo;
+using lab::FastCgiClient;
+using lab::ScriptedCache;
+using lab::SingleProcess;
 
 // Connections that rest carry a request each, unread yet, when one more comes and one has to go for it: none
 // of them is the one. Guarded by FrontLink::idle (bytes that lie unread); the gateway stands still meanwhile,
@@ -16,28 +16,28 @@
 TEST(IdleClose, ARequestThatHasComeIsAnswered) {
     // As many as there can be before one has to go: a sixteenth of half the descriptors is kept free.
     constexpr int descriptors = 64, links = descriptors / 2, resting = links - links / 16;
-    Solo solo(answering(solo_shape(2, {.descriptors = descriptors})));
-    std::vector<std::shared_ptr<Asker>> rest;
+    SingleProcess solo(answering(solo_shape(2, {.descriptors = descriptors})));
+    std::vector<std::shared_ptr<FastCgiClient>> rest;
     const auto all = [&](std::uint16_t number) {
         return solo.until([&] {
             return std::all_of(rest.begin(), rest.end(),
-                               [&](const auto& a) { return a->answered(number) || a->ended; });
+                               [&](const auto& a) { return a->has_response(number) || a->ended; });
         });
     };
     for (int n = 0; n < resting; ++n) {
-        rest.push_back(solo.asker());
-        rest.back()->ask(1, {.id = id_of(100 + n)});
+        rest.push_back(solo.connect_client());
+        rest.back()->send(1, {.id = id_of(100 + n)});
     }
     ASSERT_TRUE(all(1));
     solo.process->signal(SIGSTOP);
-    for (int n = 0; n < resting; ++n) rest[static_cast<std::size_t>(n)]->ask(2, {.id = id_of(200 + n)});
+    for (int n = 0; n < resting; ++n) rest[static_cast<std::size_t>(n)]->send(2, {.id = id_of(200 + n)});
     ASSERT_TRUE(solo.until([&] {
-        return std::all_of(rest.begin(), rest.end(), [](const auto& a) { return a->wire->all_said(); });
+        return std::all_of(rest.begin(), rest.end(), [](const auto& a) { return a->wire->all_written(); });
     }));
     Raw one_more(solo.listen);
     solo.process->signal(SIGCONT);
     ASSERT_TRUE(all(2));
-    for (const auto& a : rest) EXPECT_TRUE(a->answered(2));
+    for (const auto& a : rest) EXPECT_TRUE(a->has_response(2));
     // Nor is it the new one, for not having asked yet (Front::keep_some_free, before it is taken in).
     one_more.say(rest[0]->request(1, {.id = id_of(300)}));
     EXPECT_TRUE(solo.until([&] {
@@ -49,53 +49,55 @@
 // What is too large is answered, and the answer arrives though the client goes on sending. Guarded by
 // Link::linger in FrontLink::drop.
 TEST(IdleClose, AnAnswerOutlivesTheRestOfWhatWasTooLarge) {
-    Solo solo(solo_shape(1));
-    const auto writes = solo.asker();
+    SingleProcess solo(solo_shape(1));
+    const auto writes = solo.connect_client();
     Raw client(solo.listen);
     client.say(writes->request(1, {.id = id_of(1), .kind = "bids", .body = std::string(60'000, 'w')}) +
                std::string(100'000, 'x'));
-    ASSERT_TRUE(solo.until([&] { return solo.said("413 Content Too Large"); }));
+    ASSERT_TRUE(solo.until([&] { return solo.logged("413 Content Too Large"); }));
     Raw::Now now = Raw::Now::open;
     ASSERT_TRUE(solo.until([&] { return (now = client.look()) != Raw::Now::open; }));
     EXPECT_EQ(now, Raw::Now::ended);
     EXPECT_NE(client.heard.find("Status: 413"), std::string::npos);
-    EXPECT_EQ(solo.pulls(id_of(1)), 0u);
+    EXPECT_EQ(solo.attempts_received(id_of(1)), 0u);
 }
 
 // A deduplicated lookup whose first send may have run: its window runs out while the next waits for a
 // connection. Guarded by Router::may_begin.
 TEST(Retry, OfADeduplicatedLookupDoesNotBeginBehindItsWindow) {
-    Solo solo(solo_shape(1, {.window = 0.5}, 0));
-    Puppet& cache = *solo.caches[0];
-    const auto a = solo.asker();
-    a->ask(1, {.id = id_of(1), .kind = "keyed", .body = "b"});
-    ASSERT_TRUE(solo.until([&] { return cache.pulled(id_of(1)) == 1; }));
-    const Instant first = cache.pulls[0].at;
+    SingleProcess solo(solo_shape(1, {.window = 0.5}, 0));
+    ScriptedCache& cache = *solo.caches[0];
+    const auto a = solo.connect_client();
+    a->send(1, {.id = id_of(1), .kind = "keyed", .body = "b"});
+    ASSERT_TRUE(solo.until([&] { return cache.find_received(id_of(1)) == 1; }));
+    const TimePoint first = cache.received[0].at;
     cache.hold_connections();
-    cache.pulls[0].wire->reset();
-    ASSERT_TRUE(solo.until([&] { return solo.said("send_ended lookup=" + id_of(1)); }));
-    ASSERT_TRUE(solo.until([&] { return solo.loop.now() > first + Span::seconds(0.5); }));
-    cache.take_again();
-    ASSERT_TRUE(solo.until([&] { return a->answered(1); }));
-    EXPECT_EQ(solo.pulls(id_of(1)), 1u);
-    EXPECT_TRUE(a->answered(1, "Status: 50"));
+    cache.received[0].wire->reset();
+    ASSERT_TRUE(solo.until([&] { return solo.logged("send_ended lookup=" + id_of(1)); }));
+    ASSERT_TRUE(solo.until([&] { return solo.loop.now() > first + Duration::seconds(0.5); }));
+    cache.resume_accepting();
+    ASSERT_TRUE(solo.until([&] { return a->has_response(1); }));
+    EXPECT_EQ(solo.attempts_received(id_of(1)), 1u);
+    EXPECT_TRUE(a->has_response(1, "Status: 50"));
 }
 
 // Its client's key goes on with every send, or nobody would know the repeat; one that would not stay within
 // its field is refused.
 TEST(Retry, OfADeduplicatedLookupCarriesItsKey) {
-    Solo solo(solo_shape(2, {.window = 5}));
+    SingleProcess solo(solo_shape(2, {.window = 5}));
     for (const auto& c : solo.caches)
-        c->then = [&](const Puppet::Pull& p) { solo.pulls(p.lookup) == 1 ? p.wire->reset() : c->answer(p); };
-    const auto a = solo.asker();
-    a->ask(1, {.id = id_of(1), .kind = "keyed", .body = "b", .idempotency_key = "0555f6b1ff2b8183"});
-    a->ask(2, {.id = id_of(2), .kind = "keyed", .body = "b", .idempotency_key = "05,via=e9"});
-    ASSERT_TRUE(solo.until([&] { return a->answered(1) && a->answered(2); }));
-    EXPECT_TRUE(a->answered(1, "Status: 200"));
-    EXPECT_TRUE(a->answered(2, "Status: 400"));
+        c->then = [&](const ScriptedCache::ReceivedAttempt& p) {
+            solo.attempts_received(p.request_id) == 1 ? p.wire->reset() : c->answer(p);
+        };
+    const auto a = solo.connect_client();
+    a->send(1, {.id = id_of(1), .kind = "keyed", .body = "b", .idempotency_key = "0555f6b1ff2b8183"});
+    a->send(2, {.id = id_of(2), .kind = "keyed", .body = "b", .idempotency_key = "05,via=e9"});
+    ASSERT_TRUE(solo.until([&] { return a->has_response(1) && a->has_response(2); }));
+    EXPECT_TRUE(a->has_response(1, "Status: 200"));
+    EXPECT_TRUE(a->has_response(2, "Status: 400"));
     std::size_t seen = 0;
     for (const auto& c : solo.caches)
-        for (const Puppet::Pull& p : c->pulls) {
+        for (const ScriptedCache::ReceivedAttempt& p : c->received) {
             EXPECT_NE(p.fields.find("op=0555f6b1ff2b8183"), std::string::npos) << p.fields;
             ++seen;
         }
@@ -104,26 +106,27 @@
 
 // A drain is told while a send waits for its connection: the send goes elsewhere.
 TEST(Retry, OfWhatWaitsWhenItsCacheDrainsGoesElsewhere) {
-    Solo solo(solo_shape(2, {}, 0));
-    const auto a = solo.asker();
-    a->ask(1, {.id = id_of(1)});
-    ASSERT_TRUE(solo.until([&] { return solo.cache_of(id_of(1)) != nullptr; }));
-    Puppet& home = *solo.cache_of(id_of(1));
-    Puppet& other = home.id() == "e1" ? *solo.caches[1] : *solo.caches[0];
-    home.answer(home.pulls[0]);
+    SingleProcess solo(solo_shape(2, {}, 0));
+    const auto a = solo.connect_client();
+    a->send(1, {.id = id_of(1)});
+    ASSERT_TRUE(solo.until([&] { return solo.cache_serving(id_of(1)) != nullptr; }));
+    ScriptedCache& home = *solo.cache_serving(id_of(1));
+    ScriptedCache& other = home.id() == "e1" ? *solo.caches[1] : *solo.caches[0];
+    home.answer(home.received[0]);
     home.hold_connections();
     home.wires[0]->close();
-    ASSERT_TRUE(solo.until([&] { return a->answered(1); }));
-    a->ask(2, {.id = id_of(2)});
-    ASSERT_TRUE(solo.until([&] { return solo.said("taken lookup=" + id_of(2)); }));
-    solo.board->post({{"pool",
-                       {{"version", 2},
-                        {"full", false},
-                        {"servers", {lab::list_line(home.id(), "node", "plant", "", "Terminating")}}}}});
-    ASSERT_TRUE(solo.until([&] { return solo.board->waiting_from() == 2; }));
-    home.take_again();
-    ASSERT_TRUE(solo.until([&] { return other.pulled(id_of(2)) == 1; }));
-    EXPECT_EQ(home.pulled(id_of(2)), 0u);
+    ASSERT_TRUE(solo.until([&] { return a->has_response(1); }));
+    a->send(2, {.id = id_of(2)});
+    ASSERT_TRUE(solo.until([&] { return solo.logged("taken lookup=" + id_of(2)); }));
+    solo.notice_board->post(
+        {{"pool",
+          {{"version", 2},
+           {"full", false},
+           {"servers", {lab::endpoint_json(home.id(), "node", "plant", "", "Terminating")}}}}});
+    ASSERT_TRUE(solo.until([&] { return solo.notice_board->waiting_from() == 2; }));
+    home.resume_accepting();
+    ASSERT_TRUE(solo.until([&] { return other.find_received(id_of(2)) == 1; }));
+    EXPECT_EQ(home.find_received(id_of(2)), 0u);
 }
 
 // Clients that say nothing hold every descriptor they can while the notice board is down: when it is back,
@@ -136,9 +139,9 @@
         Poco::Net::ServerSocket free(Poco::Net::SocketAddress("127.0.0.1:0"));
         c["board"] = free.address().toString();
     };
-    Solo solo(shape);
-    std::vector<std::shared_ptr<Asker>> silent;
-    for (int n = 0; n < 100; ++n) silent.push_back(solo.asker());
+    SingleProcess solo(shape);
+    std::vector<std::shared_ptr<FastCgiClient>> silent;
+    for (int n = 0; n < 100; ++n) silent.push_back(solo.connect_client());
     ASSERT_TRUE(solo.until([&] {
         return std::count_if(silent.begin(), silent.end(), [](const auto& a) { return a->ended; }) >=
                100 - 32;
@@ -147,8 +150,8 @@
     lab::Acceptor back(
         solo.loop, [&](Poco::Net::StreamSocket) { ++polls; }, 64,
         solo.configured["board"].get<std::string>());
-    const Instant from = solo.loop.now();
-    EXPECT_TRUE(solo.until([&] { return polls > 0; }, Span::seconds(2)));
+    const TimePoint from = solo.loop.now();
+    EXPECT_TRUE(solo.until([&] { return polls > 0; }, Duration::seconds(2)));
     EXPECT_LT((solo.loop.now() - from).seconds(), 0.4 + 0.5);
 }
 
--- a/tests/failing_calls_test.cpp
+++ b/tests/failing_calls_test.cpp
@@ -6,16 +6,16 @@
 namespace irismux::testing {
 namespace {
 
-using lab::Asker;
 using lab::Call;
 using lab::CallFaults;
+using lab::FastCgiClient;
 using lab::Shims;
-using lab::Solo;
+using lab::SingleProcess;
 
 const lab::ShimLibraries libraries{IRISMUX_SKEWED_CLOCK, IRISMUX_FAILING_CALLS};
 
-lab::Solo::Shape under(const Shims& shims, std::size_t caches = 2) {
-    lab::Solo::Shape shape = answering(solo_shape(caches, {.deadline = 2}));
+lab::SingleProcess::Options under(const Shims& shims, std::size_t caches = 2) {
+    lab::SingleProcess::Options shape = answering(solo_shape(caches, {.deadline = 2}));
     shape.environment = shims.environment();
     return shape;
 }
@@ -34,11 +34,11 @@
     CallFaults faults;
     faults.nth[static_cast<std::size_t>(GetParam().call)] = GetParam().nth;
     shims.set_calls(faults);
-    Solo solo(under(shims));
-    const auto client = solo.asker();
-    client->ask(1, {.id = id_of(1), .patience_ms = 2000});
-    EXPECT_TRUE(solo.until([&] { return client->answered(1); }));
-    EXPECT_TRUE(client->answered(1, "Status: 200"));
+    SingleProcess solo(under(shims));
+    const auto client = solo.connect_client();
+    client->send(1, {.id = id_of(1), .patience_ms = 2000});
+    EXPECT_TRUE(solo.until([&] { return client->has_response(1); }));
+    EXPECT_TRUE(client->has_response(1, "Status: 200"));
     EXPECT_TRUE(solo.process->running());
 }
 
@@ -78,31 +78,31 @@
     for (std::uint32_t& one_in : faults.one_in) one_in = 10;
     faults.one_in[static_cast<std::size_t>(Call::write)] = 0;  // the log tells the test that it serves
     shims.set_calls(faults);
-    Solo solo(under(shims));
+    SingleProcess solo(under(shims));
     constexpr int connections = 4, lookups = 60;
-    std::vector<std::shared_ptr<Asker>> clients;
-    for (int c = 0; c < connections; ++c) clients.push_back(solo.asker());
+    std::vector<std::shared_ptr<FastCgiClient>> clients;
+    for (int c = 0; c < connections; ++c) clients.push_back(solo.connect_client());
     for (int n = 0; n < lookups; ++n) {
         for (int c = 0; c < connections; ++c)
-            clients[static_cast<std::size_t>(c)]->ask(
+            clients[static_cast<std::size_t>(c)]->send(
                 static_cast<std::uint16_t>(n + 1),
                 {.id = id_of(n * connections + c), .object = id_of(n), .patience_ms = 2000});
-        solo.until([] { return false; }, Span::micros(10'000));
+        solo.until([] { return false; }, Duration::micros(10'000));
     }
     solo.until(
         [&] {
             return std::all_of(clients.begin(), clients.end(),
-                               [](const auto& c) { return c->answers.size() >= lookups; });
+                               [](const auto& c) { return c->responses.size() >= lookups; });
         },
-        Span::seconds(4));
+        Duration::seconds(4));
     ASSERT_TRUE(solo.process->running());
     int served = 0;
     for (const auto& client : clients) {
-        EXPECT_EQ(client->answers.size(), static_cast<std::size_t>(lookups)) << solo.last_words();
+        EXPECT_EQ(client->responses.size(), static_cast<std::size_t>(lookups)) << solo.log_tail();
         EXPECT_FALSE(client->ended);
         for (int n = 0; n < lookups; ++n) {
-            EXPECT_TRUE(client->answered(static_cast<std::uint16_t>(n + 1)));
-            served += client->answered(static_cast<std::uint16_t>(n + 1), "Status: 200");
+            EXPECT_TRUE(client->has_response(static_cast<std::uint16_t>(n + 1)));
+            served += client->has_response(static_cast<std::uint16_t>(n + 1), "Status: 200");
         }
     }
     EXPECT_GT(served, connections * lookups * 9 / 10);
--- a/tests/fatal_signal_test.cpp
+++ b/tests/fatal_signal_test.cpp
@@ -9,16 +9,16 @@
 class FatalSignal : public ::testing::TestWithParam<int> {};
 
 TEST_P(FatalSignal, IsToldWithTheLastEvents) {
-    lab::Solo solo(answering(solo_shape(1)));
-    const auto client = solo.asker();
-    client->ask(1, {.id = id_of(1)});
-    ASSERT_TRUE(solo.until([&] { return client->answered(1); }));
+    lab::SingleProcess solo(answering(solo_shape(1)));
+    const auto client = solo.connect_client();
+    client->send(1, {.id = id_of(1)});
+    ASSERT_TRUE(solo.until([&] { return client->has_response(1); }));
     solo.process->signal(GetParam());
     ASSERT_TRUE(solo.until([&] { return !solo.process->running(); }));
     EXPECT_FALSE(solo.process->left());
-    EXPECT_TRUE(solo.said("fatal: signal " + std::to_string(GetParam()))) << solo.last_words();
-    EXPECT_TRUE(solo.said("us before: taken 1 1")) << solo.last_words();
-    EXPECT_TRUE(solo.said("us before: answered 1 1")) << solo.last_words();
+    EXPECT_TRUE(solo.logged("fatal: signal " + std::to_string(GetParam()))) << solo.log_tail();
+    EXPECT_TRUE(solo.logged("us before: taken 1 1")) << solo.log_tail();
+    EXPECT_TRUE(solo.logged("us before: answered 1 1")) << solo.log_tail();
 }
 
 INSTANTIATE_TEST_SUITE_P(Signals, FatalSignal, ::testing::Values(SIGSEGV, SIGABRT, SIGBUS));
--- a/tests/fleet_digest_test.cpp
+++ b/tests/fleet_digest_test.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-const Span ms = Span::micros(1000);
-const Span term = ms * 4000, round_length = ms * 1000;
+const Duration ms = Duration::micros(1000);
+const Duration term = ms * 4000, round_length = ms * 1000;
 const Generation first{1, "g1"}, second{2, "g2"};
 
 EventNumber event(std::int64_t n) { return EventNumber{n}; }
@@ -19,14 +19,14 @@
 
 // The board has answered a poll that named the last event that came, or none.
 void told(Acknowledgement& a, std::int64_t newest, std::int64_t asked_from = 0) {
-    a.on_board_told(event(newest), event(asked_from));
+    a.on_poll_completed(event(newest), event(asked_from));
 }
 
 // Told everything by the board in that generation.
 Acknowledgement told(const Generation& g, std::int64_t newest) {
     Acknowledgement a;
     a.on_generation(g);
-    a.on_board_asked(true);
+    a.on_poll_started(true);
     told(a, newest);
     return a;
 }
@@ -34,59 +34,59 @@
 TEST(Acknowledgement, ClaimsNothingBeforeTheGenerationIsKnownAndTheBoardHasToldAll) {
     Acknowledgement a;
     EXPECT_FALSE(a.claim());
-    EXPECT_TRUE(a.ask_from_start());
-    a.on_board_asked(true);
-    EXPECT_FALSE(a.ask_from_start());
+    EXPECT_TRUE(a.needs_full_history());
+    a.on_poll_started(true);
+    EXPECT_FALSE(a.needs_full_history());
     a.on_generation(first);
     // Asked before the generation was shown: it may be of the board's former history.
     told(a, 9);
     EXPECT_EQ(a.claim()->event, event(0));
-    EXPECT_TRUE(a.told_once());
-    EXPECT_TRUE(a.ask_from_start());
+    EXPECT_TRUE(a.has_full_history());
+    EXPECT_TRUE(a.needs_full_history());
     // Only what is new since it started: events between are not known.
-    a.on_board_asked(false);
+    a.on_poll_started(false);
     told(a, 12);
     EXPECT_EQ(a.claim()->event, event(0));
-    a.on_board_asked(true);
+    a.on_poll_started(true);
     told(a, 13);
     EXPECT_EQ(a.claim()->event, event(13));
-    EXPECT_FALSE(a.ask_from_start());
-    a.on_board_asked(false);
+    EXPECT_FALSE(a.needs_full_history());
+    a.on_poll_started(false);
     told(a, 14);
     EXPECT_EQ(a.claim()->event, event(14));
 }
 
 TEST(Acknowledgement, AFailedPollTellsNothing) {
     Acknowledgement a = told(first, 5);
-    a.on_board_asked(false);
-    a.on_board_failed();
+    a.on_poll_started(false);
+    a.on_poll_failed();
     told(a, 8);
     EXPECT_EQ(a.claim()->event, event(5));
 }
 
 TEST(Acknowledgement, ABoardThatWentBackCountsAgainOnlyInTheNextGeneration) {
     Acknowledgement a = told(first, 100);
-    a.on_board_asked(false);
+    a.on_poll_started(false);
     told(a, 85);
     EXPECT_TRUE(a.claim()->worn);
     EXPECT_EQ(a.claim()->event, event(0));
-    EXPECT_FALSE(a.ask_from_start());
+    EXPECT_FALSE(a.needs_full_history());
     // Its numbers come as far again: they are others.
-    a.on_board_asked(false);
+    a.on_poll_started(false);
     told(a, 120);
     EXPECT_EQ(a.claim()->event, event(0));
     a.on_generation(second);
     EXPECT_FALSE(a.claim()->worn);
     EXPECT_EQ(a.claim()->event, event(0));
-    EXPECT_TRUE(a.ask_from_start());
-    a.on_board_asked(true);
+    EXPECT_TRUE(a.needs_full_history());
+    a.on_poll_started(true);
     told(a, 121);
-    EXPECT_EQ(a.claim(), (InForce{second, event(121), {}, false}));
+    EXPECT_EQ(a.claim(), (AppliedRevisions{second, event(121), {}, false}));
 }
 
 TEST(Acknowledgement, AnAnswerToAPollFromBeforeTheGenerationIsNotOfIt) {
     Acknowledgement a = told(first, 100);
-    a.on_board_asked(true);
+    a.on_poll_started(true);
     a.on_generation(second);
     told(a, 101);
     EXPECT_EQ(a.claim()->event, event(0));
@@ -96,38 +96,38 @@
 TEST(Acknowledgement, ATellingFromTheStartMayTakeSeveralPolls) {
     Acknowledgement a;
     a.on_generation(first);
-    a.on_board_asked(a.ask_from_start());
-    a.on_board_failed();
-    EXPECT_FALSE(a.ask_from_start());
-    EXPECT_FALSE(a.told_once());
-    a.on_board_asked(false);
+    a.on_poll_started(a.needs_full_history());
+    a.on_poll_failed();
+    EXPECT_FALSE(a.needs_full_history());
+    EXPECT_FALSE(a.has_full_history());
+    a.on_poll_started(false);
     told(a, 30, 20);
-    EXPECT_TRUE(a.told_once());
+    EXPECT_TRUE(a.has_full_history());
     EXPECT_EQ(a.claim()->event, event(30));
     // Restored in between: its numbers are below what has come.
     Acknowledgement b;
     b.on_generation(first);
-    b.on_board_asked(true);
-    b.on_board_failed();
-    b.on_board_asked(false);
+    b.on_poll_started(true);
+    b.on_poll_failed();
+    b.on_poll_started(false);
     told(b, 18, 20);
     EXPECT_TRUE(b.claim()->worn);
     // A new generation in between: it begins anew.
     Acknowledgement c;
     c.on_generation(first);
-    c.on_board_asked(true);
-    c.on_board_failed();
+    c.on_poll_started(true);
+    c.on_poll_failed();
     c.on_generation(second);
-    EXPECT_TRUE(c.ask_from_start());
-    c.on_board_asked(false);
+    EXPECT_TRUE(c.needs_full_history());
+    c.on_poll_started(false);
     told(c, 30, 20);
     EXPECT_EQ(c.claim()->event, event(0));
 }
 
 TEST(Acknowledgement, AnEventThatCouldNotBeReadIsNotInForceNorAnyAfterIt) {
     Acknowledgement a = told(first, 5);
-    a.on_event_left_out();
-    a.on_board_asked(false);
+    a.on_notice_skipped();
+    a.on_poll_started(false);
     told(a, 9, 5);
     EXPECT_EQ(a.claim()->event, event(0));
 }
@@ -136,7 +136,7 @@
     Acknowledgement a = told(second, 7);
     a.on_generation(first);
     a.on_generation({2, "other"});
-    EXPECT_EQ(a.claim(), (InForce{second, event(7), {}, false}));
+    EXPECT_EQ(a.claim(), (AppliedRevisions{second, event(7), {}, false}));
 }
 
 TEST(Acknowledgement, TheNextGenerationIsAboveAllThatIsKnown) {
@@ -150,9 +150,9 @@
 
 TEST(Acknowledgement, AHeartbeatWithAClaimIsReadByFormerVersionsAndOneWithoutIsNoClaim) {
     const std::string plain = serialize(HeartbeatRecord{Incarnation{3}, InstanceId{"k"}, HeartbeatNumber{9}});
-    const InForce claim{first, event(12), ConfigurationNumber{4}, true};
+    const AppliedRevisions claim{first, event(12), ConfigurationNumber{4}, true};
     const std::string with = with_claim(plain, claim);
-    EXPECT_EQ(read_heartbeat(with)->number, HeartbeatNumber{9});
+    EXPECT_EQ(parse_heartbeat(with)->number, HeartbeatNumber{9});
     EXPECT_EQ(read_claim(with), claim);
     EXPECT_EQ(with_claim(plain, std::nullopt), plain);
     EXPECT_FALSE(read_claim(plain));
@@ -169,9 +169,9 @@
 class Site : public ::testing::Test {
 protected:
     DigestKeeper keeper{{MemberName{"m0"}, "k0", term, ms * 250, round_length}};
-    Instant now = Instant::at_seconds(100);
+    TimePoint now = TimePoint::at_seconds(100);
     std::int64_t number = 0;
-    Roster roster;
+    SiteRoster roster;
     std::string generation = serialize(first);
     struct Member {
         bool runs = true;
@@ -193,10 +193,10 @@
         const std::string plain =
             serialize(HeartbeatRecord{Incarnation{1}, InstanceId{m.id}, HeartbeatNumber{m.heartbeat}});
         if (!m.generation) return plain;
-        return with_claim(plain, InForce{*m.generation, event(m.event), {}, false});
+        return with_claim(plain, AppliedRevisions{*m.generation, event(m.event), {}, false});
     }
-    const Digest& look(Span took = ms * 20) {
-        Look l;
+    const Digest& look(Duration took = ms * 20) {
+        FleetSnapshot l;
         l.asked = now;
         l.answered = now + took;
         l.number = ++number;
@@ -205,7 +205,7 @@
         l.former_digest = former;
         l.generation = generation;
         for (auto& [name, m] : members) l.heartbeats[name] = text(m);
-        keeper.on_look(l, InForce{first, event(own_event), {}, false}, {});
+        keeper.on_snapshot(l, AppliedRevisions{first, event(own_event), {}, false}, {});
         now = now + std::max(round_length, took);
         return *keeper.digest();
     }
@@ -316,12 +316,12 @@
     const Digest& d = looks(5);
     EXPECT_EQ(d.live, 41u);
     EXPECT_EQ(d.behind_count, 39u);
-    EXPECT_EQ(d.behind.size(), most_named);
+    EXPECT_EQ(d.behind.size(), max_named_members);
     EXPECT_EQ(d.behind[0].event, event(1));
     for (auto& [name, m] : members) m.runs = false;
     const Digest& still = looks(8);
     EXPECT_EQ(still.absent_count, 40u);
-    EXPECT_EQ(still.absent.size(), most_named);
+    EXPECT_EQ(still.absent.size(), max_named_members);
     EXPECT_LE(serialize(still).size(), 4096u);
 }
 
@@ -333,7 +333,7 @@
     EXPECT_TRUE(keeper.next(now + ms * 1000));
     now = now + ms * 1000;
     members[MemberName{"m1"}].event = 11;
-    const Instant changed = now;
+    const TimePoint changed = now;
     look();
     EXPECT_FALSE(keeper.next(changed + ms * 249));
     EXPECT_TRUE(keeper.next(changed + ms * 250));
@@ -349,8 +349,8 @@
 }
 
 TEST(Roster, HasRoomForSoManyAndSaysWhenThereIsNoMore) {
-    Roster r;
-    for (std::size_t n = 0; n < most_in_roster; ++n) r = *with_name(r, MemberName{std::to_string(n)});
+    SiteRoster r;
+    for (std::size_t n = 0; n < max_roster_names; ++n) r = *with_name(r, MemberName{std::to_string(n)});
     EXPECT_FALSE(with_name(r, MemberName{"0"}));
     EXPECT_FALSE(r.incomplete);
     const auto over = with_name(r, MemberName{"one more"});
@@ -365,10 +365,10 @@
 class Reader : public ::testing::Test {
 protected:
     using Reach = FleetStatus::Reach;
-    using Why = FleetStatus::Why;
+    using Why = FleetStatus::MissingReason;
     std::map<SiteName, std::size_t> inventory{{SiteName{"a"}, 2}, {SiteName{"b"}, 1}};
     std::optional<FleetStatus> status;
-    Instant now = Instant::at_seconds(100);
+    TimePoint now = TimePoint::at_seconds(100);
     std::map<SiteName, Digest> sites;
     std::optional<std::string> generation = serialize(first);
     std::set<MemberName> old_form;
@@ -391,7 +391,7 @@
     }
     // Owners' heartbeats are one ahead of their digests, unless they stand still.
     void read(bool moves = true) {
-        FleetStatus::Reading r;
+        FleetStatus::RegistryReading r;
         r.asked = now;
         r.generation = generation;
         r.old_form = old_form;
@@ -412,7 +412,7 @@
     }
     std::vector<Why> whys(const FleetStatus::Verdict& v) {
         std::vector<Why> all;
-        for (const auto& m : v.missing) all.push_back(m.why);
+        for (const auto& m : v.missing) all.push_back(m.reason);
         return all;
     }
 };
@@ -439,7 +439,7 @@
 TEST_F(Reader, ADigestThatComesLateIsNotFresh) {
     ASSERT_EQ(verdict().reach, Reach::everywhere);
     for (auto& [name, d] : sites) ++d.as_of;
-    FleetStatus::Reading r;
+    FleetStatus::RegistryReading r;
     r.generation = generation;
     for (int n = 0; n < 45; ++n) {
         r.asked = now;
@@ -515,9 +515,9 @@
     sites[SiteName{"b"}].generation = second;
     EXPECT_EQ(whys(verdict()), std::vector{Why::other_generation});
     sites[SiteName{"b"}].generation = first;
-    sites[SiteName{"b"}].worn = true;
+    sites[SiteName{"b"}].restart_required = true;
     EXPECT_EQ(whys(verdict()), std::vector{Why::other_generation});
-    sites[SiteName{"b"}].worn = false;
+    sites[SiteName{"b"}].restart_required = false;
     generation.reset();
     EXPECT_EQ(verdict().reach, Reach::not_yet);
 }
@@ -529,7 +529,7 @@
     board = event(10);
     EXPECT_EQ(verdict(8).reach, Reach::everywhere);
     read();
-    FleetStatus::Reading r;
+    FleetStatus::RegistryReading r;
     r.asked = now;
     status->on_reading(r);  // what the board said before is no answer to what was read after
     EXPECT_EQ(whys(status->judge(now, {event(8), {}})).front(), Why::board_unknown);
--- a/tests/fleet_in_force_test.cpp
+++ b/tests/fleet_in_force_test.cpp
@@ -8,17 +8,17 @@
 
 using namespace irismux;
 using namespace irismux::fleet;
-using lab::Sites;
+using lab::SiteSimulation;
 
 namespace {
 
-const Span ms = Span::micros(1000);
+const Duration ms = Duration::micros(1000);
 
 SharedConfig shared_config(double drift = 0.05) { return {"test", ms * 4000, drift}; }
 using Reach = FleetStatus::Reach;
 
 TEST(InForce, ACalmInstallationSaysEverywhereWithinTheStatedTime) {
-    Sites w(1, {.sites = {3, 5, 1}}, shared_config());
+    SiteSimulation w(1, {.sites = {3, 5, 1}}, shared_config());
     w.start_all();
     w.run(ms * 25'000);
     w.mark();
@@ -26,10 +26,10 @@
     EXPECT_EQ(w.broken, std::vector<std::string>{});
     EXPECT_GT(w.everywhere, 1000u) << w.picture();
     EXPECT_GT(w.longest_until_said, ms * 10);
-    EXPECT_LE(w.longest_until_said, longest_until_said(ms * 4000, 0.05, ms * 250, ms * 50, ms * 300));
+    EXPECT_LE(w.longest_until_said, max_report_delay(ms * 4000, 0.05, ms * 250, ms * 50, ms * 300));
 }
 
-Sites::Troubles all_troubles() {
+SiteSimulation::FaultRates all_troubles() {
     return {.lose = 0.05,
             .late = 0.05,
             .repeat = 0.05,
@@ -42,24 +42,25 @@
 }
 
 // Comes true by itself for what is the newest event now, and soon.
-void says_everywhere(Sites& w, Span within) {
-    const Instant by = w.now() + within;
+void says_everywhere(SiteSimulation& w, Duration within) {
+    const TimePoint by = w.now() + within;
     const std::int64_t event = w.newest();
     while (w.said_of(event).reach != Reach::everywhere && w.now() < by) w.run(ms * 500);
     ASSERT_EQ(w.said_of(event).reach, Reach::everywhere) << event << '\n' << w.picture();
 }
 // Of an event that was published a while ago, and the last one.
-Reach reach_at_rest(Sites& w) {
+Reach reach_at_rest(SiteSimulation& w) {
     w.publishes(false);
     w.run(ms * 6'000);
     w.publishes(true);
     return w.said().verdict.reach;
 }
-const Span settled = ms * 40'000;
+const Duration settled = ms * 40'000;
 
-void play(std::uint32_t seed, const Sites::Shape& shape, const Sites::Troubles& troubles) {
+void play(std::uint32_t seed, const SiteSimulation::Shape& shape,
+          const SiteSimulation::FaultRates& troubles) {
     SCOPED_TRACE(seed);
-    Sites w(seed, shape, shared_config(shape.drift));
+    SiteSimulation w(seed, shape, shared_config(shape.drift));
     w.start_all();
     for (int stretch = 0; stretch < 4; ++stretch) {
         w.run(ms * 30'000, troubles);
@@ -83,8 +84,8 @@
 }
 
 // All is in force everywhere, and that has been said.
-struct AtRest : Sites {
-    AtRest(std::uint32_t seed, const Shape& shape) : Sites(seed, shape, shared_config(shape.drift)) {
+struct AtRest : SiteSimulation {
+    AtRest(std::uint32_t seed, const Shape& shape) : SiteSimulation(seed, shape, shared_config(shape.drift)) {
         start_all();
         run(ms * 25'000);
         mark();
@@ -105,7 +106,7 @@
             w.stop(owner);
             w.run(ms * (1'000 + 700 * seed));
             EXPECT_NE(w.said().verdict.reach, Reach::everywhere);
-            w.go_on(owner);
+            w.resume(owner);
             w.run(ms * 3'000);
             EXPECT_NE(w.said().verdict.reach, Reach::everywhere);
             w.revive(owner);
@@ -268,7 +269,7 @@
     // Nobody of that site is left to say so: the whole site is named.
     ASSERT_EQ(reach_at_rest(one), Reach::all_but);
     EXPECT_EQ(one.said().verdict.missing[0].site.raw(), "s0");
-    EXPECT_EQ(one.said().verdict.missing[0].why, FleetStatus::Why::site_silent);
+    EXPECT_EQ(one.said().verdict.missing[0].reason, FleetStatus::MissingReason::site_silent);
 
     AtRest empty(2, {.sites = {2}, .inventory = {{"planned", 0}}});
     says_everywhere(empty, settled);
@@ -283,8 +284,9 @@
     old.run(ms * 1'000);
     old.kill(2);
     says_everywhere(old, settled);
-    for (const Sites* w : {static_cast<Sites*>(&one), static_cast<Sites*>(&empty),
-                           static_cast<Sites*>(&missing), static_cast<Sites*>(&old)})
+    for (const SiteSimulation* w :
+         {static_cast<SiteSimulation*>(&one), static_cast<SiteSimulation*>(&empty),
+          static_cast<SiteSimulation*>(&missing), static_cast<SiteSimulation*>(&old)})
         EXPECT_EQ(w->broken, std::vector<std::string>{});
 }
 
@@ -315,7 +317,7 @@
 }
 
 TEST(InForce, AllGatewaysOfManySitesRestartedAtOnce) {
-    Sites w(7, {.sites = std::vector<std::size_t>(38, 15), .readers = true}, shared_config());
+    SiteSimulation w(7, {.sites = std::vector<std::size_t>(38, 15), .readers = true}, shared_config());
     w.start_all();
     w.run(ms * 30'000);
     says_everywhere(w, settled);
--- a/tests/fleet_process_test.cpp
+++ b/tests/fleet_process_test.cpp
@@ -16,11 +16,11 @@
 
 namespace {
 
-const Span ms = Span::micros(1000);
+const Duration ms = Duration::micros(1000);
 const std::string sweep = "sweep";
 
-lab::Arena::Shape of_program() {
-    lab::Arena::Shape shape;
+lab::ProcessFleet::Options of_program() {
+    lab::ProcessFleet::Options shape;
     shape.program = IRISMUX_PROGRAM;
     return shape;
 }
@@ -28,14 +28,15 @@
 class Fleet : public ::testing::Test {
 protected:
     fs::path root = fs::temp_directory_path() / ("irismux_arena." + std::to_string(::getpid()));
-    lab::Arena::Shape shape = of_program();
-    std::unique_ptr<lab::Arena> a;
+    lab::ProcessFleet::Options shape = of_program();
+    std::unique_ptr<lab::ProcessFleet> a;
 
     void begin() {
         fs::create_directories(root);
-        a = std::make_unique<lab::Arena>(shape, root.string());
+        a = std::make_unique<lab::ProcessFleet>(shape, root.string());
         a->start_all();
-        ASSERT_TRUE(a->until([&] { return a->all_in() && a->owner(sweep) == first_of(sweep) && working(); }));
+        ASSERT_TRUE(
+            a->until([&] { return a->all_joined() && a->owner(sweep) == first_of(sweep) && working(); }));
     }
     void TearDown() override {
         if (a) {
@@ -61,22 +62,22 @@
     // The sweeping has an owner whose writes land.
     bool working() const {
         const auto n = a->owner(sweep);
-        return n && a->accepted(sweep, *n, a->member(*n)->start) > 0;
+        return n && a->accepted(sweep, *n, a->member(*n)->incarnation) > 0;
     }
     bool works(std::size_t n, Incarnation since) const {
-        return a->owner(sweep) == n && a->member(n)->start >= since &&
-               a->accepted(sweep, n, a->member(n)->start) > 0;
+        return a->owner(sweep) == n && a->member(n)->incarnation >= since &&
+               a->accepted(sweep, n, a->member(n)->incarnation) > 0;
     }
     bool another_works(std::size_t than) const {
         const auto n = a->owner(sweep);
-        return n && *n != than && a->accepted(sweep, *n, a->member(*n)->start) > 0;
+        return n && *n != than && a->accepted(sweep, *n, a->member(*n)->incarnation) > 0;
     }
 };
 
 TEST_F(Fleet, OneOwnsTheSweepingAndAKilledOneIsFollowed) {
     begin();
     const std::size_t first = *a->owner(sweep);
-    const Incarnation former = a->member(first)->start;
+    const Incarnation former = a->member(first)->incarnation;
     a->kill(first);
     EXPECT_TRUE(a->until([&] { return another_works(first); }));
     a->start(first);
@@ -86,20 +87,21 @@
 
 // An owner stopped at each point in turn: as its n-th piece to the registry, or from there, is on its way.
 // That piece is kept back until a successor has written, and goes on when the process does.
-class StoppedAt : public Fleet, public ::testing::WithParamInterface<std::pair<lab::Way, int>> {};
+class StoppedAt : public Fleet, public ::testing::WithParamInterface<std::pair<lab::Direction, int>> {};
 
 TEST_P(StoppedAt, AnOwnerThatWakesUpLateWritesNothing) {
     begin();
     const std::size_t first = *a->owner(sweep);
-    const Incarnation former = a->member(first)->start;
+    const Incarnation former = a->member(first)->incarnation;
     const auto [way, nth] = GetParam();
     int seen = 0;
     bool stopped = false;
     for (const auto& r : a->gateways[first].to_registry)
-        r->seen = [&, way = way, nth = nth](lab::Way w, std::string_view bytes) {
+        r->seen = [&, way = way, nth = nth](lab::Direction w, std::string_view bytes) {
             // Of transactions, and not of the watch.
-            if (w != way || (w == lab::Way::out ? bytes.find("/kv/txn") : bytes.find("responses")) ==
-                                std::string_view::npos)
+            if (w != way ||
+                (w == lab::Direction::to_server ? bytes.find("/kv/txn") : bytes.find("responses")) ==
+                    std::string_view::npos)
                 return;
             if (++seen != nth) return;
             a->stop(first);
@@ -110,27 +112,28 @@
     ASSERT_TRUE(a->until([&] { return another_works(first); }));
     const std::size_t before = a->accepted(sweep, first, former);
     // What it had sent comes first, then it wakes up, then it hears.
-    for (const auto& r : a->gateways[first].to_registry) r->hold(lab::Way::out, false);
+    for (const auto& r : a->gateways[first].to_registry) r->hold(lab::Direction::to_server, false);
     a->pass(ms * 50);
-    a->go_on(first);
+    a->resume(first);
     a->pass(ms * 100);
     a->cut_registry(first, false, false);
     EXPECT_TRUE(a->until([&] { return works(first, Incarnation{former.raw() + 1}); }));
     EXPECT_EQ(a->accepted(sweep, first, former), before);
 }
 
-INSTANTIATE_TEST_SUITE_P(EachPoint, StoppedAt,
-                         ::testing::Values(std::pair{lab::Way::out, 1}, std::pair{lab::Way::out, 2},
-                                           std::pair{lab::Way::out, 3}, std::pair{lab::Way::out, 4},
-                                           std::pair{lab::Way::back, 1}, std::pair{lab::Way::back, 2},
-                                           std::pair{lab::Way::back, 3}, std::pair{lab::Way::back, 4}));
+INSTANTIATE_TEST_SUITE_P(
+    EachPoint, StoppedAt,
+    ::testing::Values(std::pair{lab::Direction::to_server, 1}, std::pair{lab::Direction::to_server, 2},
+                      std::pair{lab::Direction::to_server, 3}, std::pair{lab::Direction::to_server, 4},
+                      std::pair{lab::Direction::to_client, 1}, std::pair{lab::Direction::to_client, 2},
+                      std::pair{lab::Direction::to_client, 3}, std::pair{lab::Direction::to_client, 4}));
 
 // The answer to a transaction is lost that was done: neither two owners, nor nobody.
 TEST_F(Fleet, TheAnswerToTheWinningClaimIsLost) {
     begin();
     const std::size_t first = *a->owner(sweep);
     int lost = 0;
-    a->at_deal = [&](const lab::Registry::Settled& t) {
+    a->on_transaction = [&](const lab::RegistryStandIn::Settled& t) {
         for (const auto& [key, value] : t.writes)
             if (t.held && key.find("/duty/") != std::string::npos && lost < 2) {
                 ++lost;
@@ -150,10 +153,10 @@
     std::size_t last = *a->owner(sweep);
     std::optional<std::size_t> dies;
     int deaths = 0;
-    a->at_deal = [&](const lab::Registry::Settled& t) {
+    a->on_transaction = [&](const lab::RegistryStandIn::Settled& t) {
         for (const auto& [key, value] : t.writes) {
             const auto r =
-                key.find("/duty/") != std::string::npos && value ? read_duty(*value) : std::nullopt;
+                key.find("/duty/") != std::string::npos && value ? parse_duty(*value) : std::nullopt;
             if (!t.held || !r || deaths >= 2) continue;
             for (std::size_t n = 0; n < a->gateways.size(); ++n)
                 if (a->gateways[n].name == r->owner.raw()) {
@@ -174,14 +177,14 @@
 TEST_P(CutOff, AnOwnerCutOffRestsAndServesOn) {
     begin();
     const std::size_t first = *a->owner(sweep);
-    const Incarnation former = a->member(first)->start;
+    const Incarnation former = a->member(first)->incarnation;
     a->serve(first);
     a->cut_registry(first, GetParam().first, GetParam().second);
     ASSERT_TRUE(a->until([&] { return another_works(first); }));
     const std::size_t before = a->accepted(sweep, first, former);
-    const std::uint64_t satisfied = a->gateways[first].clients->satisfied;
-    EXPECT_TRUE(a->until([&] { return a->gateways[first].clients->satisfied > satisfied + 50; }));
-    EXPECT_EQ(a->gateways[first].clients->nacked + a->gateways[first].clients->failed, 0u);
+    const std::uint64_t satisfied = a->gateways[first].clients->served;
+    EXPECT_TRUE(a->until([&] { return a->gateways[first].clients->served > satisfied + 50; }));
+    EXPECT_EQ(a->gateways[first].clients->rejected + a->gateways[first].clients->failed, 0u);
     a->cut_registry(first, false, false);
     EXPECT_TRUE(a->until([&] { return works(first, Incarnation{former.raw() + 1}); }));
     EXPECT_EQ(a->accepted(sweep, first, former), before);
@@ -199,7 +202,7 @@
     for (std::size_t m = 0; m < shape.members; ++m) a->registry.down(m);
     a->pass(shape.term * 3);
     std::uint64_t satisfied = 0;
-    for (const auto& g : a->gateways) satisfied += g.clients->satisfied;
+    for (const auto& g : a->gateways) satisfied += g.clients->served;
     EXPECT_GT(satisfied, 100u);
     const std::size_t asked = a->registry.ledger.asked.size(), writes = a->written.size();
     for (std::size_t m = 0; m < shape.members; ++m) a->registry.up(m);
@@ -213,7 +216,7 @@
     }
     EXPECT_LT(most, 20 * a->gateways.size());
     a->all_answered();
-    for (const auto& g : a->gateways) EXPECT_EQ(g.clients->nacked + g.clients->failed, 0u) << g.name;
+    for (const auto& g : a->gateways) EXPECT_EQ(g.clients->rejected + g.clients->failed, 0u) << g.name;
 }
 
 TEST_F(Fleet, AllKilledAtOnceAndStartedTogether) {
@@ -227,7 +230,7 @@
             [&] { return a->written.size() > before && a->owner(sweep) == first_of(sweep) && working(); }));
     }
     // From the first start on: it went to somebody, perhaps on to the first in the order, and not to and fro.
-    EXPECT_LE(a->taken.size(), 3u * 4u);
+    EXPECT_LE(a->ownership_changes.size(), 3u * 4u);
 }
 
 // Seven in ten killed at once, then started one after the other: one owner, and no duty to and fro.
@@ -235,18 +238,18 @@
     shape.gateways = 6;
     begin();
     for (std::size_t n = 0; n < 4; ++n) a->kill((*a->owner(sweep) + n) % 6);
-    const std::size_t claims = a->taken.size();
+    const std::size_t claims = a->ownership_changes.size();
     EXPECT_TRUE(a->until([&] {
         const auto n = a->owner(sweep);
-        return n && a->gateways[*n].process && a->taken.size() > claims && working();
+        return n && a->gateways[*n].process && a->ownership_changes.size() > claims && working();
     }));
     for (auto& g : a->gateways)
         if (!g.process) {
             a->start(static_cast<std::size_t>(&g - a->gateways.data()));
             a->pass(ms * 300);
         }
-    EXPECT_TRUE(a->until([&] { return a->all_in() && a->owner(sweep) == first_of(sweep) && working(); }));
-    EXPECT_LE(a->taken.size() - claims,
+    EXPECT_TRUE(a->until([&] { return a->all_joined() && a->owner(sweep) == first_of(sweep) && working(); }));
+    EXPECT_LE(a->ownership_changes.size() - claims,
               1u + 2u * 4u);  // at most a hand-back, in two steps, for each that came
 }
 
@@ -259,9 +262,9 @@
     for (const std::size_t n : {first, second}) a->gateways[n].to_caches[0]->down(true);
     ASSERT_TRUE(a->until([&] { return a->owner("watch/c1") == first; }));
     auto& well = *a->gateways[third].clients;
-    const std::uint64_t at_it = a->caches[0]->total, bad = well.nacked + well.failed;
+    const std::uint64_t at_it = a->caches[0]->total, bad = well.rejected + well.failed;
     EXPECT_TRUE(a->until([&] { return a->caches[0]->total > at_it + 50; }));
-    EXPECT_EQ(well.nacked + well.failed, bad);
+    EXPECT_EQ(well.rejected + well.failed, bad);
     for (const std::size_t n : {first, second}) a->gateways[n].to_caches[0]->down(false);
     EXPECT_TRUE(a->until([&] {
         const auto d = a->duty("watch/c1");
@@ -273,7 +276,7 @@
 // Records of a newer version, and such as can't be read: left alone, and in nobody's way.
 TEST_F(Fleet, RecordsThatNobodyHereKnowsAreLeftAlone) {
     begin();
-    const std::string at = std::string(lab::Arena::prefix) + "roll/";
+    const std::string at = std::string(lab::ProcessFleet::prefix) + "roll/";
     const std::vector<std::pair<std::string, std::string>> odd = {
         {"duty/newer", serialize(DutyRecord{FencingToken{7}, MemberName{"gone"}, Incarnation{1}})},
         {"duty/watch/odd", "\xff{"},
@@ -312,7 +315,7 @@
     }));
     bool read = false;
     for (std::size_t n = 0; n < a->gateways.size(); ++n)
-        read = read || a->said(n, "the registry has gone back");
+        read = read || a->logged(n, "the registry has gone back");
     EXPECT_TRUE(read);
 }
 
@@ -323,11 +326,11 @@
     begin();
     const std::size_t first = *a->owner(sweep);
     for (std::size_t m = 0; m + 1 < shape.members; ++m) a->registry.faults(m).lag = 40;
-    const Incarnation former = a->member(first)->start;
+    const Incarnation former = a->member(first)->incarnation;
     a->stop(first);
     ASSERT_TRUE(a->until([&] { return another_works(first); }));
     const std::size_t before = a->accepted(sweep, first, former);
-    a->go_on(first);
+    a->resume(first);
     EXPECT_TRUE(a->until([&] { return works(first, Incarnation{former.raw() + 1}); }));
     EXPECT_EQ(a->accepted(sweep, first, former), before);
 }
@@ -339,10 +342,10 @@
     a->registry.faults(0).mute = true;
     for (auto& g : a->gateways)
         for (auto& r : g.to_registry) {
-            r->faults(lab::Way::back).bytes_a_second = 200'000;
-            r->faults(lab::Way::back).reset_in = 3'000;
-            r->faults(lab::Way::out).reset_in = 2'500;
-            r->faults(lab::Way::out).delay = ms * 5;
+            r->faults(lab::Direction::to_client).bytes_a_second = 200'000;
+            r->faults(lab::Direction::to_client).reset_in = 3'000;
+            r->faults(lab::Direction::to_server).reset_in = 2'500;
+            r->faults(lab::Direction::to_server).delay = ms * 5;
         }
     a->kill(first);
     EXPECT_TRUE(a->until([&] { return another_works(first); }));
@@ -353,22 +356,24 @@
 TEST_F(Fleet, ClocksAtTheBoundOfTheirDrift) {
     shape.drift = 0.25;
     shape.clock = IRISMUX_SKEWED_CLOCK;
-    shape.look_every = ms * 50;
+    shape.health_check_interval = ms * 50;
     fs::create_directories(root);
-    a = std::make_unique<lab::Arena>(shape, root.string());
+    a = std::make_unique<lab::ProcessFleet>(shape, root.string());
     const std::size_t first = first_of("watch/c1");
     for (std::size_t n = 0; n < 3; ++n) a->clock(n, n == first ? 1 - shape.drift : 1 + shape.drift);
     a->start_all();
-    ASSERT_TRUE(a->until([&] { return a->all_in() && working(); }));
+    ASSERT_TRUE(a->until([&] { return a->all_joined() && working(); }));
     for (std::size_t n = 0; n < 3; ++n) a->serve(n);
-    a->cache_dies(0, true);
+    a->set_cache_dead(0, true);
     ASSERT_TRUE(a->until([&] { return a->owner("watch/c1") == first; }));
     for (auto& g : a->gateways) g.to_caches[0]->cut(true);
-    a->cache_dies(0, false);
-    ASSERT_TRUE(a->until([&] { return !a->looks.empty() && a->looks.back().gateway == first; }));
+    a->set_cache_dead(0, false);
+    ASSERT_TRUE(
+        a->until([&] { return !a->health_checks.empty() && a->health_checks.back().gateway == first; }));
     a->cut_registry(first, true, true);
-    const std::size_t before = a->looks.size();
-    EXPECT_TRUE(a->until([&] { return a->looks.size() > before && a->looks.back().gateway != first; }));
+    const std::size_t before = a->health_checks.size();
+    EXPECT_TRUE(a->until(
+        [&] { return a->health_checks.size() > before && a->health_checks.back().gateway != first; }));
     a->pass(shape.term);
     a->cut_registry(first, false, false);
     EXPECT_TRUE(a->until([&] { return a->owner("watch/c1") == first; }));
@@ -381,14 +386,14 @@
     shape.clock = IRISMUX_SKEWED_CLOCK;
     begin();
     const std::size_t first = *a->owner(sweep);
-    const Incarnation former = a->member(first)->start;
+    const Incarnation former = a->member(first)->incarnation;
     a->stop(first);
     a->pass(ms * 50);  // what it had sent has landed
     a->clock(first, 1, ms * 3'600'000);
-    const Instant woke = a->loop.now();
-    a->go_on(first);
+    const TimePoint woke = a->loop.now();
+    a->resume(first);
     // Its sleep took no time here: nobody has followed it yet. Still it acts no more until it has listened.
-    EXPECT_TRUE(a->until([&] { return a->said(first, "duty=sweep tenancy=lost"); }));
+    EXPECT_TRUE(a->until([&] { return a->logged(first, "duty=sweep tenancy=lost"); }));
     const std::size_t all = a->written.size();
     EXPECT_TRUE(a->until([&] { return a->owner(sweep) && a->written.size() > all + 5; }));
     for (const auto& w : a->written) {
@@ -429,24 +434,24 @@
     begin();
     for (std::size_t n = 0; n < a->gateways.size(); ++n) a->serve(n);
     const std::string watch = "watch/c1";
-    a->cache_dies(0, true);
+    a->set_cache_dead(0, true);
     const auto finding = [&] {
         const auto text = a->record("seen/c1");
-        return text ? read_probe_result(*text) : std::nullopt;
+        return text ? parse_health_record(*text) : std::nullopt;
     };
     ASSERT_TRUE(a->until([&] { return a->owner(watch) && finding() && finding()->streak > 2; }));
-    EXPECT_FALSE(finding()->well);
+    EXPECT_FALSE(finding()->healthy);
     // Its process hangs from now on, and does not refuse: looks are seen at the far end.
     for (auto& g : a->gateways) g.to_caches[0]->cut(true);
-    a->cache_dies(0, false);
-    ASSERT_TRUE(a->until([&] { return a->looks.size() > 3; }));
+    a->set_cache_dead(0, false);
+    ASSERT_TRUE(a->until([&] { return a->health_checks.size() > 3; }));
     const std::size_t owner = *a->owner(watch);
     a->stop(owner);
     ASSERT_TRUE(a->until([&] {
         const auto n = a->owner(watch);
         return n && *n != owner && finding() && finding()->by.name.raw() == a->gateways[*n].name;
     }));
-    a->go_on(owner);
+    a->resume(owner);
     a->pass(shape.term);
     // It answers again: it is well for all, no mark is left, and nobody watches any more.
     for (auto& g : a->gateways) g.to_caches[0]->cut(false);
@@ -466,20 +471,20 @@
     shape.probes = false;
     begin();
     for (std::size_t n = 0; n < a->gateways.size(); ++n) a->serve(n);
-    a->cache_dies(0, true);
+    a->set_cache_dead(0, true);
     const auto silent = [&] {
         const auto text = a->record("seen/c1");
-        const auto f = text ? read_probe_result(*text) : std::nullopt;
-        return f && !f->well && f->streak > 2;
+        const auto f = text ? parse_health_record(*text) : std::nullopt;
+        return f && !f->healthy && f->streak > 2;
     };
     ASSERT_TRUE(a->until([&] { return a->owner("watch/c1") && silent(); }));
     const std::uint64_t before = a->caches[0]->total;
-    a->cache_dies(0, false);
+    a->set_cache_dead(0, false);
     EXPECT_TRUE(a->until([&] {
         const auto d = a->duty("watch/c1");
         return (!d || d->owner.raw().empty()) && a->caches[0]->total > before;
     }));
-    EXPECT_TRUE(a->looks.empty());
+    EXPECT_TRUE(a->health_checks.empty());
     a->all_answered();
 }
 
@@ -497,22 +502,22 @@
     a->kill(n);
     replace(n, "[fleet]\n", "[fleet]\nname = \"" + a->gateways[*a->owner(sweep)].name + "\"\n");
     a->start(n);
-    EXPECT_TRUE(a->until([&] { return a->said(n, "held by another living gateway"); }));
+    EXPECT_TRUE(a->until([&] { return a->logged(n, "held by another living gateway"); }));
     a->kill(n);
     a->kill(m);
     replace(m, "\"arena\"", "\"another\"");
     a->start(m);
-    EXPECT_TRUE(a->until([&] { return a->said(m, "goes by other articles"); }));
+    EXPECT_TRUE(a->until([&] { return a->logged(m, "goes by other articles"); }));
     EXPECT_TRUE(a->until([&] { return !a->member(n) && !a->member(m); }));
     EXPECT_TRUE(working());
 }
 
 // SIGHUP with a table that has gone, and one that has come back: the same process leaves, and joins anew.
 TEST_F(Fleet, ATableThatGoesAndComesBackInService) {
-    shape.keeps = true;
+    shape.stores_tokens = true;
     begin();
     const std::size_t first = *a->owner(sweep);
-    const Incarnation former = a->member(first)->start;
+    const Incarnation former = a->member(first)->incarnation;
     const auto& g = a->gateways[first];
     const std::string kept = g.parts + ".kept";
     fs::rename(g.parts, kept);
@@ -523,7 +528,7 @@
     g.process->signal(SIGHUP);
     EXPECT_TRUE(a->until([&] { return works(first, Incarnation{former.raw() + 1}); }));
     // And a changed one: it leaves and joins in one step, though its former self has just gone.
-    const Incarnation again = a->member(first)->start;
+    const Incarnation again = a->member(first)->incarnation;
     std::ofstream(g.parts, std::ios::app) << "\n# changed\n";
     std::ifstream in(g.parts);
     std::string all((std::istreambuf_iterator<char>(in)), {});
@@ -536,7 +541,7 @@
 
 // Epochs that were seen are refused by a member that was started anew meanwhile, too, where it keeps them.
 TEST_F(Fleet, WhatWasSeenIsRefusedAfterARestart) {
-    shape.keeps = true;
+    shape.stores_tokens = true;
     begin();
     const std::size_t first = *a->owner(sweep);
     const registry::Revision backup = a->registry.model.newest();
@@ -558,14 +563,14 @@
 TEST_F(Fleet, TheEnvironmentAloneJoinsNoFleet) {
     begin();
     auto& g = a->gateways[0];
-    const Incarnation former = a->member(0)->start;
+    const Incarnation former = a->member(0)->incarnation;
     a->kill(0);
     g.process = std::make_unique<lab::Process>(lab::Process::Start{
         {shape.program, "serve"}, {"NODE_CONFIG=" + g.configuration, "IRISMUX_PARTS=" + g.parts}, "", g.log});
-    EXPECT_TRUE(a->until([&] { return a->said(0, "[fleet] counts only with --parts"); }));
+    EXPECT_TRUE(a->until([&] { return a->logged(0, "[fleet] counts only with --parts"); }));
     a->serve(0);
-    EXPECT_TRUE(a->until([&] { return g.clients->satisfied > 20 && !a->member(0); }));
-    EXPECT_FALSE(a->member(0).has_value() && a->member(0)->start > former);
+    EXPECT_TRUE(a->until([&] { return g.clients->served > 20 && !a->member(0); }));
+    EXPECT_FALSE(a->member(0).has_value() && a->member(0)->incarnation > former);
     a->all_answered();
 }
 
--- a/tests/fleet_sites_test.cpp
+++ b/tests/fleet_sites_test.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
-const Span ms = Span::micros(1000);
-const Span term = ms * 1'000;
+const Duration ms = Duration::micros(1000);
+const Duration term = ms * 1'000;
 constexpr double drift = 0.05;
 
 const double some_terms = term.seconds() * 2.5;
@@ -29,23 +29,23 @@
 class Sites : public ::testing::Test {
 protected:
     fs::path root = fs::temp_directory_path() / ("irismux_sites." + std::to_string(::getpid()));
-    std::unique_ptr<lab::Arena> a;
+    std::unique_ptr<lab::ProcessFleet> a;
     std::string parts;
     std::string said;  // by the command line, last
 
     void SetUp() override {
         fs::create_directories(root);
-        lab::Arena::Shape shape;
+        lab::ProcessFleet::Options shape;
         shape.program = IRISMUX_PROGRAM;
         shape.term = term;
         shape.drift = drift;
         shape.fleet_lines = [](std::size_t n) {
             return "site = \"" + site_of(n) + "\"\nacknowledge_every = \"100ms\"\nconfiguration = 7\n";
         };
-        a = std::make_unique<lab::Arena>(shape, root.string());
+        a = std::make_unique<lab::ProcessFleet>(shape, root.string());
         parts = (root / "operator.toml").string();
         std::ofstream(parts) << "[fleet]\nmembers = [\"" << a->registry.address(0)
-                             << "\"]\ninstallation = \"arena\"\nprefix = \"" << lab::Arena::prefix
+                             << "\"]\ninstallation = \"arena\"\nprefix = \"" << lab::ProcessFleet::prefix
                              << "\"\nterm = \"" << term.micros() / 1000 << "ms\"\ndrift = " << drift
                              << "\nsites = { a = 2, b = 1 }\n";
         a->start_all();
@@ -76,7 +76,7 @@
     // Asks again until the answer is that one, in those words. None on the way may be `everywhere`. How long
     // it takes until digests are fresh depends on the machine; the verdict must not.
     bool comes_to(int answer, const std::string& words, const std::vector<std::string>& question) {
-        const Instant by = a->loop.now() + ms * 60'000;
+        const TimePoint by = a->loop.now() + ms * 60'000;
         while (a->loop.now() < by) {
             const int given = run(question);
             if (given == everywhere) return false;
@@ -105,7 +105,8 @@
         return a->gateways[n].board->waiting_from() >= event;
     }
     void deaf(std::size_t n, bool is) {
-        for (const lab::Way way : {lab::Way::out, lab::Way::back}) a->gateways[n].to_board->hold(way, is);
+        for (const lab::Direction way : {lab::Direction::to_server, lab::Direction::to_client})
+            a->gateways[n].to_board->hold(way, is);
     }
     bool listens(std::size_t n) const {
         const auto seen = lab::sockets_of(a->gateways[n].process->id());
@@ -118,7 +119,7 @@
     }
     std::optional<std::string> record(const std::string& path) const {
         const auto* state = a->registry.model.at(a->registry.model.newest());
-        const auto it = state->find(registry::RecordKey{lab::Arena::prefix + path});
+        const auto it = state->find(registry::RecordKey{lab::ProcessFleet::prefix + path});
         return it == state->end() ? std::nullopt : std::optional(it->second.value);
     }
 };
@@ -143,7 +144,7 @@
     a->stop(first);
     const std::int64_t event = purge();
     EXPECT_NE(in_force(event, some_terms), everywhere) << said;
-    a->go_on(first);
+    a->resume(first);
     EXPECT_NE(in_force(event, some_terms), everywhere) << said;
     EXPECT_FALSE(has(first, event));
     deaf(first, false);
@@ -197,8 +198,8 @@
     deaf(1, true);
     a->kill(1);
     a->start(1);
-    const Instant started = a->loop.now();
-    const Span counted = longest_counted(term, drift);
+    const TimePoint started = a->loop.now();
+    const Duration counted = longest_counted(term, drift);
     ASSERT_TRUE(a->until([&] { return listens(1) || a->loop.now() - started > counted * 0.8; }));
     EXPECT_FALSE(listens(1));
     EXPECT_TRUE(a->until([&] { return listens(1); }));
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -9,11 +9,11 @@
 
 using namespace irismux;
 using namespace irismux::fleet;
-using lab::World;
+using lab::FleetSimulation;
 
 namespace {
 
-const Span ms = Span::micros(1000);
+const Duration ms = Duration::micros(1000);
 
 SharedConfig shared_config(double drift = 0.05) { return {"test", ms * 4000, drift}; }
 
@@ -21,7 +21,7 @@
 
 TEST(Fleet, AFenceRefusesLowerEpochsAlsoAfterARestart) {
     const DutyName d{"d"};
-    const Holder a{FencingToken{4}, MemberName{"a"}, Incarnation{1}},
+    const LeaseHolder a{FencingToken{4}, MemberName{"a"}, Incarnation{1}},
         b{FencingToken{5}, MemberName{"b"}, Incarnation{2}};
     Fence f(2);
     EXPECT_TRUE(f.accepts(d, a));
@@ -54,7 +54,9 @@
 // it.
 TEST(Fleet, AFenceForgetsWhatWasSweptAndHeedsNoneOfItsEpochs) {
     const DutyName d{"d"}, other{"o"};
-    const auto by = [](std::int64_t e) { return Holder{FencingToken{e}, MemberName{"a"}, Incarnation{1}}; };
+    const auto by = [](std::int64_t e) {
+        return LeaseHolder{FencingToken{e}, MemberName{"a"}, Incarnation{1}};
+    };
     Fence f;
     f.on_record(d, by(7));
     f.forget(d);
@@ -75,11 +77,11 @@
         near{.named = true, .in_term = true, .near_end = true}, lapsed{.named = true},
         wanted{.in_term = true, .wanted = true}, none{.in_term = true}, out{.wanted = true};
     const std::vector<std::pair<LeaseConditions, LeaseState>> steps = {
-        {none, LeaseState::idle},    {out, LeaseState::idle},     {wanted, LeaseState::seeking},
-        {mine, LeaseState::owning},  {near, LeaseState::resting}, {mine, LeaseState::owning},
-        {near, LeaseState::resting}, {lapsed, LeaseState::lost},  {lapsed, LeaseState::lost},
-        {mine, LeaseState::owning},  {wanted, LeaseState::lost},  {wanted, LeaseState::seeking},
-        {none, LeaseState::idle},    {mine, LeaseState::owning},  {none, LeaseState::lost},
+        {none, LeaseState::idle},     {out, LeaseState::idle},      {wanted, LeaseState::seeking},
+        {mine, LeaseState::owning},   {near, LeaseState::released}, {mine, LeaseState::owning},
+        {near, LeaseState::released}, {lapsed, LeaseState::lost},   {lapsed, LeaseState::lost},
+        {mine, LeaseState::owning},   {wanted, LeaseState::lost},   {wanted, LeaseState::seeking},
+        {none, LeaseState::idle},     {mine, LeaseState::owning},   {none, LeaseState::lost},
         {none, LeaseState::idle}};
     Lease t;
     for (std::size_t n = 0; n < steps.size(); ++n) EXPECT_EQ(t.enter(steps[n].first), steps[n].second) << n;
@@ -111,22 +113,22 @@
     for (const char* bad :
          {"", "{", "[]", "{}", R"({"start":0,"mark":"x"})", R"({"start":"1","mark":"x"})", R"({"start":1})",
           R"({"epoch":-1,"owner":""})", R"({"epoch":1,"owner":"m"})", R"({"epoch":1,"owner":3,"start":1})"}) {
-        EXPECT_FALSE(read_member(bad)) << bad;
-        EXPECT_FALSE(read_heartbeat(bad)) << bad;
-        EXPECT_FALSE(read_duty(bad)) << bad;
+        EXPECT_FALSE(parse_member(bad)) << bad;
+        EXPECT_FALSE(parse_heartbeat(bad)) << bad;
+        EXPECT_FALSE(parse_duty(bad)) << bad;
     }
-    EXPECT_FALSE(read_heartbeat(R"({"start":1,"mark":"x","beat":0})"));
+    EXPECT_FALSE(parse_heartbeat(R"({"start":1,"mark":"x","beat":0})"));
     MemberRecord m{Incarnation{3}, InstanceId{"k"}, "1.2", {{DutyName{"d"}, FencingToken{7}}}};
-    EXPECT_EQ(read_member(serialize(m))->refuses, m.refuses);
-    EXPECT_EQ(read_duty(serialize(DutyRecord{FencingToken{2}, MemberName{}, Incarnation{}}))->owner,
+    EXPECT_EQ(parse_member(serialize(m))->refused_tokens, m.refused_tokens);
+    EXPECT_EQ(parse_duty(serialize(DutyRecord{FencingToken{2}, MemberName{}, Incarnation{}}))->owner,
               MemberName{});
 }
 
 // One gateway at a registry that answers at once, in steps of a tenth of a round.
 class Alone : public ::testing::Test, public RegistryPort, public AgentObserver {
 protected:
-    lab::Ledger ledger;
-    Instant now = Instant::at_seconds(1);
+    lab::TransactionLedger ledger;
+    TimePoint now = TimePoint::at_seconds(1);
     std::optional<Transaction> out;
     std::vector<Transaction> said;
     std::vector<std::string> remarks;
@@ -143,8 +145,8 @@
         ledger.settle({{}, {{Key{key}, value}}, {}});
     }
     void run(
-        Span time, const std::function<void()>& each = [] {}) {
-        for (const Instant end = now + time; now < end; now = now + ms * 100) {
+        Duration time, const std::function<void()>& each = [] {}) {
+        for (const TimePoint end = now + time; now < end; now = now + ms * 100) {
             each();
             for (int k = 0; k < 4 && out; ++k) {
                 const auto o = ledger.settle(*std::exchange(out, std::nullopt));
@@ -162,10 +164,10 @@
         out = d;
         said.push_back(d);
     }
-    void schedule_wake(Instant) override {}
+    void schedule_wake(TimePoint) override {}
     void on_lease_state(const DutyName&, LeaseState, FencingToken) override {}
     void on_write_outcome(const DutyName&, const Key&, WriteOutcome done) override { worked(done); }
-    void remark(std::string_view line) override { remarks.emplace_back(line); }
+    void on_warning(std::string_view line) override { remarks.emplace_back(line); }
 };
 
 TEST_F(Alone, AnotherInstallationsRegistryIsLeftAlone) {
@@ -188,7 +190,7 @@
         put("beat/m",
             serialize(HeartbeatRecord{Incarnation{4}, InstanceId{"other"}, HeartbeatNumber{++beats}}));
     });
-    EXPECT_FALSE(agent->membership().in());
+    EXPECT_FALSE(agent->membership().joined());
     EXPECT_TRUE(remarked("held by another living gateway"));
     run(ms * 20'000);
     EXPECT_TRUE(agent->may_act(now, DutyName{"d"}));
@@ -200,11 +202,11 @@
     put("duty/newer", serialize(DutyRecord{FencingToken{3}, MemberName{"gone"}, Incarnation{1}}));
     start("m", shared_config());
     run(ms * 30'000);
-    EXPECT_TRUE(agent->membership().in());
+    EXPECT_TRUE(agent->membership().joined());
     EXPECT_FALSE(agent->may_act(now, DutyName{"d"}));
     EXPECT_TRUE(remarked("can't be read"));
     EXPECT_EQ(ledger.records().at(Key{"duty/d"}), "{\"format\":9}");
-    EXPECT_EQ(read_duty(ledger.records().at(Key{"duty/newer"}))->owner, MemberName{"gone"});
+    EXPECT_EQ(parse_duty(ledger.records().at(Key{"duty/newer"}))->owner, MemberName{"gone"});
 }
 
 TEST_F(Alone, ARegistryThatHasGoneBackIsRefusedUntilTheEpochHasJumped) {
@@ -213,7 +215,8 @@
     put("duty/d", serialize(DutyRecord{FencingToken{7}, MemberName{"y"}, Incarnation{1}}));
     run(ms * 2'000);
     EXPECT_TRUE(remarked("has gone back"));
-    EXPECT_EQ(read_member(ledger.records().at(Key{"member/m"}))->refuses.at(DutyName{"d"}), FencingToken{40});
+    EXPECT_EQ(parse_member(ledger.records().at(Key{"member/m"}))->refused_tokens.at(DutyName{"d"}),
+              FencingToken{40});
     run(ms * 30'000);
     EXPECT_TRUE(agent->may_act(now, DutyName{"d"}));
     EXPECT_EQ(agent->token_of(DutyName{"d"}), FencingToken{41});
@@ -257,36 +260,36 @@
     ASSERT_TRUE(agent->may_act(now, w));
     const std::string ours = ledger.records().at(duty_key(w));
     const FencingToken before = agent->token_of(w);
-    put(probe_result_key(CacheId{"c"}).raw(), serialize(ProbeResult{before, agent->self(), false, 3}));
+    put(health_record_key(CacheId{"c"}).raw(), serialize(HealthRecord{before, agent->self(), false, 3}));
     put(release_key(w).raw(), serialize(Instance{MemberName{"gone"}, Incarnation{3}}));
     agent->set_duties(now, {garbage_collection_duty()});
     EXPECT_FALSE(agent->may_act(now, w));
     run(ms * 200);
-    EXPECT_EQ(read_duty(ledger.records().at(duty_key(w)))->owner, MemberName{});
+    EXPECT_EQ(parse_duty(ledger.records().at(duty_key(w)))->owner, MemberName{});
     agent->set_duties(now, {garbage_collection_duty(), w});
     agent->on_records(now, registry::Revision{1}, {{duty_key(w), ours}}, false);
     EXPECT_FALSE(agent->may_act(now, w));
     agent->set_duties(now, {garbage_collection_duty()});
 
-    GarbageCollector sweep(ms * 1000, agent->membership().wait() * 2);
-    worked = [&](WriteOutcome done) { sweep.told(now, done); };
-    std::optional<Instant> gone;
-    const Instant from = now;
+    GarbageCollector sweep(ms * 1000, agent->membership().eviction_timeout() * 2);
+    worked = [&](WriteOutcome done) { sweep.on_written(now, done); };
+    std::optional<TimePoint> gone;
+    const TimePoint from = now;
     run(ms * 30'000, [&] {
         RecordMirror record_mirror;
         record_mirror.apply(ledger.all(), true);
-        if (!gone && !ledger.records().contains(probe_result_key(CacheId{"c"}))) gone = now;
+        if (!gone && !ledger.records().contains(health_record_key(CacheId{"c"}))) gone = now;
         if (auto write_request = sweep.next(now, record_mirror, *agent))
             if (!agent->write_fenced(now, garbage_collection_duty(), collection_progress_key(),
                                      std::move(*write_request)))
-                sweep.told(now, WriteOutcome::refused);
+                sweep.on_written(now, WriteOutcome::refused);
     });
     ASSERT_TRUE(gone);
-    EXPECT_GE(*gone - from, agent->membership().wait() * 2);
+    EXPECT_GE(*gone - from, agent->membership().eviction_timeout() * 2);
     EXPECT_FALSE(ledger.records().contains(duty_key(w)));
     EXPECT_FALSE(ledger.records().contains(release_key(w)));
-    EXPECT_GE(read_floor(ledger.records().at(floor_key())), before);
-    EXPECT_EQ(read_collection_progress(ledger.records().at(collection_progress_key()))->taken, 3);
+    EXPECT_GE(parse_floor(ledger.records().at(floor_key())), before);
+    EXPECT_EQ(parse_collection_progress(ledger.records().at(collection_progress_key()))->removed_records, 3);
     // Nobody who claims it remembers: only the registry does.
     worked = [](WriteOutcome) {};
     start("n", shared_config());
@@ -298,18 +301,18 @@
 
 // --- the watch over a cache ------------------------------------------------------------------------------
 
-class Watching : public Alone, public ProbePort {
+class Watching : public Alone, public HealthCheckCallbacks {
 protected:
     const CacheId c{"c"};
-    HealthWatch health_watch{*this, ms * 500, ms * 1000};
-    std::vector<Instant> looks;
-    std::vector<std::pair<Instant, Instant>> trials;  // when it was told, and from when on
+    HealthMonitor health_watch{*this, ms * 500, ms * 1000};
+    std::vector<TimePoint> looks;
+    std::vector<std::pair<TimePoint, TimePoint>> trials;  // when it was told, and from when on
 
-    void send_probe(const CacheId&) override { looks.push_back(now); }
-    void trial_from(const CacheId&, Instant at) override { trials.emplace_back(now, at); }
+    void start_health_check(const CacheId&) override { looks.push_back(now); }
+    void postpone_recovery_probe(const CacheId&, TimePoint at) override { trials.emplace_back(now, at); }
     void others_mark(const std::string& name, bool is) {
         MemberRecord m{Incarnation{1}, InstanceId{name}, "1", {}};
-        if (is) m.marks.insert(c);
+        if (is) m.ejected_caches.insert(c);
         put("member/" + name, serialize(m));
         put("beat/" + name,
             serialize(HeartbeatRecord{Incarnation{1}, InstanceId{name}, HeartbeatNumber{++signs}}));
@@ -320,46 +323,46 @@
 
 TEST_F(Watching, ItBeginsWithTheSecondMarkAndEndsWithTheLast) {
     start("m", shared_config());
-    health_watch.marked(c, true);
-    EXPECT_TRUE(health_watch.watched(*agent).empty());
+    health_watch.on_ejection_changed(c, true);
+    EXPECT_TRUE(health_watch.monitored(*agent).empty());
     others_mark("x", true);
-    EXPECT_EQ(health_watch.watched(*agent), std::set<CacheId>{c});
-    health_watch.marked(c, false);
-    EXPECT_EQ(health_watch.watched(*agent), std::set<CacheId>{c});
+    EXPECT_EQ(health_watch.monitored(*agent), std::set<CacheId>{c});
+    health_watch.on_ejection_changed(c, false);
+    EXPECT_EQ(health_watch.monitored(*agent), std::set<CacheId>{c});
     others_mark("x", false);
-    EXPECT_TRUE(health_watch.watched(*agent).empty());
+    EXPECT_TRUE(health_watch.monitored(*agent).empty());
 }
 
 TEST_F(Watching, ItsOwnerLooksAtAPaceAndWritesUnderItsEpochWhatItSaw) {
     start("m", shared_config());
-    health_watch.marked(c, true);
+    health_watch.on_ejection_changed(c, true);
     agent->set_duties(now, {health_watch_duty(c)});
     int step = 0;
-    const auto finding = [&] { return read_probe_result(ledger.records().at(probe_result_key(c))); };
+    const auto finding = [&] { return parse_health_record(ledger.records().at(health_record_key(c))); };
     run(ms * 20'000, [&] {
         others_mark("x", true);
-        health_watch.watched(*agent);
+        health_watch.monitored(*agent);
         health_watch.tick(now, *agent);
-        if (++step % 2) health_watch.on_probe_done(now, CacheId{"unknown"}, true, *agent);
+        if (++step % 2) health_watch.on_health_check_done(now, CacheId{"unknown"}, true, *agent);
     });
     ASSERT_TRUE(agent->may_act(now, health_watch_duty(c)));
     for (std::size_t n = 1; n < looks.size(); ++n) EXPECT_GE(looks[n] - looks[n - 1], ms * 500);
     // Never answered.
-    EXPECT_FALSE(finding()->well);
+    EXPECT_FALSE(finding()->healthy);
     EXPECT_GT(finding()->streak, 5);
     EXPECT_EQ(finding()->token, agent->token_of(health_watch_duty(c)));
     const std::size_t before = looks.size();
     run(ms * 3'000, [&] {
         others_mark("x", true);
         health_watch.tick(now, *agent);
-        if (looks.size() > before) health_watch.on_probe_done(now, c, true, *agent);
+        if (looks.size() > before) health_watch.on_health_check_done(now, c, true, *agent);
     });
-    EXPECT_TRUE(finding()->well);
+    EXPECT_TRUE(finding()->healthy);
     EXPECT_GE(finding()->streak, 2);
     // One that was asked for within the term, and would go out after a stop that outlasted it.
     health_watch.tick(now + ms * 500, *agent);
-    EXPECT_TRUE(health_watch.may_probe(now + ms * 500, c, *agent));
-    EXPECT_FALSE(health_watch.may_probe(now + ms * 5'000, c, *agent));
+    EXPECT_TRUE(health_watch.may_check(now + ms * 500, c, *agent));
+    EXPECT_FALSE(health_watch.may_check(now + ms * 5'000, c, *agent));
     const std::size_t told = trials.size();
     health_watch.not_permitted(now, c, *agent);
     EXPECT_EQ(trials.size(), told + 1);
@@ -370,7 +373,7 @@
     health_watch.on_probe_result(now, c, {FencingToken{1}, {MemberName{"x"}, Incarnation{1}}, false, 1},
                                  *agent);
     EXPECT_TRUE(trials.empty()) << "it is not marked here";
-    health_watch.marked(c, true);
+    health_watch.on_ejection_changed(c, true);
     health_watch.on_probe_result(now, c, {FencingToken{1}, {MemberName{"x"}, Incarnation{1}}, false, 1},
                                  *agent);
     ASSERT_EQ(trials.size(), 1u);
@@ -383,11 +386,11 @@
     ASSERT_EQ(trials.size(), 2u);
     EXPECT_LE(trials[1].second - now, ms * 500);
     // Of three that mark it each has an instant of its own.
-    std::set<Span> instants;
+    std::set<Duration> instants;
     for (const char* name : {"a", "b", "m"}) {
         start(name, shared_config());
-        health_watch.marked(c, false);
-        health_watch.marked(c, true);
+        health_watch.on_ejection_changed(c, false);
+        health_watch.on_ejection_changed(c, true);
         for (const char* other : {"a", "b", "m"})
             if (std::string(other) != name) others_mark(other, true);
         put("member/" + std::string(name), "");
@@ -424,10 +427,10 @@
     }
     // All that it goes by is as it was, but for the one record; and as it was, it would be done.
     bool lands(const Transaction& transaction, const std::string& but, const std::string& now_is) {
-        lab::Ledger then;
+        lab::TransactionLedger then;
         for (const auto& [key, value] : transaction.compares)
             if (value) then.settle({{}, {{key, value}}, {}});
-        lab::Ledger same = then;
+        lab::TransactionLedger same = then;
         EXPECT_TRUE(same.settle(transaction).held);
         then.settle({{}, {{Key{but}, now_is}}, {}});
         return then.settle(transaction).held;
@@ -468,7 +471,7 @@
 // --- whole fleets ----------------------------------------------------------------------------------------
 
 TEST(FleetWorld, CalmFleetsGetOneOwnerADutyAndKeepIt) {
-    World w(1, {.members = 5, .duties = 7, .drift = 0.05}, shared_config());
+    FleetSimulation w(1, {.members = 5, .duties = 7, .drift = 0.05}, shared_config());
     w.start_all();
     w.run(ms * 25'000, {});
     for (std::size_t d = 0; d < 7; ++d) EXPECT_TRUE(w.owner(d)) << d;
@@ -482,7 +485,7 @@
     EXPECT_EQ(w.refused, 0u);
 }
 
-World::Troubles all_troubles() {
+FleetSimulation::FaultRates all_troubles() {
     return {.lose = 0.05,
             .late = 0.05,
             .repeat = 0.05,
@@ -493,11 +496,11 @@
 }
 
 // Whatever happens, never two owners and no late write; and once it is calm, one owner a duty that stays.
-void play(std::uint32_t seed, std::size_t members, const World::Troubles& troubles) {
+void play(std::uint32_t seed, std::size_t members, const FleetSimulation::FaultRates& troubles) {
     SCOPED_TRACE(seed);
     // Half of them with clocks so far off that a term without its allowance shows.
     const double drift = seed % 2 == 0 ? 0.25 : 0.05;
-    World w(seed, {.members = members, .duties = 3, .drift = drift}, shared_config(drift));
+    FleetSimulation w(seed, {.members = members, .duties = 3, .drift = drift}, shared_config(drift));
     w.start_all();
     for (int stretch = 0; stretch < 4; ++stretch) {
         w.run(ms * 30'000, troubles);
@@ -522,9 +525,9 @@
 }
 
 // A fleet at rest, and who owns the first duty.
-struct AtRest : World {
+struct AtRest : FleetSimulation {
     AtRest(std::uint32_t seed, std::size_t members, std::size_t duty_count)
-        : World(seed, {.members = members, .duties = duty_count, .drift = 0.05}, shared_config()) {
+        : FleetSimulation(seed, {.members = members, .duties = duty_count, .drift = 0.05}, shared_config()) {
         start_all();
         run(ms * 40'000, {});
         first = owner(0).value_or(members);
@@ -532,7 +535,7 @@
     }
     std::size_t first = 0;
 };
-Span without(std::size_t members) { return longest_without_owner(shared_config(), ms * 300, members); }
+Duration without(std::size_t members) { return longest_without_owner(shared_config(), ms * 300, members); }
 
 TEST(FleetWorld, AnOwnerThatSleepsPastItsTermIsReplacedAndHarmlessWhenItWakes) {
     for (std::uint32_t seed = 1; seed <= 20; ++seed) {
@@ -543,7 +546,7 @@
         EXPECT_NE(w.owner(0), w.first);
         EXPECT_LE(w.longest_without, without(3));
         const std::uint64_t written = w.written;
-        w.go_on(w.first);
+        w.resume(w.first);
         w.run(ms * 4'000, {});
         EXPECT_GT(w.written, written);
         EXPECT_EQ(w.broken, std::vector<std::string>{});
@@ -573,15 +576,15 @@
 TEST(FleetWorld, TheRegistryGoneForLongerThanEveryTermAndBackWithoutAStampede) {
     AtRest w(3, 30, 6);
     w.run(ms * 5'000, {});
-    const std::size_t at_rest = w.worst(ms * 100);
-    w.down(true);
+    const std::size_t at_rest = w.max_transactions_within(ms * 100);
+    w.set_registry_down(true);
     w.run(ms * 20'000, {});
     for (std::size_t d = 0; d < 6; ++d) EXPECT_FALSE(w.owner(d));
-    w.down(false);
+    w.set_registry_down(false);
     w.mark();
     w.run(ms * 12'000, {});
     for (std::size_t d = 0; d < 6; ++d) EXPECT_TRUE(w.owner(d)) << w.debug_state();
-    EXPECT_LE(w.worst(ms * 100), at_rest + 30);
+    EXPECT_LE(w.max_transactions_within(ms * 100), at_rest + 30);
     EXPECT_EQ(w.broken, std::vector<std::string>{});
 }
 
@@ -620,7 +623,7 @@
         AtRest w(seed, 4, 2);
         w.kill(w.first);
         w.run(ms * 12'000, {});
-        w.back(ms * 9'000);  // to when the killed one owned it
+        w.restore_backup(ms * 9'000);  // to when the killed one owned it
         w.run(ms * 25'000, {});
         EXPECT_TRUE(w.owner(0));
         EXPECT_EQ(w.broken, std::vector<std::string>{});
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -24,7 +24,7 @@
 using nlohmann::json;
 
 using lab::Acceptor;
-using lab::Wire;
+using lab::StandInConnection;
 
 std::string body_of(std::string_view object, std::string_view part) {
     const std::size_t n = 1 + std::hash<std::string_view>{}(object) % 100'000;
@@ -38,34 +38,35 @@
 
     struct Asked_ {
         std::size_t kind = 0;
-        Instant expires;
+        TimePoint expires;
         bool answered = false, aborted = false;
         std::string expected;
         int out = 0;       // sends that a cache has whole and has not ended
         bool ran = false;  // a cache had it whole and did not prove that it never ran
     };
 
-    Loop loop;
+    EventLoop loop;
     std::ranlux24_base chance;
     std::uint32_t seed_;
     std::vector<std::string> broken;
     std::map<std::string, Asked_> asked;
     std::map<std::string, std::unique_ptr<Acceptor>> caches;  // edges by id
-    std::vector<std::shared_ptr<Wire>> wires;
+    std::vector<std::shared_ptr<StandInConnection>> wires;
     std::set<std::string> left;  // told to drain
-    Instant told_at, purged_at, left_at;
+    TimePoint told_at, purged_at, left_at;
     std::string purged = "00000000000000aa";
     json events = json::array();
-    std::vector<std::pair<std::shared_ptr<Wire>, std::int64_t>> polls;
+    std::vector<std::pair<std::shared_ptr<StandInConnection>, std::int64_t>> polls;
     std::unique_ptr<Acceptor> board;
-    std::unique_ptr<Host> host;
-    std::function<void(lab::Registry&, bool drained)> trouble;  // the list comes from a registry, with that
-    std::unique_ptr<lab::Registry> registry;
+    std::unique_ptr<Gateway> host;
+    std::function<void(lab::RegistryStandIn&, bool drained)>
+        trouble;  // the list comes from a registry, with that
+    std::unique_ptr<lab::RegistryStandIn> registry;
     int pulls = 0, satisfied = 0, nacked = 0, failed = 0;
 
     double draw() { return static_cast<double>(chance()) / static_cast<double>(std::ranlux24_base::max()); }
     void wrong(const std::string& what) { broken.push_back(what); }
-    std::shared_ptr<Wire> hold(std::shared_ptr<Wire> w) {
+    std::shared_ptr<StandInConnection> hold(std::shared_ptr<StandInConnection> w) {
         wires.push_back(w);
         return w;
     }
@@ -73,18 +74,18 @@
     // --- caches ---------------------------------------------------------------------------------------
     void add_cache(const std::string& id) {
         caches[id] = std::make_unique<Acceptor>(loop, [this, id](Poco::Net::StreamSocket s) {
-            auto w = hold(std::make_shared<Wire>(loop, std::move(s)));
+            auto w = hold(std::make_shared<StandInConnection>(loop, std::move(s)));
             auto mine = std::make_shared<std::set<std::string>>();
-            w->got = [this, id, mine, raw = std::weak_ptr<Wire>(w)](Buffer& in) {
-                resp::Words words;
+            w->got = [this, id, mine, raw = std::weak_ptr<StandInConnection>(w)](Buffer& in) {
+                resp::Arguments words;
                 std::size_t used = 0;
                 while (const auto link = raw.lock()) {
-                    if (resp::parse_array(in.view(), words, used) != Parsed::whole) return;
+                    if (resp::parse_array(in.view(), words, used) != ParseStatus::complete) return;
                     const std::vector<std::string> said(words.begin(), words.end());
-                    in.taken(used);
+                    in.consumed(used);
                     if (said[0] == "PULL") pulled(id, link, mine, said[1], said[2]);
                     if (said[0] == "KILL" && mine->erase(said[1])) --asked[said[1]].out;
-                    if (link->state() == LinkState::ended) return;
+                    if (link->state() == ConnectionState::closed) return;
                 }
             };
             w->ended = [this, mine] {
@@ -95,20 +96,21 @@
         });
     }
 
-    void pulled(const std::string& cache, const std::shared_ptr<Wire>& link,
+    void pulled(const std::string& cache, const std::shared_ptr<StandInConnection>& link,
                 const std::shared_ptr<std::set<std::string>>& mine, const std::string& id,
                 const std::string& f) {
         ++pulls;
         Asked_& a = asked[id];
-        const Instant now = loop.now();
+        const TimePoint now = loop.now();
         const std::string via(resp::field(f, "via"));
         if (a.answered) wrong("a send after the answer");
         if (a.out > 0) wrong("two sends at once");
         if (a.ran && a.kind == 1) wrong("a side-effecting lookup is sent again after it may have run");
         for (const std::string& gone : {cache, via})
-            if (left.contains(gone) && told_at > Instant{} && now > told_at + Span::seconds(0.25))
+            if (left.contains(gone) && told_at > TimePoint{} && now > told_at + Duration::seconds(0.25))
                 wrong("a send to what drains: " + gone);
-        if (told_at > Instant{} && now > told_at + Span::seconds(0.3) && resp::field(f, "asset") == purged) {
+        if (told_at > TimePoint{} && now > told_at + Duration::seconds(0.3) &&
+            resp::field(f, "asset") == purged) {
             const double fresh = std::atof(std::string(resp::field(f, "fresh")).c_str());
             if (fresh <= 0 || fresh / 1000 > (now - purged_at).seconds())
                 wrong("an age that lets a purged copy pass");
@@ -123,17 +125,17 @@
         if (what < 0.04) {
             if (what < 0.03) {  // breaks off in the middle of the answer
                 link->out().append("*4\r\n$16\r\n" + id + "\r\n$3\r\nHI");
-                link->say();
+                link->write();
             }
-            loop.at(now + Span::seconds(0.01), [link, this] {
-                if (link->state() == LinkState::open) link->close(), link->ended();
+            loop.schedule_at(now + Duration::seconds(0.01), [link, this] {
+                if (link->state() == ConnectionState::open) link->close(), link->ended();
             });
             return;
         }
-        const Span after = Span::seconds(draw() * 0.1);
-        loop.at(now + after, [=, this, w = std::weak_ptr<Wire>(link)] {
+        const Duration after = Duration::seconds(draw() * 0.1);
+        loop.schedule_at(now + after, [=, this, w = std::weak_ptr<StandInConnection>(link)] {
             const auto to = w.lock();
-            if (!to || to->state() != LinkState::open || !mine->erase(id)) return;
+            if (!to || to->state() != ConnectionState::open || !mine->erase(id)) return;
             Asked_& x = asked[id];
             --x.out;
             const bool never = what < 0.1;
@@ -148,7 +150,7 @@
             else
                 resp::write_array(to->out(), {id, "HIT", "tag=t1,minted=1,n=cached", body});
             if (what > 0.95) resp::write_array(to->out(), {id, "HIT", "tag=t1,minted=1,n=cached", "again"});
-            to->say();
+            to->write();
         });
     }
 
@@ -175,17 +177,17 @@
             const std::string body = json{{"rev", events.size()}, {"notices", some}}.dump();
             w->out().append("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
                             body);
-            w->say();
-            if (events.size() == 3 && told_at == Instant{} && !registry) told_at = loop.now();
+            w->write();
+            if (events.size() == 3 && told_at == TimePoint{} && !registry) told_at = loop.now();
         }
     }
     void start_board() {
         board = std::make_unique<Acceptor>(loop, [this](Poco::Net::StreamSocket s) {
-            auto w = hold(std::make_shared<Wire>(loop, std::move(s)));
-            w->got = [this, raw = std::weak_ptr<Wire>(w)](Buffer& in) {
+            auto w = hold(std::make_shared<StandInConnection>(loop, std::move(s)));
+            w->got = [this, raw = std::weak_ptr<StandInConnection>(w)](Buffer& in) {
                 const std::string said(in.view());
                 if (said.find("\r\n\r\n") == std::string::npos) return;
-                in.taken(said.size());
+                in.consumed(said.size());
                 const auto w2 = raw.lock();
                 if (draw() < 0.2) return w2->close();  // it fails now and then
                 polls.emplace_back(w2, std::atoll(said.c_str() + said.find("watch=") + 6));
@@ -197,21 +199,21 @@
 
     // --- clients ------------------------------------------------------------------------------------------
     struct Client {
-        std::shared_ptr<Wire> wire;
+        std::shared_ptr<StandInConnection> wire;
         std::map<std::uint16_t, std::pair<std::string, std::string>> open;  // id, answer so far
     };
     std::vector<std::shared_ptr<Client>> clients;
 
     void add_client(const std::string& to) {
         auto c = std::make_shared<Client>();
-        c->wire = hold(std::make_shared<Wire>(loop));
+        c->wire = hold(std::make_shared<StandInConnection>(loop));
         c->wire->got = [this, raw = c.get()](Buffer& in) {
             fastcgi::Record r;
             std::size_t used = 0;
             for (;;) {
-                const Parsed p = fastcgi::parse_record(in.view(), r, used);
-                if (p == Parsed::bad) wrong("an answer that is not FastCGI");
-                if (p != Parsed::whole) return;
+                const ParseStatus p = fastcgi::parse_record(in.view(), r, used);
+                if (p == ParseStatus::invalid) wrong("an answer that is not FastCGI");
+                if (p != ParseStatus::complete) return;
                 const auto it = raw->open.find(r.request);
                 if (it != raw->open.end()) {
                     it->second.second +=
@@ -224,13 +226,13 @@
                 } else if (r.type == fastcgi::Type::std_out && !r.content.empty()) {
                     wrong("bytes for no open request");
                 }
-                in.taken(used);
+                in.consumed(used);
             }
         };
         // Once it leaves and nothing can come any more it ends them, and only where nothing is owed.
         c->wire->ended = [this, raw = c.get()] {
             if (!raw->open.empty()) wrong("the gateway ends a client's connection under a request");
-            if (left_at == Instant{} || loop.now() < left_at + Span::seconds(0.7))
+            if (left_at == TimePoint{} || loop.now() < left_at + Duration::seconds(0.7))
                 wrong("the gateway ends a client's connection");
         };
         c->wire->start(to);
@@ -241,7 +243,7 @@
         Asked_& a = asked[id];
         if (a.aborted) return;
         if (std::exchange(a.answered, true)) return wrong("a second answer");
-        if (loop.now() > a.expires + Span::seconds(0.058)) wrong("an answer too late");
+        if (loop.now() > a.expires + Duration::seconds(0.058)) wrong("an answer too late");
         const std::size_t head = answer.find("\r\n\r\n");
         if (head == std::string::npos) return wrong("an answer without a head");
         if (answer.find("Status: 200") == 0) {
@@ -264,7 +266,7 @@
         const double timeout = 0.3 + draw() * 0.5;
         Asked_& a = asked[id];
         a.kind = n % 5 == 0;
-        a.expires = loop.now() + Span::seconds(timeout);
+        a.expires = loop.now() + Duration::seconds(timeout);
         a.expected = body_of(object, "3");
         std::string params;
         const auto put = [&](const char* k, const std::string& v) { fastcgi::write_pair(params, k, v); };
@@ -285,12 +287,12 @@
         c.open[request] = {id, ""};
         if (draw() < 0.03) {
             a.aborted = true;
-            loop.at(loop.now() + Span::seconds(0.02), [this, &c, request] {
+            loop.schedule_at(loop.now() + Duration::seconds(0.02), [this, &c, request] {
                 fastcgi::write_record(c.wire->out(), fastcgi::Type::abort_request, request, {});
-                c.wire->say();
+                c.wire->write();
             });
         }
-        c.wire->say();
+        c.wire->write();
     }
 
     // --- the registry
@@ -298,14 +300,15 @@
     Parts parts(const json& lines) {
         Parts parts;
         if (!trouble) return parts;
-        registry = std::make_unique<lab::Registry>(loop, 3, Span::seconds(0.02));
+        registry = std::make_unique<lab::RegistryStandIn>(loop, 3, Duration::seconds(0.02));
         registry::Settings settings;
         for (std::size_t m = 0; m < 3; ++m) settings.members.push_back(registry->address(m));
         settings.prefix = "/caches/";
-        settings.page = 3;
-        settings.pace.members = 3;
-        settings.pace.base = Span::seconds(0.005);
-        settings.pace.cap = settings.pace.quiet = settings.pace.answer_in = Span::seconds(0.1);
+        settings.page_size = 3;
+        settings.poll_policy.members = 3;
+        settings.poll_policy.backoff_base = Duration::seconds(0.005);
+        settings.poll_policy.backoff_cap = settings.poll_policy.watch_timeout =
+            settings.poll_policy.reply_timeout = Duration::seconds(0.1);
         parts.registry = settings;
         for (const json& l : lines) registry->model.put("/caches/" + l["id"].get<std::string>(), l.dump());
         return parts;
@@ -325,7 +328,7 @@
         if (host->registry()->watch().view().revision() >= drained)
             told_at = loop.now();
         else
-            loop.at(loop.now() + Span::seconds(0.001), [this, drained] { look_for(drained); });
+            loop.schedule_at(loop.now() + Duration::seconds(0.001), [this, drained] { look_for(drained); });
     }
 
     // --- the day
@@ -345,31 +348,32 @@
 
         Configuration config;
         config.name = "n0";
-        config.board = board->address();
+        config.notice_board = board->address();
         config.descriptors = 1024;
         config.memory = 192u << 20;
         config.known = {{"rev", 1}, {"notices", events}};
         config.seed = seed_;
-        Deployment& d = config.reading.deployment;
+        Deployment& d = config.settings.deployment;
         d = deployment();
         d.kinds.resize(2);
-        d.kinds[0].deadline = d.kinds[1].deadline = Span::seconds(1);
-        d.permits.joins = false;
-        d.connections = {Span::seconds(0.2), Span::seconds(0.7), 3};
-        config.reading.kind_places = {{"files", KindNo{0}}, {"bids", KindNo{1}}};
+        d.kinds[0].deadline = d.kinds[1].deadline = Duration::seconds(1);
+        d.capabilities.coalescing = false;
+        d.connections = {Duration::seconds(0.2), Duration::seconds(0.7), 3};
+        config.settings.kind_indexes = {{"files", ObjectKindIndex{0}}, {"bids", ObjectKindIndex{1}}};
         {
             Poco::Net::ServerSocket free(Poco::Net::SocketAddress("127.0.0.1:0"));
             config.listen = free.address().toString();
         }
-        host = std::make_unique<Host>(loop, config, parts(lines));
+        host = std::make_unique<Gateway>(loop, config, parts(lines));
         host->serve();
         for (int i = 0; i < 3; ++i) add_client(config.listen);
-        const Instant start = loop.now();
+        const TimePoint start = loop.now();
         for (std::size_t n = 0; n < lookups; ++n)
-            loop.at(start + Span::seconds(0.05 + 1.0 * static_cast<double>(n) / static_cast<double>(lookups)),
-                    [this, n] { ask(n); });
-        if (registry) loop.at(start + Span::seconds(0.3), [this] { trouble(*registry, false); });
-        loop.at(start + Span::seconds(0.4), [this] {
+            loop.schedule_at(
+                start + Duration::seconds(0.05 + 1.0 * static_cast<double>(n) / static_cast<double>(lookups)),
+                [this, n] { ask(n); });
+        if (registry) loop.schedule_at(start + Duration::seconds(0.3), [this] { trouble(*registry, false); });
+        loop.schedule_at(start + Duration::seconds(0.4), [this] {
             if (registry) drain_at_registry();
             post({{"pool",
                    {{"version", 2},
@@ -378,21 +382,21 @@
                      {line("e3", "edge", "here", "", "Terminating"),
                       line("p2", "parent", "hub", "", "Gone")}}}}});
             purged_at = loop.now();
-            post({{"flush", {{"asset", purged}, {"ms", (loop.now() - Instant{}).micros() / 1000}}}});
+            post({{"flush", {{"asset", purged}, {"ms", (loop.now() - TimePoint{}).micros() / 1000}}}});
             left = {"e3", "p2"};
         });
-        loop.at(start + Span::seconds(1.0), [this] {
+        loop.schedule_at(start + Duration::seconds(1.0), [this] {
             left_at = loop.now();
-            host->leave();
+            host->begin_shutdown();
         });
-        loop.at(start + Span::seconds(8), [this] {
+        loop.schedule_at(start + Duration::seconds(8), [this] {
             wrong("the gateway does not leave");
             loop.stop();
         });
         loop.run();
         for (const auto& [id, a] : asked)
             if (!a.answered && !a.aborted) wrong("lost: " + id);
-        EXPECT_EQ(host->held(), 0u);
+        EXPECT_EQ(host->pending_request_count(), 0u);
         for (const auto& w : wires) w->close();
         host.reset();
         registry.reset();
@@ -406,9 +410,9 @@
     log::show(log::Level::error);
     const std::string what = GetParam();
     Day day(77);
-    day.trouble = [&](lab::Registry& r, bool drained) {
+    day.trouble = [&](lab::RegistryStandIn& r, bool drained) {
         for (std::size_t m = 0; m < 3; ++m) {
-            lab::Registry::Faults& f = r.faults(m);
+            lab::RegistryStandIn::Faults& f = r.faults(m);
             if (what == "silent") f.silent = m < 2;
             if (what == "lag") f.lag = m < 2 ? 2 : 0;
             if (what == "cut") f.cut = true;
@@ -419,18 +423,21 @@
     };
     day.play(250);
     EXPECT_TRUE(day.broken.empty()) << day.broken.front();
-    EXPECT_NE(day.told_at, Instant{}) << "the drain has not arrived";
+    EXPECT_NE(day.told_at, TimePoint{}) << "the drain has not arrived";
     EXPECT_GT(day.satisfied, 150);
 }
 INSTANTIATE_TEST_SUITE_P(Troubles, WithRegistry,
                          ::testing::Values("none", "silent", "lag", "cut", "refuse", "compacted"));
 
 // A front alone; whoever comes through is answered at once.
-struct FrontDay final : Lookups {
-    Loop loop;
+struct FrontDay final : RequestHandler {
+    EventLoop loop;
     std::string at;
-    Front front{loop, *this, {{"files", {KindNo{0}, Span::seconds(3)}}}, {8, 400'000, Span::seconds(0.2)}};
-    std::vector<std::shared_ptr<Wire>> wires;
+    FastCgiServer front{loop,
+                        *this,
+                        {{"files", {ObjectKindIndex{0}, Duration::seconds(3)}}},
+                        {8, 400'000, Duration::seconds(0.2)}};
+    std::vector<std::shared_ptr<StandInConnection>> wires;
     std::vector<std::string> taken_ids;
     bool hold_on = false;  // answers nobody
 
@@ -445,24 +452,24 @@
     ~FrontDay() override {
         for (const auto& w : wires) w->close();
     }
-    Verdict taken(const Caller& c, Asked a) override {
-        taken_ids.push_back(a.request.raw());
-        if (!hold_on) front.satisfied(c, "body", false);
-        return Verdict::taken;
+    Admission on_client_request(const ClientStream& c, ClientRequest a) override {
+        taken_ids.push_back(a.client_request_id.raw());
+        if (!hold_on) front.send_response(c, "body", false);
+        return Admission::accepted;
     }
-    void left(const Caller&) override {}
+    void on_client_closed(const ClientStream&) override {}
 
     struct Client {
-        std::shared_ptr<Wire> wire;
+        std::shared_ptr<StandInConnection> wire;
         std::string heard;
         bool open = true;
     };
     std::shared_ptr<Client> client() {
         auto c = std::make_shared<Client>();
-        wires.push_back(c->wire = std::make_shared<Wire>(loop));
+        wires.push_back(c->wire = std::make_shared<StandInConnection>(loop));
         c->wire->got = [raw = c.get()](Buffer& in) {
             raw->heard += in.view();
-            in.taken(in.size());
+            in.consumed(in.size());
         };
         c->wire->ended = [raw = c.get()] { raw->open = false; };
         c->wire->start(at);
@@ -470,7 +477,7 @@
     }
     // The reactor runs once: what is to happen is said before.
     void after(double seconds, std::function<void()> step) {
-        loop.at(loop.now() + Span::seconds(seconds), step);
+        loop.schedule_at(loop.now() + Duration::seconds(seconds), step);
     }
     void run(double seconds) {
         after(seconds, [this] { loop.stop(); });
@@ -528,13 +535,13 @@
     twice.push_back({"HTTP_X_OBJECT", "00000000000000a2"});
     write_request(c->wire->out(), ++request, twice);
     write_request(c->wire->out(), ++request, usual_fields, "a body where none belongs");
-    c->wire->say();
+    c->wire->write();
     day.after(0.2, [&] {
         EXPECT_EQ(day.taken_ids, std::vector<std::string>{});
         EXPECT_EQ(c->heard.find("Status: 200"), std::string::npos);
         EXPECT_EQ(times(c->heard, "Status: 4"), request);
         write_request(c->wire->out(), 99, usual_fields);
-        c->wire->say();
+        c->wire->write();
     });
     day.run(0.4);
     EXPECT_EQ(day.taken_ids, std::vector<std::string>{"00000000000000b1"});
@@ -547,11 +554,11 @@
     const auto good = day.client();
     std::vector<std::shared_ptr<FrontDay::Client>> silent, talkers;
     write_request(good->wire->out(), 1, usual_fields);
-    good->wire->say();
+    good->wire->write();
     day.after(0.1, [&] {
         day.hold_on = true;
         write_request(good->wire->out(), 2, usual_fields);
-        good->wire->say();
+        good->wire->write();
         for (int i = 0; i < 20; ++i) silent.push_back(day.client());
     });
     day.after(0.3, [&] {
@@ -564,7 +571,7 @@
                                  {fastcgi::responder, true});
         fastcgi::write_stream(endless, fastcgi::Type::params, 1, std::string(300'000, 'p'));
         fastcgi::write_record(talkers[2]->wire->out(), fastcgi::Type::std_in, 9, "x");
-        for (const auto& c : talkers) c->wire->say();
+        for (const auto& c : talkers) c->wire->write();
     });
     day.after(0.5, [&] {
         EXPECT_EQ(times(talkers[0]->heard, "Status: 4"), 1u);
@@ -590,7 +597,7 @@
             fastcgi::write_record(all.back()->wire->out(), fastcgi::Type::std_in, r,
                                   std::string(40'000, 'w'));
         }
-        all.back()->wire->say();
+        all.back()->wire->write();
     }
     day.run(0.4);
     for (const auto& c : all) {
@@ -601,7 +608,7 @@
 // SIGHUP moves the program to the board that the file names now; a file that can't be read changes nothing;
 // SIGTERM ends it with 0.
 TEST(Program, RereadsItsFileAndLeaves) {
-    Loop loop;
+    EventLoop loop;
     BoardStandIn one(loop), other(loop);
     const std::filesystem::path file =
         std::filesystem::temp_directory_path() / ("irismux-" + std::to_string(getpid()) + ".json");
@@ -636,24 +643,24 @@
     ASSERT_EQ(posix_spawn(&pid, args[0], nullptr, nullptr, args, env), 0);
     int status = -1;
     bool moved = false;
-    one.then = [&](Wire&) {
+    one.then = [&](StandInConnection&) {
         write("{\"name\":");
         kill(pid, SIGHUP);
-        loop.at(loop.now() + Span::seconds(0.3), [&] {
+        loop.schedule_at(loop.now() + Duration::seconds(0.3), [&] {
             write(configuration(other));
             kill(pid, SIGHUP);
         });
     };
-    other.then = [&](Wire&) {
+    other.then = [&](StandInConnection&) {
         moved = true;
         kill(pid, SIGTERM);
     };
     std::function<void()> look = [&] {
         if (waitpid(pid, &status, WNOHANG) == pid) return loop.stop();
-        loop.at(loop.now() + Span::seconds(0.02), look);
+        loop.schedule_at(loop.now() + Duration::seconds(0.02), look);
     };
     look();
-    loop.at(loop.now() + Span::seconds(10), [&] {
+    loop.schedule_at(loop.now() + Duration::seconds(10), [&] {
         kill(pid, SIGKILL);
         waitpid(pid, &status, 0);
         loop.stop();
@@ -675,7 +682,7 @@
         EXPECT_EQ(day.broken, std::vector<std::string>{}) << "seed " << seed;
         // Else the day would show nothing.
         EXPECT_GT(day.satisfied, 100);
-        EXPECT_GT(day.told_at, Instant{});
+        EXPECT_GT(day.told_at, TimePoint{});
         EXPECT_GT(day.nacked + day.failed, 0);
         EXPECT_GT(day.pulls, day.satisfied);
     }
--- a/tests/long_notice_answer_test.cpp
+++ b/tests/long_notice_answer_test.cpp
@@ -14,14 +14,14 @@
 namespace {
 
 // What an observer was told, in order: the name of the purged object, or of a list's caches.
-struct PurgeLedger final : BoardObserver {
+struct PurgeLedger final : NoticeObserver {
     std::vector<std::string> purged;
     std::function<void()> then = [] {};
-    void on_board_list(const std::vector<ListLine>& lines, bool complete) override {
+    void on_endpoint_notice(const std::vector<EndpointRecord>& lines, bool complete) override {
         for (const auto& [listing, address] : lines)
             purged.push_back((complete ? "whole: " : "") + listing.cache.raw());
     }
-    void on_board_purge(const PurgeNotice& purge) override {
+    void on_purge_notice(const PurgeNotice& purge) override {
         const std::optional<ObjectName>& object = purge.object;
         purged.push_back(object->raw());
         then();
@@ -54,7 +54,7 @@
 // A board that owes purges 1 to `owed`, and a watch on it; ends once all are told or after 5 s.
 struct OwingBoard {
     explicit OwingBoard(int purges) : owed(purges) {
-        stand_in.then = [this](Wire& wire) {
+        stand_in.then = [this](StandInConnection& wire) {
             const int after = std::atoi(stand_in.asked.back().c_str());
             if (after >= owed) return loop.stop();
             answer(wire, after);
@@ -65,26 +65,27 @@
     }
 
     int owed;
-    Loop loop;
+    EventLoop loop;
     PurgeLedger ledger;
     BoardStandIn stand_in{loop};
-    Board board{loop, ledger, stand_in.accepts.address(), Span::micros(100'000)};
-    std::function<void(Wire&, int after)> answer = [this](Wire& wire, int after) {
+    NoticeClient board{loop, ledger, stand_in.accepts.address(), Duration::micros(100'000)};
+    std::function<void(StandInConnection&, int after)> answer = [this](StandInConnection& wire, int after) {
         stand_in.say(wire, answer_of(after, owed));
     };
 
     // An alarm each millisecond: how late the latest came is about the longest turn.
     void tick() {
-        loop.at(loop.now() + Span::micros(1'000), [this] { tick(); });
+        loop.schedule_at(loop.now() + Duration::micros(1'000), [this] { tick(); });
     }
     void print_longest_turn() const {
-        std::printf("alarms came up to %lld us late\n", static_cast<long long>(loop.latest().micros()));
+        std::printf("alarms came up to %lld us late\n",
+                    static_cast<long long>(loop.max_timer_delay().micros()));
     }
-    void run() { run_for(Span::seconds(5)); }
-    void run_for(Span most) {
+    void run() { run_for(Duration::seconds(5)); }
+    void run_for(Duration most) {
         log::show(log::Level::error);
         board.poll();
-        loop.at(loop.now() + most, [this] { loop.stop(); });
+        loop.schedule_at(loop.now() + most, [this] { loop.stop(); });
         loop.run();
     }
 };
@@ -103,13 +104,14 @@
 // An answer that breaks off after a tenth: what came whole counts, and the next poll asks for the rest.
 TEST(LongAnswer, CutInTheMiddleMakesProgress) {
     OwingBoard day(2'000);
-    day.answer = [&](Wire& wire, int after) {
+    day.answer = [&](StandInConnection& wire, int after) {
         const std::string body = answer_of(after, day.owed);
         const std::size_t part = day.stand_in.asked.size() < 8 ? body.size() / 10 : body.size();
         wire.out().append("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
                           body.substr(0, part));
-        wire.say();
-        if (part < body.size()) day.loop.at(day.loop.now() + Span::seconds(0.02), [&] { wire.close(); });
+        wire.write();
+        if (part < body.size())
+            day.loop.schedule_at(day.loop.now() + Duration::seconds(0.02), [&] { wire.close(); });
     };
     day.run();
     EXPECT_EQ(day.ledger.purged, objects_up_to(day.owed));
@@ -123,15 +125,15 @@
 // takes 0.2 ms. Guarded by BoardLink::begin_batch.
 TEST(LongAnswer, TakesAFewMillisecondsOfATurn) {
     OwingBoard day(1'000);
-    const Span work = Span::micros(200);
+    const Duration work = Duration::micros(200);
     std::size_t seen = 0, most_in_a_turn = 0;
     std::function<void()> each_turn = [&] {
         const std::size_t told = day.ledger.purged.size();
         most_in_a_turn = std::max(most_in_a_turn, told - std::exchange(seen, told));
-        day.loop.next_turn(each_turn);
+        day.loop.run_next_iteration(each_turn);
     };
     day.ledger.then = [&] {
-        for (const Instant from = day.loop.now(); day.loop.now() < from + work;) continue;
+        for (const TimePoint from = day.loop.now(); day.loop.now() < from + work;) continue;
     };
     each_turn();
     day.tick();
@@ -146,7 +148,7 @@
 TEST(LongAnswer, FarLongerThanAnyBoundIsTold) {
     OwingBoard day(200'000);
     std::ranlux24_base random(7);
-    day.answer = [&](Wire& wire, int after) {
+    day.answer = [&](StandInConnection& wire, int after) {
         const std::string body = answer_of(after, day.owed);
         std::string framed = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         for (std::size_t at = 0; at < body.size();) {
@@ -157,7 +159,7 @@
             at += chunk.size();
         }
         wire.out().append(framed + "0\r\n\r\n");
-        wire.say();
+        wire.write();
     };
     day.run();
     EXPECT_EQ(day.ledger.purged, objects_up_to(day.owed));
@@ -169,15 +171,15 @@
     OwingBoard day(1'500);
     std::ranlux24_base random(11);
     std::string left;
-    std::function<void(Wire&)> go_on = [&](Wire& wire) {
+    std::function<void(StandInConnection&)> go_on = [&](StandInConnection& wire) {
         const std::size_t size =
             std::min<std::size_t>(left.size(), random() % 2 == 0 ? 1 + random() % 9 : 1 + random() % 6000);
         wire.out().append(std::string_view(left).substr(0, size));
-        wire.say();
+        wire.write();
         left.erase(0, size);
-        if (!left.empty()) day.loop.at(day.loop.now() + Span::micros(500), [&] { go_on(wire); });
+        if (!left.empty()) day.loop.schedule_at(day.loop.now() + Duration::micros(500), [&] { go_on(wire); });
     };
-    day.answer = [&](Wire& wire, int after) {
+    day.answer = [&](StandInConnection& wire, int after) {
         const std::string body = answer_of(after, day.owed);
         left = "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
         go_on(wire);
@@ -192,7 +194,7 @@
     for (const std::string& bad : {std::string("{\"rev\":700,\"flush\":}"), std::string("#"),
                                    "{\"rev\":700,\"x\":\"" + std::string(2'000'000, 'x') + "\"}"}) {
         OwingBoard day(1'400);
-        day.answer = [&](Wire& wire, int after) {
+        day.answer = [&](StandInConnection& wire, int after) {
             std::string body = answer_of(after, day.owed);
             if (const std::size_t at = body.find(purge_of(700)); at != std::string::npos)
                 body.replace(at, purge_of(700).size(), bad);
@@ -209,32 +211,32 @@
 // JSON whose end can't be found: what came before it counts, and the board is asked at the pace of a failure.
 TEST(LongAnswer, WhoseRestCannotBeReadIsNotAskedWithoutPause) {
     OwingBoard day(1'400);
-    day.answer = [&](Wire& wire, int after) {
+    day.answer = [&](StandInConnection& wire, int after) {
         if (day.stand_in.asked.size() == 8) return day.loop.stop();
         std::string body = answer_of(after, day.owed);
         if (const std::size_t at = body.find(purge_of(700)); at != std::string::npos)
             body.replace(at, 1, "{{");
         day.stand_in.say(wire, body);
     };
-    const Instant from = day.loop.now();
+    const TimePoint from = day.loop.now();
     day.run();
     EXPECT_EQ(day.ledger.purged, objects_up_to(699));
     // The first and the next one at once, as both follow one that brought something or was the first to fail.
-    EXPECT_GE(day.loop.now() - from, Span::micros(100'000) * 5);
+    EXPECT_GE(day.loop.now() - from, Duration::micros(100'000) * 5);
 }
 
 // A board that sends a little now and then, and nothing whole: the answer ends at its bound, not at the
 // board's leisure.
 TEST(LongAnswer, ThatDoesNotComeToAnEndIsBrokenOff) {
     OwingBoard day(3);
-    std::function<void(Wire&)> blanks = [&](Wire& wire) {
-        if (wire.state() != LinkState::open) return;
+    std::function<void(StandInConnection&)> blanks = [&](StandInConnection& wire) {
+        if (wire.state() != ConnectionState::open) return;
         wire.out().append(" ");
-        wire.say();
-        day.loop.at(day.loop.now() + Span::seconds(0.05), [&] { blanks(wire); });
+        wire.write();
+        day.loop.schedule_at(day.loop.now() + Duration::seconds(0.05), [&] { blanks(wire); });
     };
-    Instant first, second;
-    day.answer = [&](Wire& wire, int after) {
+    TimePoint first, second;
+    day.answer = [&](StandInConnection& wire, int after) {
         if (day.stand_in.asked.size() == 2) {
             second = day.loop.now();
             return day.stand_in.say(wire, answer_of(after, day.owed));
@@ -244,27 +246,28 @@
                           ",");
         blanks(wire);
     };
-    day.run_for(Span::seconds(8));
+    day.run_for(Duration::seconds(8));
     EXPECT_EQ(day.ledger.purged, objects_up_to(3));
     EXPECT_EQ(day.stand_in.asked, (std::vector<std::string>{"0", "1", "3"}));
-    EXPECT_GE(second - first, Span::seconds(4.9));
-    EXPECT_LT(second - first, Span::seconds(6));
+    EXPECT_GE(second - first, Duration::seconds(4.9));
+    EXPECT_LT(second - first, Duration::seconds(6));
 }
 
 // A move in the middle of an answer: the new board is asked behind the last event that took effect.
 TEST(LongAnswer, IsGoneOnWithElsewhereAfterAMove) {
     OwingBoard day(2'000);
     BoardStandIn next(day.loop);
-    day.answer = [&](Wire& wire, int after) {
+    day.answer = [&](StandInConnection& wire, int after) {
         const std::string body = answer_of(after, day.owed);
         wire.out().append("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
                           body.substr(0, body.find(purge_of(501)) + 10));
-        wire.say();
+        wire.write();
     };
     day.ledger.then = [&] {
-        if (day.ledger.purged.size() == 500) day.loop.soon([&] { day.board.move(next.accepts.address()); });
+        if (day.ledger.purged.size() == 500)
+            day.loop.schedule_now([&] { day.board.set_address(next.accepts.address()); });
     };
-    next.then = [&](Wire& wire) {
+    next.then = [&](StandInConnection& wire) {
         const int after = std::atoi(next.asked.back().c_str());
         if (after >= day.owed) return day.loop.stop();
         next.say(wire, answer_of(after, day.owed));
@@ -278,7 +281,7 @@
 // Lists and purges keep their order, a whole list among them.
 TEST(LongAnswer, KeepsTheOrderOfListsAndPurges) {
     OwingBoard day(900);
-    day.answer = [&](Wire& wire, int after) {
+    day.answer = [&](StandInConnection& wire, int after) {
         std::string body = answer_of(after, day.owed);
         for (const int n : {1, 300, 600}) {
             const std::string list = "{\"rev\":" + std::to_string(n) +
@@ -301,21 +304,21 @@
 // whole core at rest. One purge has come, so that the connection has read an answer before.
 TEST(LongAnswer, OnceReadLeavesTheLoopAtRestWhileTheNextPollIsHeld) {
     log::show(log::Level::error);
-    Loop loop;
+    EventLoop loop;
     PurgeLedger ledger;
     BoardStandIn stand_in(loop);
-    Board board(loop, ledger, stand_in.accepts.address(), Span::seconds(0.3));
+    NoticeClient board(loop, ledger, stand_in.accepts.address(), Duration::seconds(0.3));
     std::uint64_t turns_before = 0;
-    stand_in.then = [&](Wire& wire) {
+    stand_in.then = [&](StandInConnection& wire) {
         if (stand_in.asked.size() == 1) return stand_in.say(wire, answer_of(0, 1));
-        turns_before = loop.turns();
-        loop.at(loop.now() + Span::seconds(0.5), [&] { loop.stop(); });
+        turns_before = loop.iterations();
+        loop.schedule_at(loop.now() + Duration::seconds(0.5), [&] { loop.stop(); });
     };
     board.poll();
     loop.run();
     EXPECT_EQ(ledger.purged, objects_up_to(1));
     EXPECT_EQ(stand_in.asked.size(), 2u);
-    EXPECT_LT(loop.turns() - turns_before, 100u);
+    EXPECT_LT(loop.iterations() - turns_before, 100u);
 }
 
 }  // namespace
--- a/tests/notice_catch_up_test.cpp
+++ b/tests/notice_catch_up_test.cpp
@@ -11,8 +11,8 @@
 namespace irismux::testing {
 namespace {
 
-using lab::Puppet;
-using lab::Solo;
+using lab::ScriptedCache;
+using lab::SingleProcess;
 
 #if defined(__SANITIZE_ADDRESS__)
 constexpr bool memory_is_ours = false;  // the sanitizer keeps what was freed
@@ -28,7 +28,7 @@
     return 0;
 }
 
-std::int64_t unix_ms_now(const Loop& loop) { return (loop.now() - Instant{}).micros() / 1000; }
+std::int64_t unix_ms_now(const EventLoop& loop) { return (loop.now() - TimePoint{}).micros() / 1000; }
 
 std::string purge_of(int revision, const std::string& object, std::int64_t ms) {
     return "{\"rev\":" + std::to_string(revision) + ",\"flush\":{\"asset\":\"" + object +
@@ -37,21 +37,22 @@
 
 // Asks for one object again and again until a send carries the bound of a purge; each lookup is answered.
 struct Prober {
-    Solo& solo;
-    std::shared_ptr<lab::Asker> asker = solo.asker();
+    SingleProcess& solo;
+    std::shared_ptr<lab::FastCgiClient> asker = solo.connect_client();
     int asked = 0;
-    Span longest{};
+    Duration longest{};
 
     bool until_purge_binds(const std::string& object) {
-        for (const Instant end = solo.loop.now() + Span::seconds(10); solo.loop.now() < end;) {
+        for (const TimePoint end = solo.loop.now() + Duration::seconds(10); solo.loop.now() < end;) {
             const auto number = static_cast<std::uint16_t>(++asked);
-            const Instant from = solo.loop.now();
-            asker->ask(number, {.id = id_of(asked), .object = object});
-            if (!solo.until([&] { return asker->answered(number, "Status: 200"); })) return false;
+            const TimePoint from = solo.loop.now();
+            asker->send(number, {.id = id_of(asked), .object = object});
+            if (!solo.until([&] { return asker->has_response(number, "Status: 200"); })) return false;
             longest = std::max(longest, solo.loop.now() - from);
-            const Puppet* const cache = solo.cache_of(id_of(asked));
-            for (const Puppet::Pull& pull : cache->pulls)
-                if (pull.lookup == id_of(asked) && !resp::field(pull.fields, "fresh").empty()) return true;
+            const ScriptedCache* const cache = solo.cache_serving(id_of(asked));
+            for (const ScriptedCache::ReceivedAttempt& pull : cache->received)
+                if (pull.request_id == id_of(asked) && !resp::field(pull.fields, "fresh").empty())
+                    return true;
         }
         return false;
     }
@@ -60,7 +61,7 @@
 // 200,000 purges are owed, 12 MB in one answer. Half of it comes, and lookups are served in the middle of it,
 // with the purges that have come in force; then the rest.
 TEST(CatchUp, ServesLookupsInTheMiddleOfAnAnswerInBoundedMemory) {
-    Solo solo(answering(solo_shape(2)));
+    SingleProcess solo(answering(solo_shape(2)));
     BoardStandIn owing(solo.loop);
     const int owed = 200'000;
     const std::string first_object = "00000000000000b1", last_object = "00000000000000b2";
@@ -80,10 +81,10 @@
     const int last = first + owed - 1;
     rest += "],\"rev\":" + std::to_string(last) + "}";
     const std::size_t length = half.size() + rest.size();
-    owing.then = [&](Wire& wire) {
+    owing.then = [&](StandInConnection& wire) {
         if (owing.asked.size() > 1) return;
         wire.out().append("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(length) + "\r\n\r\n" + half);
-        wire.say();
+        wire.write();
     };
     const long before_kb = most_memory_of(solo.process->id());
 
@@ -97,7 +98,7 @@
     EXPECT_EQ(owing.asked.size(), 1u);
 
     owing.wires.back()->out().append(rest);
-    owing.wires.back()->say();
+    owing.wires.back()->write();
     EXPECT_TRUE(prober.until_purge_binds(last_object));
     ASSERT_TRUE(solo.until([&] { return owing.asked.size() == 2; }));
     EXPECT_EQ(owing.asked, (std::vector<std::string>{std::to_string(first - 1), std::to_string(last)}));
--- a/tests/notice_client_test.cpp
+++ b/tests/notice_client_test.cpp
@@ -7,10 +7,10 @@
 namespace irismux::testing {
 namespace {
 
-struct Hears final : BoardObserver {
+struct Hears final : NoticeObserver {
     std::vector<std::string> purged;
-    void on_board_list(const std::vector<std::pair<Listing, std::string>>&, bool) override {}
-    void on_board_purge(const PurgeNotice& purge) override {
+    void on_endpoint_notice(const std::vector<std::pair<EndpointUpdate, std::string>>&, bool) override {}
+    void on_purge_notice(const PurgeNotice& purge) override {
         const std::optional<ObjectName>& o = purge.object;
         purged.push_back(o->raw());
     }
@@ -24,19 +24,19 @@
 // others go on without it; and after a move the numbers go on.
 TEST(Board, LosesNoEvent) {
     log::show(log::Level::error);
-    Loop loop;
+    EventLoop loop;
     Hears hears;
     BoardStandIn one(loop), other(loop);
-    const Span pause = Span::seconds(0.3);
-    Board board(loop, hears, one.accepts.address(), pause);
-    Instant broken_off, asked_again;
-    one.then = [&](Wire& w) {
+    const Duration pause = Duration::seconds(0.3);
+    NoticeClient board(loop, hears, one.accepts.address(), pause);
+    TimePoint broken_off, asked_again;
+    one.then = [&](StandInConnection& w) {
         switch (one.asked.size()) {
             case 1:
                 w.out().append("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"rev\":1,");
-                w.say();
+                w.write();
                 broken_off = loop.now();
-                return (void)loop.at(broken_off + Span::seconds(0.02), [&w] { w.close(); });
+                return (void)loop.schedule_at(broken_off + Duration::seconds(0.02), [&w] { w.close(); });
             case 2:
                 asked_again = loop.now();
                 return one.say(w, "{\"rev\":3,\"notices\":[" + purge_event(1, "a1") +
@@ -45,38 +45,38 @@
                 return one.say(
                     w, "{\"rev\":3,\"notices\":[{\"rev\":2,\"flush\":7}," + purge_event(3, "a3") + "]}");
             default:
-                return board.move(other.accepts.address());
+                return board.set_address(other.accepts.address());
         }
     };
-    other.then = [&](Wire& w) {
+    other.then = [&](StandInConnection& w) {
         if (other.asked.size() == 1)
             return other.say(w, "{\"rev\":4,\"notices\":[" + purge_event(4, "a4") + "]}");
         loop.stop();
     };
     board.poll();
-    loop.at(loop.now() + Span::seconds(5), [&] { loop.stop(); });
+    loop.schedule_at(loop.now() + Duration::seconds(5), [&] { loop.stop(); });
     loop.run();
     EXPECT_EQ(one.asked, (std::vector<std::string>{"0", "0", "1", "3"}));
     EXPECT_EQ(other.asked, (std::vector<std::string>{"3", "4"}));
     EXPECT_EQ(hears.purged, (std::vector<std::string>{"a1", "a3", "a4"}));
-    EXPECT_LT(asked_again, broken_off + Span::seconds(0.02) + pause);
+    EXPECT_LT(asked_again, broken_off + Duration::seconds(0.02) + pause);
     for (auto* b : {&one, &other})
         for (const auto& w : b->wires) w->close();
 }
 
 // A watch on one stand-in, until its step ends the loop.
 struct BoardDay {
-    static constexpr Span pause = Span::micros(100'000);
-    Loop loop;
+    static constexpr Duration pause = Duration::micros(100'000);
+    EventLoop loop;
     Hears hears;
     BoardStandIn one{loop};
-    Board board{loop, hears, one.accepts.address(), pause};
+    NoticeClient board{loop, hears, one.accepts.address(), pause};
     // How long it took.
-    Span run() {
+    Duration run() {
         log::show(log::Level::error);
-        const Instant from = loop.now();
+        const TimePoint from = loop.now();
         board.poll();
-        loop.at(from + Span::seconds(5), [this] { loop.stop(); });
+        loop.schedule_at(from + Duration::seconds(5), [this] { loop.stop(); });
         loop.run();
         for (const auto& w : one.wires) w->close();
         return loop.now() - from;
@@ -88,7 +88,7 @@
 TEST(Board, IsNotAskedWithoutEndWhereItHasNothing) {
     BoardDay day;
     BoardStandIn& one = day.one;
-    one.then = [&](Wire& w) {
+    one.then = [&](StandInConnection& w) {
         if (one.asked.size() == 1)
             return one.say(w, "{\"rev\":7,\"notices\":[" + purge_event(7, "a7") + "]}");
         if (one.asked.size() == 40 || day.hears.purged.size() == 2) return day.loop.stop();
@@ -105,12 +105,12 @@
 TEST(Board, EveryOpenPollHasItsOwnEnd) {
     BoardDay day;
     BoardStandIn& one = day.one;
-    one.then = [&](Wire& w) {
+    one.then = [&](StandInConnection& w) {
         if (one.asked.size() == 1) return;
         if (one.asked.size() == 3) return day.loop.stop();
         one.say(w, "{\"rev\":1,\"notices\":[" + purge_event(1, "a1") + "]}");
     };
-    EXPECT_LT(day.run(), Span::seconds(2));  // longest hold asked for, and the pause
+    EXPECT_LT(day.run(), Duration::seconds(2));  // longest hold asked for, and the pause
     EXPECT_EQ(day.hears.purged, std::vector<std::string>{"a1"});
 }
 
@@ -119,12 +119,12 @@
     BoardDay day;
     BoardStandIn& old = day.one;
     BoardStandIn next(day.loop);
-    old.then = [&](Wire& w) {
+    old.then = [&](StandInConnection& w) {
         old.say(w, "{\"rev\":1,\"notices\":[" + purge_event(1, "a1") + "]}");
         // Its bytes are on their way when the move comes.
-        day.loop.next_turn([&] { day.board.move(next.accepts.address()); });
+        day.loop.run_next_iteration([&] { day.board.set_address(next.accepts.address()); });
     };
-    next.then = [&](Wire& w) {
+    next.then = [&](StandInConnection& w) {
         if (next.asked.size() == 1)
             return next.say(w, "{\"rev\":2,\"notices\":[" + purge_event(2, "b2") + "]}");
         day.loop.stop();
--- a/tests/notices_test.cpp
+++ b/tests/notices_test.cpp
@@ -70,7 +70,7 @@
 }
 
 Read finish(NoticeReader& reader, Read read) {
-    read.whole = reader.whole();
+    read.whole = reader.complete();
     read.error = reader.error();
     read.revision = reader.revision();
     return read;
@@ -144,9 +144,9 @@
             arrived += piece;
             for (std::size_t used = 1; used > 0 && !ended;) {
                 std::string_view part;
-                const Parsed parsed = body.next(arrived, part, used);
-                ASSERT_NE(parsed, Parsed::bad);
-                ended = parsed == Parsed::whole;
+                const ParseStatus parsed = body.next(arrived, part, used);
+                ASSERT_NE(parsed, ParseStatus::invalid);
+                ended = parsed == ParseStatus::complete;
                 reader.feed(part);
                 read_all(reader, read);
                 arrived.erase(0, used);
@@ -166,10 +166,10 @@
     const std::string some(100'000, 'b');
     std::size_t seen = 0, used = 0;
     std::string_view piece;
-    Parsed parsed = Parsed::more;
-    while (parsed == Parsed::more) {
+    ParseStatus parsed = ParseStatus::incomplete;
+    while (parsed == ParseStatus::incomplete) {
         parsed = body.next(some, piece, used);
-        ASSERT_NE(parsed, Parsed::bad);
+        ASSERT_NE(parsed, ParseStatus::invalid);
         ASSERT_EQ(used, piece.size());
         seen += used;
     }
@@ -234,13 +234,13 @@
         fed += some.size();
         EXPECT_FALSE(reader.next());
     }
-    EXPECT_LT(fed, NoticeReader::most_waiting_bytes);
+    EXPECT_LT(fed, NoticeReader::max_waiting_bytes);
 }
 
 // One that is too large or too deep is read through without being kept; those behind it count.
 TEST(Notices, TooLargeOrTooDeepAreLeftOut) {
     for (const std::string& bad :
-         {"{\"rev\":2,\"x\":\"" + std::string(3 * NoticeReader::most_notice_bytes, 'x') + "\"}",
+         {"{\"rev\":2,\"x\":\"" + std::string(3 * NoticeReader::max_notice_bytes, 'x') + "\"}",
           std::string(100'000, '[') + std::string(100'000, ']')}) {
         const Read read = read_in_pieces("{\"rev\":3,\"notices\":[{\"rev\":1}," + bad + ",{\"rev\":3}]}",
                                          [] { return std::size_t{4096}; });
--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -37,11 +37,11 @@
     const auto* parts = std::get_if<Parts>(&read);
     ASSERT_TRUE(parts && parts->registry) << std::get<std::string>(read);
     EXPECT_EQ(parts->registry->members.size(), 2u);
-    EXPECT_EQ(parts->registry->pace.members, 2u);
-    EXPECT_EQ(parts->registry->pace.quiet, Span::seconds(1.5));
-    EXPECT_EQ(parts->registry->pace.base, Span::seconds(0.02));
-    EXPECT_EQ(parts->registry->pace.cap, Span::seconds(60));
-    EXPECT_EQ(parts->registry->page, 100u);
+    EXPECT_EQ(parts->registry->poll_policy.members, 2u);
+    EXPECT_EQ(parts->registry->poll_policy.watch_timeout, Duration::seconds(1.5));
+    EXPECT_EQ(parts->registry->poll_policy.backoff_base, Duration::seconds(0.02));
+    EXPECT_EQ(parts->registry->poll_policy.backoff_cap, Duration::seconds(60));
+    EXPECT_EQ(parts->registry->page_size, 100u);
     const auto none = read_parts_text("", "p.toml");
     EXPECT_FALSE(std::get<Parts>(none).registry) << "what is not named is off";
 }
@@ -90,8 +90,8 @@
     ASSERT_TRUE(c);
     EXPECT_EQ(c->registry.members.size(), 2u);
     EXPECT_EQ(c->registry.prefix, "/fleet/");
-    EXPECT_EQ(c->shared_config.term, Span::seconds(8));
-    EXPECT_LE(c->registry.pace.answer_in, Span::seconds(2));
+    EXPECT_EQ(c->shared_config.term, Duration::seconds(8));
+    EXPECT_LE(c->registry.poll_policy.reply_timeout, Duration::seconds(2));
     EXPECT_TRUE(of(fleet + "members = [\"127.0.0.1:2379\"]\n")) << "without [registry]";
     EXPECT_FALSE(of(good));
     const std::vector<std::pair<std::string, std::string>> mistakes = {
--- a/tests/platform_run_line_test.cpp
+++ b/tests/platform_run_line_test.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-const Span ms = Span::micros(1000);
+const Duration ms = Duration::micros(1000);
 
 std::string run_line() {
     const toml::table deploy = toml::parse_file(IRISMUX_ROOT "/deploy/balancer.toml");
@@ -33,21 +33,21 @@
 
 class Platform : public ::testing::Test {
 protected:
-    Loop loop;
+    EventLoop loop;
     fs::path root = fs::temp_directory_path() / ("irismux_guard." + std::to_string(::getpid()));
-    lab::Board board{loop};
+    lab::NoticeBoard board{loop};
     std::vector<std::unique_ptr<lab::Cache>> caches;
     std::vector<Poco::Net::StreamSocket> trapped;  // connections to where the files of parts point
     lab::Acceptor trap{loop, [this](Poco::Net::StreamSocket s) { trapped.push_back(std::move(s)); }};
     std::string listen;
     std::set<std::string> deviations;
-    lab::Stretches stretches{loop};  // the last: nothing of the above may go while the loop runs
+    lab::Intervals stretches{loop};  // the last: nothing of the above may go while the loop runs
 
     void SetUp() override {
         nlohmann::json lines = nlohmann::json::array();
         for (const char* id : {"c1", "c2", "c3"}) {
             caches.push_back(std::make_unique<lab::Cache>(loop, id, ms));
-            lines.push_back(lab::list_line(id, "node", "plant", caches.back()->address(), "Ready"));
+            lines.push_back(lab::endpoint_json(id, "node", "plant", caches.back()->address(), "Ready"));
         }
         board.post({{"pool", {{"version", 1}, {"full", true}, {"servers", lines}}}});
         {
@@ -98,24 +98,24 @@
 
     // Under load until so many lookups are satisfied or the time is over; the configuration is reread on the
     // way; then it is asked to leave.
-    void serve_and_look(lab::Process& p, std::uint64_t lookups, Span most) {
+    void serve_and_look(lab::Process& p, std::uint64_t lookups, Duration most) {
         ASSERT_TRUE(stretches.until([&] {
             const auto seen = lab::sockets_of(p.id());
             return !p.running() || std::any_of(seen.begin(), seen.end(), [](auto& s) { return s.listening; });
         }));
-        lab::Clients clients(loop, listen, "pages", ms * 4, ms * 1500);
+        lab::ClientLoad clients(loop, listen, "pages", ms * 4, ms * 1500);
         if (p.running()) clients.start();
         bool reread = false;
         stretches.until(
             [&] {
                 if (!p.running()) return true;
                 look_at(p);
-                if (clients.satisfied > lookups / 2 && !std::exchange(reread, true)) p.signal(SIGHUP);
-                return clients.satisfied >= lookups;
+                if (clients.served > lookups / 2 && !std::exchange(reread, true)) p.signal(SIGHUP);
+                return clients.served >= lookups;
             },
             most);
         clients.stop();
-        satisfied = clients.satisfied;
+        satisfied = clients.served;
         stretches.until([&] { return clients.open() == 0; }, ms * 2000);
         p.signal(SIGTERM);
         stretches.until([&] { return !p.running(); });
--- a/tests/random_gateway_scenario.hpp
+++ b/tests/random_gateway_scenario.hpp
@@ -13,29 +13,30 @@
 
 inline Deployment drawn_deployment() {
     Deployment d = deployment();
-    d.gateways_here = toss() ? draw(1, 3) : draw(4, 12);
-    d.gateways = d.gateways_here + (toss() ? draw(0, 4) : draw(60, 150));
+    d.gateways_in_location = toss() ? draw(1, 3) : draw(4, 12);
+    d.gateways = d.gateways_in_location + (toss() ? draw(0, 4) : draw(60, 150));
     d.locations = draw(1, 25);
-    d.permits.notes = static_cast<Notes>(draw(0, 2));
-    d.origin_falls = toss();
-    d.pipe_here_kb_per_s = toss() ? 0 : draw(5, 80) * 1000.0;
-    d.pipes_all_kb_per_s = d.pipe_here_kb_per_s * d.locations;
-    d.permits.cancel = toss();
-    d.permits.second_copies = toss();
-    d.permits.direct = toss();
-    d.permits.joins = toss();
-    d.permits.retry_after = toss();
-    d.permits.sends = draw(1, 8);
-    d.weights_told = true;
-    d.cold_edge = {draw(10, 40) / 100.0, Span::seconds(draw(5, 20)), static_cast<double>(draw(2, 4))};
-    d.cold_parent = {draw(5, 15) / 100.0, Span::seconds(draw(10, 25)), 2};
+    d.capabilities.cache_status = static_cast<CacheStatusReporting>(draw(0, 2));
+    d.origin_stops_when_overloaded = toss();
+    d.location_link_capacity_kb_per_s = toss() ? 0 : draw(5, 80) * 1000.0;
+    d.total_link_capacity_kb_per_s = d.location_link_capacity_kb_per_s * d.locations;
+    d.capabilities.cancellation = toss();
+    d.capabilities.hedged_requests = toss();
+    d.capabilities.direct_attempts = toss();
+    d.capabilities.coalescing = toss();
+    d.capabilities.retry_after = toss();
+    d.capabilities.max_attempts = draw(1, 8);
+    d.weights_known = true;
+    d.edge_slow_start = {draw(10, 40) / 100.0, Duration::seconds(draw(5, 20)),
+                         static_cast<double>(draw(2, 4))};
+    d.parent_slow_start = {draw(5, 15) / 100.0, Duration::seconds(draw(10, 25)), 2};
     for (ObjectKind& k : d.kinds) {
-        k.group = static_cast<DedupGroup>(draw(0, 2));
-        k.window = Span::seconds(draw(1, 5));
-        k.uncacheable = k.effect == Effect::side_effecting || (k.effect == Effect::deduplicated && toss());
+        k.dedup_scope = static_cast<DedupScope>(draw(0, 2));
+        k.dedup_window = Duration::seconds(draw(1, 5));
+        k.uncacheable = k.effect == Effect::non_idempotent || (k.effect == Effect::deduplicated && toss());
         if (k.effect == Effect::idempotent && toss()) {
-            k.fresh = Span::seconds(draw(5, 20));
-            k.grace = Span::seconds(draw(0, 10));
+            k.fresh_for = Duration::seconds(draw(5, 20));
+            k.stale_if_error_for = Duration::seconds(draw(0, 10));
         }
     }
     return d;
@@ -44,18 +45,18 @@
 // What may break rule 4 is drawn more widely: shares, sizes and weights by ten, windows against deadlines.
 inline Deployment widely_drawn_deployment() {
     Deployment d = drawn_deployment();
-    d.gateways_here = draw(1, 8);
-    d.gateways = d.gateways_here + (toss() ? draw(0, 8) : draw(60, 150));
-    d.fall_window = Span::seconds(draw(5, 40) / 10.0);
-    d.cold_edge.multiple = draw(20, 45) / 10.0;
-    d.cold_parent.multiple = draw(20, 30) / 10.0;
-    d.permits.sends = draw(3, 8);
+    d.gateways_in_location = draw(1, 8);
+    d.gateways = d.gateways_in_location + (toss() ? draw(0, 8) : draw(60, 150));
+    d.overload_window = Duration::seconds(draw(5, 40) / 10.0);
+    d.edge_slow_start.overload_multiple = draw(20, 45) / 10.0;
+    d.parent_slow_start.overload_multiple = draw(20, 30) / 10.0;
+    d.capabilities.max_attempts = draw(3, 8);
     return d;
 }
 
-inline std::vector<Listing> widely_drawn_list() {
-    std::vector<Listing> all = usual_list();
-    for (Listing& l : all) l.weight = draw(1, 10) * (l.machine == parent_machine ? 5 : 1);
+inline std::vector<EndpointUpdate> widely_drawn_list() {
+    std::vector<EndpointUpdate> all = usual_list();
+    for (EndpointUpdate& l : all) l.weight = draw(1, 10) * (l.machine_type == parent_machine ? 5 : 1);
     return all;
 }
 
@@ -63,37 +64,37 @@
 class Life {
 public:
     Life(const Deployment& d, std::uint64_t seed) : b_(d, seed), list_(usual_list()) {}
-    Life(const Deployment& d, std::uint64_t seed, std::vector<Listing> list)
+    Life(const Deployment& d, std::uint64_t seed, std::vector<EndpointUpdate> list)
         : b_(d, seed, list), list_(std::move(list)), wide_(true) {}
 
     void step() {
         const int what = draw(0, 99);
         if (what < 40) {
-            Arrival a =
+            Request a =
                 arrival("l" + std::to_string(made_++), "o" + std::to_string(draw(0, 12)),
-                        b_.now + Span::seconds(draw(1, 40) / 10.0), static_cast<std::size_t>(draw(0, 2)));
-            a.group = GroupNo{draw(0, 2)};
+                        b_.now + Duration::seconds(draw(1, 40) / 10.0), static_cast<std::size_t>(draw(0, 2)));
+            a.purge_group = PurgeGroupId{draw(0, 2)};
             if (wide_) {
-                a.expires =
-                    b_.now + (toss() ? Span::seconds(draw(5, 50) / 100.0) : Span::seconds(draw(5, 30)));
-                a.kbytes = toss() ? draw(20, 400) : draw(400, 4000);
+                a.deadline = b_.now + (toss() ? Duration::seconds(draw(5, 50) / 100.0)
+                                              : Duration::seconds(draw(5, 30)));
+                a.size_kb = toss() ? draw(20, 400) : draw(400, 4000);
             }
             b_.lookup(a);
         } else if (what < 70) {
             answer_one();
         } else if (what < 85) {
-            pass(Span::seconds((wide_ && toss() ? draw(1, 1000) : draw(1, 300)) / 1000.0));
+            pass(Duration::seconds((wide_ && toss() ? draw(1, 1000) : draw(1, 300)) / 1000.0));
         } else if (what < 92) {
             wide_ ? change_starts() : change_list();
         } else if (what < 97) {
             const ObjectName object{"o" + std::to_string(draw(0, 12))};
-            const Span age = Span::seconds(draw(0, 400) / 1000.0);
+            const Duration age = Duration::seconds(draw(0, 400) / 1000.0);
             b_.port.purged[object] = b_.now - age;
-            b_.router.on_purge(b_.now, age, GroupNo{0}, object);
+            b_.router.on_purge(b_.now, age, PurgeGroupId{0}, object);
         } else if (!b_.port.open.empty()) {
-            const LookupId id = b_.port.open.begin()->first;
+            const RequestId id = b_.port.open.begin()->first;
             b_.port.open.erase(id);
-            b_.router.on_client_gone(b_.now, id);
+            b_.router.on_client_closed(b_.now, id);
         }
         check();
     }
@@ -101,11 +102,11 @@
 private:
     Bench b_;
     int made_ = 0, waves_ = 0;
-    bool ageing_ = toss();       // whether e1 answers only now and then, and late
-    std::vector<Listing> list_;  // as it is in truth
+    bool ageing_ = toss();              // whether e1 answers only now and then, and late
+    std::vector<EndpointUpdate> list_;  // as it is in truth
     bool wide_ = false;
-    std::multimap<Instant, Listing> untold_;  // starts that the list tells later
-    std::map<CacheId, Instant> down_, died_;  // dead, and since when until when; refused with nothing out
+    std::multimap<TimePoint, EndpointUpdate> untold_;  // starts that the list tells later
+    std::map<CacheId, TimePoint> down_, died_;  // dead, and since when until when; refused with nothing out
 
     void answer_one() {
         std::vector<std::size_t> out;
@@ -116,34 +117,34 @@
         if (ageing_ && b_.port.sends[s].fill.cache == CacheId{"e1"} && draw(0, 4) > 0) return;
         const Outcome o = toss() ? Outcome::completed : static_cast<Outcome>(draw(0, 8));
         // Only a lookup that is over can be superseded, or overdue at its deadline.
-        if (o == Outcome::superseded || o == Outcome::overdue) return;
-        const Note note = static_cast<Note>(draw(0, 10));
+        if (o == Outcome::superseded || o == Outcome::deadline_exceeded) return;
+        const CacheStatus note = static_cast<CacheStatus>(draw(0, 10));
         if (wide_) return answer_in_truth(s, o, note);
         b_.answer(s, o, note);
     }
 
     // What is down refuses. One that was refused with nothing else out is cold from its first answer on, told
     // or not.
-    void answer_in_truth(std::size_t s, Outcome o, Note note) {
+    void answer_in_truth(std::size_t s, Outcome o, CacheStatus note) {
         const CacheId cache = b_.port.sends[s].fill.cache;
         if (const auto d = down_.find(cache); d != down_.end() && b_.now < d->second)
-            o = Outcome::refused_conn;
-        if (o == Outcome::refused_conn) {
+            o = Outcome::connection_refused;
+        if (o == Outcome::connection_refused) {
             b_.port.sends[s].out = false;
             const bool out = std::any_of(b_.port.sends.begin(), b_.port.sends.end(),
                                          [&](const SendSeen& x) { return x.out && x.fill.cache == cache; });
             b_.port.sends[s].out = true;
             if (!out) died_.try_emplace(cache, b_.now);
         } else if (died_.contains(cache) && cache.raw()[0] == 'e' &&
-                   (o == Outcome::completed || o == Outcome::lookup_miss || o == Outcome::errored ||
-                    (o == Outcome::saturated && note != Note::none))) {
+                   (o == Outcome::completed || o == Outcome::cache_miss || o == Outcome::errored ||
+                    (o == Outcome::overloaded && note != CacheStatus::none))) {
             b_.port.cold[cache] = b_.now;
             died_.erase(cache);
         }
         b_.answer(s, o, note);
     }
 
-    void pass(Span s) {
+    void pass(Duration s) {
         b_.pass(s);
         while (!untold_.empty() && untold_.begin()->first <= b_.now) {
             tell(untold_.begin()->second);
@@ -151,33 +152,33 @@
         }
         for (std::size_t n = 0; n < b_.port.sends.size(); ++n) {
             const auto it = b_.port.open.find(b_.port.sends[n].id);
-            if (it == b_.port.open.end() || it->second.expires > b_.now) continue;
-            b_.answer(n, Outcome::overdue);
+            if (it == b_.port.open.end() || it->second.deadline > b_.now) continue;
+            b_.answer(n, Outcome::deadline_exceeded);
         }
     }
 
     void change_list() {
-        std::vector<Listing> all = usual_list();
+        std::vector<EndpointUpdate> all = usual_list();
         const int what = draw(0, 9);
         if (what == 0) {  // a rack restarts at once
-            for (std::size_t e = 0; e < 2; ++e) all[e].started = b_.now;
+            for (std::size_t e = 0; e < 2; ++e) all[e].started_at = b_.now;
             return b_.list({all[0], all[1]});
         }
-        Listing l = all[static_cast<std::size_t>(draw(0, 4))];
+        EndpointUpdate l = all[static_cast<std::size_t>(draw(0, 4))];
         if (what <= 2) {  // a wave: one drains or is gone, and a machine of a new id takes its place
-            l.phase = toss() ? Phase::draining : Phase::gone;
-            Listing next = listing(l.cache.raw() + std::to_string(++waves_), l.machine, l.weight);
-            next.started = b_.now;
-            if (l.machine == parent_machine) b_.port.parents.insert(next.cache);
+            l.status = toss() ? EndpointStatus::draining : EndpointStatus::removed;
+            EndpointUpdate next = listing(l.cache.raw() + std::to_string(++waves_), l.machine_type, l.weight);
+            next.started_at = b_.now;
+            if (l.machine_type == parent_machine) b_.port.parents.insert(next.cache);
             return b_.list({l, next});
         }
-        l.phase = static_cast<Phase>(draw(0, 2));
-        if (l.phase == Phase::in_service) l.started = b_.now - Span::seconds(draw(0, 3));
+        l.status = static_cast<EndpointStatus>(draw(0, 2));
+        if (l.status == EndpointStatus::active) l.started_at = b_.now - Duration::seconds(draw(0, 3));
         b_.list({l});
     }
 
-    void tell(const Listing& l) {
-        if (l.phase == Phase::in_service) died_.erase(l.cache);
+    void tell(const EndpointUpdate& l) {
+        if (l.status == EndpointStatus::active) died_.erase(l.cache);
         b_.list({l});
     }
 
@@ -188,42 +189,43 @@
         const std::size_t first = what <= 1 ? 0 : static_cast<std::size_t>(draw(0, 4));
         const std::size_t last = what <= 1 ? 2 : first;
         for (std::size_t n = first; n <= last; ++n) {
-            Listing& l = list_[n];
+            EndpointUpdate& l = list_[n];
             if (what == 2) {  // only told to be larger or smaller
-                l.weight = draw(1, 10) * (l.machine == parent_machine ? 5 : 1);
+                l.weight = draw(1, 10) * (l.machine_type == parent_machine ? 5 : 1);
                 tell(l);
                 continue;
             }
             if (what == 3) {  // leaves, and comes back as it was
-                Listing gone = l;
-                gone.phase = toss() ? Phase::draining : Phase::gone;
+                EndpointUpdate gone = l;
+                gone.status = toss() ? EndpointStatus::draining : EndpointStatus::removed;
                 tell(gone);
-                untold_.emplace(b_.now + Span::seconds(draw(0, 30) / 10.0), l);
+                untold_.emplace(b_.now + Duration::seconds(draw(0, 30) / 10.0), l);
                 continue;
             }
-            l.started = b_.now + Span::seconds(toss() ? 0 : draw(0, 20) / 10.0);
-            down_[l.cache] = l.started;
+            l.started_at = b_.now + Duration::seconds(toss() ? 0 : draw(0, 20) / 10.0);
+            down_[l.cache] = l.started_at;
             if (what == 4) continue;  // never told
-            const Instant told = l.started + Span::seconds(toss() ? 0 : draw(0, 80) / 10.0);
+            const TimePoint told = l.started_at + Duration::seconds(toss() ? 0 : draw(0, 80) / 10.0);
             untold_.emplace(told, l);
-            if (toss()) untold_.emplace(told + Span::seconds(draw(0, 40) / 10.0), l);
+            if (toss()) untold_.emplace(told + Duration::seconds(draw(0, 40) / 10.0), l);
             if (draw(0, 3) > 0) continue;
-            Listing moved = l;
-            moved.started = l.started + Span::seconds(draw(0, 20) / 10.0);
-            untold_.emplace(std::max(told, moved.started) + Span::seconds(draw(0, 40) / 10.0), moved);
+            EndpointUpdate moved = l;
+            moved.started_at = l.started_at + Duration::seconds(draw(0, 20) / 10.0);
+            untold_.emplace(std::max(told, moved.started_at) + Duration::seconds(draw(0, 40) / 10.0), moved);
         }
     }
 
     void check() {
         std::size_t watches = 0;
-        for (const auto& [n, at] : b_.port.alarms) watches += n == AlarmNo{0};
+        for (const auto& [n, at] : b_.port.alarms) watches += n == TimerId{0};
         if (watches > 1) RC_FAIL("alarms multiply");
         if (!b_.port.broken.empty()) RC_FAIL(b_.port.broken.front());
         for (const auto& [id, a] : b_.port.open) {
             bool out = false;
             for (const std::size_t s : b_.port.of[id]) out = out || b_.port.sends[s].out;
             if (!out) RC_FAIL("1: a lookup is held with nothing out: " + std::to_string(id.raw()));
-            if (a.expires <= b_.now - b_.port.told.tick * 2 && !out) RC_FAIL("1: past its deadline");
+            if (a.deadline <= b_.now - b_.port.told.timer_resolution * 2 && !out)
+                RC_FAIL("1: past its deadline");
         }
     }
 };
--- a/tests/registry_cli_test.cpp
+++ b/tests/registry_cli_test.cpp
@@ -16,15 +16,15 @@
 
 namespace {
 
-const Span ms = Span::micros(1000);
+const Duration ms = Duration::micros(1000);
 const std::string prefix = "/caches/";
 
 class Cli : public ::testing::Test {
 protected:
-    Loop loop;
-    lab::Registry r{loop, 2, ms * 20};
+    EventLoop loop;
+    lab::RegistryStandIn r{loop, 2, ms * 20};
     fs::path root = fs::temp_directory_path() / ("irismux_cli." + std::to_string(::getpid()));
-    lab::Stretches stretches{loop};  // the last: nothing of the above may go while the loop runs
+    lab::Intervals stretches{loop};  // the last: nothing of the above may go while the loop runs
 
     void SetUp() override {
         fs::create_directories(root);
@@ -90,26 +90,26 @@
 TEST_F(Cli, ATransactionShowsWhatStoodInItsWay) {
     using namespace registry;
     // The same records by the codec that the fleet's deals go by.
-    const auto body = etcd::settle({{prefix + "c1", "other"}, {prefix + "c8", std::nullopt}},
-                                   {{prefix + "c8", "x"}}, {prefix + "c1"})
+    const auto body = etcd::transaction({{prefix + "c1", "other"}, {prefix + "c8", std::nullopt}},
+                                        {{prefix + "c8", "x"}}, {prefix + "c1"})
                           .body;
     const auto asked = nlohmann::json::parse(body);
     EXPECT_EQ(asked["compare"].size(), 2u);
     EXPECT_EQ(asked["compare"][1]["target"], "CREATE");
     EXPECT_EQ(asked["failure"].size(), 2u);
     EXPECT_EQ(asked["success"].size(), 2u);
-    const auto read = etcd::read_settled(
+    const auto read = etcd::read_transaction_result(
         200,
         R"({"header":{"cluster_id":"7","revision":"9"},"responses":[{"response_range":{"kvs":[)"
         R"({"key":"L2NhY2hlcy9jMQ==","value":"eA==","create_revision":"2","mod_revision":"5"}]}},)"
         R"({"response_range":{}}]})",
         prefix);
-    const auto& settled = std::get<etcd::Settled>(read);
-    EXPECT_FALSE(settled.held);
-    ASSERT_EQ(settled.shown.size(), 1u);
-    EXPECT_EQ(settled.shown[0].key, RecordKey{"c1"});
-    EXPECT_EQ(settled.shown[0].value, "x");
-    EXPECT_TRUE(std::holds_alternative<etcd::Problem>(etcd::read_settled(200, "{", prefix)));
+    const auto& settled = std::get<etcd::TransactionResult>(read);
+    EXPECT_FALSE(settled.succeeded);
+    ASSERT_EQ(settled.records.size(), 1u);
+    EXPECT_EQ(settled.records[0].key, RecordKey{"c1"});
+    EXPECT_EQ(settled.records[0].value, "x");
+    EXPECT_TRUE(std::holds_alternative<etcd::Error>(etcd::read_transaction_result(200, "{", prefix)));
 }
 
 }  // namespace
--- a/tests/registry_client_test.cpp
+++ b/tests/registry_client_test.cpp
@@ -20,24 +20,24 @@
 
 namespace {
 
-const Span ms = Span::micros(1000);
+const Duration ms = Duration::micros(1000);
 const std::string prefix = "/caches/";
 
-class OnSockets : public ::testing::Test, public Knows {
+class OnSockets : public ::testing::Test, public WatchObserver {
 protected:
-    Loop loop;
-    std::unique_ptr<lab::Registry> r;
-    std::unique_ptr<Client> client;
-    lab::KnownList list;
-    std::vector<Sight> sights;
+    EventLoop loop;
+    std::unique_ptr<lab::RegistryStandIn> r;
+    std::unique_ptr<RegistryClient> client;
+    lab::KnownEndpoints list;
+    std::vector<SyncState> sights;
     std::vector<std::string> remarks;
-    lab::Stretches stretches{loop};  // the last: nothing of the above may go while the loop runs
+    lab::Intervals stretches{loop};  // the last: nothing of the above may go while the loop runs
 
     void SetUp() override { log::show(log::Level::error); }
     void begin(std::size_t members = 3, const std::string& user = "", const std::string& password = "") {
-        r = std::make_unique<lab::Registry>(loop, members, ms * 20);
+        r = std::make_unique<lab::RegistryStandIn>(loop, members, ms * 20);
         for (const char* id : {"c1", "c2", "c3"}) put(id, "Ready");
-        client = std::make_unique<Client>(loop, *this, settings(members, user, password), 7);
+        client = std::make_unique<RegistryClient>(loop, *this, settings(members, user, password), 7);
     }
     Settings settings(std::size_t members, const std::string& user, const std::string& password) const {
         Settings s;
@@ -45,12 +45,12 @@
         s.prefix = prefix;
         s.user = user;
         s.password = password;
-        s.page = 2;
-        s.pace.members = members;
-        s.pace.quiet = ms * 150;
-        s.pace.answer_in = ms * 100;
-        s.pace.base = ms * 5;
-        s.pace.cap = ms * 100;
+        s.page_size = 2;
+        s.poll_policy.members = members;
+        s.poll_policy.watch_timeout = ms * 150;
+        s.poll_policy.reply_timeout = ms * 100;
+        s.poll_policy.backoff_base = ms * 5;
+        s.poll_policy.backoff_cap = ms * 100;
         return s;
     }
     void put(const std::string& id, const std::string& state) {
@@ -62,19 +62,20 @@
     }
     void start_and_follow() {
         client->start();
-        ASSERT_TRUE(until([&] { return client->watch().sight() == Sight::following && list.size() == 3; }));
+        ASSERT_TRUE(
+            until([&] { return client->watch().sync_state() == SyncState::following && list.size() == 3; }));
     }
     bool until(const std::function<bool()>& so) { return stretches.until(so); }
     bool draining(const std::string& id) {
         const auto it = list.find(CacheId{id});
-        return it != list.end() && it->second.phase == Phase::draining;
+        return it != list.end() && it->second.status == EndpointStatus::draining;
     }
 
-    void list_told(Instant, const std::vector<ListLine>& lines, bool complete) override {
-        lab::hear(list, lines, complete);
+    void on_endpoints(TimePoint, const std::vector<EndpointRecord>& lines, bool complete) override {
+        lab::apply(list, lines, complete);
     }
-    void sight_told(Instant, Sight s, Instant) override { sights.push_back(s); }
-    void remark(std::string_view line) override { remarks.emplace_back(line); }
+    void on_sync_state(TimePoint, SyncState s, TimePoint) override { sights.push_back(s); }
+    void on_warning(std::string_view line) override { remarks.emplace_back(line); }
 };
 
 TEST_F(OnSockets, ReadsInPagesThenFollows) {
@@ -91,7 +92,7 @@
 }
 
 TEST_F(OnSockets, EachFaultIsRiddenOutAndTheDrainArrives) {
-    using Faults = lab::Registry::Faults;
+    using Faults = lab::RegistryStandIn::Faults;
     const std::vector<std::pair<const char*, std::function<void(Faults&)>>> faults = {
         {"refuse", [](Faults& f) { f.refuse = true; }},  {"silent", [](Faults& f) { f.silent = true; }},
         {"mute", [](Faults& f) { f.mute = true; }},      {"cut", [](Faults& f) { f.cut = true; }},
@@ -110,7 +111,7 @@
                          {RecordKey{prefix + "c2"}, list_value("c2", "Terminating")}});
         r->publish();
         EXPECT_TRUE(until([&] { return draining("c1") && draining("c2"); }));
-        EXPECT_TRUE(until([&] { return client->watch().sight() == Sight::following; }));
+        EXPECT_TRUE(until([&] { return client->watch().sync_state() == SyncState::following; }));
     }
 }
 
@@ -123,12 +124,12 @@
     r->model.erase(prefix + "c2");
     put("c2", "Ready");
     r->model.compact(r->model.newest());
-    ASSERT_TRUE(until([&] { return client->watch().sight() != Sight::following; }));
+    ASSERT_TRUE(until([&] { return client->watch().sync_state() != SyncState::following; }));
     EXPECT_EQ(list.size(), 3u);
     r->up(0);
-    ASSERT_TRUE(until([&] { return client->watch().sight() == Sight::following; }));
+    ASSERT_TRUE(until([&] { return client->watch().sync_state() == SyncState::following; }));
     EXPECT_EQ(list.size(), 2u);
-    EXPECT_GT(list.at(CacheId{"c2"}).started, Instant{});
+    EXPECT_GT(list.at(CacheId{"c2"}).started_at, TimePoint{});
     EXPECT_EQ(client->watch().full_reads(), reads + 1);
 }
 
@@ -137,11 +138,13 @@
     const Revision backup = r->model.newest();
     put("c4", "Ready");
     client->start();
-    ASSERT_TRUE(until([&] { return list.size() == 4 && client->watch().sight() == Sight::following; }));
+    ASSERT_TRUE(
+        until([&] { return list.size() == 4 && client->watch().sync_state() == SyncState::following; }));
     for (std::size_t m = 0; m < 3; ++m) r->down(m);
     r->model.restore(backup, true);
     for (std::size_t m = 0; m < 3; ++m) r->up(m);
-    ASSERT_TRUE(until([&] { return list.size() == 3 && client->watch().sight() == Sight::following; }));
+    ASSERT_TRUE(
+        until([&] { return list.size() == 3 && client->watch().sync_state() == SyncState::following; }));
     EXPECT_EQ(client->watch().cluster(), r->model.cluster());
 }
 
@@ -150,7 +153,7 @@
     r->user = "gateway";
     r->password = "secret";
     client.reset();
-    client = std::make_unique<Client>(loop, *this, settings(2, "gateway", "secret"), 7);
+    client = std::make_unique<RegistryClient>(loop, *this, settings(2, "gateway", "secret"), 7);
     start_and_follow();
     EXPECT_EQ(r->ledger.logins, 1);
     r->forget_tokens();
@@ -159,11 +162,11 @@
     EXPECT_TRUE(until([&] { return draining("c1"); }));
     EXPECT_EQ(r->ledger.logins, 2);
     // Wrong ones lead to pauses, and to no line that holds them.
-    client = std::make_unique<Client>(loop, *this, settings(2, "gateway", "mistaken"), 7);
+    client = std::make_unique<RegistryClient>(loop, *this, settings(2, "gateway", "mistaken"), 7);
     const int before = r->ledger.logins;
     client->start();
     EXPECT_TRUE(until([&] { return r->ledger.logins > before + 3; }));
-    EXPECT_NE(client->watch().sight(), Sight::following);
+    EXPECT_NE(client->watch().sync_state(), SyncState::following);
     for (const std::string& line : remarks) EXPECT_EQ(line.find("mistaken"), std::string::npos) << line;
 }
 
@@ -179,16 +182,17 @@
         return list_value(id, state, 1, 0, "here", "edge", std::string(bytes, 'a'));
     }
     void begin_with(std::size_t records, std::size_t bytes, std::size_t page) {
-        r = std::make_unique<lab::Registry>(loop, 3, ms * 20);
+        r = std::make_unique<lab::RegistryStandIn>(loop, 3, ms * 20);
         for (std::size_t n = 0; n < records; ++n) put_long("c" + std::to_string(n), "Ready", bytes);
         Settings s = settings(3, "", "");
-        s.page = page;
-        s.pace.answer_in = s.pace.quiet = ms * 1000;
-        client = std::make_unique<Client>(loop, *this, s, 7);
+        s.page_size = page;
+        s.poll_policy.reply_timeout = s.poll_policy.watch_timeout = ms * 1000;
+        client = std::make_unique<RegistryClient>(loop, *this, s, 7);
         client->start();
     }
     bool follows_all(std::size_t records) {
-        return until([&] { return client->watch().sight() == Sight::following && list.size() == records; });
+        return until(
+            [&] { return client->watch().sync_state() == SyncState::following && list.size() == records; });
     }
 };
 
@@ -213,7 +217,7 @@
     r->model.commit(writes);
     r->publish();
     ASSERT_TRUE(until([&] { return draining("c0") && draining("c29"); }));
-    ASSERT_TRUE(until([&] { return client->watch().sight() == Sight::following; }));
+    ASSERT_TRUE(until([&] { return client->watch().sync_state() == SyncState::following; }));
     EXPECT_LE(r->ledger.watches, watches + 2);
     EXPECT_EQ(client->watch().full_reads(), 2u);
 }
@@ -231,7 +235,7 @@
     }));
     EXPECT_EQ(list.size(), 3u);
     const int reads = r->ledger.reads;
-    const Instant from = loop.now();
+    const TimePoint from = loop.now();
     ASSERT_TRUE(until([&] { return loop.now() > from + ms * 500; }));
     EXPECT_LE(r->ledger.reads, reads + 60);
     r->model.erase(prefix + "c9");
@@ -245,7 +249,7 @@
     begin_with(9, 150'000, 3);
     ASSERT_TRUE(follows_all(9));
     for (std::size_t m = 0; m < 3; ++m) r->down(m);
-    ASSERT_TRUE(until([&] { return client->watch().sight() == Sight::blind; }));
+    ASSERT_TRUE(until([&] { return client->watch().sync_state() == SyncState::disconnected; }));
     put_long("c1", "Terminating", 150'000);
     for (std::size_t m = 0; m < 3; ++m) r->up(m);
     ASSERT_TRUE(until([&] { return draining("c1"); }));
@@ -267,7 +271,7 @@
         int left = 120;
         const std::function<void()> trouble = [&] {
             const std::size_t m = static_cast<std::size_t>(draw(3));
-            lab::Registry::Faults& f = r->faults(m);
+            lab::RegistryStandIn::Faults& f = r->faults(m);
             const std::string id = "c" + std::to_string(draw(9));
             if (draw(3) == 0)
                 r->model.erase(prefix + id);
@@ -300,16 +304,16 @@
                     break;
             }
             r->publish();
-            if (--left > 0) loop.at(loop.now() + ms * (1 + draw(6)), trouble);
+            if (--left > 0) loop.schedule_at(loop.now() + ms * (1 + draw(6)), trouble);
         };
-        loop.soon(trouble);
+        loop.schedule_now(trouble);
         ASSERT_TRUE(until([&] { return left == 0; }));
         for (std::size_t m = 0; m < 3; ++m) {
             r->faults(m) = {};
             r->up(m);
         }
         EXPECT_TRUE(until([&] {
-            return client->watch().sight() == Sight::following &&
+            return client->watch().sync_state() == SyncState::following &&
                    client->watch().view().revision() >= r->model.newest();
         }));
         const auto* state = r->model.at(r->model.newest());
@@ -335,7 +339,7 @@
     const auto& range = std::get<etcd::Range>(read);
     EXPECT_EQ(range.page.records.at(0).key, RecordKey{"c1"});
     EXPECT_EQ(range.page.records.at(0).value, "{\"x\":1}");
-    EXPECT_EQ(range.page.from.revision, Revision{9});
+    EXPECT_EQ(range.page.origin.revision, Revision{9});
     EXPECT_TRUE(range.page.more);
     EXPECT_EQ(range.count, 3u);
     // Cut and mutated bytes end in a value or a problem of one line, whatever they are.
@@ -345,53 +349,54 @@
         for (auto k = chance() % 4; k > 0 && !odd.empty(); --k)
             odd[chance() % odd.size()] = static_cast<char>(chance());
         for (const auto& problem : {etcd::read_range(200, odd, prefix)})
-            if (const auto* p = std::get_if<etcd::Problem>(&problem)) {
-                EXPECT_LE(p->words.size(), 200u);
-                EXPECT_EQ(p->words.find('\n'), std::string::npos);
+            if (const auto* p = std::get_if<etcd::Error>(&problem)) {
+                EXPECT_LE(p->message.size(), 200u);
+                EXPECT_EQ(p->message.find('\n'), std::string::npos);
             }
         etcd::read_watch("{\"result\":" + odd + "}", prefix);
         etcd::read_token(200, odd);
         etcd::read_lease(200, odd);
-        etcd::read_txn(200, odd);
+        etcd::read_conditional_write_result(200, odd);
     }
 }
 
 TEST(Etcd, ErrorsAreToldApart) {
     const auto fault = [](int status, const std::string& body) {
         const auto read = etcd::read_range(status, body, prefix);
-        return std::get<etcd::Problem>(read).fault;
+        return std::get<etcd::Error>(read).code;
     };
     EXPECT_EQ(fault(400, R"({"error":"etcdserver: mvcc: required revision has been compacted","code":11})"),
-              etcd::Fault::compacted);
+              etcd::ErrorCode::compacted);
     EXPECT_EQ(fault(400, R"({"error":"etcdserver: mvcc: required revision is a future revision","code":11})"),
-              etcd::Fault::not_there);
-    EXPECT_EQ(fault(401, R"({"error":"etcdserver: invalid auth token","code":16})"), etcd::Fault::refused);
-    EXPECT_EQ(fault(503, "busy"), etcd::Fault::other);
-    EXPECT_EQ(fault(200, "{}"), etcd::Fault::unreadable);
-    EXPECT_EQ(fault(200, R"({"header":{"revision":"x"}})"), etcd::Fault::unreadable);
+              etcd::ErrorCode::revision_not_reached);
+    EXPECT_EQ(fault(401, R"({"error":"etcdserver: invalid auth token","code":16})"),
+              etcd::ErrorCode::refused);
+    EXPECT_EQ(fault(503, "busy"), etcd::ErrorCode::other);
+    EXPECT_EQ(fault(200, "{}"), etcd::ErrorCode::unreadable);
+    EXPECT_EQ(fault(200, R"({"header":{"revision":"x"}})"), etcd::ErrorCode::unreadable);
     EXPECT_EQ(fault(200, R"({"header":{"revision":"1"},"kvs":[{"key":"bm90IG91cnM="}]})"),
-              etcd::Fault::unreadable);
+              etcd::ErrorCode::unreadable);
     const auto gone = etcd::read_watch(
         R"({"result":{"header":{"revision":"9"},"canceled":true,"compact_revision":"7"}})", prefix);
-    EXPECT_EQ(std::get<etcd::Problem>(gone).fault, etcd::Fault::compacted);
+    EXPECT_EQ(std::get<etcd::Error>(gone).code, etcd::ErrorCode::compacted);
 }
 
 // --- what is kept -----------------------------------------------------------------------------------------
 
 TEST(Kept, AListComesBackWholeOrIsRefusedInOneLine) {
-    const Instant then = Instant::at_seconds(1000);
-    View v;
+    const TimePoint then = TimePoint::at_seconds(1000);
+    EndpointView v;
     v.replace(Revision{9},
               {{RecordKey{"c1"}, list_value("c1", "Ready"), Revision{2}, Revision{3}},
                {RecordKey{"c2"}, "unreadable", Revision{4}, Revision{4}},
                {RecordKey{"c3"}, list_value("c3", "Terminating"), Revision{5}, Revision{9}}},
               then);
     const std::string owner = "here /caches/";
-    const std::string bytes = kept_form(v, ClusterId{"77"}, then, owner);
-    const auto why = [&](const std::string& b, const std::string& whose, Instant now) {
-        return std::get<std::string>(read_kept(b, whose, now, Span::seconds(60)));
+    const std::string bytes = serialize_snapshot(v, ClusterId{"77"}, then, owner);
+    const auto why = [&](const std::string& b, const std::string& whose, TimePoint now) {
+        return std::get<std::string>(parse_snapshot(b, whose, now, Duration::seconds(60)));
     };
-    const auto good = read_kept(bytes, owner, then + Span::seconds(59), Span::seconds(60));
+    const auto good = parse_snapshot(bytes, owner, then + Duration::seconds(59), Duration::seconds(60));
     const auto* s = std::get_if<Snapshot>(&good);
     ASSERT_TRUE(s);
     EXPECT_EQ(s->cluster, ClusterId{"77"});
@@ -400,7 +405,7 @@
     ASSERT_EQ(s->records.size(), 2u) << "one that was never readable is not kept";
     EXPECT_EQ(s->records[1].modified, Revision{9});
     EXPECT_EQ(why(bytes, "there /caches/", then), "the kept list is another deployment's");
-    EXPECT_EQ(why(bytes, owner, then + Span::seconds(61)), "the kept list is too old");
+    EXPECT_EQ(why(bytes, owner, then + Duration::seconds(61)), "the kept list is too old");
     EXPECT_EQ(why(bytes, owner, then - ms), "the kept list is from the future");
     for (std::size_t at = 0; at < bytes.size(); ++at) {
         std::string odd = bytes;
