--- a/tests/registry_test.cpp
+++ b/tests/registry_test.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-const Span ms = Span::micros(1000);
-Instant start_time() { return Instant::at_seconds(1000); }
+const Duration ms = Duration::micros(1000);
+TimePoint start_time() { return TimePoint::at_seconds(1000); }
 
 // --- the view ---------------------------------------------------------------------------------------------
 
@@ -24,8 +24,8 @@
 }
 
 TEST(View, TellsOnlyWhatDiffersAfterAFullRead) {
-    View v;
-    const Instant t = start_time();
+    EndpointView v;
+    const TimePoint t = start_time();
     EXPECT_EQ(
         v.replace(Revision{5},
                   {record("a", list_value("a", "Ready"), 2, 2), record("b", list_value("b", "Ready"), 3, 3),
@@ -41,34 +41,34 @@
                   t + ms);
     ASSERT_EQ(told.size(), 4u);
     EXPECT_EQ(told[0].first.cache, CacheId{"b"});
-    EXPECT_EQ(told[0].first.phase, Phase::gone);
+    EXPECT_EQ(told[0].first.status, EndpointStatus::removed);
     EXPECT_EQ(told[1].first.cache, CacheId{"c"});
-    EXPECT_EQ(told[1].first.phase, Phase::gone);
+    EXPECT_EQ(told[1].first.status, EndpointStatus::removed);
     EXPECT_EQ(told[2].first.cache, CacheId{"c"});
-    EXPECT_EQ(told[2].first.phase, Phase::in_service);
-    EXPECT_EQ(told[2].first.started, t + ms) << "another process that names no start is cold from now on";
-    EXPECT_EQ(told[3].first.phase, Phase::draining);
+    EXPECT_EQ(told[2].first.status, EndpointStatus::active);
+    EXPECT_EQ(told[2].first.started_at, t + ms) << "another process that names no start is cold from now on";
+    EXPECT_EQ(told[3].first.status, EndpointStatus::draining);
 }
 
 TEST(View, ARecordThatCameAnewInTwoStepsIsColdThoughItNamesItsOldStart) {
-    View v;
-    const Instant t = start_time();
+    EndpointView v;
+    const TimePoint t = start_time();
     const std::string value = list_value("a", "Ready", 1, 999'000);
     v.replace(Revision{5}, {record("a", value, 2, 2)}, t);
     v.apply(Revision{}, {{record("a", "", 0, 6), true}}, t + ms);
     const auto told = v.apply(Revision{}, {{record("a", value, 9, 9), false}}, t + ms * 2);
     ASSERT_EQ(told.size(), 1u);
-    EXPECT_EQ(told[0].first.started, t + ms * 2);
+    EXPECT_EQ(told[0].first.started_at, t + ms * 2);
     // What only changes it later keeps that start.
     const auto later =
         v.apply(Revision{}, {{record("a", list_value("a", "Ready", 3, 999'000), 9, 12), false}}, t + ms * 3);
     ASSERT_EQ(later.size(), 1u);
-    EXPECT_EQ(later[0].first.started, t + ms * 2);
+    EXPECT_EQ(later[0].first.started_at, t + ms * 2);
 }
 
 TEST(View, ABadRecordKeepsItsLastGoodFormAndHoldsUpNoOther) {
-    View v;
-    const Instant t = start_time();
+    EndpointView v;
+    const TimePoint t = start_time();
     v.replace(Revision{5}, {record("a", list_value("a", "Ready"), 2, 2)}, t);
     for (const std::string bad :
          {"", "{", "[]", "{\"id\":\"b\",\"state\":\"Ready\"}", "{\"id\":\"a\",\"state\":\"Off\"}"}) {
@@ -77,7 +77,7 @@
                                    {record("x", list_value("x", "Ready"), 8, v.revision().raw() + 1), false}},
                                   t);
         EXPECT_EQ(v.unreadable(), 1u);
-        EXPECT_EQ(v.entries().at(RecordKey{"a"}).line->first.phase, Phase::in_service) << bad;
+        EXPECT_EQ(v.entries().at(RecordKey{"a"}).endpoint->first.status, EndpointStatus::active) << bad;
         EXPECT_TRUE(v.entries().contains(RecordKey{"x"}));
         for (const auto& [l, address] : told) EXPECT_NE(l.cache, CacheId{"a"});
     }
@@ -86,56 +86,58 @@
 }
 
 TEST(View, RepeatsByRevisionAreDropped) {
-    View v;
-    const Instant t = start_time();
+    EndpointView v;
+    const TimePoint t = start_time();
     v.replace(Revision{5}, {record("a", list_value("a", "Ready"), 2, 2)}, t);
     EXPECT_EQ(v.apply(Revision{}, {{record("a", list_value("a", "Terminating"), 2, 7), false}}, t).size(),
               1u);
     EXPECT_TRUE(v.apply(Revision{}, {{record("a", list_value("a", "Ready"), 2, 6), false}}, t).empty());
-    EXPECT_EQ(v.entries().at(RecordKey{"a"}).line->first.phase, Phase::draining);
+    EXPECT_EQ(v.entries().at(RecordKey{"a"}).endpoint->first.status, EndpointStatus::draining);
 }
 
 // --- the watch --------------------------------------------------------------------------------------------
 
 // A carrier that remembers the one ask in force, and a Router's list kept from what is told.
-class Bench final : public Asks, public Knows {
+class Bench final : public WatchTransport, public WatchObserver {
 public:
     explicit Bench(std::size_t members = 3, std::uint64_t seed = 1)
         : watch(*this, *this, pace(members), seed) {}
 
-    static Pace pace(std::size_t members) {
-        Pace p;
+    static PollPolicy pace(std::size_t members) {
+        PollPolicy p;
         p.members = members;
         return p;
     }
 
     enum class Ask { none, read, check, follow };
     Ask asked = Ask::none;
-    MemberNo member;
+    MemberIndex member;
     std::optional<RecordKey> after;
     Revision at;
-    Instant wake_at, now = start_time();
+    TimePoint wake_at, now = start_time();
     int asks = 0;
-    lab::KnownList list;
+    lab::KnownEndpoints list;
     std::vector<std::string> remarks;
-    std::vector<Sight> sights;
+    std::vector<SyncState> sights;
     Watch watch;
 
-    void read(MemberNo m, const std::optional<RecordKey>& a, Revision r) override {
+    void read_page(MemberIndex m, const std::optional<RecordKey>& a, Revision r) override {
         asked = Ask::read, member = m, after = a, at = r, ++asks;
     }
-    void check(MemberNo m, Revision r) override { asked = Ask::check, member = m, at = r, ++asks; }
-    void follow(MemberNo m, Revision r) override { asked = Ask::follow, member = m, at = r, ++asks; }
-    void hang_up() override { asked = Ask::none; }
-    void wake(Instant t) override { wake_at = t; }
-    void list_told(Instant, const std::vector<ListLine>& lines, bool complete) override {
-        lab::hear(list, lines, complete);
+    void check_revision(MemberIndex m, Revision r) override {
+        asked = Ask::check, member = m, at = r, ++asks;
     }
-    void sight_told(Instant, Sight s, Instant) override { sights.push_back(s); }
-    void remark(std::string_view line) override { remarks.emplace_back(line); }
+    void open_watch(MemberIndex m, Revision r) override { asked = Ask::follow, member = m, at = r, ++asks; }
+    void close() override { asked = Ask::none; }
+    void schedule_wake(TimePoint t) override { wake_at = t; }
+    void on_endpoints(TimePoint, const std::vector<EndpointRecord>& lines, bool complete) override {
+        lab::apply(list, lines, complete);
+    }
+    void on_sync_state(TimePoint, SyncState s, TimePoint) override { sights.push_back(s); }
+    void on_warning(std::string_view line) override { remarks.emplace_back(line); }
 
-    void pass(Span s) {
-        const Instant until = now + s;
+    void pass(Duration s) {
+        const TimePoint until = now + s;
         while (wake_at > now && wake_at <= until) {
             now = wake_at;
             watch.on_wake(now);
@@ -156,7 +158,7 @@
     Page page(const RegistryModel& m, std::size_t most = 1000) const {
         const Revision r = at == Revision{} ? m.newest() : at;
         Page p;
-        p.from = {m.cluster(), r};
+        p.origin = {m.cluster(), r};
         for (const auto& [key, rec] : *m.at(r)) {
             if (after && key <= *after) continue;
             if (p.records.size() == most) return p.more = true, p;
@@ -167,7 +169,7 @@
     void read_all(const RegistryModel& m) {
         watch.on_page(now, page(m));
         ASSERT_EQ(asked, Ask::follow);
-        watch.on_watching(now, origin(m));
+        watch.on_watch_opened(now, origin(m));
     }
     void answer_check(const RegistryModel& m) {
         const RegistryModel::State* state = m.at(at);
@@ -176,8 +178,8 @@
         for (const auto& [key, r] : *state) newest.push_back(r);
         std::sort(newest.begin(), newest.end(),
                   [](const Record& x, const Record& y) { return x.modified > y.modified; });
-        newest.resize(std::min(newest.size(), last_changed));
-        watch.on_checked(now, origin(m), state->size(), newest);
+        newest.resize(std::min(newest.size(), max_checked_records));
+        watch.on_check_result(now, origin(m), state->size(), newest);
     }
     void deliver(const RegistryModel& m) {
         watch.on_changes(now, origin(m), *m.changes(at, m.newest()), false);
@@ -199,7 +201,7 @@
         b.watch.start(b.now);
         ASSERT_EQ(b.asked, Bench::Ask::read);
         b.read_all(m);
-        ASSERT_EQ(b.watch.sight(), Sight::following);
+        ASSERT_EQ(b.watch.sync_state(), SyncState::following);
         ASSERT_EQ(b.list.size(), 4u);
     }
     void read_anew() {
@@ -216,22 +218,22 @@
               {RecordKey{"c4"}, std::nullopt}});
     b.deliver(m);
     ASSERT_EQ(b.list.size(), 2u);
-    for (const auto& [id, l] : b.list) EXPECT_EQ(l.phase, Phase::draining);
+    for (const auto& [id, l] : b.list) EXPECT_EQ(l.status, EndpointStatus::draining);
 }
 
 TEST_F(Following, ABrokenWatchGoesOnFromTheNextRevisionElsewhereAndReadsNothingAnew) {
-    const MemberNo first = b.member;
+    const MemberIndex first = b.member;
     b.pass(ms * 500);
     b.watch.on_changes(b.now, b.origin(m), {}, false);
     b.watch.on_broken(b.now, "connection lost");
-    EXPECT_EQ(b.watch.sight(), Sight::resuming);
+    EXPECT_EQ(b.watch.sync_state(), SyncState::resuming);
     m.erase("c1");
     b.pass_to_ask();
     EXPECT_EQ(b.asked, Bench::Ask::follow);
     EXPECT_NE(b.member, first);
     EXPECT_EQ(b.at, m.newest());
     EXPECT_LE(b.now - start_time(), ms * 551) << "the first pause is at most the base";
-    b.watch.on_watching(b.now, b.origin(m));
+    b.watch.on_watch_opened(b.now, b.origin(m));
     b.deliver(m);
     EXPECT_FALSE(b.list.contains(CacheId{"c1"}));
     EXPECT_EQ(b.watch.full_reads(), 1u);
@@ -252,8 +254,8 @@
     b.watch.on_page(b.now, b.page(m));
     EXPECT_FALSE(b.list.contains(CacheId{"c1"}));
     EXPECT_TRUE(b.list.contains(CacheId{"c5"}));
-    EXPECT_EQ(b.list.at(CacheId{"c2"}).started, b.now);
-    EXPECT_EQ(b.list.at(CacheId{"c3"}).started, Instant{}) << "an old one is no new one";
+    EXPECT_EQ(b.list.at(CacheId{"c2"}).started_at, b.now);
+    EXPECT_EQ(b.list.at(CacheId{"c3"}).started_at, TimePoint{}) << "an old one is no new one";
 }
 
 TEST_F(Following, PagesArePinnedAndBegunAnewWhenTheirRevisionIsCompacted) {
@@ -264,12 +266,12 @@
     EXPECT_EQ(b.after, RecordKey{"c2"});
     m.erase("c1");
     m.compact(m.newest());
-    Instant last = b.now;
+    TimePoint last = b.now;
     for (int n = 0; n < 12; ++n) {
         b.watch.on_compacted(b.now);
         EXPECT_EQ(b.asked, Bench::Ask::none) << "again and again costs a pause";
         b.pass_to_ask();
-        EXPECT_LE(b.now - last, Bench::pace(3).cap);
+        EXPECT_LE(b.now - last, Bench::pace(3).backoff_cap);
         last = b.now;
         EXPECT_EQ(b.at, Revision{});
         EXPECT_EQ(b.list.size(), 4u);
@@ -285,14 +287,14 @@
     b.deliver(m);
     b.watch.on_broken(b.now, "connection lost");
     b.pass_to_ask();
-    b.watch.on_watching(b.now, b.origin(old));
-    EXPECT_EQ(b.watch.sight(), Sight::behind);
-    const MemberNo lagging = b.member;
+    b.watch.on_watch_opened(b.now, b.origin(old));
+    EXPECT_EQ(b.watch.sync_state(), SyncState::lagging);
+    const MemberIndex lagging = b.member;
     b.pass_to_ask();
     EXPECT_NE(b.member, lagging);
     ASSERT_EQ(b.asked, Bench::Ask::follow);
-    b.watch.on_watching(b.now, b.origin(m));
-    EXPECT_EQ(b.watch.sight(), Sight::following);
+    b.watch.on_watch_opened(b.now, b.origin(m));
+    EXPECT_EQ(b.watch.sync_state(), SyncState::following);
     EXPECT_FALSE(b.list.contains(CacheId{"c1"})) << "a reread at it would have brought c1 back";
     EXPECT_EQ(b.watch.full_reads(), 1u);
 }
@@ -311,22 +313,22 @@
         ASSERT_TRUE(b.list.contains(CacheId{"c9"}));
         m.restore(backup, GetParam());
         b.watch.on_broken(b.now, "connection lost");
-        const Instant since = b.now;
+        const TimePoint since = b.now;
         for (int n = 0; n < 200 && b.asked != Bench::Ask::read; ++n) {
             b.pass_to_ask();
             if (b.asked == Bench::Ask::check)
-                b.watch.on_not_there(b.now);
+                b.watch.on_revision_not_reached(b.now);
             else if (b.asked == Bench::Ask::follow)
-                b.watch.on_watching(b.now, b.origin(m));
+                b.watch.on_watch_opened(b.now, b.origin(m));
             EXPECT_TRUE(b.list.contains(CacheId{"c9"})) << "not yet believed";
         }
         ASSERT_EQ(b.asked, Bench::Ask::read);
-        EXPECT_GE(b.now - since, Bench::pace(members).quiet);
-        EXPECT_LE(b.now - since, Bench::pace(members).quiet + Bench::pace(members).base * 4);
+        EXPECT_GE(b.now - since, Bench::pace(members).watch_timeout);
+        EXPECT_LE(b.now - since, Bench::pace(members).watch_timeout + Bench::pace(members).backoff_base * 4);
         b.read_all(m);
         EXPECT_FALSE(b.list.contains(CacheId{"c9"}));
         EXPECT_EQ(b.list.size(), 4u);
-        EXPECT_EQ(b.watch.sight(), Sight::following);
+        EXPECT_EQ(b.watch.sync_state(), SyncState::following);
         EXPECT_EQ(b.watch.cluster(), m.cluster());
     }
 }
@@ -347,9 +349,9 @@
         EXPECT_EQ(b.asked, Bench::Ask::none);
         // The next member has the list: nothing has happened.
         read_anew();
-        b.watch.on_watching(b.now, b.origin(m));
+        b.watch.on_watch_opened(b.now, b.origin(m));
         EXPECT_EQ(b.list.size(), 4u);
-        EXPECT_EQ(b.watch.sight(), Sight::following);
+        EXPECT_EQ(b.watch.sync_state(), SyncState::following);
     }
     for (int n = 1; n <= 4; ++n) m.erase("c" + std::to_string(n));
     b.watch.on_compacted(b.now);
@@ -360,16 +362,16 @@
 }
 
 TEST_F(Following, AnOpenAndSilentWatchIsFoundByItsSilence) {
-    const Instant last = b.now;
-    b.pass(Bench::pace(3).quiet + ms);
-    EXPECT_EQ(b.watch.sight(), Sight::blind);
-    EXPECT_EQ(b.watch.as_of(), last);
+    const TimePoint last = b.now;
+    b.pass(Bench::pace(3).watch_timeout + ms);
+    EXPECT_EQ(b.watch.sync_state(), SyncState::disconnected);
+    EXPECT_EQ(b.watch.last_complete_at(), last);
     EXPECT_EQ(b.list.size(), 4u);
     b.pass_to_ask();
     ASSERT_EQ(b.asked, Bench::Ask::check);
     b.answer_check(m);
-    b.watch.on_watching(b.now, b.origin(m));
-    EXPECT_EQ(b.watch.sight(), Sight::following);
+    b.watch.on_watch_opened(b.now, b.origin(m));
+    EXPECT_EQ(b.watch.sync_state(), SyncState::following);
     EXPECT_EQ(b.watch.full_reads(), 1u);
 }
 
@@ -379,12 +381,12 @@
     for (int n = 0; n < 12; ++n) {
         b.pass(ms * 300);
         b.watch.on_changes(b.now, b.origin(m), {}, false);
-        const Instant since = b.now;
-        b.pass(Bench::pace(3).quiet + ms);
+        const TimePoint since = b.now;
+        b.pass(Bench::pace(3).watch_timeout + ms);
         b.pass_to_ask();
-        EXPECT_LE(b.now - since, Bench::pace(3).quiet + ms + Bench::pace(3).base);
+        EXPECT_LE(b.now - since, Bench::pace(3).watch_timeout + ms + Bench::pace(3).backoff_base);
         b.answer_check(m);
-        b.watch.on_watching(b.now, b.origin(m));
+        b.watch.on_watch_opened(b.now, b.origin(m));
     }
 }
 
@@ -397,7 +399,7 @@
     m.restore(backup, false);
     m.put("c7", list_value("c7", "Ready"));
     m.put("c8", list_value("c8", "Ready"));
-    b.pass(Bench::pace(3).quiet + ms);
+    b.pass(Bench::pace(3).watch_timeout + ms);
     b.pass_to_ask();
     ASSERT_EQ(b.asked, Bench::Ask::check);
     b.answer_check(m);
@@ -424,22 +426,22 @@
     b.watch.on_broken(b.now, "cut in the middle");
     b.pass_to_ask();
     EXPECT_EQ(b.at, r) << "it is asked for once more, whole";
-    b.watch.on_watching(b.now, b.origin(m));
+    b.watch.on_watch_opened(b.now, b.origin(m));
     b.watch.on_changes(b.now, b.origin(m), {all[0]}, true);
     b.watch.on_changes(b.now, b.origin(m), {all[1]}, false);
     EXPECT_EQ(b.list.size(), 2u);
 }
 
 TEST_F(Following, TooManyPiecesOrRecordsAreRefusedAndWhatIsKnownStays) {
-    std::vector<Change> many(Bench::pace(3).most_pending, {record("c1", "", 0, 100), true});
+    std::vector<Change> many(Bench::pace(3).max_pending_changes, {record("c1", "", 0, 100), true});
     b.watch.on_changes(b.now, {m.cluster(), Revision{100}}, many, true);
     b.watch.on_changes(b.now, {m.cluster(), Revision{100}}, many, true);
     EXPECT_EQ(b.list.size(), 4u);
     b.pass_to_ask();
     ASSERT_EQ(b.asked, Bench::Ask::read);
     Page p;
-    p.from = {m.cluster(), Revision{200}};
-    for (std::size_t n = 0; n <= Bench::pace(3).most_records; ++n)
+    p.origin = {m.cluster(), Revision{200}};
+    for (std::size_t n = 0; n <= Bench::pace(3).max_records; ++n)
         p.records.push_back(
             record("x" + std::to_string(n), list_value("x" + std::to_string(n), "Ready"), 3, 3));
     for (int n = 0; n < 3; ++n) {
@@ -461,7 +463,7 @@
         b.read_all(m);
         b.watch.on_broken(b.now, "connection lost");
         // Down for a while: each attempt fails at once.
-        const Instant up = b.now + Span::seconds(10);
+        const TimePoint up = b.now + Duration::seconds(10);
         while (b.now < up) {
             b.pass_to_ask();
             if (b.now < up) b.watch.on_broken(b.now, "refused");
@@ -479,17 +481,17 @@
     Bench b;
     std::vector<Record> kept;
     for (const auto& [key, r] : *m.at(m.newest())) kept.push_back(r);
-    b.watch.start_from(b.now, m.cluster(), m.newest(), kept, b.now - Span::seconds(60));
+    b.watch.start_from(b.now, m.cluster(), m.newest(), kept, b.now - Duration::seconds(60));
     EXPECT_EQ(b.list.size(), 3u);
-    EXPECT_EQ(b.watch.sight(), Sight::blind);
+    EXPECT_EQ(b.watch.sync_state(), SyncState::disconnected);
     b.watch.start(b.now);
     ASSERT_EQ(b.asked, Bench::Ask::check) << "it may have been restored since";
     b.answer_check(m);
     m.erase("c1");
-    b.watch.on_watching(b.now, b.origin(m));
+    b.watch.on_watch_opened(b.now, b.origin(m));
     b.deliver(m);
     EXPECT_EQ(b.list.size(), 2u);
-    EXPECT_EQ(b.watch.sight(), Sight::following);
+    EXPECT_EQ(b.watch.sync_state(), SyncState::following);
 }
 
 // --- a random life
@@ -515,7 +517,7 @@
         else if (faults && what < 35)
             b_.watch.on_broken(b_.now, "broken");
         else if (faults && what < 37)
-            lag_ = {MemberNo{static_cast<std::size_t>(draw(3))}, draw(4)};
+            lag_ = {MemberIndex{static_cast<std::size_t>(draw(3))}, draw(4)};
         else if (faults && what == 37 && b_.watch.view().revision() > Revision{})
             set_back();
         else if (what < 80)
@@ -525,9 +527,9 @@
         check();
     }
     void settle() {
-        lag_ = {MemberNo{0}, 0};
+        lag_ = {MemberIndex{0}, 0};
         for (int n = 0; n < 4000; ++n) step(false);
-        ASSERT_EQ(b_.watch.sight(), Sight::following);
+        ASSERT_EQ(b_.watch.sync_state(), SyncState::following);
         ASSERT_EQ(b_.watch.view().revision(), m_.newest());
         check();
     }
@@ -538,7 +540,7 @@
     Bench b_;
     std::map<Revision, RegistryModel::State> known_;  // of this registry's life, and of the ones before it
     std::vector<std::map<Revision, RegistryModel::State>> lives_;
-    std::pair<MemberNo, int> lag_{MemberNo{0}, 0};
+    std::pair<MemberIndex, int> lag_{MemberIndex{0}, 0};
     Revision last_;
     std::uint64_t reads_ = 0;
 
@@ -561,7 +563,7 @@
     // It takes longer than a connection that breaks.
     void set_back() {
         b_.watch.on_broken(b_.now, "down");
-        b_.now = b_.now + Bench::pace(1).quiet;
+        b_.now = b_.now + Bench::pace(1).watch_timeout;
         b_.watch.on_wake(b_.now);
         b_.watch.on_broken(b_.now, "down");
         known_[m_.newest()] = *m_.at(m_.newest());
@@ -569,7 +571,7 @@
         m_.restore(Revision{m_.newest().raw() - 1 - draw(4)}, draw(2) == 0);
         known_.clear();
         known_[m_.newest()] = *m_.at(m_.newest());
-        lag_ = {MemberNo{0}, 0};
+        lag_ = {MemberIndex{0}, 0};
     }
     Revision shown() const {
         const std::int64_t behind = b_.member == lag_.first ? lag_.second : 0;
@@ -582,7 +584,7 @@
             const RegistryModel::State* state = m_.at(r);
             if (!state) return b_.watch.on_compacted(b_.now);
             Page p;
-            p.from = {m_.cluster(), r};
+            p.origin = {m_.cluster(), r};
             const std::size_t most = static_cast<std::size_t>(1 + draw(6));
             for (const auto& [key, rec] : *state) {
                 if (b_.after && key <= *b_.after) continue;
@@ -596,8 +598,8 @@
         }
         if (b_.asked == Bench::Ask::check) return b_.answer_check(m_);
         if (b_.asked != Bench::Ask::follow) return;
-        b_.watch.on_watching(b_.now, from);
-        if (b_.asked != Bench::Ask::follow || b_.watch.sight() != Sight::following) return;
+        b_.watch.on_watch_opened(b_.now, from);
+        if (b_.asked != Bench::Ask::follow || b_.watch.sync_state() != SyncState::following) return;
         if (faults && draw(5) == 0) return;  // open and silent for now
         Revision next{std::max(b_.at, Revision{b_.watch.view().revision().raw() + 1})};
         if (faults && draw(4) == 0)
@@ -630,7 +632,7 @@
         return true;
     }
     void check() {
-        const View& v = b_.watch.view();
+        const EndpointView& v = b_.watch.view();
         // One gone back is only followed after a full read.
         ASSERT_TRUE(v.revision() >= last_ || b_.watch.full_reads() > reads_);
         last_ = v.revision();
@@ -645,11 +647,11 @@
         ASSERT_TRUE(some) << "no revision of the registry is " << v.revision().raw();
         std::size_t told = 0;
         for (const auto& [key, e] : v.entries()) {
-            ASSERT_TRUE(e.line);
-            const auto it = b_.list.find(e.line->first.cache);
+            ASSERT_TRUE(e.endpoint);
+            const auto it = b_.list.find(e.endpoint->first.cache);
             ASSERT_TRUE(it != b_.list.end()) << key.raw();
-            ASSERT_EQ(it->second.phase, e.line->first.phase);
-            ASSERT_EQ(it->second.weight, e.line->first.weight);
+            ASSERT_EQ(it->second.status, e.endpoint->first.status);
+            ASSERT_EQ(it->second.weight, e.endpoint->first.weight);
             ++told;
         }
         ASSERT_EQ(told, b_.list.size());
--- a/tests/repeated_id_test.cpp
+++ b/tests/repeated_id_test.cpp
@@ -9,9 +9,9 @@
 namespace irismux::testing {
 namespace {
 
-using lab::Asker;
-using lab::Puppet;
-using lab::Solo;
+using lab::FastCgiClient;
+using lab::ScriptedCache;
+using lab::SingleProcess;
 
 constexpr int ids = 6, objects = 20, connections = 8;
 constexpr double deadline = 1.0, answer_slack = 0.5;
@@ -22,7 +22,7 @@
 // One connection of clients, with the requests that are open on it and what it has seen of them.
 class Client {
 public:
-    Client(Solo& solo, std::mt19937& random) : solo_(solo), random_(random) { connect(); }
+    Client(SingleProcess& solo, std::mt19937& random) : solo_(solo), random_(random) { connect(); }
 
     void step() {
         check_answers();
@@ -32,8 +32,8 @@
         if (open_.size() < 24) ask();
     }
     void check_answers() {
-        for (; seen_ < asker_->answers.size(); ++seen_) check(asker_->answers[seen_]);
-        const Instant now = solo_.loop.now();
+        for (; seen_ < asker_->responses.size(); ++seen_) check(asker_->responses[seen_]);
+        const TimePoint now = solo_.loop.now();
         for (const auto& [number, asked] : open_)
             EXPECT_LT((now - asked.due).seconds(), answer_slack) << "never answered: " << asked.question.id;
     }
@@ -42,12 +42,12 @@
 
 private:
     struct Asked {
-        Asker::Question question;
-        Instant due;
+        FastCgiClient::Request question;
+        TimePoint due;
     };
     int pick(int n) { return static_cast<int>(random_() % static_cast<unsigned>(n)); }
     void connect() {
-        asker_ = solo_.asker();
+        asker_ = solo_.connect_client();
         seen_ = 0;
         open_.clear();
         aborted_.clear();
@@ -67,13 +67,14 @@
         std::uint16_t number = 1;
         while (open_.contains(number) || aborted_.contains(number)) ++number;
         constexpr std::array kinds = {"pages", "pages", "pages", "keyed", "bids"};
-        Asker::Question q{.id = id_of(pick(ids)), .object = object_of(pick(objects)), .kind = kinds[pick(5)]};
+        FastCgiClient::Request q{
+            .id = id_of(pick(ids)), .object = object_of(pick(objects)), .kind = kinds[pick(5)]};
         q.patience_ms = 50 + pick(950);
         if (q.kind == "bids") q.body = "body " + std::to_string(pick(2));
-        open_[number] = {q, solo_.loop.now() + Span::micros(q.patience_ms * 1000)};
-        asker_->ask(number, q);
+        open_[number] = {q, solo_.loop.now() + Duration::micros(q.patience_ms * 1000)};
+        asker_->send(number, q);
     }
-    void check(const Asker::Answer& a) {
+    void check(const FastCgiClient::Response& a) {
         if (aborted_.erase(a.number) > 0) return;
         const auto it = open_.find(a.number);
         ASSERT_NE(it, open_.end()) << "a second answer to request " << a.number;
@@ -84,45 +85,46 @@
         open_.erase(it);
     }
 
-    Solo& solo_;
+    SingleProcess& solo_;
     std::mt19937& random_;
-    std::shared_ptr<Asker> asker_;
+    std::shared_ptr<FastCgiClient> asker_;
     std::size_t seen_ = 0;
     std::map<std::uint16_t, Asked> open_;
     std::set<std::uint16_t> aborted_;
 };
 
 // Caches that answer at once, late, twice, with an error, not at all, or end the connection.
-void misbehave(Solo& solo, Puppet& cache, std::mt19937& random) {
-    cache.then = [&solo, &cache, &random](const Puppet::Pull& pull) {
+void misbehave(SingleProcess& solo, ScriptedCache& cache, std::mt19937& random) {
+    cache.then = [&solo, &cache, &random](const ScriptedCache::ReceivedAttempt& pull) {
         const auto answer = [&cache, pull](const std::string& word) {
             cache.answer(pull, word, word == "HIT" ? bytes_of(resp::field(pull.fields, "asset")) : "");
         };
         const auto how = random() % 20, late_ms = random() % 400;
         if (how < 8) answer("HIT");
         if (how >= 8 && how < 14)
-            solo.loop.at(solo.loop.now() + Span::micros(static_cast<std::int64_t>(late_ms) * 1000),
-                         [answer] { answer("HIT"); });
+            solo.loop.schedule_at(
+                solo.loop.now() + Duration::micros(static_cast<std::int64_t>(late_ms) * 1000),
+                [answer] { answer("HIT"); });
         if (how == 14) answer("FAULT");
         // Turned away: it has not run, and may be sent again.
         if (how == 15 && resp::field(pull.fields, "sort") != "bids") answer("SHED");
         if (how == 16) pull.wire->close();
         if (how == 17) {
             answer("HIT");
-            solo.loop.at(solo.loop.now() + Span::micros(5'000), [answer] { answer("HIT"); });
+            solo.loop.schedule_at(solo.loop.now() + Duration::micros(5'000), [answer] { answer("HIT"); });
         }
     };
 }
 
 // Effects that are not to run twice: what came whole to caches, by all that a client can say of it. The same
 // words are another request once the first one's time is over and the longest deadline has passed behind it.
-void expect_no_second_run(const Solo& solo) {
-    std::map<std::string, std::vector<Instant>> runs;
+void expect_no_second_run(const SingleProcess& solo) {
+    std::map<std::string, std::vector<TimePoint>> runs;
     for (const auto& cache : solo.caches)
-        for (const Puppet::Pull& p : cache->pulls)
+        for (const ScriptedCache::ReceivedAttempt& p : cache->received)
             if (resp::field(p.fields, "sort") == "bids")
-                runs[p.lookup + ' ' + std::string(resp::field(p.fields, "asset")) + ' ' + p.body].push_back(
-                    p.at);
+                runs[p.request_id + ' ' + std::string(resp::field(p.fields, "asset")) + ' ' + p.body]
+                    .push_back(p.at);
     for (auto& [what, at] : runs) {
         std::sort(at.begin(), at.end());
         for (std::size_t n = 1; n < at.size(); ++n)
@@ -134,11 +136,11 @@
 
 TEST_P(RepeatedIds, EachRequestGetsItsOwnAnswer) {
     std::mt19937 random(GetParam());
-    Solo solo(solo_shape(3, {.deadline = deadline}));
+    SingleProcess solo(solo_shape(3, {.deadline = deadline}));
     for (const auto& cache : solo.caches) misbehave(solo, *cache, random);
     std::vector<Client> clients;
     for (int n = 0; n < connections; ++n) clients.emplace_back(solo, random);
-    const Instant end = solo.loop.now() + Span::seconds(3);
+    const TimePoint end = solo.loop.now() + Duration::seconds(3);
     bool alive = true;
     const bool over = solo.until([&] {
         alive = alive && solo.process->running();
@@ -146,7 +148,7 @@
         return !alive || (solo.loop.now() >= end && std::all_of(clients.begin(), clients.end(),
                                                                 [](auto& c) { return c.all_answered(); }));
     });
-    ASSERT_TRUE(alive) << "the process ended by itself:\n" << solo.last_words();
+    ASSERT_TRUE(alive) << "the process ended by itself:\n" << solo.log_tail();
     EXPECT_TRUE(over);
     int served = 0;
     for (const Client& c : clients) served += c.served;
@@ -159,152 +161,152 @@
 
 // Named, and by what its client can tell of it.
 struct Named {
-    Solo solo{solo_shape(1, {.deadline = 3})};
-    Puppet& cache = *solo.caches[0];
-    std::shared_ptr<Asker> one = solo.asker(), other = solo.asker();
+    SingleProcess solo{solo_shape(1, {.deadline = 3})};
+    ScriptedCache& cache = *solo.caches[0];
+    std::shared_ptr<FastCgiClient> one = solo.connect_client(), other = solo.connect_client();
 
     bool pulled(std::size_t n) {
-        return solo.until([&] { return cache.pulls.size() == n; });
+        return solo.until([&] { return cache.received.size() == n; });
     }
     void answer(std::size_t n) {
-        cache.answer(cache.pulls[n], "HIT", bytes_of(resp::field(cache.pulls[n].fields, "asset")));
+        cache.answer(cache.received[n], "HIT", bytes_of(resp::field(cache.received[n].fields, "asset")));
     }
 };
 
 // Refused at once, and the first one is served.
 TEST(RepeatedId, OnOneConnectionIsRefusedWhileTheFirstIsOpen) {
     Named n;
-    n.one->ask(1, {.id = id_of(7), .object = object_of(1)});
+    n.one->send(1, {.id = id_of(7), .object = object_of(1)});
     ASSERT_TRUE(n.pulled(1));
-    n.one->ask(2, {.id = id_of(7), .object = object_of(2)});
-    ASSERT_TRUE(n.solo.until([&] { return n.one->answered(2); }));
-    EXPECT_TRUE(n.one->answered(2, "Status: 409"));
+    n.one->send(2, {.id = id_of(7), .object = object_of(2)});
+    ASSERT_TRUE(n.solo.until([&] { return n.one->has_response(2); }));
+    EXPECT_TRUE(n.one->has_response(2, "Status: 409"));
     n.answer(0);
-    ASSERT_TRUE(n.solo.until([&] { return n.one->answered(1, "Status: 200"); }));
+    ASSERT_TRUE(n.solo.until([&] { return n.one->has_response(1, "Status: 200"); }));
     // After its end the name is free again.
-    n.one->ask(1, {.id = id_of(7), .object = object_of(3)});
+    n.one->send(1, {.id = id_of(7), .object = object_of(3)});
     ASSERT_TRUE(n.pulled(2));
     n.answer(1);
-    ASSERT_TRUE(n.solo.until([&] { return n.one->answers.size() == 3; }));
-    EXPECT_EQ(n.one->answers.back().body, bytes_of(object_of(3)));
+    ASSERT_TRUE(n.solo.until([&] { return n.one->responses.size() == 3; }));
+    EXPECT_EQ(n.one->responses.back().body, bytes_of(object_of(3)));
 }
 
 // Another client's request of the same name takes another connection to the cache, where answers can't be
 // mistaken.
 TEST(RepeatedId, OnTwoConnectionsEachIsServedItsOwn) {
     Named n;
-    n.one->ask(1, {.id = id_of(7), .object = object_of(1)});
+    n.one->send(1, {.id = id_of(7), .object = object_of(1)});
     ASSERT_TRUE(n.pulled(1));
-    n.other->ask(1, {.id = id_of(7), .object = object_of(2)});
+    n.other->send(1, {.id = id_of(7), .object = object_of(2)});
     ASSERT_TRUE(n.pulled(2));
-    EXPECT_NE(n.cache.pulls[0].wire, n.cache.pulls[1].wire);
+    EXPECT_NE(n.cache.received[0].wire, n.cache.received[1].wire);
     n.answer(1);
     n.answer(0);
-    ASSERT_TRUE(n.solo.until([&] { return n.one->answered(1) && n.other->answered(1); }));
-    EXPECT_EQ(n.one->answers[0].body, bytes_of(object_of(1)));
-    EXPECT_EQ(n.other->answers[0].body, bytes_of(object_of(2)));
+    ASSERT_TRUE(n.solo.until([&] { return n.one->has_response(1) && n.other->has_response(1); }));
+    EXPECT_EQ(n.one->responses[0].body, bytes_of(object_of(1)));
+    EXPECT_EQ(n.other->responses[0].body, bytes_of(object_of(2)));
 }
 
 // A copy of the very same request while that is open is not sent beside it; once that is answered it is
 // served.
 TEST(RepeatedId, ACopyIsNotSentBesideTheFirst) {
     Named n;
-    const Asker::Question question{.id = id_of(7), .object = object_of(1)};
-    n.one->ask(1, question);
+    const FastCgiClient::Request question{.id = id_of(7), .object = object_of(1)};
+    n.one->send(1, question);
     ASSERT_TRUE(n.pulled(1));
-    n.other->ask(1, question);
-    ASSERT_TRUE(n.solo.until([&] { return n.other->answered(1, "Status: 409"); }));
+    n.other->send(1, question);
+    ASSERT_TRUE(n.solo.until([&] { return n.other->has_response(1, "Status: 409"); }));
     n.answer(0);
-    ASSERT_TRUE(n.solo.until([&] { return n.one->answered(1, "Status: 200"); }));
-    n.other->ask(2, question);
+    ASSERT_TRUE(n.solo.until([&] { return n.one->has_response(1, "Status: 200"); }));
+    n.other->send(2, question);
     ASSERT_TRUE(n.pulled(2));
     n.answer(1);
-    EXPECT_TRUE(n.solo.until([&] { return n.other->answered(2, "Status: 200"); }));
+    EXPECT_TRUE(n.solo.until([&] { return n.other->has_response(2, "Status: 200"); }));
 }
 
 // A client whose connection is gone sends its request again on another one: that is served.
 TEST(RepeatedId, ACopyBehindAConnectionThatEndedIsServed) {
     Named n;
-    const Asker::Question question{.id = id_of(7), .object = object_of(1)};
-    n.one->ask(1, question);
+    const FastCgiClient::Request question{.id = id_of(7), .object = object_of(1)};
+    n.one->send(1, question);
     ASSERT_TRUE(n.pulled(1));
     n.one->close();
-    ASSERT_TRUE(n.solo.until([&] { return n.solo.said("client_left lookup=" + id_of(7)); }));
-    n.other->ask(1, question);
+    ASSERT_TRUE(n.solo.until([&] { return n.solo.logged("client_left lookup=" + id_of(7)); }));
+    n.other->send(1, question);
     ASSERT_TRUE(n.pulled(2));
     n.answer(1);
-    EXPECT_TRUE(n.solo.until([&] { return n.other->answered(1, "Status: 200"); }));
+    EXPECT_TRUE(n.solo.until([&] { return n.other->has_response(1, "Status: 200"); }));
 }
 
 // One more than the connections that may carry it: it is refused without having run, and may be tried again.
 TEST(RepeatedId, BeyondItsConnectionsIsRefused) {
     Named n;
-    const auto third = n.solo.asker();
-    n.one->ask(1, {.id = id_of(7), .object = object_of(1)});
+    const auto third = n.solo.connect_client();
+    n.one->send(1, {.id = id_of(7), .object = object_of(1)});
     ASSERT_TRUE(n.pulled(1));
-    n.other->ask(1, {.id = id_of(7), .object = object_of(2)});
+    n.other->send(1, {.id = id_of(7), .object = object_of(2)});
     ASSERT_TRUE(n.pulled(2));
-    third->ask(1, {.id = id_of(7), .object = object_of(3)});
-    ASSERT_TRUE(n.solo.until([&] { return third->answered(1); }));
-    EXPECT_TRUE(third->answered(1, "Status: 503"));
-    EXPECT_EQ(n.cache.pulls.size(), 2u);
+    third->send(1, {.id = id_of(7), .object = object_of(3)});
+    ASSERT_TRUE(n.solo.until([&] { return third->has_response(1); }));
+    EXPECT_TRUE(third->has_response(1, "Status: 503"));
+    EXPECT_EQ(n.cache.received.size(), 2u);
 }
 
 // The very same words are the same request, sent twice: it runs once. Other words under its id are another
 // one.
 TEST(RepeatedId, ASideEffectSentTwiceRunsOnce) {
     Named n;
-    const Asker::Question bid{.id = id_of(7), .object = object_of(1), .kind = "bids", .body = "ten"};
-    n.one->ask(1, bid);
+    const FastCgiClient::Request bid{.id = id_of(7), .object = object_of(1), .kind = "bids", .body = "ten"};
+    n.one->send(1, bid);
     ASSERT_TRUE(n.pulled(1));
-    n.other->ask(1, bid);
-    ASSERT_TRUE(n.solo.until([&] { return n.other->answered(1); }));
-    EXPECT_TRUE(n.other->answered(1, "Status: 409"));
+    n.other->send(1, bid);
+    ASSERT_TRUE(n.solo.until([&] { return n.other->has_response(1); }));
+    EXPECT_TRUE(n.other->has_response(1, "Status: 409"));
     n.answer(0);
-    ASSERT_TRUE(n.solo.until([&] { return n.one->answered(1, "Status: 200"); }));
-    n.one->ask(2, bid);
-    ASSERT_TRUE(n.solo.until([&] { return n.one->answered(2, "Status: 409"); }));
-    n.other->ask(2, {.id = id_of(7), .object = object_of(1), .kind = "bids", .body = "eleven"});
+    ASSERT_TRUE(n.solo.until([&] { return n.one->has_response(1, "Status: 200"); }));
+    n.one->send(2, bid);
+    ASSERT_TRUE(n.solo.until([&] { return n.one->has_response(2, "Status: 409"); }));
+    n.other->send(2, {.id = id_of(7), .object = object_of(1), .kind = "bids", .body = "eleven"});
     ASSERT_TRUE(n.pulled(2));
-    EXPECT_EQ(n.cache.pulls[1].body, "eleven");
+    EXPECT_EQ(n.cache.received[1].body, "eleven");
 }
 
 // A cache that comes back under its id elsewhere: nothing goes out on what still leads to the earlier
 // address.
 TEST(CacheId, ThatMovesIsSentToWhereItIs) {
     Named n;
-    n.one->ask(1, {.id = id_of(1), .object = object_of(1)});
+    n.one->send(1, {.id = id_of(1), .object = object_of(1)});
     ASSERT_TRUE(n.pulled(1));
     n.answer(0);
-    ASSERT_TRUE(n.solo.until([&] { return n.one->answered(1, "Status: 200"); }));
-    Puppet moved(n.solo.loop, n.cache.id());
-    moved.then = [&moved](const Puppet::Pull& p) { moved.answer(p); };
-    const json line = lab::list_line(n.cache.id(), "node", "plant", moved.address(), "Ready");
-    n.solo.board->post({{"pool", {{"version", 2}, {"full", false}, {"servers", {line}}}}});
-    ASSERT_TRUE(n.solo.until([&] { return n.solo.board->waiting_from() == 2; }));
-    n.one->ask(2, {.id = id_of(2), .object = object_of(1)});
-    ASSERT_TRUE(n.solo.until([&] { return n.one->answered(2, "Status: 200"); }));
-    EXPECT_EQ(moved.pulled(id_of(2)), 1u);
-    EXPECT_EQ(n.cache.pulls.size(), 1u);
+    ASSERT_TRUE(n.solo.until([&] { return n.one->has_response(1, "Status: 200"); }));
+    ScriptedCache moved(n.solo.loop, n.cache.id());
+    moved.then = [&moved](const ScriptedCache::ReceivedAttempt& p) { moved.answer(p); };
+    const json line = lab::endpoint_json(n.cache.id(), "node", "plant", moved.address(), "Ready");
+    n.solo.notice_board->post({{"pool", {{"version", 2}, {"full", false}, {"servers", {line}}}}});
+    ASSERT_TRUE(n.solo.until([&] { return n.solo.notice_board->waiting_from() == 2; }));
+    n.one->send(2, {.id = id_of(2), .object = object_of(1)});
+    ASSERT_TRUE(n.solo.until([&] { return n.one->has_response(2, "Status: 200"); }));
+    EXPECT_EQ(moved.find_received(id_of(2)), 1u);
+    EXPECT_EQ(n.cache.received.size(), 1u);
 }
 
 // The same with a send that waits for its connection to the earlier address: it goes out at the new one.
 TEST(CacheId, ThatMovesIsSentToWhereItIsByWhatWaits) {
-    Solo solo(solo_shape(1, {.deadline = 3}, 0));
-    Puppet& cache = *solo.caches[0];
-    const auto client = solo.asker();
+    SingleProcess solo(solo_shape(1, {.deadline = 3}, 0));
+    ScriptedCache& cache = *solo.caches[0];
+    const auto client = solo.connect_client();
     cache.hold_connections();
-    client->ask(1, {.id = id_of(1), .object = object_of(1)});
-    ASSERT_TRUE(solo.until([&] { return solo.coming_up(cache) == 1; }));
-    Puppet moved(solo.loop, cache.id());
-    moved.then = [&moved](const Puppet::Pull& p) { moved.answer(p); };
-    const json line = lab::list_line(cache.id(), "node", "plant", moved.address(), "Ready");
-    solo.board->post({{"pool", {{"version", 2}, {"full", false}, {"servers", {line}}}}});
-    ASSERT_TRUE(solo.until([&] { return solo.board->waiting_from() == 2; }));
-    cache.take_again();
-    ASSERT_TRUE(solo.until([&] { return client->answered(1); }));
-    EXPECT_EQ(moved.pulled(id_of(1)), 1u);
-    EXPECT_EQ(cache.pulls.size(), 0u);
+    client->send(1, {.id = id_of(1), .object = object_of(1)});
+    ASSERT_TRUE(solo.until([&] { return solo.pending_connections(cache) == 1; }));
+    ScriptedCache moved(solo.loop, cache.id());
+    moved.then = [&moved](const ScriptedCache::ReceivedAttempt& p) { moved.answer(p); };
+    const json line = lab::endpoint_json(cache.id(), "node", "plant", moved.address(), "Ready");
+    solo.notice_board->post({{"pool", {{"version", 2}, {"full", false}, {"servers", {line}}}}});
+    ASSERT_TRUE(solo.until([&] { return solo.notice_board->waiting_from() == 2; }));
+    cache.resume_accepting();
+    ASSERT_TRUE(solo.until([&] { return client->has_response(1); }));
+    EXPECT_EQ(moved.find_received(id_of(1)), 1u);
+    EXPECT_EQ(cache.received.size(), 0u);
 }
 
 }  // namespace
--- a/tests/request_identity_test.cpp
+++ b/tests/request_identity_test.cpp
@@ -10,55 +10,55 @@
 namespace irismux::testing {
 namespace {
 
-const Instant start = Instant::at_seconds(1'000'000);
-Instant after(double seconds) { return start + Span::seconds(seconds); }
-RequestId name(int n) { return RequestId{std::to_string(n)}; }
+const TimePoint start = TimePoint::at_seconds(1'000'000);
+TimePoint after(double seconds) { return start + Duration::seconds(seconds); }
+ClientRequestId name(int n) { return ClientRequestId{std::to_string(n)}; }
 
 TEST(CarriedNames, BelongToOneLookupUntilTheirTime) {
-    CarriedNames names;
-    names.carry(name(1), LookupId{1}, after(2), start);
-    EXPECT_FALSE(names.belongs_to_other(name(1), LookupId{1}, after(1)));
-    EXPECT_TRUE(names.belongs_to_other(name(1), LookupId{2}, after(1)));
-    EXPECT_FALSE(names.belongs_to_other(name(2), LookupId{2}, after(1)));
-    EXPECT_FALSE(names.belongs_to_other(name(1), LookupId{2}, after(2)));
+    InFlightRequestIds names;
+    names.add(name(1), RequestId{1}, after(2), start);
+    EXPECT_FALSE(names.used_by_another(name(1), RequestId{1}, after(1)));
+    EXPECT_TRUE(names.used_by_another(name(1), RequestId{2}, after(1)));
+    EXPECT_FALSE(names.used_by_another(name(2), RequestId{2}, after(1)));
+    EXPECT_FALSE(names.used_by_another(name(1), RequestId{2}, after(2)));
 }
 
 // A connection that carries a flood: what is over is forgotten, and at the bound what ends first.
 TEST(CarriedNames, AreBounded) {
-    CarriedNames names;
+    InFlightRequestIds names;
     std::uint64_t lookup = 0;
-    for (int n = 0; n < 3 * static_cast<int>(CarriedNames::most_names); ++n) {
-        names.carry(name(n), LookupId{++lookup}, after(10 + n * 1e-3), start);
-        ASSERT_LE(names.size(), CarriedNames::most_names);
-        ASSERT_TRUE(names.belongs_to_other(name(n), LookupId{0}, start));
+    for (int n = 0; n < 3 * static_cast<int>(InFlightRequestIds::max_entries); ++n) {
+        names.add(name(n), RequestId{++lookup}, after(10 + n * 1e-3), start);
+        ASSERT_LE(names.size(), InFlightRequestIds::max_entries);
+        ASSERT_TRUE(names.used_by_another(name(n), RequestId{0}, start));
     }
-    names.carry(name(-1), LookupId{++lookup}, after(1000), after(900));
-    for (int n = 0; n < static_cast<int>(CarriedNames::most_names); ++n)
-        names.carry(name(-2 - n), LookupId{++lookup}, after(901), after(900));
-    EXPECT_LE(names.size(), CarriedNames::most_names);
+    names.add(name(-1), RequestId{++lookup}, after(1000), after(900));
+    for (int n = 0; n < static_cast<int>(InFlightRequestIds::max_entries); ++n)
+        names.add(name(-2 - n), RequestId{++lookup}, after(901), after(900));
+    EXPECT_LE(names.size(), InFlightRequestIds::max_entries);
 }
 
-RequestWords words_of(int id, const std::string& body) {
-    return {RequestId{std::to_string(id)}, "bids", "object", "0", body};
+RequestFingerprint words_of(int id, const std::string& body) {
+    return {ClientRequestId{std::to_string(id)}, "bids", "object", "0", body};
 }
 
 // Against a plain list: the same words are known until their time, and any other word makes another request.
 TEST(RequestLog, KnowsWordsAsAPlainListDoes) {
     std::mt19937 random(7);
-    RequestLog log;
+    DuplicateRequestFilter log;
     struct Known {
         std::string words;
-        LookupId lookup;
-        Instant until;
+        RequestId lookup;
+        TimePoint until;
     };
     std::vector<Known> known;
-    Instant now = start;
+    TimePoint now = start;
     for (std::uint64_t n = 1; n < 5'000; ++n) {
-        now = now + Span::micros(static_cast<std::int64_t>(random() % 2'000));
+        now = now + Duration::micros(static_cast<std::int64_t>(random() % 2'000));
         std::erase_if(known, [&](const Known& k) { return k.until <= now; });
         if (!known.empty() && random() % 10 == 0) {
             const Known gone = known[random() % known.size()];
-            log.forget_lookup(gone.lookup);
+            log.forget_request(gone.lookup);
             std::erase_if(known, [&](const Known& k) { return k.lookup == gone.lookup; });
         }
         const int id = static_cast<int>(random() % 4);
@@ -66,19 +66,19 @@
         const std::string words = std::to_string(id) + '/' + body;
         const bool expected =
             std::none_of(known.begin(), known.end(), [&](const Known& k) { return k.words == words; });
-        const Instant until = now + Span::micros(1 + static_cast<std::int64_t>(random() % 20'000));
-        ASSERT_EQ(log.take(words_of(id, body), LookupId{n}, until, now), expected) << n;
-        if (expected) known.push_back({words, LookupId{n}, until});
+        const TimePoint until = now + Duration::micros(1 + static_cast<std::int64_t>(random() % 20'000));
+        ASSERT_EQ(log.accept(words_of(id, body), RequestId{n}, until, now), expected) << n;
+        if (expected) known.push_back({words, RequestId{n}, until});
         ASSERT_EQ(log.size(), known.size());
     }
 }
 
 TEST(RequestLog, IsBounded) {
-    RequestLog log;
-    for (std::size_t n = 0; n < 2 * RequestLog::most_entries; ++n) {
+    DuplicateRequestFilter log;
+    for (std::size_t n = 0; n < 2 * DuplicateRequestFilter::max_entries; ++n) {
         const double until = 10 + static_cast<double>(n) * 1e-3;
-        ASSERT_TRUE(log.take(words_of(static_cast<int>(n), ""), LookupId{n + 1}, after(until), start));
-        ASSERT_LE(log.size(), RequestLog::most_entries);
+        ASSERT_TRUE(log.accept(words_of(static_cast<int>(n), ""), RequestId{n + 1}, after(until), start));
+        ASSERT_LE(log.size(), DuplicateRequestFilter::max_entries);
     }
 }
 
@@ -88,15 +88,15 @@
 TEST(EventTimes, APurgeIsNeverTakenForOlderThanItIs) {
     std::mt19937 random(11);
     for (const double off : {0.0, 3600.0, -3600.0, 2.5, -2.5}) {
-        EventTimes times;
-        Instant now = start, poll = start;
+        EventTimeEstimator times;
+        TimePoint now = start, poll = start;
         for (int n = 0; n < 2'000; ++n) {
-            const Span delay =
-                Span::micros(static_cast<std::int64_t>(random() % (n % 50 == 0 ? 8'000'000 : 20'000)));
-            const Instant happened = now + Span::micros(static_cast<std::int64_t>(random() % 500'000));
+            const Duration delay =
+                Duration::micros(static_cast<std::int64_t>(random() % (n % 50 == 0 ? 8'000'000 : 20'000)));
+            const TimePoint happened = now + Duration::micros(static_cast<std::int64_t>(random() % 500'000));
             now = happened + delay;
             times.begin_news(now, poll);
-            const Instant at = times.purge(happened + Span::seconds(off));
+            const TimePoint at = times.purge(happened + Duration::seconds(off));
             ASSERT_GE(at, happened);
             ASSERT_LE(at, now);
             if (n > 100) {
@@ -110,7 +110,7 @@
 
 // A writer's clock that is stepped back while the board is silent and after: what was known of it is void.
 TEST(EventTimes, AWritersClockThatIsSteppedIsFoundOut) {
-    EventTimes times;
+    EventTimeEstimator times;
     times.begin_news(after(1), after(0));
     EXPECT_EQ(times.purge(after(1)), after(1));
     times.begin_news(after(2), after(1));
@@ -122,22 +122,22 @@
 // History is no older than its newest purge makes it, whatever the own clock says.
 TEST(EventTimes, HistoryIsDatedByItsNewestPurge) {
     for (const double off : {0.0, 3600.0}) {
-        EventTimes times;
-        const Instant newest = after(-1 - off);  // the own clock is ahead by that
+        EventTimeEstimator times;
+        const TimePoint newest = after(-1 - off);  // the own clock is ahead by that
         times.begin_history(start, newest);
-        EXPECT_EQ(times.purge(newest - Span::seconds(5)), after(-5));
+        EXPECT_EQ(times.purge(newest - Duration::seconds(5)), after(-5));
         EXPECT_EQ(times.purge(newest), after(0));
     }
 }
 
 // A start is the same one when it is told again, and one that does not fit between two polls is one of now.
 TEST(EventTimes, AStartThatDoesNotFitIsOneOfNow) {
-    EventTimes times;
+    EventTimeEstimator times;
     const CacheId a{"a"}, b{"b"}, c{"c"};
     times.begin_news(after(10), after(9));
     EXPECT_EQ(times.start(a, after(9.5)), after(9.5));
     EXPECT_EQ(times.start(b, after(-3600)), after(10));
-    EXPECT_EQ(times.start(c, Instant{}), Instant{});
+    EXPECT_EQ(times.start(c, TimePoint{}), TimePoint{});
     times.begin_news(after(20), after(19));
     EXPECT_EQ(times.start(a, after(9.5)), after(9.5));
     EXPECT_EQ(times.start(b, after(-3600)), after(10));
@@ -148,9 +148,10 @@
 TEST(Router, WhatIsLeftOfALookupFindsNothing) {
     Bench b;
     for (int n = 0; n < 50; ++n) {
-        ASSERT_NE(b.lookup(arrival("x" + std::to_string(n), "object", b.now + Span::seconds(5))), nullptr);
-        b.answer(b.port.sends.size() - 1, Outcome::completed, Note::hit, true);
-        b.pass(Span::seconds(0.5));
+        ASSERT_NE(b.lookup(arrival("x" + std::to_string(n), "object", b.now + Duration::seconds(5))),
+                  nullptr);
+        b.answer(b.port.sends.size() - 1, Outcome::completed, CacheStatus::hit, true);
+        b.pass(Duration::seconds(0.5));
     }
     EXPECT_TRUE(b.port.broken.empty()) << b.port.broken.front();
 }
@@ -158,7 +159,7 @@
 // A host that gives an identity twice harms nothing: the second lookup is not taken.
 TEST(Router, AnIdentityIsGivenOnce) {
     Bench b;
-    const Arrival lookup = arrival("twice", "object", b.now + Span::seconds(5));
+    const Request lookup = arrival("twice", "object", b.now + Duration::seconds(5));
     ASSERT_NE(b.lookup(lookup), nullptr);
     EXPECT_EQ(b.lookup(lookup), nullptr);
 }
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -6,18 +6,18 @@
 
 namespace {
 
-const Span second = Span::seconds(1);
+const Duration second = Duration::seconds(1);
 
 class Plain : public ::testing::Test {
 protected:
     Bench b;
     int made = 0;
 
-    Arrival next(const std::string& object, std::size_t kind = 0) {
+    Request next(const std::string& object, std::size_t kind = 0) {
         return arrival("l" + std::to_string(made++), object, b.now + second * 5, kind);
     }
     // Sends a lookup and answers it, and ends it.
-    SendSeen ask(const std::string& object, Outcome o, Note note = Note::none) {
+    SendSeen ask(const std::string& object, Outcome o, CacheStatus note = CacheStatus::none) {
         const SendSeen* s = b.lookup(next(object));
         if (!s) return {};
         const SendSeen copy = *s;
@@ -25,9 +25,9 @@
         return copy;
     }
     // The fill of an object that no cache holds, after the look that may come first.
-    SendSeen fill_for(const std::string& object, Note note = Note::filled) {
+    SendSeen fill_for(const std::string& object, CacheStatus note = CacheStatus::filled) {
         if (!b.lookup(next(object))) return {};
-        if (b.port.sends.back().fill.held_only) b.answer(b.port.sends.size() - 1, Outcome::lookup_miss);
+        if (b.port.sends.back().fill.only_if_cached) b.answer(b.port.sends.size() - 1, Outcome::cache_miss);
         const SendSeen copy = b.port.sends.back();
         b.answer(b.port.sends.size() - 1, Outcome::completed, note);
         return copy;
@@ -36,7 +36,7 @@
     std::string homed(const std::string& cache, bool source = false) {
         for (int n = 0; n < 200; ++n) {
             const std::string name = "o" + std::to_string(n);
-            const SendSeen s = ask(name, Outcome::completed, Note::hit);
+            const SendSeen s = ask(name, Outcome::completed, CacheStatus::hit);
             if ((source ? s.fill.source : s.fill.cache) == CacheId{cache}) return name;
         }
         ADD_FAILURE() << "nothing is homed at " << cache;
@@ -46,39 +46,39 @@
 };
 
 TEST(Time, SpansAndInstantsAdd) {
-    const Instant t = Instant::at_seconds(8.25);
-    EXPECT_EQ((t + Span::seconds(0.5)) - t, Span::micros(500'000));
-    EXPECT_DOUBLE_EQ(Span::seconds(3) / Span::seconds(2), 1.5);
+    const TimePoint t = TimePoint::at_seconds(8.25);
+    EXPECT_EQ((t + Duration::seconds(0.5)) - t, Duration::micros(500'000));
+    EXPECT_DOUBLE_EQ(Duration::seconds(3) / Duration::seconds(2), 1.5);
 }
 
 TEST_F(Plain, AnObjectStaysWithItsCacheAndParentAndStartsAtTheMiddleRank) {
-    const SendSeen first = ask("x", Outcome::completed, Note::filled);
-    const SendSeen again = ask("x", Outcome::completed, Note::hit);
+    const SendSeen first = ask("x", Outcome::completed, CacheStatus::filled);
+    const SendSeen again = ask("x", Outcome::completed, CacheStatus::hit);
     EXPECT_EQ(first.fill.cache, again.fill.cache);
     EXPECT_EQ(first.fill.source, again.fill.source);
-    EXPECT_EQ(first.fill.rank, 2);
+    EXPECT_EQ(first.fill.storage_rank, 2);
 }
 
 TEST_F(Plain, AllGatewaysMeetAtOneParent) {
     Bench other{deployment(), 99};
     for (int n = 0; n < 20; ++n) {
         const std::string name = "o" + std::to_string(n);
-        EXPECT_EQ(ask(name, Outcome::completed, Note::hit).fill.source,
+        EXPECT_EQ(ask(name, Outcome::completed, CacheStatus::hit).fill.source,
                   other.lookup(arrival("a" + name, name, other.now + second))->fill.source);
     }
 }
 
 TEST_F(Plain, ARefusedConnectionMarksAndTheBackOffDoublesWithOneTrial) {
     const std::string name = homed("e1");
-    ask(name, Outcome::refused_conn);
-    EXPECT_NE(ask(name, Outcome::completed, Note::hit).fill.cache, CacheId{"e1"});
+    ask(name, Outcome::connection_refused);
+    EXPECT_NE(ask(name, Outcome::completed, CacheStatus::hit).fill.cache, CacheId{"e1"});
     b.pass(second * 2.1);
     const SendSeen* trial = b.lookup(next(name));
     ASSERT_TRUE(trial);
     EXPECT_EQ(trial->fill.cache, CacheId{"e1"});
     const std::size_t at = b.port.sends.size() - 1;
     EXPECT_NE(b.lookup(next(name))->fill.cache, CacheId{"e1"}) << "a herd, not one trial";
-    b.answer(at, Outcome::refused_conn);
+    b.answer(at, Outcome::connection_refused);
     b.pass(second * 2.1);
     EXPECT_NE(b.lookup(next(name))->fill.cache, CacheId{"e1"}) << "the back-off has not doubled";
     b.pass(second * 2.1);
@@ -90,43 +90,43 @@
 TEST_F(Plain, AWordOnAMarkedCacheMovesItsTrialWithinABound) {
     const std::string name = homed("e1");
     const auto goes = [&] { return b.lookup(next(name))->fill.cache == CacheId{"e1"}; };
-    b.router.on_trial_from(b.now, CacheId{"e1"}, b.now + second * 100);
+    b.router.postpone_recovery_probe(b.now, CacheId{"e1"}, b.now + second * 100);
     EXPECT_TRUE(goes());
-    b.answer(b.port.sends.size() - 1, Outcome::refused_conn);
+    b.answer(b.port.sends.size() - 1, Outcome::connection_refused);
     ASSERT_EQ(b.port.marks.size(), 1u);
     EXPECT_EQ(b.port.marks[0], (std::pair{CacheId{"e1"}, true}));
     EXPECT_FALSE(goes());
-    b.router.on_trial_from(b.now, CacheId{"e1"}, b.now);
+    b.router.postpone_recovery_probe(b.now, CacheId{"e1"}, b.now);
     EXPECT_TRUE(goes());
-    b.answer(b.port.sends.size() - 1, Outcome::refused_conn);  // four seconds from here on
+    b.answer(b.port.sends.size() - 1, Outcome::connection_refused);  // four seconds from here on
     for (int n = 0; n < 33; ++n, b.pass(second)) {
-        b.router.on_trial_from(b.now, CacheId{"e1"}, b.now + second * 5);
+        b.router.postpone_recovery_probe(b.now, CacheId{"e1"}, b.now + second * 5);
         EXPECT_FALSE(goes()) << n;
     }
     b.pass(second * 2);
     EXPECT_TRUE(goes());
-    b.answer(b.port.sends.size() - 1, Outcome::completed, Note::hit);
+    b.answer(b.port.sends.size() - 1, Outcome::completed, CacheStatus::hit);
     EXPECT_EQ(b.port.marks.back(), (std::pair{CacheId{"e1"}, false}));
     EXPECT_EQ(b.port.marks.size(), 2u);
 }
 
 TEST_F(Plain, ACacheThatDiedReturnsColdBeforeTheListTells) {
     const std::string name = homed("e1");
-    ask(name, Outcome::refused_conn);
+    ask(name, Outcome::connection_refused);
     b.pass(second * 2.1);
-    ask(name, Outcome::completed, Note::filled);
+    ask(name, Outcome::completed, CacheStatus::filled);
     int at_cold = 0;
     for (int n = 0; n < 100; ++n, b.pass(second * 0.01))
-        at_cold += ask(name, Outcome::completed, Note::hit).fill.cache == CacheId{"e1"};
+        at_cold += ask(name, Outcome::completed, CacheStatus::hit).fill.cache == CacheId{"e1"};
     EXPECT_LT(at_cold, 20);
 }
 
 TEST_F(Plain, AParentNotReachedIsMarkedThoughAllOthersAreToo) {
     for (const char* p : {"p1", "p2"}) {
         const std::string name = homed(p, true);
-        ask(name, Outcome::saturated, Note::source_lost);
+        ask(name, Outcome::overloaded, CacheStatus::source_unreachable);
     }
-    EXPECT_EQ(fill_for("x", Note::via_origin).fill.source, CacheId{"o"});
+    EXPECT_EQ(fill_for("x", CacheStatus::via_origin).fill.source, CacheId{"o"});
 }
 
 TEST_F(Plain, FillsThatRunOutOfTimeAtEveryParentMarkNone) {
@@ -135,16 +135,16 @@
         ASSERT_TRUE(s);
         const std::size_t at = b.port.sends.size() - 1;
         b.pass(second * 0.5);
-        b.answer(at, Outcome::errored, Note::source_lost, true);
+        b.answer(at, Outcome::errored, CacheStatus::source_unreachable, true);
     }
-    const CacheId source = ask("x", Outcome::completed, Note::filled).fill.source;
+    const CacheId source = ask("x", Outcome::completed, CacheStatus::filled).fill.source;
     EXPECT_TRUE(source == CacheId{"p1"} || source == CacheId{"p2"});
 }
 
 TEST_F(Plain, QuickErrorsMarkTheOneThatStandsOut) {
     const std::string name = homed("e2");
     for (int n = 0; n < 3; ++n) ask(name, Outcome::errored);
-    EXPECT_NE(ask(name, Outcome::completed, Note::hit).fill.cache, CacheId{"e2"});
+    EXPECT_NE(ask(name, Outcome::completed, CacheStatus::hit).fill.cache, CacheId{"e2"});
 }
 
 TEST_F(Plain, HeldCopiesSentTooLateMarkTheOneThatStandsOut) {
@@ -153,24 +153,25 @@
         ASSERT_TRUE(b.lookup(next(name)));
         const std::size_t at = b.port.sends.size() - 1;
         b.pass(second * 1.5);
-        b.answer(at, Outcome::completed, Note::hit);
+        b.answer(at, Outcome::completed, CacheStatus::hit);
     }
-    EXPECT_NE(ask(name, Outcome::completed, Note::hit).fill.cache, CacheId{"e2"});
+    EXPECT_NE(ask(name, Outcome::completed, CacheStatus::hit).fill.cache, CacheId{"e2"});
 }
 
 TEST_F(Plain, BrokenTransfersEverywhereMarkNoCache) {
     std::map<CacheId, int> seen;
     for (int n = 0; n < 200; ++n, b.pass(second * 0.1))
-        ++seen[ask("o" + std::to_string(n % 50), n % 4 ? Outcome::completed : Outcome::severed, Note::none)
+        ++seen[ask("o" + std::to_string(n % 50), n % 4 ? Outcome::completed : Outcome::connection_reset,
+                   CacheStatus::none)
                    .fill.cache];
     for (const char* e : {"e1", "e2", "e3"}) EXPECT_GT(seen[CacheId{e}], 30) << e;
 }
 
 TEST_F(Plain, ABrokenTransferIsTriedOnceMoreAtTheCacheThatHoldsTheObject) {
     const CacheId home = b.lookup(next("x"))->fill.cache;
-    b.answer(b.port.sends.size() - 1, Outcome::severed);
+    b.answer(b.port.sends.size() - 1, Outcome::connection_reset);
     EXPECT_EQ(b.port.sends.back().fill.cache, home);
-    b.answer(b.port.sends.size() - 1, Outcome::severed);
+    b.answer(b.port.sends.size() - 1, Outcome::connection_reset);
     EXPECT_NE(b.port.sends.back().fill.cache, home);
 }
 
@@ -179,15 +180,15 @@
     for (int n = 0; n < 60; ++n) {
         b.lookup(next(mute));
         b.pass(second * 0.02);
-        b.answer(b.port.sends.size() - 1, Outcome::completed, Note::hit);
+        b.answer(b.port.sends.size() - 1, Outcome::completed, CacheStatus::hit);
     }
     b.lookup(next(mute));
     for (int n = 0; n < 30; ++n) {
         b.pass(second * 0.05);
-        ask(other, Outcome::completed, Note::hit);
+        ask(other, Outcome::completed, CacheStatus::hit);
     }
     EXPECT_FALSE(b.port.cancelled.empty());
-    EXPECT_NE(ask(mute, Outcome::completed, Note::hit).fill.cache, CacheId{"e1"});
+    EXPECT_NE(ask(mute, Outcome::completed, CacheStatus::hit).fill.cache, CacheId{"e1"});
 }
 
 TEST_F(Plain, ASideEffectingLookupThatMayHaveRunFailsAtOnce) {
@@ -195,25 +196,25 @@
     b.answer(b.port.sends.size() - 1, Outcome::errored);
     EXPECT_EQ(b.port.failed.size(), 1u);
     b.lookup(next("x", 1));
-    b.answer(b.port.sends.size() - 1, Outcome::refused_conn);
+    b.answer(b.port.sends.size() - 1, Outcome::connection_refused);
     EXPECT_EQ(b.port.of[lookup_named("l1")].size(), 2u) << "a send that never ran may be followed by another";
 }
 
 TEST_F(Plain, APurgeBoundsTheAgeUntilOldCopiesAreGone) {
     b.pass(second);
     b.port.purged[ObjectName{"x"}] = b.now - second * 0.1;
-    b.router.on_purge(b.now, second * 0.1, GroupNo{3}, ObjectName{"x"});
-    const SendSeen s = ask("x", Outcome::completed, Note::filled);
-    EXPECT_GT(s.fill.oldest, Span{});
-    EXPECT_LE(s.fill.oldest, second * 0.1);
-    EXPECT_EQ(ask("y", Outcome::completed, Note::hit).fill.oldest, Span{});
-    b.router.on_purge(b.now, Span{}, GroupNo{0}, std::nullopt);
-    EXPECT_GT(ask("y", Outcome::completed, Note::hit).fill.oldest, Span{});
+    b.router.on_purge(b.now, second * 0.1, PurgeGroupId{3}, ObjectName{"x"});
+    const SendSeen s = ask("x", Outcome::completed, CacheStatus::filled);
+    EXPECT_GT(s.fill.max_age, Duration{});
+    EXPECT_LE(s.fill.max_age, second * 0.1);
+    EXPECT_EQ(ask("y", Outcome::completed, CacheStatus::hit).fill.max_age, Duration{});
+    b.router.on_purge(b.now, Duration{}, PurgeGroupId{0}, std::nullopt);
+    EXPECT_GT(ask("y", Outcome::completed, CacheStatus::hit).fill.max_age, Duration{});
 }
 
 TEST_F(Plain, AColdParentGetsOnlyItsBudget) {
-    Listing p = listing("p1", parent_machine, 30);
-    p.started = b.now;
+    EndpointUpdate p = listing("p1", parent_machine, 30);
+    p.started_at = b.now;
     b.list({p});
     int at_cold = 0;
     for (int n = 0; n < 400; ++n) {
@@ -228,36 +229,37 @@
     for (int n = 0; n < 8; ++n) b.lookup(next("o" + std::to_string(n)));
     b.pass(second);
     // Signs of life from all, so that this is a jam and no silence.
-    for (std::size_t n = 0; n < 3; ++n) b.answer(n, Outcome::completed, Note::hit);
+    for (std::size_t n = 0; n < 3; ++n) b.answer(n, Outcome::completed, CacheStatus::hit);
     b.pass(second * 0.1);
-    Arrival large = next("late");
-    large.kbytes = 4000;
+    Request large = next("late");
+    large.size_kb = 4000;
     const SendSeen* s = b.lookup(large);
     ASSERT_TRUE(s);
     EXPECT_EQ(s->fill.source, s->fill.cache);
-    b.answer(b.port.sends.size() - 1, Outcome::lookup_miss);
+    b.answer(b.port.sends.size() - 1, Outcome::cache_miss);
     // What is known to be missing goes round the jam, within the origin's budget, or is nacked at once.
     int round = 0;
     for (int n = 0; n < 40 && b.port.nacked.empty(); ++n) {
         round += b.port.sends.back().fill.source == CacheId{"o"};
         EXPECT_FALSE(b.port.parents.contains(b.port.sends.back().fill.source));
-        Arrival more = next("more" + std::to_string(n));
-        more.kbytes = 4000;
+        Request more = next("more" + std::to_string(n));
+        more.size_kb = 4000;
         b.lookup(more);
-        b.answer(b.port.sends.size() - 1, Outcome::lookup_miss);
+        b.answer(b.port.sends.size() - 1, Outcome::cache_miss);
     }
     EXPECT_GT(round, 0);
     EXPECT_FALSE(b.port.nacked.empty());
 }
 
 TEST_F(Plain, AFailingOriginIsAskedForLess) {
-    for (int n = 0; n < 30; ++n) ask("o" + std::to_string(n), Outcome::saturated, Note::origin_failed);
+    for (int n = 0; n < 30; ++n)
+        ask("o" + std::to_string(n), Outcome::overloaded, CacheStatus::origin_failed);
     int held = 0;
     for (int n = 0; n < 100; ++n) {
         const SendSeen* s = b.lookup(next("o" + std::to_string(n)));
         ASSERT_TRUE(s);
-        held += s->fill.held_only;
-        b.answer(b.port.sends.size() - 1, Outcome::completed, Note::hit);
+        held += s->fill.only_if_cached;
+        b.answer(b.port.sends.size() - 1, Outcome::completed, CacheStatus::hit);
     }
     EXPECT_GT(held, 50);
 }
@@ -265,42 +267,43 @@
 TEST_F(Plain, AFullHouseNacksLargeLookupsFirst) {
     int n = 0;
     for (; n < 500; ++n) {
-        Arrival a = next("o" + std::to_string(n));
-        a.kbytes = 2000;
+        Request a = next("o" + std::to_string(n));
+        a.size_kb = 2000;
         if (!b.lookup(a)) break;
     }
     EXPECT_LT(n, 500);
-    Arrival small = next("small");
-    small.kbytes = 20;
+    Request small = next("small");
+    small.size_kb = 20;
     EXPECT_TRUE(b.lookup(small));
 }
 
 TEST_F(Plain, AnObjectAskedForAgainRanksAboveThoseAskedForOnce) {
-    ask("x", Outcome::completed, Note::filled);
-    EXPECT_EQ(ask("x", Outcome::completed, Note::hit).fill.rank, 3);
-    EXPECT_EQ(ask("y", Outcome::completed, Note::filled).fill.rank, 2);
+    ask("x", Outcome::completed, CacheStatus::filled);
+    EXPECT_EQ(ask("x", Outcome::completed, CacheStatus::hit).fill.storage_rank, 3);
+    EXPECT_EQ(ask("y", Outcome::completed, CacheStatus::filled).fill.storage_rank, 2);
     b.pass(second * 60);
-    ask("z", Outcome::completed, Note::filled);
+    ask("z", Outcome::completed, CacheStatus::filled);
     b.pass(second * 60);
-    EXPECT_EQ(ask("x", Outcome::completed, Note::hit).fill.rank, 2) << "forgotten after two generations";
+    EXPECT_EQ(ask("x", Outcome::completed, CacheStatus::hit).fill.storage_rank, 2)
+        << "forgotten after two generations";
 }
 
 TEST_F(Plain, SizesNotToldAreLearnt) {
     for (const auto& [name, took] : {std::pair{"small", 0.02}, std::pair{"large", 2.0}}) {
-        Arrival a = next(name);
-        a.kbytes = 0;
+        Request a = next(name);
+        a.size_kb = 0;
         b.lookup(a);
         const std::size_t at = b.port.sends.size() - 1;
-        b.pass(Span::seconds(took));
-        b.answer(at, Outcome::completed, Note::hit);
+        b.pass(Duration::seconds(took));
+        b.answer(at, Outcome::completed, CacheStatus::hit);
     }
     for (int n = 0; n < 500; ++n) {
-        Arrival a = next("o" + std::to_string(n));
-        a.kbytes = 2000;
+        Request a = next("o" + std::to_string(n));
+        a.size_kb = 2000;
         if (!b.lookup(a)) break;
     }
-    Arrival small = next("small"), large = next("large");
-    small.kbytes = large.kbytes = 0;
+    Request small = next("small"), large = next("large");
+    small.size_kb = large.size_kb = 0;
     EXPECT_FALSE(b.lookup(large));
     EXPECT_TRUE(b.lookup(small));
 }
@@ -314,7 +317,7 @@
     for (std::size_t n = b.port.sends.size(); n-- > 0;) {
         const CacheId c = b.port.sends[n].fill.cache;
         if (b.port.sends[n].out && heard[c]++ < (c == CacheId{"e1"} ? 1 : 4))
-            b.answer(n, Outcome::completed, Note::hit);
+            b.answer(n, Outcome::completed, CacheStatus::hit);
     }
     b.pass(second * 0.1);
     const SendSeen* s = b.lookup(next(name));
@@ -325,14 +328,14 @@
 TEST_F(Plain, LateFillsCutAParentsShareAndTheRestGoesToTheOrigin) {
     int round = 0;
     for (int n = 0; n < 200; ++n) {
-        Arrival a = next("o" + std::to_string(n));
-        a.kbytes = 20;
+        Request a = next("o" + std::to_string(n));
+        a.size_kb = 20;
         ASSERT_TRUE(b.lookup(a));
         const bool origin = b.port.sends.back().fill.source == CacheId{"o"};
         round += origin;
         const std::size_t at = b.port.sends.size() - 1;
         b.pass(second * (origin ? 0.1 : 1.5));
-        b.answer(at, Outcome::completed, origin ? Note::via_origin : Note::filled);
+        b.answer(at, Outcome::completed, origin ? CacheStatus::via_origin : CacheStatus::filled);
     }
     EXPECT_GT(round, 20);
     EXPECT_LT(round, 180);
@@ -345,17 +348,17 @@
         const std::size_t at = b.port.sends.size() - 1;
         EXPECT_TRUE(b.port.parents.contains(b.port.sends[at].fill.source));
         b.pass(second * 0.8);
-        b.answer(at, Outcome::completed, Note::via_origin);
+        b.answer(at, Outcome::completed, CacheStatus::via_origin);
         b.pass(second * 20);
     }
 }
 
 TEST_F(Plain, ACutShareComesBackByTimeAlone) {
     for (int n = 0; n < 30; ++n, b.pass(second * 0.2))
-        ask("o" + std::to_string(n), Outcome::saturated, Note::origin_failed);
+        ask("o" + std::to_string(n), Outcome::overloaded, CacheStatus::origin_failed);
     b.pass(second * 30);
     for (int n = 0; n < 50; ++n)
-        EXPECT_FALSE(ask("n" + std::to_string(n), Outcome::completed, Note::hit).fill.held_only);
+        EXPECT_FALSE(ask("n" + std::to_string(n), Outcome::completed, CacheStatus::hit).fill.only_if_cached);
 }
 
 TEST_F(Plain, ACacheThatOnlyTurnsAwayIsSilent) {
@@ -363,65 +366,65 @@
     for (int n = 0; n < 60; ++n) {
         b.lookup(next(mute));
         b.pass(second * 0.02);
-        b.answer(b.port.sends.size() - 1, Outcome::completed, Note::hit);
+        b.answer(b.port.sends.size() - 1, Outcome::completed, CacheStatus::hit);
     }
     b.lookup(next(mute));
     for (int n = 0; n < 30; ++n) {
         b.pass(second * 0.05);
-        ask(other, Outcome::completed, Note::hit);
-        ask(mute, Outcome::saturated);
+        ask(other, Outcome::completed, CacheStatus::hit);
+        ask(mute, Outcome::overloaded);
     }
-    EXPECT_NE(ask(mute, Outcome::completed, Note::hit).fill.cache, CacheId{"e1"});
+    EXPECT_NE(ask(mute, Outcome::completed, CacheStatus::hit).fill.cache, CacheId{"e1"});
 }
 
 // Some of what e1 gets is never answered, the rest at once: its sends that stay out are no jam, it is looked
 // at first, and a look that does not come back goes out there once more.
 TEST_F(Plain, ACacheThatLeavesSomeSendsUnansweredIsLookedAtFirst) {
     const std::string mine = homed("e1"), other = homed("e2");
-    std::vector<std::pair<Instant, std::size_t>> unanswered;
+    std::vector<std::pair<TimePoint, std::size_t>> unanswered;
     for (int n = 0; n < 200; ++n) {
         for (const std::string& object : {mine, other}) {
-            Arrival a = next(object);
-            a.expires = b.now + second;
+            Request a = next(object);
+            a.deadline = b.now + second;
             ASSERT_TRUE(b.lookup(a));
             const std::size_t at = b.port.sends.size() - 1;
             b.pass(second * 0.02);
             if (object == mine && n % 4 == 0)
-                unanswered.emplace_back(a.expires, at);
+                unanswered.emplace_back(a.deadline, at);
             else
-                b.answer(at, Outcome::completed, Note::hit);
+                b.answer(at, Outcome::completed, CacheStatus::hit);
         }
         b.pass(second * 0.06);
         while (!unanswered.empty() && unanswered.front().first <= b.now) {
-            b.answer(unanswered.front().second, Outcome::overdue, Note::none, true);
+            b.answer(unanswered.front().second, Outcome::deadline_exceeded, CacheStatus::none, true);
             unanswered.erase(unanswered.begin());
         }
     }
     ASSERT_TRUE(b.lookup(next(other)));
-    EXPECT_FALSE(b.port.sends.back().fill.held_only) << "taken for a jam";
+    EXPECT_FALSE(b.port.sends.back().fill.only_if_cached) << "taken for a jam";
     ASSERT_TRUE(b.lookup(next(mine)));
     const SendSeen look = b.port.sends.back();
-    EXPECT_TRUE(look.fill.held_only && look.fill.cache == CacheId{"e1"});
-    ASSERT_GT(look.fill.time_out, Span{});
-    EXPECT_LT(look.fill.time_out, kind_of(Effect::idempotent).budget);
+    EXPECT_TRUE(look.fill.only_if_cached && look.fill.cache == CacheId{"e1"});
+    ASSERT_GT(look.fill.timeout, Duration{});
+    EXPECT_LT(look.fill.timeout, kind_of(Effect::idempotent).latency_objective);
     const std::size_t at = b.port.sends.size() - 1;
     b.pass(second * 0.02);
-    ask(mine, Outcome::completed, Note::hit);
-    b.answer(at, Outcome::overdue);
+    ask(mine, Outcome::completed, CacheStatus::hit);
+    b.answer(at, Outcome::deadline_exceeded);
     EXPECT_EQ(b.port.sends.back().id, look.id);
     EXPECT_EQ(b.port.sends.back().fill.cache, CacheId{"e1"});
 }
 
 TEST_F(Plain, TheOriginInPlaceOfParentsIsChargedForFillsAlone) {
     for (const char* p : {"p1", "p2"}) {
-        Listing l = listing(p, parent_machine, 30);
-        l.phase = Phase::gone;
+        EndpointUpdate l = listing(p, parent_machine, 30);
+        l.status = EndpointStatus::removed;
         b.list({l});
     }
     int held = 0;
     for (int n = 0; n < 400; ++n, b.pass(second * 0.01)) {
         ASSERT_TRUE(b.lookup(next("h" + std::to_string(n))));
-        b.answer(b.port.sends.size() - 1, Outcome::completed, Note::hit);
+        b.answer(b.port.sends.size() - 1, Outcome::completed, CacheStatus::hit);
         held += b.port.nacked.empty();
     }
     EXPECT_EQ(held, 400) << "hits used up what fills may take";
@@ -430,8 +433,9 @@
         while (b.port.open.contains(b.port.sends.back().id))
             b.answer(
                 b.port.sends.size() - 1,
-                b.port.sends.back().fill.source == CacheId{"o"} ? Outcome::completed : Outcome::lookup_miss,
-                b.port.sends.back().fill.source == CacheId{"o"} ? Note::via_origin : Note::none);
+                b.port.sends.back().fill.source == CacheId{"o"} ? Outcome::completed : Outcome::cache_miss,
+                b.port.sends.back().fill.source == CacheId{"o"} ? CacheStatus::via_origin
+                                                                : CacheStatus::none);
     }
     EXPECT_FALSE(b.port.nacked.empty()) << "fills are not bounded";
 }
@@ -440,17 +444,17 @@
 TEST(Crowd, ManyGatewaysPassOverACacheThatSendsHeldCopiesSlowlyTheLargestLookupsFirst) {
     for (const auto& [took, small_stays] : {std::pair{0.7, true}, std::pair{1.7, false}}) {
         Deployment d = deployment();
-        d.gateways_here = 10;
-        d.kinds[0].budget = second * 2;
+        d.gateways_in_location = 10;
+        d.kinds[0].latency_objective = second * 2;
         Bench b{d};
         const SendSeen* first = b.lookup(arrival("a", "x", b.now + second * 5));
         ASSERT_TRUE(first);
         const CacheId home = first->fill.cache;
-        b.pass(Span::seconds(took));
-        b.answer(0, Outcome::completed, Note::hit);
-        Arrival small = arrival("small", "x", b.now + second * 5), large = small;
+        b.pass(Duration::seconds(took));
+        b.answer(0, Outcome::completed, CacheStatus::hit);
+        Request small = arrival("small", "x", b.now + second * 5), large = small;
         large.id = lookup_named("large");
-        large.kbytes = 50000;
+        large.size_kb = 50000;
         const SendSeen* s = b.lookup(large);
         EXPECT_TRUE(s && s->fill.cache != home);
         s = b.lookup(small);
@@ -466,12 +470,12 @@
 TEST(Fleet, AHundredGatewaysTogetherDoNotPushOverAColdParent) {
     Deployment d = deployment();
     d.gateways = 120;
-    d.gateways_here = 4;
+    d.gateways_in_location = 4;
     std::vector<std::unique_ptr<Bench>> all;
     for (int g = 0; g < d.gateways; ++g) {
         all.push_back(std::make_unique<Bench>(d, static_cast<std::uint64_t>(g) * 7919 + 1));
-        Listing p = listing("p1", parent_machine, 30);
-        p.started = all.back()->now;
+        EndpointUpdate p = listing("p1", parent_machine, 30);
+        p.started_at = all.back()->now;
         all.back()->list({p});
     }
     std::vector<double> asked;  // sending time asked of it, by half seconds
@@ -485,10 +489,10 @@
                 const std::size_t from = b.port.sends.size();
                 b.lookup(arrival("l" + id, "o" + id, b.now + second * 5));
                 for (std::size_t s = from; s < b.port.sends.size(); ++s) {
-                    const Fill f = b.port.sends[s].fill;
-                    asked.back() += f.source == CacheId{"p1"} ? 500 / d.flow_kb_per_s : 0;
-                    b.answer(s, f.source == f.cache ? Outcome::lookup_miss : Outcome::completed,
-                             f.source == f.cache ? Note::none : Note::filled);
+                    const AttemptPlan f = b.port.sends[s].fill;
+                    asked.back() += f.source == CacheId{"p1"} ? 500 / d.transfer_rate_kb_per_s : 0;
+                    b.answer(s, f.source == f.cache ? Outcome::cache_miss : Outcome::completed,
+                             f.source == f.cache ? CacheStatus::none : CacheStatus::filled);
                 }
             }
             b.pass(second * 0.5);
@@ -508,7 +512,7 @@
 class ToldLate : public Plain, public ::testing::WithParamInterface<const char*> {
 protected:
     // What the member is asked for, as cache or as source, while so many lookups come in this time.
-    int asked_while(int lookups, Span each) {
+    int asked_while(int lookups, Duration each) {
         const CacheId member{GetParam()};
         int asked = 0;
         for (int n = 0; n < lookups; ++n, b.pass(each)) {
@@ -523,9 +527,9 @@
 
 TEST_P(ToldLate, AStartThatIsToldLateFindsWhatWasSentSince) {
     const bool parent = GetParam()[0] == 'p';
-    Listing l = listing(GetParam(), parent ? parent_machine : edge_machine, 6);
+    EndpointUpdate l = listing(GetParam(), parent ? parent_machine : edge_machine, 6);
     b.list({l});
-    l.started = b.now;
+    l.started_at = b.now;
     EXPECT_GT(asked_while(100, second * 0.01), 15);
     b.list({l});
     EXPECT_EQ(asked_while(50, second * 0.01), 0) << "what went there is still in the window";
@@ -537,18 +541,18 @@
 
 // Large lookups that seemed small, or small ones that came while much was saved up, count as what they are.
 TEST_F(Plain, AColdCacheIsChargedWhatALookupIsNotWhatItsKindIsOnAverage) {
-    Listing l = listing("e1", edge_machine, 6);
-    l.started = b.now;
+    EndpointUpdate l = listing("e1", edge_machine, 6);
+    l.started_at = b.now;
     b.list({l});
     double work = 0;
     for (int n = 0; n < 400; ++n, b.pass(second * 0.005)) {
-        Arrival a = next("o" + std::to_string(n));
-        a.kbytes = 20000;
+        Request a = next("o" + std::to_string(n));
+        a.size_kb = 20000;
         const SendSeen* s = b.lookup(a);
         if (!s) continue;
-        work += s->fill.cache == CacheId{"e1"} ? a.kbytes / b.port.told.flow_kb_per_s : 0;
+        work += s->fill.cache == CacheId{"e1"} ? a.size_kb / b.port.told.transfer_rate_kb_per_s : 0;
         // Nothing is completed: the kind's average stays where it was.
-        b.answer(b.port.sends.size() - 1, Outcome::lookup_miss, Note::none, true);
+        b.answer(b.port.sends.size() - 1, Outcome::cache_miss, CacheStatus::none, true);
     }
     EXPECT_GT(work, 0) << "it is never asked";
     // Two seconds at most twice what it can do by then, shared by two gateways, and one lookup.
@@ -558,7 +562,7 @@
 // All gateways of a location hear late of one start, at the moment at which each has sent it most.
 TEST(Fleet, GatewaysToldLateTogetherDoNotPushOverAColdCache) {
     Deployment d = deployment();
-    d.gateways = d.gateways_here = 8;
+    d.gateways = d.gateways_in_location = 8;
     std::vector<std::unique_ptr<Bench>> all;
     for (int g = 0; g < d.gateways; ++g)
         all.push_back(std::make_unique<Bench>(d, static_cast<std::uint64_t>(g) * 7919 + 1));
@@ -568,15 +572,16 @@
         asked.push_back(0);
         for (auto& gateway : all) {
             Bench& b = *gateway;
-            Listing l = listing("e1", edge_machine, 6);
-            l.started = Instant::at_seconds(100.1);
+            EndpointUpdate l = listing("e1", edge_machine, 6);
+            l.started_at = TimePoint::at_seconds(100.1);
             if (step == 15) b.list({l});
             for (int n = 0; n < 3; ++n) {
                 const std::string id = std::to_string(made++);
                 if (!b.lookup(arrival("l" + id, "o" + id, b.now + second * 5))) continue;
                 const std::size_t s = b.port.sends.size() - 1;
-                asked.back() += b.port.sends[s].fill.cache == CacheId{"e1"} ? 500 / d.flow_kb_per_s : 0;
-                b.answer(s, Outcome::completed, Note::hit);
+                asked.back() +=
+                    b.port.sends[s].fill.cache == CacheId{"e1"} ? 500 / d.transfer_rate_kb_per_s : 0;
+                b.answer(s, Outcome::completed, CacheStatus::hit);
             }
             b.pass(second * 0.1);
         }
@@ -593,10 +598,10 @@
 }
 
 TEST_F(Plain, AnswersForWhatIsNoLongerHeldArePassedOver) {
-    Answer a;
-    a.id = lookup_named("unknown");
-    b.router.on_answer(b.now, a);
-    b.router.on_client_gone(b.now, lookup_named("unknown"));
+    AttemptResult a;
+    a.request = lookup_named("unknown");
+    b.router.on_attempt_result(b.now, a);
+    b.router.on_client_closed(b.now, lookup_named("unknown"));
     EXPECT_TRUE(b.port.sends.empty());
 }
 
--- a/tests/router_test_support.hpp
+++ b/tests/router_test_support.hpp
@@ -15,136 +15,136 @@
 namespace irismux::testing {
 
 inline const LocationId here{"here"};
-inline const MachineId edge_machine{"edge"}, parent_machine{"parent"}, origin_machine{"origin"};
+inline const MachineType edge_machine{"edge"}, parent_machine{"parent"}, origin_machine{"origin"};
 
 inline ObjectKind kind_of(Effect effect) {
     ObjectKind k;
     k.effect = effect;
     k.uncacheable = effect != Effect::idempotent;
-    k.budget = Span::seconds(0.4);
-    k.deadline = Span::seconds(5);
-    k.window = Span::seconds(2);
+    k.latency_objective = Duration::seconds(0.4);
+    k.deadline = Duration::seconds(5);
+    k.dedup_window = Duration::seconds(2);
     return k;
 }
 
 inline Deployment deployment() {
     Deployment d;
     d.gateways = 4;
-    d.gateways_here = 2;
+    d.gateways_in_location = 2;
     d.locations = 2;
     d.location = here;
-    d.kinds = {kind_of(Effect::idempotent), kind_of(Effect::side_effecting), kind_of(Effect::deduplicated)};
+    d.kinds = {kind_of(Effect::idempotent), kind_of(Effect::non_idempotent), kind_of(Effect::deduplicated)};
     d.parent_machine = parent_machine;
     d.origin_machine = origin_machine;
-    d.permits.cancel = d.permits.retry_after = d.permits.joins = true;
-    d.permits.notes = Notes::all;
-    d.permits.sends = 6;
-    d.permits.longest_retry_after = Span::seconds(0.5);
-    d.weights_told = true;
-    d.cold_edge = {0.2, Span::seconds(15), 2};
-    d.cold_parent = {0.06, Span::seconds(20), 2};
-    d.fall_window = Span::seconds(2);
-    d.drain_grace = Span::seconds(0.25);
-    d.purge_grace = Span::seconds(0.3);
-    d.purge_done = Span::seconds(6);
-    d.tick = Span::seconds(0.002);
-    d.flow_kb_per_s = 5000;
+    d.capabilities.cancellation = d.capabilities.retry_after = d.capabilities.coalescing = true;
+    d.capabilities.cache_status = CacheStatusReporting::all;
+    d.capabilities.max_attempts = 6;
+    d.capabilities.max_retry_after = Duration::seconds(0.5);
+    d.weights_known = true;
+    d.edge_slow_start = {0.2, Duration::seconds(15), 2};
+    d.parent_slow_start = {0.06, Duration::seconds(20), 2};
+    d.overload_window = Duration::seconds(2);
+    d.drain_grace_period = Duration::seconds(0.25);
+    d.purge_grace_period = Duration::seconds(0.3);
+    d.purge_retention = Duration::seconds(6);
+    d.timer_resolution = Duration::seconds(0.002);
+    d.transfer_rate_kb_per_s = 5000;
     return d;
 }
 
-inline Listing listing(const std::string& id, const MachineId& machine, double weight = 6) {
-    Listing l;
+inline EndpointUpdate listing(const std::string& id, const MachineType& machine, double weight = 6) {
+    EndpointUpdate l;
     l.cache = CacheId{id};
     l.location = machine == edge_machine ? here : LocationId{"hub"};
-    l.machine = machine;
+    l.machine_type = machine;
     l.weight = weight;
     return l;
 }
 
-inline std::vector<Listing> usual_list() {
-    std::vector<Listing> all = {listing("e1", edge_machine),       listing("e2", edge_machine),
-                                listing("e3", edge_machine),       listing("p1", parent_machine, 30),
-                                listing("p2", parent_machine, 30), listing("o", origin_machine)};
-    all[2].cell = CellNo{1};
+inline std::vector<EndpointUpdate> usual_list() {
+    std::vector<EndpointUpdate> all = {listing("e1", edge_machine),       listing("e2", edge_machine),
+                                       listing("e3", edge_machine),       listing("p1", parent_machine, 30),
+                                       listing("p2", parent_machine, 30), listing("o", origin_machine)};
+    all[2].cell = CellId{1};
     return all;
 }
 
 // The identity that a test's name for a lookup stands for.
-inline LookupId lookup_named(const std::string& name) {
+inline RequestId lookup_named(const std::string& name) {
     static std::map<std::string, std::uint64_t> known;
-    return LookupId{known.try_emplace(name, known.size() + 1).first->second};
+    return RequestId{known.try_emplace(name, known.size() + 1).first->second};
 }
 
 struct SendSeen {
-    LookupId id;
-    SendNo n;
-    Fill fill;
-    Instant at;
+    RequestId id;
+    AttemptIndex n;
+    AttemptPlan fill;
+    TimePoint at;
     bool out = true;
 };
 
 // Records what leaves the Router and checks each rule as it does.
-class RecordingPort final : public Port {
+class RecordingPort final : public RouterCallbacks {
 public:
     explicit RecordingPort(Deployment d) : told(std::move(d)) {}
 
     Deployment told;
-    Instant now;
+    TimePoint now;
     std::vector<SendSeen> sends;
-    std::map<LookupId, Arrival> open;  // owed an answer
-    std::map<LookupId, std::vector<std::size_t>> of;
-    std::map<LookupId, std::vector<std::pair<std::size_t, Outcome>>> outcomes;
-    std::map<CacheId, Instant> left;  // told to drain or gone, since
-    std::map<CacheId, Instant> cold;  // told to have started at
+    std::map<RequestId, Request> open;  // owed an answer
+    std::map<RequestId, std::vector<std::size_t>> of;
+    std::map<RequestId, std::vector<std::pair<std::size_t, Outcome>>> outcomes;
+    std::map<CacheId, TimePoint> left;  // told to drain or gone, since
+    std::map<CacheId, TimePoint> cold;  // told to have started at
     std::map<CacheId, double> weight;
-    std::map<CacheId, CellNo> cell;
-    std::map<CacheId, std::vector<std::pair<Instant, double>>> asked;  // sending time asked of a cold one
-    std::map<ObjectName, Instant> purged;                              // when it was purged
+    std::map<CacheId, CellId> cell;
+    std::map<CacheId, std::vector<std::pair<TimePoint, double>>> asked;  // sending time asked of a cold one
+    std::map<ObjectName, TimePoint> purged;                              // when it was purged
     std::set<CacheId> parents;
     std::vector<std::string> broken;
-    std::vector<std::pair<AlarmNo, Instant>> alarms;
-    std::vector<LookupId> nacked, failed;
-    std::vector<std::pair<LookupId, SendNo>> cancelled;
+    std::vector<std::pair<TimerId, TimePoint>> alarms;
+    std::vector<RequestId> nacked, failed;
+    std::vector<std::pair<RequestId, AttemptIndex>> cancelled;
     std::vector<std::pair<CacheId, bool>> marks;
 
-    void marked(const CacheId& cache, bool is) override { marks.emplace_back(cache, is); }
+    void on_ejection_changed(const CacheId& cache, bool is) override { marks.emplace_back(cache, is); }
 
-    void send(const LookupId& id, const CacheId& cache, Span time_out) override {
-        Fill f;
+    void start_direct_attempt(const RequestId& id, const CacheId& cache, Duration time_out) override {
+        AttemptPlan f;
         f.cache = f.source = cache;
-        f.time_out = time_out;
+        f.timeout = time_out;
         went(id, f, false);
     }
-    void fill(const LookupId& id, const Fill& f) override { went(id, f, true); }
-    void cancel(const LookupId& id, SendNo n) override {
+    void start_attempt(const RequestId& id, const AttemptPlan& f) override { went(id, f, true); }
+    void cancel_attempt(const RequestId& id, AttemptIndex n) override {
         if (n.raw() >= of[id].size()) broken.push_back("cancels a send never made");
         cancelled.emplace_back(id, n);
     }
-    void nack(const LookupId& id, Span) override {
+    void reject(const RequestId& id, Duration) override {
         const auto it = open.find(id);
         if (it == open.end()) return (void)broken.push_back("1: a second answer");
         const ObjectKind& k = told.kinds[it->second.kind.raw()];
-        if (k.effect == Effect::side_effecting && may_have_run(id)) broken.push_back("2: nack after a run");
-        if (k.effect == Effect::deduplicated && k.group != DedupGroup::all && may_have_run(id))
+        if (k.effect == Effect::non_idempotent && may_have_run(id)) broken.push_back("2: nack after a run");
+        if (k.effect == Effect::deduplicated && k.dedup_scope != DedupScope::all && may_have_run(id))
             broken.push_back("2: nack of a deduplicated lookup that may have run");
         nacked.push_back(id);
         open.erase(it);
     }
-    void fail(const LookupId& id) override {
+    void fail(const RequestId& id) override {
         if (open.erase(id) == 0) broken.push_back("1: a second answer");
         failed.push_back(id);
     }
-    void probe(const CacheId&) override {
-        if (!told.permits.probes) broken.push_back("probes where it may not");
+    void request_health_check(const CacheId&) override {
+        if (!told.capabilities.probes) broken.push_back("probes where it may not");
     }
-    void alarm(AlarmNo n, Instant at) override { alarms.emplace_back(n, at); }
-    void watch_list() override {}
-    void note_down(std::string_view) override {}
+    void set_timer(TimerId n, TimePoint at) override { alarms.emplace_back(n, at); }
+    void subscribe_to_endpoints() override {}
+    void log(std::string_view) override {}
 
-    bool may_have_run(const LookupId& id) const { return !runs(id).empty(); }
+    bool may_have_run(const RequestId& id) const { return !runs(id).empty(); }
 
     // The sends of a lookup that may have run, those still out among them.
-    std::vector<std::size_t> runs(const LookupId& id) const {
+    std::vector<std::size_t> runs(const RequestId& id) const {
         std::vector<std::size_t> r;
         const auto it = of.find(id);
         if (it == of.end()) return r;
@@ -155,8 +155,8 @@
 
     void came_back(std::size_t s, Outcome o) {
         sends[s].out = false;
-        if (o != Outcome::saturated && o != Outcome::refused_conn && o != Outcome::superseded &&
-            o != Outcome::lookup_miss)
+        if (o != Outcome::overloaded && o != Outcome::connection_refused && o != Outcome::superseded &&
+            o != Outcome::cache_miss)
             ran.insert(s);
     }
 
@@ -165,51 +165,52 @@
 
     static bool at_hub(const CacheId& c) { return c.raw()[0] != 'e'; }
 
-    void went(const LookupId& id, const Fill& f, bool by_age) {
+    void went(const RequestId& id, const AttemptPlan& f, bool by_age) {
         const auto it = open.find(id);
         if (it == open.end()) return (void)broken.push_back("1: a send after the answer");
         const ObjectKind& k = told.kinds[it->second.kind.raw()];
         const std::vector<std::size_t> before = runs(id);
-        if (k.effect == Effect::side_effecting && !before.empty()) broken.push_back("2: re-sent after a run");
+        if (k.effect == Effect::non_idempotent && !before.empty()) broken.push_back("2: re-sent after a run");
         for (const std::size_t s : before) {
-            if (sends[s].out && !told.permits.second_copies) broken.push_back("2: two copies out");
-            if (k.effect == Effect::deduplicated && now > sends[s].at + k.window)
+            if (sends[s].out && !told.capabilities.hedged_requests) broken.push_back("2: two copies out");
+            if (k.effect == Effect::deduplicated && now > sends[s].at + k.dedup_window)
                 broken.push_back("2: re-sent past the window");
-            if (k.effect == Effect::deduplicated && k.group == DedupGroup::cell &&
+            if (k.effect == Effect::deduplicated && k.dedup_scope == DedupScope::cell &&
                 cell[sends[s].fill.cache] != cell[f.cache])
                 broken.push_back("2: re-sent outside the cell");
-            if (k.effect == Effect::deduplicated && k.group == DedupGroup::location &&
+            if (k.effect == Effect::deduplicated && k.dedup_scope == DedupScope::location &&
                 at_hub(sends[s].fill.cache) != at_hub(f.cache))
                 broken.push_back("2: re-sent outside the location");
         }
-        if (static_cast<int>(of[id].size()) >= told.permits.sends) broken.push_back("too many sends");
+        if (static_cast<int>(of[id].size()) >= told.capabilities.max_attempts)
+            broken.push_back("too many sends");
         for (const CacheId& c : {f.cache, f.source})
-            if (const auto l = left.find(c); l != left.end() && now - l->second > told.drain_grace)
+            if (const auto l = left.find(c); l != left.end() && now - l->second > told.drain_grace_period)
                 broken.push_back("3: sent to one that drains");
         if (const auto p = purged.find(it->second.object);
-            by_age && !k.uncacheable && p != purged.end() && now - p->second < told.purge_done) {
-            const Span hair = Span::micros(1);
-            const bool fresh_enough = f.oldest > Span{} && now - f.oldest + hair >= p->second;
+            by_age && !k.uncacheable && p != purged.end() && now - p->second < told.purge_retention) {
+            const Duration hair = Duration::micros(1);
+            const bool fresh_enough = f.max_age > Duration{} && now - f.max_age + hair >= p->second;
             if (!fresh_enough) broken.push_back("5: an older copy would do");
         }
         pressed(f.cache, it->second);
         if (f.source != f.cache && parents.contains(f.source)) pressed(f.source, it->second);
         of[id].push_back(sends.size());
-        sends.push_back({id, SendNo{of[id].size() - 1}, f, now});
+        sends.push_back({id, AttemptIndex{of[id].size() - 1}, f, now});
     }
 
     // Rule 4 with every gateway sending its even share: what this one asks, times the gateways that share.
     // It binds from when a start is told until the longest warm-up is over, and counts what went to that
     // process before it was told, too. What went to the process before it is no load of the new one.
-    void pressed(const CacheId& cache, const Arrival& lk) {
-        const double work = lk.kbytes / told.flow_kb_per_s;
+    void pressed(const CacheId& cache, const Request& lk) {
+        const double work = lk.size_kb / told.transfer_rate_kb_per_s;
         auto& list = asked[cache];
-        std::erase_if(list, [&](const auto& a) { return now - a.first > told.fall_window; });
+        std::erase_if(list, [&](const auto& a) { return now - a.first > told.overload_window; });
         list.emplace_back(now, work);
         const auto c = cold.find(cache);
         const bool parent = parents.contains(cache);
-        const ColdStart& start = parent ? told.cold_parent : told.cold_edge;
-        if (c == cold.end() || now - c->second >= start.warm_after) return;
+        const SlowStart& start = parent ? told.parent_slow_start : told.edge_slow_start;
+        if (c == cold.end() || now - c->second >= start.window) return;
         double sum = 0, largest = 0;
         for (const auto& [at, w] : list) {
             if (at < c->second) continue;
@@ -217,23 +218,25 @@
             largest = std::max(largest, w);
         }
         const double present =
-            start.floor + (1 - start.floor) * std::max(0.0, (now - c->second) / start.warm_after);
-        const double window = told.fall_window.seconds();
-        const int gateways = parent ? told.gateways : told.gateways_here;
+            start.initial_capacity_share +
+            (1 - start.initial_capacity_share) * std::max(0.0, (now - c->second) / start.window);
+        const double window = told.overload_window.seconds();
+        const int gateways = parent ? told.gateways : told.gateways_in_location;
         // A budget can't be split finer than a lookup: this one and the largest before it are the slack.
-        if (sum * gateways > start.multiple * present * weight[cache] * window + (work + largest) * gateways)
+        if (sum * gateways >
+            start.overload_multiple * present * weight[cache] * window + (work + largest) * gateways)
             broken.push_back("4: a cold one is pushed over: " + cache.raw());
     }
 };
 
-inline Arrival arrival(const std::string& id, const std::string& object, Instant expires,
+inline Request arrival(const std::string& id, const std::string& object, TimePoint expires,
                        std::size_t kind = 0) {
-    Arrival a;
+    Request a;
     a.id = lookup_named(id);
-    a.kind = KindNo{kind};
+    a.kind = ObjectKindIndex{kind};
     a.object = ObjectName{object};
-    a.expires = expires;
-    a.kbytes = 500;
+    a.deadline = expires;
+    a.size_kb = 500;
     return a;
 }
 
@@ -241,63 +244,63 @@
 class Bench {
 public:
     explicit Bench(const Deployment& d = deployment(), std::uint64_t seed = 7,
-                   const std::vector<Listing>& first = usual_list())
+                   const std::vector<EndpointUpdate>& first = usual_list())
         : port(d), router(port, d, seed, now) {
-        for (const Listing& l : first) {
+        for (const EndpointUpdate& l : first) {
             port.cell[l.cache] = l.cell;
-            if (l.machine == parent_machine) port.parents.insert(l.cache);
+            if (l.machine_type == parent_machine) port.parents.insert(l.cache);
         }
         list(first, true);
     }
 
-    Instant now = Instant::at_seconds(100);
+    TimePoint now = TimePoint::at_seconds(100);
     RecordingPort port;
     Router router;
 
-    void list(const std::vector<Listing>& lines, bool complete = false) {
-        for (const Listing& l : lines) {
-            if (l.phase != Phase::in_service) {
+    void list(const std::vector<EndpointUpdate>& lines, bool complete = false) {
+        for (const EndpointUpdate& l : lines) {
+            if (l.status != EndpointStatus::active) {
                 port.left.try_emplace(l.cache, now);
                 continue;
             }
             port.left.erase(l.cache);
             port.weight[l.cache] = l.weight;
-            if (l.started > Instant{}) port.cold[l.cache] = l.started;
+            if (l.started_at > TimePoint{}) port.cold[l.cache] = l.started_at;
         }
         at();
-        router.on_list(now, lines, complete);
+        router.on_endpoint_updates(now, lines, complete);
     }
-    const SendSeen* lookup(const Arrival& a) {
+    const SendSeen* lookup(const Request& a) {
         at();
         port.open[a.id] = a;
         const std::size_t before = port.sends.size();
-        router.on_lookup(now, a);
+        router.on_request(now, a);
         return port.sends.size() > before ? &port.sends.back() : nullptr;
     }
-    void answer(std::size_t s, Outcome o, Note note = Note::none, bool last = false) {
+    void answer(std::size_t s, Outcome o, CacheStatus note = CacheStatus::none, bool last = false) {
         at();
         const SendSeen seen = port.sends[s];
         if (!seen.out) return;
         port.came_back(s, o);
-        Answer a;
-        a.id = seen.id;
-        a.send = seen.n;
+        AttemptResult a;
+        a.request = seen.id;
+        a.attempt = seen.n;
         a.cache = seen.fill.cache;
         a.outcome = o;
-        a.note = note;
-        a.took = a.fill_wait = now - seen.at;
-        a.last = last || o == Outcome::completed || !port.open.contains(seen.id);
-        if (a.last) port.open.erase(seen.id);
-        router.on_answer(now, a);
+        a.cache_status = note;
+        a.elapsed = a.fill_wait = now - seen.at;
+        a.request_finished = last || o == Outcome::completed || !port.open.contains(seen.id);
+        if (a.request_finished) port.open.erase(seen.id);
+        router.on_attempt_result(now, a);
     }
-    void pass(Span s) {
+    void pass(Duration s) {
         now = now + s;
         at();
-        std::vector<std::pair<AlarmNo, Instant>> due;
+        std::vector<std::pair<TimerId, TimePoint>> due;
         std::swap(due, port.alarms);
         for (const auto& [n, when] : due) {
             if (when <= now)
-                router.on_alarm(now, n);
+                router.on_timer(now, n);
             else
                 port.alarms.emplace_back(n, when);
         }
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -13,7 +13,7 @@
 
 using nlohmann::json;
 
-const Span long_enough = Span::micros(60'000'000);
+const Duration long_enough = Duration::micros(60'000'000);
 
 RigSettings shape_of(std::size_t gateways) {
     RigSettings settings;
@@ -50,7 +50,7 @@
         ledger_of(rig).transactions + a_gateway * static_cast<double>(rig.topology().gateways);
     for (int tries = 0; ledger_of(rig).transactions < upto; ++tries) {
         ASSERT_LT(tries, 600);
-        rig.pass(Span::micros(100'000));
+        rig.pass(Duration::micros(100'000));
     }
 }
 
@@ -162,7 +162,7 @@
     for (int tries = 0; tries < 200; ++tries) {
         states = rig.states();
         if (same("member_digest") && same("listed")) break;
-        rig.pass(Span::micros(100'000));
+        rig.pass(Duration::micros(100'000));
     }
     ASSERT_EQ(states.size(), 60u);
     for (const char* what :
--- a/tests/single_process_fixture.hpp
+++ b/tests/single_process_fixture.hpp
@@ -19,8 +19,8 @@
     int descriptors = 256;
 };
 
-inline lab::Solo::Shape solo_shape(std::size_t caches, Spans s = {}, int backlog = 64) {
-    lab::Solo::Shape shape;
+inline lab::SingleProcess::Options solo_shape(std::size_t caches, Spans s = {}, int backlog = 64) {
+    lab::SingleProcess::Options shape;
     shape.program = IRISMUX_PROGRAM;
     shape.caches = caches;
     shape.backlog = backlog;
@@ -38,7 +38,7 @@
     return shape;
 }
 
-inline lab::Solo::Shape answering(lab::Solo::Shape shape) {
+inline lab::SingleProcess::Options answering(lab::SingleProcess::Options shape) {
     shape.answers = true;
     return shape;
 }
--- a/tests/slow_start_fleet_test.cpp
+++ b/tests/slow_start_fleet_test.cpp
@@ -12,53 +12,53 @@
 namespace {
 
 // One gateway's way out; what it asks of the cold cache or parent is written down for all.
-struct FleetPort final : Port {
+struct FleetPort final : RouterCallbacks {
     struct Asked {
-        Instant at;
+        TimePoint at;
         double work;
         bool told;
     };
     struct Due {
-        Instant at;
+        TimePoint at;
         std::size_t gateway;
-        Answer answer;
+        AttemptResult answer;
         bool operator>(const Due& o) const { return at > o.at; }
     };
     std::size_t gateway = 0;
-    Instant now;
+    TimePoint now;
     CacheId cold;
     bool told = false;
     std::deque<Asked>* asked = nullptr;
     std::priority_queue<Due, std::vector<Due>, std::greater<>>* due = nullptr;
-    std::map<LookupId, std::uint64_t> sends;
+    std::map<RequestId, std::uint64_t> sends;
     std::uint64_t filled = 0, nacked = 0;
-    std::vector<std::pair<Instant, AlarmNo>> alarms;
+    std::vector<std::pair<TimePoint, TimerId>> alarms;
     double work = 0;
 
-    void send(const LookupId&, const CacheId&, Span) override {}
-    void fill(const LookupId& id, const Fill& f) override {
+    void start_direct_attempt(const RequestId&, const CacheId&, Duration) override {}
+    void start_attempt(const RequestId& id, const AttemptPlan& f) override {
         if (f.source == cold || f.cache == cold) asked->push_back({now, work, told});
         const bool looked = f.source == f.cache;
         ++filled;
-        due->push({now + Span::seconds(looked ? 0.002 : 0.06),
+        due->push({now + Duration::seconds(looked ? 0.002 : 0.06),
                    gateway,
                    {id,
-                    SendNo{sends[id]++},
+                    AttemptIndex{sends[id]++},
                     f.cache,
-                    looked ? Outcome::lookup_miss : Outcome::completed,
-                    looked ? Note::none : Note::filled,
-                    Span::seconds(looked ? 0.002 : 0.06),
-                    Span{},
+                    looked ? Outcome::cache_miss : Outcome::completed,
+                    looked ? CacheStatus::none : CacheStatus::filled,
+                    Duration::seconds(looked ? 0.002 : 0.06),
+                    Duration{},
                     !looked,
                     {}}});
     }
-    void cancel(const LookupId&, SendNo) override {}
-    void nack(const LookupId&, Span) override { ++nacked; }
-    void fail(const LookupId&) override {}
-    void probe(const CacheId&) override {}
-    void alarm(AlarmNo n, Instant at) override { alarms.emplace_back(at, n); }
-    void watch_list() override {}
-    void note_down(std::string_view) override {}
+    void cancel_attempt(const RequestId&, AttemptIndex) override {}
+    void reject(const RequestId&, Duration) override { ++nacked; }
+    void fail(const RequestId&) override {}
+    void request_health_check(const CacheId&) override {}
+    void set_timer(TimerId n, TimePoint at) override { alarms.emplace_back(at, n); }
+    void subscribe_to_endpoints() override {}
+    void log(std::string_view) override {}
 };
 
 struct ColdFleet {
@@ -71,39 +71,39 @@
     std::priority_queue<FleetPort::Due, std::vector<FleetPort::Due>, std::greater<>> due;
     std::vector<std::unique_ptr<FleetPort>> ports;
     std::vector<std::unique_ptr<Router>> routers;
-    std::vector<Instant> tells;
-    Instant began = Instant::at_seconds(1001);
+    std::vector<TimePoint> tells;
+    TimePoint began = TimePoint::at_seconds(1001);
     double worst = 0;  // the most asked in a window, of what that window allows
     std::uint64_t lookups = 0;
 
     ColdFleet(int gateways, std::uint32_t seed) : chance(seed) {
-        d.gateways = d.gateways_here = gateways;
+        d.gateways = d.gateways_in_location = gateways;
         d.locations = 1;
         d.kinds = {kind_of(Effect::idempotent)};
         // Room everywhere but at the cold parent.
-        d.pipe_here_kb_per_s = d.pipes_all_kb_per_s = 1e7;
+        d.location_link_capacity_kb_per_s = d.total_link_capacity_kb_per_s = 1e7;
     }
     double draw() { return static_cast<double>(chance()) / static_cast<double>(std::ranlux24_base::max()); }
 
-    std::vector<Listing> list(bool again) const {
-        std::vector<Listing> all = usual_list();
-        for (Listing& l : all) {
-            l.weight = l.machine == edge_machine ? 1e4 : parent_weight;
-            if (again && l.cache.raw() == "p1") l.started = began;
+    std::vector<EndpointUpdate> list(bool again) const {
+        std::vector<EndpointUpdate> all = usual_list();
+        for (EndpointUpdate& l : all) {
+            l.weight = l.machine_type == edge_machine ? 1e4 : parent_weight;
+            if (again && l.cache.raw() == "p1") l.started_at = began;
         }
         return all;
     }
-    void start(std::size_t g, Instant now, bool knows) {
+    void start(std::size_t g, TimePoint now, bool knows) {
         FleetPort& p = *ports[g];
         p.told = knows;
         p.alarms.clear();
         p.sends.clear();
         routers[g] = std::make_unique<Router>(p, d, chance(), now);
-        routers[g]->on_list(now, list(knows), true);
+        routers[g]->on_endpoint_updates(now, list(knows), true);
     }
     // Quiet but for now and then, until all gateways are asked much at once, so long after the start.
     void play(double burst_after) {
-        const Instant burst = began + Span::seconds(burst_after), end = burst + Span::seconds(3);
+        const TimePoint burst = began + Duration::seconds(burst_after), end = burst + Duration::seconds(3);
         const auto n = static_cast<std::size_t>(d.gateways);
         for (std::size_t g = 0; g < n; ++g) {
             ports.push_back(std::make_unique<FleetPort>());
@@ -114,56 +114,58 @@
             ports[g]->asked = &asked;
             ports[g]->due = &due;
             ports[g]->work = work;
-            start(g, began - Span::seconds(1), false);
-            tells.push_back(began + Span::seconds(draw()));
+            start(g, began - Duration::seconds(1), false);
+            tells.push_back(began + Duration::seconds(draw()));
         }
-        for (Instant now = began - Span::seconds(0.5); now < end; now = now + Span::seconds(0.01)) {
+        for (TimePoint now = began - Duration::seconds(0.5); now < end; now = now + Duration::seconds(0.01)) {
             while (!due.empty() && due.top().at <= now) {
                 const auto next = due.top();
                 due.pop();
                 ports[next.gateway]->now = now;
-                routers[next.gateway]->on_answer(now, next.answer);
+                routers[next.gateway]->on_attempt_result(now, next.answer);
             }
             for (std::size_t g = 0; g < n; ++g) {
                 FleetPort& p = *ports[g];
                 p.now = now;
                 if (!p.told && now >= tells[g]) {
                     p.told = true;
-                    routers[g]->on_list(now, list(true), true);
+                    routers[g]->on_endpoint_updates(now, list(true), true);
                 }
                 // Restarts in the warm-up, that forget all: about one in two gateways in all.
-                if (now > began + Span::seconds(2) && draw() < 0.01 * 0.5 / std::max(1.0, burst_after))
+                if (now > began + Duration::seconds(2) && draw() < 0.01 * 0.5 / std::max(1.0, burst_after))
                     start(g, now, true);
                 for (const auto& [at, no] : std::exchange(p.alarms, {}))
-                    at <= now ? routers[g]->on_alarm(now, no) : (void)p.alarms.emplace_back(at, no);
+                    at <= now ? routers[g]->on_timer(now, no) : (void)p.alarms.emplace_back(at, no);
                 // A tenth of the gateways gets most of the traffic.
                 const double heavy = g % 10 == 0 ? 4 : 0.7;
-                const double pace = (now >= burst && now < burst + Span::seconds(1) ? 10 : 0.02) * heavy;
+                const double pace = (now >= burst && now < burst + Duration::seconds(1) ? 10 : 0.02) * heavy;
                 if (draw() < pace * 0.01) ask(g, now);
             }
         }
     }
-    void ask(std::size_t g, Instant now) {
-        Arrival lk;
-        lk.id = LookupId{++lookups};
-        lk.kind = KindNo{0};
+    void ask(std::size_t g, TimePoint now) {
+        Request lk;
+        lk.id = RequestId{++lookups};
+        lk.kind = ObjectKindIndex{0};
         lk.object = ObjectName{"a" + std::to_string(lookups * 7919)};
-        lk.group = GroupNo{1};
-        lk.expires = now + Span::seconds(5);
-        lk.kbytes = work * d.flow_kb_per_s;
-        routers[g]->on_lookup(now, lk);
+        lk.purge_group = PurgeGroupId{1};
+        lk.deadline = now + Duration::seconds(5);
+        lk.size_kb = work * d.transfer_rate_kb_per_s;
+        routers[g]->on_request(now, lk);
     }
     // What was asked by those that had been told, in each window that ends with one of them.
-    void judge() { judge(d.cold_parent, parent_weight); }
-    void judge(const ColdStart& c, double capacity) {
+    void judge() { judge(d.parent_slow_start, parent_weight); }
+    void judge(const SlowStart& c, double capacity) {
         for (std::size_t last = 0, first = 0; last < asked.size(); ++last) {
-            const Instant t = asked[last].at;
+            const TimePoint t = asked[last].at;
             if (t < began) continue;
-            while (asked[first].at < began || t - asked[first].at > d.fall_window) ++first;
+            while (asked[first].at < began || t - asked[first].at > d.overload_window) ++first;
             double calls = 0;
             for (std::size_t i = first; i <= last; ++i) calls += asked[i].told ? asked[i].work / work : 0;
-            const double present = c.floor + (1 - c.floor) * std::max(0.0, (t - began) / c.warm_after);
-            const double allowed = c.multiple * present * capacity * d.fall_window.seconds() / work;
+            const double present = c.initial_capacity_share +
+                                   (1 - c.initial_capacity_share) * std::max(0.0, (t - began) / c.window);
+            const double allowed =
+                c.overload_multiple * present * capacity * d.overload_window.seconds() / work;
             worst = std::max(worst, calls / (allowed + 2 * std::sqrt(allowed) + 2));
         }
     }
@@ -203,31 +205,31 @@
     static constexpr double burst_lasts = 2, burst_pace = 400, quiet_pace = 8;
 
     ColdLocation(int gateways, std::uint32_t seed) : ColdFleet(gateways, seed) {
-        d.weights_told = false;
+        d.weights_known = false;
         // The location's link carries half of what its three caches send.
-        d.pipe_here_kb_per_s = 3 * cache_capacity / 2 * d.flow_kb_per_s;
+        d.location_link_capacity_kb_per_s = 3 * cache_capacity / 2 * d.transfer_rate_kb_per_s;
     }
-    std::vector<Listing> lines(Phase of_peers) const {
-        std::vector<Listing> all = usual_list();
-        for (Listing& l : all) {
-            if (l.cache.raw() == "e1") l.started = began;
-            if (l.cache.raw() == "e2" || l.cache.raw() == "e3") l.phase = of_peers;
+    std::vector<EndpointUpdate> lines(EndpointStatus of_peers) const {
+        std::vector<EndpointUpdate> all = usual_list();
+        for (EndpointUpdate& l : all) {
+            if (l.cache.raw() == "e1") l.started_at = began;
+            if (l.cache.raw() == "e2" || l.cache.raw() == "e3") l.status = of_peers;
         }
         return all;
     }
-    void gateway_starts(std::size_t g, Instant now, Phase peers) {
+    void gateway_starts(std::size_t g, TimePoint now, EndpointStatus peers) {
         FleetPort& p = *ports[g];
         p.now = now;
         p.alarms.clear();
         p.sends.clear();
         routers[g] = std::make_unique<Router>(p, d, chance(), now);
-        routers[g]->on_list(now, lines(peers), true);
+        routers[g]->on_endpoint_updates(now, lines(peers), true);
     }
     void play_peers_leave(double burst_after, Heard heard) {
-        const Instant burst = began + Span::seconds(burst_after);
-        const Instant leave = burst - Span::seconds(leave_before_burst);
+        const TimePoint burst = began + Duration::seconds(burst_after);
+        const TimePoint leave = burst - Duration::seconds(leave_before_burst);
         const auto n = static_cast<std::size_t>(d.gateways);
-        std::vector<Instant> hears;
+        std::vector<TimePoint> hears;
         for (std::size_t g = 0; g < n; ++g) {
             ports.push_back(std::make_unique<FleetPort>());
             ports[g]->gateway = g;
@@ -237,35 +239,36 @@
             ports[g]->work = work;
             ports[g]->told = true;
             routers.emplace_back();
-            gateway_starts(g, began, Phase::in_service);
-            hears.push_back(leave + Span::seconds(draw() * all_told_within));
+            gateway_starts(g, began, EndpointStatus::active);
+            hears.push_back(leave + Duration::seconds(draw() * all_told_within));
         }
         std::vector<int> step(n, 0);
-        for (Instant now = began; now < burst + Span::seconds(burst_lasts); now = now + Span::seconds(0.01)) {
+        for (TimePoint now = began; now < burst + Duration::seconds(burst_lasts);
+             now = now + Duration::seconds(0.01)) {
             while (!due.empty() && due.top().at <= now) {
                 const auto next = due.top();
                 due.pop();
                 ports[next.gateway]->now = now;
-                routers[next.gateway]->on_answer(now, next.answer);
+                routers[next.gateway]->on_attempt_result(now, next.answer);
             }
             for (std::size_t g = 0; g < n; ++g) {
                 ports[g]->now = now;
                 if (step[g] == 0 && now >= hears[g]) {
                     step[g] = 1;
-                    if (heard == Heard::restarted_meanwhile) gateway_starts(g, now, Phase::draining);
+                    if (heard == Heard::restarted_meanwhile) gateway_starts(g, now, EndpointStatus::draining);
                 }
-                if (step[g] == 1 && now >= hears[g] + Span::seconds(drain)) {
+                if (step[g] == 1 && now >= hears[g] + Duration::seconds(drain)) {
                     step[g] = 2;
-                    routers[g]->on_list(now, lines(Phase::gone), false);
+                    routers[g]->on_endpoint_updates(now, lines(EndpointStatus::removed), false);
                 }
                 for (const auto& [at, no] : std::exchange(ports[g]->alarms, {}))
-                    at <= now ? routers[g]->on_alarm(now, no) : (void)ports[g]->alarms.emplace_back(at, no);
+                    at <= now ? routers[g]->on_timer(now, no) : (void)ports[g]->alarms.emplace_back(at, no);
                 const double heavy = g % 10 == 0 ? 4 : 0.7;
                 if (draw() < (now >= burst ? burst_pace : quiet_pace) / d.gateways * heavy * 0.01)
                     ask(g, now);
             }
         }
-        judge(d.cold_edge, cache_capacity);
+        judge(d.edge_slow_start, cache_capacity);
     }
 };
 
--- a/tests/waiting_attempt_test.cpp
+++ b/tests/waiting_attempt_test.cpp
@@ -7,12 +7,14 @@
 
 namespace {
 
-const Span second = Span::seconds(1);
+const Duration second = Duration::seconds(1);
 
 class Waiting : public ::testing::Test {
 protected:
     Bench b;
-    bool may_begin(std::size_t s) { return b.router.may_begin(b.now, b.port.sends[s].id, b.port.sends[s].n); }
+    bool may_begin(std::size_t s) {
+        return b.router.may_begin_attempt(b.now, b.port.sends[s].id, b.port.sends[s].n);
+    }
     std::size_t last() const { return b.port.sends.size() - 1; }
     void TearDown() override { EXPECT_TRUE(b.port.broken.empty()) << b.port.broken.front(); }
 };
@@ -20,7 +22,7 @@
 TEST_F(Waiting, AClientThatHasLeftLetsNothingBegin) {
     ASSERT_TRUE(b.lookup(arrival("l", "x", b.now + second * 5)));
     EXPECT_TRUE(may_begin(last()));
-    b.router.on_client_gone(b.now, lookup_named("l"));
+    b.router.on_client_closed(b.now, lookup_named("l"));
     EXPECT_FALSE(may_begin(last()));
     b.port.open.clear();
 }
@@ -37,16 +39,16 @@
         const CacheId again = source ? s->fill.source : s->fill.cache;
         EXPECT_TRUE(may_begin(n));
         b.pass(second);
-        for (Listing l : usual_list()) {
+        for (EndpointUpdate l : usual_list()) {
             if (l.cache != again) continue;
-            l.started = b.now;
+            l.started_at = b.now;
             b.list({l});
         }
-        b.pass(Span::micros(1000));
+        b.pass(Duration::micros(1000));
         EXPECT_FALSE(may_begin(n)) << again.raw();
         b.pass(second * 5);
         EXPECT_TRUE(may_begin(n) && may_begin(n)) << again.raw();
-        b.answer(n, Outcome::completed, Note::filled);
+        b.answer(n, Outcome::completed, CacheStatus::filled);
     }
 }
 
@@ -54,11 +56,11 @@
 // long gone.
 TEST(Forgetting, ACacheLongGoneStillNamesTheCellOfItsSends) {
     Deployment d = deployment();
-    d.kinds[2].group = DedupGroup::cell;
-    d.kinds[2].window = second * 200;
+    d.kinds[2].dedup_scope = DedupScope::cell;
+    d.kinds[2].dedup_window = second * 200;
     d.kinds[2].deadline = second * 200;
-    d.permits.sends = 2;
-    std::vector<Listing> first = usual_list();
+    d.capabilities.max_attempts = 2;
+    std::vector<EndpointUpdate> first = usual_list();
     first.resize(3);  // e1, e2 of cell 0 and e3 of cell 1
     first.push_back(usual_list()[5]);
     Bench b(d, 7, first);
@@ -69,17 +71,17 @@
         if (b.lookup(arrival(id, id, b.now + second * 200, 2))->fill.cache == CacheId{"e3"})
             name = id;
         else
-            b.answer(b.port.sends.size() - 1, Outcome::completed, Note::filled);
+            b.answer(b.port.sends.size() - 1, Outcome::completed, CacheStatus::filled);
     }
     const std::size_t at = b.port.sends.size() - 1;
-    Listing gone = first[2];
-    gone.phase = Phase::gone;
+    EndpointUpdate gone = first[2];
+    gone.status = EndpointStatus::removed;
     b.list({gone});
     // Its answer is owed: the record stays. When it has come, and a list after the longest warm-up, it goes.
     b.pass(second * 30);
     b.list({first[0]});
     const std::size_t before = b.port.sends.size();
-    b.answer(at, Outcome::severed);
+    b.answer(at, Outcome::connection_reset);
     EXPECT_EQ(b.port.sends.size(), before) << "sent again outside its cell";
     EXPECT_TRUE(b.port.broken.empty()) << b.port.broken.front();
 }
--- a/tests/wall_clock_test.cpp
+++ b/tests/wall_clock_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 using lab::Shims;
-using lab::Solo;
+using lab::SingleProcess;
 
 const lab::ShimLibraries libraries{IRISMUX_SKEWED_CLOCK, IRISMUX_FAILING_CALLS};
 constexpr std::int64_t hour_us = 3'600'000'000;
@@ -33,12 +33,12 @@
 
 class WallClock : public ::testing::TestWithParam<Case> {
 protected:
-    void start(lab::Solo::Shape shape) {
+    void start(lab::SingleProcess::Options shape) {
         if (GetParam().when == Stepped::before_start) step();
         shape.environment = shims.environment();
-        solo = std::make_unique<Solo>(answering(shape));
+        solo = std::make_unique<SingleProcess>(answering(shape));
         // The poll under way is one that the board holds open.
-        ASSERT_TRUE(solo->until([&] { return solo->board->waiting_from() == 1; }));
+        ASSERT_TRUE(solo->until([&] { return solo->notice_board->waiting_from() == 1; }));
         if (GetParam().when == Stepped::while_running) step();
     }
     void step() {
@@ -48,17 +48,17 @@
     }
     // Asks for so many objects, one in each few milliseconds; true: each was answered.
     bool ask(int lookups) {
-        const auto client = solo->asker();
+        const auto client = solo->connect_client();
         for (int n = 0; n < lookups; ++n) {
-            client->ask(static_cast<std::uint16_t>(n + 1), {.id = id_of(next_), .object = id_of(next_)});
+            client->send(static_cast<std::uint16_t>(n + 1), {.id = id_of(next_), .object = id_of(next_)});
             ++next_;
-            solo->until([] { return false; }, Span::micros(4'000));
+            solo->until([] { return false; }, Duration::micros(4'000));
         }
-        return solo->until([&] { return client->answers.size() == static_cast<std::size_t>(lookups); });
+        return solo->until([&] { return client->responses.size() == static_cast<std::size_t>(lookups); });
     }
 
     Shims shims{libraries};
-    std::unique_ptr<Solo> solo;
+    std::unique_ptr<SingleProcess> solo;
 
 private:
     int next_ = 1000;
@@ -67,12 +67,12 @@
 // Rule 5: no send after the purge was told may take a copy from before it. Guarded by EventTimes.
 TEST_P(WallClock, APurgeToldByAnOpenPollBindsAtOnce) {
     start(solo_shape(2));
-    const Instant told = solo->loop.now();
-    solo->board->post({{"flush", {{"collection", 1}, {"ms", unix_now_ms()}}}});
-    ASSERT_TRUE(solo->until([&] { return solo->board->waiting_from() == 2; }));
+    const TimePoint told = solo->loop.now();
+    solo->notice_board->post({{"flush", {{"collection", 1}, {"ms", unix_now_ms()}}}});
+    ASSERT_TRUE(solo->until([&] { return solo->notice_board->waiting_from() == 2; }));
     ASSERT_TRUE(ask(100));
     for (const auto& cache : solo->caches)
-        for (const auto& pull : cache->pulls) {
+        for (const auto& pull : cache->received) {
             const std::string fresh(resp::field(pull.fields, "fresh"));
             ASSERT_FALSE(fresh.empty()) << "any copy would do";
             EXPECT_LE(std::stoll(fresh), (pull.at - told).micros() / 1000 + 1);
@@ -81,33 +81,33 @@
 
 // It binds for as long as it should and not for the hour by which the clock is off.
 TEST_P(WallClock, APurgeIsForgottenInItsTime) {
-    lab::Solo::Shape shape = solo_shape(2);
+    lab::SingleProcess::Options shape = solo_shape(2);
     shape.change = [change = shape.change](json& c) {
         change(c);
         c["settings"]["specifics"]["purgeDoneS"] = 0.2;
     };
     start(shape);
-    solo->board->post({{"flush", {{"collection", 1}, {"ms", unix_now_ms()}}}});
-    ASSERT_TRUE(solo->until([&] { return solo->board->waiting_from() == 2; }));
-    solo->until([] { return false; }, Span::seconds(0.6));
+    solo->notice_board->post({{"flush", {{"collection", 1}, {"ms", unix_now_ms()}}}});
+    ASSERT_TRUE(solo->until([&] { return solo->notice_board->waiting_from() == 2; }));
+    solo->until([] { return false; }, Duration::seconds(0.6));
     ASSERT_TRUE(ask(10));
     for (const auto& cache : solo->caches)
-        for (const auto& pull : cache->pulls) EXPECT_EQ(resp::field(pull.fields, "fresh"), "");
+        for (const auto& pull : cache->received) EXPECT_EQ(resp::field(pull.fields, "fresh"), "");
 }
 
 // Rule 4: a cache that starts while the process runs gets a small share at first.
 TEST_P(WallClock, ACacheThatStartsNowIsWarmedSlowly) {
     start(solo_shape(2));
-    lab::Puppet fresh(solo->loop, "e3");
-    fresh.then = [&fresh](const lab::Puppet::Pull& p) { fresh.answer(p); };
-    json line = lab::list_line("e3", "node", "plant", fresh.address(), "Ready");
+    lab::ScriptedCache fresh(solo->loop, "e3");
+    fresh.then = [&fresh](const lab::ScriptedCache::ReceivedAttempt& p) { fresh.answer(p); };
+    json line = lab::endpoint_json("e3", "node", "plant", fresh.address(), "Ready");
     line["started_ms"] = unix_now_ms();
-    solo->board->post({{"pool", {{"version", 2}, {"full", false}, {"servers", {line}}}}});
-    ASSERT_TRUE(solo->until([&] { return solo->board->waiting_from() == 2; }));
+    solo->notice_board->post({{"pool", {{"version", 2}, {"full", false}, {"servers", {line}}}}});
+    ASSERT_TRUE(solo->until([&] { return solo->notice_board->waiting_from() == 2; }));
     constexpr int lookups = 400;
     ASSERT_TRUE(ask(lookups));
     // A third of the lookups are its own by their names.
-    EXPECT_LT(fresh.pulls.size(), static_cast<std::size_t>(lookups / 3 * cold_share));
+    EXPECT_LT(fresh.received.size(), static_cast<std::size_t>(lookups / 3 * cold_share));
 }
 
 // A signal that comes while the loop waits, just as the clock is stepped back: the wait goes on for what was
@@ -115,23 +115,23 @@
 // hangs.
 TEST(WallClockStep, WithASignalDoesNotHoldUpTheLoop) {
     Shims shims(libraries);
-    lab::Solo::Shape shape = solo_shape(1);
+    lab::SingleProcess::Options shape = solo_shape(1);
     shape.environment = shims.environment();
-    Solo solo(shape);
-    solo.board->silent = true;
-    const auto client = solo.asker();
+    SingleProcess solo(shape);
+    solo.notice_board->silent = true;
+    const auto client = solo.connect_client();
     for (std::uint16_t n = 1; n <= 5; ++n) {
-        client->ask(n, {.id = id_of(n), .patience_ms = 400});
-        ASSERT_TRUE(solo.until([&] { return solo.pulls(id_of(n)) > 0; }));
-        const Instant asked = solo.loop.now();
+        client->send(n, {.id = id_of(n), .patience_ms = 400});
+        ASSERT_TRUE(solo.until([&] { return solo.attempts_received(id_of(n)) > 0; }));
+        const TimePoint asked = solo.loop.now();
         for (int step = 1; step <= 4; ++step) {
-            solo.until([] { return false; }, Span::micros(20'000));
+            solo.until([] { return false; }, Duration::micros(20'000));
             lab::ClockSkew skew;
             skew.wall_ahead_us = -hour_us * (n * 4 + step);
             shims.set_clock(skew);
             solo.process->signal(SIGHUP);
         }
-        ASSERT_TRUE(solo.until([&] { return client->answered(n); }, Span::seconds(3)));
+        ASSERT_TRUE(solo.until([&] { return client->has_response(n); }, Duration::seconds(3)));
         EXPECT_LT((solo.loop.now() - asked).seconds(), 0.6);
     }
 }
