--- a/bench/data_path_load.hpp
+++ b/bench/data_path_load.hpp
@@ -44,7 +44,7 @@
 
 private:
     void look_whether_over();
-    lab::Acceptor keeps_alarms_running_;  // a reactor without sockets runs no alarms
+    stand_ins::Acceptor keeps_alarms_running_;  // a reactor without sockets runs no alarms
     std::atomic<bool> over_{false};
     std::thread thread_;
 };
@@ -60,7 +60,7 @@
 
 private:
     struct Connection {
-        std::shared_ptr<lab::FastCgiClient> asker;
+        std::shared_ptr<stand_ins::FastCgiClient> asker;
         std::vector<std::uint16_t> free;  // request numbers
     };
     void tick();
@@ -99,10 +99,10 @@
     std::string answer_;
     LoopThread board_thread_;
     std::vector<std::unique_ptr<LoopThread>> client_loops_, cache_loops_;
-    std::unique_ptr<lab::NoticeBoard> board_;
-    std::vector<std::unique_ptr<lab::ScriptedCache>> caches_;
+    std::unique_ptr<stand_ins::NoticeBoard> board_;
+    std::vector<std::unique_ptr<stand_ins::ScriptedCache>> caches_;
     std::vector<std::unique_ptr<LoadClients>> clients_;
-    std::unique_ptr<lab::Process> process_;
+    std::unique_ptr<stand_ins::Process> process_;
 };
 
 }  // namespace irismux::bench
--- a/bench/fleet_owner.cpp
+++ b/bench/fleet_owner.cpp
@@ -63,8 +63,8 @@
             if (!a_.until([&] { return ready(); }) || !once(counted)) ++counted.stuck;
         for (const std::string& what : a_.broken) std::cerr << "broken: " << what << '\n';
     }
-    static lab::ProcessFleet::Options shape(const std::string& program) {
-        lab::ProcessFleet::Options s;
+    static stand_ins::ProcessFleet::Options shape(const std::string& program) {
+        stand_ins::ProcessFleet::Options s;
         s.program = program;
         s.gateways = gateways;
         s.caches = 1;
@@ -119,7 +119,8 @@
         if (fault_ == "cut on the way back") a_.cut_registry(who, false, is);
         if (fault_ == "link of 500 bytes a second")
             for (auto& r : a_.gateways[who].to_registry) {
-                for (const lab::Direction w : {lab::Direction::to_server, lab::Direction::to_client})
+                for (const stand_ins::Direction w :
+                     {stand_ins::Direction::to_server, stand_ins::Direction::to_client})
                     r->faults(w).bytes_a_second = is ? 500 : 0;
                 if (!is) r->break_all();  // what still crawls there is given up
             }
@@ -132,7 +133,7 @@
 
     std::string fault_;
     fs::path folder_;
-    lab::ProcessFleet a_;
+    stand_ins::ProcessFleet a_;
     std::size_t lost_ = 0;
 };
 
@@ -145,7 +146,7 @@
                   "cut on the way back",
                   "link of 500 bytes a second",
                   "registry member lost"};
-    const lab::ProcessFleet::Options s = Fleet::shape(program);
+    const stand_ins::ProcessFleet::Options s = Fleet::shape(program);
     const double bound =
         longest_without_owner({"", s.term, s.drift}, s.term * 0.125, gateways - 2).seconds() * 1000;
     std::printf(
@@ -218,7 +219,7 @@
         "lookup median ms | 95th | 99th | failed or nacked |\n"
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
     for (const std::string state : {"off", "on", "on, churn", "off", "on"}) {
-        lab::ProcessFleet::Options s;
+        stand_ins::ProcessFleet::Options s;
         s.program = program;
         s.term = ms * 12'000;  // as an installation would have it
         s.collection_interval = ms * 60'000;
@@ -228,13 +229,13 @@
         if (churn) s.term = ms * 800;
         const fs::path folder = fs::temp_directory_path() / ("fleet_cost." + std::to_string(::getpid()));
         {
-            lab::ProcessFleet a(s, folder.string());
+            stand_ins::ProcessFleet a(s, folder.string());
             auto& g = a.gateways[0];
             if (on)
                 a.start_all();
             else
-                g.process = std::make_unique<lab::Process>(
-                    lab::Process::Start{{program}, {"NODE_CONFIG=" + g.configuration}, "", g.log});
+                g.process = std::make_unique<stand_ins::Process>(
+                    stand_ins::Process::Start{{program}, {"NODE_CONFIG=" + g.configuration}, "", g.log});
             a.until([&] { return a.logged(0, "serves on") && (!on || a.all_joined()); }, ms * 30'000);
             const pid_t id = g.process->id();
             const double idle = processor_seconds(id);
@@ -275,7 +276,7 @@
         "| --- | --- | --- | --- | --- | --- | --- |\n");
     for (const std::size_t n : sizes)
         for (const bool spread : {true, false}) {
-            lab::FleetSimulation w(
+            stand_ins::FleetSimulation w(
                 7, {.members = n, .duties = 8, .drift = 0.01, .spread = spread, .works = false},
                 shared_config);
             w.start_all();
--- a/bench/registry_load.cpp
+++ b/bench/registry_load.cpp
@@ -40,16 +40,16 @@
 // That many clients follow; then all connections break, or the registry is away for five seconds.
 void herd(std::size_t clients, bool away) {
     EventLoop loop;
-    lab::RegistryStandIn r(loop, members, ms * 100);
+    stand_ins::RegistryStandIn r(loop, members, ms * 100);
     for (std::size_t n = 0; n < listed; ++n)
-        r.model.put("/caches/c" + std::to_string(n), lab::list_value("c" + std::to_string(n), "Ready"));
+        r.model.put("/caches/c" + std::to_string(n), stand_ins::list_value("c" + std::to_string(n), "Ready"));
     registry::Settings settings;
     for (std::size_t m = 0; m < members; ++m) settings.members.push_back(r.address(m));
     settings.prefix = "/caches/";
     settings.poll_policy.members = members;
     std::vector<std::unique_ptr<Ear>> ears;
     std::vector<std::unique_ptr<registry::RegistryClient>> all;
-    lab::Intervals stretches(loop);
+    stand_ins::Intervals stretches(loop);
     for (std::size_t n = 0; n < clients; ++n) {
         ears.push_back(std::make_unique<Ear>());
         all.push_back(std::make_unique<registry::RegistryClient>(loop, *ears.back(), settings, n * 7919 + 1));
@@ -89,8 +89,8 @@
         std::vector<registry::Record> records;
         for (std::size_t k = 0; k < n; ++k) {
             const std::string id = "cache-" + std::to_string(k);
-            records.push_back({registry::RecordKey{id}, lab::list_value(id, "Ready"), registry::Revision{1},
-                               registry::Revision{1}});
+            records.push_back({registry::RecordKey{id}, stand_ins::list_value(id, "Ready"),
+                               registry::Revision{1}, registry::Revision{1}});
         }
         const auto before = ::mallinfo2().uordblks;
         auto view = std::make_unique<registry::EndpointView>();
@@ -103,7 +103,7 @@
         for (std::int64_t e = 0; e < events; ++e) {
             registry::Record r = records[static_cast<std::size_t>(e) % n];
             r.modified = registry::Revision{e + 2};
-            r.value = lab::list_value(r.key.raw(), e % 2 ? "Ready" : "Terminating");
+            r.value = stand_ins::list_value(r.key.raw(), e % 2 ? "Ready" : "Terminating");
             view->apply(r.modified, {{r, false}}, TimePoint::at_seconds(2));
         }
         const double us = std::chrono::duration<double, std::micro>(Clock::now() - from).count();
--- a/bench/registry_staleness.cpp
+++ b/bench/registry_staleness.cpp
@@ -45,16 +45,16 @@
         json lines = json::array();
         for (std::size_t n = 0; n < edge_caches; ++n) {
             caches_.push_back(
-                std::make_unique<lab::Cache>(loop_, "c" + std::to_string(n), Duration::micros(1'000)));
+                std::make_unique<stand_ins::Cache>(loop_, "c" + std::to_string(n), Duration::micros(1'000)));
             lines.push_back(line(n, "Ready"));
         }
-        lines.push_back(lab::endpoint_json("p1", "parent", "hub", "127.0.0.1:9", "Ready"));
-        lines.push_back(lab::endpoint_json("o1", "origin", "hub", "127.0.0.1:9", "Ready"));
+        lines.push_back(stand_ins::endpoint_json("p1", "parent", "hub", "127.0.0.1:9", "Ready"));
+        lines.push_back(stand_ins::endpoint_json("o1", "origin", "hub", "127.0.0.1:9", "Ready"));
         for (const json& l : lines) registry_.model.put(prefix + l["id"].get<std::string>(), l.dump());
         board_.post({{"pool", {{"version", 1}, {"full", true}, {"servers", lines}}}});
         if (!start()) return false;
-        clients_ = std::make_unique<lab::ClientLoad>(loop_, listen_, "pages", Duration::micros(2'500),
-                                                     Duration::seconds(1.5));
+        clients_ = std::make_unique<stand_ins::ClientLoad>(loop_, listen_, "pages", Duration::micros(2'500),
+                                                           Duration::seconds(1.5));
         after(0.5, [this] { clients_->start(); });
         after(1.5, [this] {
             trouble();
@@ -75,7 +75,8 @@
         loop_.schedule_at(loop_.now() + Duration::seconds(seconds), std::move(step));
     }
     json line(std::size_t n, const std::string& state) const {
-        return lab::endpoint_json("c" + std::to_string(n), "node", "plant", caches_[n]->address(), state);
+        return stand_ins::endpoint_json("c" + std::to_string(n), "node", "plant", caches_[n]->address(),
+                                        state);
     }
     void post(const json& l) { board_.post({{"pool", {{"version", 2}, {"full", false}, {"servers", {l}}}}}); }
     void put(std::size_t n, const std::string& state) {
@@ -94,7 +95,8 @@
         folder_ =
             std::filesystem::temp_directory_path() / ("registry_staleness." + std::to_string(::getpid()));
         std::filesystem::create_directories(folder_);
-        std::ofstream(folder_ / "node.json") << lab::configuration(listen_, board_.address(), board_.known());
+        std::ofstream(folder_ / "node.json")
+            << stand_ins::configuration(listen_, board_.address(), board_.known());
         std::ofstream parts(folder_ / "parts.toml");
         parts << "[registry]\nmembers = [";
         for (std::size_t m = 0; m < members; ++m)
@@ -159,7 +161,7 @@
         const TimePoint at = loop_.now();
         loop_.schedule_at(at + watched, [this, n, at] {
             double last = 0;
-            for (const lab::Cache::ReceivedAttempt& p : caches_[n]->received) {
+            for (const stand_ins::Cache::ReceivedAttempt& p : caches_[n]->received) {
                 if (p.first_byte <= at) continue;
                 last = std::max(last, (p.first_byte - at).seconds());
                 late_ += p.first_byte > at + grace;
@@ -186,10 +188,10 @@
     std::string program_, name_, listen_;
     int drains_, made_ = 0;
     EventLoop loop_;
-    lab::RegistryStandIn registry_{loop_, members, Duration::micros(50'000)};
-    lab::NoticeBoard board_{loop_};
-    std::vector<std::unique_ptr<lab::Cache>> caches_;
-    std::unique_ptr<lab::ClientLoad> clients_;
+    stand_ins::RegistryStandIn registry_{loop_, members, Duration::micros(50'000)};
+    stand_ins::NoticeBoard board_{loop_};
+    std::vector<std::unique_ptr<stand_ins::Cache>> caches_;
+    std::unique_ptr<stand_ins::ClientLoad> clients_;
     std::filesystem::path folder_;
     pid_t pid_ = 0;
     std::map<std::size_t, std::string> polled_;
--- a/bench/scale/control_channel.cpp
+++ b/bench/scale/control_channel.cpp
@@ -4,7 +4,7 @@
 
 namespace irismux::scale {
 
-ControlChannel::ControlChannel(std::shared_ptr<lab::StandInConnection> wire, Heard heard,
+ControlChannel::ControlChannel(std::shared_ptr<stand_ins::StandInConnection> wire, Heard heard,
                                std::function<void()> ended)
     : wire_(std::move(wire)) {
     wire_->got = [heard = std::move(heard)](Buffer& in) {
@@ -22,7 +22,7 @@
 
 std::unique_ptr<ControlChannel> ControlChannel::connect(EventLoop& loop, const std::string& address,
                                                         Heard heard, std::function<void()> ended) {
-    auto wire = std::make_shared<lab::StandInConnection>(loop);
+    auto wire = std::make_shared<stand_ins::StandInConnection>(loop);
     auto channel = std::make_unique<ControlChannel>(wire, std::move(heard), std::move(ended));
     if (!wire->start(address)) throw std::runtime_error("no connection to " + address + " was possible");
     return channel;
--- a/bench/scale/rig.cpp
+++ b/bench/scale/rig.cpp
@@ -59,9 +59,9 @@
     check_descriptors();
     std::signal(SIGTERM, on_end);
     std::signal(SIGINT, on_end);
-    acceptor_ = std::make_unique<lab::Acceptor>(
+    acceptor_ = std::make_unique<stand_ins::Acceptor>(
         loop_, [this](Poco::Net::StreamSocket s) { taken(std::move(s)); }, static_cast<int>(most_processes));
-    stretches_ = std::make_unique<lab::Intervals>(loop_);
+    stretches_ = std::make_unique<stand_ins::Intervals>(loop_);
     start_registry();
     board_ = ask(start_child("board", 0), json::object()).at("address");
     start_relays();
@@ -110,11 +110,11 @@
 // --- children --------------------------------------------------------------------------------------------
 
 void Rig::taken(Poco::Net::StreamSocket socket) {
-    auto wire = std::make_shared<lab::StandInConnection>(loop_, std::move(socket));
+    auto wire = std::make_shared<stand_ins::StandInConnection>(loop_, std::move(socket));
     const auto child = std::make_shared<Child*>(nullptr);
     auto channel = std::make_unique<ControlChannel>(
         wire,
-        [this, child, weak = std::weak_ptr<lab::StandInConnection>(wire)](const json& m) {
+        [this, child, weak = std::weak_ptr<stand_ins::StandInConnection>(wire)](const json& m) {
             heard(child, m, weak.lock());
         },
         [] {});
@@ -125,7 +125,7 @@
 }
 
 void Rig::heard(const std::shared_ptr<Child*>& child, const json& message,
-                const std::shared_ptr<lab::StandInConnection>& wire) {
+                const std::shared_ptr<stand_ins::StandInConnection>& wire) {
     if (message.contains("hello")) {
         for (auto& c : children_)
             if (c->role == message["hello"] && c->number == message["number"]) *child = c.get();
@@ -153,7 +153,7 @@
     Child& child = *children_.back();
     child.role = role;
     child.number = number;
-    child.process = std::make_unique<lab::Process>(lab::Process::Start{
+    child.process = std::make_unique<stand_ins::Process>(stand_ins::Process::Start{
         .command = {settings_.self, "role", role, acceptor_->address(), std::to_string(number)},
         .environment = {},
         .folder = {},
@@ -207,10 +207,10 @@
 
 json Rig::list_line_of(std::size_t cache) const {
     const bool reachable = cache < cache_addresses_.size();
-    json line =
-        lab::endpoint_json(Topology::cache_name(cache), "node",
-                           reachable ? real_zone : "zone-" + std::to_string(cache / Topology::zone_caches),
-                           reachable ? cache_addresses_[cache] : "10.0.0.1:6379", "Ready");
+    json line = stand_ins::endpoint_json(
+        Topology::cache_name(cache), "node",
+        reachable ? real_zone : "zone-" + std::to_string(cache / Topology::zone_caches),
+        reachable ? cache_addresses_[cache] : "10.0.0.1:6379", "Ready");
     // The version of the list is the weight of its first cache, in thousandths.
     if (cache == 0) line["weight"] = static_cast<double>(list_version_) / 1000;
     return line;
@@ -259,7 +259,7 @@
     start_children("hollow", topology().sites());
     ask_all("hollow", json::object());
     for (Child* child : all_of("hollow"))
-        empty_hollow_ = std::max(empty_hollow_, lab::resident_bytes(child->process->id()));
+        empty_hollow_ = std::max(empty_hollow_, stand_ins::resident_bytes(child->process->id()));
     std::vector<std::pair<Child*, std::int64_t>> told;
     for (Child* child : all_of("hollow")) {
         json gateways = json::array();
@@ -278,8 +278,8 @@
 void Rig::set_up_real() {
     for (std::size_t g = 0; g < settings_.real_gateways; ++g) {
         const std::string name = Topology::gateway_name(g), base = (folder_.path / name).string();
-        json c = lab::configuration(free_address(), by_gateway_[g][settings_.members],
-                                    {{"rev", 0}, {"notices", json::array()}});
+        json c = stand_ins::configuration(free_address(), by_gateway_[g][settings_.members],
+                                          {{"rev", 0}, {"notices", json::array()}});
         c["name"] = name;
         c["seed"] = std::to_string(settings_.seed * 100'003 + g);
         c["settings"]["balancers"] = topology().gateways;
@@ -301,7 +301,7 @@
 }
 
 double Rig::RealGateway::processor_seconds() const {
-    return spent + (process ? lab::processor_seconds(process->id()) : 0);
+    return spent + (process ? stand_ins::processor_seconds(process->id()) : 0);
 }
 
 // --- orders ----------------------------------------------------------------------------------------------
@@ -310,12 +310,12 @@
     for (const std::size_t g : gateways)
         if (const auto it = real_.find(g); it != real_.end()) {
             it->second.end();
-            it->second.process = std::make_unique<lab::Process>(
-                lab::Process::Start{.command = {settings_.program, "serve", "--parts", it->second.parts},
-                                    .environment = {"NODE_CONFIG=" + it->second.configuration},
-                                    .folder = {},
-                                    .log = it->second.log,
-                                    .ends_with_us = true});
+            it->second.process = std::make_unique<stand_ins::Process>(stand_ins::Process::Start{
+                .command = {settings_.program, "serve", "--parts", it->second.parts},
+                .environment = {"NODE_CONFIG=" + it->second.configuration},
+                .folder = {},
+                .log = it->second.log,
+                .ends_with_us = true});
         }
     ask_all("hollow", {{"start", gateways}});
 }
@@ -437,16 +437,18 @@
 
 std::map<std::string, double> Rig::processor_seconds() {
     std::map<std::string, double> by_role;
-    for (const auto& child : children_) by_role[child->role] += lab::processor_seconds(child->process->id());
+    for (const auto& child : children_)
+        by_role[child->role] += stand_ins::processor_seconds(child->process->id());
     for (const auto& [number, real] : real_) by_role["real"] += real.processor_seconds();
     return by_role;
 }
 
 std::map<std::string, std::size_t> Rig::resident_bytes() {
     std::map<std::string, std::size_t> by_role;
-    for (const auto& child : children_) by_role[child->role] += lab::resident_bytes(child->process->id());
+    for (const auto& child : children_)
+        by_role[child->role] += stand_ins::resident_bytes(child->process->id());
     for (const auto& [number, real] : real_)
-        if (real.process) by_role["real"] += lab::resident_bytes(real.process->id());
+        if (real.process) by_role["real"] += stand_ins::resident_bytes(real.process->id());
     return by_role;
 }
 
--- a/bench/scale/roles.cpp
+++ b/bench/scale/roles.cpp
@@ -60,18 +60,18 @@
 
     json obey(const json& order) override {
         if (order.contains("members")) {
-            registry_ = std::make_unique<lab::RegistryStandIn>(loop_, order["members"].get<std::size_t>(),
-                                                               milliseconds(order["progress_ms"]));
-            registry_->settled = [this](const lab::RegistryStandIn::Settled&) { compact(); };
+            registry_ = std::make_unique<stand_ins::RegistryStandIn>(
+                loop_, order["members"].get<std::size_t>(), milliseconds(order["progress_ms"]));
+            registry_->settled = [this](const stand_ins::RegistryStandIn::Settled&) { compact(); };
             json addresses = json::array();
             for (std::size_t m = 0; m < order["members"].get<std::size_t>(); ++m)
                 addresses.push_back(registry_->address(m));
             return {{"addresses", addresses}};
         }
         if (order.contains("put")) {
-            std::vector<std::pair<lab::RecordKey, std::optional<std::string>>> writes;
+            std::vector<std::pair<stand_ins::RecordKey, std::optional<std::string>>> writes;
             for (const auto& [key, value] : order["put"].items())
-                writes.emplace_back(lab::RecordKey{key},
+                writes.emplace_back(stand_ins::RecordKey{key},
                                     value.is_null() ? std::nullopt : std::optional(value.get<std::string>()));
             registry_->model.commit(writes);
             registry_->publish();
@@ -84,10 +84,10 @@
     void compact() {
         auto& model = registry_->model;
         if (model.newest().raw() - model.oldest().raw() > 2 * most_history)
-            model.compact(lab::Revision{model.newest().raw() - most_history});
+            model.compact(stand_ins::Revision{model.newest().raw() - most_history});
         if (registry_->ledger.asked.size() > 100'000) registry_->ledger.asked.clear();
     }
-    std::unique_ptr<lab::RegistryStandIn> registry_;
+    std::unique_ptr<stand_ins::RegistryStandIn> registry_;
 };
 
 // --- the notice board ------------------------------------------------------------------------------------
@@ -97,7 +97,7 @@
         if (order.contains("post")) board_.post_all(order["post"].get<std::vector<json>>());
         return {{"address", board_.address()}};
     }
-    lab::NoticeBoard board_{loop_};
+    stand_ins::NoticeBoard board_{loop_};
 };
 
 // --- relays ----------------------------------------------------------------------------------------------
@@ -120,8 +120,8 @@
         json addresses = json::array();
         auto& all = relays_[gateway];
         for (std::size_t machine = 0; machine < targets.size(); ++machine) {
-            auto relay = std::make_unique<lab::FaultProxy>(loop_, targets[machine].get<std::string>());
-            relay->seen_on = [this, gateway, machine](std::uint64_t connection, lab::Direction way,
+            auto relay = std::make_unique<stand_ins::FaultProxy>(loop_, targets[machine].get<std::string>());
+            relay->seen_on = [this, gateway, machine](std::uint64_t connection, stand_ins::Direction way,
                                                       std::string_view bytes) {
                 auto& counter = counters_[{gateway, machine, connection}];
                 const Traffic traffic = counter.count(way, bytes);
@@ -135,11 +135,12 @@
         }
         return addresses;
     }
-    static void change(lab::FaultProxy& relay, const json& order) {
+    static void change(stand_ins::FaultProxy& relay, const json& order) {
         if (order.contains("cut")) relay.cut(order["cut"].get<bool>());
         if (order.contains("down")) relay.down(order["down"].get<bool>());
         if (order.contains("break")) relay.break_all();
-        for (const lab::Direction way : {lab::Direction::to_server, lab::Direction::to_client}) {
+        for (const stand_ins::Direction way :
+             {stand_ins::Direction::to_server, stand_ins::Direction::to_client}) {
             if (order.contains("delay_ms")) relay.faults(way).delay = milliseconds(order["delay_ms"]);
             if (order.contains("bytes_a_second"))
                 relay.faults(way).bytes_a_second = order["bytes_a_second"].get<std::size_t>();
@@ -152,7 +153,7 @@
         told_ = second;
         loop_.schedule_at(TimePoint{} + Duration::micros((second + 1) * 1'000'000), [this] { tell(); });
     }
-    std::map<std::size_t, std::vector<std::unique_ptr<lab::FaultProxy>>> relays_;
+    std::map<std::size_t, std::vector<std::unique_ptr<stand_ins::FaultProxy>>> relays_;
     std::map<std::tuple<std::size_t, std::size_t, std::uint64_t>, ConnectionCounter> counters_;
     std::map<TrafficKey, Traffic> rows_;
     std::int64_t told_ = 0;
@@ -162,11 +163,11 @@
 
 constexpr std::size_t changing_first = 50, changing_caches = 40;  // of the list
 
-class HollowRole final : public Role, public lab::StubGatewayObserver {
+class HollowRole final : public Role, public stand_ins::StubGatewayObserver {
     struct Slot {
         std::size_t number = 0;
-        lab::StubGatewaySettings settings;
-        std::unique_ptr<lab::StubGateway> gateway;
+        stand_ins::StubGatewaySettings settings;
+        std::unique_ptr<stand_ins::StubGateway> gateway;
         bool whole_told = false;
         std::int64_t list_version = -1;
         CacheId marked;  // where marks change all the time
@@ -215,7 +216,7 @@
         slot.gateway.reset();
         slot.list_version = -1;
         slot.whole_told = false;
-        slot.gateway = std::make_unique<lab::StubGateway>(loop_, *this, slot.settings);
+        slot.gateway = std::make_unique<stand_ins::StubGateway>(loop_, *this, slot.settings);
         slot.gateway->start();
     }
     void mark(const json& order) {
@@ -249,7 +250,7 @@
         json all = json::object();
         for (const auto& [number, slot] : slots_) {
             if (!slot.gateway) continue;
-            const lab::StubGateway& g = *slot.gateway;
+            const stand_ins::StubGateway& g = *slot.gateway;
             all[std::to_string(number)] = {{"joined", g.joined()},
                                            {"members", g.members_known()},
                                            {"member_digest", g.member_digest()},
@@ -261,7 +262,7 @@
         return all;
     }
 
-    // lab::HollowObserver
+    // stand_ins::HollowObserver
     void on_endpoints_applied(const std::string& gateway, TimePoint at) override {
         Slot& slot = slots_.at(numbers_.at(gateway));
         if (!slot.gateway) return;
@@ -288,7 +289,7 @@
         const TimePoint now = loop_.now();
         for (auto& [number, slot] : slots_) {
             if (!slot.gateway || slot.whole_told || expected_.id == 0) continue;
-            const lab::StubGateway& g = *slot.gateway;
+            const stand_ins::StubGateway& g = *slot.gateway;
             if (!g.joined() || g.members_known() != expected_.members ||
                 slot.list_version < expected_.list_version || g.purges() < expected_.purges)
                 continue;
@@ -320,14 +321,14 @@
         if (order.contains("caches")) {
             json addresses = json::array();
             for (const json& name : order["caches"]) {
-                caches_.push_back(std::make_unique<lab::Cache>(loop_, name.get<std::string>(), ms * 2));
+                caches_.push_back(std::make_unique<stand_ins::Cache>(loop_, name.get<std::string>(), ms * 2));
                 addresses.push_back(caches_.back()->address());
             }
             return {{"addresses", addresses}};
         }
         if (order.contains("ask"))
             for (const json& address : order["ask"]) {
-                clients_.push_back(std::make_unique<lab::ClientLoad>(
+                clients_.push_back(std::make_unique<stand_ins::ClientLoad>(
                     loop_, address.get<std::string>(), "pages",
                     Duration::micros(order["every_us"].get<std::int64_t>()), ms * 2000));
                 clients_.back()->start();
@@ -339,8 +340,8 @@
         }
         return {{"lookups", counts}};
     }
-    std::vector<std::unique_ptr<lab::Cache>> caches_;
-    std::vector<std::unique_ptr<lab::ClientLoad>> clients_;
+    std::vector<std::unique_ptr<stand_ins::Cache>> caches_;
+    std::vector<std::unique_ptr<stand_ins::ClientLoad>> clients_;
 };
 
 }  // namespace
--- a/testing/failing_calls.cpp
+++ b/testing/failing_calls.cpp
@@ -18,9 +18,9 @@
 
 namespace {
 
-using irismux::lab::Call;
-using irismux::lab::call_count;
-using irismux::lab::CallFaults;
+using irismux::stand_ins::Call;
+using irismux::stand_ins::call_count;
+using irismux::stand_ins::CallFaults;
 
 template <class Function>
 Function real(const char* name) {
--- a/testing/failing_calls.hpp
+++ b/testing/failing_calls.hpp
@@ -5,7 +5,7 @@
 #include <cstddef>
 #include <cstdint>
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 
 enum class Call : std::size_t {
     accept,
@@ -33,4 +33,4 @@
     std::uint32_t nth[call_count] = {};
 };
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/fault_proxy.cpp
+++ b/testing/fault_proxy.cpp
@@ -1,6 +1,6 @@
 #include "testing/fault_proxy.hpp"
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 namespace {
 
 std::size_t no(Direction w) { return static_cast<std::size_t>(w); }
@@ -131,4 +131,4 @@
     for (const PairPtr& p : std::exchange(pairs_, {})) reset(p);
 }
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/fault_proxy.hpp
+++ b/testing/fault_proxy.hpp
@@ -12,7 +12,7 @@
 
 #include "testing/sockets.hpp"
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 
 enum class Direction { to_server, to_client };  // from whoever connects, and to it
 
@@ -74,4 +74,4 @@
     std::unique_ptr<Acceptor> acceptor_;
 };
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/fleet_simulation.cpp
+++ b/testing/fleet_simulation.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 
 using namespace irismux::fleet;
 
@@ -382,4 +382,4 @@
     return all;
 }
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/fleet_simulation.hpp
+++ b/testing/fleet_simulation.hpp
@@ -16,7 +16,7 @@
 #include "fleet/agent.hpp"
 #include "testing/transaction_ledger.hpp"
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 
 class FleetSimulation {
 public:
@@ -103,4 +103,4 @@
     std::uint64_t works_ = 0, checks_ = 0;
 };
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/interleaving_explorer.cpp
+++ b/testing/interleaving_explorer.cpp
@@ -10,7 +10,7 @@
 #include "fleet/agent.hpp"
 #include "testing/transaction_ledger.hpp"
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 
 using namespace irismux::fleet;
 
@@ -367,4 +367,4 @@
 
 Explored explore(const Exploration& bounds) { return Search(bounds).run(); }
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/interleaving_explorer.hpp
+++ b/testing/interleaving_explorer.hpp
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 
 struct Exploration {
     std::size_t members = 2;
@@ -33,4 +33,4 @@
 
 Explored explore(const Exploration& bounds);
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/known_endpoints.hpp
+++ b/testing/known_endpoints.hpp
@@ -6,7 +6,7 @@
 
 #include "endpoint/endpoint_record.hpp"
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 
 using KnownEndpoints = std::map<CacheId, EndpointUpdate>;
 
@@ -20,4 +20,4 @@
     }
 }
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/process.cpp
+++ b/testing/process.cpp
@@ -13,7 +13,7 @@
 #include <sstream>
 #include <stdexcept>
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 namespace {
 
 namespace fs = std::filesystem;
@@ -175,4 +175,4 @@
     return false;
 }
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/process.hpp
+++ b/testing/process.hpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 
 class Process {
 public:
@@ -56,4 +56,4 @@
 std::size_t descriptors_of(pid_t id);
 bool maps(pid_t id, const std::string& part_of_name);  // whether such a file is mapped into it
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/process_fleet.cpp
+++ b/testing/process_fleet.cpp
@@ -7,7 +7,7 @@
 
 #include "fleet/fleet_client.hpp"
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 
 using namespace irismux::fleet;
 namespace fs = std::filesystem;
@@ -285,4 +285,4 @@
     }
 }
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/process_fleet.hpp
+++ b/testing/process_fleet.hpp
@@ -27,7 +27,7 @@
 #include "testing/registry_stand_in.hpp"
 #include "testing/stand_ins.hpp"
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 
 class ProcessFleet {
 public:
@@ -132,4 +132,4 @@
     Intervals intervals_{loop};  // the last: nothing of the above may go while the loop runs
 };
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/registry_model.cpp
+++ b/testing/registry_model.cpp
@@ -2,7 +2,7 @@
 
 #include <nlohmann/json.hpp>
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 
 Revision RegistryModel::commit(const std::vector<std::pair<RecordKey, std::optional<std::string>>>& writes) {
     const Revision r{newest().raw() + 1};
@@ -59,4 +59,4 @@
     return line.dump();
 }
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/registry_model.hpp
+++ b/testing/registry_model.hpp
@@ -9,7 +9,7 @@
 
 #include "registry/record.hpp"
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 
 using registry::Change;
 using registry::ClusterId;
@@ -55,4 +55,4 @@
                        std::int64_t started_ms = 0, const std::string& zone = "here",
                        const std::string& kind = "edge", const std::string& address = "");
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/registry_stand_in.cpp
+++ b/testing/registry_stand_in.cpp
@@ -7,7 +7,7 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 namespace {
 
 using nlohmann::json;
@@ -356,4 +356,4 @@
     if (!members_[member]->acceptor) listen(*members_[member], members_[member]->address);
 }
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/registry_stand_in.hpp
+++ b/testing/registry_stand_in.hpp
@@ -15,7 +15,7 @@
 #include "testing/registry_model.hpp"
 #include "testing/sockets.hpp"
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 
 class RegistryStandIn {
 public:
@@ -103,4 +103,4 @@
     int made_ = 0;
 };
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/shims.cpp
+++ b/testing/shims.cpp
@@ -5,7 +5,7 @@
 #include <fstream>
 #include <stdexcept>
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 namespace {
 
 namespace fs = std::filesystem;
@@ -42,4 +42,4 @@
 void Shims::set_calls(const CallFaults& faults) { write_orders(calls_file_, faults); }
 void Shims::set_clock(const ClockSkew& skew) { write_orders(clock_file_, skew); }
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/single_process.cpp
+++ b/testing/single_process.cpp
@@ -8,7 +8,7 @@
 #include "codec/fastcgi.hpp"
 #include "codec/resp.hpp"
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 
 namespace fs = std::filesystem;
 
@@ -219,4 +219,4 @@
     return text.size() > most ? text.substr(text.size() - most) : text;
 }
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/single_process.hpp
+++ b/testing/single_process.hpp
@@ -14,7 +14,7 @@
 #include "testing/sockets.hpp"
 #include "testing/stand_ins.hpp"
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 
 // A cache that does nothing by itself.
 class ScriptedCache {
@@ -120,4 +120,4 @@
     Intervals intervals_{loop};  // the last: nothing of the above may go while the loop runs
 };
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/site_simulation.cpp
+++ b/testing/site_simulation.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 
 using namespace irismux::fleet;
 
@@ -538,4 +538,4 @@
     return all;
 }
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/site_simulation.hpp
+++ b/testing/site_simulation.hpp
@@ -18,7 +18,7 @@
 #include "fleet/site_reporter.hpp"
 #include "testing/transaction_ledger.hpp"
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 
 class SiteSimulation {
 public:
@@ -140,4 +140,4 @@
     TimePoint next_fault_, next_backup_, next_publication_;
 };
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/skewed_clock.cpp
+++ b/testing/skewed_clock.cpp
@@ -1,6 +1,6 @@
 // A library to be loaded into a process (LD_PRELOAD) that shows it steady clocks of another rate, and lets
 // them jump: a machine that slept. It also steps the wall clock. The file named by IRISMUX_LAB_CLOCK holds
-// lab::ClockSkew, which may change while the process runs.
+// stand_ins::ClockSkew, which may change while the process runs.
 #include "testing/skewed_clock.hpp"
 
 #include <dlfcn.h>
@@ -14,7 +14,7 @@
 
 namespace {
 
-using irismux::lab::ClockSkew;
+using irismux::stand_ins::ClockSkew;
 
 using Clock = int (*)(clockid_t, timespec*);
 
--- a/testing/skewed_clock.hpp
+++ b/testing/skewed_clock.hpp
@@ -4,7 +4,7 @@
 
 #include <cstdint>
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 
 struct ClockSkew {
     double rate = 1;                 // of the steady clocks
@@ -12,4 +12,4 @@
     std::int64_t wall_ahead_us = 0;  // of the wall clock
 };
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/soak.cpp
+++ b/testing/soak.cpp
@@ -9,7 +9,7 @@
 #include "testing/soak_client.hpp"
 #include "testing/soak_script.hpp"
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 namespace {
 
 using nlohmann::json;
@@ -334,4 +334,4 @@
     }
 }
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/soak.hpp
+++ b/testing/soak.hpp
@@ -15,7 +15,7 @@
 
 #include "testing/shims.hpp"
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 
 struct SoakOptions {
     std::string program;
@@ -34,4 +34,4 @@
 
 SoakResult soak(const SoakOptions& options);
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/soak_client.cpp
+++ b/testing/soak_client.cpp
@@ -3,7 +3,7 @@
 #include <array>
 #include <cstdio>
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 namespace {
 
 constexpr int objects = 40, repeated_ids = 5;
@@ -132,4 +132,4 @@
     open_.clear();
 }
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/soak_client.hpp
+++ b/testing/soak_client.hpp
@@ -11,7 +11,7 @@
 
 #include "testing/single_process.hpp"
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 
 enum class Manner { good, impatient, repeating, garbling };
 
@@ -65,4 +65,4 @@
 // The bytes of an object as the caches of a soak hold them.
 std::string soak_bytes(std::string_view object);
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/soak_script.cpp
+++ b/testing/soak_script.cpp
@@ -2,7 +2,7 @@
 
 #include <sstream>
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 
 SoakScript SoakScript::draw(std::uint64_t seed) {
     std::mt19937_64 random(seed);
@@ -44,4 +44,4 @@
     return out.str();
 }
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/soak_script.hpp
+++ b/testing/soak_script.hpp
@@ -5,7 +5,7 @@
 #include <random>
 #include <string>
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 
 struct SoakScript {
     std::size_t caches = 2;
@@ -24,4 +24,4 @@
     std::string text() const;
 };
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/sockets.hpp
+++ b/testing/sockets.hpp
@@ -13,7 +13,7 @@
 
 #include "net/connection.hpp"
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 
 // A listening stand-in; whoever connects is handed on.
 class Acceptor {
@@ -131,4 +131,4 @@
     std::thread thread_;
 };
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/stand_ins.cpp
+++ b/testing/stand_ins.cpp
@@ -5,7 +5,7 @@
 #include "codec/fastcgi.hpp"
 #include "codec/resp.hpp"
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 
 using nlohmann::json;
 
@@ -277,4 +277,4 @@
                     {"purgeGraceS", 1.0}}}}}};
 }
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/stand_ins.hpp
+++ b/testing/stand_ins.hpp
@@ -13,7 +13,7 @@
 #include "irismux/router.hpp"
 #include "testing/sockets.hpp"
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 
 // A cache that holds everything and answers after a while.
 class Cache {
@@ -104,4 +104,4 @@
 nlohmann::json endpoint_json(const std::string& id, const std::string& kind, const std::string& zone,
                              const std::string& address, const std::string& state);
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/stub_gateway.cpp
+++ b/testing/stub_gateway.cpp
@@ -1,6 +1,6 @@
 #include "testing/stub_gateway.hpp"
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 namespace {
 
 constexpr const char* version = "0.3.0";
@@ -115,4 +115,4 @@
     observer_.on_recovery_probe_postponed(settings_.name, cache, event_loop_.now());
 }
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/stub_gateway.hpp
+++ b/testing/stub_gateway.hpp
@@ -18,7 +18,7 @@
 #include "net/notice_client.hpp"
 #include "registry/client.hpp"
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 
 // What a hollow gateway goes by; the same as a configuration and a file of parts tell a real one.
 struct StubGatewaySettings {
@@ -96,4 +96,4 @@
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/transaction_ledger.cpp
+++ b/testing/transaction_ledger.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 namespace {
 
 bool watched(const Key& key) { return key.raw().rfind("beat/", 0) != 0; }
@@ -60,4 +60,4 @@
     oldest_ = at;
 }
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/testing/transaction_ledger.hpp
+++ b/testing/transaction_ledger.hpp
@@ -8,7 +8,7 @@
 
 #include "fleet/agent.hpp"
 
-namespace irismux::lab {
+namespace irismux::stand_ins {
 
 using fleet::Entry;
 using fleet::Key;
@@ -44,4 +44,4 @@
     std::map<Revision, std::vector<Entry>> history_;
 };
 
-}  // namespace irismux::lab
+}  // namespace irismux::stand_ins
--- a/tests/cache_connection_pool_test.cpp
+++ b/tests/cache_connection_pool_test.cpp
@@ -10,8 +10,8 @@
 namespace irismux::testing {
 namespace {
 
-using lab::Acceptor;
-using lab::StandInConnection;
+using stand_ins::Acceptor;
+using stand_ins::StandInConnection;
 
 // The client side alone, before caches that answer as told.
 struct CachesDay final : AttemptObserver, ResponseSender {
--- a/tests/client_gone_test.cpp
+++ b/tests/client_gone_test.cpp
@@ -5,9 +5,9 @@
 namespace irismux::testing {
 namespace {
 
-using lab::FastCgiClient;
-using lab::ScriptedCache;
-using lab::SingleProcess;
+using stand_ins::FastCgiClient;
+using stand_ins::ScriptedCache;
+using stand_ins::SingleProcess;
 
 enum class Goes { closes, aborts };
 
--- a/tests/event_order_test.cpp
+++ b/tests/event_order_test.cpp
@@ -6,9 +6,9 @@
 namespace irismux::testing {
 namespace {
 
-using lab::FastCgiClient;
-using lab::ScriptedCache;
-using lab::SingleProcess;
+using stand_ins::FastCgiClient;
+using stand_ins::ScriptedCache;
+using stand_ins::SingleProcess;
 
 // Connections that rest carry a request each, unread yet, when one more comes and one has to go for it: none
 // of them is the one. Guarded by FrontLink::idle (bytes that lie unread); the gateway stands still meanwhile,
@@ -122,7 +122,7 @@
         {{"pool",
           {{"version", 2},
            {"full", false},
-           {"servers", {lab::endpoint_json(home.id(), "node", "plant", "", "Terminating")}}}}});
+           {"servers", {stand_ins::endpoint_json(home.id(), "node", "plant", "", "Terminating")}}}}});
     ASSERT_TRUE(solo.until([&] { return solo.notice_board->waiting_from() == 2; }));
     home.resume_accepting();
     ASSERT_TRUE(solo.until([&] { return other.find_received(id_of(2)) == 1; }));
@@ -147,7 +147,7 @@
                100 - 32;
     }));
     std::size_t polls = 0;
-    lab::Acceptor back(
+    stand_ins::Acceptor back(
         solo.loop, [&](Poco::Net::StreamSocket) { ++polls; }, 64,
         solo.configured["board"].get<std::string>());
     const TimePoint from = solo.loop.now();
--- a/tests/failing_calls_test.cpp
+++ b/tests/failing_calls_test.cpp
@@ -6,16 +6,16 @@
 namespace irismux::testing {
 namespace {
 
-using lab::Call;
-using lab::CallFaults;
-using lab::FastCgiClient;
-using lab::Shims;
-using lab::SingleProcess;
+using stand_ins::Call;
+using stand_ins::CallFaults;
+using stand_ins::FastCgiClient;
+using stand_ins::Shims;
+using stand_ins::SingleProcess;
 
-const lab::ShimLibraries libraries{IRISMUX_SKEWED_CLOCK, IRISMUX_FAILING_CALLS};
+const stand_ins::ShimLibraries libraries{IRISMUX_SKEWED_CLOCK, IRISMUX_FAILING_CALLS};
 
-lab::SingleProcess::Options under(const Shims& shims, std::size_t caches = 2) {
-    lab::SingleProcess::Options shape = answering(solo_shape(caches, {.deadline = 2}));
+stand_ins::SingleProcess::Options under(const Shims& shims, std::size_t caches = 2) {
+    stand_ins::SingleProcess::Options shape = answering(solo_shape(caches, {.deadline = 2}));
     shape.environment = shims.environment();
     return shape;
 }
--- a/tests/fatal_signal_test.cpp
+++ b/tests/fatal_signal_test.cpp
@@ -9,7 +9,7 @@
 class FatalSignal : public ::testing::TestWithParam<int> {};
 
 TEST_P(FatalSignal, IsToldWithTheLastEvents) {
-    lab::SingleProcess solo(answering(solo_shape(1)));
+    stand_ins::SingleProcess solo(answering(solo_shape(1)));
     const auto client = solo.connect_client();
     client->send(1, {.id = id_of(1)});
     ASSERT_TRUE(solo.until([&] { return client->has_response(1); }));
--- a/tests/fleet_in_force_test.cpp
+++ b/tests/fleet_in_force_test.cpp
@@ -8,7 +8,7 @@
 
 using namespace irismux;
 using namespace irismux::fleet;
-using lab::SiteSimulation;
+using stand_ins::SiteSimulation;
 
 namespace {
 
--- a/tests/fleet_process_test.cpp
+++ b/tests/fleet_process_test.cpp
@@ -19,8 +19,8 @@
 const Duration ms = Duration::micros(1000);
 const std::string sweep = "sweep";
 
-lab::ProcessFleet::Options of_program() {
-    lab::ProcessFleet::Options shape;
+stand_ins::ProcessFleet::Options of_program() {
+    stand_ins::ProcessFleet::Options shape;
     shape.program = IRISMUX_PROGRAM;
     return shape;
 }
@@ -28,12 +28,12 @@
 class Fleet : public ::testing::Test {
 protected:
     fs::path root = fs::temp_directory_path() / ("irismux_arena." + std::to_string(::getpid()));
-    lab::ProcessFleet::Options shape = of_program();
-    std::unique_ptr<lab::ProcessFleet> a;
+    stand_ins::ProcessFleet::Options shape = of_program();
+    std::unique_ptr<stand_ins::ProcessFleet> a;
 
     void begin() {
         fs::create_directories(root);
-        a = std::make_unique<lab::ProcessFleet>(shape, root.string());
+        a = std::make_unique<stand_ins::ProcessFleet>(shape, root.string());
         a->start_all();
         ASSERT_TRUE(
             a->until([&] { return a->all_joined() && a->owner(sweep) == first_of(sweep) && working(); }));
@@ -87,7 +87,7 @@
 
 // An owner stopped at each point in turn: as its n-th piece to the registry, or from there, is on its way.
 // That piece is kept back until a successor has written, and goes on when the process does.
-class StoppedAt : public Fleet, public ::testing::WithParamInterface<std::pair<lab::Direction, int>> {};
+class StoppedAt : public Fleet, public ::testing::WithParamInterface<std::pair<stand_ins::Direction, int>> {};
 
 TEST_P(StoppedAt, AnOwnerThatWakesUpLateWritesNothing) {
     begin();
@@ -97,10 +97,10 @@
     int seen = 0;
     bool stopped = false;
     for (const auto& r : a->gateways[first].to_registry)
-        r->seen = [&, way = way, nth = nth](lab::Direction w, std::string_view bytes) {
+        r->seen = [&, way = way, nth = nth](stand_ins::Direction w, std::string_view bytes) {
             // Of transactions, and not of the watch.
             if (w != way ||
-                (w == lab::Direction::to_server ? bytes.find("/kv/txn") : bytes.find("responses")) ==
+                (w == stand_ins::Direction::to_server ? bytes.find("/kv/txn") : bytes.find("responses")) ==
                     std::string_view::npos)
                 return;
             if (++seen != nth) return;
@@ -112,7 +112,7 @@
     ASSERT_TRUE(a->until([&] { return another_works(first); }));
     const std::size_t before = a->accepted(sweep, first, former);
     // What it had sent comes first, then it wakes up, then it hears.
-    for (const auto& r : a->gateways[first].to_registry) r->hold(lab::Direction::to_server, false);
+    for (const auto& r : a->gateways[first].to_registry) r->hold(stand_ins::Direction::to_server, false);
     a->pass(ms * 50);
     a->resume(first);
     a->pass(ms * 100);
@@ -121,19 +121,22 @@
     EXPECT_EQ(a->accepted(sweep, first, former), before);
 }
 
-INSTANTIATE_TEST_SUITE_P(
-    EachPoint, StoppedAt,
-    ::testing::Values(std::pair{lab::Direction::to_server, 1}, std::pair{lab::Direction::to_server, 2},
-                      std::pair{lab::Direction::to_server, 3}, std::pair{lab::Direction::to_server, 4},
-                      std::pair{lab::Direction::to_client, 1}, std::pair{lab::Direction::to_client, 2},
-                      std::pair{lab::Direction::to_client, 3}, std::pair{lab::Direction::to_client, 4}));
+INSTANTIATE_TEST_SUITE_P(EachPoint, StoppedAt,
+                         ::testing::Values(std::pair{stand_ins::Direction::to_server, 1},
+                                           std::pair{stand_ins::Direction::to_server, 2},
+                                           std::pair{stand_ins::Direction::to_server, 3},
+                                           std::pair{stand_ins::Direction::to_server, 4},
+                                           std::pair{stand_ins::Direction::to_client, 1},
+                                           std::pair{stand_ins::Direction::to_client, 2},
+                                           std::pair{stand_ins::Direction::to_client, 3},
+                                           std::pair{stand_ins::Direction::to_client, 4}));
 
 // The answer to a transaction is lost that was done: neither two owners, nor nobody.
 TEST_F(Fleet, TheAnswerToTheWinningClaimIsLost) {
     begin();
     const std::size_t first = *a->owner(sweep);
     int lost = 0;
-    a->on_transaction = [&](const lab::RegistryStandIn::Settled& t) {
+    a->on_transaction = [&](const stand_ins::RegistryStandIn::Settled& t) {
         for (const auto& [key, value] : t.writes)
             if (t.held && key.find("/duty/") != std::string::npos && lost < 2) {
                 ++lost;
@@ -153,7 +156,7 @@
     std::size_t last = *a->owner(sweep);
     std::optional<std::size_t> dies;
     int deaths = 0;
-    a->on_transaction = [&](const lab::RegistryStandIn::Settled& t) {
+    a->on_transaction = [&](const stand_ins::RegistryStandIn::Settled& t) {
         for (const auto& [key, value] : t.writes) {
             const auto r =
                 key.find("/duty/") != std::string::npos && value ? parse_duty(*value) : std::nullopt;
@@ -276,7 +279,7 @@
 // Records of a newer version, and such as can't be read: left alone, and in nobody's way.
 TEST_F(Fleet, RecordsThatNobodyHereKnowsAreLeftAlone) {
     begin();
-    const std::string at = std::string(lab::ProcessFleet::prefix) + "roll/";
+    const std::string at = std::string(stand_ins::ProcessFleet::prefix) + "roll/";
     const std::vector<std::pair<std::string, std::string>> odd = {
         {"duty/newer", serialize(DutyRecord{FencingToken{7}, MemberName{"gone"}, Incarnation{1}})},
         {"duty/watch/odd", "\xff{"},
@@ -342,10 +345,10 @@
     a->registry.faults(0).mute = true;
     for (auto& g : a->gateways)
         for (auto& r : g.to_registry) {
-            r->faults(lab::Direction::to_client).bytes_a_second = 200'000;
-            r->faults(lab::Direction::to_client).reset_in = 3'000;
-            r->faults(lab::Direction::to_server).reset_in = 2'500;
-            r->faults(lab::Direction::to_server).delay = ms * 5;
+            r->faults(stand_ins::Direction::to_client).bytes_a_second = 200'000;
+            r->faults(stand_ins::Direction::to_client).reset_in = 3'000;
+            r->faults(stand_ins::Direction::to_server).reset_in = 2'500;
+            r->faults(stand_ins::Direction::to_server).delay = ms * 5;
         }
     a->kill(first);
     EXPECT_TRUE(a->until([&] { return another_works(first); }));
@@ -358,7 +361,7 @@
     shape.clock = IRISMUX_SKEWED_CLOCK;
     shape.health_check_interval = ms * 50;
     fs::create_directories(root);
-    a = std::make_unique<lab::ProcessFleet>(shape, root.string());
+    a = std::make_unique<stand_ins::ProcessFleet>(shape, root.string());
     const std::size_t first = first_of("watch/c1");
     for (std::size_t n = 0; n < 3; ++n) a->clock(n, n == first ? 1 - shape.drift : 1 + shape.drift);
     a->start_all();
@@ -409,7 +412,7 @@
         fs::remove(root / "out");
         std::vector<std::string> all = {shape.program, "fleet", "--parts", a->gateways[0].parts};
         all.insert(all.end(), words.begin(), words.end());
-        lab::Process p({all, {"PATH=/usr/bin:/bin"}, "", (root / "out").string()});
+        stand_ins::Process p({all, {"PATH=/usr/bin:/bin"}, "", (root / "out").string()});
         EXPECT_TRUE(a->until([&] { return !p.running(); }));
         std::ifstream out(root / "out");
         return std::string((std::istreambuf_iterator<char>(out)), {});
@@ -565,7 +568,7 @@
     auto& g = a->gateways[0];
     const Incarnation former = a->member(0)->incarnation;
     a->kill(0);
-    g.process = std::make_unique<lab::Process>(lab::Process::Start{
+    g.process = std::make_unique<stand_ins::Process>(stand_ins::Process::Start{
         {shape.program, "serve"}, {"NODE_CONFIG=" + g.configuration, "IRISMUX_PARTS=" + g.parts}, "", g.log});
     EXPECT_TRUE(a->until([&] { return a->logged(0, "[fleet] counts only with --parts"); }));
     a->serve(0);
--- a/tests/fleet_sites_test.cpp
+++ b/tests/fleet_sites_test.cpp
@@ -29,25 +29,25 @@
 class Sites : public ::testing::Test {
 protected:
     fs::path root = fs::temp_directory_path() / ("irismux_sites." + std::to_string(::getpid()));
-    std::unique_ptr<lab::ProcessFleet> a;
+    std::unique_ptr<stand_ins::ProcessFleet> a;
     std::string parts;
     std::string said;  // by the command line, last
 
     void SetUp() override {
         fs::create_directories(root);
-        lab::ProcessFleet::Options shape;
+        stand_ins::ProcessFleet::Options shape;
         shape.program = IRISMUX_PROGRAM;
         shape.term = term;
         shape.drift = drift;
         shape.fleet_lines = [](std::size_t n) {
             return "site = \"" + site_of(n) + "\"\nacknowledge_every = \"100ms\"\nconfiguration = 7\n";
         };
-        a = std::make_unique<lab::ProcessFleet>(shape, root.string());
+        a = std::make_unique<stand_ins::ProcessFleet>(shape, root.string());
         parts = (root / "operator.toml").string();
         std::ofstream(parts) << "[fleet]\nmembers = [\"" << a->registry.address(0)
-                             << "\"]\ninstallation = \"arena\"\nprefix = \"" << lab::ProcessFleet::prefix
-                             << "\"\nterm = \"" << term.micros() / 1000 << "ms\"\ndrift = " << drift
-                             << "\nsites = { a = 2, b = 1 }\n";
+                             << "\"]\ninstallation = \"arena\"\nprefix = \""
+                             << stand_ins::ProcessFleet::prefix << "\"\nterm = \"" << term.micros() / 1000
+                             << "ms\"\ndrift = " << drift << "\nsites = { a = 2, b = 1 }\n";
         a->start_all();
     }
     void TearDown() override {
@@ -63,7 +63,7 @@
         fs::remove(out);
         std::vector<std::string> all = {IRISMUX_PROGRAM, "fleet", "--parts", parts};
         all.insert(all.end(), words.begin(), words.end());
-        lab::Process p({all, {"PATH=/usr/bin:/bin"}, "", out});
+        stand_ins::Process p({all, {"PATH=/usr/bin:/bin"}, "", out});
         EXPECT_TRUE(a->until([&] { return !p.running(); }, ms * 60'000));
         std::ifstream in(out);
         said.assign((std::istreambuf_iterator<char>(in)), {});
@@ -105,12 +105,14 @@
         return a->gateways[n].board->waiting_from() >= event;
     }
     void deaf(std::size_t n, bool is) {
-        for (const lab::Direction way : {lab::Direction::to_server, lab::Direction::to_client})
+        for (const stand_ins::Direction way :
+             {stand_ins::Direction::to_server, stand_ins::Direction::to_client})
             a->gateways[n].to_board->hold(way, is);
     }
     bool listens(std::size_t n) const {
-        const auto seen = lab::sockets_of(a->gateways[n].process->id());
-        return std::any_of(seen.begin(), seen.end(), [](const lab::SeenSocket& s) { return s.listening; });
+        const auto seen = stand_ins::sockets_of(a->gateways[n].process->id());
+        return std::any_of(seen.begin(), seen.end(),
+                           [](const stand_ins::SeenSocket& s) { return s.listening; });
     }
     std::size_t owner() const {
         const auto text = record("digest/a");
@@ -119,7 +121,7 @@
     }
     std::optional<std::string> record(const std::string& path) const {
         const auto* state = a->registry.model.at(a->registry.model.newest());
-        const auto it = state->find(registry::RecordKey{lab::ProcessFleet::prefix + path});
+        const auto it = state->find(registry::RecordKey{stand_ins::ProcessFleet::prefix + path});
         return it == state->end() ? std::nullopt : std::optional(it->second.value);
     }
 };
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -9,7 +9,7 @@
 
 using namespace irismux;
 using namespace irismux::fleet;
-using lab::FleetSimulation;
+using stand_ins::FleetSimulation;
 
 namespace {
 
@@ -127,7 +127,7 @@
 // One gateway at a registry that answers at once, in steps of a tenth of a round.
 class Alone : public ::testing::Test, public RegistryPort, public AgentObserver {
 protected:
-    lab::TransactionLedger ledger;
+    stand_ins::TransactionLedger ledger;
     TimePoint now = TimePoint::at_seconds(1);
     std::optional<Transaction> out;
     std::vector<Transaction> said;
@@ -427,10 +427,10 @@
     }
     // All that it goes by is as it was, but for the one record; and as it was, it would be done.
     bool lands(const Transaction& transaction, const std::string& but, const std::string& now_is) {
-        lab::TransactionLedger then;
+        stand_ins::TransactionLedger then;
         for (const auto& [key, value] : transaction.compares)
             if (value) then.settle({{}, {{key, value}}, {}});
-        lab::TransactionLedger same = then;
+        stand_ins::TransactionLedger same = then;
         EXPECT_TRUE(same.settle(transaction).held);
         then.settle({{}, {{Key{but}, now_is}}, {}});
         return then.settle(transaction).held;
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -23,8 +23,8 @@
 
 using nlohmann::json;
 
-using lab::Acceptor;
-using lab::StandInConnection;
+using stand_ins::Acceptor;
+using stand_ins::StandInConnection;
 
 std::string body_of(std::string_view object, std::string_view part) {
     const std::size_t n = 1 + std::hash<std::string_view>{}(object) % 100'000;
@@ -59,9 +59,9 @@
     std::vector<std::pair<std::shared_ptr<StandInConnection>, std::int64_t>> polls;
     std::unique_ptr<Acceptor> board;
     std::unique_ptr<Gateway> host;
-    std::function<void(lab::RegistryStandIn&, bool drained)>
+    std::function<void(stand_ins::RegistryStandIn&, bool drained)>
         trouble;  // the list comes from a registry, with that
-    std::unique_ptr<lab::RegistryStandIn> registry;
+    std::unique_ptr<stand_ins::RegistryStandIn> registry;
     int pulls = 0, satisfied = 0, nacked = 0, failed = 0;
 
     double draw() { return static_cast<double>(chance()) / static_cast<double>(std::ranlux24_base::max()); }
@@ -300,7 +300,7 @@
     Parts parts(const json& lines) {
         Parts parts;
         if (!trouble) return parts;
-        registry = std::make_unique<lab::RegistryStandIn>(loop, 3, Duration::seconds(0.02));
+        registry = std::make_unique<stand_ins::RegistryStandIn>(loop, 3, Duration::seconds(0.02));
         registry::Settings settings;
         for (std::size_t m = 0; m < 3; ++m) settings.members.push_back(registry->address(m));
         settings.prefix = "/caches/";
@@ -410,9 +410,9 @@
     log::show(log::Level::error);
     const std::string what = GetParam();
     Day day(77);
-    day.trouble = [&](lab::RegistryStandIn& r, bool drained) {
+    day.trouble = [&](stand_ins::RegistryStandIn& r, bool drained) {
         for (std::size_t m = 0; m < 3; ++m) {
-            lab::RegistryStandIn::Faults& f = r.faults(m);
+            stand_ins::RegistryStandIn::Faults& f = r.faults(m);
             if (what == "silent") f.silent = m < 2;
             if (what == "lag") f.lag = m < 2 ? 2 : 0;
             if (what == "cut") f.cut = true;
--- a/tests/interleaving_explorer_main.cpp
+++ b/tests/interleaving_explorer_main.cpp
@@ -7,7 +7,7 @@
 #include "testing/interleaving_explorer.hpp"
 
 int main(int argc, char** argv) {
-    irismux::lab::Exploration b;
+    irismux::stand_ins::Exploration b;
     if (argc > 1) b.members = static_cast<std::size_t>(std::atoll(argv[1]));
     if (argc > 2) b.faults = std::atoi(argv[2]);
     if (argc > 3) b.ticks = std::atoi(argv[3]);
@@ -15,7 +15,7 @@
     bool good = true;
     for (const bool slow : {true, false}) {
         b.first_is_slow = slow;
-        const irismux::lab::Explored e = irismux::lab::explore(b);
+        const irismux::stand_ins::Explored e = irismux::stand_ins::explore(b);
         std::cout << b.members << " members, the first " << (slow ? "slow" : "fast") << ", " << b.faults
                   << " faults, " << b.ticks << " ticks: " << e.states << " states, "
                   << (e.whole ? "all there are" : "given up") << '\n';
--- a/tests/notice_board_stand_in.hpp
+++ b/tests/notice_board_stand_in.hpp
@@ -9,8 +9,8 @@
 
 namespace irismux::testing {
 
-using lab::Acceptor;
-using lab::StandInConnection;
+using stand_ins::Acceptor;
+using stand_ins::StandInConnection;
 
 // A notice board that notes what it is asked.
 struct BoardStandIn {
--- a/tests/notice_catch_up_test.cpp
+++ b/tests/notice_catch_up_test.cpp
@@ -11,8 +11,8 @@
 namespace irismux::testing {
 namespace {
 
-using lab::ScriptedCache;
-using lab::SingleProcess;
+using stand_ins::ScriptedCache;
+using stand_ins::SingleProcess;
 
 #if defined(__SANITIZE_ADDRESS__)
 constexpr bool memory_is_ours = false;  // the sanitizer keeps what was freed
@@ -38,7 +38,7 @@
 // Asks for one object again and again until a send carries the bound of a purge; each lookup is answered.
 struct Prober {
     SingleProcess& solo;
-    std::shared_ptr<lab::FastCgiClient> asker = solo.connect_client();
+    std::shared_ptr<stand_ins::FastCgiClient> asker = solo.connect_client();
     int asked = 0;
     Duration longest{};
 
--- a/tests/platform_run_line_test.cpp
+++ b/tests/platform_run_line_test.cpp
@@ -35,19 +35,19 @@
 protected:
     EventLoop loop;
     fs::path root = fs::temp_directory_path() / ("irismux_guard." + std::to_string(::getpid()));
-    lab::NoticeBoard board{loop};
-    std::vector<std::unique_ptr<lab::Cache>> caches;
+    stand_ins::NoticeBoard board{loop};
+    std::vector<std::unique_ptr<stand_ins::Cache>> caches;
     std::vector<Poco::Net::StreamSocket> trapped;  // connections to where the files of parts point
-    lab::Acceptor trap{loop, [this](Poco::Net::StreamSocket s) { trapped.push_back(std::move(s)); }};
+    stand_ins::Acceptor trap{loop, [this](Poco::Net::StreamSocket s) { trapped.push_back(std::move(s)); }};
     std::string listen;
     std::set<std::string> deviations;
-    lab::Intervals stretches{loop};  // the last: nothing of the above may go while the loop runs
+    stand_ins::Intervals stretches{loop};  // the last: nothing of the above may go while the loop runs
 
     void SetUp() override {
         nlohmann::json lines = nlohmann::json::array();
         for (const char* id : {"c1", "c2", "c3"}) {
-            caches.push_back(std::make_unique<lab::Cache>(loop, id, ms));
-            lines.push_back(lab::endpoint_json(id, "node", "plant", caches.back()->address(), "Ready"));
+            caches.push_back(std::make_unique<stand_ins::Cache>(loop, id, ms));
+            lines.push_back(stand_ins::endpoint_json(id, "node", "plant", caches.back()->address(), "Ready"));
         }
         board.post({{"pool", {{"version", 1}, {"full", true}, {"servers", lines}}}});
         {
@@ -57,7 +57,7 @@
         for (const char* folder : {"build", "deploy", "home/.config/irismux", "tmp"})
             fs::create_directories(root / folder);
         fs::create_symlink(IRISMUX_PROGRAM, root / "build/irismux");
-        std::ofstream(root / "node.json") << lab::configuration(listen, board.address(), board.known());
+        std::ofstream(root / "node.json") << stand_ins::configuration(listen, board.address(), board.known());
         for (const char* file : {"deploy/irismux.toml", "irismux.toml", "parts.toml",
                                  "home/.config/irismux/irismux.toml", "home/.irismux.toml"})
             std::ofstream(root / file)
@@ -67,7 +67,7 @@
     }
     void TearDown() override { fs::remove_all(root); }
 
-    lab::Process::Start by(const std::string& line) const {
+    stand_ins::Process::Start by(const std::string& line) const {
         const std::string parts = (root / "parts.toml").string(), at = trap.address();
         return {{"/bin/sh", "-c", line},
                 {"PATH=/usr/bin:/bin", "NODE_NAME=n1", "NODE_CONFIG=" + (root / "node.json").string(),
@@ -82,28 +82,29 @@
     }
 
     // Whatever the platform's page does not allow, as it stands this instant.
-    void look_at(lab::Process& p) {
+    void look_at(stand_ins::Process& p) {
         std::set<std::string> known = {board.address()};
         for (const auto& c : caches) known.insert(c->address());
-        for (const lab::SeenSocket& s : lab::sockets_of(p.id())) {
+        for (const stand_ins::SeenSocket& s : stand_ins::sockets_of(p.id())) {
             if (s.listening && s.local != listen) deviations.insert("listens on " + s.local);
             if (s.family != "tcp") deviations.insert("has a socket of " + s.family + " at " + s.local);
             if (!s.listening && s.local != listen && !known.contains(s.remote))
                 deviations.insert("connects to " + s.remote);
         }
-        if (!lab::maps(p.id(), "/libc.so")) deviations.insert("is not linked dynamically");
-        if (const auto n = lab::threads_of(p.id()); n > 1) deviations.insert(std::to_string(n) + " threads");
-        if (lab::children_of(p.id()) > 0) deviations.insert("starts other programs");
+        if (!stand_ins::maps(p.id(), "/libc.so")) deviations.insert("is not linked dynamically");
+        if (const auto n = stand_ins::threads_of(p.id()); n > 1)
+            deviations.insert(std::to_string(n) + " threads");
+        if (stand_ins::children_of(p.id()) > 0) deviations.insert("starts other programs");
     }
 
     // Under load until so many lookups are satisfied or the time is over; the configuration is reread on the
     // way; then it is asked to leave.
-    void serve_and_look(lab::Process& p, std::uint64_t lookups, Duration most) {
+    void serve_and_look(stand_ins::Process& p, std::uint64_t lookups, Duration most) {
         ASSERT_TRUE(stretches.until([&] {
-            const auto seen = lab::sockets_of(p.id());
+            const auto seen = stand_ins::sockets_of(p.id());
             return !p.running() || std::any_of(seen.begin(), seen.end(), [](auto& s) { return s.listening; });
         }));
-        lab::ClientLoad clients(loop, listen, "pages", ms * 4, ms * 1500);
+        stand_ins::ClientLoad clients(loop, listen, "pages", ms * 4, ms * 1500);
         if (p.running()) clients.start();
         bool reread = false;
         stretches.until(
@@ -127,8 +128,9 @@
     const std::string line = run_line();
     EXPECT_EQ(line.rfind("exec ", 0), 0u) << line;
     const std::set<std::string> before = tree(root);
-    lab::Process p(by(line));
-    ASSERT_TRUE(stretches.until([&] { return lab::program_of(p.id()) == fs::canonical(IRISMUX_PROGRAM); }));
+    stand_ins::Process p(by(line));
+    ASSERT_TRUE(
+        stretches.until([&] { return stand_ins::program_of(p.id()) == fs::canonical(IRISMUX_PROGRAM); }));
     serve_and_look(p, 200, ms * 10'000);
     EXPECT_GE(satisfied, 200u);
     EXPECT_EQ(deviations, std::set<std::string>{});
@@ -140,12 +142,12 @@
 // The same eyes see what there is to see: the parts named on the line.
 TEST_F(Platform, TheSameLineWithPartsIsSeenToConnectAndToWrite) {
     const std::set<std::string> before = tree(root);
-    lab::Process::Start start = by(run_line() + " serve --parts parts.toml");
-    lab::Process barred(start);
+    stand_ins::Process::Start start = by(run_line() + " serve --parts parts.toml");
+    stand_ins::Process barred(start);
     stretches.until([&] { return !barred.running(); }, ms * 10'000);
     EXPECT_EQ(barred.status().value_or(0) & 0x7f, SIGXFSZ);
     start.may_write = true;
-    lab::Process p(start);
+    stand_ins::Process p(start);
     stretches.until([&] { return !trapped.empty(); });
     serve_and_look(p, 1000, ms * 1'500);
     EXPECT_FALSE(trapped.empty());
--- a/tests/random_seed_sweep.cpp
+++ b/tests/random_seed_sweep.cpp
@@ -1,6 +1,6 @@
 // Tries many seeds of the random runs, without shrinking, and prints each that breaks a rule.
 //
-//   irismux_sweep FIRST LAST [narrow|wide] [RUNS] [SECONDS]     (1 200 wide 150 600)
+//   irismux_seed_sweep FIRST LAST [narrow|wide] [RUNS] [SECONDS]     (1 200 wide 150 600)
 //
 // Exit code 1 if a seed fails, 2 if none was tried. To shrink a failing one, as each line says:
 //   RC_PARAMS="seed=N max_success=150" irismux_tests --gtest_filter=...
--- a/tests/registry_cli_test.cpp
+++ b/tests/registry_cli_test.cpp
@@ -22,16 +22,16 @@
 class Cli : public ::testing::Test {
 protected:
     EventLoop loop;
-    lab::RegistryStandIn r{loop, 2, ms * 20};
+    stand_ins::RegistryStandIn r{loop, 2, ms * 20};
     fs::path root = fs::temp_directory_path() / ("irismux_cli." + std::to_string(::getpid()));
-    lab::Intervals stretches{loop};  // the last: nothing of the above may go while the loop runs
+    stand_ins::Intervals stretches{loop};  // the last: nothing of the above may go while the loop runs
 
     void SetUp() override {
         fs::create_directories(root);
         std::ofstream(root / "parts.toml")
             << "[registry]\nmembers = [\"" << r.address(0) << "\", \"" << r.address(1) << "\"]\nprefix = \""
             << prefix << "\"\nanswer_in = \"300ms\"\n";
-        r.model.put(prefix + "c1", lab::list_value("c1", "Ready"));
+        r.model.put(prefix + "c1", stand_ins::list_value("c1", "Ready"));
     }
     void TearDown() override { fs::remove_all(root); }
 
@@ -41,7 +41,7 @@
         std::vector<std::string> all = {IRISMUX_PROGRAM, "registry", "--parts",
                                         (root / "parts.toml").string()};
         all.insert(all.end(), words.begin(), words.end());
-        lab::Process p({all, {"PATH=/usr/bin:/bin"}, "", (root / "out").string()});
+        stand_ins::Process p({all, {"PATH=/usr/bin:/bin"}, "", (root / "out").string()});
         EXPECT_TRUE(stretches.until([&] { return !p.running(); }));
         std::ifstream out(root / "out");
         const std::string said((std::istreambuf_iterator<char>(out)), {});
@@ -59,7 +59,7 @@
     EXPECT_EQ(run({"drain", "c1"}), (std::pair{0, std::string("written\n")}));
     EXPECT_TRUE(draining("c1"));
     EXPECT_EQ(run({"drain", "c9"}).first, 1);
-    const std::string line = lab::list_value("c2", "Ready");
+    const std::string line = stand_ins::list_value("c2", "Ready");
     EXPECT_EQ(run({"put", line}).first, 0);
     EXPECT_EQ(value("c2"), line);
     EXPECT_EQ(r.ledger.txns, 2);
--- a/tests/registry_client_test.cpp
+++ b/tests/registry_client_test.cpp
@@ -16,7 +16,7 @@
 
 using namespace irismux;
 using namespace irismux::registry;
-using lab::list_value;
+using stand_ins::list_value;
 
 namespace {
 
@@ -26,16 +26,16 @@
 class OnSockets : public ::testing::Test, public WatchObserver {
 protected:
     EventLoop loop;
-    std::unique_ptr<lab::RegistryStandIn> r;
+    std::unique_ptr<stand_ins::RegistryStandIn> r;
     std::unique_ptr<RegistryClient> client;
-    lab::KnownEndpoints list;
+    stand_ins::KnownEndpoints list;
     std::vector<SyncState> sights;
     std::vector<std::string> remarks;
-    lab::Intervals stretches{loop};  // the last: nothing of the above may go while the loop runs
+    stand_ins::Intervals stretches{loop};  // the last: nothing of the above may go while the loop runs
 
     void SetUp() override { log::show(log::Level::error); }
     void begin(std::size_t members = 3, const std::string& user = "", const std::string& password = "") {
-        r = std::make_unique<lab::RegistryStandIn>(loop, members, ms * 20);
+        r = std::make_unique<stand_ins::RegistryStandIn>(loop, members, ms * 20);
         for (const char* id : {"c1", "c2", "c3"}) put(id, "Ready");
         client = std::make_unique<RegistryClient>(loop, *this, settings(members, user, password), 7);
     }
@@ -72,7 +72,7 @@
     }
 
     void on_endpoints(TimePoint, const std::vector<EndpointRecord>& lines, bool complete) override {
-        lab::apply(list, lines, complete);
+        stand_ins::apply(list, lines, complete);
     }
     void on_sync_state(TimePoint, SyncState s, TimePoint) override { sights.push_back(s); }
     void on_warning(std::string_view line) override { remarks.emplace_back(line); }
@@ -92,7 +92,7 @@
 }
 
 TEST_F(OnSockets, EachFaultIsRiddenOutAndTheDrainArrives) {
-    using Faults = lab::RegistryStandIn::Faults;
+    using Faults = stand_ins::RegistryStandIn::Faults;
     const std::vector<std::pair<const char*, std::function<void(Faults&)>>> faults = {
         {"refuse", [](Faults& f) { f.refuse = true; }},  {"silent", [](Faults& f) { f.silent = true; }},
         {"mute", [](Faults& f) { f.mute = true; }},      {"cut", [](Faults& f) { f.cut = true; }},
@@ -182,7 +182,7 @@
         return list_value(id, state, 1, 0, "here", "edge", std::string(bytes, 'a'));
     }
     void begin_with(std::size_t records, std::size_t bytes, std::size_t page) {
-        r = std::make_unique<lab::RegistryStandIn>(loop, 3, ms * 20);
+        r = std::make_unique<stand_ins::RegistryStandIn>(loop, 3, ms * 20);
         for (std::size_t n = 0; n < records; ++n) put_long("c" + std::to_string(n), "Ready", bytes);
         Settings s = settings(3, "", "");
         s.page_size = page;
@@ -271,7 +271,7 @@
         int left = 120;
         const std::function<void()> trouble = [&] {
             const std::size_t m = static_cast<std::size_t>(draw(3));
-            lab::RegistryStandIn::Faults& f = r->faults(m);
+            stand_ins::RegistryStandIn::Faults& f = r->faults(m);
             const std::string id = "c" + std::to_string(draw(9));
             if (draw(3) == 0)
                 r->model.erase(prefix + id);
--- a/tests/registry_test.cpp
+++ b/tests/registry_test.cpp
@@ -9,8 +9,8 @@
 
 using namespace irismux;
 using namespace irismux::registry;
-using lab::list_value;
-using lab::RegistryModel;
+using stand_ins::list_value;
+using stand_ins::RegistryModel;
 
 namespace {
 
@@ -116,7 +116,7 @@
     Revision at;
     TimePoint wake_at, now = start_time();
     int asks = 0;
-    lab::KnownEndpoints list;
+    stand_ins::KnownEndpoints list;
     std::vector<std::string> remarks;
     std::vector<SyncState> sights;
     Watch watch;
@@ -131,7 +131,7 @@
     void close() override { asked = Ask::none; }
     void schedule_wake(TimePoint t) override { wake_at = t; }
     void on_endpoints(TimePoint, const std::vector<EndpointRecord>& lines, bool complete) override {
-        lab::apply(list, lines, complete);
+        stand_ins::apply(list, lines, complete);
     }
     void on_sync_state(TimePoint, SyncState s, TimePoint) override { sights.push_back(s); }
     void on_warning(std::string_view line) override { remarks.emplace_back(line); }
--- a/tests/repeated_id_test.cpp
+++ b/tests/repeated_id_test.cpp
@@ -9,9 +9,9 @@
 namespace irismux::testing {
 namespace {
 
-using lab::FastCgiClient;
-using lab::ScriptedCache;
-using lab::SingleProcess;
+using stand_ins::FastCgiClient;
+using stand_ins::ScriptedCache;
+using stand_ins::SingleProcess;
 
 constexpr int ids = 6, objects = 20, connections = 8;
 constexpr double deadline = 1.0, answer_slack = 0.5;
@@ -281,7 +281,7 @@
     ASSERT_TRUE(n.solo.until([&] { return n.one->has_response(1, "Status: 200"); }));
     ScriptedCache moved(n.solo.loop, n.cache.id());
     moved.then = [&moved](const ScriptedCache::ReceivedAttempt& p) { moved.answer(p); };
-    const json line = lab::endpoint_json(n.cache.id(), "node", "plant", moved.address(), "Ready");
+    const json line = stand_ins::endpoint_json(n.cache.id(), "node", "plant", moved.address(), "Ready");
     n.solo.notice_board->post({{"pool", {{"version", 2}, {"full", false}, {"servers", {line}}}}});
     ASSERT_TRUE(n.solo.until([&] { return n.solo.notice_board->waiting_from() == 2; }));
     n.one->send(2, {.id = id_of(2), .object = object_of(1)});
@@ -300,7 +300,7 @@
     ASSERT_TRUE(solo.until([&] { return solo.pending_connections(cache) == 1; }));
     ScriptedCache moved(solo.loop, cache.id());
     moved.then = [&moved](const ScriptedCache::ReceivedAttempt& p) { moved.answer(p); };
-    const json line = lab::endpoint_json(cache.id(), "node", "plant", moved.address(), "Ready");
+    const json line = stand_ins::endpoint_json(cache.id(), "node", "plant", moved.address(), "Ready");
     solo.notice_board->post({{"pool", {{"version", 2}, {"full", false}, {"servers", {line}}}}});
     ASSERT_TRUE(solo.until([&] { return solo.notice_board->waiting_from() == 2; }));
     cache.resume_accepting();
--- a/tests/router_random_test.cpp
+++ b/tests/router_random_test.cpp
@@ -1,4 +1,4 @@
-// Seeded random runs; many more seeds are tried by irismux_sweep.
+// Seeded random runs; many more seeds are tried by irismux_seed_sweep.
 #include "random_gateway_scenario.hpp"
 
 using namespace irismux;
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -7,9 +7,9 @@
 namespace irismux::testing {
 namespace {
 
-using lab::FastCgiClient;
-using lab::ScriptedCache;
-using lab::SingleProcess;
+using stand_ins::FastCgiClient;
+using stand_ins::ScriptedCache;
+using stand_ins::SingleProcess;
 
 // Of the protocol: SIGKILL comes no sooner than three seconds and this after SIGTERM.
 constexpr double work_after = 0.7, killed_after = 3 + work_after;
@@ -116,7 +116,7 @@
     ASSERT_TRUE(solo.until([&] { return solo.cache_serving(id_of(1)) != nullptr; }));
     solo.process->signal(SIGTERM);
     ASSERT_TRUE(solo.until([&] { return solo.logged("leaving: "); }));
-    lab::NoticeBoard other(solo.loop);
+    stand_ins::NoticeBoard other(solo.loop);
     json moved = solo.configured;
     moved["board"] = other.address();
     std::ofstream(solo.configuration_file) << moved.dump();
--- a/tests/single_process_fixture.hpp
+++ b/tests/single_process_fixture.hpp
@@ -19,8 +19,8 @@
     int descriptors = 256;
 };
 
-inline lab::SingleProcess::Options solo_shape(std::size_t caches, Spans s = {}, int backlog = 64) {
-    lab::SingleProcess::Options shape;
+inline stand_ins::SingleProcess::Options solo_shape(std::size_t caches, Spans s = {}, int backlog = 64) {
+    stand_ins::SingleProcess::Options shape;
     shape.program = IRISMUX_PROGRAM;
     shape.caches = caches;
     shape.backlog = backlog;
@@ -38,7 +38,7 @@
     return shape;
 }
 
-inline lab::SingleProcess::Options answering(lab::SingleProcess::Options shape) {
+inline stand_ins::SingleProcess::Options answering(stand_ins::SingleProcess::Options shape) {
     shape.answers = true;
     return shape;
 }
--- a/tests/soak.cpp
+++ b/tests/soak.cpp
@@ -8,7 +8,7 @@
 #include "testing/soak.hpp"
 
 int main(int argc, char** argv) {
-    using namespace irismux::lab;
+    using namespace irismux::stand_ins;
     if (argc < 3) {
         std::cerr << "usage: " << argv[0] << " FIRST LAST [SECONDS [PROGRAM]]\n";
         return 2;
--- a/tests/wall_clock_test.cpp
+++ b/tests/wall_clock_test.cpp
@@ -10,10 +10,10 @@
 namespace irismux::testing {
 namespace {
 
-using lab::Shims;
-using lab::SingleProcess;
+using stand_ins::Shims;
+using stand_ins::SingleProcess;
 
-const lab::ShimLibraries libraries{IRISMUX_SKEWED_CLOCK, IRISMUX_FAILING_CALLS};
+const stand_ins::ShimLibraries libraries{IRISMUX_SKEWED_CLOCK, IRISMUX_FAILING_CALLS};
 constexpr std::int64_t hour_us = 3'600'000'000;
 // Of its even share, what a cold cache may get at most in the seconds after its start.
 constexpr double cold_share = 0.5;
@@ -33,7 +33,7 @@
 
 class WallClock : public ::testing::TestWithParam<Case> {
 protected:
-    void start(lab::SingleProcess::Options shape) {
+    void start(stand_ins::SingleProcess::Options shape) {
         if (GetParam().when == Stepped::before_start) step();
         shape.environment = shims.environment();
         solo = std::make_unique<SingleProcess>(answering(shape));
@@ -42,7 +42,7 @@
         if (GetParam().when == Stepped::while_running) step();
     }
     void step() {
-        lab::ClockSkew skew;
+        stand_ins::ClockSkew skew;
         skew.wall_ahead_us = GetParam().wall_ahead_us;
         shims.set_clock(skew);
     }
@@ -81,7 +81,7 @@
 
 // It binds for as long as it should and not for the hour by which the clock is off.
 TEST_P(WallClock, APurgeIsForgottenInItsTime) {
-    lab::SingleProcess::Options shape = solo_shape(2);
+    stand_ins::SingleProcess::Options shape = solo_shape(2);
     shape.change = [change = shape.change](json& c) {
         change(c);
         c["settings"]["specifics"]["purgeDoneS"] = 0.2;
@@ -98,9 +98,9 @@
 // Rule 4: a cache that starts while the process runs gets a small share at first.
 TEST_P(WallClock, ACacheThatStartsNowIsWarmedSlowly) {
     start(solo_shape(2));
-    lab::ScriptedCache fresh(solo->loop, "e3");
-    fresh.then = [&fresh](const lab::ScriptedCache::ReceivedAttempt& p) { fresh.answer(p); };
-    json line = lab::endpoint_json("e3", "node", "plant", fresh.address(), "Ready");
+    stand_ins::ScriptedCache fresh(solo->loop, "e3");
+    fresh.then = [&fresh](const stand_ins::ScriptedCache::ReceivedAttempt& p) { fresh.answer(p); };
+    json line = stand_ins::endpoint_json("e3", "node", "plant", fresh.address(), "Ready");
     line["started_ms"] = unix_now_ms();
     solo->notice_board->post({{"pool", {{"version", 2}, {"full", false}, {"servers", {line}}}}});
     ASSERT_TRUE(solo->until([&] { return solo->notice_board->waiting_from() == 2; }));
@@ -115,7 +115,7 @@
 // hangs.
 TEST(WallClockStep, WithASignalDoesNotHoldUpTheLoop) {
     Shims shims(libraries);
-    lab::SingleProcess::Options shape = solo_shape(1);
+    stand_ins::SingleProcess::Options shape = solo_shape(1);
     shape.environment = shims.environment();
     SingleProcess solo(shape);
     solo.notice_board->silent = true;
@@ -126,7 +126,7 @@
         const TimePoint asked = solo.loop.now();
         for (int step = 1; step <= 4; ++step) {
             solo.until([] { return false; }, Duration::micros(20'000));
-            lab::ClockSkew skew;
+            stand_ins::ClockSkew skew;
             skew.wall_ahead_us = -hour_us * (n * 4 + step);
             shims.set_clock(skew);
             solo.process->signal(SIGHUP);
