--- /dev/null
+++ b/tests/stored_data_test.cpp
@@ -0,0 +1,477 @@
+// What the program stores, in its own folders and in the key-value registry: files of it, written by the
+// program, are read back value by value, and are written again byte by byte.
+#include <nlohmann/json.hpp>
+
+#include "fleet/digest.hpp"
+#include "fleet/fence.hpp"
+#include "fleet/fleet_client.hpp"
+#include "fleet/in_force.hpp"
+#include "fleet/records.hpp"
+#include "golden.hpp"
+#include "lab/fleet.hpp"
+#include "lab/process.hpp"
+#include "lab/registry.hpp"
+#include "registry/snapshot.hpp"
+#include "store/store.hpp"
+
+namespace irismux::testing {
+namespace {
+
+namespace fs = std::filesystem;
+using namespace fleet;
+
+constexpr std::size_t small_store = 64 * 1024;  // bytes, at most
+const Instant kept_at = Instant{} + Span::micros(1'790'000'000'123'456);
+const std::string kept_owner = "plant /caches/";
+const Span hour = Span::micros(3'600'000'000);
+
+const std::string full_line =
+    R"({"addr":"127.0.0.1:7101","cell":3,"id":"c1","kind":"node","started_ms":1789990000123,)"
+    R"("state":"Ready","weight":1.5,"zone":"plant"})";
+const std::string draining_line = R"({"id":"c2","state":"Terminating"})";
+
+registry::View view_to_keep() {
+    registry::View view;
+    view.replace(registry::Revision{41},
+                 {{registry::RecordKey{"c1"}, full_line, registry::Revision{7}, registry::Revision{40}},
+                  {registry::RecordKey{"c2"}, draining_line, registry::Revision{9}, registry::Revision{9}},
+                  {registry::RecordKey{"c3"}, "not JSON", registry::Revision{11}, registry::Revision{12}}},
+                 kept_at);
+    return view;
+}
+
+Fence fence_to_store() {
+    Fence fence;
+    fence.on_record(DutyName{"sweep"}, {FencingToken{5}, MemberName{"g1"}, Incarnation{101}});
+    fence.on_record(DutyName{"watch/c1"}, {FencingToken{9}, MemberName{"g2"}, Incarnation{102}});
+    fence.on_record(DutyName{"digest"}, {FencingToken{3}, MemberName{""}, Incarnation{0}});
+    fence.on_record(DutyName{"watch/gone"}, {FencingToken{8}, MemberName{"g3"}, Incarnation{103}});
+    fence.forget(DutyName{"watch/gone"});
+    return fence;
+}
+
+void expect_fence(const Fence& fence) {
+    EXPECT_EQ(fence.highest(DutyName{"sweep"}), FencingToken{5});
+    EXPECT_EQ(fence.highest(DutyName{"watch/c1"}), FencingToken{9});
+    EXPECT_EQ(fence.highest(DutyName{"digest"}), FencingToken{3});
+    const auto conflict = [&](const char* duty, std::int64_t token, const char* owner, std::int64_t start) {
+        return fence.conflicting_token(DutyName{duty},
+                                       {FencingToken{token}, MemberName{owner}, Incarnation{start}});
+    };
+    EXPECT_EQ(conflict("sweep", 5, "g1", 101), FencingToken{}) << "the holder itself";
+    EXPECT_EQ(conflict("sweep", 5, "g2", 101), FencingToken{5}) << "another owner";
+    EXPECT_EQ(conflict("watch/c1", 9, "g2", 102), FencingToken{});
+    EXPECT_EQ(conflict("watch/c1", 9, "g2", 103), FencingToken{9}) << "another start";
+    EXPECT_EQ(conflict("digest", 3, "", 0), FencingToken{});
+    Fence later = fence;
+    EXPECT_FALSE(later.accepts(DutyName{"new"}, {FencingToken{8}, MemberName{"g1"}, Incarnation{101}}))
+        << "8 is the highest token of the duties that were forgotten";
+    EXPECT_TRUE(later.accepts(DutyName{"new"}, {FencingToken{9}, MemberName{"g1"}, Incarnation{101}}));
+}
+
+// --- the list of endpoints that is kept for the next start
+
+// Given: a file with the list of two endpoints, kept by an earlier program. When: it is read. Then: each
+// value is as it was; the record that could not be read is not there.
+TEST(StoredData, AKeptListIsReadBack) {
+    const auto read = registry::read_kept(golden("stored/kept_list.bin"), kept_owner, kept_at + hour, hour);
+    const auto* kept = std::get_if<registry::Snapshot>(&read);
+    ASSERT_TRUE(kept) << std::get<std::string>(read);
+    EXPECT_EQ(kept->cluster, registry::ClusterId{"14841639068965178418"});
+    EXPECT_EQ(kept->revision, registry::Revision{41});
+    EXPECT_EQ(kept->as_of, kept_at);
+    ASSERT_EQ(kept->records.size(), 2u);
+    EXPECT_EQ(kept->records[0].key, registry::RecordKey{"c1"});
+    EXPECT_EQ(kept->records[0].value, full_line);
+    EXPECT_EQ(kept->records[0].created, registry::Revision{7});
+    EXPECT_EQ(kept->records[0].modified, registry::Revision{40});
+    EXPECT_EQ(kept->records[1].key, registry::RecordKey{"c2"});
+    EXPECT_EQ(kept->records[1].value, draining_line);
+    EXPECT_EQ(kept->records[1].created, registry::Revision{9});
+    EXPECT_EQ(kept->records[1].modified, registry::Revision{9});
+}
+
+// Given: the same list. When: it is kept again. Then: it is the same bytes.
+TEST(StoredData, AKeptListIsWrittenAsBefore) {
+    expect_golden("stored/kept_list.bin",
+                  registry::kept_form(view_to_keep(), registry::ClusterId{"14841639068965178418"}, kept_at,
+                                      kept_owner));
+}
+
+// Given: the file with one byte changed, or asked for by another owner, too late or too early. When: it is
+// read. Then: it is refused.
+TEST(StoredData, AKeptListThatIsDamagedOrAnothersIsRefused) {
+    const std::string bytes = golden("stored/kept_list.bin");
+    for (std::size_t n = 0; n < bytes.size(); ++n) {
+        std::string damaged = bytes;
+        damaged[n] = static_cast<char>(damaged[n] ^ 1);
+        EXPECT_EQ(std::get<std::string>(registry::read_kept(damaged, kept_owner, kept_at, hour)),
+                  "the kept list is damaged")
+            << "byte " << n;
+    }
+    const auto why = [&](const std::string& owner, Instant now) {
+        const auto read = registry::read_kept(bytes, owner, now, hour);
+        const auto* line = std::get_if<std::string>(&read);
+        return line ? *line : "";
+    };
+    EXPECT_EQ(why("hub /caches/", kept_at), "the kept list is another deployment's");
+    EXPECT_EQ(why(kept_owner, kept_at + hour + Span::micros(1)), "the kept list is too old");
+    EXPECT_EQ(why(kept_owner, kept_at - Span::micros(1)), "the kept list is from the future");
+}
+
+// --- the fencing tokens that were seen
+
+// Given: the stored tokens of three duties, and of one that was forgotten. When: they are restored. Then:
+// each is refused or accepted as before; and they are written as the same bytes.
+TEST(StoredData, TheTokensSeenAreReadBackAndWrittenAsBefore) {
+    expect_golden("stored/fleet_tokens_seen.json", fence_to_store().serialize());
+    Fence fence;
+    ASSERT_TRUE(fence.restore(golden("stored/fleet_tokens_seen.json")));
+    expect_fence(fence);
+    EXPECT_EQ(fence.serialize(), golden("stored/fleet_tokens_seen.json"));
+}
+
+// --- the embedded store
+
+// Given: store folders of an earlier program. When: copies of them are opened. Then: the values lie under
+// the names that the gateway uses, and they can be written over.
+TEST(StoredData, AStoreOfAnEarlierProgramIsReadBack) {
+    Folder folder;
+    fs::copy(golden_path("stored/store_list"), folder.path() + "/list", fs::copy_options::recursive);
+    fs::copy(golden_path("stored/store_fleet"), folder.path() + "/fleet", fs::copy_options::recursive);
+    auto list = Store::open(folder.path() + "/list", small_store);
+    ASSERT_TRUE(std::holds_alternative<Store>(list)) << std::get<std::string>(list);
+    EXPECT_EQ(std::get<Store>(list).read("registry list"), golden("stored/kept_list.bin"));
+    auto opened = Store::open(folder.path() + "/fleet", small_store);
+    ASSERT_TRUE(std::holds_alternative<Store>(opened)) << std::get<std::string>(opened);
+    Store& store = std::get<Store>(opened);
+    EXPECT_EQ(store.read("fleet epochs seen"), golden("stored/fleet_tokens_seen.json"));
+    EXPECT_EQ(store.read("fleet last start"), "5000000");
+    EXPECT_EQ(store.read("no such name"), std::nullopt);
+    EXPECT_EQ(store.write("fleet last start", "5000001"), std::nullopt);
+    EXPECT_EQ(store.read("fleet last start"), "5000001");
+    EXPECT_EQ(store.read("fleet epochs seen"), golden("stored/fleet_tokens_seen.json"));
+}
+
+// --- the records of the fleet in the registry
+
+const MemberRecord member{Incarnation{101},
+                          InstanceId{"11.22.33.44"},
+                          "0.3.0",
+                          {{DutyName{"sweep"}, FencingToken{5}}, {DutyName{"watch/c1"}, FencingToken{9}}},
+                          {CacheId{"c1"}, CacheId{"c2"}}};
+const MemberRecord plain_member{Incarnation{102}, InstanceId{"5.6.7.8"}, "0.3.0", {}, {}};
+const HeartbeatRecord heartbeat{Incarnation{101}, InstanceId{"11.22.33.44"}, HeartbeatNumber{77}};
+const InForce claim{{4, "12.34"}, EventNumber{2049}, ConfigurationNumber{17}};
+const Instance owner{MemberName{"g1"}, Incarnation{101}};
+
+Digest digest_to_write() {
+    Digest d;
+    d.owner = MemberName{"g1"};
+    d.owner_id = "11.22.33.44";
+    d.as_of = 78;
+    d.as_of_ms = 1'790'000'000'123;
+    d.generation = {4, "12.34"};
+    d.worn = d.incomplete = true;
+    d.known = 5;
+    d.live = 3;
+    d.lowest = EventNumber{2047};
+    d.highest = EventNumber{2049};
+    d.lowest_configuration = ConfigurationNumber{16};
+    d.absent = {{MemberName{"g4"}, 1'789'999'999'000}, {MemberName{"g5"}, 1'789'999'998'000}};
+    d.absent_count = 2;
+    d.behind = {{MemberName{"g2"}, EventNumber{2047}, ConfigurationNumber{17}}};
+    d.behind_count = 1;
+    d.marks = {{CacheId{"c1"}, 3}, {CacheId{"c2"}, 1}};
+    return d;
+}
+
+Digest plain_digest() {
+    Digest d;
+    d.owner = MemberName{"g1"};
+    d.owner_id = "11.22.33.44";
+    d.as_of = 1;
+    return d;
+}
+
+// Each kind of record under its path behind the fleet's prefix.
+Named fleet_records() {
+    const SiteName none, site{"north-1"};
+    const MemberName g1{"g1"}, g2{"g2"};
+    InForce worn = claim;
+    worn.worn = true;
+    return {
+        {path_of(shared_config_key(), none),
+         serialize(SharedConfig{"north", Span::micros(12'000'000), 0.01})},
+        {path_of(member_key(g1), none), serialize(member)},
+        {path_of(member_key(g2), none), serialize(plain_member)},
+        {path_of(heartbeat_key(g1), none), serialize(heartbeat)},
+        {path_of(duty_key(DutyName{"sweep"}), none),
+         serialize(DutyRecord{FencingToken{5}, g1, Incarnation{101}})},
+        {path_of(duty_key(health_watch_duty(CacheId{"c1"})), none),
+         serialize(DutyRecord{FencingToken{9}, MemberName{}, Incarnation{}})},
+        {path_of(floor_key(), none), serialize_floor(FencingToken{8})},
+        {path_of(release_key(DutyName{"sweep"}), none), serialize(owner)},
+        {path_of(collection_progress_key(), none),
+         serialize(CollectionProgress{FencingToken{5}, owner, 12, 34, "duty/watch/c1"})},
+        {path_of(probe_result_key(CacheId{"c1"}), none),
+         serialize(ProbeResult{FencingToken{9}, owner, true, 6})},
+        {path_of(generation_key(), site), serialize(claim.generation)},
+        {path_of(digest_key(), site), serialize(digest_to_write())},
+        {path_of(digest_key(), SiteName{"north-2"}), serialize(plain_digest())},
+        {path_of(roster_key(), site), serialize(Roster{{g1, g2}, false})},
+        {path_of(roster_key(), SiteName{"north-2"}), serialize(Roster{{g1}, true})},
+        {path_of(member_key(g1), site), serialize(member)},
+        {path_of(heartbeat_key(g1), site), with_claim(serialize(heartbeat), claim)},
+        {path_of(heartbeat_key(g2), site), with_claim(serialize(heartbeat), worn)},
+        {path_of(duty_key(digest_duty()), site),
+         serialize(DutyRecord{FencingToken{3}, g1, Incarnation{101}})},
+    };
+}
+
+std::string fleet_record(const std::string& path) { return golden_value("stored/fleet_records.txt", path); }
+
+// Given: the records of a fleet as files. When: the same ones are written. Then: they have the same paths and
+// the same bytes.
+TEST(StoredData, FleetRecordsAreWrittenAsBefore) {
+    expect_golden("stored/fleet_records.txt", text_of(fleet_records()));
+    const std::string prefixes = watched_prefix("/fleet/") + '\n' + digest_prefix("/fleet/") + '\n' +
+                                 site_prefix("/fleet/", SiteName{"north-1"}) + '\n';
+    EXPECT_EQ(prefixes, "/fleet/roll/\n/fleet/digest/\n/fleet/site/north-1/\n");
+}
+
+// Given: the same files. When: their paths are read. Then: each names what it named before.
+TEST(StoredData, FleetPathsAreReadBack) {
+    EXPECT_EQ(member_of(key_at("roll/member/g1")), MemberName{"g1"});
+    EXPECT_EQ(heartbeat_owner(key_at("beat/g1")), MemberName{"g1"});
+    EXPECT_EQ(duty_of(key_at("roll/duty/sweep")), DutyName{"sweep"});
+    EXPECT_EQ(watched_cache_of(*duty_of(key_at("roll/duty/watch/c1"))), CacheId{"c1"});
+    EXPECT_EQ(released_duty_of(key_at("roll/aside/sweep")), DutyName{"sweep"});
+    EXPECT_EQ(probed_cache_of(key_at("roll/seen/c1")), CacheId{"c1"});
+}
+
+// Given: the records of members and heartbeats as files. When: they are read. Then: each value is as it was.
+TEST(StoredData, MembersAndHeartbeatsAreReadBack) {
+    const auto m = read_member(fleet_record("roll/member/g1"));
+    ASSERT_TRUE(m);
+    EXPECT_EQ(m->start, Incarnation{101});
+    EXPECT_EQ(m->instance_id, InstanceId{"11.22.33.44"});
+    EXPECT_EQ(m->version, "0.3.0");
+    EXPECT_EQ(m->refuses, member.refuses);
+    EXPECT_EQ(m->marks, member.marks);
+    const auto plain = read_member(fleet_record("roll/member/g2"));
+    ASSERT_TRUE(plain);
+    EXPECT_EQ(plain->start, Incarnation{102});
+    EXPECT_TRUE(plain->refuses.empty() && plain->marks.empty());
+    for (const std::string path : {"beat/g1", "site/north-1/beat/g1"}) {
+        const auto b = read_heartbeat(fleet_record(path));
+        ASSERT_TRUE(b) << path;
+        EXPECT_EQ(b->start, Incarnation{101});
+        EXPECT_EQ(b->instance_id, InstanceId{"11.22.33.44"});
+        EXPECT_EQ(b->number, HeartbeatNumber{77});
+    }
+}
+
+// Given: heartbeats with and without an acknowledgement. When: they are read. Then: it is as it was.
+TEST(StoredData, AcknowledgementsAreReadBack) {
+    EXPECT_EQ(read_claim(fleet_record("beat/g1")), std::nullopt);
+    EXPECT_EQ(read_claim(fleet_record("site/north-1/beat/g1")), claim);
+    InForce worn = claim;
+    worn.worn = true;
+    EXPECT_EQ(read_claim(fleet_record("site/north-1/beat/g2")), worn);
+    EXPECT_EQ(read_generation(fleet_record("generation")), claim.generation);
+}
+
+// Given: the records of duties as files. When: they are read. Then: each value is as it was.
+TEST(StoredData, DutiesAreReadBack) {
+    const auto held = read_duty(fleet_record("roll/duty/sweep"));
+    ASSERT_TRUE(held);
+    EXPECT_EQ(held->token, FencingToken{5});
+    EXPECT_EQ(held->owner, MemberName{"g1"});
+    EXPECT_EQ(held->start, Incarnation{101});
+    const auto given_up = read_duty(fleet_record("roll/duty/watch/c1"));
+    ASSERT_TRUE(given_up);
+    EXPECT_EQ(given_up->token, FencingToken{9});
+    EXPECT_EQ(given_up->owner, MemberName{});
+    EXPECT_EQ(read_floor(fleet_record("roll/floor")), FencingToken{8});
+    EXPECT_EQ(read_release(fleet_record("roll/aside/sweep")), owner);
+}
+
+// Given: the records that owners of duties write, as files. When: they are read. Then: each value is as it
+// was.
+TEST(StoredData, ResultsOfDutiesAreReadBack) {
+    const auto progress = read_collection_progress(fleet_record("roll/swept"));
+    ASSERT_TRUE(progress);
+    EXPECT_EQ(progress->token, FencingToken{5});
+    EXPECT_EQ(progress->by, owner);
+    EXPECT_EQ(progress->pass, 12);
+    EXPECT_EQ(progress->taken, 34);
+    EXPECT_EQ(progress->behind, "duty/watch/c1");
+    const auto probed = read_probe_result(fleet_record("roll/seen/c1"));
+    ASSERT_TRUE(probed);
+    EXPECT_EQ(probed->token, FencingToken{9});
+    EXPECT_EQ(probed->by, owner);
+    EXPECT_TRUE(probed->well);
+    EXPECT_EQ(probed->streak, 6);
+}
+
+// Given: digests and rosters of two sites as files. When: they are read. Then: each value is as it was.
+TEST(StoredData, DigestsAndRostersAreReadBack) {
+    const Digest is = digest_to_write();
+    const auto d = read_digest(fleet_record("digest/north-1"));
+    ASSERT_TRUE(d);
+    EXPECT_EQ(d->owner, is.owner);
+    EXPECT_EQ(d->owner_id, is.owner_id);
+    EXPECT_EQ(std::pair(d->as_of, d->as_of_ms), std::pair(is.as_of, is.as_of_ms));
+    EXPECT_EQ(d->generation, is.generation);
+    EXPECT_TRUE(d->worn && d->incomplete);
+    EXPECT_EQ(std::pair(d->known, d->live), std::pair(is.known, is.live));
+    EXPECT_EQ(std::pair(d->lowest, d->highest), std::pair(is.lowest, is.highest));
+    EXPECT_EQ(d->lowest_configuration, is.lowest_configuration);
+    EXPECT_EQ(d->absent, is.absent);
+    EXPECT_EQ(d->behind, is.behind);
+    EXPECT_EQ(std::pair(d->absent_count, d->behind_count), std::pair(is.absent_count, is.behind_count));
+    EXPECT_EQ(d->marks, is.marks);
+    const auto plain = read_digest(fleet_record("digest/north-2"));
+    ASSERT_TRUE(plain);
+    EXPECT_EQ(plain->as_of, 1);
+    EXPECT_FALSE(plain->worn || plain->incomplete);
+    EXPECT_TRUE(plain->absent.empty() && plain->behind.empty() && plain->marks.empty());
+    EXPECT_EQ(read_roster(fleet_record("site/north-1/roll/roster")),
+              (Roster{{MemberName{"g1"}, MemberName{"g2"}}, false}));
+    EXPECT_EQ(read_roster(fleet_record("site/north-2/roll/roster")), (Roster{{MemberName{"g1"}}, true}));
+}
+
+// --- records of endpoints in the registry
+
+// Given: lines of the list as files, one with every field. When: they are read. Then: each value is as it
+// was.
+TEST(StoredData, LinesOfTheListAreReadBack) {
+    const auto line = [](const std::string& id) {
+        return registry::line_of(
+            {registry::RecordKey{id}, golden_value("stored/list_records.txt", id), {}, {}});
+    };
+    const auto full = line("c1");
+    ASSERT_TRUE(full);
+    EXPECT_EQ(full->first.cache, CacheId{"c1"});
+    EXPECT_EQ(full->first.location, LocationId{"plant"});
+    EXPECT_EQ(full->first.machine, MachineId{"node"});
+    EXPECT_EQ(full->first.cell, CellNo{3});
+    EXPECT_EQ(full->first.weight, 1.5);
+    EXPECT_EQ(full->first.phase, Phase::in_service);
+    EXPECT_EQ(full->first.started, unix_ms(1'789'990'000'123));
+    EXPECT_EQ(full->second, "127.0.0.1:7101");
+    const auto draining = line("c2");
+    ASSERT_TRUE(draining);
+    EXPECT_EQ(draining->first.phase, Phase::draining);
+    EXPECT_EQ(draining->first.weight, 1.0);
+    EXPECT_EQ(draining->second, "");
+    const auto gone = line("c4");
+    ASSERT_TRUE(gone);
+    EXPECT_EQ(gone->first.phase, Phase::gone);
+}
+
+// --- by processes of the program
+
+// A registry of one member, and a folder with the files that a process needs.
+class StoredByProcess : public ::testing::Test {
+protected:
+    Loop loop;
+    lab::Registry registry_{loop, 1, Span::micros(20'000)};
+    lab::Board board{loop};
+    Folder folder;
+    std::unique_ptr<lab::Process> gateway;
+    lab::Stretches stretches{loop};  // the last: nothing of the above may go while the loop runs
+
+    std::string value(const std::string& key) const {
+        const auto* state = registry_.model.at(registry_.model.newest());
+        const auto it = state->find(registry::RecordKey{key});
+        return it == state->end() ? "" : it->second.value;
+    }
+    std::string write_parts() const {
+        const std::string path = folder.path() + "/parts.toml";
+        std::ofstream(path) << "[registry]\nmembers = [\"" << registry_.address(0)
+                            << "\"]\nprefix = \"/caches/\"\nkeep_in = \"" << folder.path()
+                            << "/list\"\n[fleet]\ninstallation = \"north\"\nname = \"g1\"\nprefix = "
+                               "\"/fleet/\"\nterm = \"800ms\"\nkeep_in = \""
+                            << folder.path() << "/fleet\"\n";
+        return path;
+    }
+    int run(const std::vector<std::string>& words) {
+        std::vector<std::string> all = {IRISMUX_PROGRAM, "registry", "--parts", write_parts()};
+        all.insert(all.end(), words.begin(), words.end());
+        lab::Process p({all, {"PATH=/usr/bin:/bin"}, "", folder.path() + "/out"});
+        EXPECT_TRUE(stretches.until([&] { return !p.running(); }));
+        return p.status().value_or(-1);
+    }
+    void start_gateway() {
+        board.post({{"pool", {{"version", 1}, {"full", true}, {"servers", nlohmann::json::array()}}}});
+        const std::string path = folder.path() + "/config.json";
+        std::ofstream(path) << lab::configuration("127.0.0.1:0", board.address(), board.known()).dump();
+        gateway = std::make_unique<lab::Process>(
+            lab::Process::Start{{IRISMUX_PROGRAM, "serve", "--parts", write_parts()},
+                                {"NODE_CONFIG=" + path},
+                                "",
+                                folder.path() + "/log"});
+    }
+    void start_in_place_of_an_earlier_one() {
+        fs::copy(golden_path("stored/store_fleet"), folder.path() + "/fleet", fs::copy_options::recursive);
+        registry_.model.put("/caches/c1", full_line);
+        registry_.publish();
+        start_gateway();
+    }
+    void expect_kept_list(const std::string& bytes) const {
+        const Instant far = Instant{} + Span::seconds(4e9);
+        const auto read = registry::read_kept(bytes, kept_owner, far, Span::seconds(4e9));
+        const auto* kept = std::get_if<registry::Snapshot>(&read);
+        ASSERT_TRUE(kept) << std::get<std::string>(read);
+        ASSERT_EQ(kept->records.size(), 1u);
+        EXPECT_EQ(kept->records[0].value, full_line);
+    }
+    bool stored(const std::string& name, const std::string& part) const {
+        const std::string path = folder.path() + "/" + name + "/data.mdb";
+        return fs::exists(path) && bytes_of_file(path).find(part) != std::string::npos;
+    }
+    std::string read_store(const std::string& name, const std::string& key) const {
+        auto store = Store::open(folder.path() + "/" + name, 64 << 20);
+        if (const auto* why = std::get_if<std::string>(&store)) return *why;
+        return std::get<Store>(store).read(key).value_or("");
+    }
+};
+
+// Given: an empty list. When: the program is told to put three records and to drain one. Then: the registry
+// holds the bytes of the file.
+TEST_F(StoredByProcess, RecordsOfTheListAreWrittenAsBefore) {
+    EXPECT_EQ(run({"put", full_line}), 0);
+    EXPECT_EQ(run({"put", R"({"state": "Ready", "id": "c2"})"}), 0);
+    EXPECT_EQ(run({"put", R"({"id":"c4","state":"Gone"})"}), 0);
+    EXPECT_EQ(run({"drain", "c2"}), 0);
+    expect_golden(
+        "stored/list_records.txt",
+        text_of({{"c1", value("/caches/c1")}, {"c2", value("/caches/c2")}, {"c4", value("/caches/c4")}}));
+}
+
+// Given: the store of an earlier program, which had seen token 5 of a duty. When: a gateway joins a registry
+// that knows nothing. Then: it takes the duty under token 6; and it stores the tokens seen, its own number
+// and the list under the same names.
+TEST_F(StoredByProcess, AGatewayReadsTheTokensOfAnEarlierOneAndWritesItsOwn) {
+    start_in_place_of_an_earlier_one();
+    ASSERT_TRUE(stretches.until([&] { return !value("/fleet/roll/duty/sweep").empty(); }));
+    EXPECT_EQ(read_duty(value("/fleet/roll/duty/sweep"))->token, FencingToken{6});
+    const auto start = std::to_string(read_member(value("/fleet/roll/member/g1"))->start.raw());
+    // Each is stored within a few seconds.
+    ASSERT_TRUE(stretches.until([&] {
+        return stored("fleet", R"("sweep":[6,"g1",)" + start) && stored("list", "as_of_us");
+    })) << bytes_of_file(folder.path() + "/log");
+    EXPECT_TRUE(stretches.until([&] { return read_store("fleet", "fleet last start") == start; }))
+        << read_store("fleet", "fleet last start") << " is stored, and the number is " << start;
+    gateway->kill_and_wait();
+    Fence fence;
+    ASSERT_TRUE(fence.restore(read_store("fleet", "fleet epochs seen")));
+    EXPECT_EQ(fence.highest(DutyName{"sweep"}), FencingToken{6});
+    EXPECT_EQ(fence.highest(DutyName{"watch/c1"}), FencingToken{9});
+    expect_kept_list(read_store("list", "registry list"));
+}
+
+}  // namespace
+}  // namespace irismux::testing
