--- a/bench/data_path_router.cpp
+++ b/bench/data_path_router.cpp
@@ -93,10 +93,8 @@
     void cancel_attempt(const RequestId&, AttemptIndex) override {}
     void reject(const RequestId&, Duration) override { ++refused; }
     void fail(const RequestId&) override { ++refused; }
-    void request_health_check(const CacheId&) override {}
     void set_timer(TimerId number, TimePoint at) override { alarms.emplace_back(number, at); }
     void subscribe_to_endpoints() override {}
-    void log(std::string_view) override {}
 
     std::vector<std::pair<TimerId, TimePoint>> alarms;
     CacheId to;
--- a/include/irismux/deployment.hpp
+++ b/include/irismux/deployment.hpp
@@ -1,9 +1,8 @@
-// What a gateway is told once, when it starts. Nothing here decides anything.
+// What a gateway is told once, when it starts. Nothing here decides anything. Fields marked "not used by
+// decisions" are read so that a configuration is checked whole.
 #pragma once
 
-#include <cstdint>
 #include <optional>
-#include <string>
 #include <vector>
 
 #include "irismux/ids.hpp"
@@ -11,76 +10,87 @@
 
 namespace irismux {
 
-enum class Effect { idempotent, deduplicated, non_idempotent };
+/// What repeating a request does.
+enum class Effect {
+    idempotent,     ///< nothing more
+    deduplicated,   ///< nothing more, while its idempotency key is remembered (ObjectKind::dedup_window)
+    non_idempotent  ///< the effect happens again
+};
+/// Who remembers idempotency keys together.
 enum class DedupScope { all, location, cell };
+/// Which caches may serve as each other's fill source. Not used by decisions.
 enum class Siblings { none, location, any };
+/// For which responses caches report a CacheStatus.
 enum class CacheStatusReporting { none, hits, all };
 
 struct ObjectKind {
     Effect effect = Effect::idempotent;
-    DedupScope dedup_scope = DedupScope::all;  // deduplicated kinds: who drops repeats
-    Duration dedup_window;                     // deduplicated kinds: for how long
-    Duration latency_objective;                // the latency budget
-    double latency_objective_stretch = 0;      // it grows by this multiple of the sending time
-    Duration deadline;                         // all tries of a client together
-    double utility = 1;
-    double late_utility_share = 0;  // of the utility, once past the budget
-    Duration fresh_for;             // zero: good until purged
-    Duration stale_if_error_for;    // how much past fresh a copy may be
-    double stale_utility_share = 1;
-    bool uncacheable = false;  // runs at the origin
+    DedupScope dedup_scope = DedupScope::all;  ///< of deduplicated kinds
+    Duration dedup_window;                     ///< of deduplicated kinds: for how long a key is remembered
+    Duration latency_objective;                ///< a response later than this is worth less
+    double latency_objective_stretch = 0;      ///< multiple of the transfer time that is added to it
+    Duration deadline;                         ///< for all attempts of a client together
+    double utility = 1;                        ///< of a response in time; not used by decisions
+    double late_utility_share = 0;             ///< of `utility`, once late; not used by decisions
+    Duration fresh_for;                        ///< age at which a copy becomes stale; zero: never
+    Duration stale_if_error_for;     ///< for how long a stale copy may still stand in for a failed source
+    double stale_utility_share = 1;  ///< not used by decisions
+    bool uncacheable = false;        ///< runs at the origin
 };
 
+/// What the protocols of the deployment offer.
 struct Capabilities {
-    bool cancellation = false;
-    bool probes = false;
-    bool retry_after = false;
-    bool hedged_requests = false;
-    bool direct_attempts = false;  // lookups may go to parents and to the origin
-    bool coalescing = false;       // a lookup may wait for a fill under way
+    bool cancellation = false;  ///< attempts can be taken back
+    bool probes = false;        ///< health checks can be sent
+    bool retry_after = false;   ///< clients heed a time to come again
+    bool hedged_requests =
+        false;  ///< several attempts of one request may be in flight; not used by decisions
+    bool direct_attempts = false;  ///< attempts may go straight to parents and to the origin
+    bool coalescing = false;       ///< an attempt may wait for a fill under way
     Siblings siblings = Siblings::none;
     CacheStatusReporting cache_status = CacheStatusReporting::none;
-    int max_attempts = 1;  // for one lookup
-    Duration max_retry_after;
+    int max_attempts = 1;      ///< of one request
+    Duration max_retry_after;  ///< longest time that clients heed
 };
 
+/// How the capacity of a restarted endpoint grows.
 struct SlowStart {
-    double initial_capacity_share = 1;  // share of capacity at the start
-    Duration window;                    // the share rises evenly until then, at the slowest
-    double overload_multiple = 1;       // of the present capacity, at which it falls over
+    double initial_capacity_share = 1;  ///< of full capacity, at the start
+    Duration window;                    ///< the share rises evenly to 1 in this time, at the slowest
+    double overload_multiple = 1;       ///< load above this multiple of the present capacity stops it
 };
 
-// For the host, not for decisions: how connections to caches are kept.
+/// Limits of connections to caches. Not used by decisions.
 struct ConnectionSettings {
-    Duration connect_timeout;  // one that is not up by then is refused
-    Duration idle_timeout;     // an idle one is closed after this
-    int max_streams = 1;
+    Duration connect_timeout;  ///< a connection that is not up by then counts as refused
+    Duration idle_timeout;     ///< an idle connection is closed after this
+    int max_streams = 1;       ///< attempts that one connection carries at once
 };
 
 struct Deployment {
     int gateways = 1;
-    int gateways_in_location = 1;  // at this gateway's location
-    int locations = 1;             // those that have gateways
-    LocationId location;
+    int gateways_in_location = 1;  ///< in this gateway's location
+    int locations = 1;             ///< with gateways
+    LocationId location;           ///< this gateway's
     std::vector<ObjectKind> kinds;
     std::optional<MachineType> parent_machine;
     std::optional<MachineType> origin_machine;
     Capabilities capabilities;
-    bool subscribe_to_endpoints = false;
-    bool weights_known = false;
+    bool subscribe_to_endpoints = false;  ///< the endpoint list comes on request only
+    bool weights_known = false;           ///< EndpointUpdate::weight is meaningful
     SlowStart edge_slow_start;
     SlowStart parent_slow_start;
-    bool origin_stops_when_overloaded = false;  // it stops for a while when pushed over
-    Duration overload_window;
-    Duration drain_grace_period;
-    Duration purge_grace_period;
-    Duration purge_retention;
-    Duration timer_resolution;
+    bool origin_stops_when_overloaded = false;  ///< it answers nothing for a while then
+    Duration overload_window;                   ///< over which the load of an endpoint is summed
+    Duration drain_grace_period;                ///< not used by decisions
+    Duration purge_grace_period;                ///< not used by decisions
+    Duration purge_retention;                   ///< a purge has reached every copy after this
+    Duration timer_resolution;                  ///< timers and reports may be late by this
     ConnectionSettings connections;
-    int max_pending_requests = 0;                // lookups at once; 0: not told
-    double transfer_rate_kb_per_s = 0;           // top pace of one answer; 0: not told
-    double location_link_capacity_kb_per_s = 0;  // this location's link in; 0: not told
-    double total_link_capacity_kb_per_s = 0;     // of all locations
+    int max_pending_requests = 0;                ///< at once; 0: unlimited
+    double transfer_rate_kb_per_s = 0;           ///< highest rate of one transfer; 0: unknown
+    double location_link_capacity_kb_per_s = 0;  ///< of the link into this location; 0: unknown
+    double total_link_capacity_kb_per_s = 0;     ///< of the links into all locations; 0: unknown
 };
 
 }  // namespace irismux
--- a/include/irismux/time.hpp
+++ b/include/irismux/time.hpp
@@ -1,4 +1,7 @@
-// Points in time and spans between them: two types that do not mix by accident.
+// Points in time and durations, in whole microseconds. Two types that do not mix by accident.
+//
+// std::chrono is not used, since products with a fraction round half away from zero here and decisions depend
+// on that.
 #pragma once
 
 #include <cmath>
@@ -20,6 +23,7 @@
     constexpr Duration operator+(Duration o) const { return Duration{us_ + o.us_}; }
     constexpr Duration operator-(Duration o) const { return Duration{us_ - o.us_}; }
     Duration operator*(double k) const { return Duration{std::llround(static_cast<double>(us_) * k)}; }
+    /// The ratio of two durations.
     constexpr double operator/(Duration o) const {
         return static_cast<double>(us_) / static_cast<double>(o.us_);
     }
@@ -29,6 +33,7 @@
     std::int64_t us_ = 0;
 };
 
+/// A point on a steady clock that is anchored once, at the start of the process, to the Unix clock.
 class TimePoint {
 public:
     constexpr TimePoint() = default;
@@ -37,12 +42,12 @@
     constexpr double seconds() const { return since_zero_.seconds(); }
 
     constexpr auto operator<=>(const TimePoint&) const = default;
-    constexpr TimePoint operator+(Duration s) const { return TimePoint{since_zero_ + s}; }
-    constexpr TimePoint operator-(Duration s) const { return TimePoint{since_zero_ - s}; }
+    constexpr TimePoint operator+(Duration d) const { return TimePoint{since_zero_ + d}; }
+    constexpr TimePoint operator-(Duration d) const { return TimePoint{since_zero_ - d}; }
     constexpr Duration operator-(TimePoint o) const { return since_zero_ - o.since_zero_; }
 
 private:
-    constexpr explicit TimePoint(Duration s) : since_zero_(s) {}
+    constexpr explicit TimePoint(Duration d) : since_zero_(d) {}
     Duration since_zero_;
 };
 
--- a/sim/simulator_host.cpp
+++ b/sim/simulator_host.cpp
@@ -41,17 +41,6 @@
     return l;
 }
 
-std::optional<LoadReport> read_load(const json& item) {
-    const auto it = item.find("report");
-    if (it == item.end() || !it->is_object()) return std::nullopt;
-    const auto value = [&](const char* key) -> std::optional<double> {
-        const auto v = it->find(key);
-        if (v == it->end() || !v->is_number()) return std::nullopt;
-        return v->get<double>();
-    };
-    return LoadReport{value("busy_reqs"), value("pending"), value("cpu_share"), value("x1"), value("x0")};
-}
-
 // Writes each answer of the Router as one message of the reply.
 class WirePort final : public RouterCallbacks {
 public:
@@ -89,12 +78,10 @@
         put({{"t", "Abort"}, {"xid", lookups.name_of(id)}});
         lookups.lookup_ended(id);
     }
-    void request_health_check(const CacheId& cache) override { put({{"t", "Test"}, {"cache", cache.raw()}}); }
     void set_timer(TimerId n, TimePoint at) override {
         put({{"t", "NotifyMe"}, {"tag", n.raw()}, {"alarmTimeS", at.seconds()}});
     }
     void subscribe_to_endpoints() override { put({{"t", "Subscribe"}, {"active", true}}); }
-    void log(std::string_view text) override { put({{"t", "NoteDown"}, {"bodyText", std::string(text)}}); }
 
 private:
     void put(json message) { outbox.push_back(std::move(message)); }
@@ -106,6 +93,11 @@
     std::optional<Router> router;
 };
 
+// Messages that no decision depends on.
+bool is_ignored(std::string_view type) {
+    return type == "Opened" || type == "ProbeDone" || type == "NoteFrom";
+}
+
 class Host {
 public:
     json reply_to(const json& batch) {
@@ -153,14 +145,7 @@
                             object);
         } else if (t == "ClientGone") {
             client_gone(now, in, item);
-        } else if (t == "Opened") {
-            if (const auto id = in.port.lookups.find(get<std::string>(item, "xid")))
-                router.on_opened(now, *id, AttemptIndex{get_or<std::size_t>(item, "trial", 0)});
-        } else if (t == "ProbeDone") {
-            router.on_probe(now, {CacheId{get<std::string>(item, "cache")},
-                                  word(get<std::string>(item, "verdict"), "verdict", outcomes),
-                                  span_of(item, "timeTakenS"), read_load(item)});
-        } else if (t != "NoteFrom") {
+        } else if (!is_ignored(t)) {
             bad("unknown message '" + t + "'");
         }
     }
@@ -237,7 +222,6 @@
         a.elapsed = span_of(item, "timeTakenS");
         a.fill_wait = span_of(item, "fillWaitS");
         a.request_finished = get_or(item, "last", false);
-        a.load = read_load(item);
         return a;
     }
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -442,8 +442,7 @@
                           end.cache_status,
                           event_loop_.now() - s.decided_at,
                           end.fill_wait,
-                          x.answered(),
-                          std::nullopt};
+                          x.answered()};
     if (log::shown(log::Level::debug))
         log::event(log::Level::debug, "send_ended",
                    {{"lookup", x.client_request_id().raw()},
@@ -543,7 +542,6 @@
 
 void Gateway::on_health_check_result(const HealthCheckResult& a) {
     if (fleet_client_) fleet_client_->on_health_check_done(a.cache, a.outcome == Outcome::completed);
-    guarded_flag(inside_router_call_, [&] { router_.on_probe(event_loop_.now(), a); });
 }
 
 // The board's list counts only where no registry tells one.
@@ -650,16 +648,10 @@
     if (x.fail()) on_request_answered(x, false);
 }
 
-void Gateway::request_health_check(const CacheId& cache) {
-    cache_connections_.start_health_check(cache, [] { return true; });
-}
-
 void Gateway::set_timer(TimerId n, TimePoint at) {
     event_loop_.schedule_at(at, [this, n] {
         guarded_flag(inside_router_call_, [&] { router_.on_timer(event_loop_.now(), n); });
     });
 }
 
-void Gateway::log(std::string_view text) { log::write(log::Level::info, text); }
-
 }  // namespace irismux
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -49,10 +49,8 @@
     void cancel_attempt(const RequestId&, AttemptIndex) override;
     void reject(const RequestId&, Duration come_back_in) override;
     void fail(const RequestId&) override;
-    void request_health_check(const CacheId&) override;
     void set_timer(TimerId, TimePoint) override;
     void subscribe_to_endpoints() override {}  // the board is watched from the start
-    void log(std::string_view) override;
     void on_ejection_changed(const CacheId&, bool) override;
 
     // fleet::GatewayPort
--- a/src/net/cache_connection_pool.cpp
+++ b/src/net/cache_connection_pool.cpp
@@ -226,7 +226,7 @@
         for (const auto& [tag, since] : std::exchange(probes_, {}))
             caches_.observer_.on_health_check_result(
                 {cache_, connected_ ? Outcome::connection_reset : Outcome::connection_refused,
-                 loop_.now() - since, std::nullopt});
+                 loop_.now() - since});
         const auto open = std::exchange(open_, {});
         const auto waiting = std::exchange(waiting_, {});
         for (const auto& [name, o] : open) {
@@ -354,8 +354,7 @@
             const TimePoint since = p->second;
             probes_.erase(p);
             caches_.observer_.on_health_check_result(
-                {cache_, words[1] == "PONG" ? Outcome::completed : Outcome::errored, loop_.now() - since,
-                 std::nullopt});
+                {cache_, words[1] == "PONG" ? Outcome::completed : Outcome::errored, loop_.now() - since});
             idle_from_now();
             return true;
         }
--- a/src/net/cache_connection_pool.hpp
+++ b/src/net/cache_connection_pool.hpp
@@ -13,6 +13,12 @@
 
 namespace irismux {
 
+struct HealthCheckResult {
+    CacheId cache;
+    Outcome outcome = Outcome::completed;
+    Duration elapsed;
+};
+
 // Who hears how sends and probes end.
 class AttemptObserver {
 public:
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -1129,13 +1129,11 @@
 void Router::on_endpoint_updates_lost(TimePoint now) { core_->at(now).list_lost(); }
 void Router::on_request(TimePoint now, const Request& lk) { core_->at(now).lookup(lk); }
 void Router::on_attempt_result(TimePoint now, const AttemptResult& a) { core_->at(now).answer(a); }
-void Router::on_opened(TimePoint now, const RequestId&, AttemptIndex) { core_->at(now); }
 void Router::on_client_closed(TimePoint now, const RequestId& id) { core_->at(now).client_gone(id); }
 void Router::on_purge(TimePoint now, Duration age, PurgeGroupId group,
                       const std::optional<ObjectName>& object) {
     core_->at(now).purge(age, group, object);
 }
-void Router::on_probe(TimePoint now, const HealthCheckResult&) { core_->at(now); }
 void Router::postpone_recovery_probe(TimePoint now, const CacheId& c, TimePoint at) {
     core_->at(now).trial_from(c, at);
 }
--- a/tests/router_test_support.hpp
+++ b/tests/router_test_support.hpp
@@ -134,12 +134,8 @@
         if (open.erase(id) == 0) broken.push_back("1: a second answer");
         failed.push_back(id);
     }
-    void request_health_check(const CacheId&) override {
-        if (!told.capabilities.probes) broken.push_back("probes where it may not");
-    }
     void set_timer(TimerId n, TimePoint at) override { alarms.emplace_back(n, at); }
     void subscribe_to_endpoints() override {}
-    void log(std::string_view) override {}
 
     bool may_have_run(const RequestId& id) const { return !runs(id).empty(); }
 
--- a/tests/slow_start_fleet_test.cpp
+++ b/tests/slow_start_fleet_test.cpp
@@ -42,23 +42,15 @@
         ++filled;
         due->push({now + Duration::seconds(looked ? 0.002 : 0.06),
                    gateway,
-                   {id,
-                    AttemptIndex{sends[id]++},
-                    f.cache,
-                    looked ? Outcome::cache_miss : Outcome::completed,
+                   {id, AttemptIndex{sends[id]++}, f.cache, looked ? Outcome::cache_miss : Outcome::completed,
                     looked ? CacheStatus::none : CacheStatus::filled,
-                    Duration::seconds(looked ? 0.002 : 0.06),
-                    Duration{},
-                    !looked,
-                    {}}});
+                    Duration::seconds(looked ? 0.002 : 0.06), Duration{}, !looked}});
     }
     void cancel_attempt(const RequestId&, AttemptIndex) override {}
     void reject(const RequestId&, Duration) override { ++nacked; }
     void fail(const RequestId&) override {}
-    void request_health_check(const CacheId&) override {}
     void set_timer(TimerId n, TimePoint at) override { alarms.emplace_back(at, n); }
     void subscribe_to_endpoints() override {}
-    void log(std::string_view) override {}
 };
 
 struct ColdFleet {
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -8,11 +8,11 @@
 #include "fleet/in_force.hpp"
 #include "fleet/records.hpp"
 #include "golden.hpp"
-#include "lab/fleet.hpp"
-#include "lab/process.hpp"
-#include "lab/registry.hpp"
 #include "registry/snapshot.hpp"
 #include "store/store.hpp"
+#include "testing/process.hpp"
+#include "testing/registry_stand_in.hpp"
+#include "testing/stand_ins.hpp"
 
 namespace irismux::testing {
 namespace {
@@ -21,17 +21,17 @@
 using namespace fleet;
 
 constexpr std::size_t small_store = 64 * 1024;  // bytes, at most
-const Instant kept_at = Instant{} + Span::micros(1'790'000'000'123'456);
+const TimePoint kept_at = TimePoint{} + Duration::micros(1'790'000'000'123'456);
 const std::string kept_owner = "plant /caches/";
-const Span hour = Span::micros(3'600'000'000);
+const Duration hour = Duration::micros(3'600'000'000);
 
 const std::string full_line =
     R"({"addr":"127.0.0.1:7101","cell":3,"id":"c1","kind":"node","started_ms":1789990000123,)"
     R"("state":"Ready","weight":1.5,"zone":"plant"})";
 const std::string draining_line = R"({"id":"c2","state":"Terminating"})";
 
-registry::View view_to_keep() {
-    registry::View view;
+registry::EndpointView view_to_keep() {
+    registry::EndpointView view;
     view.replace(registry::Revision{41},
                  {{registry::RecordKey{"c1"}, full_line, registry::Revision{7}, registry::Revision{40}},
                   {registry::RecordKey{"c2"}, draining_line, registry::Revision{9}, registry::Revision{9}},
@@ -74,7 +74,8 @@
 // Given: a file with the list of two endpoints, kept by an earlier program. When: it is read. Then: each
 // value is as it was; the record that could not be read is not there.
 TEST(StoredData, AKeptListIsReadBack) {
-    const auto read = registry::read_kept(golden("stored/kept_list.bin"), kept_owner, kept_at + hour, hour);
+    const auto read =
+        registry::parse_snapshot(golden("stored/kept_list.bin"), kept_owner, kept_at + hour, hour);
     const auto* kept = std::get_if<registry::Snapshot>(&read);
     ASSERT_TRUE(kept) << std::get<std::string>(read);
     EXPECT_EQ(kept->cluster, registry::ClusterId{"14841639068965178418"});
@@ -94,8 +95,8 @@
 // Given: the same list. When: it is kept again. Then: it is the same bytes.
 TEST(StoredData, AKeptListIsWrittenAsBefore) {
     expect_golden("stored/kept_list.bin",
-                  registry::kept_form(view_to_keep(), registry::ClusterId{"14841639068965178418"}, kept_at,
-                                      kept_owner));
+                  registry::serialize_snapshot(view_to_keep(), registry::ClusterId{"14841639068965178418"},
+                                               kept_at, kept_owner));
 }
 
 // Given: the file with one byte changed, or asked for by another owner, too late or too early. When: it is
@@ -105,18 +106,18 @@
     for (std::size_t n = 0; n < bytes.size(); ++n) {
         std::string damaged = bytes;
         damaged[n] = static_cast<char>(damaged[n] ^ 1);
-        EXPECT_EQ(std::get<std::string>(registry::read_kept(damaged, kept_owner, kept_at, hour)),
+        EXPECT_EQ(std::get<std::string>(registry::parse_snapshot(damaged, kept_owner, kept_at, hour)),
                   "the kept list is damaged")
             << "byte " << n;
     }
-    const auto why = [&](const std::string& owner, Instant now) {
-        const auto read = registry::read_kept(bytes, owner, now, hour);
+    const auto why = [&](const std::string& owner, TimePoint now) {
+        const auto read = registry::parse_snapshot(bytes, owner, now, hour);
         const auto* line = std::get_if<std::string>(&read);
         return line ? *line : "";
     };
     EXPECT_EQ(why("hub /caches/", kept_at), "the kept list is another deployment's");
-    EXPECT_EQ(why(kept_owner, kept_at + hour + Span::micros(1)), "the kept list is too old");
-    EXPECT_EQ(why(kept_owner, kept_at - Span::micros(1)), "the kept list is from the future");
+    EXPECT_EQ(why(kept_owner, kept_at + hour + Duration::micros(1)), "the kept list is too old");
+    EXPECT_EQ(why(kept_owner, kept_at - Duration::micros(1)), "the kept list is from the future");
 }
 
 // --- the fencing tokens that were seen
@@ -162,7 +163,7 @@
                           {CacheId{"c1"}, CacheId{"c2"}}};
 const MemberRecord plain_member{Incarnation{102}, InstanceId{"5.6.7.8"}, "0.3.0", {}, {}};
 const HeartbeatRecord heartbeat{Incarnation{101}, InstanceId{"11.22.33.44"}, HeartbeatNumber{77}};
-const InForce claim{{4, "12.34"}, EventNumber{2049}, ConfigurationNumber{17}};
+const AppliedRevisions claim{{4, "12.34"}, EventNumber{2049}, ConfigurationNumber{17}};
 const Instance owner{MemberName{"g1"}, Incarnation{101}};
 
 Digest digest_to_write() {
@@ -172,7 +173,7 @@
     d.as_of = 78;
     d.as_of_ms = 1'790'000'000'123;
     d.generation = {4, "12.34"};
-    d.worn = d.incomplete = true;
+    d.restart_required = d.incomplete = true;
     d.known = 5;
     d.live = 3;
     d.lowest = EventNumber{2047};
@@ -182,7 +183,7 @@
     d.absent_count = 2;
     d.behind = {{MemberName{"g2"}, EventNumber{2047}, ConfigurationNumber{17}}};
     d.behind_count = 1;
-    d.marks = {{CacheId{"c1"}, 3}, {CacheId{"c2"}, 1}};
+    d.ejected_caches = {{CacheId{"c1"}, 3}, {CacheId{"c2"}, 1}};
     return d;
 }
 
@@ -198,11 +199,11 @@
 Named fleet_records() {
     const SiteName none, site{"north-1"};
     const MemberName g1{"g1"}, g2{"g2"};
-    InForce worn = claim;
+    AppliedRevisions worn = claim;
     worn.worn = true;
     return {
         {path_of(shared_config_key(), none),
-         serialize(SharedConfig{"north", Span::micros(12'000'000), 0.01})},
+         serialize(SharedConfig{"north", Duration::micros(12'000'000), 0.01})},
         {path_of(member_key(g1), none), serialize(member)},
         {path_of(member_key(g2), none), serialize(plain_member)},
         {path_of(heartbeat_key(g1), none), serialize(heartbeat)},
@@ -214,13 +215,13 @@
         {path_of(release_key(DutyName{"sweep"}), none), serialize(owner)},
         {path_of(collection_progress_key(), none),
          serialize(CollectionProgress{FencingToken{5}, owner, 12, 34, "duty/watch/c1"})},
-        {path_of(probe_result_key(CacheId{"c1"}), none),
-         serialize(ProbeResult{FencingToken{9}, owner, true, 6})},
+        {path_of(health_record_key(CacheId{"c1"}), none),
+         serialize(HealthRecord{FencingToken{9}, owner, true, 6})},
         {path_of(generation_key(), site), serialize(claim.generation)},
         {path_of(digest_key(), site), serialize(digest_to_write())},
         {path_of(digest_key(), SiteName{"north-2"}), serialize(plain_digest())},
-        {path_of(roster_key(), site), serialize(Roster{{g1, g2}, false})},
-        {path_of(roster_key(), SiteName{"north-2"}), serialize(Roster{{g1}, true})},
+        {path_of(roster_key(), site), serialize(SiteRoster{{g1, g2}, false})},
+        {path_of(roster_key(), SiteName{"north-2"}), serialize(SiteRoster{{g1}, true})},
         {path_of(member_key(g1), site), serialize(member)},
         {path_of(heartbeat_key(g1), site), with_claim(serialize(heartbeat), claim)},
         {path_of(heartbeat_key(g2), site), with_claim(serialize(heartbeat), worn)},
@@ -247,26 +248,26 @@
     EXPECT_EQ(duty_of(key_at("roll/duty/sweep")), DutyName{"sweep"});
     EXPECT_EQ(watched_cache_of(*duty_of(key_at("roll/duty/watch/c1"))), CacheId{"c1"});
     EXPECT_EQ(released_duty_of(key_at("roll/aside/sweep")), DutyName{"sweep"});
-    EXPECT_EQ(probed_cache_of(key_at("roll/seen/c1")), CacheId{"c1"});
+    EXPECT_EQ(health_record_cache(key_at("roll/seen/c1")), CacheId{"c1"});
 }
 
 // Given: the records of members and heartbeats as files. When: they are read. Then: each value is as it was.
 TEST(StoredData, MembersAndHeartbeatsAreReadBack) {
-    const auto m = read_member(fleet_record("roll/member/g1"));
+    const auto m = parse_member(fleet_record("roll/member/g1"));
     ASSERT_TRUE(m);
-    EXPECT_EQ(m->start, Incarnation{101});
+    EXPECT_EQ(m->incarnation, Incarnation{101});
     EXPECT_EQ(m->instance_id, InstanceId{"11.22.33.44"});
     EXPECT_EQ(m->version, "0.3.0");
-    EXPECT_EQ(m->refuses, member.refuses);
-    EXPECT_EQ(m->marks, member.marks);
-    const auto plain = read_member(fleet_record("roll/member/g2"));
+    EXPECT_EQ(m->refused_tokens, member.refused_tokens);
+    EXPECT_EQ(m->ejected_caches, member.ejected_caches);
+    const auto plain = parse_member(fleet_record("roll/member/g2"));
     ASSERT_TRUE(plain);
-    EXPECT_EQ(plain->start, Incarnation{102});
-    EXPECT_TRUE(plain->refuses.empty() && plain->marks.empty());
+    EXPECT_EQ(plain->incarnation, Incarnation{102});
+    EXPECT_TRUE(plain->refused_tokens.empty() && plain->ejected_caches.empty());
     for (const std::string path : {"beat/g1", "site/north-1/beat/g1"}) {
-        const auto b = read_heartbeat(fleet_record(path));
+        const auto b = parse_heartbeat(fleet_record(path));
         ASSERT_TRUE(b) << path;
-        EXPECT_EQ(b->start, Incarnation{101});
+        EXPECT_EQ(b->incarnation, Incarnation{101});
         EXPECT_EQ(b->instance_id, InstanceId{"11.22.33.44"});
         EXPECT_EQ(b->number, HeartbeatNumber{77});
     }
@@ -276,7 +277,7 @@
 TEST(StoredData, AcknowledgementsAreReadBack) {
     EXPECT_EQ(read_claim(fleet_record("beat/g1")), std::nullopt);
     EXPECT_EQ(read_claim(fleet_record("site/north-1/beat/g1")), claim);
-    InForce worn = claim;
+    AppliedRevisions worn = claim;
     worn.worn = true;
     EXPECT_EQ(read_claim(fleet_record("site/north-1/beat/g2")), worn);
     EXPECT_EQ(read_generation(fleet_record("generation")), claim.generation);
@@ -284,34 +285,34 @@
 
 // Given: the records of duties as files. When: they are read. Then: each value is as it was.
 TEST(StoredData, DutiesAreReadBack) {
-    const auto held = read_duty(fleet_record("roll/duty/sweep"));
+    const auto held = parse_duty(fleet_record("roll/duty/sweep"));
     ASSERT_TRUE(held);
     EXPECT_EQ(held->token, FencingToken{5});
     EXPECT_EQ(held->owner, MemberName{"g1"});
-    EXPECT_EQ(held->start, Incarnation{101});
-    const auto given_up = read_duty(fleet_record("roll/duty/watch/c1"));
+    EXPECT_EQ(held->incarnation, Incarnation{101});
+    const auto given_up = parse_duty(fleet_record("roll/duty/watch/c1"));
     ASSERT_TRUE(given_up);
     EXPECT_EQ(given_up->token, FencingToken{9});
     EXPECT_EQ(given_up->owner, MemberName{});
-    EXPECT_EQ(read_floor(fleet_record("roll/floor")), FencingToken{8});
-    EXPECT_EQ(read_release(fleet_record("roll/aside/sweep")), owner);
+    EXPECT_EQ(parse_floor(fleet_record("roll/floor")), FencingToken{8});
+    EXPECT_EQ(parse_release(fleet_record("roll/aside/sweep")), owner);
 }
 
 // Given: the records that owners of duties write, as files. When: they are read. Then: each value is as it
 // was.
 TEST(StoredData, ResultsOfDutiesAreReadBack) {
-    const auto progress = read_collection_progress(fleet_record("roll/swept"));
+    const auto progress = parse_collection_progress(fleet_record("roll/swept"));
     ASSERT_TRUE(progress);
     EXPECT_EQ(progress->token, FencingToken{5});
     EXPECT_EQ(progress->by, owner);
     EXPECT_EQ(progress->pass, 12);
-    EXPECT_EQ(progress->taken, 34);
-    EXPECT_EQ(progress->behind, "duty/watch/c1");
-    const auto probed = read_probe_result(fleet_record("roll/seen/c1"));
+    EXPECT_EQ(progress->removed_records, 34);
+    EXPECT_EQ(progress->last_key, "duty/watch/c1");
+    const auto probed = parse_health_record(fleet_record("roll/seen/c1"));
     ASSERT_TRUE(probed);
     EXPECT_EQ(probed->token, FencingToken{9});
     EXPECT_EQ(probed->by, owner);
-    EXPECT_TRUE(probed->well);
+    EXPECT_TRUE(probed->healthy);
     EXPECT_EQ(probed->streak, 6);
 }
 
@@ -324,22 +325,22 @@
     EXPECT_EQ(d->owner_id, is.owner_id);
     EXPECT_EQ(std::pair(d->as_of, d->as_of_ms), std::pair(is.as_of, is.as_of_ms));
     EXPECT_EQ(d->generation, is.generation);
-    EXPECT_TRUE(d->worn && d->incomplete);
+    EXPECT_TRUE(d->restart_required && d->incomplete);
     EXPECT_EQ(std::pair(d->known, d->live), std::pair(is.known, is.live));
     EXPECT_EQ(std::pair(d->lowest, d->highest), std::pair(is.lowest, is.highest));
     EXPECT_EQ(d->lowest_configuration, is.lowest_configuration);
     EXPECT_EQ(d->absent, is.absent);
     EXPECT_EQ(d->behind, is.behind);
     EXPECT_EQ(std::pair(d->absent_count, d->behind_count), std::pair(is.absent_count, is.behind_count));
-    EXPECT_EQ(d->marks, is.marks);
+    EXPECT_EQ(d->ejected_caches, is.ejected_caches);
     const auto plain = read_digest(fleet_record("digest/north-2"));
     ASSERT_TRUE(plain);
     EXPECT_EQ(plain->as_of, 1);
-    EXPECT_FALSE(plain->worn || plain->incomplete);
-    EXPECT_TRUE(plain->absent.empty() && plain->behind.empty() && plain->marks.empty());
+    EXPECT_FALSE(plain->restart_required || plain->incomplete);
+    EXPECT_TRUE(plain->absent.empty() && plain->behind.empty() && plain->ejected_caches.empty());
     EXPECT_EQ(read_roster(fleet_record("site/north-1/roll/roster")),
-              (Roster{{MemberName{"g1"}, MemberName{"g2"}}, false}));
-    EXPECT_EQ(read_roster(fleet_record("site/north-2/roll/roster")), (Roster{{MemberName{"g1"}}, true}));
+              (SiteRoster{{MemberName{"g1"}, MemberName{"g2"}}, false}));
+    EXPECT_EQ(read_roster(fleet_record("site/north-2/roll/roster")), (SiteRoster{{MemberName{"g1"}}, true}));
 }
 
 // --- records of endpoints in the registry
@@ -348,27 +349,27 @@
 // was.
 TEST(StoredData, LinesOfTheListAreReadBack) {
     const auto line = [](const std::string& id) {
-        return registry::line_of(
+        return registry::parse_endpoint(
             {registry::RecordKey{id}, golden_value("stored/list_records.txt", id), {}, {}});
     };
     const auto full = line("c1");
     ASSERT_TRUE(full);
     EXPECT_EQ(full->first.cache, CacheId{"c1"});
     EXPECT_EQ(full->first.location, LocationId{"plant"});
-    EXPECT_EQ(full->first.machine, MachineId{"node"});
-    EXPECT_EQ(full->first.cell, CellNo{3});
+    EXPECT_EQ(full->first.machine_type, MachineType{"node"});
+    EXPECT_EQ(full->first.cell, CellId{3});
     EXPECT_EQ(full->first.weight, 1.5);
-    EXPECT_EQ(full->first.phase, Phase::in_service);
-    EXPECT_EQ(full->first.started, unix_ms(1'789'990'000'123));
+    EXPECT_EQ(full->first.status, EndpointStatus::active);
+    EXPECT_EQ(full->first.started_at, time_from_unix_ms(1'789'990'000'123));
     EXPECT_EQ(full->second, "127.0.0.1:7101");
     const auto draining = line("c2");
     ASSERT_TRUE(draining);
-    EXPECT_EQ(draining->first.phase, Phase::draining);
+    EXPECT_EQ(draining->first.status, EndpointStatus::draining);
     EXPECT_EQ(draining->first.weight, 1.0);
     EXPECT_EQ(draining->second, "");
     const auto gone = line("c4");
     ASSERT_TRUE(gone);
-    EXPECT_EQ(gone->first.phase, Phase::gone);
+    EXPECT_EQ(gone->first.status, EndpointStatus::removed);
 }
 
 // --- by processes of the program
@@ -376,12 +377,12 @@
 // A registry of one member, and a folder with the files that a process needs.
 class StoredByProcess : public ::testing::Test {
 protected:
-    Loop loop;
-    lab::Registry registry_{loop, 1, Span::micros(20'000)};
-    lab::Board board{loop};
+    EventLoop loop;
+    stand_ins::RegistryStandIn registry_{loop, 1, Duration::micros(20'000)};
+    stand_ins::NoticeBoard board{loop};
     Folder folder;
-    std::unique_ptr<lab::Process> gateway;
-    lab::Stretches stretches{loop};  // the last: nothing of the above may go while the loop runs
+    std::unique_ptr<stand_ins::Process> gateway;
+    stand_ins::Intervals stretches{loop};  // the last: nothing of the above may go while the loop runs
 
     std::string value(const std::string& key) const {
         const auto* state = registry_.model.at(registry_.model.newest());
@@ -400,19 +401,19 @@
     int run(const std::vector<std::string>& words) {
         std::vector<std::string> all = {IRISMUX_PROGRAM, "registry", "--parts", write_parts()};
         all.insert(all.end(), words.begin(), words.end());
-        lab::Process p({all, {"PATH=/usr/bin:/bin"}, "", folder.path() + "/out"});
+        stand_ins::Process p({all, {"PATH=/usr/bin:/bin"}, "", folder.path() + "/out"});
         EXPECT_TRUE(stretches.until([&] { return !p.running(); }));
         return p.status().value_or(-1);
     }
     void start_gateway() {
         board.post({{"pool", {{"version", 1}, {"full", true}, {"servers", nlohmann::json::array()}}}});
         const std::string path = folder.path() + "/config.json";
-        std::ofstream(path) << lab::configuration("127.0.0.1:0", board.address(), board.known()).dump();
-        gateway = std::make_unique<lab::Process>(
-            lab::Process::Start{{IRISMUX_PROGRAM, "serve", "--parts", write_parts()},
-                                {"NODE_CONFIG=" + path},
-                                "",
-                                folder.path() + "/log"});
+        std::ofstream(path) << stand_ins::configuration("127.0.0.1:0", board.address(), board.known()).dump();
+        gateway = std::make_unique<stand_ins::Process>(
+            stand_ins::Process::Start{{IRISMUX_PROGRAM, "serve", "--parts", write_parts()},
+                                      {"NODE_CONFIG=" + path},
+                                      "",
+                                      folder.path() + "/log"});
     }
     void start_in_place_of_an_earlier_one() {
         fs::copy(golden_path("stored/store_fleet"), folder.path() + "/fleet", fs::copy_options::recursive);
@@ -421,8 +422,8 @@
         start_gateway();
     }
     void expect_kept_list(const std::string& bytes) const {
-        const Instant far = Instant{} + Span::seconds(4e9);
-        const auto read = registry::read_kept(bytes, kept_owner, far, Span::seconds(4e9));
+        const TimePoint far = TimePoint{} + Duration::seconds(4e9);
+        const auto read = registry::parse_snapshot(bytes, kept_owner, far, Duration::seconds(4e9));
         const auto* kept = std::get_if<registry::Snapshot>(&read);
         ASSERT_TRUE(kept) << std::get<std::string>(read);
         ASSERT_EQ(kept->records.size(), 1u);
@@ -457,8 +458,8 @@
 TEST_F(StoredByProcess, AGatewayReadsTheTokensOfAnEarlierOneAndWritesItsOwn) {
     start_in_place_of_an_earlier_one();
     ASSERT_TRUE(stretches.until([&] { return !value("/fleet/roll/duty/sweep").empty(); }));
-    EXPECT_EQ(read_duty(value("/fleet/roll/duty/sweep"))->token, FencingToken{6});
-    const auto start = std::to_string(read_member(value("/fleet/roll/member/g1"))->start.raw());
+    EXPECT_EQ(parse_duty(value("/fleet/roll/duty/sweep"))->token, FencingToken{6});
+    const auto start = std::to_string(parse_member(value("/fleet/roll/member/g1"))->incarnation.raw());
     // Each is stored within a few seconds.
     ASSERT_TRUE(stretches.until([&] {
         return stored("fleet", R"("sweep":[6,"g1",)" + start) && stored("list", "as_of_us");
--- a/tests/wire_names_test.cpp
+++ b/tests/wire_names_test.cpp
@@ -4,21 +4,21 @@
 #include <cctype>
 #include <sstream>
 
+#include "codec/fastcgi.hpp"
+#include "codec/http.hpp"
+#include "codec/resp.hpp"
+#include "endpoint/endpoint_table.hpp"
 #include "fleet/settings.hpp"
+#include "gateway/configuration.hpp"
+#include "gateway/parts.hpp"
 #include "golden.hpp"
-#include "lab/fleet.hpp"
-#include "lab/process.hpp"
-#include "lab/sockets.hpp"
-#include "process/configuration.hpp"
-#include "process/parts.hpp"
+#include "net/cache_connection_pool.hpp"
+#include "net/notice_client.hpp"
 #include "registry/etcd.hpp"
-#include "state/exchange.hpp"
-#include "state/roster.hpp"
-#include "wire/board.hpp"
-#include "wire/caches.hpp"
-#include "wire/fastcgi.hpp"
-#include "wire/http.hpp"
-#include "wire/resp.hpp"
+#include "request/active_request.hpp"
+#include "testing/process.hpp"
+#include "testing/sockets.hpp"
+#include "testing/stand_ins.hpp"
 
 namespace irismux::testing {
 namespace {
@@ -59,17 +59,17 @@
 
 // --- commands
 
-struct Said {
+struct WatchMessage {
     int status;
     std::string text;
 };
 
-Said run(const std::vector<std::string>& words, std::vector<std::string> environment = {}) {
+WatchMessage run(const std::vector<std::string>& words, std::vector<std::string> environment = {}) {
     Folder folder;
     std::vector<std::string> all = {IRISMUX_PROGRAM};
     all.insert(all.end(), words.begin(), words.end());
     environment.push_back("PATH=/usr/bin:/bin");
-    lab::Process p({all, environment, "", folder.path() + "/out"});
+    stand_ins::Process p({all, environment, "", folder.path() + "/out"});
     for (int n = 0; n < 1000 && p.running(); ++n) ::usleep(10'000);
     return {p.status().value_or(-1), bytes_of_file(folder.path() + "/out")};
 }
@@ -97,7 +97,7 @@
         std::string file = "help/irismux";
         for (const std::string& word : words) file += "_" + word;
         words.push_back("--help");
-        const Said said = run(words);
+        const WatchMessage said = run(words);
         EXPECT_EQ(said.status, 0) << file;
         expect_golden(file + ".txt", said.text);
     }
@@ -107,7 +107,7 @@
 // the variable or what it holds, and ends with 2.
 TEST(WireNames, VariablesOfTheEnvironmentAreRead) {
     const auto expect = [](std::vector<std::string> environment, const std::string& line) {
-        const Said said = run({"serve"}, std::move(environment));
+        const WatchMessage said = run({"serve"}, std::move(environment));
         EXPECT_EQ(said.text, "irismux: " + line + '\n');
         EXPECT_EQ(said.status, 2 << 8);
     };
@@ -156,15 +156,15 @@
     };
     add("range", etcd::range("/caches/", std::nullopt, Revision{}, 500));
     add("range on", etcd::range("/caches/", RecordKey{"c1"}, Revision{41}, 500));
-    add("last", etcd::last("/caches/", Revision{41}, 10));
+    add("last", etcd::most_recently_changed("/caches/", Revision{41}, 10));
     add("watch", etcd::watch("/caches/", Revision{42}));
     add("put", etcd::put("/caches/c1", "value", 0));
     add("put leased", etcd::put("/caches/c1", "value", 7));
     add("put if", etcd::put_if("/caches/c1", "value", Revision{41}, 0));
     add("put if leased", etcd::put_if("/caches/c1", "value", Revision{}, 7));
-    add("settle", etcd::settle({{"/fleet/a", "was"}, {"/fleet/b", std::nullopt}},
-                               {{"/fleet/a", "is"}, {"/fleet/c", std::nullopt}}, {"/fleet/d"}));
-    add("one", etcd::one("/caches/c1"));
+    add("settle", etcd::transaction({{"/fleet/a", "was"}, {"/fleet/b", std::nullopt}},
+                                    {{"/fleet/a", "is"}, {"/fleet/c", std::nullopt}}, {"/fleet/d"}));
+    add("one", etcd::get("/caches/c1"));
     add("erase", etcd::erase("/caches/c1"));
     add("authenticate", etcd::authenticate("gateway", "secret"));
     add("grant", etcd::grant(5));
@@ -188,8 +188,8 @@
 TEST(WireNames, RegistryAnswersAreRead) {
     const auto range = std::get<etcd::Range>(etcd::read_range(
         200, "{" + header + R"(,"more":true,"count":"9","kvs":[)" + record_c1 + "]}", "/caches/"));
-    EXPECT_EQ(range.page.from.cluster, registry::ClusterId{"1001"});
-    EXPECT_EQ(range.page.from.revision, registry::Revision{41});
+    EXPECT_EQ(range.page.origin.cluster, registry::ClusterId{"1001"});
+    EXPECT_EQ(range.page.origin.revision, registry::Revision{41});
     EXPECT_TRUE(range.page.more);
     EXPECT_EQ(range.count, 9u);
     ASSERT_EQ(range.page.records.size(), 1u);
@@ -198,26 +198,28 @@
     const auto lease = std::get<etcd::Lease>(etcd::read_lease(200, R"({"result":{"ID":"7","TTL":"5"}})"));
     EXPECT_EQ(std::pair(lease.id, lease.seconds), std::pair(std::int64_t{7}, std::int64_t{5}));
     const std::string shown = R"(,"responses":[{"response_range":{"kvs":[)" + record_c1 + "]}}]}";
-    const auto refused = std::get<etcd::Outcome>(etcd::read_txn(200, "{" + header + shown));
-    EXPECT_FALSE(refused.held);
-    EXPECT_EQ(refused.standing, "value");
-    const auto settled = std::get<etcd::Settled>(
-        etcd::read_settled(200, "{" + header + R"(,"succeeded":true)" + shown, "/caches/"));
-    EXPECT_TRUE(settled.held);
-    ASSERT_EQ(settled.shown.size(), 1u);
-    expect_c1(settled.shown[0]);
+    const auto refused = std::get<etcd::ConditionalWriteResult>(
+        etcd::read_conditional_write_result(200, "{" + header + shown));
+    EXPECT_FALSE(refused.succeeded);
+    EXPECT_EQ(refused.conflicting_value, "value");
+    const auto settled = std::get<etcd::TransactionResult>(
+        etcd::read_transaction_result(200, "{" + header + R"(,"succeeded":true)" + shown, "/caches/"));
+    EXPECT_TRUE(settled.succeeded);
+    ASSERT_EQ(settled.records.size(), 1u);
+    expect_c1(settled.records[0]);
 }
 
 // Given: messages of a watch. When: they are read. Then: each field is found; also that it was compacted.
 TEST(WireNames, RegistryWatchesAreRead) {
     const std::string start = "{\"result\":{" + header;
-    const auto created = std::get<etcd::Said>(etcd::read_watch(start + R"(,"created":true}})", "/caches/"));
+    const auto created =
+        std::get<etcd::WatchMessage>(etcd::read_watch(start + R"(,"created":true}})", "/caches/"));
     EXPECT_TRUE(created.created);
-    const auto said = std::get<etcd::Said>(
+    const auto said = std::get<etcd::WatchMessage>(
         etcd::read_watch(start + R"(,"fragment":true,"events":[{"kv":)" + record_c1 +
                              R"(},{"type":"DELETE","kv":{"key":"L2NhY2hlcy9jMg==","mod_revision":"41"}}]}})",
                          "/caches/"));
-    EXPECT_TRUE(said.goes_on);
+    EXPECT_TRUE(said.fragment);
     ASSERT_EQ(said.changes.size(), 2u);
     expect_c1(said.changes[0].record);
     EXPECT_FALSE(said.changes[0].deleted);
@@ -225,20 +227,20 @@
     EXPECT_EQ(said.changes[1].record.key, registry::RecordKey{"c2"});
     const auto compacted =
         etcd::read_watch(start + R"(,"canceled":true,"compact_revision":"50"}})", "/caches/");
-    EXPECT_EQ(std::get<etcd::Problem>(compacted).fault, etcd::Fault::compacted);
+    EXPECT_EQ(std::get<etcd::Error>(compacted).code, etcd::ErrorCode::compacted);
 }
 
 // --- the notice board
 
 // Keeps what the board told.
-struct Heard final : BoardObserver {
-    void on_board_list(const std::vector<ListLine>& lines, bool is_complete) override {
+struct Heard final : NoticeObserver {
+    void on_endpoint_notice(const std::vector<EndpointRecord>& lines, bool is_complete) override {
         list = lines;
         complete = is_complete;
     }
-    void on_board_purge(const PurgeNotice& purge) override { purges.push_back(purge); }
-    void on_board_event_left_out() override { ++left_out; }
-    std::vector<ListLine> list;
+    void on_purge_notice(const PurgeNotice& purge) override { purges.push_back(purge); }
+    void on_notice_skipped() override { ++left_out; }
+    std::vector<EndpointRecord> list;
     bool complete = false;
     std::vector<PurgeNotice> purges;
     int left_out = 0;
@@ -253,10 +255,10 @@
 
 // Given: events of the board with each field that counts. When: they are loaded. Then: each value is found.
 TEST(WireNames, BoardEventsAreRead) {
-    Loop loop;
+    EventLoop loop;
     Heard heard;
-    Board board(loop, heard, "127.0.0.1:9", Span::seconds(1));
-    board.load(json::parse(board_events));
+    NoticeClient board(loop, heard, "127.0.0.1:9", Duration::seconds(1));
+    board.load_known(json::parse(board_events));
     EXPECT_EQ(heard.left_out, 0);
     EXPECT_TRUE(heard.complete);
     ASSERT_EQ(heard.list.size(), 1u);
@@ -264,16 +266,16 @@
     EXPECT_EQ(listing.cache, CacheId{"c1"});
     EXPECT_EQ(address, "127.0.0.1:7101");
     EXPECT_EQ(listing.location, LocationId{"plant"});
-    EXPECT_EQ(listing.machine, MachineId{"node"});
-    EXPECT_EQ(listing.cell, CellNo{3});
+    EXPECT_EQ(listing.machine_type, MachineType{"node"});
+    EXPECT_EQ(listing.cell, CellId{3});
     EXPECT_EQ(listing.weight, 1.5);
-    EXPECT_EQ(listing.phase, Phase::in_service);
+    EXPECT_EQ(listing.status, EndpointStatus::active);
     ASSERT_EQ(heard.purges.size(), 2u);
-    EXPECT_EQ(heard.purges[0].stamp, unix_ms(1'700'000'000'456));
-    EXPECT_EQ(heard.purges[0].group, GroupNo{7});
+    EXPECT_EQ(heard.purges[0].stamp, time_from_unix_ms(1'700'000'000'456));
+    EXPECT_EQ(heard.purges[0].group, PurgeGroupId{7});
     EXPECT_EQ(heard.purges[0].object, std::nullopt);
-    EXPECT_EQ(heard.purges[1].stamp, unix_ms(1'700'000'000'789));
-    EXPECT_EQ(heard.purges[1].group, GroupNo{8});
+    EXPECT_EQ(heard.purges[1].stamp, time_from_unix_ms(1'700'000'000'789));
+    EXPECT_EQ(heard.purges[1].group, PurgeGroupId{8});
     EXPECT_EQ(heard.purges[1].object, ObjectName{"00000000000000a1"});
 }
 
@@ -289,7 +291,7 @@
             numbers.push_back(notice->revision);
         }
     }
-    EXPECT_TRUE(reader.whole());
+    EXPECT_TRUE(reader.complete());
     EXPECT_EQ(numbers, (std::vector<std::int64_t>{2, 3, 4}));
     EXPECT_EQ(reader.revision(), 4);
 }
@@ -327,21 +329,23 @@
     EXPECT_EQ(r.members, std::vector<std::string>{"127.0.0.1:2379"});
     EXPECT_EQ(r.prefix, "/caches/");
     EXPECT_EQ(std::pair(r.user, r.password), std::pair(std::string("gateway"), std::string("secret")));
-    EXPECT_EQ(r.pace.quiet, Span::seconds(2));
-    EXPECT_EQ(r.pace.answer_in, Span::seconds(1));
-    EXPECT_EQ(r.pace.base, Span::seconds(0.05));
-    EXPECT_EQ(r.pace.cap, Span::seconds(5));
-    EXPECT_EQ(std::pair(r.page, r.pace.most_records), std::pair(std::size_t{500}, std::size_t{16384}));
-    EXPECT_EQ(r.keep_in, "/var/lib/irismux");
-    EXPECT_EQ(r.keep_for, Span::seconds(3600));
+    EXPECT_EQ(r.poll_policy.watch_timeout, Duration::seconds(2));
+    EXPECT_EQ(r.poll_policy.reply_timeout, Duration::seconds(1));
+    EXPECT_EQ(r.poll_policy.backoff_base, Duration::seconds(0.05));
+    EXPECT_EQ(r.poll_policy.backoff_cap, Duration::seconds(5));
+    EXPECT_EQ(std::pair(r.page_size, r.poll_policy.max_records),
+              std::pair(std::size_t{500}, std::size_t{16384}));
+    EXPECT_EQ(r.snapshot_folder, "/var/lib/irismux");
+    EXPECT_EQ(r.snapshot_max_age, Duration::seconds(3600));
     const fleet::Settings& f = *parts->fleet;
-    EXPECT_EQ(f.shared_config, (fleet::SharedConfig{"north", Span::seconds(12), 0.01}));
+    EXPECT_EQ(f.shared_config, (fleet::SharedConfig{"north", Duration::seconds(12), 0.01}));
     EXPECT_EQ(f.name, fleet::MemberName{"gateway-1"});
     EXPECT_EQ(f.registry.prefix, "/fleet/");
-    EXPECT_EQ(std::pair(f.look_every, f.sweep_every), std::pair(Span::seconds(2), Span::seconds(60)));
-    EXPECT_EQ(f.keep_in, "/var/lib/irismux-fleet");
+    EXPECT_EQ(std::pair(f.health_check_interval, f.collection_interval),
+              std::pair(Duration::seconds(2), Duration::seconds(60)));
+    EXPECT_EQ(f.token_store_folder, "/var/lib/irismux-fleet");
     EXPECT_EQ(f.site, fleet::SiteName{"north-1"});
-    EXPECT_EQ(f.acknowledge_every, Span::seconds(0.5));
+    EXPECT_EQ(f.acknowledge_interval, Duration::seconds(0.5));
     EXPECT_EQ(f.configuration, fleet::ConfigurationNumber{17});
     EXPECT_EQ(f.inventory, (std::map<fleet::SiteName, std::size_t>{{fleet::SiteName{"north-1"}, 15}}));
 }
@@ -381,20 +385,22 @@
 class ConfigurationNames : public ::testing::Test {
 protected:
     const Configuration c = read_configuration(golden_path("settings/configuration.json").string());
-    const Deployment& d = c.reading.deployment;
+    const Deployment& d = c.settings.deployment;
 };
 
 // Given: a configuration with every field. When: it is read. Then: each value outside of "settings" is found.
 TEST_F(ConfigurationNames, WhereAndAsWhatAGatewayServes) {
     EXPECT_EQ(c.name, "try");
     EXPECT_EQ(c.listen, "127.0.0.1:7100");
-    EXPECT_EQ(c.board, "127.0.0.1:7190");
+    EXPECT_EQ(c.notice_board, "127.0.0.1:7190");
     EXPECT_EQ(c.seed, 0x1fu);
     EXPECT_EQ(c.descriptors, 1024u);
     EXPECT_EQ(c.memory, std::size_t{192} << 20);
     EXPECT_EQ(c.known, (json{{"rev", 1}, {"notices", json::array()}}));
-    EXPECT_EQ(c.reading.kind_places, (std::map<std::string, KindNo>{
-                                         {"pages", KindNo{0}}, {"keyed", KindNo{1}}, {"orders", KindNo{2}}}));
+    EXPECT_EQ(
+        c.settings.kind_indexes,
+        (std::map<std::string, ObjectKindIndex>{
+            {"pages", ObjectKindIndex{0}}, {"keyed", ObjectKindIndex{1}}, {"orders", ObjectKindIndex{2}}}));
 }
 
 // Given: the same. When: it is read. Then: each value of the kinds of objects is found.
@@ -403,18 +409,19 @@
     const ObjectKind &pages = d.kinds[0], &keyed = d.kinds[1], &orders = d.kinds[2];
     EXPECT_EQ(pages.effect, Effect::idempotent);
     EXPECT_EQ(keyed.effect, Effect::deduplicated);
-    EXPECT_EQ(orders.effect, Effect::side_effecting);
-    EXPECT_EQ(pages.group, DedupGroup::all);
-    EXPECT_EQ(keyed.group, DedupGroup::location);
-    EXPECT_EQ(orders.group, DedupGroup::cell);
-    EXPECT_EQ(keyed.window, Span::seconds(0.3));
-    EXPECT_EQ(pages.budget, Span::seconds(0.25));
-    EXPECT_EQ(pages.budget_stretch, 2.5);
-    EXPECT_EQ(pages.deadline, Span::seconds(3.5));
+    EXPECT_EQ(orders.effect, Effect::non_idempotent);
+    EXPECT_EQ(pages.dedup_scope, DedupScope::all);
+    EXPECT_EQ(keyed.dedup_scope, DedupScope::location);
+    EXPECT_EQ(orders.dedup_scope, DedupScope::cell);
+    EXPECT_EQ(keyed.dedup_window, Duration::seconds(0.3));
+    EXPECT_EQ(pages.latency_objective, Duration::seconds(0.25));
+    EXPECT_EQ(pages.latency_objective_stretch, 2.5);
+    EXPECT_EQ(pages.deadline, Duration::seconds(3.5));
     EXPECT_EQ(pages.utility, 1.25);
-    EXPECT_EQ(pages.late_share, 0.125);
-    EXPECT_EQ(std::pair(pages.fresh, pages.grace), std::pair(Span::seconds(20), Span::seconds(10)));
-    EXPECT_EQ(pages.stale_share, 0.7);
+    EXPECT_EQ(pages.late_utility_share, 0.125);
+    EXPECT_EQ(std::pair(pages.fresh_for, pages.stale_if_error_for),
+              std::pair(Duration::seconds(20), Duration::seconds(10)));
+    EXPECT_EQ(pages.stale_utility_share, 0.7);
     EXPECT_FALSE(pages.uncacheable);
     EXPECT_TRUE(keyed.uncacheable);
 }
@@ -422,42 +429,43 @@
 // Given: the same. When: it is read. Then: each value of the place and of the permits is found.
 TEST_F(ConfigurationNames, PlaceAndPermits) {
     EXPECT_EQ(d.gateways, 7);
-    EXPECT_EQ(d.gateways_here, 3);
+    EXPECT_EQ(d.gateways_in_location, 3);
     EXPECT_EQ(d.locations, 2);
     EXPECT_EQ(d.location, LocationId{"plant"});
-    EXPECT_EQ(d.parent_machine, MachineId{"parent"});
-    EXPECT_EQ(d.origin_machine, MachineId{"origin"});
-    const Permits& p = d.permits;
-    EXPECT_TRUE(p.cancel && p.probes && p.retry_after && p.second_copies && p.direct && p.joins);
+    EXPECT_EQ(d.parent_machine, MachineType{"parent"});
+    EXPECT_EQ(d.origin_machine, MachineType{"origin"});
+    const Capabilities& p = d.capabilities;
+    EXPECT_TRUE(p.cancellation && p.probes && p.retry_after && p.hedged_requests && p.direct_attempts &&
+                p.coalescing);
     EXPECT_EQ(p.siblings, Siblings::location);
-    EXPECT_EQ(p.notes, Notes::hits);
-    EXPECT_EQ(p.sends, 6);
-    EXPECT_EQ(p.longest_retry_after, Span::seconds(0.5));
-    EXPECT_TRUE(d.list_on_request);
-    EXPECT_TRUE(d.weights_told);
+    EXPECT_EQ(p.cache_status, CacheStatusReporting::hits);
+    EXPECT_EQ(p.max_attempts, 6);
+    EXPECT_EQ(p.max_retry_after, Duration::seconds(0.5));
+    EXPECT_TRUE(d.subscribe_to_endpoints);
+    EXPECT_TRUE(d.weights_known);
 }
 
 // Given: the same. When: it is read. Then: each figure of loads and times is found.
 TEST_F(ConfigurationNames, LoadsAndTimes) {
-    EXPECT_EQ(d.cold_edge.floor, 0.2);
-    EXPECT_EQ(d.cold_edge.warm_after, Span::seconds(18));
-    EXPECT_EQ(d.cold_edge.multiple, 4.0);
-    EXPECT_EQ(d.cold_parent.floor, 0.06);
-    EXPECT_EQ(d.cold_parent.warm_after, Span::seconds(21));
-    EXPECT_EQ(d.cold_parent.multiple, 2.0);
-    EXPECT_TRUE(d.origin_falls);
-    EXPECT_EQ(d.fall_window, Span::seconds(2));
-    EXPECT_EQ(d.drain_grace, Span::seconds(0.25));
-    EXPECT_EQ(d.purge_grace, Span::seconds(1.5));
-    EXPECT_EQ(d.purge_done, Span::seconds(6));
-    EXPECT_EQ(d.tick, Span::seconds(0.002));
-    EXPECT_EQ(d.connections.time_out, Span::seconds(0.4));
-    EXPECT_EQ(d.connections.idle, Span::seconds(30));
-    EXPECT_EQ(d.connections.streams, 100);
-    EXPECT_EQ(d.most_held, 20000);
-    EXPECT_EQ(d.flow_kb_per_s, 8300.0);
-    EXPECT_EQ(d.pipe_here_kb_per_s, 80000.0);
-    EXPECT_EQ(d.pipes_all_kb_per_s, 84000.0);
+    EXPECT_EQ(d.edge_slow_start.initial_capacity_share, 0.2);
+    EXPECT_EQ(d.edge_slow_start.window, Duration::seconds(18));
+    EXPECT_EQ(d.edge_slow_start.overload_multiple, 4.0);
+    EXPECT_EQ(d.parent_slow_start.initial_capacity_share, 0.06);
+    EXPECT_EQ(d.parent_slow_start.window, Duration::seconds(21));
+    EXPECT_EQ(d.parent_slow_start.overload_multiple, 2.0);
+    EXPECT_TRUE(d.origin_stops_when_overloaded);
+    EXPECT_EQ(d.overload_window, Duration::seconds(2));
+    EXPECT_EQ(d.drain_grace_period, Duration::seconds(0.25));
+    EXPECT_EQ(d.purge_grace_period, Duration::seconds(1.5));
+    EXPECT_EQ(d.purge_retention, Duration::seconds(6));
+    EXPECT_EQ(d.timer_resolution, Duration::seconds(0.002));
+    EXPECT_EQ(d.connections.connect_timeout, Duration::seconds(0.4));
+    EXPECT_EQ(d.connections.idle_timeout, Duration::seconds(30));
+    EXPECT_EQ(d.connections.max_streams, 100);
+    EXPECT_EQ(d.max_pending_requests, 20000);
+    EXPECT_EQ(d.transfer_rate_kb_per_s, 8300.0);
+    EXPECT_EQ(d.location_link_capacity_kb_per_s, 80000.0);
+    EXPECT_EQ(d.total_link_capacity_kb_per_s, 84000.0);
 }
 
 // --- one process of the program
@@ -465,12 +473,12 @@
 // A far end that keeps the bytes that come, and says what it is told to.
 class FarEnd {
 public:
-    explicit FarEnd(Loop& loop)
+    explicit FarEnd(EventLoop& loop)
         : acceptor_(loop, [this, &loop](Poco::Net::StreamSocket s) {
-              auto wire = std::make_shared<lab::Wire>(loop, std::move(s));
-              wire->got = [this, raw = std::weak_ptr<lab::Wire>(wire)](Buffer& in) {
+              auto wire = std::make_shared<stand_ins::StandInConnection>(loop, std::move(s));
+              wire->got = [this, raw = std::weak_ptr<stand_ins::StandInConnection>(wire)](Buffer& in) {
                   heard += in.view();
-                  in.taken(in.size());
+                  in.consumed(in.size());
                   last_ = raw.lock();
               };
               wires_.push_back(wire);
@@ -479,103 +487,105 @@
     std::string address() const { return acceptor_.address(); }
     void say(std::string_view bytes) {
         last_->out().append(bytes);
-        last_->say();
+        last_->write();
     }
     std::string heard;
 
 private:
-    std::vector<std::shared_ptr<lab::Wire>> wires_;
-    std::shared_ptr<lab::Wire> last_;
-    lab::Acceptor acceptor_;
+    std::vector<std::shared_ptr<stand_ins::StandInConnection>> wires_;
+    std::shared_ptr<stand_ins::StandInConnection> last_;
+    stand_ins::Acceptor acceptor_;
 };
 
 // The client side alone, before one cache.
-class ToACache : public ::testing::Test, public Ends, public Clients {
+class ToACache : public ::testing::Test, public AttemptObserver, public ResponseSender {
 protected:
-    Loop loop;
+    EventLoop loop;
     FarEnd cache{loop};
     Deployment deployment;
-    Roster roster{Span::seconds(6)};
-    std::unique_ptr<Caches> caches;
-    std::vector<std::shared_ptr<Exchange>> lookups;
-    std::optional<End> end;
+    EndpointTable roster{Duration::seconds(6)};
+    std::unique_ptr<CacheConnectionPool> caches;
+    std::vector<std::shared_ptr<ActiveRequest>> lookups;
+    std::optional<AttemptEnd> end;
     std::optional<Outcome> probe_end;
     std::string lines;
-    lab::Stretches stretches{loop};  // the last: nothing of the above may go while the loop runs
+    stand_ins::Intervals stretches{loop};  // the last: nothing of the above may go while the loop runs
 
     void SetUp() override {
-        Listing e1;
+        EndpointUpdate e1;
         e1.cache = CacheId{"e1"};
-        roster.told({{e1, cache.address()}}, true);
-        const Span second = Span::seconds(1);
-        caches = std::make_unique<Caches>(loop, roster, *this, deployment,
-                                          CacheLimits{8, 10, second, second * 60, {}, second});
+        roster.apply({{e1, cache.address()}}, true);
+        const Duration second = Duration::seconds(1);
+        caches = std::make_unique<CacheConnectionPool>(
+            loop, roster, *this, deployment, CacheConnectionLimits{8, 10, second, second * 60, {}, second});
     }
     void TearDown() override {
         stretches.until([&] { return caches->close_all(), true; });
     }
-    void ended(Exchange&, std::size_t, const End& e) override { end = e; }
-    void probed(const ProbeAnswer& a) override { probe_end = a.outcome; }
-    bool may_begin(Exchange&, std::size_t) override { return true; }
-    void name_in_use(Exchange&, std::size_t) override { ADD_FAILURE() << "each id is used once"; }
-    void satisfied(const Caller&, std::string_view, bool) override {}
-    void nacked(const Caller&, Span) override {}
-    void failed(const Caller&) override {}
+    void on_attempt_ended(ActiveRequest&, std::size_t, const AttemptEnd& e) override { end = e; }
+    void on_health_check_result(const HealthCheckResult& a) override { probe_end = a.outcome; }
+    bool may_begin_attempt(ActiveRequest&, std::size_t) override { return true; }
+    void on_request_id_in_use(ActiveRequest&, std::size_t) override {
+        ADD_FAILURE() << "each id is used once";
+    }
+    void send_response(const ClientStream&, std::string_view, bool) override {}
+    void send_rejection(const ClientStream&, Duration) override {}
+    void send_failure(const ClientStream&) override {}
 
     std::string next_message() {
-        resp::Words words;
+        resp::Arguments words;
         std::size_t used = 0;
         EXPECT_TRUE(stretches.until([&] {
-            return resp::parse_array(cache.heard, words, used) == Parsed::whole;
+            return resp::parse_array(cache.heard, words, used) == ParseStatus::complete;
         })) << printable(cache.heard);
         return std::exchange(cache.heard, {});
     }
     // What goes out for one lookup, with that fill.
-    std::string pull(const std::optional<Fill>& fill) {
-        Asked a;
-        a.arrival.id = LookupId{lookups.size() + 1};
-        a.request = RequestId{"id-" + std::to_string(lookups.size() + 1)};
-        a.arrival.object = ObjectName{"00000000000000a1"};
-        a.arrival.expires = loop.now() + Span::seconds(60);
-        a.kind = "pages";
-        a.part = "3";
-        a.known = "k1";
-        lookups.push_back(std::make_shared<Exchange>(*this, Caller{}, std::move(a)));
-        Send s;
+    std::string pull(const std::optional<AttemptPlan>& fill) {
+        ClientRequest a;
+        a.request.id = RequestId{lookups.size() + 1};
+        a.client_request_id = ClientRequestId{"id-" + std::to_string(lookups.size() + 1)};
+        a.request.object = ObjectName{"00000000000000a1"};
+        a.request.deadline = loop.now() + Duration::seconds(60);
+        a.kind_name = "pages";
+        a.object_part = "3";
+        a.client_etag = "k1";
+        lookups.push_back(std::make_shared<ActiveRequest>(*this, ClientStream{}, std::move(a)));
+        Attempt s;
         s.cache = CacheId{"e1"};
-        s.fill = fill;
-        s.decided = loop.now();
-        lookups.back()->add(std::move(s));
-        stretches.until([&] { return caches->pull(*lookups.back(), 0), true; });
+        s.plan = fill;
+        s.decided_at = loop.now();
+        lookups.back()->add_attempt(std::move(s));
+        stretches.until([&] { return caches->start_attempt(*lookups.back(), 0), true; });
         return next_message();
     }
     // What is made of the cache's answer to the last lookup.
-    End answered(const std::string& word, const std::string& fields, const std::string& body) {
+    AttemptEnd answered(const std::string& word, const std::string& fields, const std::string& body) {
         Buffer out;
-        resp::write_array(out, {lookups.back()->request().raw(), word, fields, body});
+        resp::write_array(out, {lookups.back()->client_request_id().raw(), word, fields, body});
         end.reset();
         cache.say(out.view());
         EXPECT_TRUE(stretches.until([&] { return end.has_value(); })) << word << ' ' << fields;
-        return end.value_or(End{});
+        return end.value_or(AttemptEnd{});
     }
 };
 
 // Given: a cache. When: it is asked with each option of a fill, told to give up, and probed. Then: the bytes
 // are those of the file.
 TEST_F(ToACache, EachOptionHasItsName) {
-    Fill fill;
+    AttemptPlan fill;
     fill.cache = fill.source = CacheId{"e1"};
     Named all = {{"no fill", masked(printable(pull(std::nullopt)))},
                  {"keep nothing", masked(printable(pull(fill)))}};
-    fill.rank = 2;
-    fill.oldest = Span::seconds(5);
-    fill.join = true;
+    fill.storage_rank = 2;
+    fill.max_age = Duration::seconds(5);
+    fill.coalesce = true;
     all.emplace_back("merge", masked(printable(pull(fill))));
-    fill.renew = fill.held_only = fill.pass_parent = true;
+    fill.revalidate = fill.only_if_cached = fill.bypass_parent_cache = true;
     all.emplace_back("all options", masked(printable(pull(fill))));
-    stretches.until([&] { return caches->give_up(*lookups.back(), 0), true; });
+    stretches.until([&] { return caches->cancel_attempt(*lookups.back(), 0), true; });
     all.emplace_back("given up", printable(next_message()));
-    stretches.until([&] { return caches->probe(CacheId{"e1"}, [] { return true; }), true; });
+    stretches.until([&] { return caches->start_health_check(CacheId{"e1"}, [] { return true; }), true; });
     all.emplace_back("probe", printable(next_message()));
     expect_golden("wire/cache_requests.txt", text_of(all));
     Buffer out;
@@ -587,40 +597,41 @@
 
 // Given: a cache that has been asked. When: it answers with each word. Then: each means what it meant.
 TEST_F(ToACache, EachWordOfAnAnswerIsKnown) {
-    const std::vector<std::pair<std::string, Outcome>> words = {{"NONE", Outcome::lookup_miss},
-                                                                {"SHED", Outcome::saturated},
+    const std::vector<std::pair<std::string, Outcome>> words = {{"NONE", Outcome::cache_miss},
+                                                                {"SHED", Outcome::overloaded},
                                                                 {"FAULT", Outcome::errored},
                                                                 {"LATE", Outcome::superseded}};
     for (const auto& [word, outcome] : words) {
         pull(std::nullopt);
         EXPECT_EQ(answered(word, "lag=2.5", "").outcome, outcome) << word;
-        EXPECT_EQ(end->lag, Span::seconds(0.0025)) << word;
+        EXPECT_EQ(end->fill_wait, Duration::seconds(0.0025)) << word;
     }
     pull(std::nullopt);
-    const End hit = answered("HIT", "tag=t1,minted=1", "a body");
+    const AttemptEnd hit = answered("HIT", "tag=t1,minted=1", "a body");
     EXPECT_EQ(hit.outcome, Outcome::completed);
-    EXPECT_FALSE(hit.client_copy_holds);
+    EXPECT_FALSE(hit.not_modified);
     pull(std::nullopt);
-    const End valid = answered("VALID", "tag=k1,minted=1", "");
+    const AttemptEnd valid = answered("VALID", "tag=k1,minted=1", "");
     EXPECT_EQ(valid.outcome, Outcome::completed);
-    EXPECT_TRUE(valid.client_copy_holds);
+    EXPECT_TRUE(valid.not_modified);
 }
 
 // Given: the same. When: it answers with each note. Then: each means what it meant.
 TEST_F(ToACache, EachNoteOfAnAnswerIsKnown) {
-    const std::vector<std::pair<std::string, Note>> notes = {{"cached", Note::hit},
-                                                             {"fetched", Note::filled},
-                                                             {"fetched_root", Note::via_origin},
-                                                             {"merged", Note::joined},
-                                                             {"past_fresh", Note::stale},
-                                                             {"up_refused", Note::source_refused},
-                                                             {"up_lost", Note::source_lost},
-                                                             {"up_empty", Note::source_lacks},
-                                                             {"fills_full", Note::no_fill_place},
-                                                             {"root_failed", Note::origin_failed}};
+    const std::vector<std::pair<std::string, CacheStatus>> notes = {
+        {"cached", CacheStatus::hit},
+        {"fetched", CacheStatus::filled},
+        {"fetched_root", CacheStatus::via_origin},
+        {"merged", CacheStatus::coalesced},
+        {"past_fresh", CacheStatus::stale},
+        {"up_refused", CacheStatus::source_refused},
+        {"up_lost", CacheStatus::source_unreachable},
+        {"up_empty", CacheStatus::source_miss},
+        {"fills_full", CacheStatus::no_fill_slot},
+        {"root_failed", CacheStatus::origin_failed}};
     for (const auto& [name, note] : notes) {
         pull(std::nullopt);
-        EXPECT_EQ(answered("FAULT", "n=" + name, "").note, note) << name;
+        EXPECT_EQ(answered("FAULT", "n=" + name, "").cache_status, note) << name;
     }
 }
 
@@ -640,24 +651,24 @@
 
 class Conversation : public ::testing::Test {
 protected:
-    Loop loop;
+    EventLoop loop;
     FarEnd board{loop}, cache{loop};
     Folder folder;
     std::string listen;
-    std::unique_ptr<lab::Process> process;
-    std::shared_ptr<lab::Wire> client;
-    std::string answer;              // bytes that have come to the client
-    std::string lines;               // the whole conversation
-    lab::Stretches stretches{loop};  // the last: nothing of the above may go while the loop runs
+    std::unique_ptr<stand_ins::Process> process;
+    std::shared_ptr<stand_ins::StandInConnection> client;
+    std::string answer;                    // bytes that have come to the client
+    std::string lines;                     // the whole conversation
+    stand_ins::Intervals stretches{loop};  // the last: nothing of the above may go while the loop runs
 
     virtual void change(json&) const {}
     json configured() const {
-        const json servers = {lab::list_line("e1", "node", "plant", cache.address(), "Ready"),
-                              lab::list_line("p1", "parent", "hub", "127.0.0.1:9", "Ready"),
-                              lab::list_line("o", "origin", "hub", "127.0.0.1:9", "Ready")};
+        const json servers = {stand_ins::endpoint_json("e1", "node", "plant", cache.address(), "Ready"),
+                              stand_ins::endpoint_json("p1", "parent", "hub", "127.0.0.1:9", "Ready"),
+                              stand_ins::endpoint_json("o", "origin", "hub", "127.0.0.1:9", "Ready")};
         const json pool = {{"version", 1}, {"full", true}, {"servers", servers}};
-        json c = lab::configuration("127.0.0.1:9", board.address(),
-                                    {{"rev", 1}, {"notices", {{{"rev", 1}, {"pool", pool}}}}});
+        json c = stand_ins::configuration("127.0.0.1:9", board.address(),
+                                          {{"rev", 1}, {"notices", {{{"rev", 1}, {"pool", pool}}}}});
         json lane = c["settings"]["lanes"][0];
         // So long that no send is given up and tried again, also on a busy machine.
         lane["aimS"] = lane["hardLimitS"] = 30.0;
@@ -675,7 +686,7 @@
         }
         const std::string path = folder.path() + "/config.json", log = folder.path() + "/log";
         std::ofstream(path) << configured().dump();
-        process = std::make_unique<lab::Process>(lab::Process::Start{
+        process = std::make_unique<stand_ins::Process>(stand_ins::Process::Start{
             {IRISMUX_PROGRAM}, {"NODE_CONFIG=" + path, "NODE_LISTEN=" + listen}, "", log});
         ASSERT_TRUE(stretches.until([&] {
             return std::filesystem::exists(log) && bytes_of_file(log).find("serves on") != std::string::npos;
@@ -683,10 +694,10 @@
         connect();
     }
     void connect() {
-        client = std::make_shared<lab::Wire>(loop);
+        client = std::make_shared<stand_ins::StandInConnection>(loop);
         client->got = [this](Buffer& in) {
             answer += in.view();
-            in.taken(in.size());
+            in.consumed(in.size());
         };
         client->start(listen);
     }
@@ -696,14 +707,15 @@
     void say(const std::string& bytes) {
         note("client to gateway", bytes);
         client->out().append(bytes);
-        client->say();
+        client->write();
     }
     // Until the client has so many bytes: the last record of an answer tells its end.
     void expect_answer() {
         const auto whole = [&] {
             fastcgi::Record r;
             std::size_t used = 0, at = 0;
-            while (fastcgi::parse_record(std::string_view(answer).substr(at), r, used) == Parsed::whole) {
+            while (fastcgi::parse_record(std::string_view(answer).substr(at), r, used) ==
+                   ParseStatus::complete) {
                 at += used;
                 if (r.type != fastcgi::Type::std_out) return true;
             }
@@ -718,17 +730,18 @@
         std::string all;
         fastcgi::Record r;
         std::size_t used = 0, at = 0;
-        while (fastcgi::parse_record(std::string_view(records).substr(at), r, used) == Parsed::whole) {
+        while (fastcgi::parse_record(std::string_view(records).substr(at), r, used) ==
+               ParseStatus::complete) {
             all += "[record " + std::to_string(static_cast<int>(r.type)) + "]" + std::string(r.content);
             at += used;
         }
         return all;
     }
     void expect_pull() {
-        resp::Words words;
+        resp::Arguments words;
         std::size_t used = 0;
         EXPECT_TRUE(stretches.until([&] {
-            return resp::parse_array(cache.heard, words, used) == Parsed::whole;
+            return resp::parse_array(cache.heard, words, used) == ParseStatus::complete;
         })) << printable(cache.heard);
         note("gateway to cache", std::exchange(cache.heard, {}));
     }
@@ -814,7 +827,7 @@
     for (std::size_t at = 0; at < again.size();) {
         fastcgi::Record r;
         std::size_t used = 0;
-        ASSERT_EQ(fastcgi::parse_record(std::string_view(again).substr(at), r, used), Parsed::whole);
+        ASSERT_EQ(fastcgi::parse_record(std::string_view(again).substr(at), r, used), ParseStatus::complete);
         again[at + 3] = 2;  // the request's number
         at += used;
     }
