--- a/tests/wire_names_test.cpp
+++ b/tests/wire_names_test.cpp
@@ -59,12 +59,12 @@
 
 // --- commands
 
-struct WatchMessage {
+struct CommandOutput {
     int status;
     std::string text;
 };
 
-WatchMessage run(const std::vector<std::string>& words, std::vector<std::string> environment = {}) {
+CommandOutput run(const std::vector<std::string>& words, std::vector<std::string> environment = {}) {
     Folder folder;
     std::vector<std::string> all = {IRISMUX_PROGRAM};
     all.insert(all.end(), words.begin(), words.end());
@@ -97,7 +97,7 @@
         std::string file = "help/irismux";
         for (const std::string& word : words) file += "_" + word;
         words.push_back("--help");
-        const WatchMessage said = run(words);
+        const CommandOutput said = run(words);
         EXPECT_EQ(said.status, 0) << file;
         expect_golden(file + ".txt", said.text);
     }
@@ -107,7 +107,7 @@
 // the variable or what it holds, and ends with 2.
 TEST(WireNames, VariablesOfTheEnvironmentAreRead) {
     const auto expect = [](std::vector<std::string> environment, const std::string& line) {
-        const WatchMessage said = run({"serve"}, std::move(environment));
+        const CommandOutput said = run({"serve"}, std::move(environment));
         EXPECT_EQ(said.text, "irismux: " + line + '\n');
         EXPECT_EQ(said.status, 2 << 8);
     };
