--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int count, char** words) try {
     std::filesystem::path root = ".";
     bool check = false;
     CLI::App app{"Writes docs/CAPACITY.md from docs/measurements and bench/targets.toml.", "capacity"};
@@ -38,4 +38,6 @@
         std::cerr << "capacity: " << e.what() << '\n';
     }
     return 1;
+} catch (...) {
+    return 1;
 }
--- a/bench/capacity_page.cpp
+++ b/bench/capacity_page.cpp
@@ -24,13 +24,14 @@
 std::string ratio_shown(const std::optional<double>& need, double budget) {
     if (!need) return not_measured;
     const double ratio = *need / budget;
-    const std::string text = shown(ratio);
-    return ratio > 1 ? "**" + text + "**" : text;
+    std::string text = shown(ratio);
+    if (ratio > 1) text = "**" + text + "**";
+    return text;
 }
 
 std::string line_shown(const Series& s) {
     const Fit f = fit(s.points);
-    const std::string line = shown(f.intercept) + " + " + shown(f.slope) + " n";
+    std::string line = shown(f.intercept) + " + " + shown(f.slope) + " n";
     if (!f.bends) return line;
     return "bends, t " + shown(f.quadratic_t) + ": " + shown(f.parabola_intercept) + " + " +
            shown(f.parabola_slope) + " n + " + shown(f.quadratic) + " n²";
@@ -292,7 +293,9 @@
         "\n### How long until it was in force\n\n" +
         head({"event", "what", "99th gateway, s", "last gateway, s", "bound, s", "ratio", "sizes"});
     for (const auto& [event, what] : v.in_force) {
-        const std::string name = event + '.' + what;
+        std::string name = event;
+        name += '.';
+        name += what;
         const Estimate last = estimate(&v.results, "gateway.last_s." + name, n);
         const double bound = event == "purges" ? t_.load.purge_everywhere_s : 0;
         if (bound > 0) need("Purge in force at the last gateway (" + v.name + ")", last.value, bound);
--- a/bench/data_path.cpp
+++ b/bench/data_path.cpp
@@ -84,7 +84,11 @@
         part("caches", [this] { listed_caches(); });
         part("objects", [this] { objects_over_sockets(); });
         part("router", [this] { objects_in_router(); });
-        part("others", [this] { other_sizes(); });
+        part("others", [this] {
+            caches_in_router();
+            parents();
+            purges();
+        });
         write_results(results_, options_.results);
     }
 
@@ -132,7 +136,9 @@
     void listed_caches();
     void objects_over_sockets();
     void objects_in_router();
-    void other_sizes();
+    void caches_in_router();
+    void parents();
+    void purges();
 
     Options options_;
     std::string self_ = std::filesystem::read_symlink("/proc/self/exe").string();
@@ -357,7 +363,7 @@
     add(std::move(recent));
 }
 
-void Measurement::other_sizes() {
+void Measurement::caches_in_router() {
     Series by_cache{"cpu_us_per_lookup.caches_in_router",
                     "Processor time a lookup in the decisions against listed caches",
                     "listed caches",
@@ -379,7 +385,9 @@
     }
     add(std::move(by_cache));
     add(std::move(list));
+}
 
+void Measurement::parents() {
     Series by_parent{"cpu_us_per_lookup.parents",
                      "Processor time a lookup in the decisions against parents",
                      "parents",
@@ -394,7 +402,9 @@
         by_parent.points.push_back({static_cast<double>(parents), measure_router(self_, l).us_per_lookup});
     }
     add(std::move(by_parent));
+}
 
+void Measurement::purges() {
     Series lookup{"cpu_us_per_lookup.purges",
                   "Processor time a lookup in the decisions against purges in force",
                   "purges in force",
@@ -420,9 +430,7 @@
     add(std::move(purge));
 }
 
-}  // namespace
-
-int main(int count, char** words) {
+int run(int count, char** words) {
     Options options;
     CLI::App app{"Slopes of the data path of one gateway process."};
     app.add_option("program", options.program, "path of irismux")->check(CLI::ExistingFile);
@@ -439,7 +447,10 @@
         ->check(CLI::Range(0.5, 30.0));
     CLI11_PARSE(app, count, words);
     try {
-        if (!options.router.empty()) return run_router(options.router), 0;
+        if (!options.router.empty()) {
+            run_router(options.router);
+            return 0;
+        }
         if (options.program.empty()) throw std::runtime_error("the path of irismux is needed");
         Measurement(options).run();
     } catch (const std::exception& e) {
@@ -448,3 +459,9 @@
     }
     return 0;
 }
+
+}  // namespace
+
+int main(int count, char** words) try { return run(count, words); } catch (...) {
+    return 1;
+}
--- a/bench/data_path_load.cpp
+++ b/bench/data_path_load.cpp
@@ -37,7 +37,7 @@
 
 // --- threads ---------------------------------------------------------------------------------------------
 
-LoopThread::LoopThread() : keeps_alarms_running_(loop, [](Poco::Net::StreamSocket) {}) {}
+LoopThread::LoopThread() : keeps_alarms_running_(loop, [](const Poco::Net::StreamSocket&) {}) {}
 
 LoopThread::~LoopThread() { end(); }
 
--- a/bench/fleet_owner.cpp
+++ b/bench/fleet_owner.cpp
@@ -257,7 +257,7 @@
                         state.c_str(), static_cast<double>(took.size()) / (a.loop.now() - begun).seconds(),
                         resident_mb(id), descriptors(id), rest, load, at(took, 0.5), at(took, 0.95),
                         at(took, 0.99),
-                        static_cast<unsigned long long>(g.clients->rejected + g.clients->failed));
+                        static_cast<unsigned long long>(g.clients->rejected) + g.clients->failed);
             std::fflush(stdout);
         }
         fs::remove_all(folder);
--- a/bench/scale/main.cpp
+++ b/bench/scale/main.cpp
@@ -57,7 +57,7 @@
     return 0;
 }
 
-int run(scale::RigSettings settings, const std::vector<std::string>& events, const std::string& out) {
+int run(const scale::RigSettings& settings, const std::vector<std::string>& events, const std::string& out) {
     try {
         scale::Rig rig(settings);
         const json result = scale::run_events(rig, events);
@@ -82,7 +82,7 @@
 
 }  // namespace
 
-int main(int argc, char** argv) {
+int main(int argc, char** argv) try {
     std::signal(SIGPIPE, SIG_IGN);
     log::show(log::Level::error);
     CLI::App app("what control costs a fleet of many gateways", "scale");
@@ -120,4 +120,7 @@
     if (merging->parsed()) return merge(out, from);
     if (being->parsed()) return scale::run_role(role, control, number);
     return run(settings, events, out);
+} catch (const std::exception& e) {
+    std::fputs(e.what(), stderr);
+    return 1;
 }
--- a/bench/scale/output.cpp
+++ b/bench/scale/output.cpp
@@ -16,7 +16,7 @@
 
 using nlohmann::json;
 
-constexpr double budget_bytes = 15'000, budget_core = 0.017, budget_memory = 256e6;
+constexpr double budget_bytes = 15'000;
 
 template <class... Values>
 std::string text(const char* form, Values... values) {
@@ -274,62 +274,100 @@
     return out;
 }
 
+// Sizes of a panel of the chart, in pixels.
+constexpr double panel_width = 560, panel_height = 360;
+constexpr double margin_left = 70, margin_top = 50, margin_right = 190, margin_bottom = 60;
+constexpr double panel_step = margin_left + panel_width + margin_right;
+constexpr double row_step = margin_top + panel_height + margin_bottom;
+
+struct ChartQuantity {
+    const char* field;
+    const char* title;
+};
+constexpr std::array<ChartQuantity, 2> chart_quantities = {
+    {{"bytes", "KB a second and gateway, mean"},
+     {"worst_second_bytes", "KB a second and gateway, worst second"}}};
+
+// One variant's figures of one quantity against the number of gateways.
+class Panel {
+public:
+    Panel(const Variant& variant, const ChartQuantity& quantity, double x0, double y0, double most_gateways)
+        : variant_(variant), quantity_(quantity), x0_(x0), y0_(y0), most_gateways_(most_gateways) {
+        for (const json& run : variant_.runs)
+            for (const json& e : run["events"])
+                most_ = std::max(most_, e["hollow"][quantity_.field].get<double>() * 1.05);
+    }
+
+    std::string drawn() const { return axes() + budget_line() + lines(); }
+
+private:
+    double x(double gateways) const { return x0_ + gateways / most_gateways_ * panel_width; }
+    double y(double value) const { return y0_ + panel_height - value / most_ * panel_height; }
+
+    std::string axes() const {
+        std::string out = text("<text x=\"%.0f\" y=\"%.0f\" font-weight=\"bold\">%s (%s)</text>\n", x0_,
+                               y0_ - 15, quantity_.title, variant_.name.c_str());
+        out += text("<path d=\"M%.1f %.1f V%.1f H%.1f\" fill=\"none\" stroke=\"black\"/>\n", x0_, y0_,
+                    y0_ + panel_height, x0_ + panel_width);
+        for (int n = 0; n <= 4; ++n) {
+            const double value = most_ * n / 4, size = most_gateways_ * n / 4;
+            out += text("<text x=\"%.0f\" y=\"%.1f\" text-anchor=\"end\">%.1f</text>\n", x0_ - 6,
+                        y(value) + 4, value / 1e3);
+            out += text("<text x=\"%.1f\" y=\"%.0f\" text-anchor=\"middle\">%.0f</text>\n", x(size),
+                        y0_ + panel_height + 18, size);
+        }
+        out += text("<text x=\"%.0f\" y=\"%.0f\" text-anchor=\"middle\">gateways</text>\n",
+                    x0_ + panel_width / 2, y0_ + panel_height + 38);
+        return out;
+    }
+
+    std::string budget_line() const {
+        return text(
+            "<path d=\"M%.1f %.1f H%.1f\" stroke=\"black\" stroke-dasharray=\"6 4\"/><text x=\"%.1f\" "
+            "y=\"%.1f\">budget, 15</text>\n",
+            x0_, y(budget_bytes), x0_ + panel_width, x0_ + panel_width + 6, y(budget_bytes) - 6);
+    }
+
+    std::string lines() const {
+        static constexpr std::array<const char*, 11> colours = {"#000000", "#1f77b4", "#ff7f0e", "#2ca02c",
+                                                                "#d62728", "#9467bd", "#8c564b", "#e377c2",
+                                                                "#7f7f7f", "#bcbd22", "#17becf"};
+        std::string out;
+        for (std::size_t n = 0; n < order.size(); ++n) {
+            std::string points;
+            for (const json& run : variant_.runs)
+                if (const json* const e = event_of(run, order[n]))
+                    points += text("%.1f,%.1f ", x(run["gateways"].get<double>()),
+                                   y((*e)["hollow"][quantity_.field].get<double>()));
+            if (points.empty()) continue;
+            out += text("<polyline points=\"%s\" fill=\"none\" stroke=\"%s\" stroke-width=\"2\"/>\n",
+                        points.c_str(), colours[n]);
+            out += text("<text x=\"%.0f\" y=\"%.0f\" fill=\"%s\">%s</text>\n", x0_ + panel_width + 70,
+                        y0_ + 16 * static_cast<double>(n + 1), colours[n], order[n].c_str());
+        }
+        return out;
+    }
+
+    const Variant& variant_;
+    const ChartQuantity& quantity_;
+    double x0_, y0_, most_gateways_;
+    double most_ = budget_bytes * 1.1;
+};
+
 std::string chart(const json& figures) {
-    constexpr double width = 560, height = 360, left = 70, top = 50, right = 190, bottom = 60;
-    const std::array<const char*, 11> colours = {"#000000", "#1f77b4", "#ff7f0e", "#2ca02c",
-                                                 "#d62728", "#9467bd", "#8c564b", "#e377c2",
-                                                 "#7f7f7f", "#bcbd22", "#17becf"};
     const std::vector<Variant> variants = variants_of(figures);
-    const std::array<std::pair<const char*, const char*>, 2> panels = {
-        {{"bytes", "KB a second and gateway, mean"},
-         {"worst_second_bytes", "KB a second and gateway, worst second"}}};
-    double most_n = 1;
+    double most_gateways = 1;
     for (const Variant& v : variants)
-        for (const json& run : v.runs) most_n = std::max(most_n, run["gateways"].get<double>());
-    const double step = left + width + right, row = top + height + bottom;
+        for (const json& run : v.runs) most_gateways = std::max(most_gateways, run["gateways"].get<double>());
     std::string out = text(
         "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"%.0f\" height=\"%.0f\" font-family=\"sans-serif\" "
         "font-size=\"12\">\n<rect width=\"100%%\" height=\"100%%\" fill=\"white\"/>\n",
-        step * 2, row * static_cast<double>(variants.size()));
-    for (std::size_t vn = 0; vn < variants.size(); ++vn)
-        for (std::size_t pn = 0; pn < panels.size(); ++pn) {
-            const Variant& v = variants[vn];
-            const double x0 = step * static_cast<double>(pn) + left, y0 = row * static_cast<double>(vn) + top;
-            double most = budget_bytes * 1.1;
-            for (const json& run : v.runs)
-                for (const json& e : run["events"])
-                    most = std::max(most, e["hollow"][panels[pn].first].get<double>() * 1.05);
-            const auto x = [&](double n) { return x0 + n / most_n * width; };
-            const auto y = [&](double value) { return y0 + height - value / most * height; };
-            out += text("<text x=\"%.0f\" y=\"%.0f\" font-weight=\"bold\">%s (%s)</text>\n", x0, y0 - 15,
-                        panels[pn].second, v.name.c_str());
-            out += text("<path d=\"M%.1f %.1f V%.1f H%.1f\" fill=\"none\" stroke=\"black\"/>\n", x0, y0,
-                        y0 + height, x0 + width);
-            for (int n = 0; n <= 4; ++n) {
-                const double value = most * n / 4, size = most_n * n / 4;
-                out += text("<text x=\"%.0f\" y=\"%.1f\" text-anchor=\"end\">%.1f</text>\n", x0 - 6,
-                            y(value) + 4, value / 1e3);
-                out += text("<text x=\"%.1f\" y=\"%.0f\" text-anchor=\"middle\">%.0f</text>\n", x(size),
-                            y0 + height + 18, size);
-            }
-            out += text("<text x=\"%.0f\" y=\"%.0f\" text-anchor=\"middle\">gateways</text>\n",
-                        x0 + width / 2, y0 + height + 38);
-            out += text(
-                "<path d=\"M%.1f %.1f H%.1f\" stroke=\"black\" stroke-dasharray=\"6 4\"/><text x=\"%.1f\" "
-                "y=\"%.1f\">budget, 15</text>\n",
-                x0, y(budget_bytes), x0 + width, x0 + width + 6, y(budget_bytes) - 6);
-            for (std::size_t n = 0; n < order.size(); ++n) {
-                std::string points;
-                for (const json& run : v.runs)
-                    if (const json* const e = event_of(run, order[n]))
-                        points += text("%.1f,%.1f ", x(run["gateways"].get<double>()),
-                                       y((*e)["hollow"][panels[pn].first].get<double>()));
-                if (points.empty()) continue;
-                out += text("<polyline points=\"%s\" fill=\"none\" stroke=\"%s\" stroke-width=\"2\"/>\n",
-                            points.c_str(), colours[n]);
-                out += text("<text x=\"%.0f\" y=\"%.0f\" fill=\"%s\">%s</text>\n", x0 + width + 70,
-                            y0 + 16 * static_cast<double>(n + 1), colours[n], order[n].c_str());
-            }
+        panel_step * 2, row_step * static_cast<double>(variants.size()));
+    for (std::size_t row = 0; row < variants.size(); ++row)
+        for (std::size_t column = 0; column < chart_quantities.size(); ++column) {
+            const double x0 = panel_step * static_cast<double>(column) + margin_left;
+            const double y0 = row_step * static_cast<double>(row) + margin_top;
+            out += Panel(variants[row], chart_quantities[column], x0, y0, most_gateways).drawn();
         }
     return out + "</svg>\n";
 }
--- a/bench/scale/rig.cpp
+++ b/bench/scale/rig.cpp
@@ -60,7 +60,7 @@
     std::signal(SIGTERM, on_end);
     std::signal(SIGINT, on_end);
     acceptor_ = std::make_unique<stand_ins::Acceptor>(
-        loop_, [this](Poco::Net::StreamSocket s) { taken(std::move(s)); }, static_cast<int>(most_processes));
+        loop_, [this](const Poco::Net::StreamSocket& s) { taken(s); }, static_cast<int>(most_processes));
     stretches_ = std::make_unique<stand_ins::Intervals>(loop_);
     start_registry();
     board_ = ask(start_child("board", 0), json::object()).at("address");
@@ -90,7 +90,8 @@
     rlimit limit{};
     ::getrlimit(RLIMIT_NOFILE, &limit);
     const std::size_t machines = settings_.members + 1;
-    const std::size_t relay = std::min(relays_a_process, topology().gateways) * (machines + 2 * 6) + 64;
+    const std::size_t relay =
+        std::min(relays_a_process, topology().gateways) * (machines + std::size_t{2} * 6) + 64;
     const std::size_t registry = topology().gateways * 4 + 64;
     const std::size_t needed = std::max(relay, registry);
     if (limit.rlim_cur < needed)
@@ -109,8 +110,8 @@
 
 // --- children --------------------------------------------------------------------------------------------
 
-void Rig::taken(Poco::Net::StreamSocket socket) {
-    auto wire = std::make_shared<stand_ins::StandInConnection>(loop_, std::move(socket));
+void Rig::taken(const Poco::Net::StreamSocket& socket) {
+    auto wire = std::make_shared<stand_ins::StandInConnection>(loop_, socket);
     const auto child = std::make_shared<Child*>(nullptr);
     auto channel = std::make_unique<ControlChannel>(
         wire,
@@ -194,6 +195,7 @@
     std::vector<std::pair<Child*, std::int64_t>> told;
     for (Child* child : all_of(role)) told.emplace_back(child, tell(*child, order));
     std::vector<json> answers;
+    answers.reserve(told.size());
     for (const auto& [child, id] : told) answers.push_back(answer(*child, id));
     return answers;
 }
--- a/bench/scale/rig.hpp
+++ b/bench/scale/rig.hpp
@@ -111,7 +111,7 @@
     };
 
     void check_descriptors() const;
-    void taken(Poco::Net::StreamSocket socket);
+    void taken(const Poco::Net::StreamSocket& socket);
     void heard(const std::shared_ptr<Child*>& child, const nlohmann::json& message,
                const std::shared_ptr<stand_ins::StandInConnection>&);
     Child& start_child(const std::string& role, std::size_t number);
--- a/bench/scale/roles.cpp
+++ b/bench/scale/roles.cpp
@@ -1,5 +1,6 @@
 #include "bench/scale/roles.hpp"
 
+#include <cmath>
 #include <csignal>
 #include <iostream>
 #include <memory>
@@ -269,8 +270,7 @@
         std::int64_t version = 0;
         // Versions of the list are written as the weight of its first cache, in thousandths.
         const auto first = slot.gateway->endpoints().find(CacheId{Topology::cache_name(0)});
-        if (first != slot.gateway->endpoints().end())
-            version = static_cast<std::int64_t>(first->second.weight * 1000 + 0.5);
+        if (first != slot.gateway->endpoints().end()) version = std::llround(first->second.weight * 1000);
         if (version <= slot.list_version) return;
         slot.list_version = version;
         force("list", slot.number, version, at);
--- a/testing/fault_proxy.cpp
+++ b/testing/fault_proxy.cpp
@@ -13,7 +13,7 @@
 
 void FaultProxy::listen(const std::string& at) {
     acceptor_ = std::make_unique<Acceptor>(
-        loop_, [this](Poco::Net::StreamSocket s) { taken(std::move(s)); }, 64, at);
+        loop_, [this](const Poco::Net::StreamSocket& s) { taken(s); }, 64, at);
     address_ = acceptor_->address();
 }
 
@@ -32,14 +32,14 @@
         for (const auto& w : p->ends) w->close();
 }
 
-void FaultProxy::taken(Poco::Net::StreamSocket socket) {
+void FaultProxy::taken(const Poco::Net::StreamSocket& socket) {
     std::erase_if(pairs_, [this](const PairPtr& p) {
         if (p->over) closed(p->number);
         return p->over;
     });
     auto p = std::make_shared<Pair>();
     p->number = ++last_number_;
-    p->ends = {std::make_shared<StandInConnection>(loop_, std::move(socket)),
+    p->ends = {std::make_shared<StandInConnection>(loop_, socket),
                std::make_shared<StandInConnection>(loop_)};
     pairs_.push_back(p);
     for (const Direction w : {Direction::to_server, Direction::to_client}) {
--- a/testing/fault_proxy.hpp
+++ b/testing/fault_proxy.hpp
@@ -57,7 +57,7 @@
     using PairPtr = std::shared_ptr<Pair>;
 
     void listen(const std::string& at);
-    void taken(Poco::Net::StreamSocket socket);
+    void taken(const Poco::Net::StreamSocket& socket);
     void on_accepted(const PairPtr& p, Direction w, std::string bytes);
     void pass(const PairPtr& p, Direction w, std::string bytes);
     void end(const PairPtr& p, Direction w);
--- a/testing/fleet_simulation.cpp
+++ b/testing/fleet_simulation.cpp
@@ -149,45 +149,58 @@
         at(now_ + delay(fault_rates_.late), [this, no, ask, transaction] { settle(no, ask, transaction); });
 }
 
+// A value DUTY/TOKEN/NAME/INCARNATION: its writer has to be a member of that incarnation, and no token may be
+// below one that has written.
+void FleetSimulation::check_work(const std::string& value) {
+    const std::size_t duty_end = value.find('/');
+    const std::size_t token_end = value.find('/', duty_end + 1);
+    const std::size_t name_end = value.rfind('/');
+    const std::string duty = value.substr(0, duty_end);
+    const std::int64_t token = std::atoll(value.c_str() + duty_end + 1);
+    const MemberName who{value.substr(token_end + 1, name_end - token_end - 1)};
+    const LeaseHolder holder{FencingToken{token}, who, Incarnation{std::atoll(value.c_str() + name_end + 1)}};
+    const auto it = ledger_.records().find(member_key(who));
+    const auto writer = it == ledger_.records().end() ? std::nullopt : parse_member(it->second);
+    if (!writer || writer->incarnation != holder.incarnation)
+        broken.push_back("a write by one who is no member: " + value);
+    for (int n = 0; n < 2; ++n) order(DutyName{duty}, holder);
+    if (token < highest_[duty])
+        broken.push_back("a write by token " + std::to_string(token) + " after one by " +
+                         std::to_string(highest_[duty]));
+    highest_[duty] = std::max(highest_[duty], token);
+}
+
+// No token of a duty may be given to two owners.
+void FleetSimulation::check_owner(const Key& key, const std::string& value) {
+    const auto duty = duty_of(key);
+    const auto record = duty ? parse_duty(value) : std::nullopt;
+    if (!record || record->owner.raw().empty()) return;
+    ++owners;
+    const std::string who = record->owner.raw() + '/' + std::to_string(record->incarnation.raw());
+    const auto [it, fresh] = given_.try_emplace({duty->raw(), record->token.raw()}, who);
+    if (!fresh && it->second != who)
+        broken.push_back("token " + std::to_string(record->token.raw()) + " of " + duty->raw() +
+                         " given to " + it->second + " and " + who);
+}
+
+// The registry's ledger: what was written on behalf of the fleet, in the registry's order.
+void FleetSimulation::check_writes(const Transaction& transaction, bool succeeded) {
+    for (const auto& [key, value] : transaction.writes) {
+        const bool is_work = key.raw().rfind("work/", 0) == 0;
+        if (is_work) ++(succeeded ? written : refused);
+        if (!succeeded || !value) continue;
+        if (is_work) check_work(*value);
+        check_owner(key, *value);
+    }
+}
+
 void FleetSimulation::settle(std::size_t member, std::uint64_t ask, const Transaction& transaction) {
     if (down_) return;
     ++transactions;
     asked.push_back(now_);
     const TransactionLedger::Outcome o = ledger_.settle(transaction);
-    // The registry's ledger: what was written on behalf of the fleet, in the registry's order.
-    for (const auto& [key, value] : transaction.writes) {
-        if (key.raw().rfind("work/", 0) == 0) ++(o.held ? written : refused);
-        if (!o.held || !value) continue;
-        const std::size_t slash = value->find('/');
-        if (key.raw().rfind("work/", 0) == 0) {
-            const std::string duty = value->substr(0, slash);
-            const std::int64_t token = std::atoll(value->c_str() + slash + 1);
-            // DUTY/EPOCH/NAME/START: a member of that incarnation, and no token below one that has written.
-            const std::size_t a = value->find('/', slash + 1), b = value->rfind('/');
-            const MemberName who{value->substr(a + 1, b - a - 1)};
-            const LeaseHolder holder{FencingToken{token}, who,
-                                     Incarnation{std::atoll(value->c_str() + b + 1)}};
-            const auto it = ledger_.records().find(member_key(who));
-            const auto writer = it == ledger_.records().end() ? std::nullopt : parse_member(it->second);
-            if (!writer || writer->incarnation != holder.incarnation)
-                broken.push_back("a write by one who is no member: " + *value);
-            for (int n = 0; n < 2; ++n) order(DutyName{duty}, holder);
-            if (token < highest_[duty])
-                broken.push_back("a write by epoch " + std::to_string(token) + " after one by " +
-                                 std::to_string(highest_[duty]));
-            highest_[duty] = std::max(highest_[duty], token);
-        }
-        const auto duty = duty_of(key);
-        const auto record = duty ? parse_duty(*value) : std::nullopt;
-        if (!record || record->owner.raw().empty()) continue;
-        ++owners;
-        const std::string who = record->owner.raw() + '/' + std::to_string(record->incarnation.raw());
-        const auto [it, fresh] = given_.try_emplace({duty->raw(), record->token.raw()}, who);
-        if (!fresh && it->second != who)
-            broken.push_back("epoch " + std::to_string(record->token.raw()) + " of " + duty->raw() +
-                             " given to " + it->second + " and " + who);
-    }
-    // Signs of life are not watched.
+    check_writes(transaction, o.held);
+    // Heartbeats are not watched.
     const bool watched = std::any_of(transaction.writes.begin(), transaction.writes.end(),
                                      [](const Entry& e) { return e.first.raw().rfind("beat/", 0) != 0; });
     if (watched && o.held)
--- a/testing/fleet_simulation.hpp
+++ b/testing/fleet_simulation.hpp
@@ -65,6 +65,9 @@
     void check(bool all);
     void inject_fault(const FaultRates& t);
     void on_submit(Node& n, const Transaction& transaction);
+    void check_work(const std::string& value);
+    void check_owner(const fleet::Key& key, const std::string& value);
+    void check_writes(const fleet::Transaction& transaction, bool succeeded);
     void settle(std::size_t member, std::uint64_t ask, const Transaction& transaction);
     void deliver_records(Node& n);
     void order(const fleet::DutyName& duty, const fleet::LeaseHolder& holder);
--- a/testing/interleaving_explorer.cpp
+++ b/testing/interleaving_explorer.cpp
@@ -114,7 +114,7 @@
     }
 
     TransactionLedger::Outcome settle(const Transaction& transaction) {
-        const TransactionLedger::Outcome o = ledger.settle(transaction);
+        TransactionLedger::Outcome o = ledger.settle(transaction);
         for (const auto& [key, value] : transaction.writes) {
             if (!o.held || !value || key.raw().rfind("work/", 0) != 0) continue;
             // EPOCH/NAME/START: a member of that incarnation, and no token below one that has written.
--- a/testing/process.cpp
+++ b/testing/process.cpp
@@ -22,6 +22,7 @@
 
 std::vector<char*> pointers(const std::vector<std::string>& words) {
     std::vector<char*> all;
+    all.reserve(words.size() + 1);
     for (const std::string& w : words) all.push_back(const_cast<char*>(w.c_str()));
     all.push_back(nullptr);
     return all;
--- a/testing/registry_model.cpp
+++ b/testing/registry_model.cpp
@@ -51,9 +51,9 @@
 }
 
 std::string list_value(const std::string& id, const std::string& state, double weight,
-                       std::int64_t started_ms, const std::string& zone, const std::string& kind,
-                       const std::string& address) {
-    nlohmann::json line = {{"id", id}, {"state", state}, {"weight", weight}, {"zone", zone}, {"kind", kind}};
+                       std::int64_t started_ms, const std::string& address) {
+    nlohmann::json line = {
+        {"id", id}, {"state", state}, {"weight", weight}, {"zone", "here"}, {"kind", "edge"}};
     if (started_ms > 0) line["started_ms"] = started_ms;
     if (!address.empty()) line["addr"] = address;
     return line.dump();
--- a/testing/registry_model.hpp
+++ b/testing/registry_model.hpp
@@ -52,7 +52,6 @@
 
 // The value of a record of the list, as line_of reads it.
 std::string list_value(const std::string& id, const std::string& state, double weight = 1,
-                       std::int64_t started_ms = 0, const std::string& zone = "here",
-                       const std::string& kind = "edge", const std::string& address = "");
+                       std::int64_t started_ms = 0, const std::string& address = "");
 
 }  // namespace irismux::stand_ins
--- a/testing/registry_stand_in.cpp
+++ b/testing/registry_stand_in.cpp
@@ -38,6 +38,32 @@
             {"value", coded(r.value)}};
 }
 
+// From a first key up to, not including, the last; an empty last one: the first key alone.
+std::vector<Record> records_between(const RegistryModel::State& state, const std::string& first,
+                                    const std::string& end) {
+    std::vector<Record> found;
+    for (const auto& [key, r] : state)
+        if (key.raw() >= first && (end.empty() ? key.raw() == first : key.raw() < end)) found.push_back(r);
+    return found;
+}
+
+Record record_of(const RegistryModel::State& state, const std::string& key) {
+    const auto it = state.find(RecordKey{key});
+    return it == state.end() ? Record{} : it->second;
+}
+
+// The writes among a transaction's steps; a value of none deletes the key.
+std::vector<std::pair<std::string, std::optional<std::string>>> writes_of(const json& steps) {
+    std::vector<std::pair<std::string, std::optional<std::string>>> writes;
+    for (const json& step : steps) {
+        if (step.contains("request_put"))
+            writes.emplace_back(decoded(step["request_put"], "key"), decoded(step["request_put"], "value"));
+        if (step.contains("request_delete_range"))
+            writes.emplace_back(decoded(step["request_delete_range"], "key"), std::nullopt);
+    }
+    return writes;
+}
+
 }  // namespace
 
 RegistryStandIn::RegistryStandIn(EventLoop& loop, std::size_t members, Duration progress)
@@ -59,10 +85,10 @@
 void RegistryStandIn::listen(Member& m, const std::string& at) {
     m.acceptor = std::make_unique<Acceptor>(
         loop_,
-        [this, &m](Poco::Net::StreamSocket s) {
+        [this, &m](const Poco::Net::StreamSocket& s) {
             ++ledger.connections;
-            if (m.faults.refuse) return s.close();
-            auto w = std::make_shared<StandInConnection>(loop_, std::move(s));
+            if (m.faults.refuse) return;  // the connection ends with its last handle
+            auto w = std::make_shared<StandInConnection>(loop_, s);
             std::erase_if(m.wires, [](const auto& old) { return old->state() == ConnectionState::closed; });
             m.wires.push_back(w);
             w->got = [this, &m, raw = std::weak_ptr<StandInConnection>(w)](Buffer& in) {
@@ -82,7 +108,8 @@
                         auth < head ? all.substr(auth + 15, all.find('\r', auth) - auth - 15) : "");
                     const std::string body(all.substr(head + 4, length));
                     in.consumed(head + 4 + length);
-                    if (!m.faults.mute) asked(m, wire, target, token, body);
+                    if (!m.faults.mute)
+                        on_request({m, wire, target, json::parse(body, nullptr, false), header(m)}, token);
                     if (wire->state() != ConnectionState::open) return;
                 }
             };
@@ -124,135 +151,135 @@
                       });
 }
 
-void RegistryStandIn::asked(Member& m, const std::shared_ptr<StandInConnection>& w, const std::string& target,
-                            const std::string& token, const std::string& body) {
+void RegistryStandIn::on_request(const Call& call, const std::string& token) {
     ledger.asked.push_back(loop_.now());
-    const json o = json::parse(body, nullptr, false);
-    const json header = {{"cluster_id", model.cluster().raw()},
-                         {"member_id", std::to_string(m.no)},
-                         {"revision", std::to_string(shown(m).raw())},
-                         {"raft_term", "2"}};
-    const auto wrong = [&](int status, int code, const std::string& words) {
-        answer(m, w, status, json{{"error", words}, {"code", code}, {"message", words}}.dump());
-    };
-    if (target == "/v3/auth/authenticate") {
-        ++ledger.logins;
-        if (o.value("name", "") != user || o.value("password", "") != password)
-            return wrong(400, 3, "etcdserver: authentication failed, invalid user ID or password");
-        const std::string made = "token." + std::to_string(++made_);
-        tokens_.insert(made);
-        return answer(m, w, 200, json{{"header", header}, {"token", made}}.dump());
-    }
+    if (call.target == "/v3/auth/authenticate") return authenticate(call);
     if (!user.empty() && !tokens_.contains(token)) {
         ++ledger.refused;
-        return wrong(401, 16, "etcdserver: invalid auth token");
+        return answer_error(call, 401, 16, "etcdserver: invalid auth token");
     }
-    if (target == "/v3/kv/range") {
-        const bool last = o.contains("sort_target");
-        ++(last ? ledger.checks : ledger.reads);
-        const Revision at = figure(o, "revision") > 0 ? Revision{figure(o, "revision")} : shown(m);
-        const RegistryModel::State* state = model.at(at);
-        if (!state && at > model.newest())
-            return wrong(400, 11, "etcdserver: mvcc: required revision is a future revision");
-        if (!state) return wrong(400, 11, "etcdserver: mvcc: required revision has been compacted");
-        const std::string first = decoded(o, "key"), end = decoded(o, "range_end");
-        std::vector<Record> found;
-        for (const auto& [key, r] : *state)
-            if (key.raw() >= first && (end.empty() ? key.raw() == first : key.raw() < end))
-                found.push_back(r);
-        const std::size_t count = found.size();
-        if (last)
-            std::sort(found.begin(), found.end(),
-                      [](const Record& a, const Record& b) { return a.modified > b.modified; });
-        const auto most = static_cast<std::size_t>(figure(o, "limit"));
-        const bool more = most > 0 && found.size() > most;
-        if (more) found.resize(most);
-        json kvs = json::array();
-        for (const Record& r : found) kvs.push_back(kv_of(r));
-        json out = {{"header", header}, {"kvs", kvs}, {"count", std::to_string(count)}};
-        if (more) out["more"] = true;
-        return answer(m, w, 200, out.dump());
-    }
-    if (target == "/v3/watch") {
-        ++ledger.watches;
-        const json& create = o["create_request"];
-        w->out().append(
-            "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
-        const Revision from{figure(create, "start_revision")};
-        json made = {{"header", header}, {"created", true}};
-        if (!model.changes(from, model.newest())) {
-            stream(m, w, json{{"result", made}}.dump());
-            return cancel(m, w);
-        }
-        stream(m, w, json{{"result", made}}.dump());
-        m.watchers.push_back({w, decoded(create, "key"), from});
-        return feed(m);
-    }
-    if (target == "/v3/kv/txn") {
-        json out = transact(m.no, o);
-        if (std::exchange(m.faults.vanish, false)) {
-            publish();
-            return w->close();
-        }
-        out["header"] = header;
-        out["header"]["revision"] = std::to_string(model.newest().raw());
-        answer(m, w, 200, out.dump());
-        return publish();
+    if (call.target == "/v3/kv/range") return answer_range(call);
+    if (call.target == "/v3/watch") return open_watch(call);
+    if (call.target == "/v3/kv/txn") return answer_transaction(call);
+    if (call.target == "/v3/kv/put" || call.target == "/v3/kv/deleterange") return answer_write(call);
+    answer_error(call, 404, 5, "Not Found");
+}
+
+json RegistryStandIn::header(const Member& m) const {
+    return {{"cluster_id", model.cluster().raw()},
+            {"member_id", std::to_string(m.no)},
+            {"revision", std::to_string(shown(m).raw())},
+            {"raft_term", "2"}};
+}
+
+void RegistryStandIn::answer_error(const Call& call, int status, int code, const std::string& message) {
+    answer(call.member, call.wire, status,
+           json{{"error", message}, {"code", code}, {"message", message}}.dump());
+}
+
+void RegistryStandIn::authenticate(const Call& call) {
+    ++ledger.logins;
+    if (call.body.value("name", "") != user || call.body.value("password", "") != password)
+        return answer_error(call, 400, 3, "etcdserver: authentication failed, invalid user ID or password");
+    const std::string made = "token." + std::to_string(++made_);
+    tokens_.insert(made);
+    answer(call.member, call.wire, 200, json{{"header", call.header}, {"token", made}}.dump());
+}
+
+void RegistryStandIn::answer_range(const Call& call) {
+    const json& o = call.body;
+    const bool last_changed = o.contains("sort_target");
+    ++(last_changed ? ledger.checks : ledger.reads);
+    const Revision at = figure(o, "revision") > 0 ? Revision{figure(o, "revision")} : shown(call.member);
+    const RegistryModel::State* state = model.at(at);
+    if (!state && at > model.newest())
+        return answer_error(call, 400, 11, "etcdserver: mvcc: required revision is a future revision");
+    if (!state) return answer_error(call, 400, 11, "etcdserver: mvcc: required revision has been compacted");
+    std::vector<Record> found = records_between(*state, decoded(o, "key"), decoded(o, "range_end"));
+    const std::size_t count = found.size();
+    if (last_changed)
+        std::sort(found.begin(), found.end(),
+                  [](const Record& a, const Record& b) { return a.modified > b.modified; });
+    const auto limit = static_cast<std::size_t>(figure(o, "limit"));
+    const bool more = limit > 0 && found.size() > limit;
+    if (more) found.resize(limit);
+    json kvs = json::array();
+    for (const Record& r : found) kvs.push_back(kv_of(r));
+    json out = {{"header", call.header}, {"kvs", kvs}, {"count", std::to_string(count)}};
+    if (more) out["more"] = true;
+    answer(call.member, call.wire, 200, out.dump());
+}
+
+void RegistryStandIn::open_watch(const Call& call) {
+    ++ledger.watches;
+    const json& create = call.body["create_request"];
+    call.wire->out().append(
+        "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
+    const Revision from{figure(create, "start_revision")};
+    const json created = {{"header", call.header}, {"created", true}};
+    const bool available = model.changes(from, model.newest()).has_value();
+    stream(call.member, call.wire, json{{"result", created}}.dump());
+    if (!available) return cancel(call.member, call.wire);
+    call.member.watchers.push_back({call.wire, decoded(create, "key"), from});
+    feed(call.member);
+}
+
+void RegistryStandIn::answer_transaction(const Call& call) {
+    json out = transact(call.member.no, call.body);
+    if (std::exchange(call.member.faults.vanish, false)) {
+        publish();
+        return call.wire->close();
     }
-    if (target == "/v3/kv/put" || target == "/v3/kv/deleterange") {
-        const bool put = target == "/v3/kv/put";
-        model.commit(
-            {{RecordKey{decoded(o, "key")}, put ? std::optional(decoded(o, "value")) : std::nullopt}});
-        answer(m, w, 200, json{{"header", header}}.dump());
-        return publish();
+    out["header"] = call.header;
+    out["header"]["revision"] = std::to_string(model.newest().raw());
+    answer(call.member, call.wire, 200, out.dump());
+    publish();
+}
+
+void RegistryStandIn::answer_write(const Call& call) {
+    const bool put = call.target == "/v3/kv/put";
+    std::optional<std::string> value;
+    if (put) value = decoded(call.body, "value");
+    model.commit({{RecordKey{decoded(call.body, "key")}, value}});
+    answer(call.member, call.wire, 200, json{{"header", call.header}}.dump());
+    publish();
+}
+
+bool RegistryStandIn::compares_hold(const json& compares, std::vector<std::string>& keys) const {
+    const RegistryModel::State& state = *model.at(model.newest());
+    bool hold = true;
+    for (const json& c : compares) {
+        keys.push_back(decoded(c, "key"));
+        const Record r = record_of(state, keys.back());
+        const std::string target = c.value("target", "");
+        if (target == "MOD") hold = hold && r.modified.raw() == figure(c, "mod_revision");
+        if (target == "CREATE") hold = hold && r.created.raw() == figure(c, "create_revision");
+        if (target == "VALUE") hold = hold && r.created != Revision{} && r.value == decoded(c, "value");
     }
-    wrong(404, 5, "Not Found");
+    return hold;
 }
 
 // Members that lag take part in transactions as all do: those are agreed on.
 json RegistryStandIn::transact(std::size_t member, const json& asked) {
     ++ledger.txns;
-    const RegistryModel::State& state = *model.at(model.newest());
-    const auto found = [](const RegistryModel::State& in, const std::string& key) {
-        const auto it = in.find(RecordKey{key});
-        return it == in.end() ? Record{} : it->second;
-    };
-    bool holds = true;
     Settled done{loop_.now(), member, {}, {}, false};
-    for (const json& c : asked.value("compare", json::array())) {
-        done.compared.push_back(decoded(c, "key"));
-        const Record r = found(state, decoded(c, "key"));
-        const std::string on = c.value("target", "");
-        if (on == "MOD") holds = holds && r.modified.raw() == figure(c, "mod_revision");
-        if (on == "CREATE") holds = holds && r.created.raw() == figure(c, "create_revision");
-        if (on == "VALUE") holds = holds && r.created != Revision{} && r.value == decoded(c, "value");
-    }
+    const bool holds = compares_hold(asked.value("compare", json::array()), done.compared);
     ledger.held += holds;
     const json steps = asked.value(holds ? "success" : "failure", json::array());
     std::vector<std::pair<RecordKey, std::optional<std::string>>> writes;
-    for (const json& s : steps) {
-        if (s.contains("request_put"))
-            writes.emplace_back(decoded(s["request_put"], "key"), decoded(s["request_put"], "value"));
-        if (s.contains("request_delete_range"))
-            writes.emplace_back(decoded(s["request_delete_range"], "key"), std::nullopt);
-    }
+    for (auto& [key, value] : writes_of(steps)) writes.emplace_back(key, value);
     if (!writes.empty()) model.commit(writes);
     done.held = holds;
-    for (const json& s : asked.value("success", json::array())) {
-        if (s.contains("request_put"))
-            done.writes.emplace_back(decoded(s["request_put"], "key"), decoded(s["request_put"], "value"));
-        if (s.contains("request_delete_range"))
-            done.writes.emplace_back(decoded(s["request_delete_range"], "key"), std::nullopt);
-    }
+    done.writes = writes_of(asked.value("success", json::array()));
     settled(done);
     const RegistryModel::State& after = *model.at(model.newest());
     json responses = json::array();
-    for (const json& s : steps) {
-        if (s.contains("request_put")) responses.push_back({{"response_put", json::object()}});
-        if (s.contains("request_delete_range"))
+    for (const json& step : steps) {
+        if (step.contains("request_put")) responses.push_back({{"response_put", json::object()}});
+        if (step.contains("request_delete_range"))
             responses.push_back({{"response_delete_range", json::object()}});
-        if (!s.contains("request_range")) continue;
-        const Record r = found(after, decoded(s["request_range"], "key"));
+        if (!step.contains("request_range")) continue;
+        const Record r = record_of(after, decoded(step["request_range"], "key"));
         json kvs = json::array();
         if (r.created != Revision{}) kvs.push_back(kv_of(r));
         responses.push_back({{"response_range", {{"kvs", kvs}}}});
--- a/testing/registry_stand_in.hpp
+++ b/testing/registry_stand_in.hpp
@@ -78,8 +78,24 @@
     };
 
     void listen(Member& m, const std::string& at);
-    void asked(Member& m, const std::shared_ptr<StandInConnection>& w, const std::string& target,
-               const std::string& token, const std::string& body);
+    // One request at one member.
+    struct Call {
+        Member& member;
+        std::shared_ptr<StandInConnection> wire;
+        std::string target;
+        nlohmann::json body;
+        nlohmann::json header;  // of its answer
+    };
+    void on_request(const Call& call, const std::string& token);
+    nlohmann::json header(const Member& m) const;
+    void answer_error(const Call& call, int status, int code, const std::string& message);
+    void authenticate(const Call& call);
+    void answer_range(const Call& call);
+    void open_watch(const Call& call);
+    void answer_transaction(const Call& call);
+    void answer_write(const Call& call);
+    // Whether all comparisons hold now; `keys` gets what they compare.
+    bool compares_hold(const nlohmann::json& compares, std::vector<std::string>& keys) const;
     void answer(Member& m, const std::shared_ptr<StandInConnection>& w, int status, std::string body);
     void stream(Member& m, const std::shared_ptr<StandInConnection>& w, std::string message);
     // The answer to a transaction, which is done by then.
--- a/testing/single_process.cpp
+++ b/testing/single_process.cpp
@@ -22,9 +22,9 @@
     const std::string at = address_.empty() ? "127.0.0.1:0" : address_;
     acceptor_ = std::make_unique<Acceptor>(
         loop_,
-        [this](Poco::Net::StreamSocket s) {
+        [this](const Poco::Net::StreamSocket& s) {
             peers.insert(s.peerAddress().toString());
-            auto w = std::make_shared<StandInConnection>(loop_, std::move(s));
+            auto w = std::make_shared<StandInConnection>(loop_, s);
             w->got = [this, raw = std::weak_ptr<StandInConnection>(w)](Buffer& in) {
                 if (const auto wire = raw.lock()) on_data(wire, in);
             };
@@ -75,7 +75,7 @@
 // --- clients ---------------------------------------------------------------------------------------------
 
 FastCgiClient::FastCgiClient(EventLoop& loop, const std::string& gateway)
-    : wire(std::make_shared<StandInConnection>(loop)), loop_(loop) {
+    : wire(std::make_shared<StandInConnection>(loop)) {
     wire->got = [this](Buffer& in) { on_data(in); };
     wire->ended = [this] { ended = true; };
     wire->start(gateway);
--- a/testing/single_process.hpp
+++ b/testing/single_process.hpp
@@ -76,7 +76,6 @@
 
 private:
     void on_data(Buffer& in);
-    EventLoop& loop_;
     std::map<std::uint16_t, std::string> received_;
 };
 
--- a/testing/site_simulation.cpp
+++ b/testing/site_simulation.cpp
@@ -327,7 +327,7 @@
     note_in_force();
 }
 
-// Polls, as the carrier does: what came last is told before the next one goes out.
+// Polls as the notice client does: what came last takes effect before the next poll goes out.
 void SiteSimulation::poll(Process& p) {
     const std::uint64_t life = p.life, mine = ++p.polls;
     p.when_running([this, &p, life, mine] {
@@ -335,40 +335,44 @@
         const bool from_start = p.reporter && p.reporter->acknowledgement().needs_full_history();
         if (from_start) p.position = 0;
         if (p.reporter) p.reporter->acknowledgement().on_poll_started(from_start);
-        if (p.board_cut) {
-            at(now_ + poll_fails_after, [this, &p, life] {
-                if (p.life != life) return;
-                p.when_running([&p] {
-                    if (p.reporter) p.reporter->acknowledgement().on_poll_failed();
-                });
-                poll(p);
-            });
-            return;
-        }
+        if (p.board_cut) return fail_poll(p, life);
         const std::int64_t from = p.position;
-        at(now_ + delay(fault_rates_.late / 4), [this, &p, life, from] {
-            const std::int64_t newest = this->newest();
-            std::vector<int> owed;
-            for (std::int64_t n = from; n < newest; ++n) owed.push_back(board_[static_cast<std::size_t>(n)]);
-            at(now_ + delay(fault_rates_.late / 4), [this, &p, life, from, newest, owed] {
-                if (p.life != life) return;
-                p.when_running([this, &p, from, newest, owed] {
-                    p.in_force.insert(owed.begin(), owed.end());
-                    p.position = std::max(p.position, newest);
-                    if (p.reporter)
-                        p.reporter->acknowledgement().on_poll_completed(EventNumber{newest},
-                                                                        EventNumber{from});
-                    note_in_force();
-                    step(p);
-                });
-                at(now_ + poll_every, [this, &p, life] {
-                    if (p.life == life) poll(p);
-                });
-            });
+        at(now_ + delay(fault_rates_.late / 4), [this, &p, life, from] { answer_poll(p, life, from); });
+    });
+}
+
+void SiteSimulation::fail_poll(Process& p, std::uint64_t life) {
+    at(now_ + poll_fails_after, [this, &p, life] {
+        if (p.life != life) return;
+        p.when_running([&p] {
+            if (p.reporter) p.reporter->acknowledgement().on_poll_failed();
         });
+        poll(p);
     });
 }
 
+void SiteSimulation::answer_poll(Process& p, std::uint64_t life, std::int64_t from) {
+    const std::int64_t newest = this->newest();
+    std::vector<int> owed;
+    for (std::int64_t n = from; n < newest; ++n) owed.push_back(board_[static_cast<std::size_t>(n)]);
+    at(now_ + delay(fault_rates_.late / 4), [this, &p, life, from, newest, owed] {
+        if (p.life != life) return;
+        p.when_running([this, &p, from, newest, owed] { apply_notices(p, from, newest, owed); });
+        at(now_ + poll_every, [this, &p, life] {
+            if (p.life == life) poll(p);
+        });
+    });
+}
+
+void SiteSimulation::apply_notices(Process& p, std::int64_t from, std::int64_t newest,
+                                   const std::vector<int>& notices) {
+    p.in_force.insert(notices.begin(), notices.end());
+    p.position = std::max(p.position, newest);
+    if (p.reporter) p.reporter->acknowledgement().on_poll_completed(EventNumber{newest}, EventNumber{from});
+    note_in_force();
+    step(p);
+}
+
 void SiteSimulation::board_back(std::size_t events, bool announced) {
     const std::size_t left = board_.size() - std::min(events, board_.size());
     board_.resize(left);
--- a/testing/site_simulation.hpp
+++ b/testing/site_simulation.hpp
@@ -99,6 +99,9 @@
     void submit(Process& p, const fleet::Transaction& deal);
     void settle(std::size_t member, std::uint64_t ask, std::uint64_t life, const fleet::Transaction& deal);
     void deliver_records(Process& p);
+    void fail_poll(Process& p, std::uint64_t life);
+    void answer_poll(Process& p, std::uint64_t life, std::int64_t from);
+    void apply_notices(Process& p, std::int64_t from, std::int64_t newest, const std::vector<int>& notices);
     void poll(Process& p);
     void wake(Process& p);
     void step(Process& p);
--- a/testing/soak.cpp
+++ b/testing/soak.cpp
@@ -111,8 +111,9 @@
     void misbehave(ScriptedCache& cache) {
         cache.then = [this, &cache](const ScriptedCache::ReceivedAttempt& pull) {
             const auto later = [&](int least_ms, int most_ms) {
-                solo_->loop.schedule_at(solo_->loop.now() + Duration::micros(pick(least_ms, most_ms) * 1000),
-                                        [this, &cache, pull] { answer_pull(cache, pull, "HIT"); });
+                solo_->loop.schedule_at(
+                    solo_->loop.now() + Duration::micros(std::int64_t{1000} * pick(least_ms, most_ms)),
+                    [this, &cache, pull] { answer_pull(cache, pull, "HIT"); });
             };
             if (hanging_) return;
             if (pick(1, 100) > script_.misbehaving) return later(0, 8);
--- a/testing/soak_client.hpp
+++ b/testing/soak_client.hpp
@@ -24,7 +24,7 @@
     std::optional<TimePoint> connection_ended;  // by the gateway, with no answer
     std::string status, body;
 
-    TimePoint due() const { return asked + Duration::micros(question.patience_ms * 1000); }
+    TimePoint due() const { return asked + Duration::micros(std::int64_t{1000} * question.patience_ms); }
 };
 
 class SoakClient {
--- a/testing/sockets.hpp
+++ b/testing/sockets.hpp
@@ -18,7 +18,7 @@
 // A listening stand-in; whoever connects is handed on.
 class Acceptor {
 public:
-    Acceptor(EventLoop& loop, std::function<void(Poco::Net::StreamSocket)> got, int backlog = 64,
+    Acceptor(EventLoop& loop, std::function<void(const Poco::Net::StreamSocket&)> got, int backlog = 64,
              const std::string& at = "127.0.0.1:0")
         : loop_(loop), got_(std::move(got)), socket_(Poco::Net::SocketAddress(at), backlog) {
         socket_.setBlocking(false);
@@ -39,14 +39,14 @@
         loop_.run_due_timers();
     }
     EventLoop& loop_;
-    std::function<void(Poco::Net::StreamSocket)> got_;
+    std::function<void(const Poco::Net::StreamSocket&)> got_;
     Poco::Net::ServerSocket socket_;
 };
 
 // A stand-in's end of a connection: what comes is handed on as it stands in the buffer.
 class StandInConnection final : public Connection {
 public:
-    StandInConnection(EventLoop& loop, Poco::Net::StreamSocket s)
+    StandInConnection(EventLoop& loop, const Poco::Net::StreamSocket& s)
         : Connection(loop, s, ConnectionState::open), socket_(s) {}
     explicit StandInConnection(EventLoop& loop)
         : StandInConnection(loop, Poco::Net::StreamSocket(), ConnectionState::connecting) {}
@@ -79,7 +79,7 @@
     void on_closed() override { ended(); }
 
 private:
-    StandInConnection(EventLoop& loop, Poco::Net::StreamSocket s, ConnectionState state)
+    StandInConnection(EventLoop& loop, const Poco::Net::StreamSocket& s, ConnectionState state)
         : Connection(loop, s, state), socket_(s) {}
     Poco::Net::StreamSocket socket_;  // the same as the link's
 };
@@ -88,7 +88,7 @@
 // can be run only once; so it runs in a thread of its own, and only one of the two threads is ever awake.
 class Intervals {
 public:
-    explicit Intervals(EventLoop& loop) : loop_(loop), awake_(loop, [](Poco::Net::StreamSocket) {}) {
+    explicit Intervals(EventLoop& loop) : loop_(loop), awake_(loop, [](const Poco::Net::StreamSocket&) {}) {
         loop_.run_next_iteration([this] { stand_still(); });
         thread_ = std::thread([this] { loop_.run(); });
         still_.acquire();
--- a/testing/stand_ins.cpp
+++ b/testing/stand_ins.cpp
@@ -31,9 +31,9 @@
 void Cache::listen(const std::string& at) {
     acceptor_ = std::make_unique<Acceptor>(
         loop_,
-        [this](Poco::Net::StreamSocket s) {
+        [this](const Poco::Net::StreamSocket& s) {
             drop_ended(wires_);
-            auto w = std::make_shared<StandInConnection>(loop_, std::move(s));
+            auto w = std::make_shared<StandInConnection>(loop_, s);
             w->got = [this, raw = std::weak_ptr<StandInConnection>(w)](Buffer& in) {
                 if (const auto wire = raw.lock()) on_data(wire, in);
             };
@@ -83,9 +83,9 @@
     : loop_(loop),
       acceptor_(
           loop,
-          [this](Poco::Net::StreamSocket s) {
+          [this](const Poco::Net::StreamSocket& s) {
               drop_ended(wires_);
-              auto w = std::make_shared<StandInConnection>(loop_, std::move(s));
+              auto w = std::make_shared<StandInConnection>(loop_, s);
               w->got = [this, raw = std::weak_ptr<StandInConnection>(w)](Buffer& in) {
                   const std::string said(in.view());
                   if (said.find("\r\n\r\n") == std::string::npos) return;
--- a/tests/registry_client_test.cpp
+++ b/tests/registry_client_test.cpp
@@ -179,7 +179,7 @@
         r->model.put(prefix + id, long_value(id, state, bytes));
     }
     static std::string long_value(const std::string& id, const std::string& state, std::size_t bytes) {
-        return list_value(id, state, 1, 0, "here", "edge", std::string(bytes, 'a'));
+        return list_value(id, state, 1, 0, std::string(bytes, 'a'));
     }
     void begin_with(std::size_t records, std::size_t bytes, std::size_t page) {
         r = std::make_unique<stand_ins::RegistryStandIn>(loop, 3, ms * 20);
