--- /dev/null
+++ b/src/routing/adaptive_limit.cpp
@@ -0,0 +1,29 @@
+#include "routing/adaptive_limit.hpp"
+
+#include <algorithm>
+#include <cmath>
+
+namespace irismux {
+namespace {
+
+// While all results are bad the share falls by the factor e in this time.
+constexpr Duration cut_time = Duration::micros(800'000);
+// One bad result stands for no more than this much of the time since the last cut.
+constexpr Duration longest_time_per_cut = Duration::micros(1'000'000);
+// Some traffic always goes on, or a recovery would not be seen.
+constexpr double min_share_after_cut = 0.05;
+
+}  // namespace
+
+double AdaptiveLimit::share(TimePoint now) const {
+    return std::min(1.0, share_after_cut_ * std::exp2((now - cut_at_) / doubling_time_));
+}
+
+void AdaptiveLimit::record(bool bad, TimePoint now) {
+    if (!bad) return;
+    const Duration since_cut = std::min(now - cut_at_, longest_time_per_cut);
+    share_after_cut_ = std::max(min_share_after_cut, share(now) * std::exp(-(since_cut / cut_time)));
+    cut_at_ = now;
+}
+
+}  // namespace irismux
--- /dev/null
+++ b/src/routing/fill_source.cpp
@@ -0,0 +1,197 @@
+#include "routing/fill_source.hpp"
+
+#include <algorithm>
+
+#include "routing/latency.hpp"
+
+namespace irismux {
+namespace {
+
+// An origin that stops when pushed over needs longer to be ready for more.
+constexpr Duration stopping_origin_doubling_time = Duration::micros(6'000'000);
+// A fetch that waits this many times the mean shows an origin under strain.
+constexpr double unusual_wait_multiple = 2;
+constexpr double mean_over_fetches = 256;
+// A cache-only attempt at a cache that loses attempts counts as lost after this multiple of the transfer time
+// under the cache's load, and this share of the latency objective.
+constexpr double lost_after_transfer_times = 1.2;
+constexpr double lost_after_objective_share = 0.2;
+
+}  // namespace
+
+FillSource::FillSource(const Deployment& deployment, const FillSourceInputs& inputs)
+    : in_(inputs),
+      has_parents_(deployment.parent_machine.has_value()),
+      longest_latency_objective_(longest_latency_objective(deployment)),
+      fetch_limit_(deployment.origin_stops_when_overloaded ? stopping_origin_doubling_time
+                                                           : AdaptiveLimit::default_doubling_time) {}
+
+// --- request going down ---
+
+bool FillSource::select(PendingRequest& request, const EndpointState& cache, TimePoint now) {
+    if (request.plan.source != CacheId{}) return true;  // a direct attempt
+    const ObjectName& object = request.request.object;
+    const Endpoints origins = in_.endpoints.ranked(object, EndpointRole::origin);
+    EndpointState* origin = origins.empty() ? nullptr : origins.front();
+    if (request.kind->uncacheable && origin) {
+        request.plan.source = origin->id;
+        return true;
+    }
+    const double transfer_seconds = in_.statistics.transfer_seconds(request.request);
+    const Endpoints parents = in_.endpoints.ranked(object, EndpointRole::parent);
+    const auto usable = std::find_if(parents.begin(), parents.end(), [&](const EndpointState* parent) {
+        return in_.outliers.may_choose(*parent, request, now);
+    });
+    const EndpointState* usable_parent = usable == parents.end() ? nullptr : *usable;
+    if (ask_cache_first(request, cache, usable_parent, transfer_seconds, now)) {
+        plan_cache_only(request, MissHandling::fill_next_time, now);
+        request.plan.timeout = lost_attempt_timeout(request, cache, now);
+        return true;
+    }
+    EndpointState* parent = parent_with_budget(request, parents, transfer_seconds, now);
+    if (!parent || parent != parents.front()) request.allow_stale = true;  // from the next attempt on
+    const bool exhausted = in_.congestion.fills_exhausted(transfer_seconds);
+    if (origin_takes_parents_fill(parent, origin, exhausted, transfer_seconds, now)) {
+        request.plan.source = origin->id;
+        return true;
+    }
+    if (exhausted) return false;
+    if (parent)
+        plan_fill(request, *parent, now);
+    else if (origin_replaces_parents(request, origin, transfer_seconds, now))
+        plan_fill(request, *origin, now);
+    else
+        plan_cache_only(request, MissHandling::reject, now);
+    return true;
+}
+
+// While fills are congested, and where a budget would be charged, only what is known to be a miss is worth a
+// fill. A warming cache is asked only once, since its own budget is charged for each attempt.
+bool FillSource::ask_cache_first(const PendingRequest& request, const EndpointState& cache,
+                                 const EndpointState* usable_parent, double transfer_seconds,
+                                 TimePoint now) const {
+    if (request.known_miss) return false;
+    if (in_.congestion.fills_congested(transfer_seconds)) return true;
+    if (cache.warm_up.warming_up_since) return false;
+    const bool has_fill_budget = !usable_parent || usable_parent->warm_up.warming_up_since;
+    return has_fill_budget || OutlierDetector::loses_attempts(cache, now);
+}
+
+EndpointState* FillSource::parent_with_budget(const PendingRequest& request, const Endpoints& parents,
+                                              double transfer_seconds, TimePoint now) const {
+    const auto found = std::find_if(parents.begin(), parents.end(), [&](EndpointState* parent) {
+        return in_.outliers.may_choose(*parent, request, now) &&
+               in_.slow_start.has_budget(*parent, transfer_seconds, now);
+    });
+    return found == parents.end() ? nullptr : *found;
+}
+
+// The origin takes what parents can't fill in time, within its budget and while its own fills are in time.
+bool FillSource::origin_takes_parents_fill(const EndpointState* parent, EndpointState* origin,
+                                           bool fills_exhausted, double transfer_seconds,
+                                           TimePoint now) const {
+    const bool wanted = fills_exhausted || (parent && in_.random.next() > parent->fill_limit.share(now));
+    if (!wanted || !origin || !has_parents_) return false;
+    const double share = origin->fill_limit.share(now) * fetch_limit_.share(now);
+    return in_.random.next() < share && in_.slow_start.has_budget(*origin, transfer_seconds, now);
+}
+
+// No parent is up, or none has budget left.
+bool FillSource::origin_replaces_parents(const PendingRequest& request, EndpointState* origin,
+                                         double transfer_seconds, TimePoint now) const {
+    if (!origin || request.avoids(origin->id)) return false;
+    return !has_parents_ || in_.slow_start.has_budget(*origin, transfer_seconds, now);
+}
+
+void FillSource::plan_cache_only(PendingRequest& request, MissHandling on_miss, TimePoint now) const {
+    request.on_miss = on_miss;
+    request.plan.source = request.plan.cache;
+    request.plan.only_if_cached = true;
+    request.plan.max_age = in_.freshness.max_age(request, true, now);
+}
+
+// The attempt is soon repeated there, since the cache has the object. Zero: until the request's deadline.
+Duration FillSource::lost_attempt_timeout(const PendingRequest& request, const EndpointState& cache,
+                                          TimePoint now) const {
+    const bool transfer_time_known = in_.statistics.shortest_transfer_seconds(request.request.object) > 0;
+    if (!transfer_time_known || !OutlierDetector::loses_attempts(cache, now)) return Duration{};
+    const double transfer_seconds = in_.statistics.transfer_seconds(request.request);
+    return Duration::seconds(transfer_seconds * lost_after_transfer_times *
+                             std::max(1.0, in_.congestion.load(cache, now))) +
+           request.kind->latency_objective * lost_after_objective_share;
+}
+
+void FillSource::plan_fill(PendingRequest& request, EndpointState& source, TimePoint now) const {
+    request.plan.source = source.id;
+    if (source.health.ejected()) {
+        OutlierDetector::begin_recovery_probe(source);
+        request.probes_source = true;
+    }
+    // Guards a slow origin: fetches hold places at caches and parents, and push it over.
+    const double fetch_share = fetch_limit_.share(now);
+    if (fetch_share >= 1 || in_.random.next() <= fetch_share) return;
+    if (source.role == EndpointRole::origin) return plan_cache_only(request, MissHandling::reject, now);
+    request.on_miss = MissHandling::reject;
+    request.plan.only_if_cached = true;  // also for the parent
+    request.plan.max_age = in_.freshness.max_age(request, true, now);
+}
+
+// --- result coming up ---
+
+void FillSource::on_result(PendingRequest& request, const Attempt& attempt, const AttemptResult& result,
+                           EndpointState* source, TimePoint now) {
+    if (request.on_miss == MissHandling::fill_next_time && result.outcome == Outcome::cache_miss)
+        request.known_miss = true;
+    if (!source) return;
+    record_fetch(result, *source, now);
+    if (has_parents_) {
+        record_fill(request, attempt, result, *source, now);
+        record_origin_wait(result, now);
+    }
+    const bool source_failed = result.cache_status == CacheStatus::source_refused ||
+                               result.cache_status == CacheStatus::source_unreachable ||
+                               result.cache_status == CacheStatus::origin_failed;
+    if (source_failed && result.outcome != Outcome::completed) request.avoided.push_back(attempt.source);
+}
+
+void FillSource::on_late_attempt(EndpointState& source, TimePoint now) const {
+    // While fetches are limited, the origin is slow and not the source.
+    source.fill_limit.record(fetch_limit_.share(now) >= 1, now);
+}
+
+void FillSource::record_fetch(const AttemptResult& result, const EndpointState& source, TimePoint now) {
+    const bool origin_was_source = source.role == EndpointRole::origin;
+    if (result.cache_status == CacheStatus::via_origin)
+        fetch_limit_.record(result.fill_wait > longest_latency_objective_, now);
+    else if (result.cache_status == CacheStatus::origin_failed ||
+             (origin_was_source && source_at_fault(result.cache_status)))
+        fetch_limit_.record(true, now);
+}
+
+void FillSource::record_fill(const PendingRequest& request, const Attempt& attempt,
+                             const AttemptResult& result, EndpointState& source, TimePoint now) const {
+    if (served_from_copy(result.cache_status)) return;
+    if (result.outcome == Outcome::completed) {
+        // The time that the origin behind a parent took is not the parent's.
+        const bool origin_behind_parent =
+            source.role == EndpointRole::parent && result.cache_status == CacheStatus::via_origin;
+        const Duration own = origin_behind_parent ? result.elapsed - result.fill_wait : result.elapsed;
+        const bool late = own > latency_limit(*request.kind, attempt.transfer_seconds);
+        source.fill_limit.record(late, now);
+    } else if (result.cache_status != CacheStatus::origin_failed && result.outcome != Outcome::cache_miss) {
+        source.fill_limit.record(fetch_limit_.share(now) >= 1, now);
+    }
+}
+
+// Guards a slow origin: it would be pushed over before fills are late.
+void FillSource::record_origin_wait(const AttemptResult& result, TimePoint now) {
+    if (result.cache_status != CacheStatus::via_origin) return;
+    const double wait = result.fill_wait.seconds();
+    const bool has_mean = mean_origin_wait_seconds_ > 0;
+    if (has_mean && wait > mean_origin_wait_seconds_ * unusual_wait_multiple)
+        for (EndpointState* origin : in_.endpoints.active(EndpointRole::origin))
+            origin->fill_limit.record(true, now);
+    mean_origin_wait_seconds_ += (wait - mean_origin_wait_seconds_) / (has_mean ? mean_over_fetches : 1);
+}
+
+}  // namespace irismux
--- /dev/null
+++ b/src/routing/fill_source.hpp
@@ -0,0 +1,69 @@
+// Where a cache fills a miss from: the object's parent, the origin in its place, or nowhere (cache-only
+// attempts).
+#pragma once
+
+#include "irismux/deployment.hpp"
+#include "routing/congestion.hpp"
+#include "routing/freshness.hpp"
+#include "routing/outlier_detector.hpp"
+#include "routing/random_fraction.hpp"
+#include "routing/slow_start.hpp"
+
+namespace irismux {
+
+/// What FillSource asks; all must outlive it.
+struct FillSourceInputs {
+    const EndpointSet& endpoints;
+    const ObjectStatistics& statistics;
+    const Congestion& congestion;
+    const SlowStartPolicy& slow_start;
+    const OutlierDetector& outliers;
+    const FreshnessPolicy& freshness;
+    RandomFraction& random;
+};
+
+class FillSource {
+public:
+    FillSource(const Deployment& deployment, const FillSourceInputs& inputs);
+
+    /// Request going down: sets the plan's source for the cache that has been selected.
+    /// @return false: a known miss can't be filled now.
+    [[nodiscard]] bool select(PendingRequest& request, const EndpointState& cache, TimePoint now);
+    /// Result coming up: what it shows of fills with the source and of fetches from the origin, which select
+    /// reads; and whether the request avoids the source from now on.
+    /// @param source null for attempts without one
+    void on_result(PendingRequest& request, const Attempt& attempt, const AttemptResult& result,
+                   EndpointState* source, TimePoint now);
+    /// A fill has passed its latency limit; counts as on_result would.
+    void on_late_attempt(EndpointState& source, TimePoint now) const;
+
+private:
+    using Endpoints = std::vector<EndpointState*>;
+
+    [[nodiscard]] bool ask_cache_first(const PendingRequest& request, const EndpointState& cache,
+                                       const EndpointState* usable_parent, double transfer_seconds,
+                                       TimePoint now) const;
+    [[nodiscard]] EndpointState* parent_with_budget(const PendingRequest& request, const Endpoints& parents,
+                                                    double transfer_seconds, TimePoint now) const;
+    [[nodiscard]] bool origin_takes_parents_fill(const EndpointState* parent, EndpointState* origin,
+                                                 bool fills_exhausted, double transfer_seconds,
+                                                 TimePoint now) const;
+    [[nodiscard]] bool origin_replaces_parents(const PendingRequest& request, EndpointState* origin,
+                                               double transfer_seconds, TimePoint now) const;
+    void plan_cache_only(PendingRequest& request, MissHandling on_miss, TimePoint now) const;
+    [[nodiscard]] Duration lost_attempt_timeout(const PendingRequest& request, const EndpointState& cache,
+                                                TimePoint now) const;
+    void plan_fill(PendingRequest& request, EndpointState& source, TimePoint now) const;
+    void record_fetch(const AttemptResult& result, const EndpointState& source, TimePoint now);
+    void record_fill(const PendingRequest& request, const Attempt& attempt, const AttemptResult& result,
+                     EndpointState& source, TimePoint now) const;
+    void record_origin_wait(const AttemptResult& result, TimePoint now);
+
+    FillSourceInputs in_;
+    bool has_parents_;
+    Duration longest_latency_objective_;
+    AdaptiveLimit fetch_limit_;            // of fetches from the origin, by caches and by parents
+    double mean_origin_wait_seconds_ = 0;  // of fetches behind parents and of our own; 0: none yet
+};
+
+}  // namespace irismux
--- /dev/null
+++ b/src/routing/outlier_detector.cpp
@@ -0,0 +1,252 @@
+#include "routing/outlier_detector.hpp"
+
+#include <algorithm>
+#include <cmath>
+
+#include "routing/latency.hpp"
+
+namespace irismux {
+namespace {
+
+constexpr Duration first_backoff = Duration::micros(2'000'000);
+constexpr Duration longest_backoff = Duration::micros(30'000'000);
+constexpr int most_backoff_doublings = 8;
+// A silence of this many usual gaps would show once in e^14 times if responses were independent.
+constexpr double unresponsive_after_gaps = 14;
+// Gaps and lost attempts are averaged over about this many responses, errors over this many results.
+constexpr double gap_memory_responses = 16;
+constexpr double error_memory_results = 10;
+// About two errors in ten results, on top of this multiple of the peers' mean.
+constexpr double ejection_error_share = 0.17;
+constexpr double ejection_multiple_of_peers = 1.5;
+// A share of lost attempts that chance does not explain, if some peer loses less than a third of it.
+constexpr double lost_share_limit = 0.085;
+constexpr double lost_multiple_of_peer = 3;
+constexpr Duration loses_attempts_for = Duration::micros(2'000'000);
+
+// Since when the endpoint has been silent with attempts in flight.
+TimePoint silent_since(const EndpointState& endpoint) {
+    return std::max(endpoint.health.last_seen, endpoint.load.busy_since);
+}
+
+}  // namespace
+
+OutlierDetector::OutlierDetector(const Deployment& deployment, const EndpointSet& endpoints,
+                                 const LinkCapacity& links, RouterCallbacks& callbacks)
+    : endpoints_(endpoints),
+      links_(links),
+      callbacks_(callbacks),
+      gateways_here_(std::max(1, deployment.gateways_in_location)),
+      longest_latency_objective_(longest_latency_objective(deployment)) {}
+
+// --- ejection and recovery probe ---
+
+void OutlierDetector::eject(EndpointState& endpoint, TimePoint now) const {
+    EndpointHealth& health = endpoint.health;
+    if (health.ejection == EjectionState::ejected && now < health.next_probe_at) return;
+    if (!health.ejected()) callbacks_.on_ejection_changed(endpoint.id, true);
+    health.ejection = EjectionState::ejected;
+    const int doublings = std::min(health.consecutive_ejections, most_backoff_doublings);
+    health.backoff_ends_at = now + std::min(first_backoff * std::pow(2.0, doublings), longest_backoff);
+    health.next_probe_at = health.backoff_ends_at;
+    ++health.consecutive_ejections;
+}
+
+void OutlierDetector::readmit(EndpointState& endpoint) const {
+    const bool was_ejected = endpoint.health.ejected();
+    endpoint.health.ejection = EjectionState::admitted;
+    if (was_ejected) callbacks_.on_ejection_changed(endpoint.id, false);
+}
+
+void OutlierDetector::on_restart(EndpointState& endpoint) const {
+    readmit(endpoint);
+    endpoint.health.consecutive_ejections = 0;
+    endpoint.health.error_share = 0;
+}
+
+bool OutlierDetector::recovery_probe_is_due(const EndpointState& endpoint, TimePoint now) {
+    return endpoint.health.ejection == EjectionState::ejected && now >= endpoint.health.next_probe_at;
+}
+
+bool OutlierDetector::may_choose(const EndpointState& endpoint, const PendingRequest& request,
+                                 TimePoint now) const {
+    if (request.avoids(endpoint.id)) return false;
+    if (!endpoint.health.ejected()) return true;
+    return recovery_probe_is_due(endpoint, now) && request.kind->effect == Effect::idempotent;
+}
+
+void OutlierDetector::begin_recovery_probe(EndpointState& endpoint) {
+    endpoint.health.ejection = EjectionState::probing;
+}
+
+void OutlierDetector::end_recovery_probe(EndpointState& endpoint) {
+    if (endpoint.health.recovery_probe_in_flight()) endpoint.health.ejection = EjectionState::ejected;
+}
+
+// The gateway that checks on behalf of all may be cut off from what this one can reach: it can put off the
+// probe by one backoff at most.
+void OutlierDetector::postpone_recovery_probe(EndpointState& endpoint, TimePoint not_before) {
+    if (endpoint.health.ejection != EjectionState::ejected) return;
+    endpoint.health.next_probe_at = std::min(not_before, endpoint.health.backoff_ends_at + longest_backoff);
+}
+
+// --- responses and silence ---
+
+void OutlierDetector::record_liveness(EndpointState& endpoint, TimePoint now) {
+    EndpointHealth& health = endpoint.health;
+    const Duration gap = now - silent_since(endpoint);
+    health.mean_response_gap =
+        health.mean_response_gap + (gap - health.mean_response_gap) * (1 / gap_memory_responses);
+    health.last_seen = now;
+}
+
+// Accrual failure detection: silence is judged against the gaps that this endpoint has shown.
+bool OutlierDetector::is_unresponsive(const EndpointState& endpoint, TimePoint now) const {
+    if (endpoint.load.in_flight == 0) return false;
+    const Duration silence = now - silent_since(endpoint);
+    return silence > longest_latency_objective_ &&
+           silence > endpoint.health.mean_response_gap * unresponsive_after_gaps &&
+           peer_has_responded_since(endpoint);
+}
+
+// Guards against a slow origin or a full link: no endpoint responds then, and ejecting one only shifts its
+// load to the others.
+bool OutlierDetector::peer_has_responded_since(const EndpointState& endpoint) const {
+    const TimePoint since = silent_since(endpoint);
+    const std::vector<EndpointState*>& peers = endpoints_.active(endpoint.role);
+    return std::any_of(peers.begin(), peers.end(), [&](const EndpointState* peer) {
+        return peer != &endpoint && !peer->health.ejected() && peer->health.last_seen > since;
+    });
+}
+
+// --- errors ---
+
+void OutlierDetector::record_success(EndpointState& endpoint) {
+    EndpointHealth& health = endpoint.health;
+    health.error_share += (0.0 - health.error_share) / error_memory_results;
+    if (health.error_share < ejection_error_share / error_memory_results) health.consecutive_ejections = 0;
+}
+
+// Guards against an endpoint that fails fast and so seems the least loaded. It must stand out: errors that
+// all show have a common cause.
+void OutlierDetector::record_error(EndpointState& endpoint, TimePoint now) const {
+    EndpointHealth& health = endpoint.health;
+    health.error_share += (1.0 - health.error_share) / error_memory_results;
+    if (health.error_share < ejection_error_share) return;
+    const double peers = mean_error_share_of_peers(endpoint);
+    if (health.error_share > ejection_error_share + ejection_multiple_of_peers * peers) eject(endpoint, now);
+}
+
+double OutlierDetector::mean_error_share_of_peers(const EndpointState& endpoint) const {
+    double sum = 0;
+    double count = 0;
+    for (const EndpointState* peer : endpoints_.active(endpoint.role)) {
+        if (peer == &endpoint) continue;
+        sum += peer->health.error_share;
+        ++count;
+    }
+    return count > 0 ? sum / count : 0;
+}
+
+// --- lost attempts ---
+
+bool OutlierDetector::loses_attempts(const EndpointState& endpoint, TimePoint now) {
+    return now < endpoint.health.loses_attempts_until;
+}
+
+void OutlierDetector::on_late_attempt(EndpointState& cache, const Attempt& attempt, TimePoint now) const {
+    if (cache.health.last_seen > attempt.started_at && !attempt.has_source()) record_lost_attempt(cache, now);
+}
+
+// A late answer takes back what on_late_attempt has counted.
+void OutlierDetector::record_lost_or_answered(EndpointState& cache, const Attempt& attempt,
+                                              const AttemptResult& result, TimePoint now) const {
+    const bool counted_as_lost = attempt.counted_as_late && !attempt.has_source();
+    const bool answered = result.outcome == Outcome::completed || result.outcome == Outcome::cache_miss ||
+                          result.outcome == Outcome::errored;
+    double& lost_share = cache.health.lost_share;
+    if (answered)
+        lost_share =
+            std::max(0.0, lost_share - (lost_share + (counted_as_lost ? 1 : 0)) / gap_memory_responses);
+    else if (result.outcome == Outcome::deadline_exceeded && !counted_as_lost &&
+             cache.health.last_seen > attempt.started_at)
+        record_lost_attempt(cache, now);
+}
+
+// Guards against a cache that answers most attempts and so is neither silent nor in error. A cache with more
+// attempts than its link carries may be overloaded; where all lose attempts the cause lies behind them.
+void OutlierDetector::record_lost_attempt(EndpointState& cache, TimePoint now) const {
+    if ((cache.load.in_flight - cache.load.late) * gateways_here_ > links_.endpoint(cache)) return;
+    double& lost_share = cache.health.lost_share;
+    lost_share += (1 - lost_share) / gap_memory_responses;
+    if (lost_share <= lost_share_limit) return;
+    const std::vector<EndpointState*>& edges = endpoints_.active(EndpointRole::edge);
+    const bool stands_out = std::any_of(edges.begin(), edges.end(), [&](const EndpointState* peer) {
+        return peer->health.lost_share * lost_multiple_of_peer < lost_share;
+    });
+    if (stands_out) cache.health.loses_attempts_until = now + loses_attempts_for;
+}
+
+// --- results ---
+
+void OutlierDetector::on_cache_result(EndpointState& cache, const Attempt& attempt,
+                                      const AttemptResult& result, bool late_hit, TimePoint now) const {
+    const bool bad = result.outcome == Outcome::errored || late_hit;
+    if (cache_responded(result)) {
+        record_liveness(cache, now);
+        const bool shows_recovery =
+            attempt.probes_cache || cache.load.in_flight == 0 || cache.role != EndpointRole::edge;
+        if (cache.health.ejected() && shows_recovery && !bad) readmit(cache);
+        if (!source_at_fault(result.cache_status)) {
+            if (bad)
+                record_error(cache, now);
+            else
+                record_success(cache);
+        }
+    } else if (result.outcome == Outcome::connection_refused) {
+        eject(cache, now);
+    } else if (result.outcome == Outcome::connection_reset) {
+        // Connections also break while the process lives on; if it has stopped, the next one is refused.
+        record_error(cache, now);
+    } else if (result.outcome == Outcome::deadline_exceeded) {
+        const bool silent_since_start = cache.health.last_seen <= attempt.started_at;
+        if (silent_since_start && peer_has_responded_since(cache)) eject(cache, now);
+    }
+    if (attempt.probes_cache) end_recovery_probe(cache);
+}
+
+void OutlierDetector::on_source_result(EndpointState& source, const Attempt& attempt,
+                                       const AttemptResult& result, TimePoint now) const {
+    // Where no cache status is reported, a recovery probe that completes is the only sign there is.
+    const bool reported = result.cache_status != CacheStatus::none || attempt.probes_source;
+    if (result.outcome == Outcome::completed && !served_from_copy(result.cache_status) && reported) {
+        record_liveness(source, now);
+        record_success(source);
+        if (source.health.ejected()) readmit(source);
+    } else if (result.cache_status == CacheStatus::source_refused) {
+        record_liveness(source, now);
+        record_error(source, now);
+    } else if (result.cache_status == CacheStatus::source_unreachable) {
+        on_source_unreachable(source, attempt, result, now);
+    } else if (result.cache_status == CacheStatus::origin_failed) {
+        record_liveness(source, now);
+    }
+    if (attempt.probes_source) end_recovery_probe(source);
+}
+
+// Rejected at once: the cache has no connection to the source. Broken off early: an error. Else the fill ran
+// out of time, which a slow origin or a full link does to the fills of all parents.
+void OutlierDetector::on_source_unreachable(EndpointState& source, const Attempt& attempt,
+                                            const AttemptResult& result, TimePoint now) const {
+    if (result.outcome == Outcome::overloaded) {
+        eject(source, now);
+    } else if (result.fill_wait < longest_latency_objective_) {
+        record_error(source, now);
+    } else {
+        const bool silent_since_start = source.health.last_seen <= attempt.started_at;
+        if (attempt.probes_source || (silent_since_start && peer_has_responded_since(source)))
+            eject(source, now);
+    }
+}
+
+}  // namespace irismux
--- /dev/null
+++ b/src/routing/rendezvous_hash.hpp
@@ -0,0 +1,24 @@
+// Highest random weight (rendezvous) hashing: each object has an order of its own over the endpoints. When an
+// endpoint leaves, only its own objects move, each to the next in its order.
+#pragma once
+
+#include <cstdint>
+#include <string>
+#include <vector>
+
+#include "irismux/ids.hpp"
+#include "routing/endpoint_state.hpp"
+
+namespace irismux {
+
+/// FNV-1a over the bytes of a name, finished by MurmurHash3's 64-bit finalizer.
+std::uint64_t rendezvous_key(const std::string& name);
+
+/// The weight of an endpoint for an object.
+std::uint64_t rendezvous_score(std::uint64_t object_key, std::uint64_t endpoint_key);
+
+/// Sorts endpoints by their weight for the object, highest first; equal weights by id.
+std::vector<EndpointState*> rank_by_rendezvous_hash(const ObjectName& object,
+                                                    std::vector<EndpointState*> endpoints);
+
+}  // namespace irismux
--- /dev/null
+++ b/src/routing/retry_policy.cpp
@@ -0,0 +1,54 @@
+#include "routing/retry_policy.hpp"
+
+#include <algorithm>
+
+namespace irismux {
+namespace {
+
+// Retries multiply a fault by the attempts of gateways, caches and clients: so only this many for a request
+// on average, and a reserve of so many for each attempt that a request may have.
+constexpr double retries_per_request = 0.25;
+constexpr double reserve_per_max_attempt = 5;
+// A rejected client stays away for at least this share of the longest time that clients heed.
+constexpr double min_retry_after_share = 0.1;
+
+}  // namespace
+
+RetryPolicy::RetryPolicy(const Deployment& deployment, RandomFraction& random)
+    : random_(random),
+      timer_resolution_(deployment.timer_resolution),
+      max_attempts_(deployment.capabilities.max_attempts),
+      retry_after_is_sent_(deployment.capabilities.retry_after),
+      max_retry_after_(deployment.capabilities.max_retry_after),
+      max_retry_budget_(reserve_per_max_attempt * max_attempts_),
+      retry_budget_(max_retry_budget_) {}
+
+bool RetryPolicy::may_attempt(const PendingRequest& request, TimePoint now) {
+    if (now + timer_resolution_ >= request.request.deadline) return false;
+    if (static_cast<int>(request.attempts.size()) >= max_attempts_) return false;
+    if (request.attempts.empty())
+        retry_budget_ = std::min(max_retry_budget_, retry_budget_ + retries_per_request);
+    return true;
+}
+
+NextStep RetryPolicy::next_step(const PendingRequest& request, const AttemptResult& result) {
+    if (request.finished) return NextStep::none;
+    const bool missed = result.outcome == Outcome::cache_miss;
+    if (missed && request.on_miss == MissHandling::fill_next_time) return NextStep::try_again;
+    if (missed && request.on_miss == MissHandling::reject) return NextStep::end_request;
+    if (result.outcome == Outcome::superseded) return NextStep::end_request;
+    // A refused connection has cost nothing.
+    if (result.outcome == Outcome::connection_refused) return NextStep::try_again;
+    if (retry_budget_ < 1) return NextStep::end_request;
+    retry_budget_ -= 1;
+    return NextStep::try_again;
+}
+
+// Draws a random fraction whether or not it is sent, so that equal seeds keep giving equal decisions.
+Duration RetryPolicy::retry_after() {
+    const Duration wait =
+        max_retry_after_ * (min_retry_after_share + (1 - min_retry_after_share) * random_.next());
+    return retry_after_is_sent_ ? wait : Duration{};
+}
+
+}  // namespace irismux
--- /dev/null
+++ b/src/routing/slow_start.cpp
@@ -0,0 +1,136 @@
+#include "routing/slow_start.hpp"
+
+#include <algorithm>
+#include <cmath>
+
+namespace irismux {
+namespace {
+
+// The budget's rate, as a multiple of the present capacity; but at most this share of the overload multiple.
+constexpr double rate_per_capacity = 1.2;
+constexpr double rate_share_of_overload = 0.5;
+// The most that a budget saves up, as a share of what its rate gives in an overload window.
+constexpr double burst_share_of_window = 0.15;
+// A saved request is kept while all gateways together have saved no more than this share of what fits between
+// the rate and the overload multiple.
+constexpr double spare_share = 0.7;
+// What an endpoint is sent in an overload window, as a multiple of what its rate gives.
+constexpr double most_sent_per_window = 1.3;
+
+// The rate may be below this multiple of present capacity to stay clear of the overload multiple.
+double rate_multiple(const SlowStart& settings) {
+    return std::min(rate_per_capacity, settings.overload_multiple * rate_share_of_overload);
+}
+
+// Budget per second at a time, in seconds of transfer time.
+double rate_at(TimePoint time, TimePoint since, double full_capacity, const SlowStart& settings) {
+    const double age = std::max(0.0, (time - since) / settings.window);
+    return full_capacity * rate_multiple(settings) *
+           (settings.initial_capacity_share + (1 - settings.initial_capacity_share) * age);
+}
+
+}  // namespace
+
+SlowStartPolicy::SlowStartPolicy(const Deployment& deployment, const LinkCapacity& links,
+                                 RandomFraction& random)
+    : links_(links),
+      random_(random),
+      edge_(deployment.edge_slow_start),
+      parent_(deployment.parent_slow_start),
+      gateways_(std::max(1, deployment.gateways)),
+      gateways_here_(std::max(1, deployment.gateways_in_location)),
+      has_parents_(deployment.parent_machine.has_value()),
+      overload_window_(deployment.overload_window) {}
+
+// All gateways learn of a start at once. Where the share of each is less than a request, a random part of the
+// first request spreads them.
+void SlowStartPolicy::begin(EndpointState& endpoint, TimePoint since, TimePoint now) const {
+    EndpointWarmUp& warm_up = endpoint.warm_up;
+    warm_up.refused_while_idle = false;
+    warm_up.warming_up_since = since;
+    warm_up.required_share = random_.next();
+    warm_up.budget = 0;
+    warm_up.accrued_until = now;
+    warm_up.learnt_at = now;
+}
+
+bool SlowStartPolicy::has_budget(EndpointState& endpoint, double transfer_seconds, TimePoint now) const {
+    if (endpoint.role == EndpointRole::origin) return origin_has_budget(endpoint, transfer_seconds, now);
+    std::optional<TimePoint>& since = endpoint.warm_up.warming_up_since;
+    if (since && now - *since >= settings_of(endpoint).window) since.reset();
+    return !since || warming_has_budget(endpoint, transfer_seconds, now);
+}
+
+bool SlowStartPolicy::warming_has_budget(EndpointState& endpoint, double transfer_seconds,
+                                         TimePoint now) const {
+    EndpointWarmUp& warm_up = endpoint.warm_up;
+    const SlowStart& settings = settings_of(endpoint);
+    const TimePoint since = *warm_up.warming_up_since;
+    const double full = even_share_of_capacity(endpoint);
+    const double multiple = rate_multiple(settings);
+    const double rate = rate_at(now, since, full, settings);
+    const double spare = rate * overload_window_.seconds() *
+                         std::max(0.0, settings.overload_multiple / multiple - 1) * spare_share;
+    const double window = rate * overload_window_.seconds();
+    const double most = std::max(window * burst_share_of_window, transfer_seconds);
+    const double elapsed = (now - warm_up.accrued_until).seconds();
+
+    // The rate has risen evenly from what it was.
+    warm_up.budget += (rate_at(warm_up.accrued_until, since, full, settings) - rate) / 2 * elapsed;
+    warm_up.budget += rate * elapsed;
+    warm_up.accrued_until = now;
+    // Guards a warming endpoint against gateways that have all been idle: each would have saved a request and
+    // send it at once. A saved request that was not sent in its time is lost.
+    const double over = warm_up.budget - transfer_seconds * warm_up.required_share - spare;
+    if (spare < transfer_seconds && over > 0)
+        warm_up.budget -= std::ceil(over / transfer_seconds) * transfer_seconds;
+    warm_up.budget = std::min(most, warm_up.budget);
+    // What was sent before the router learnt of the start counts, and so do objects larger than they seemed.
+    if (warm_up.sent.since(since, now, overload_window_) > window * most_sent_per_window) return false;
+    return warm_up.budget >= transfer_seconds * warm_up.required_share;
+}
+
+bool SlowStartPolicy::origin_has_budget(EndpointState& origin, double transfer_seconds, TimePoint now) const {
+    EndpointWarmUp& warm_up = origin.warm_up;
+    const double rate = even_share_of_capacity(origin);
+    const double window = rate * overload_window_.seconds();
+    const double most = std::max(window * burst_share_of_window, transfer_seconds);
+    warm_up.budget += rate * (now - warm_up.accrued_until).seconds();
+    warm_up.accrued_until = now;
+    warm_up.budget = std::min(most, warm_up.budget);
+    return warm_up.budget >= transfer_seconds * warm_up.required_share;
+}
+
+void SlowStartPolicy::charge(EndpointState& endpoint, double transfer_seconds, TimePoint now) const {
+    endpoint.warm_up.sent.add(transfer_seconds, now, overload_window_);
+    const bool in_place_of_parents = endpoint.role == EndpointRole::origin && has_parents_;
+    if (endpoint.warm_up.warming_up_since || in_place_of_parents) endpoint.warm_up.budget -= transfer_seconds;
+}
+
+bool SlowStartPolicy::recheck(EndpointState& endpoint, const Attempt& attempt, TimePoint now) const {
+    if (endpoint.warm_up.learnt_at <= attempt.last_judged_at) return true;
+    if (!has_budget(endpoint, attempt.transfer_seconds, now)) return false;
+    endpoint.warm_up.budget -= attempt.transfer_seconds;
+    return true;
+}
+
+// Guards a rack that restarts at once: its caches respond again before the endpoint list tells of it, and
+// full traffic would push them over. A full connection table also refuses, but then attempts are in flight.
+void SlowStartPolicy::on_cache_result(EndpointState& cache, const AttemptResult& result,
+                                      TimePoint now) const {
+    EndpointWarmUp& warm_up = cache.warm_up;
+    if (result.outcome == Outcome::connection_refused && cache.load.in_flight == 0)
+        warm_up.refused_while_idle = true;
+    if (cache_responded(result) && warm_up.refused_while_idle && cache.role == EndpointRole::edge)
+        begin(cache, now, now);
+}
+
+const SlowStart& SlowStartPolicy::settings_of(const EndpointState& endpoint) const {
+    return endpoint.role == EndpointRole::parent ? parent_ : edge_;
+}
+
+double SlowStartPolicy::even_share_of_capacity(const EndpointState& endpoint) const {
+    return links_.endpoint(endpoint) / (endpoint.role == EndpointRole::edge ? gateways_here_ : gateways_);
+}
+
+}  // namespace irismux
