--- /dev/null
+++ b/src/routing/attempt_monitor.cpp
@@ -0,0 +1,82 @@
+#include "routing/attempt_monitor.hpp"
+
+#include <algorithm>
+
+namespace irismux {
+namespace {
+
+// How often it looks, as a share of the shortest latency objective.
+constexpr double interval_share_of_objective = 0.1;
+constexpr Duration longest_objective_counted = Duration::micros(2'000'000);
+
+}  // namespace
+
+AttemptMonitor::AttemptMonitor(const Deployment& deployment, const AttemptMonitorOutputs& outputs)
+    : out_(outputs), can_cancel_(deployment.capabilities.cancellation) {
+    Duration shortest = longest_objective_counted;
+    for (const ObjectKind& kind : deployment.kinds) shortest = std::min(shortest, kind.latency_objective);
+    interval_ = std::max(shortest * interval_share_of_objective, deployment.timer_resolution);
+}
+
+void AttemptMonitor::on_attempt_started(const RequestId& request, AttemptIndex index, const Attempt& attempt,
+                                        TimePoint now) {
+    if (attempt.late_after) late_attempts_.add({*attempt.late_after, request, index});
+    if (!timer_is_set_) set_timer(now);
+}
+
+void AttemptMonitor::on_attempt_ended(const RequestId& request, AttemptIndex index, const Attempt& attempt) {
+    if (attempt.late_after) late_attempts_.erase({*attempt.late_after, request, index});
+}
+
+void AttemptMonitor::on_timer(PendingRequests& requests, TimePoint now) {
+    timer_is_set_ = false;
+    count_late_attempts(requests, now);
+    out_.congestion.recount_late_attempts(now);
+    eject_unresponsive_endpoints(requests, now);
+    if (!requests.empty()) set_timer(now);
+}
+
+void AttemptMonitor::set_timer(TimePoint now) {
+    timer_is_set_ = true;
+    out_.callbacks.set_timer(timer, now + interval_);
+}
+
+void AttemptMonitor::count_late_attempts(PendingRequests& requests, TimePoint now) {
+    while (const auto entry = late_attempts_.pop_late(now)) {
+        PendingRequest& request = requests.at(entry->request);
+        if (request.finished) continue;
+        Attempt& attempt = request.attempts[entry->attempt.raw()];
+        EndpointState& cache = out_.endpoints.at(attempt.cache);
+        Congestion::count_as_late(attempt, cache);
+        out_.outliers.on_late_attempt(cache, attempt, now);
+        if (attempt.has_source() && !OutlierDetector::loses_attempts(cache, now))
+            out_.fill_source.on_late_attempt(out_.endpoints.at(attempt.source), now);
+    }
+}
+
+void AttemptMonitor::eject_unresponsive_endpoints(PendingRequests& requests, TimePoint now) const {
+    for (const EndpointRole role : {EndpointRole::edge, EndpointRole::parent})
+        for (EndpointState* endpoint : out_.endpoints.active(role)) {
+            if (endpoint->health.ejected() || !out_.outliers.is_unresponsive(*endpoint, now)) continue;
+            out_.outliers.eject(*endpoint, now);
+            cancel_attempts_at(*endpoint, requests);
+        }
+}
+
+// Takes back what waits for the endpoint, where it may be sent again. The results come as cancelled.
+void AttemptMonitor::cancel_attempts_at(const EndpointState& endpoint, PendingRequests& requests) const {
+    if (!can_cancel_) return;
+    for (auto& [id, request] : requests) {
+        if (request.finished || request.kind->effect == Effect::non_idempotent) continue;
+        for (std::size_t index = 0; index < request.attempts.size(); ++index) {
+            Attempt& attempt = request.attempts[index];
+            const bool waits_for_it = attempt.cache == endpoint.id || attempt.source == endpoint.id;
+            if (attempt.state != AttemptState::in_flight || !waits_for_it) continue;
+            attempt.state = AttemptState::cancelled;
+            request.avoided.push_back(endpoint.id);
+            out_.callbacks.cancel_attempt(id, AttemptIndex{index});
+        }
+    }
+}
+
+}  // namespace irismux
--- /dev/null
+++ b/src/routing/attempt_monitor.hpp
@@ -0,0 +1,50 @@
+// Looks at attempts in flight now and then: for those past their latency limit, and for endpoints that have
+// fallen silent.
+#pragma once
+
+#include "irismux/deployment.hpp"
+#include "irismux/router_callbacks.hpp"
+#include "routing/congestion.hpp"
+#include "routing/fill_source.hpp"
+#include "routing/late_attempts.hpp"
+#include "routing/outlier_detector.hpp"
+#include "routing/pending_request.hpp"
+
+namespace irismux {
+
+/// What AttemptMonitor reports to; all must outlive it.
+struct AttemptMonitorOutputs {
+    EndpointSet& endpoints;
+    Congestion& congestion;
+    const OutlierDetector& outliers;
+    const FillSource& fill_source;
+    RouterCallbacks& callbacks;
+};
+
+class AttemptMonitor {
+public:
+    static inline const TimerId timer{0};
+
+    AttemptMonitor(const Deployment& deployment, const AttemptMonitorOutputs& outputs);
+
+    /// Request going down: the attempt has been started.
+    void on_attempt_started(const RequestId& request, AttemptIndex index, const Attempt& attempt,
+                            TimePoint now);
+    /// Result coming up.
+    void on_attempt_ended(const RequestId& request, AttemptIndex index, const Attempt& attempt);
+    void on_timer(PendingRequests& requests, TimePoint now);
+
+private:
+    void set_timer(TimePoint now);
+    void count_late_attempts(PendingRequests& requests, TimePoint now);
+    void eject_unresponsive_endpoints(PendingRequests& requests, TimePoint now) const;
+    void cancel_attempts_at(const EndpointState& endpoint, PendingRequests& requests) const;
+
+    AttemptMonitorOutputs out_;
+    bool can_cancel_;
+    Duration interval_;
+    bool timer_is_set_ = false;
+    LateAttemptQueue late_attempts_;
+};
+
+}  // namespace irismux
--- a/src/routing/fill_source.cpp
+++ b/src/routing/fill_source.cpp
@@ -39,11 +39,7 @@
     }
     const double transfer_seconds = in_.statistics.transfer_seconds(request.request);
     const Endpoints parents = in_.endpoints.ranked(object, EndpointRole::parent);
-    const auto usable = std::find_if(parents.begin(), parents.end(), [&](const EndpointState* parent) {
-        return in_.outliers.may_choose(*parent, request, now);
-    });
-    const EndpointState* usable_parent = usable == parents.end() ? nullptr : *usable;
-    if (ask_cache_first(request, cache, usable_parent, transfer_seconds, now)) {
+    if (ask_cache_first(request, cache, parents, transfer_seconds, now)) {
         plan_cache_only(request, MissHandling::fill_next_time, now);
         request.plan.timeout = lost_attempt_timeout(request, cache, now);
         return true;
@@ -68,13 +64,15 @@
 // While fills are congested, and where a budget would be charged, only what is known to be a miss is worth a
 // fill. A warming cache is asked only once, since its own budget is charged for each attempt.
 bool FillSource::ask_cache_first(const PendingRequest& request, const EndpointState& cache,
-                                 const EndpointState* usable_parent, double transfer_seconds,
-                                 TimePoint now) const {
+                                 const Endpoints& parents, double transfer_seconds, TimePoint now) const {
     if (request.known_miss) return false;
     if (in_.congestion.fills_congested(transfer_seconds)) return true;
     if (cache.warm_up.warming_up_since) return false;
-    const bool has_fill_budget = !usable_parent || usable_parent->warm_up.warming_up_since;
-    return has_fill_budget || OutlierDetector::loses_attempts(cache, now);
+    const auto usable = std::find_if(parents.begin(), parents.end(), [&](const EndpointState* parent) {
+        return in_.outliers.may_choose(*parent, request, now);
+    });
+    const bool fill_is_budgeted = usable == parents.end() || (*usable)->warm_up.warming_up_since;
+    return fill_is_budgeted || OutlierDetector::loses_attempts(cache, now);
 }
 
 EndpointState* FillSource::parent_with_budget(const PendingRequest& request, const Endpoints& parents,
--- a/src/routing/fill_source.hpp
+++ b/src/routing/fill_source.hpp
@@ -41,7 +41,7 @@
     using Endpoints = std::vector<EndpointState*>;
 
     [[nodiscard]] bool ask_cache_first(const PendingRequest& request, const EndpointState& cache,
-                                       const EndpointState* usable_parent, double transfer_seconds,
+                                       const Endpoints& parents, double transfer_seconds,
                                        TimePoint now) const;
     [[nodiscard]] EndpointState* parent_with_budget(const PendingRequest& request, const Endpoints& parents,
                                                     double transfer_seconds, TimePoint now) const;
--- a/src/routing/pending_request.hpp
+++ b/src/routing/pending_request.hpp
@@ -2,7 +2,7 @@
 #pragma once
 
 #include <algorithm>
-#include <cstddef>
+#include <map>
 #include <optional>
 #include <vector>
 
@@ -69,6 +69,8 @@
     }
 };
 
+using PendingRequests = std::map<RequestId, PendingRequest>;
+
 /// The result lays the failure on the fill source or on what is behind it, not on the cache.
 [[nodiscard]] inline bool source_at_fault(CacheStatus status) {
     return status >= CacheStatus::source_refused && status != CacheStatus::no_fill_slot;
--- a/src/routing/rendezvous_hash.cpp
+++ b/src/routing/rendezvous_hash.cpp
@@ -20,7 +20,7 @@
 
 std::uint64_t rendezvous_key(const std::string& name) {
     std::uint64_t h = fnv_offset_basis;
-    for (const unsigned char c : name) h = (h ^ c) * fnv_prime;
+    for (const char c : name) h = (h ^ static_cast<unsigned char>(c)) * fnv_prime;
     return murmur3_finalizer(h);
 }
 
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -3,16 +3,15 @@
 #include "irismux/router.hpp"
 
 #include <algorithm>
-#include <map>
-#include <utility>
+#include <optional>
 
+#include "routing/attempt_monitor.hpp"
 #include "routing/congestion.hpp"
 #include "routing/edge_selection.hpp"
 #include "routing/endpoint_set.hpp"
 #include "routing/fill_source.hpp"
 #include "routing/freshness.hpp"
 #include "routing/idempotency.hpp"
-#include "routing/late_attempts.hpp"
 #include "routing/latency.hpp"
 #include "routing/link_capacity.hpp"
 #include "routing/object_statistics.hpp"
@@ -24,20 +23,10 @@
 namespace irismux {
 namespace {
 
-const TimerId watch_timer{0};
 const TimerId resubscribe_timer{1};
-// Late attempts and silent endpoints are looked for this often within the shortest latency objective.
-constexpr double watch_share_of_objective = 0.1;
-constexpr Duration longest_watched_objective = Duration::micros(2'000'000);
 // All gateways lose service discovery at once: they subscribe again after this, or up to twice as long.
 constexpr Duration resubscribe_delay = Duration::micros(2'000'000);
 
-Duration watch_interval_of(const Deployment& deployment) {
-    Duration shortest = longest_watched_objective;
-    for (const ObjectKind& kind : deployment.kinds) shortest = std::min(shortest, kind.latency_objective);
-    return std::max(shortest * watch_share_of_objective, deployment.timer_resolution);
-}
-
 }  // namespace
 
 class Router::Core {
@@ -64,18 +53,12 @@
     void reject_or_fail(PendingRequest& request);
     void erase_if_finished(const RequestId& id);
 
-    void start_watch(TimePoint now);
-    void count_late_attempts(TimePoint now);
-    void eject_unresponsive_endpoints(TimePoint now);
-    void cancel_attempts_at(const EndpointState& endpoint);
-
     [[nodiscard]] EndpointState* source_of(const Attempt& attempt) {
         return attempt.has_source() ? &endpoints_.at(attempt.source) : nullptr;
     }
 
     RouterCallbacks& callbacks_;
     const Deployment deployment_;
-    const Duration watch_interval_;
 
     RandomFraction random_;
     EndpointSet endpoints_;
@@ -89,17 +72,15 @@
     RetryPolicy retries_;
     EdgeSelection edge_selection_;
     FillSource fill_source_;
+    AttemptMonitor monitor_;
 
-    std::map<RequestId, PendingRequest> pending_requests_;
-    LateAttemptQueue late_attempts_;
-    bool watch_timer_set_ = false;
+    PendingRequests pending_requests_;
     std::optional<TimePoint> drain_deadline_;
 };
 
 Router::Core::Core(RouterCallbacks& callbacks, const Deployment& deployment, std::uint64_t seed)
     : callbacks_(callbacks),
       deployment_(deployment),
-      watch_interval_(watch_interval_of(deployment_)),
       random_(seed),
       endpoints_(deployment_),
       links_(deployment_, endpoints_),
@@ -117,7 +98,12 @@
                                  .slow_start = slow_start_,
                                  .outliers = outliers_,
                                  .freshness = freshness_,
-                                 .random = random_}) {
+                                 .random = random_}),
+      monitor_(deployment_, {.endpoints = endpoints_,
+                             .congestion = congestion_,
+                             .outliers = outliers_,
+                             .fill_source = fill_source_,
+                             .callbacks = callbacks_}) {
     if (deployment_.subscribe_to_endpoints) callbacks_.subscribe_to_endpoints();
 }
 
@@ -150,14 +136,12 @@
     congestion_.on_attempt_started(attempt, cache, source, now);
     if (source) slow_start_.charge(*source, attempt.transfer_seconds, now);
     if (!direct) slow_start_.charge(cache, attempt.transfer_seconds, now);
-    if (attempt.late_after)
-        late_attempts_.add({*attempt.late_after, request.request.id, AttemptIndex{request.attempts.size()}});
     request.attempts.push_back(attempt);
     if (direct)
         callbacks_.start_direct_attempt(request.request.id, attempt.cache, Duration{});
     else
         callbacks_.start_attempt(request.request.id, request.plan);
-    if (!watch_timer_set_) start_watch(now);
+    monitor_.on_attempt_started(request.request.id, AttemptIndex{request.attempts.size() - 1}, attempt, now);
 }
 
 Attempt Router::Core::planned_attempt(const PendingRequest& request, TimePoint now) {
@@ -186,7 +170,7 @@
     EndpointState& cache = endpoints_.at(attempt.cache);
     EndpointState* source = source_of(attempt);
     attempt.state = AttemptState::ended;
-    if (attempt.late_after) late_attempts_.erase({*attempt.late_after, request.request.id, result.attempt});
+    monitor_.on_attempt_ended(request.request.id, result.attempt, attempt);
     outliers_.record_lost_or_answered(cache, attempt, result, now);
     congestion_.on_attempt_ended(attempt, cache, source);
     statistics_.record_attempt(request, attempt);
@@ -319,55 +303,7 @@
 
 void Router::Core::on_timer(TimerId timer, TimePoint now) {
     if (timer == resubscribe_timer) return callbacks_.subscribe_to_endpoints();
-    watch_timer_set_ = false;
-    count_late_attempts(now);
-    congestion_.recount_late_attempts(now);
-    eject_unresponsive_endpoints(now);
-    if (!pending_requests_.empty()) start_watch(now);
-}
-
-void Router::Core::start_watch(TimePoint now) {
-    watch_timer_set_ = true;
-    callbacks_.set_timer(watch_timer, now + watch_interval_);
-}
-
-void Router::Core::count_late_attempts(TimePoint now) {
-    while (const auto entry = late_attempts_.pop_late(now)) {
-        PendingRequest& request = pending_requests_.at(entry->request);
-        if (request.finished) continue;
-        Attempt& attempt = request.attempts[entry->attempt.raw()];
-        EndpointState& cache = endpoints_.at(attempt.cache);
-        Congestion::count_as_late(attempt, cache);
-        outliers_.on_late_attempt(cache, attempt, now);
-        EndpointState* source = source_of(attempt);
-        if (source && !OutlierDetector::loses_attempts(cache, now))
-            fill_source_.on_late_attempt(*source, now);
-    }
-}
-
-void Router::Core::eject_unresponsive_endpoints(TimePoint now) {
-    for (const EndpointRole role : {EndpointRole::edge, EndpointRole::parent})
-        for (EndpointState* endpoint : endpoints_.active(role)) {
-            if (endpoint->health.ejected() || !outliers_.is_unresponsive(*endpoint, now)) continue;
-            outliers_.eject(*endpoint, now);
-            cancel_attempts_at(*endpoint);
-        }
-}
-
-// Takes back what waits for the endpoint, where it may be sent again. The results come as cancelled.
-void Router::Core::cancel_attempts_at(const EndpointState& endpoint) {
-    if (!deployment_.capabilities.cancellation) return;
-    for (auto& [id, request] : pending_requests_) {
-        if (request.finished || request.kind->effect == Effect::non_idempotent) continue;
-        for (std::size_t index = 0; index < request.attempts.size(); ++index) {
-            Attempt& attempt = request.attempts[index];
-            const bool waits_for_it = attempt.cache == endpoint.id || attempt.source == endpoint.id;
-            if (attempt.state != AttemptState::in_flight || !waits_for_it) continue;
-            attempt.state = AttemptState::cancelled;
-            request.avoided.push_back(endpoint.id);
-            callbacks_.cancel_attempt(id, AttemptIndex{index});
-        }
-    }
+    if (timer == AttemptMonitor::timer) monitor_.on_timer(pending_requests_, now);
 }
 
 // --- the interface ---
