--- /dev/null
+++ b/tests/routing/congestion_test.cpp
@@ -0,0 +1,113 @@
+#include "routing/congestion.hpp"
+
+#include "routing_test_support.hpp"
+
+namespace irismux::testing {
+namespace {
+
+class CongestionTest : public ::testing::Test {
+protected:
+    static constexpr double mean = 0.4;  // before any result: the latency objective
+    Deployment deployment_ = deployment();
+    TimePoint now_ = TimePoint::at_seconds(100);
+    EndpointSet endpoints_ = endpoint_set(deployment_, now_);
+    LinkCapacity links_{deployment_, endpoints_};
+    ObjectStatistics statistics_{deployment_};
+    Congestion congestion_{deployment_, endpoints_, links_, statistics_};
+    EndpointState& cache_ = endpoints_.at(CacheId{"e1"});
+    EndpointState& parent_ = endpoints_.at(CacheId{"p1"});
+    PendingRequest request_ = pending_request(deployment_.kinds[0], now_ + one_second);
+    std::vector<Attempt> attempts_ = std::vector<Attempt>(20, attempt_at("e1", now_));
+
+    void start_attempts(int count, bool known_fill = false) {
+        for (int n = 0; n < count; ++n) {
+            Attempt& attempt = attempts_[static_cast<std::size_t>(n)];
+            attempt.is_known_fill = known_fill;
+            congestion_.on_attempt_started(attempt, cache_, &parent_, now_);
+        }
+    }
+    void make_late(int count) {
+        for (int n = 0; n < count; ++n)
+            Congestion::count_as_late(attempts_[static_cast<std::size_t>(n)], cache_);
+        congestion_.recount_late_attempts(now_);
+    }
+};
+
+TEST_F(CongestionTest, CountsAttemptsAtTheirCacheAndSource) {
+    start_attempts(2);
+    EXPECT_EQ(cache_.load.in_flight, 2);
+    EXPECT_EQ(parent_.load.in_flight, 2);
+    EXPECT_EQ(cache_.load.busy_since, now_);
+    make_late(1);
+    congestion_.on_attempt_ended(attempts_[0], cache_, &parent_);
+    EXPECT_EQ(cache_.load.in_flight, 1);
+    EXPECT_EQ(cache_.load.late, 0);
+}
+
+// Links of three caches of 6 transfers each give the location 9; two gateways share it. More than 0.2 late
+// attempts for each transfer, so 1.8 over both, are congestion.
+TEST_F(CongestionTest, LateAttemptsShowCongestedFills) {
+    start_attempts(2);
+    EXPECT_FALSE(congestion_.fills_congested(mean));
+    make_late(1);
+    EXPECT_TRUE(congestion_.fills_congested(mean));
+    EXPECT_FALSE(congestion_.fills_congested(mean / 2)) << "small objects are let through for longer";
+}
+
+TEST_F(CongestionTest, ASilentCacheShowsNoCongestion) {
+    start_attempts(4);
+    now_ = now_ + one_second;
+    make_late(4);
+    EXPECT_FALSE(congestion_.fills_congested(mean));
+}
+
+TEST_F(CongestionTest, ACacheThatLosesAttemptsShowsNoCongestion) {
+    start_attempts(4);
+    cache_.health.loses_attempts_until = now_ + one_second;
+    make_late(4);
+    EXPECT_FALSE(congestion_.fills_congested(mean));
+    EXPECT_EQ(congestion_.load(cache_, now_), 0) << "nor load";
+}
+
+TEST_F(CongestionTest, KnownFillsExhaustWhatIsCongested) {
+    start_attempts(4, true);
+    EXPECT_FALSE(congestion_.fills_exhausted(mean)) << "nothing is late";
+    make_late(1);
+    EXPECT_TRUE(congestion_.fills_exhausted(mean));
+    congestion_.on_attempt_ended(attempts_[3], cache_, &parent_);
+    EXPECT_FALSE(congestion_.fills_exhausted(mean));
+}
+
+TEST_F(CongestionTest, LoadIsWhatAllGatewaysSendForEachTransferThatFits) {
+    start_attempts(3);
+    EXPECT_DOUBLE_EQ(congestion_.load(cache_, now_), 3 * 2 / 6.0);
+}
+
+// Given a cache of two gateways, when a hit takes three times its transfer alone, then the other gateway's
+// part is taken as three until that fades.
+TEST_F(CongestionTest, SlowHitsStandForTheOtherGateways) {
+    AttemptResult hit = result_of(Outcome::completed, CacheStatus::hit);
+    attempts_[0].transfer_seconds = 0.4;
+    hit.elapsed = Duration::seconds(1.2);
+    congestion_.on_cache_result(cache_, request_, attempts_[0], hit, now_);
+    EXPECT_DOUBLE_EQ(congestion_.load(cache_, now_), 1.5);
+    EXPECT_NEAR(congestion_.load(cache_, now_ + one_second * 60), 0.5, 1e-9);
+}
+
+TEST_F(CongestionTest, LargeRequestsAreShedFirst) {
+    EXPECT_DOUBLE_EQ(congestion_.shedding_load(mean), 2);
+    EXPECT_DOUBLE_EQ(congestion_.shedding_load(mean * 100), 1.3);
+    EXPECT_DOUBLE_EQ(congestion_.shedding_load(mean / 100), 8);
+}
+
+TEST_F(CongestionTest, RequestsStayWithTheirCacheWhileFillsAreCongested) {
+    EXPECT_DOUBLE_EQ(congestion_.spill_load(mean / 2), 2);
+    EXPECT_DOUBLE_EQ(congestion_.spill_load(mean * 100), 1.3);
+    start_attempts(10);
+    make_late(10);
+    EXPECT_DOUBLE_EQ(congestion_.spill_load(mean / 2), 4);
+    EXPECT_DOUBLE_EQ(congestion_.spill_load(mean * 100), 2);
+}
+
+}  // namespace
+}  // namespace irismux::testing
--- /dev/null
+++ b/tests/routing/endpoint_set_test.cpp
@@ -0,0 +1,89 @@
+#include "routing/endpoint_set.hpp"
+
+#include "routing/link_capacity.hpp"
+#include "routing_test_support.hpp"
+
+namespace irismux::testing {
+namespace {
+
+class EndpointSetTest : public ::testing::Test {
+protected:
+    Deployment deployment_ = deployment();
+    TimePoint now_ = TimePoint::at_seconds(100);
+    EndpointSet endpoints_ = endpoint_set(deployment_, now_);
+
+    EndpointState* update(EndpointUpdate update) {
+        EndpointState* restarted = endpoints_.apply(update, now_);
+        endpoints_.finish_updates(now_);
+        return restarted;
+    }
+};
+
+TEST_F(EndpointSetTest, HasActiveEndpointsByRole) {
+    EXPECT_EQ(endpoints_.active(EndpointRole::edge).size(), 3u);
+    EXPECT_EQ(endpoints_.active(EndpointRole::parent).size(), 2u);
+    EXPECT_EQ(endpoints_.active(EndpointRole::origin).size(), 1u);
+    EndpointUpdate elsewhere = listing("far", edge_machine);
+    elsewhere.location = LocationId{"there"};
+    update(elsewhere);
+    EXPECT_EQ(endpoints_.active(EndpointRole::edge).size(), 3u);
+}
+
+TEST_F(EndpointSetTest, DrainingAndRemovedEndpointsLeaveTheirRole) {
+    for (const EndpointStatus status : {EndpointStatus::draining, EndpointStatus::removed}) {
+        EndpointUpdate leaves = listing("e1", edge_machine);
+        leaves.status = status;
+        update(leaves);
+        EXPECT_EQ(endpoints_.active(EndpointRole::edge).size(), 2u);
+        update(listing("e1", edge_machine));
+    }
+}
+
+TEST_F(EndpointSetTest, ACompleteListRemovesWhatItDoesNotName) {
+    endpoints_.remove_all();
+    update(listing("e2", edge_machine));
+    ASSERT_EQ(endpoints_.active(EndpointRole::edge).size(), 1u);
+    EXPECT_EQ(endpoints_.active(EndpointRole::edge)[0]->id, CacheId{"e2"});
+}
+
+TEST_F(EndpointSetTest, TellsOfAStartOnceAndOnlyWhileItWarmsUp) {
+    EndpointUpdate started = listing("e1", edge_machine);
+    started.started_at = now_ - one_second;
+    EXPECT_EQ(update(started), endpoints_.find(CacheId{"e1"}));
+    EXPECT_EQ(update(started), nullptr);
+    started.started_at = now_ - deployment_.edge_slow_start.window;
+    EXPECT_EQ(update(started), nullptr);
+}
+
+// Given endpoints that come and go, when they have long been removed, then they are erased, but not while a
+// result of theirs is to come.
+TEST_F(EndpointSetTest, ErasesRemovedEndpointsOnceTheyAreIdle) {
+    EndpointUpdate leaves = listing("e1", edge_machine);
+    leaves.status = EndpointStatus::removed;
+    update(leaves);
+    EndpointState* removed = endpoints_.find(CacheId{"e1"});
+    ASSERT_TRUE(removed);
+    removed->load.in_flight = 1;
+    now_ = now_ + deployment_.parent_slow_start.window + one_second;
+    endpoints_.finish_updates(now_);
+    ASSERT_TRUE(endpoints_.find(CacheId{"e1"}));
+    removed->load.in_flight = 0;
+    endpoints_.finish_updates(now_);
+    EXPECT_FALSE(endpoints_.find(CacheId{"e1"}));
+}
+
+// Guarded by EndpointSet::most_edges: a link divided by the caches that are left would give each of them the
+// others' part.
+TEST_F(EndpointSetTest, ACacheCanDoNoMoreWhenItsPeersLeave) {
+    deployment_.weights_known = false;
+    deployment_.location_link_capacity_kb_per_s = 30 * deployment_.transfer_rate_kb_per_s;
+    const LinkCapacity links{deployment_, endpoints_};
+    const double before = links.endpoint(endpoints_.at(CacheId{"e1"}));
+    EXPECT_DOUBLE_EQ(before, 20);
+    endpoints_.remove_all();
+    update(listing("e1", edge_machine));
+    EXPECT_DOUBLE_EQ(links.endpoint(endpoints_.at(CacheId{"e1"})), before);
+}
+
+}  // namespace
+}  // namespace irismux::testing
--- /dev/null
+++ b/tests/routing/freshness_test.cpp
@@ -0,0 +1,79 @@
+#include "routing/freshness.hpp"
+
+#include "routing_test_support.hpp"
+
+namespace irismux::testing {
+namespace {
+
+class FreshnessTest : public ::testing::Test {
+protected:
+    Deployment deployment_ = deployment();
+    TimePoint now_ = TimePoint::at_seconds(100);
+    FreshnessPolicy freshness_{deployment_};
+    ObjectKind ageing_ = ageing_kind();
+    PendingRequest request_ = pending_request(deployment_.kinds[0], now_ + one_second);
+    PendingRequest of_ageing_kind_ = pending_request(ageing_, now_ + one_second);
+
+    static ObjectKind ageing_kind() {
+        ObjectKind kind = kind_of(Effect::idempotent);
+        kind.fresh_for = one_second * 10;
+        kind.stale_if_error_for = one_second * 5;
+        return kind;
+    }
+    void purge(Duration age) { freshness_.on_purge(age, PurgeGroupId{3}, ObjectName{"object"}, now_); }
+};
+
+// Given a purge of copies older than 0.2 s, when a second has passed, then copies of up to 1.2 s will do,
+// less the resolution of timers.
+TEST_F(FreshnessTest, APurgeBindsWhileOldCopiesMayBeLeft) {
+    purge(Duration::seconds(0.2));
+    EXPECT_EQ(freshness_.max_age(request_, false, now_ + one_second),
+              Duration::seconds(1.2) - deployment_.timer_resolution);
+    EXPECT_EQ(freshness_.max_age(request_, false, now_ + deployment_.purge_retention * 2), Duration{})
+        << "it is over";
+}
+
+TEST_F(FreshnessTest, APurgeOfThisMomentStillBinds) {
+    purge(Duration{});
+    EXPECT_EQ(freshness_.max_age(request_, false, now_), Duration::micros(1));
+}
+
+TEST_F(FreshnessTest, StaleCopiesAreAllowedWithinTheirWindowOnly) {
+    EXPECT_EQ(freshness_.max_age(of_ageing_kind_, false, now_), Duration{}) << "the kind's own";
+    EXPECT_EQ(freshness_.max_age(of_ageing_kind_, true, now_), one_second * 15);
+    EXPECT_EQ(freshness_.max_age(request_, true, now_), Duration{}) << "its copies never become stale";
+}
+
+TEST_F(FreshnessTest, ThePurgeBindsStaleCopiesToo) {
+    purge(one_second);
+    EXPECT_LT(freshness_.max_age(of_ageing_kind_, true, now_), one_second);
+    now_ = now_ + one_second * 11;
+    EXPECT_LT(freshness_.max_age(of_ageing_kind_, true, now_), one_second * 12);
+}
+
+TEST_F(FreshnessTest, AFailedSourceAllowsStaleCopiesFromTheNextAttemptOn) {
+    freshness_.begin_plan(of_ageing_kind_, now_);
+    EXPECT_EQ(of_ageing_kind_.plan.max_age, Duration{});
+    EXPECT_TRUE(of_ageing_kind_.plan.revalidate);
+    FreshnessPolicy::on_result(of_ageing_kind_, result_of(Outcome::overloaded, CacheStatus::no_fill_slot));
+    EXPECT_FALSE(of_ageing_kind_.allow_stale) << "the cache's own trouble";
+    FreshnessPolicy::on_result(of_ageing_kind_, result_of(Outcome::errored, CacheStatus::origin_failed));
+    freshness_.begin_plan(of_ageing_kind_, now_);
+    EXPECT_EQ(of_ageing_kind_.plan.max_age, one_second * 15);
+}
+
+TEST_F(FreshnessTest, RepeatedObjectsRankAboveNewOnesAndUncacheableOnesAreNotKept) {
+    freshness_.begin_plan(request_, now_);
+    EXPECT_EQ(request_.plan.storage_rank, 2);
+    EXPECT_TRUE(request_.plan.coalesce);
+    request_.object_is_repeated = true;
+    freshness_.begin_plan(request_, now_);
+    EXPECT_EQ(request_.plan.storage_rank, 3);
+    PendingRequest uncacheable = pending_request(deployment_.kinds[1], now_ + one_second);
+    freshness_.begin_plan(uncacheable, now_);
+    EXPECT_EQ(uncacheable.plan.storage_rank, 0);
+    EXPECT_FALSE(uncacheable.plan.coalesce);
+}
+
+}  // namespace
+}  // namespace irismux::testing
--- /dev/null
+++ b/tests/routing/object_statistics_test.cpp
@@ -0,0 +1,50 @@
+#include "routing/object_statistics.hpp"
+
+#include "routing_test_support.hpp"
+
+namespace irismux::testing {
+namespace {
+
+class ObjectStatisticsTest : public ::testing::Test {
+protected:
+    Deployment deployment_ = deployment();
+    TimePoint now_ = TimePoint::at_seconds(100);
+    ObjectStatistics statistics_{deployment_};
+    PendingRequest sized_ = pending_request(deployment_.kinds[0], now_ + one_second);
+    PendingRequest unsized_ = pending_request(deployment_.kinds[0], now_ + one_second, 0);
+
+    void hit(const PendingRequest& request, double elapsed_seconds) {
+        AttemptResult result = result_of(Outcome::completed, CacheStatus::hit);
+        result.elapsed = Duration::seconds(elapsed_seconds);
+        statistics_.record_result(request, attempt_at("e1", now_), result);
+    }
+};
+
+TEST_F(ObjectStatisticsTest, AnObjectIsRepeatedWithinTwoGenerations) {
+    const ObjectName object{"object"};
+    const Duration generation = deployment_.kinds[0].deadline * 2;
+    EXPECT_FALSE(statistics_.record_request(object, now_));
+    EXPECT_TRUE(statistics_.record_request(object, now_));
+    now_ = now_ + generation + one_second;
+    EXPECT_TRUE(statistics_.record_request(object, now_));
+    for (int n = 0; n < 2; ++n) {
+        now_ = now_ + generation + one_second;
+        statistics_.record_request(ObjectName{"other"}, now_);
+    }
+    EXPECT_FALSE(statistics_.record_request(object, now_));
+}
+
+TEST_F(ObjectStatisticsTest, ASizeGivesTheTransferTime) {
+    EXPECT_DOUBLE_EQ(statistics_.transfer_seconds(sized_.request), 0.1);
+}
+
+TEST_F(ObjectStatisticsTest, WithoutASizeTheShortestTransferIsLearnt) {
+    EXPECT_DOUBLE_EQ(statistics_.transfer_seconds(unsized_.request), 0.4) << "the mean of its kind";
+    hit(unsized_, 0.3);
+    hit(unsized_, 0.2);
+    hit(unsized_, 2);
+    EXPECT_DOUBLE_EQ(statistics_.transfer_seconds(unsized_.request), 0.2);
+}
+
+}  // namespace
+}  // namespace irismux::testing
--- /dev/null
+++ b/tests/routing/routing_test_support.hpp
@@ -0,0 +1,54 @@
+// What the tests of single policies share: an endpoint set of the usual deployment, and a pending request.
+#pragma once
+
+#include <gtest/gtest.h>
+
+#include <string>
+#include <vector>
+
+#include "../router_test_support.hpp"
+#include "routing/endpoint_set.hpp"
+#include "routing/pending_request.hpp"
+
+namespace irismux::testing {
+
+inline const Duration one_second = Duration::seconds(1);
+
+/// The endpoints of a list, as of its arrival.
+inline EndpointSet endpoint_set(const Deployment& deployment, TimePoint now,
+                                const std::vector<EndpointUpdate>& list = usual_list()) {
+    EndpointSet endpoints{deployment};
+    for (const EndpointUpdate& update : list) endpoints.apply(update, now);
+    endpoints.finish_updates(now);
+    return endpoints;
+}
+
+/// @param kind must outlive the result
+inline PendingRequest pending_request(const ObjectKind& kind, TimePoint deadline, double size_kb = 500) {
+    PendingRequest pending;
+    pending.request.id = RequestId{1};
+    pending.request.kind = ObjectKindIndex{0};
+    pending.request.object = ObjectName{"object"};
+    pending.request.deadline = deadline;
+    pending.request.size_kb = size_kb;
+    pending.kind = &kind;
+    return pending;
+}
+
+inline Attempt attempt_at(const std::string& cache, TimePoint started_at) {
+    Attempt attempt;
+    attempt.cache = CacheId{cache};
+    attempt.source = attempt.cache;
+    attempt.started_at = started_at;
+    attempt.last_judged_at = started_at;
+    return attempt;
+}
+
+inline AttemptResult result_of(Outcome outcome, CacheStatus status = CacheStatus::none) {
+    AttemptResult result;
+    result.outcome = outcome;
+    result.cache_status = status;
+    return result;
+}
+
+}  // namespace irismux::testing
--- /dev/null
+++ b/tests/routing/slow_start_test.cpp
@@ -0,0 +1,110 @@
+#include "routing/slow_start.hpp"
+
+#include "routing_test_support.hpp"
+
+namespace irismux::testing {
+namespace {
+
+class SlowStartTest : public ::testing::Test {
+protected:
+    static constexpr double transfer_seconds = 0.1;
+    Deployment deployment_ = deployment();
+    TimePoint now_ = TimePoint::at_seconds(100);
+    EndpointSet endpoints_ = endpoint_set(deployment_, now_);
+    LinkCapacity links_{deployment_, endpoints_};
+    RandomFraction random_{7};
+    SlowStartPolicy slow_start_{deployment_, links_, random_};
+    EndpointState& cache_ = endpoints_.at(CacheId{"e1"});
+    EndpointState& origin_ = endpoints_.at(CacheId{"o"});
+
+    // Transfer time that is sent to an endpoint that is asked as often as possible.
+    double sent_to(EndpointState& endpoint, Duration during) {
+        double sent = 0;
+        const TimePoint end = now_ + during;
+        for (; now_ < end; now_ = now_ + Duration::seconds(0.01)) {
+            if (!slow_start_.has_budget(endpoint, transfer_seconds, now_)) continue;
+            slow_start_.charge(endpoint, transfer_seconds, now_);
+            sent += transfer_seconds;
+        }
+        return sent;
+    }
+};
+
+TEST_F(SlowStartTest, AnEndpointThatIsWarmHasNoBudget) {
+    for (int n = 0; n < 1000; ++n) {
+        ASSERT_TRUE(slow_start_.has_budget(cache_, transfer_seconds, now_));
+        slow_start_.charge(cache_, transfer_seconds, now_);
+    }
+}
+
+// Given a cache that has just started, when it is asked as often as possible, then it gets no more than this
+// gateway's share of the overload multiple, and not much less than its present capacity.
+TEST_F(SlowStartTest, AWarmingEndpointGetsItsEvenShareOfPresentCapacity) {
+    slow_start_.begin(cache_, now_, now_);
+    const SlowStart& settings = deployment_.edge_slow_start;
+    const Duration during = Duration::seconds(4);
+    const double mean_share = settings.initial_capacity_share +
+                              (1 - settings.initial_capacity_share) * (during / settings.window) / 2;
+    const double even_share = mean_share * cache_.weight * during.seconds() / 2;
+    const double sent = sent_to(cache_, during);
+    EXPECT_LE(sent, even_share * settings.overload_multiple);
+    EXPECT_GT(sent, even_share * 0.5);
+}
+
+TEST_F(SlowStartTest, EndsWithTheWindow) {
+    slow_start_.begin(cache_, now_, now_);
+    EXPECT_FALSE(slow_start_.has_budget(cache_, 100, now_));
+    EXPECT_TRUE(slow_start_.has_budget(cache_, 100, now_ + deployment_.edge_slow_start.window));
+    EXPECT_FALSE(cache_.warm_up.warming_up_since.has_value());
+}
+
+// Given a restart that the list tells two seconds late, when much was sent meanwhile, then nothing more is
+// sent until it has left the overload window.
+TEST_F(SlowStartTest, WhatWasSentBeforeTheStartWasKnownCounts) {
+    const TimePoint started_at = now_;
+    for (int n = 0; n < 100; ++n) slow_start_.charge(cache_, transfer_seconds, now_);
+    now_ = now_ + one_second;
+    slow_start_.begin(cache_, started_at, now_);
+    EXPECT_EQ(sent_to(cache_, Duration::seconds(0.5)), 0);
+    now_ = now_ + deployment_.overload_window;
+    EXPECT_GT(sent_to(cache_, one_second * 2), 0);
+}
+
+// Given a cache that refuses with nothing in flight, when it responds again, then it is a new process, which
+// the list has yet to tell.
+TEST_F(SlowStartTest, TheFirstResponseAfterAStopBeginsSlowStart) {
+    slow_start_.on_cache_result(cache_, result_of(Outcome::connection_refused), now_);
+    EXPECT_FALSE(cache_.warm_up.warming_up_since.has_value());
+    slow_start_.on_cache_result(cache_, result_of(Outcome::overloaded), now_);
+    EXPECT_FALSE(cache_.warm_up.warming_up_since.has_value()) << "turned away without having worked";
+    slow_start_.on_cache_result(cache_, result_of(Outcome::completed), now_);
+    EXPECT_EQ(cache_.warm_up.warming_up_since, now_);
+}
+
+TEST_F(SlowStartTest, ARefusalWithAttemptsInFlightIsNoStop) {
+    cache_.load.in_flight = 1;
+    slow_start_.on_cache_result(cache_, result_of(Outcome::connection_refused), now_);
+    slow_start_.on_cache_result(cache_, result_of(Outcome::completed), now_);
+    EXPECT_FALSE(cache_.warm_up.warming_up_since.has_value());
+}
+
+// Given an attempt that waits for a connection, when its endpoint restarts, then it must fit the new budget.
+TEST_F(SlowStartTest, AWaitingAttemptIsJudgedAgainAfterARestart) {
+    Attempt attempt = attempt_at("e1", now_);
+    attempt.transfer_seconds = 100;
+    EXPECT_TRUE(slow_start_.recheck(cache_, attempt, now_));
+    now_ = now_ + one_second;
+    slow_start_.begin(cache_, now_, now_);
+    EXPECT_FALSE(slow_start_.recheck(cache_, attempt, now_));
+    attempt.last_judged_at = now_;
+    EXPECT_TRUE(slow_start_.recheck(cache_, attempt, now_));
+}
+
+TEST_F(SlowStartTest, TheOriginInPlaceOfParentsHasABudgetAtAllTimes) {
+    sent_to(origin_, one_second);
+    const double even_share = links_.endpoint(origin_) / deployment_.gateways;
+    EXPECT_NEAR(sent_to(origin_, one_second * 10), even_share * 10, even_share + transfer_seconds);
+}
+
+}  // namespace
+}  // namespace irismux::testing
