--- a/src/net/cache_connection_pool.cpp
+++ b/src/net/cache_connection_pool.cpp
@@ -113,8 +113,8 @@
             log::write(log::Level::warning, "a cache's address cannot be used: " + e.displayText());
             return ConnectResult::unreachable;
         }
-        clock_ =
-            loop_.schedule_at(loop_.now() + caches_.limits_.connect_timeout, [self = weak_from_this(), this] {
+        clock_ = ScopedTimer(
+            loop_, loop_.now() + caches_.limits_.connect_timeout, [self = weak_from_this(), this] {
                 if (const auto alive = self.lock(); alive && state() == ConnectionState::connecting) finish();
             });
         return ConnectResult::started;
@@ -177,7 +177,7 @@
 protected:
     void on_open() override {
         connected_ = true;
-        loop_.cancel(clock_);
+        clock_.cancel();
         // Whoever asked for a look may not look any more, and the cache may have left the list meanwhile.
         for (const auto& [tag, still] : std::exchange(coming_probes_, {})) {
             if (still() && caches_.endpoints_.is_active(cache_))
@@ -217,8 +217,8 @@
     }
     void on_closed() override {
         const auto alive = shared_from_this();
-        loop_.cancel(clock_);
-        loop_.cancel(rest_clock_);
+        clock_.cancel();
+        rest_clock_.cancel();
         // A connection that is reset as it comes up was taken by somebody: that is no dead cache.
         connected_ = connected_ || was_reset();
         if (connected_) note_begun();
@@ -334,10 +334,10 @@
 
     // The rest of an answer that has begun comes soon or not at all; until then all others wait behind it.
     void await_rest() {
-        loop_.cancel(rest_clock_);
+        rest_clock_.cancel();
         if (input_.empty()) return;
-        rest_clock_ =
-            loop_.schedule_at(loop_.now() + caches_.limits_.connect_timeout, [self = weak_from_this(), this] {
+        rest_clock_ = ScopedTimer(
+            loop_, loop_.now() + caches_.limits_.connect_timeout, [self = weak_from_this(), this] {
                 const auto alive = self.lock();
                 if (!alive || state() != ConnectionState::open) return;
                 log::write(log::Level::warning,
@@ -379,14 +379,14 @@
 
     void idle_from_now() {
         if (load() > 0 || state() != ConnectionState::open) return;
-        loop_.cancel(clock_);
+        clock_.cancel();
         // What is not listed any more is not needed again.
         if (!needed())
             return (void)loop_.schedule_now([self = weak_from_this(), this] {
                 if (const auto alive = self.lock(); alive && load() == 0) finish();
             });
         clock_ =
-            loop_.schedule_at(loop_.now() + caches_.limits_.idle_timeout, [self = weak_from_this(), this] {
+            ScopedTimer(loop_, loop_.now() + caches_.limits_.idle_timeout, [self = weak_from_this(), this] {
                 if (const auto alive = self.lock(); alive && load() == 0) finish();
             });
     }
@@ -405,9 +405,9 @@
     std::deque<Going> going_;                  // sends that are not wholly written
     std::map<std::string, TimePoint> probes_;  // by tag
     std::vector<std::pair<std::string, CacheConnectionPool::StillWanted>>
-        coming_probes_;              // wait for the connection
-    EventLoop::Timer clock_{};       // for the connection to come up, then for idleness
-    EventLoop::Timer rest_clock_{};  // for the rest of an answer
+        coming_probes_;       // wait for the connection
+    ScopedTimer clock_;       // for the connection to come up, then for idleness
+    ScopedTimer rest_clock_;  // for the rest of an answer
 };
 
 CacheConnectionPool::CacheConnectionPool(EventLoop& loop, EndpointTable& roster, AttemptObserver& ends,
@@ -464,13 +464,14 @@
 // Goes on once its time to rest is over; one poll more, so that a late loop does not eat up the rest.
 void CacheConnectionPool::delay_reuse(ActiveRequest& x, std::size_t n) {
     const auto key = std::pair(x.id(), n);
-    delayed_attempts_[key] = event_loop_.schedule_at(
-        x.reuse_delayed_until(), [this, held = std::weak_ptr(x.shared_from_this()), n, key] {
-            event_loop_.run_next_iteration([this, held, n, key] {
-                const auto exchange = held.lock();
-                if (delayed_attempts_.erase(key) > 0 && exchange) start_attempt(*exchange, n);
-            });
-        });
+    delayed_attempts_[key] = ScopedTimer(event_loop_, x.reuse_delayed_until(),
+                                         [this, held = std::weak_ptr(x.shared_from_this()), n, key] {
+                                             event_loop_.run_next_iteration([this, held, n, key] {
+                                                 const auto exchange = held.lock();
+                                                 if (delayed_attempts_.erase(key) > 0 && exchange)
+                                                     start_attempt(*exchange, n);
+                                             });
+                                         });
 }
 
 // Our own shortage says nothing of the cache: the send waits for a connection to come free.
@@ -512,10 +513,7 @@
 }
 
 void CacheConnectionPool::cancel_attempt(ActiveRequest& x, std::size_t n) {
-    if (const auto it = delayed_attempts_.find({x.id(), n}); it != delayed_attempts_.end()) {
-        event_loop_.cancel(it->second);
-        delayed_attempts_.erase(it);
-    }
+    delayed_attempts_.erase({x.id(), n});
     Endpoint* const peer = endpoints_.find(x.attempt(n).cache);
     if (!peer) return;
     const auto links = peer->connections;
--- a/src/net/cache_connection_pool.hpp
+++ b/src/net/cache_connection_pool.hpp
@@ -86,7 +86,7 @@
     std::size_t connection_count_ = 0;
     std::uint64_t next_connection_ = 1;
     // Sends that wait for a connection, or for the end of the one before, by lookup and number.
-    std::map<std::pair<RequestId, std::size_t>, EventLoop::Timer> delayed_attempts_;
+    std::map<std::pair<RequestId, std::size_t>, ScopedTimer> delayed_attempts_;
     std::uint64_t next_health_check_ = 1;
 };
 
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -79,6 +79,8 @@
 void Connection::close() {
     if (state_ == ConnectionState::closed) return;
     state_ = ConnectionState::closed;
+    for (ScopedTimer* const timer : {&linger_timer_, &rewatch_timer_, &read_pause_, &write_pause_})
+        timer->cancel();
     // The reactor must forget the socket before its descriptor can be given to another one.
     watch(false, false);
     try {
@@ -94,8 +96,9 @@
     if (lingering_ || state_ == ConnectionState::closed) return;
     if (state_ == ConnectionState::connecting || failed_) return on_broken();
     lingering_ = reading_ = true;
-    loop_.schedule_at(loop_.now() + most, [self = weak_from_this()] {
-        if (const auto alive = self.lock()) alive->on_broken();
+    linger_timer_ = ScopedTimer(loop_, loop_.now() + most, [this] {
+        const auto alive = shared_from_this();
+        on_broken();
     });
     // From the loop: the caller may be anywhere.
     loop_.schedule_now([self = weak_from_this()] {
@@ -144,7 +147,8 @@
 }
 
 void Connection::update_watch() {
-    const bool bytes_wanted = wants_reads_ && !read_paused_, room_wanted = wants_writes_ && !write_paused_;
+    const bool bytes_wanted = wants_reads_ && !read_pause_.pending();
+    const bool room_wanted = wants_writes_ && !write_pause_.pending();
     const Poco::NObserver<Connection, ReadableNotification> bytes(*this, &Connection::on_readable);
     const Poco::NObserver<Connection, WritableNotification> room(*this, &Connection::on_writable);
     if ((watching_reads_ && !bytes_wanted) || (watching_writes_ && !room_wanted)) {
@@ -154,7 +158,7 @@
     }
     if (bytes_wanted && !watching_reads_) watching_reads_ = add_handler(bytes);
     if (room_wanted && !watching_writes_) watching_writes_ = add_handler(room);
-    if (watching_reads_ != bytes_wanted || watching_writes_ != room_wanted) schedule_rewatch();
+    if (watching_reads_ != bytes_wanted || watching_writes_ != room_wanted) retry_watch_later();
 }
 
 // False: the system had no memory for it.
@@ -178,36 +182,21 @@
     }
 }
 
-void Connection::schedule_rewatch() {
-    if (std::exchange(rewatch_scheduled_, true)) return;
-    loop_.schedule_at(loop_.now() + memory_pause, [self = weak_from_this()] {
-        const auto alive = self.lock();
-        if (!alive || alive->state_ == ConnectionState::closed) return;
-        alive->rewatch_scheduled_ = false;
-        alive->update_watch();
-    });
+void Connection::retry_watch_later() {
+    if (rewatch_timer_.pending()) return;
+    rewatch_timer_ = ScopedTimer(loop_, loop_.now() + memory_pause, [this] { update_watch(); });
 }
 
 // Guards the loop against turns that do nothing but fail again.
 void Connection::pause_reading() {
-    if (std::exchange(read_paused_, true)) return;
+    if (read_pause_.pending()) return;
+    read_pause_ = ScopedTimer(loop_, loop_.now() + memory_pause, [this] { update_watch(); });
     update_watch();
-    loop_.schedule_at(loop_.now() + memory_pause, [self = weak_from_this()] {
-        const auto alive = self.lock();
-        if (!alive || alive->state_ == ConnectionState::closed) return;
-        alive->read_paused_ = false;
-        alive->update_watch();
-    });
 }
 
 void Connection::pause_writing() {
-    if (std::exchange(write_paused_, true)) return;
-    loop_.schedule_at(loop_.now() + memory_pause, [self = weak_from_this()] {
-        const auto alive = self.lock();
-        if (!alive || alive->state_ == ConnectionState::closed) return;
-        alive->write_paused_ = false;
-        alive->update_watch();
-    });
+    if (write_pause_.pending()) return;
+    write_pause_ = ScopedTimer(loop_, loop_.now() + memory_pause, [this] { update_watch(); });
 }
 
 void Connection::on_broken() {
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -75,7 +75,7 @@
     void guarded(Step step);
     void watch(bool for_bytes, bool for_room);
     void update_watch();
-    void schedule_rewatch();
+    void retry_watch_later();
     template <class Observer>
     bool add_handler(const Observer& observer);
     template <class Observer>
@@ -98,9 +98,10 @@
     std::size_t discarded_ = 0;
     bool wants_reads_ = false, wants_writes_ = false;        // what the loop is to watch for
     bool watching_reads_ = false, watching_writes_ = false;  // what it watches for
-    bool rewatch_scheduled_ = false;
-    // The system was short of memory: nothing is read, or written, for a moment.
-    bool read_paused_ = false, write_paused_ = false;
+    ScopedTimer linger_timer_;
+    // While one is pending the system is short of memory: the watch could not be set, nothing is read,
+    // nothing is written.
+    ScopedTimer rewatch_timer_, read_pause_, write_pause_;
     std::uint64_t bytes_written_ = 0;
 };
 
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -5,36 +5,43 @@
 namespace irismux {
 namespace {
 
-// Without alarms the reactor still looks up this often, for signals.
-constexpr std::int64_t longest_wait_ms = 50;
+// Without timers the reactor wakes this often, for signals.
+constexpr std::int64_t max_wait_ms = 50;
 
 }  // namespace
 
 EventLoop::EventLoop()
     : anchor_(std::chrono::steady_clock::now()),
-      unix_us_(std::chrono::duration_cast<std::chrono::microseconds>(
-                   std::chrono::system_clock::now().time_since_epoch())
-                   .count()) {
+      anchor_unix_us_(std::chrono::duration_cast<std::chrono::microseconds>(
+                          std::chrono::system_clock::now().time_since_epoch())
+                          .count()) {
     run_due_timers();
 }
 
+// Guards against a callback that is destroyed here and owns an object with timers of its own: those would be
+// erased from a map under destruction, which crashes. They are erased from an empty one instead.
+EventLoop::~EventLoop() {
+    const auto callbacks = std::exchange(next_iteration_, {});
+    const auto timers = std::exchange(timers_, {});
+}
+
 TimePoint EventLoop::now() const {
     const auto passed = std::chrono::steady_clock::now() - anchor_;
     const auto us = std::chrono::duration_cast<std::chrono::microseconds>(passed).count();
-    return TimePoint{} + Duration::micros(unix_us_ + us);
+    return TimePoint{} + Duration::micros(anchor_unix_us_ + us);
 }
 
-EventLoop::Timer EventLoop::schedule_at(TimePoint due, std::function<void()> then) {
-    const Timer alarm{due, next_timer_++};
-    timers_.emplace(alarm, std::move(then));
-    return alarm;
+EventLoop::Timer EventLoop::schedule_at(TimePoint due, std::function<void()> callback) {
+    const Timer timer{due, next_timer_++};
+    timers_.emplace(timer, std::move(callback));
+    return timer;
 }
 
-// What was put off runs at the head of the next turn, and the poll between does not wait.
+// Deferred work runs at the head of the next iteration, and the poll between does not wait.
 void EventLoop::iterate() {
     ++iterations_;
-    const auto put_off = std::exchange(next_iteration_, {});
-    for (const auto& then : put_off) then();
+    const auto deferred = std::exchange(next_iteration_, {});
+    for (const auto& callback : deferred) callback();
     run_due_timers();
 }
 
@@ -46,8 +53,9 @@
         due.mapped()();
         present = now();
     }
-    std::int64_t wait_ms = longest_wait_ms;
-    // The poll counts whole milliseconds: rounded up, since rounded down it would spin.
+    std::int64_t wait_ms = max_wait_ms;
+    // Guards against a loop that spins: the poll counts whole milliseconds and rounds a shorter wait down to
+    // none, so it is rounded up here.
     if (!timers_.empty())
         wait_ms = std::min(wait_ms, ((timers_.begin()->first.first - present).micros() + 999) / 1000);
     if (!next_iteration_.empty()) wait_ms = 0;
--- a/src/net/fastcgi_server.cpp
+++ b/src/net/fastcgi_server.cpp
@@ -436,8 +436,6 @@
 
 FastCgiServer::~FastCgiServer() {
     set_accepting(false);
-    event_loop_.cancel(idle_check_);
-    event_loop_.cancel(resume_accepting_);
     for (auto& [n, link] : connections_) link->close();
 }
 
@@ -462,7 +460,7 @@
     for (const auto& link : all)
         if (link->state() == ConnectionState::open && !link->lingering()) link->look(event_loop_.now());
     idle_check_ =
-        event_loop_.schedule_at(event_loop_.now() + round_every, [this] { check_idle_connections(); });
+        ScopedTimer(event_loop_, event_loop_.now() + round_every, [this] { check_idle_connections(); });
 }
 
 void FastCgiServer::set_accepting(bool wanted) {
@@ -483,9 +481,8 @@
 
 void FastCgiServer::pause_accepting(Duration pause) {
     set_accepting(false);
-    event_loop_.cancel(resume_accepting_);
     resume_accepting_ =
-        event_loop_.schedule_at(event_loop_.now() + pause, [this] { set_accepting(listening_); });
+        ScopedTimer(event_loop_, event_loop_.now() + pause, [this] { set_accepting(listening_); });
 }
 
 // One at a time: the loop comes back for the next, and nothing waits for it longer than one turn.
--- a/src/net/fastcgi_server.hpp
+++ b/src/net/fastcgi_server.hpp
@@ -87,7 +87,7 @@
     Poco::Net::ServerSocket socket_;
     bool accepting_ = false, listening_ = false;
     bool short_of_descriptors_ = false;  // when a connection was to be accepted last
-    EventLoop::Timer idle_check_{}, resume_accepting_{};
+    ScopedTimer idle_check_, resume_accepting_;
     std::size_t request_bytes_ = 0;  // bytes of requests that have not been answered
     std::uint64_t next_connection_ = 1;
     std::map<std::uint64_t, std::shared_ptr<FastCgiConnection>> connections_;
--- a/src/net/notice_client.cpp
+++ b/src/net/notice_client.cpp
@@ -46,7 +46,7 @@
         expect_bytes();
     }
     void stop() {
-        loop_.cancel(silence_);
+        silence_.cancel();
         close();
     }
 
@@ -72,9 +72,8 @@
     // the whole answer.
     void expect_bytes() {
         const TimePoint quiet = loop_.now() + poll_linger + board_.retry_delay_;
-        loop_.cancel(silence_);
         silence_ =
-            loop_.schedule_at(std::min(quiet, polled_at_ + longest_answer), [self = weak_from_this(), this] {
+            ScopedTimer(loop_, std::min(quiet, polled_at_ + longest_answer), [self = weak_from_this(), this] {
                 if (const auto alive = self.lock(); alive && state() != ConnectionState::closed)
                     end("no whole answer in time");
             });
@@ -151,7 +150,7 @@
         if (!revision) return end("missing field 'rev'");
         const bool reusable = !answer_->head->close && input_.empty();
         answer_.reset();
-        loop_.cancel(silence_);
+        silence_.cancel();
         if (!reusable) {
             stop();
             board_.connection_.reset();
@@ -183,7 +182,7 @@
     TimePoint polled_at_, batch_began_;
     bool in_batch_ = false;
     bool batch_cut_ = false;  // by the time that it may take
-    EventLoop::Timer silence_{};
+    ScopedTimer silence_;
 };
 
 NoticeClient::NoticeClient(EventLoop& loop, NoticeObserver& observer, std::string address,
@@ -195,12 +194,11 @@
       told_all_at_(loop.now()) {}
 
 NoticeClient::~NoticeClient() {
-    event_loop_.cancel(next_poll_);
     if (connection_) connection_->stop();
 }
 
 void NoticeClient::poll() {
-    event_loop_.cancel(next_poll_);
+    next_poll_.cancel();
     const bool from_start = observer_.wants_full_history();
     if (from_start) {
         // What was told before is told again, and is no news.
@@ -228,8 +226,7 @@
 }
 
 void NoticeClient::poll_at(TimePoint due) {
-    event_loop_.cancel(next_poll_);
-    next_poll_ = event_loop_.schedule_at(due, [this] { poll(); });
+    next_poll_ = ScopedTimer(event_loop_, due, [this] { poll(); });
 }
 
 void NoticeClient::answer_complete(std::int64_t revision) {
--- a/src/net/notice_client.hpp
+++ b/src/net/notice_client.hpp
@@ -93,7 +93,7 @@
     EventTimeEstimator times_;
     std::int64_t history_ = 0;
     TimePoint history_known_at_, newest_in_history_, told_all_at_;
-    EventLoop::Timer next_poll_{};
+    ScopedTimer next_poll_;
     std::shared_ptr<NoticeConnection> connection_;
 };
 
