--- a/src/codec/notice_reader.cpp
+++ b/src/codec/notice_reader.cpp
@@ -1,4 +1,4 @@
-#include "codec/notices.hpp"
+#include "codec/notice_reader.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/net/notice_client.hpp
+++ b/src/net/notice_client.hpp
@@ -15,7 +15,7 @@
 #include <string_view>
 #include <vector>
 
-#include "codec/notices.hpp"
+#include "codec/notice_reader.hpp"
 #include "endpoint/endpoint_record.hpp"
 #include "irismux/router.hpp"
 #include "net/event_loop.hpp"
--- a/tests/notices_test.cpp
+++ b/tests/notices_test.cpp
@@ -1,6 +1,6 @@
 // The reader of an answer's notices and the framing round them: whatever the pieces, the same notices in the
 // same order; bounded; and what came before something unreadable counts.
-#include "codec/notices.hpp"
+#include "codec/notice_reader.hpp"
 
 #include <gtest/gtest.h>
 
