--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -4,7 +4,9 @@
 #include <Poco/NObserver.h>
 #include <sys/socket.h>
 
+#include <array>
 #include <cerrno>
+#include <string_view>
 
 #include "base/log.hpp"
 
@@ -14,66 +16,84 @@
 using Poco::Net::ReadableNotification;
 using Poco::Net::WritableNotification;
 
-constexpr std::size_t read_size = 4 * 1024;  // at least; as much as the buffer has grown to
-// POCO 1.11 throws where a socket that does not block has no room; here that is a value like any other.
+// The buffer may have grown; then more is read at once.
+constexpr std::size_t min_read_bytes = 4'096;
+// Reads of one connection in an iteration, so that a busy one does not hold up the others.
+constexpr int max_reads_per_iteration = 4;
+// Of a lingering connection: a few of the largest requests. One that sends more is closed.
+constexpr std::size_t max_discarded_bytes = 262'144;
+// A call that failed for want of the system's memory is made again after this.
+constexpr Duration memory_pause = Duration::micros(2'000);
+constexpr int max_option_attempts = 3;
+
+// POCO 1.11 throws where a non-blocking socket would have to wait, so the system is called directly.
 bool would_block() { return errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR; }
-// The system's want of memory says nothing of the connection: the call is made again after a pause.
+// Says nothing of the connection.
 bool out_of_memory() { return errno == ENOMEM || errno == ENOBUFS; }
-constexpr Duration memory_pause = Duration::micros(2'000);
 
-// Options that make things better: one that can't be set even at a second try is done without.
+// The connection works without the option, only slower.
 template <class Set>
-void set_if_possible(Set set) {
-    constexpr int tries = 3;
-    for (int n = 0; n < tries; ++n) try {
-            return set();
+void set_option_if_possible(std::string_view option, Set set) {
+    for (int attempt = 1; attempt <= max_option_attempts; ++attempt) {
+        try {
+            set();
+            return;
         } catch (const Poco::Exception& e) {
-            if (n + 1 == tries)
-                log::write(log::Level::info, "a socket without an option: " + e.displayText());
+            if (attempt < max_option_attempts) continue;
+            log::event(log::Level::info, "socket_option_failed",
+                       {{"reason", e.displayText()}, {"option", option}});
         }
+    }
 }
 
-constexpr int reads_a_turn = 4;  // so that one busy connection does not hold up the others
-// Of a connection that lingers: a few of the largest requests. Who says more is cut off.
-constexpr std::size_t most_discarded = 256 * 1024;
-
 }  // namespace
 
-Connection::Connection(EventLoop& loop, Poco::Net::StreamSocket socket, ConnectionState state)
-    : loop_(loop), socket_(std::move(socket)), state_(state) {}
+Connection::Connection(EventLoop& loop, const Poco::Net::StreamSocket& socket, ConnectionState state)
+    : loop_(loop), socket_(socket), state_(state) {}
 
 Connection::~Connection() { close(); }
 
+// --- connecting and closing ------------------------------------------------------------------------------
+
 void Connection::register_handlers() {
     socket_.setBlocking(false);
-    set_if_possible([this] { socket_.setNoDelay(true); });
-    watch(state_ == ConnectionState::open, state_ == ConnectionState::connecting);
+    set_option_if_possible("TCP_NODELAY", [this] { socket_.setNoDelay(true); });
+    watch({.readable = state_ == ConnectionState::open, .writable = state_ == ConnectionState::connecting});
 }
 
 void Connection::limit_send_buffer(int bytes) {
-    set_if_possible([&] { socket_.setSendBufferSize(bytes); });
+    set_option_if_possible("SO_SNDBUF", [&] { socket_.setSendBufferSize(bytes); });
 }
 
-Connection::ConnectResult Connection::connect(const Poco::Net::SocketAddress& to) {
+Connection::ConnectResult Connection::connect(const Poco::Net::SocketAddress& address) {
     try {
-        socket_.connectNB(to);
+        socket_.connectNB(address);
         register_handlers();
         return ConnectResult::started;
     } catch (const Poco::Exception& e) {
-        const bool no_way = e.code() == ENETUNREACH || e.code() == EHOSTUNREACH;
+        const bool no_route = e.code() == ENETUNREACH || e.code() == EHOSTUNREACH;
         log::event(log::Level::info, "connect_failed",
-                   {{"reason", e.displayText()}, {"to", to.toString()}, {"errno", e.code()}});
+                   {{"reason", e.displayText()}, {"address", address.toString()}, {"errno", e.code()}});
         close();
-        return no_way ? ConnectResult::unreachable : ConnectResult::short_of_resources;
+        return no_route ? ConnectResult::unreachable : ConnectResult::short_of_resources;
     }
 }
 
-// A port that could not be had reads like an attempt under way, and ends without an error.
+// Guards against a connection for which no local port was free: it looks like one that is still connecting
+// and then ends without an error.
 bool Connection::is_connected() const {
     sockaddr_storage peer{};
     socklen_t size = sizeof peer;
-    return ::getpeername(socket_.impl()->sockfd(), reinterpret_cast<sockaddr*>(&peer), &size) == 0 ||
-           errno != ENOTCONN;
+    return ::getpeername(descriptor(), reinterpret_cast<sockaddr*>(&peer), &size) == 0 || errno != ENOTCONN;
+}
+
+void Connection::finish_connecting() {
+    const int error = socket_.impl()->socketError();
+    reset_while_connecting_ = error == ECONNRESET || error == EPIPE;
+    if (error != 0 || !is_connected()) return on_broken();
+    state_ = ConnectionState::open;
+    watch({.readable = read_state_ != ReadState::pause, .writable = false});
+    on_open();
 }
 
 void Connection::close() {
@@ -82,83 +102,93 @@
     for (ScopedTimer* const timer : {&linger_timer_, &rewatch_timer_, &read_pause_, &write_pause_})
         timer->cancel();
     // The reactor must forget the socket before its descriptor can be given to another one.
-    watch(false, false);
+    watch({});
     try {
         socket_.close();
     } catch (const Poco::Exception&) {
-        // Nothing is left to be closed.
+        // The descriptor is gone already.
     }
 }
 
-// Guards answers just written, and the last of a client's questions, against the reset that a close over
-// unread bytes is.
-void Connection::linger(Duration most) {
-    if (lingering_ || state_ == ConnectionState::closed) return;
-    if (state_ == ConnectionState::connecting || failed_) return on_broken();
-    lingering_ = reading_ = true;
-    linger_timer_ = ScopedTimer(loop_, loop_.now() + most, [this] {
+// Guards responses just written, and the last requests of a client, against a reset: that is what the system
+// makes of a close while input lies unread.
+void Connection::linger(Duration timeout) {
+    if (lingering() || state_ == ConnectionState::closed) return;
+    if (state_ == ConnectionState::connecting || !writable()) return on_broken();
+    read_state_ = ReadState::discard;
+    linger_timer_ = ScopedTimer(loop_, loop_.now() + timeout, [this] {
         const auto alive = shared_from_this();
         on_broken();
     });
-    // From the loop: the caller may be anywhere.
-    loop_.schedule_now([self = weak_from_this()] {
-        const auto alive = self.lock();
-        if (!alive || alive->state_ == ConnectionState::closed) return;
-        alive->write_pending();
-        alive->shut_down_sending();
+    // From the loop: this may have been called from within a handler.
+    run_soon([this] {
+        if (state_ == ConnectionState::closed) return;
+        write_pending();
+        shut_down_sending();
     });
-    watch(true, wants_writes_);
+    watch({.readable = true, .writable = wanted_.writable});
 }
 
 void Connection::shut_down_sending() {
-    if (!lingering_ || sending_shut_down_ || failed_ || !output_.empty()) return;
-    sending_shut_down_ = true;
-    ::shutdown(socket_.impl()->sockfd(), SHUT_WR);
+    if (!lingering() || write_state_ != WriteState::open || !output_.empty()) return;
+    write_state_ = WriteState::shut_down;
+    ::shutdown(descriptor(), SHUT_WR);
 }
 
-bool Connection::peer_closed() const {
+void Connection::on_broken() {
+    if (state_ == ConnectionState::closed) return;
+    close();
+    on_closed();
+}
+
+Connection::PeekResult Connection::peek() const {
     char byte = 0;
-    if (state_ != ConnectionState::open) return false;
-    const ssize_t n = ::recv(socket_.impl()->sockfd(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    return n == 0 || (n < 0 && !would_block() && !out_of_memory());
+    const ssize_t n = ::recv(descriptor(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+    if (n > 0) return PeekResult::data;
+    if (n == 0) return PeekResult::ended;
+    if (errno == EINTR || out_of_memory()) return PeekResult::unknown;
+    return would_block() ? PeekResult::nothing : PeekResult::ended;
+}
+
+bool Connection::peer_closed() const {
+    return state_ == ConnectionState::open && peek() == PeekResult::ended;
 }
 
 bool Connection::has_unread_data() const {
-    char byte = 0;
     if (state_ != ConnectionState::open) return false;
-    const ssize_t n = ::recv(socket_.impl()->sockfd(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    // Where the system could not say, there may be some.
-    return n > 0 || (n < 0 && (errno == EINTR || out_of_memory()));
+    const PeekResult result = peek();
+    return result == PeekResult::data || result == PeekResult::unknown;
 }
 
+// --- watching --------------------------------------------------------------------------------------------
+
 void Connection::set_reading(bool wanted) {
-    if (reading_ == wanted || lingering_) return;
-    reading_ = wanted;
-    if (state_ == ConnectionState::open) watch(wanted, wants_writes_);
+    const ReadState mode = wanted ? ReadState::deliver : ReadState::pause;
+    if (read_state_ == mode || lingering()) return;
+    read_state_ = mode;
+    if (state_ == ConnectionState::open) watch({.readable = wanted, .writable = wanted_.writable});
 }
 
-// POCO 1.11 narrows what it polls a socket for only when the socket's last handler goes (seen in a trace:
-// with a handler left, the poll goes on asking for room and the loop spins). So the last one always goes
-// first. Errors wake either handler: the kernel reports them unasked.
-void Connection::watch(bool for_bytes, bool for_room) {
-    wants_reads_ = for_bytes;
-    wants_writes_ = for_room;
+void Connection::watch(Events wanted) {
+    wanted_ = wanted;
     update_watch();
 }
 
+// Guards against a loop that spins: POCO 1.11 narrows what it polls a socket for only when the socket's last
+// handler goes, so both are removed and the one that stays is added again. Errors wake either handler.
 void Connection::update_watch() {
-    const bool bytes_wanted = wants_reads_ && !read_pause_.pending();
-    const bool room_wanted = wants_writes_ && !write_pause_.pending();
-    const Poco::NObserver<Connection, ReadableNotification> bytes(*this, &Connection::on_readable);
-    const Poco::NObserver<Connection, WritableNotification> room(*this, &Connection::on_writable);
-    if ((watching_reads_ && !bytes_wanted) || (watching_writes_ && !room_wanted)) {
-        if (watching_reads_) remove_handler(bytes);
-        if (watching_writes_) remove_handler(room);
-        watching_reads_ = watching_writes_ = false;
+    const Events wanted{.readable = wanted_.readable && !read_pause_.pending(),
+                        .writable = wanted_.writable && !write_pause_.pending()};
+    const Poco::NObserver<Connection, ReadableNotification> readable(*this, &Connection::on_readable);
+    const Poco::NObserver<Connection, WritableNotification> writable(*this, &Connection::on_writable);
+    if ((watched_.readable && !wanted.readable) || (watched_.writable && !wanted.writable)) {
+        if (watched_.readable) remove_handler(readable);
+        if (watched_.writable) remove_handler(writable);
+        watched_ = {};
     }
-    if (bytes_wanted && !watching_reads_) watching_reads_ = add_handler(bytes);
-    if (room_wanted && !watching_writes_) watching_writes_ = add_handler(room);
-    if (watching_reads_ != bytes_wanted || watching_writes_ != room_wanted) retry_watch_later();
+    if (wanted.readable && !watched_.readable) watched_.readable = add_handler(readable);
+    if (wanted.writable && !watched_.writable) watched_.writable = add_handler(writable);
+    if (watched_ != wanted) retry_watch_later();
 }
 
 // False: the system had no memory for it.
@@ -178,7 +208,7 @@
     try {
         loop_.removeEventHandler(socket_, observer);
     } catch (const Poco::Exception&) {
-        // The system did not know of it.
+        // The system was not watching it.
     }
 }
 
@@ -187,7 +217,8 @@
     rewatch_timer_ = ScopedTimer(loop_, loop_.now() + memory_pause, [this] { update_watch(); });
 }
 
-// Guards the loop against turns that do nothing but fail again.
+// Guards against a loop that spins while the system is short of memory: the socket stays readable, and each
+// read fails again.
 void Connection::pause_reading() {
     if (read_pause_.pending()) return;
     read_pause_ = ScopedTimer(loop_, loop_.now() + memory_pause, [this] { update_watch(); });
@@ -199,13 +230,8 @@
     write_pause_ = ScopedTimer(loop_, loop_.now() + memory_pause, [this] { update_watch(); });
 }
 
-void Connection::on_broken() {
-    if (state_ == ConnectionState::closed) return;
-    close();
-    on_closed();
-}
+// --- events ----------------------------------------------------------------------------------------------
 
-// Exceptions stop here: they end this connection and nothing else.
 template <class Step>
 void Connection::guarded(Step step) {
     const std::shared_ptr<Connection> alive = weak_from_this().lock();
@@ -213,60 +239,62 @@
     try {
         step();
     } catch (const std::exception& e) {
-        log::write(log::Level::info, std::string("a connection ends: ") + e.what());
+        log::event(log::Level::info, "connection_failed", {{"reason", e.what()}});
         on_broken();
     }
     loop_.run_due_timers();
 }
 
 void Connection::on_readable(const Poco::AutoPtr<ReadableNotification>&) {
-    guarded([&] {
+    guarded([this] {
         if (state_ == ConnectionState::connecting) return;
-        for (int i = 0; i < reads_a_turn && state_ == ConnectionState::open && reading_; ++i)
-            if (!(lingering_ ? discard_some() : read_some())) return;
+        for (int reads = 0; reads < max_reads_per_iteration; ++reads) {
+            if (state_ != ConnectionState::open || read_state_ == ReadState::pause) return;
+            const bool may_have_more = lingering() ? discard_some() : read_some();
+            if (!may_have_more) return;
+        }
     });
 }
 
-// False when there is no more for now.
+Connection::Received Connection::receive(std::span<char> room) {
+    const ssize_t n = ::recv(descriptor(), room.data(), room.size(), 0);
+    if (n > 0) return {ReceiveStatus::received, static_cast<std::size_t>(n)};
+    if (n == 0) return {ReceiveStatus::ended};
+    if (would_block()) return {ReceiveStatus::none_yet};
+    if (!out_of_memory()) return {ReceiveStatus::ended};
+    pause_reading();
+    return {ReceiveStatus::none_yet};
+}
+
+// True: the system may hold more input.
 bool Connection::read_some() {
-    char* const room = input_.prepare(read_size);
-    const std::size_t most = input_.free_room();
-    const ssize_t n = ::recv(socket_.impl()->sockfd(), room, most, 0);
-    if (n < 0 && would_block()) return false;
-    if (n < 0 && out_of_memory()) return pause_reading(), false;
-    if (n <= 0) {
-        on_broken();
-        return false;
-    }
-    input_.commit(static_cast<std::size_t>(n));
+    char* const first = input_.prepare(min_read_bytes);
+    const std::span<char> room(first, input_.free_room());
+    const Received received = receive(room);
+    if (received.status == ReceiveStatus::ended) on_broken();
+    if (received.status != ReceiveStatus::received) return false;
+    input_.commit(received.bytes);
     on_data();
-    return static_cast<std::size_t>(n) == most;
+    return received.bytes == room.size();
 }
 
+// True: the system may hold more input.
 bool Connection::discard_some() {
-    char away[read_size];
-    const ssize_t n = ::recv(socket_.impl()->sockfd(), away, sizeof away, 0);
-    if (n < 0 && would_block()) return false;
-    if (n < 0 && out_of_memory()) return pause_reading(), false;
-    if (n > 0) discarded_ += static_cast<std::size_t>(n);
-    if (n <= 0 || discarded_ > most_discarded) {
+    std::array<char, min_read_bytes> discarded{};
+    const Received received = receive(discarded);
+    discarded_bytes_ += received.bytes;
+    if (received.status == ReceiveStatus::ended || discarded_bytes_ > max_discarded_bytes) {
         on_broken();
         return false;
     }
-    return static_cast<std::size_t>(n) == sizeof away;
+    return received.status == ReceiveStatus::received && received.bytes == discarded.size();
 }
 
 void Connection::on_writable(const Poco::AutoPtr<WritableNotification>&) {
-    guarded([&] {
-        if (state_ == ConnectionState::connecting) {
-            const int error = socket_.impl()->socketError();
-            reset_ = error == ECONNRESET || error == EPIPE;
-            if (error != 0 || !is_connected()) return on_broken();
-            state_ = ConnectionState::open;
-            watch(reading_, false);
-            on_open();
-        }
-        if (!lingering_) return on_write_ready();
+    guarded([this] {
+        if (state_ == ConnectionState::connecting) finish_connecting();
+        if (state_ != ConnectionState::open) return;
+        if (!lingering()) return on_write_ready();
         write_pending();
         shut_down_sending();
     });
@@ -275,13 +303,12 @@
 void Connection::schedule_write() {
     if (write_scheduled_ || state_ == ConnectionState::closed) return;
     write_scheduled_ = true;
-    loop_.run_next_iteration([self = weak_from_this()] {
+    loop_.run_next_iteration([this, self = weak_from_this()] {
         const auto alive = self.lock();
         if (!alive) return;
-        alive->write_scheduled_ = false;
-        // While the socket is full the loop tells when it has room again.
-        if (alive->state_ == ConnectionState::open && !alive->wants_writes_ && !alive->lingering_)
-            alive->on_write_ready();
+        write_scheduled_ = false;
+        // While the socket is full, on_writable() follows once it has room again.
+        if (state_ == ConnectionState::open && !wanted_.writable && !lingering()) on_write_ready();
     });
 }
 
@@ -289,25 +316,25 @@
     if (!writable()) return;
     while (!output_.empty()) {
         const std::string_view bytes = output_.view();
-        const ssize_t n = ::send(socket_.impl()->sockfd(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
+        const ssize_t n = ::send(descriptor(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
         if (n < 0 && would_block()) break;
         if (n < 0 && out_of_memory()) {
             pause_writing();
             break;
         }
-        if (n < 0) {
-            // The caller may be anywhere: the end is told from the loop. Until then nothing more is written:
-            // who writes as long as there is something to say would never come to an end.
-            failed_ = true;
-            loop_.schedule_now([self = weak_from_this()] {
-                if (const auto alive = self.lock()) alive->on_broken();
-            });
-            return watch(reading_, false);
-        }
+        if (n < 0) return on_write_failed();
         output_.consumed(static_cast<std::size_t>(n));
         bytes_written_ += static_cast<std::uint64_t>(n);
     }
-    watch(reading_, !output_.empty());
+    watch({.readable = read_state_ != ReadState::pause, .writable = !output_.empty()});
+}
+
+// The end is reported from the loop, as this may have been called from within a handler. Until then nothing
+// more is written: a caller that writes as long as there is output would not come to an end.
+void Connection::on_write_failed() {
+    write_state_ = WriteState::failed;
+    run_soon([this] { on_broken(); });
+    watch({.readable = read_state_ != ReadState::pause, .writable = false});
 }
 
 }  // namespace irismux
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -1,5 +1,5 @@
-// One connection on the loop: bytes in, bytes out, and its end. What the bytes mean is for those that derive
-// from it.
+// One connection on the event loop: bytes in, bytes out, and its end. Derived classes give the bytes a
+// meaning.
 #pragma once
 
 #include <Poco/Net/SocketAddress.h>
@@ -8,6 +8,8 @@
 
 #include <cstdint>
 #include <memory>
+#include <span>
+#include <utility>
 
 #include "codec/buffer.hpp"
 #include "net/event_loop.hpp"
@@ -16,64 +18,93 @@
 
 enum class ConnectionState { connecting, open, closed };
 
+/// Owned by shared_ptr. An exception in a handler closes its connection and nothing else.
 class Connection : public std::enable_shared_from_this<Connection> {
 public:
     virtual ~Connection();
     Connection(const Connection&) = delete;
     Connection& operator=(const Connection&) = delete;
 
-    ConnectionState state() const { return state_; }
-    // Open, and no write has failed; the end of one that has is told in the next turn.
-    bool writable() const { return state_ == ConnectionState::open && !failed_; }
-    // Closes at once; what waits to be written is lost, and so is what the other side has yet to read if
-    // bytes of its own lie unread here: the system resets such a connection. Tells nobody.
+    [[nodiscard]] ConnectionState state() const { return state_; }
+    /// Open, and no write has failed. After a failed write on_closed() follows in the next iteration.
+    [[nodiscard]] bool writable() const {
+        return state_ == ConnectionState::open && write_state_ != WriteState::failed;
+    }
+    /// Closes at once, without on_closed(). Output that waits is lost; if input lies unread the system resets
+    /// the connection, and the peer may lose output that it has not read.
     void close();
-    // Closes as a conversation: what waits is written, the own direction ends, and what still comes is read
-    // and discarded until the other side ends too, or to a bound. on_bytes() is not called any more; on_end()
-    // is, in the end.
-    void linger(Duration most);
-    bool lingering() const { return lingering_; }
-    // Whether the other side has ended or reset it, though the loop has not told yet.
-    bool peer_closed() const;
-    // Whether bytes wait to be read.
-    bool has_unread_data() const;
+    /// Closes gracefully: output that waits is written, sending ends, and input is discarded until the peer
+    /// closes too, for at most `timeout`. on_data() is not called any more; on_closed() is, at the end.
+    void linger(Duration timeout);
+    [[nodiscard]] bool lingering() const { return read_state_ == ReadState::discard; }
+    /// Whether the peer has closed or reset the connection, also if on_closed() has not been called yet.
+    [[nodiscard]] bool peer_closed() const;
+    /// Whether the system holds input, or can't say.
+    [[nodiscard]] bool has_unread_data() const;
 
 protected:
-    Connection(EventLoop& loop, Poco::Net::StreamSocket socket, ConnectionState state);
+    Connection(EventLoop& loop, const Poco::Net::StreamSocket& socket, ConnectionState state);
 
-    // From here on the loop tells this connection what happens.
+    /// From here on the handlers below are called.
     void register_handlers();
-    // How an attempt to connect began, or why it did not: for want of something of ours (a descriptor, a
-    // port, memory), or because the system knows no way there.
-    enum class ConnectResult { started, short_of_resources, unreachable };
-    ConnectResult connect(const Poco::Net::SocketAddress& to);
+    enum class ConnectResult {
+        started,             ///< on_open() or on_closed() follows
+        short_of_resources,  ///< no descriptor, port or memory was left
+        unreachable          ///< there is no route
+    };
+    [[nodiscard]] ConnectResult connect(const Poco::Net::SocketAddress& address);
 
     virtual void on_open() {}
+    /// input_ has grown.
     virtual void on_data() = 0;
-    // The socket can be written to: the time to say more. What it did not take is still in out_.
+    /// The socket has room. What it did not take is still in output_.
     virtual void on_write_ready() { write_pending(); }
-    virtual void on_closed() = 0;  // broken or ended by the other side; never called within send_out()
-    // Whether an attempt to connect ended with a reset: then somebody had taken it.
-    bool was_reset() const { return reset_; }
+    /// The peer has closed, or the connection has failed. Never called from within write_pending().
+    virtual void on_closed() = 0;
+    /// Whether connecting failed by a reset: the peer had accepted the connection.
+    [[nodiscard]] bool was_reset() const { return reset_while_connecting_; }
 
-    // Has on_room() called before the loop waits again.
+    /// Has on_write_ready() called before the loop waits again.
     void schedule_write();
-    // Writes what waits, as far as the socket takes it.
+    /// Writes output_, as far as the socket takes it.
     void write_pending();
     void set_reading(bool wanted);
-    // What the system may hold of our output; the rest stays here.
+    /// Limits the output that the system holds; the rest waits in output_.
     void limit_send_buffer(int bytes);
-    std::uint64_t bytes_written() const { return bytes_written_; }  // bytes handed to the socket so far
+    /// Bytes that the socket has taken so far.
+    [[nodiscard]] std::uint64_t bytes_written() const { return bytes_written_; }
+
+    /// Runs `step` from the loop, after the handler that runs now, unless this object is destroyed by then.
+    template <class Step>
+    void run_soon(Step step) {
+        loop_.schedule_now([self = weak_from_this(), step = std::move(step)] {
+            if (const auto alive = self.lock()) step();
+        });
+    }
 
     EventLoop& loop_;
     Buffer input_, output_;
 
 private:
+    enum class ReadState { deliver, pause, discard };
+    enum class WriteState { open, failed, shut_down };
+    struct Events {
+        bool readable = false, writable = false;
+        bool operator==(const Events&) const = default;
+    };
+    enum class ReceiveStatus { received, none_yet, ended };
+    struct Received {
+        ReceiveStatus status;
+        std::size_t bytes = 0;
+    };
+    enum class PeekResult { data, nothing, unknown, ended };
+
     void on_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&);
     void on_writable(const Poco::AutoPtr<Poco::Net::WritableNotification>&);
+    void finish_connecting();
     template <class Step>
     void guarded(Step step);
-    void watch(bool for_bytes, bool for_room);
+    void watch(Events wanted);
     void update_watch();
     void retry_watch_later();
     template <class Observer>
@@ -82,27 +113,28 @@
     void remove_handler(const Observer& observer);
     void pause_reading();
     void pause_writing();
-    bool is_connected() const;
     void on_broken();
+    void on_write_failed();
+    Received receive(std::span<char> room);
     bool read_some();
     bool discard_some();
     void shut_down_sending();
+    [[nodiscard]] bool is_connected() const;
+    [[nodiscard]] PeekResult peek() const;
+    [[nodiscard]] int descriptor() const { return socket_.impl()->sockfd(); }
 
     Poco::Net::StreamSocket socket_;
     ConnectionState state_;
-    bool failed_ = false;  // a write has failed
-    bool reset_ = false;
-    bool reading_ = true;  // bytes are wanted
+    ReadState read_state_ = ReadState::deliver;
+    WriteState write_state_ = WriteState::open;
+    bool reset_while_connecting_ = false;
     bool write_scheduled_ = false;
-    bool lingering_ = false, sending_shut_down_ = false;  // shut: the own direction has ended
-    std::size_t discarded_ = 0;
-    bool wants_reads_ = false, wants_writes_ = false;        // what the loop is to watch for
-    bool watching_reads_ = false, watching_writes_ = false;  // what it watches for
+    Events wanted_, watched_;  // what the loop is to watch for, and what it watches for
+    std::size_t discarded_bytes_ = 0;
+    std::uint64_t bytes_written_ = 0;
     ScopedTimer linger_timer_;
-    // While one is pending the system is short of memory: the watch could not be set, nothing is read,
-    // nothing is written.
+    // Pending while the system is short of memory: the watch could not be set, or nothing is read or written.
     ScopedTimer rewatch_timer_, read_pause_, write_pause_;
-    std::uint64_t bytes_written_ = 0;
 };
 
 }  // namespace irismux
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -75,12 +75,12 @@
         : event_loop_(&loop), timer_(loop.schedule_at(due, std::move(callback))) {}
     ~ScopedTimer() { cancel(); }
     ScopedTimer(ScopedTimer&& other) noexcept
-        : event_loop_(std::exchange(other.event_loop_, nullptr)), timer_(other.timer_) {}
+        : event_loop_(std::exchange(other.event_loop_, nullptr)), timer_(std::move(other.timer_)) {}
     ScopedTimer& operator=(ScopedTimer&& other) noexcept {
         if (this == &other) return *this;
         cancel();
         event_loop_ = std::exchange(other.event_loop_, nullptr);
-        timer_ = other.timer_;
+        timer_ = std::move(other.timer_);
         return *this;
     }
     ScopedTimer(const ScopedTimer&) = delete;
