--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -133,7 +133,8 @@
         listen_timer_ = event_loop_.schedule_at(fleet_client_->serves_from(), [this] { start_listening(); });
         return;
     }
-    if (const auto why = server_.listen(Poco::Net::SocketAddress(listen_))) return retry_listening(*why);
+    const ListenResult result = server_.listen(Poco::Net::SocketAddress(listen_));
+    if (const auto* error = std::get_if<ListenError>(&result)) return retry_listening(error->message);
     log::write(log::Level::info, name_ + " serves on " + listen_);
 }
 
