--- /dev/null
+++ b/src/net/cache_connection.cpp
@@ -0,0 +1,373 @@
+#include "net/cache_connection.hpp"
+
+#include <Poco/Exception.h>
+
+#include <algorithm>
+
+#include "base/log.hpp"
+
+namespace irismux {
+namespace {
+
+// Attempts are written in batches of this size, so that little has to be taken back when the socket is full.
+constexpr std::size_t max_batch_bytes = 16'384;
+
+}  // namespace
+
+bool CacheConnectionContext::endpoints_active(const Attempt& attempt) const {
+    if (!endpoints.is_active(attempt.cache)) return false;
+    return !attempt.has_fill_source() || endpoints.is_active(attempt.plan->source);
+}
+
+CacheConnection::CacheConnection(CacheConnectionContext& context, const Endpoint& endpoint,
+                                 std::uint64_t number)
+    : Connection(context.event_loop, Poco::Net::StreamSocket(), ConnectionState::connecting),
+      context_(context),
+      number_(number),
+      cache_(endpoint.update.cache),
+      address_(endpoint.address),
+      process_started_at_(endpoint.update.started_at) {}
+
+// --- connecting and closing ------------------------------------------------------------------------------
+
+CacheConnection::ConnectResult CacheConnection::start() {
+    try {
+        const ConnectResult result = connect(Poco::Net::SocketAddress(address_));
+        if (result != ConnectResult::started) return result;
+    } catch (const Poco::Exception& e) {
+        log::event(log::Level::warning, "cache_address_invalid",
+                   {{"reason", e.displayText()}, {"cache", cache_.raw()}, {"address", address_}});
+        return ConnectResult::unreachable;
+    }
+    connect_or_idle_timer_ = ScopedTimer(loop_, loop_.now() + context_.limits.connect_timeout, [this] {
+        const auto alive = shared_from_this();
+        if (state() == ConnectionState::connecting) disconnect();
+    });
+    return ConnectResult::started;
+}
+
+void CacheConnection::on_open() {
+    was_connected_ = true;
+    connect_or_idle_timer_.cancel();
+    // Whoever asked for a health check may not want it any more, and the cache may have left the list.
+    for (const auto& [tag, still_wanted] : std::exchange(deferred_health_checks_, {})) {
+        if (still_wanted() && context_.endpoints.is_active(cache_))
+            cache_protocol::write_health_check(output_, tag);
+        else
+            health_checks_.erase(tag);
+    }
+    start_idle_timer();
+}
+
+void CacheConnection::disconnect() {
+    if (state() == ConnectionState::closed) return;
+    was_connected_ = state() == ConnectionState::open;
+    close();
+    on_closed();
+}
+
+void CacheConnection::on_closed() {
+    const auto alive = shared_from_this();
+    connect_or_idle_timer_.cancel();
+    partial_response_timer_.cancel();
+    // A reset while connecting shows that somebody had accepted: the cache is not dead.
+    was_connected_ = was_connected_ || was_reset();
+    if (was_connected_) {
+        const auto id = cache_protocol::find_partial_response(input_.view());
+        if (const auto it = id ? in_flight_.find(*id) : in_flight_.end(); it != in_flight_.end())
+            it->second.attempt().progress = TransmitProgress::response_begun;
+    }
+    context_.owner.on_connection_lost(*this);
+    const Outcome health = was_connected_ ? Outcome::connection_reset : Outcome::connection_refused;
+    for (const auto& [tag, begun_at] : std::exchange(health_checks_, {}))
+        context_.observer.on_health_check_result({cache_, health, loop_.now() - begun_at});
+    const auto in_flight = std::exchange(in_flight_, {});
+    const auto queued = std::exchange(queued_, {});
+    for (const auto& [id, carried] : in_flight) end_in_flight(carried);
+    for (const CarriedAttempt& carried : queued) restart_or_end(carried);
+}
+
+void CacheConnection::end_in_flight(const CarriedAttempt& carried) {
+    if (carried.attempt().progress < TransmitProgress::fully_written) return restart_or_end(carried);
+    carried.request->delay_reuse_until(loop_.now() + context_.limits.reuse_delay);
+    end_attempt(carried, Outcome::connection_reset);
+}
+
+// An attempt that never came whole to its cache has not run. If no connection came up, the cache is refused;
+// if one broke, another attempt to connect shows whether the cache lives; a cache that accepts connections
+// and breaks two in a row is overloaded, not dead.
+void CacheConnection::restart_or_end(const CarriedAttempt& carried) {
+    if (!was_connected_) return end_attempt(carried, Outcome::connection_refused);
+    if (carried.request->answered()) return end_attempt(carried, Outcome::cancelled);
+    Attempt& attempt = carried.attempt();
+    if (attempt.retried_on_new_connection) return end_attempt(carried, Outcome::overloaded);
+    attempt.retried_on_new_connection = true;
+    attempt.progress = TransmitProgress::not_connected;
+    context_.owner.restart_attempt(*carried.request, carried.index);
+}
+
+void CacheConnection::end_attempt(const CarriedAttempt& carried, Outcome outcome) {
+    context_.observer.on_attempt_ended(*carried.request, carried.index, {.outcome = outcome});
+}
+
+void CacheConnection::close_for(std::string_view reason) {
+    log::event(log::Level::warning, "cache_connection_closed",
+               {{"reason", reason},
+                {"cache", cache_.raw()},
+                {"connection", number_},
+                {"attempts", in_flight_.size()}});
+    disconnect();
+}
+
+void CacheConnection::start_idle_timer() {
+    if (load() > 0 || state() != ConnectionState::open) return;
+    if (!needed()) {
+        connect_or_idle_timer_.cancel();
+        run_soon([this] {
+            if (load() == 0) disconnect();
+        });
+        return;
+    }
+    connect_or_idle_timer_ = ScopedTimer(loop_, loop_.now() + context_.limits.idle_timeout, [this] {
+        const auto alive = shared_from_this();
+        if (load() == 0) disconnect();
+    });
+}
+
+// --- which attempts it may carry -------------------------------------------------------------------------
+
+bool CacheConnection::leads_to(const Endpoint& endpoint) const {
+    return address_ == endpoint.address && process_started_at_ == endpoint.update.started_at;
+}
+
+bool CacheConnection::leads_to_listed_process() const {
+    const Endpoint* const endpoint = context_.endpoints.find(cache_);
+    return !endpoint || leads_to(*endpoint);
+}
+
+bool CacheConnection::needed() const {
+    return context_.endpoints.is_active(cache_) && leads_to_listed_process();
+}
+
+bool CacheConnection::may_confuse(const ActiveRequest& request) const {
+    return request_ids_.used_by_another(request.client_request_id(), request.id(), loop_.now());
+}
+
+// --- attempts out ----------------------------------------------------------------------------------------
+
+void CacheConnection::enqueue(std::shared_ptr<ActiveRequest> request, std::size_t attempt) {
+    request->attempt(attempt).connection = number_;
+    request_ids_.add(request->client_request_id(), request->id(),
+                     request->deadline() + context_.limits.late_response_window, loop_.now());
+    queued_.push_back({.request = std::move(request), .index = attempt});
+    schedule_write();
+}
+
+void CacheConnection::move_queued_to(CacheConnection& other) {
+    for (CarriedAttempt& carried : std::exchange(queued_, {})) {
+        if (other.may_confuse(*carried.request))
+            queued_.push_back(std::move(carried));
+        else
+            other.enqueue(std::move(carried.request), carried.index);
+    }
+}
+
+void CacheConnection::cancel(const ActiveRequest& request, std::size_t attempt) {
+    const auto is_it = [&](const CarriedAttempt& carried) { return carried.is(request, attempt); };
+    const auto queued = std::find_if(queued_.begin(), queued_.end(), is_it);
+    const auto in_flight = in_flight_.find(request.client_request_id());
+    if (queued != queued_.end())
+        queued_.erase(queued);
+    else if (in_flight != in_flight_.end() && is_it(in_flight->second))
+        cancel_in_flight(in_flight);
+    start_idle_timer();
+}
+
+void CacheConnection::cancel_in_flight(InFlight::iterator it) {
+    // Destroyed last: nothing else may hold the request.
+    const CarriedAttempt cancelled = std::move(it->second);
+    in_flight_.erase(it);
+    cache_protocol::write_cancellation(output_, cancelled.request->client_request_id());
+    write_pending();
+    update_progress();
+    // Guards against two attempts of a request that run at once: the next one waits until the cancellation
+    // has been written. A cache that takes no input learns of it by the end of its connection.
+    if (!output_.empty() && writable()) run_soon([this] { disconnect(); });
+    cancelled.request->delay_reuse_until(loop_.now() + context_.limits.reuse_delay);
+}
+
+// Attempts are written only when their first byte can go out, and are judged by what is known then. What the
+// socket does not take is queued again, but for the one that it has taken a part of.
+void CacheConnection::on_write_ready() {
+    // Guards attempts against an idle connection that the cache has just closed: what was never written to it
+    // can go elsewhere, what was written may have run.
+    if (!queued_.empty() && output_.empty() && peer_closed()) return disconnect();
+    write_pending();
+    update_progress();
+    while (output_.empty() && writable() && write_queued()) {
+        write_pending();
+        update_progress();
+    }
+}
+
+// True: there is output.
+bool CacheConnection::write_queued() {
+    while (!queued_.empty() && in_flight_.size() < context_.limits.streams &&
+           output_.size() < max_batch_bytes) {
+        CarriedAttempt carried = std::move(queued_.front());
+        queued_.pop_front();
+        // The list may name another address or process by now.
+        if (!leads_to_listed_process())
+            restart_or_end(carried);
+        else if (!context_.endpoints_active(carried.attempt()) ||
+                 !context_.observer.may_begin_attempt(*carried.request, carried.index))
+            end_attempt(carried, Outcome::overloaded);
+        else
+            write_attempt(std::move(carried));
+    }
+    return !output_.empty();
+}
+
+void CacheConnection::write_attempt(CarriedAttempt carried) {
+    const ClientRequest& request = carried.request->client_request();
+    const ClientRequestId id = request.client_request_id;
+    carried.attempt().progress = TransmitProgress::not_written;
+    const std::uint64_t begin = bytes_written() + output_.size();
+    cache_protocol::write_attempt(output_, request, options_for(carried));
+    carried.sequence = ++last_sequence_;
+    unwritten_.push_back(
+        {.id = id, .sequence = carried.sequence, .begin = begin, .end = bytes_written() + output_.size()});
+    in_flight_[id] = std::move(carried);
+}
+
+cache_protocol::AttemptOptions CacheConnection::options_for(const CarriedAttempt& carried) const {
+    const ActiveRequest& request = *carried.request;
+    const Attempt& attempt = carried.attempt();
+    const TimePoint now = loop_.now();
+    cache_protocol::AttemptOptions options;
+    options.timeout = request.deadline() - now;
+    if (attempt.plan) {
+        options.plan = &*attempt.plan;
+        options.max_age = attempt.plan->max_age;
+        if (attempt.plan->timeout > Duration{})
+            options.timeout = std::min(options.timeout, attempt.decided_at + attempt.plan->timeout - now);
+    }
+    // Purges since the attempt was decided count too.
+    const auto purge_bound = context_.endpoints.max_age_after_purges(request.client_request().request, now);
+    if (purge_bound && (options.max_age <= Duration{} || *purge_bound < options.max_age))
+        options.max_age = *purge_bound;
+    return options;
+}
+
+// --- how far attempts have been written ------------------------------------------------------------------
+
+// The attempt that was written at `range`, if it is still the one in flight under its id.
+CacheConnection::CarriedAttempt* CacheConnection::find_in_flight(const WriteRange& range) {
+    const auto it = in_flight_.find(range.id);
+    return it != in_flight_.end() && it->second.sequence == range.sequence ? &it->second : nullptr;
+}
+
+void CacheConnection::record_progress(const WriteRange& range, TransmitProgress progress) {
+    if (CarriedAttempt* const carried = find_in_flight(range))
+        carried->attempt().progress = std::max(carried->attempt().progress, progress);
+}
+
+void CacheConnection::update_progress() {
+    while (!unwritten_.empty() && unwritten_.front().end <= bytes_written()) {
+        record_progress(unwritten_.front(), TransmitProgress::fully_written);
+        unwritten_.pop_front();
+    }
+    while (!unwritten_.empty() && unwritten_.back().begin >= bytes_written()) take_back_last_written();
+    if (!unwritten_.empty()) record_progress(unwritten_.front(), TransmitProgress::partially_written);
+}
+
+// The socket has taken nothing of it: it is queued again.
+void CacheConnection::take_back_last_written() {
+    const WriteRange range = std::move(unwritten_.back());
+    unwritten_.pop_back();
+    output_.consume(range.end - range.begin);
+    CarriedAttempt* const carried = find_in_flight(range);
+    if (!carried) return;
+    carried->attempt().progress = TransmitProgress::not_connected;
+    carried->sequence = 0;
+    queued_.push_front(std::move(*carried));
+    in_flight_.erase(range.id);
+}
+
+// --- responses in ----------------------------------------------------------------------------------------
+
+void CacheConnection::on_data() {
+    const auto alive = shared_from_this();
+    cache_protocol::Message message;
+    std::size_t used = 0;
+    while (state() == ConnectionState::open) {
+        const ParseStatus status = cache_protocol::parse_message(input_.view(), message, used);
+        if (status == ParseStatus::incomplete) return limit_partial_response();
+        if (status == ParseStatus::invalid || !on_message(message)) return close_for("invalid_response");
+        if (state() == ConnectionState::open) input_.consumed(used);
+    }
+}
+
+// Guards attempts that share the connection: their responses would wait behind one that stopped short.
+void CacheConnection::limit_partial_response() {
+    partial_response_timer_.cancel();
+    if (input_.empty()) return;
+    partial_response_timer_ = ScopedTimer(loop_, loop_.now() + context_.limits.connect_timeout, [this] {
+        const auto alive = shared_from_this();
+        if (state() == ConnectionState::open) close_for("incomplete_response");
+    });
+}
+
+// False: the message is not valid.
+bool CacheConnection::on_message(const cache_protocol::Message& message) {
+    const std::string id(message.id);
+    if (health_checks_.contains(id)) {
+        on_health_check_reply(id, message);
+        return true;
+    }
+    const auto it = in_flight_.find(ClientRequestId{id});
+    // Cancelled meanwhile, or never sent; one that is not written whole can't have a response either.
+    if (it == in_flight_.end()) return true;
+    if (it->second.attempt().progress < TransmitProgress::fully_written) return true;
+    return on_response(it, message);
+}
+
+bool CacheConnection::on_response(InFlight::iterator it, const cache_protocol::Message& message) {
+    const CarriedAttempt carried = it->second;
+    const auto end = cache_protocol::parse_response(message, carried.request->client_request());
+    if (!end) return false;
+    in_flight_.erase(it);
+    // A response that comes twice does so within moments, so the id is free sooner than at the deadline.
+    const TimePoint now = loop_.now();
+    request_ids_.add(carried.request->client_request_id(), carried.request->id(),
+                     now + context_.limits.late_response_window, now);
+    context_.observer.on_attempt_ended(*carried.request, carried.index, *end);
+    if (state() != ConnectionState::open) return true;
+    context_.owner.on_response_received(*this);
+    if (!queued_.empty()) schedule_write();
+    start_idle_timer();
+    return true;
+}
+
+// --- health checks ---------------------------------------------------------------------------------------
+
+void CacheConnection::start_health_check(const std::string& tag, StillWanted still_wanted) {
+    health_checks_[tag] = loop_.now();
+    if (state() == ConnectionState::connecting) {
+        deferred_health_checks_.emplace_back(tag, std::move(still_wanted));
+        return;
+    }
+    cache_protocol::write_health_check(output_, tag);
+    schedule_write();
+}
+
+void CacheConnection::on_health_check_reply(const std::string& tag, const cache_protocol::Message& message) {
+    const auto it = health_checks_.find(tag);
+    const Duration elapsed = loop_.now() - it->second;
+    health_checks_.erase(it);
+    const Outcome outcome = cache_protocol::is_healthy(message) ? Outcome::completed : Outcome::errored;
+    context_.observer.on_health_check_result({cache_, outcome, elapsed});
+    start_idle_timer();
+}
+
+}  // namespace irismux
--- /dev/null
+++ b/src/net/cache_connection.hpp
@@ -0,0 +1,159 @@
+// One connection to one process of a cache: the attempts that wait for it, those in flight on it, and health
+// checks.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <deque>
+#include <functional>
+#include <map>
+#include <memory>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+#include "codec/cache_protocol.hpp"
+#include "endpoint/endpoint_table.hpp"
+#include "net/attempt_observer.hpp"
+#include "net/connection.hpp"
+#include "net/in_flight_request_ids.hpp"
+#include "request/active_request.hpp"
+
+namespace irismux {
+
+struct CacheConnectionLimits {
+    std::size_t connections = 0;  ///< to all caches together
+    std::size_t streams = 1;      ///< attempts in flight on one connection
+    Duration connect_timeout;     ///< also for the rest of a response that has begun
+    Duration idle_timeout;        ///< a connection that carries nothing is closed after this
+    /// Between the end of an attempt that its cache may notice late and the request's next attempt.
+    Duration reuse_delay;
+    /// How long after its response, or after its request's deadline, an attempt may get another response.
+    Duration late_response_window;
+};
+
+/// Whether a health check that had to wait for its connection is still to be sent.
+using StillWanted = std::function<bool()>;
+
+class CacheConnection;
+
+/// What connections need of the pool that owns them.
+class CacheConnectionOwner {
+public:
+    virtual ~CacheConnectionOwner() = default;
+    /// The connection broke before the attempt was written whole: it gets another one.
+    virtual void restart_attempt(ActiveRequest&, std::size_t attempt) = 0;
+    /// A response has come: the cache lives.
+    virtual void on_response_received(CacheConnection&) = 0;
+    virtual void on_connection_lost(CacheConnection&) = 0;
+};
+
+/// What the connections of a pool share. Owned by the pool; must outlive them.
+struct CacheConnectionContext {
+    EventLoop& event_loop;
+    EndpointTable& endpoints;
+    AttemptObserver& observer;
+    CacheConnectionOwner& owner;
+    CacheConnectionLimits limits;
+
+    /// Whether the endpoint list lets the attempt go to its cache and its fill source.
+    [[nodiscard]] bool endpoints_active(const Attempt& attempt) const;
+};
+
+class CacheConnection final : public Connection {
+public:
+    using Connection::ConnectResult;
+
+    /// @param number the connection's, never given twice.
+    CacheConnection(CacheConnectionContext& context, const Endpoint& endpoint, std::uint64_t number);
+
+    [[nodiscard]] ConnectResult start();
+    /// Closes at once; what it carried ends as after a break.
+    void disconnect();
+
+    [[nodiscard]] const CacheId& cache() const { return cache_; }
+    [[nodiscard]] std::uint64_t number() const { return number_; }
+    /// Attempts that wait for it or are in flight.
+    [[nodiscard]] std::size_t load() const { return in_flight_.size() + queued_.size(); }
+    /// Whether a write has failed; on_closed() follows.
+    [[nodiscard]] bool write_failed() const { return state() == ConnectionState::open && !writable(); }
+    /// Whether it leads to the process that `endpoint` names: a cache may come back elsewhere, or as a new
+    /// process, under the same id.
+    [[nodiscard]] bool leads_to(const Endpoint& endpoint) const;
+    /// Whether attempts may use it, now or later.
+    [[nodiscard]] bool needed() const;
+    /// Whether a late response to another request could be taken for one to this request.
+    [[nodiscard]] bool may_confuse(const ActiveRequest& request) const;
+
+    /// Queues an attempt and keeps its request alive until it has ended.
+    void enqueue(std::shared_ptr<ActiveRequest> request, std::size_t attempt);
+    /// Takes an attempt back, or tells the cache if it may have arrived there. It is not reported.
+    void cancel(const ActiveRequest& request, std::size_t attempt);
+    /// Queued attempts move to `other`, but for those that it may confuse.
+    void move_queued_to(CacheConnection& other);
+    /// @param tag unique among health checks.
+    void start_health_check(const std::string& tag, StillWanted still_wanted);
+
+protected:
+    void on_open() override;
+    void on_data() override;
+    void on_write_ready() override;
+    void on_closed() override;
+
+private:
+    struct CarriedAttempt {
+        std::shared_ptr<ActiveRequest> request;
+        std::size_t index = 0;
+        std::uint64_t sequence = 0;  // among those written to this connection; zero: it is queued
+
+        Attempt& attempt() const { return request->attempt(index); }
+        bool is(const ActiveRequest& other, std::size_t other_index) const {
+            return request.get() == &other && index == other_index;
+        }
+    };
+    using InFlight = std::map<ClientRequestId, CarriedAttempt>;  // by the id that their responses bear
+    // Where an attempt stands among all bytes written to the connection.
+    struct WriteRange {
+        ClientRequestId id;
+        std::uint64_t sequence = 0;
+        std::uint64_t begin = 0, end = 0;
+    };
+
+    [[nodiscard]] bool leads_to_listed_process() const;
+    void cancel_in_flight(InFlight::iterator it);
+    bool write_queued();
+    void write_attempt(CarriedAttempt carried);
+    [[nodiscard]] cache_protocol::AttemptOptions options_for(const CarriedAttempt& carried) const;
+    [[nodiscard]] CarriedAttempt* find_in_flight(const WriteRange& range);
+    void record_progress(const WriteRange& range, TransmitProgress progress);
+    void update_progress();
+    void take_back_last_written();
+    void end_attempt(const CarriedAttempt& carried, Outcome outcome);
+    void end_in_flight(const CarriedAttempt& carried);
+    void restart_or_end(const CarriedAttempt& carried);
+    [[nodiscard]] bool on_message(const cache_protocol::Message& message);
+    [[nodiscard]] bool on_response(InFlight::iterator it, const cache_protocol::Message& message);
+    void on_health_check_reply(const std::string& tag, const cache_protocol::Message& message);
+    void close_for(std::string_view reason);
+    void limit_partial_response();
+    void start_idle_timer();
+
+    CacheConnectionContext& context_;
+    std::uint64_t number_;
+    CacheId cache_;
+    std::string address_;
+    TimePoint process_started_at_;  // as the endpoint list had it
+    bool was_connected_ = false;
+    std::deque<CarriedAttempt> queued_;
+    InFlight in_flight_;
+    InFlightRequestIds request_ids_;
+    std::uint64_t last_sequence_ = 0;
+    std::deque<WriteRange> unwritten_;                // attempts that the socket has not taken whole
+    std::map<std::string, TimePoint> health_checks_;  // begun at, by tag
+    std::vector<std::pair<std::string, StillWanted>> deferred_health_checks_;  // wait for the connection
+    ScopedTimer connect_or_idle_timer_;
+    ScopedTimer partial_response_timer_;
+};
+
+}  // namespace irismux
--- a/src/net/cache_connection_pool.hpp
+++ b/src/net/cache_connection_pool.hpp
@@ -1,93 +1,93 @@
-// The client side: sends to caches, in RESP. Knows nothing of web servers.
+// Connections to all caches: which connection an attempt goes out on, and attempts that wait for one.
 #pragma once
 
 #include <cstddef>
 #include <cstdint>
-#include <functional>
 #include <map>
-#include <string>
+#include <memory>
+#include <utility>
+#include <vector>
 
 #include "endpoint/endpoint_table.hpp"
+#include "net/attempt_observer.hpp"
+#include "net/cache_connection.hpp"
 #include "net/event_loop.hpp"
 #include "request/active_request.hpp"
 
 namespace irismux {
 
-struct HealthCheckResult {
-    CacheId cache;
-    Outcome outcome = Outcome::completed;
-    Duration elapsed;
-};
-
-// Who hears how sends and probes end.
-class AttemptObserver {
+class CacheConnectionPool final : private CacheConnectionOwner {
 public:
-    virtual ~AttemptObserver() = default;
-    virtual void on_attempt_ended(ActiveRequest&, std::size_t n, const AttemptEnd&) = 0;
-    virtual void on_health_check_result(const HealthCheckResult&) = 0;
-    // Asked right before its first byte: whether it may still go.
-    virtual bool may_begin_attempt(ActiveRequest&, std::size_t n) = 0;
-    // It did not begin: each connection that may carry it has carried its request's name for another lookup.
-    virtual void on_request_id_in_use(ActiveRequest&, std::size_t n) = 0;
-};
+    /// @param endpoints holds the connections of each cache; must outlive the pool, as `observer` must.
+    CacheConnectionPool(EventLoop& loop, EndpointTable& endpoints, AttemptObserver& observer,
+                        const Deployment& deployment, CacheConnectionLimits limits);
+    ~CacheConnectionPool() override;
+    CacheConnectionPool(const CacheConnectionPool&) = delete;
+    CacheConnectionPool& operator=(const CacheConnectionPool&) = delete;
 
-struct CacheConnectionLimits {
-    std::size_t connections = 0;  // connections to all caches together
-    std::size_t streams = 1;      // sends that one connection carries at once
-    Duration connect_timeout;
-    Duration idle_timeout;  // a connection without a send is closed after this
-    Duration reuse_delay;   // between the end of a send that the cache has yet to hear of and the next one
-    Duration late_response_window;  // behind an answer, or the end of a lookup's time, one more may come for
-                                    // so long
-};
+    /// Begins an attempt as soon as a connection can carry it. Its end is reported to the observer.
+    void start_attempt(ActiveRequest& request, std::size_t attempt);
+    /// Takes an attempt back, or tells the cache if it may have arrived there. It is not reported.
+    void cancel_attempt(ActiveRequest& request, std::size_t attempt);
+    /// The client has gone: attempts that have not begun do not begin any more. The caller ends those whose
+    /// progress is TransmitProgress::not_connected afterwards.
+    void withdraw_unstarted_attempts(ActiveRequest& request);
 
-class CacheConnectionPool {
-public:
-    CacheConnectionPool(EventLoop& loop, EndpointTable& roster, AttemptObserver& ends,
-                        const Deployment& deployment, CacheConnectionLimits limits);
-    ~CacheConnectionPool();
+    /// Does nothing if the cache is not active or no connection can be had.
+    /// @param still_wanted asked if the connection has to come up first.
+    void start_health_check(const CacheId& cache, StillWanted still_wanted);
 
-    void start_attempt(ActiveRequest& x, std::size_t n);
-    // The send is given up: taken back where it is not out yet, else the cache is told.
-    void cancel_attempt(ActiveRequest& x, std::size_t n);
-    // Its client has left: what has not begun does not begin any more. How far each send came is in the
-    // exchange; whoever calls ends those that have not begun.
-    void withdraw_unstarted_attempts(ActiveRequest& x);
-    // Where a connection has to come up first, it goes only if it still may by then.
-    using StillWanted = std::function<bool()>;
-    void start_health_check(const CacheId& cache, StillWanted still);
     void close_all();
-    // After each change of the list.
+    /// Closes idle connections that the endpoint list does not name any more. To be called after each change
+    /// of the list.
     void close_unlisted();
 
 private:
-    friend class CacheConnection;
-    struct Choice {
-        std::shared_ptr<CacheConnection> connection;  // none: there is none for now
-        bool request_id_in_use = false;               // and would be, but for the request's name
-        bool unreachable = false;                     // the system knows no way there, twice in a row
+    using ConnectionPtr = std::shared_ptr<CacheConnection>;
+    enum class SelectionStatus {
+        selected,
+        none_available,     // for now
+        request_id_in_use,  // the request's id may be confused on every connection that could carry it
+        unreachable         // there is no route, twice in a row
+    };
+    struct Selection {
+        SelectionStatus status = SelectionStatus::none_available;
+        ConnectionPtr connection;  // set if selected
+    };
+    // The least loaded connections to an endpoint's present process.
+    struct Candidates {
+        ConnectionPtr unused;    // that have not carried the request before
+        ConnectionPtr used;      // that have
+        bool id_in_use = false;  // others were left out, as they may confuse the request's id
     };
-    Choice select_connection(Endpoint& peer, const ActiveRequest* x);
-    Choice open_connection(Endpoint& peer);
-    void wait_for_connection(ActiveRequest& x, std::size_t n);
-    void delay_reuse(ActiveRequest& x, std::size_t n);
-    std::size_t max_connections_per_cache() const;
-    bool may_transmit(const Attempt& s);
-    std::string fields_of(ActiveRequest& x, const Attempt& s, TimePoint now) const;
-    void on_connection_lost(CacheConnection& link);
-    void on_response(CacheConnection& link);
+    using AttemptKey = std::pair<RequestId, std::size_t>;
+
+    void restart_attempt(ActiveRequest& request, std::size_t attempt) override;
+    void on_response_received(CacheConnection& connection) override;
+    void on_connection_lost(CacheConnection& connection) override;
+
+    Selection select_connection(Endpoint& endpoint, const ActiveRequest* request);
+    static Candidates find_candidates(const Endpoint& endpoint, const ActiveRequest* request);
+    Selection open_connection(Endpoint& endpoint);
+    [[nodiscard]] std::size_t max_connections_per_cache() const;
+    [[nodiscard]] bool at_connection_limit() const;
+    [[nodiscard]] std::vector<ConnectionPtr> connections_to(const CacheId& cache);
     bool close_one_idle();
+    void wait_for_connection(ActiveRequest& request, std::size_t attempt);
+    void start_after_reuse_delay(ActiveRequest& request, std::size_t attempt);
+    void withdraw_partially_written(const Attempt& attempt);
 
     EventLoop& event_loop_;
     EndpointTable& endpoints_;
     AttemptObserver& observer_;
     LocationId location_;
     CacheConnectionLimits limits_;
+    CacheConnectionContext context_;
     std::size_t connection_count_ = 0;
     std::uint64_t next_connection_ = 1;
-    // Sends that wait for a connection, or for the end of the one before, by lookup and number.
-    std::map<std::pair<RequestId, std::size_t>, ScopedTimer> delayed_attempts_;
     std::uint64_t next_health_check_ = 1;
+    // Attempts that wait for a connection, or for the reuse delay of their request.
+    std::map<AttemptKey, ScopedTimer> delayed_attempts_;
 };
 
 }  // namespace irismux
