--- a/bench/registry_load.cpp
+++ b/bench/registry_load.cpp
@@ -9,7 +9,7 @@
 #include <memory>
 #include <vector>
 
-#include "registry/client.hpp"
+#include "registry/registry_client.hpp"
 #include "testing/registry_stand_in.hpp"
 #include "testing/sockets.hpp"
 
--- a/sim/simulator_host.cpp
+++ b/sim/simulator_host.cpp
@@ -7,7 +7,7 @@
 #include <stdexcept>
 #include <string>
 
-#include "base/reading.hpp"
+#include "base/json_reader.hpp"
 #include "gateway/deployment_reader.hpp"
 #include "irismux/router.hpp"
 #include "sim/request_names.hpp"
--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -1,4 +1,4 @@
-#include "cli/fleet.hpp"
+#include "cli/fleet_commands.hpp"
 
 #include <chrono>
 #include <iostream>
--- a/src/cli/fleet_in_force_command.cpp
+++ b/src/cli/fleet_in_force_command.cpp
@@ -13,7 +13,7 @@
 #include <thread>
 #include <variant>
 
-#include "cli/fleet.hpp"
+#include "cli/fleet_commands.hpp"
 #include "cli/registry_session.hpp"
 #include "fleet/fleet_client.hpp"
 #include "fleet/fleet_status.hpp"
--- a/src/cli/registry_commands.cpp
+++ b/src/cli/registry_commands.cpp
@@ -1,4 +1,4 @@
-#include "cli/registry.hpp"
+#include "cli/registry_commands.hpp"
 
 #include <Poco/NObserver.h>
 #include <Poco/Net/ServerSocket.h>
@@ -8,7 +8,7 @@
 #include <nlohmann/json.hpp>
 
 #include "cli/registry_session.hpp"
-#include "registry/client.hpp"
+#include "registry/registry_client.hpp"
 
 namespace irismux::cli {
 namespace {
--- a/src/cli/registry_commands.hpp
+++ b/src/cli/registry_commands.hpp
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "registry/client.hpp"
+#include "registry/registry_client.hpp"
 
 namespace irismux::cli {
 
--- a/src/cli/registry_session.hpp
+++ b/src/cli/registry_session.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <utility>
 
-#include "registry/etcd.hpp"
+#include "registry/etcd_codec.hpp"
 #include "registry/settings.hpp"
 
 namespace Poco::Net {
--- a/src/endpoint/endpoint_record.cpp
+++ b/src/endpoint/endpoint_record.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <limits>
 
-#include "base/reading.hpp"
+#include "base/json_reader.hpp"
 
 namespace irismux {
 namespace {
--- a/src/fleet/fleet_client.hpp
+++ b/src/fleet/fleet_client.hpp
@@ -16,7 +16,7 @@
 #include "fleet/record_mirror.hpp"
 #include "fleet/settings.hpp"
 #include "fleet/site_reporter.hpp"
-#include "registry/client.hpp"
+#include "registry/registry_client.hpp"
 #include "store/store.hpp"
 
 namespace irismux::fleet {
--- a/src/gateway/configuration.cpp
+++ b/src/gateway/configuration.cpp
@@ -3,7 +3,7 @@
 #include <charconv>
 
 #include "base/file.hpp"
-#include "base/reading.hpp"
+#include "base/json_reader.hpp"
 
 namespace irismux {
 
--- a/src/gateway/deployment_reader.cpp
+++ b/src/gateway/deployment_reader.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "base/reading.hpp"
+#include "base/json_reader.hpp"
 
 namespace irismux {
 namespace {
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -6,7 +6,7 @@
 
 #include "base/flight_recorder.hpp"
 #include "base/log.hpp"
-#include "registry/snapshot.hpp"
+#include "registry/endpoint_snapshot.hpp"
 
 namespace irismux {
 namespace {
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -13,7 +13,7 @@
 #include "net/event_loop.hpp"
 #include "net/fastcgi_server.hpp"
 #include "net/notice_client.hpp"
-#include "registry/client.hpp"
+#include "registry/registry_client.hpp"
 #include "request/active_request.hpp"
 #include "request/duplicate_request_filter.hpp"
 #include "store/store.hpp"
--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -15,10 +15,10 @@
 #include <utility>
 
 #include "base/flight_recorder.hpp"
+#include "base/json_reader.hpp"
 #include "base/log.hpp"
-#include "base/reading.hpp"
-#include "cli/fleet.hpp"
-#include "cli/registry.hpp"
+#include "cli/fleet_commands.hpp"
+#include "cli/registry_commands.hpp"
 #include "gateway/gateway.hpp"
 
 namespace {
--- a/src/net/notice_client.cpp
+++ b/src/net/notice_client.cpp
@@ -6,8 +6,8 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
+#include "base/json_reader.hpp"
 #include "base/log.hpp"
-#include "base/reading.hpp"
 #include "codec/http.hpp"
 #include "net/connection.hpp"
 
--- a/src/registry/endpoint_snapshot.cpp
+++ b/src/registry/endpoint_snapshot.cpp
@@ -1,11 +1,11 @@
-#include "registry/snapshot.hpp"
+#include "registry/endpoint_snapshot.hpp"
 
 #include <xxhash.h>
 
 #include <cstring>
 #include <nlohmann/json.hpp>
 
-#include "base/reading.hpp"
+#include "base/json_reader.hpp"
 
 namespace irismux::registry {
 namespace {
--- a/src/registry/etcd_codec.cpp
+++ b/src/registry/etcd_codec.cpp
@@ -1,4 +1,4 @@
-#include "registry/etcd.hpp"
+#include "registry/etcd_codec.hpp"
 
 #include <Poco/Base64Decoder.h>
 #include <Poco/Base64Encoder.h>
@@ -7,7 +7,7 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "base/reading.hpp"
+#include "base/json_reader.hpp"
 
 namespace irismux::registry::etcd {
 namespace {
--- a/src/registry/registry_client.cpp
+++ b/src/registry/registry_client.cpp
@@ -1,4 +1,4 @@
-#include "registry/client.hpp"
+#include "registry/registry_client.hpp"
 
 #include <algorithm>
 
--- a/src/registry/registry_client.hpp
+++ b/src/registry/registry_client.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "net/event_loop.hpp"
-#include "registry/etcd.hpp"
+#include "registry/etcd_codec.hpp"
 #include "registry/registry_connection.hpp"
 #include "registry/settings.hpp"
 #include "registry/watch.hpp"
--- a/src/registry/registry_connection.hpp
+++ b/src/registry/registry_connection.hpp
@@ -7,7 +7,7 @@
 #include <string_view>
 
 #include "net/event_loop.hpp"
-#include "registry/etcd.hpp"
+#include "registry/etcd_codec.hpp"
 #include "registry/settings.hpp"
 
 namespace irismux::registry {
--- a/testing/stub_gateway.hpp
+++ b/testing/stub_gateway.hpp
@@ -16,7 +16,7 @@
 #include "endpoint/endpoint_table.hpp"
 #include "fleet/fleet_client.hpp"
 #include "net/notice_client.hpp"
-#include "registry/client.hpp"
+#include "registry/registry_client.hpp"
 
 namespace irismux::stand_ins {
 
--- a/tests/registry_cli_test.cpp
+++ b/tests/registry_cli_test.cpp
@@ -7,7 +7,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "registry/etcd.hpp"
+#include "registry/etcd_codec.hpp"
 #include "testing/process.hpp"
 #include "testing/registry_stand_in.hpp"
 
--- a/tests/registry_client_test.cpp
+++ b/tests/registry_client_test.cpp
@@ -8,8 +8,8 @@
 #include <random>
 
 #include "base/log.hpp"
-#include "registry/client.hpp"
-#include "registry/snapshot.hpp"
+#include "registry/endpoint_snapshot.hpp"
+#include "registry/registry_client.hpp"
 #include "store/store.hpp"
 #include "testing/known_endpoints.hpp"
 #include "testing/registry_stand_in.hpp"
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -8,7 +8,7 @@
 #include "fleet/in_force.hpp"
 #include "fleet/records.hpp"
 #include "golden.hpp"
-#include "registry/snapshot.hpp"
+#include "registry/endpoint_snapshot.hpp"
 #include "store/store.hpp"
 #include "testing/process.hpp"
 #include "testing/registry_stand_in.hpp"
--- a/tests/wire_names_test.cpp
+++ b/tests/wire_names_test.cpp
@@ -14,7 +14,7 @@
 #include "golden.hpp"
 #include "net/cache_connection_pool.hpp"
 #include "net/notice_client.hpp"
-#include "registry/etcd.hpp"
+#include "registry/etcd_codec.hpp"
 #include "request/active_request.hpp"
 #include "testing/process.hpp"
 #include "testing/sockets.hpp"
