--- a/bench/registry_load.cpp
+++ b/bench/registry_load.cpp
@@ -24,7 +24,7 @@
 public:
     void on_endpoints(TimePoint, const std::vector<EndpointRecord>&, bool) override {}
     void on_sync_state(TimePoint, registry::SyncState s, TimePoint) override { sight = s; }
-    void on_warning(std::string_view) override {}
+    void on_watch_warning(const registry::WatchWarning&) override {}
     registry::SyncState sight = registry::SyncState::reading;
 };
 
--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -31,7 +31,7 @@
         const auto read = etcd::read_range(status, body, settings.prefix);
         if (const auto* problem = std::get_if<etcd::Error>(&read)) return *problem;
         const registry::Page& page = std::get<etcd::Range>(read).page;
-        if (at == registry::Revision{}) at = page.origin.revision;
+        if (at == registry::Revision{}) at = page.header.revision;
         for (const auto& r : page.records) all[key_at(r.key.raw())] = r.value;
         if (!page.more || page.records.empty()) return all;
         after = page.records.back().key;
--- a/src/cli/fleet_in_force_command.cpp
+++ b/src/cli/fleet_in_force_command.cpp
@@ -56,7 +56,7 @@
         const auto read = etcd::read_range(status, body, prefix);
         if (const auto* problem = std::get_if<etcd::Error>(&read)) throw Failure{problem->message};
         const registry::Page& page = std::get<etcd::Range>(read).page;
-        if (at == registry::Revision{}) at = page.origin.revision;
+        if (at == registry::Revision{}) at = page.header.revision;
         for (const auto& r : page.records) all[r.key.raw()] = r.value;
         if (!page.more || page.records.empty()) return all;
         after = page.records.back().key;
--- a/src/cli/registry_commands.cpp
+++ b/src/cli/registry_commands.cpp
@@ -9,6 +9,7 @@
 
 #include "cli/registry_session.hpp"
 #include "registry/registry_client.hpp"
+#include "registry/registry_log.hpp"
 
 namespace irismux::cli {
 namespace {
@@ -82,7 +83,9 @@
     void on_sync_state(TimePoint, registry::SyncState sight, TimePoint) override {
         say(std::string(registry::to_string(sight)));
     }
-    void on_warning(std::string_view line) override { say(std::string(line)); }
+    void on_watch_warning(const registry::WatchWarning& warning) override {
+        say(std::string(registry::event_name(warning.kind)));
+    }
 
 private:
     void say(const std::string& line) { std::cout << loop_.now().seconds() << ' ' << line << std::endl; }
@@ -101,7 +104,7 @@
             const auto read = etcd::read_range(status, body, settings.prefix);
             if (const auto* problem = std::get_if<etcd::Error>(&read)) return print_error(problem->message);
             const registry::Page& page = std::get<etcd::Range>(read).page;
-            if (at == Revision{}) at = page.origin.revision;
+            if (at == Revision{}) at = page.header.revision;
             for (const Record& r : page.records)
                 std::cout << r.key.raw() << ' ' << r.value
                           << (registry::parse_endpoint(r) ? "" : "   (a gateway can't read it)") << '\n';
--- a/src/fleet/fleet_client.cpp
+++ b/src/fleet/fleet_client.cpp
@@ -5,6 +5,8 @@
 #include <algorithm>
 #include <random>
 
+#include "registry/registry_log.hpp"
+
 namespace irismux::fleet {
 namespace {
 
@@ -92,8 +94,10 @@
 void FleetClient::open_store() {
     if (settings_.token_store_folder.empty()) return;
     auto opened = Store::open(settings_.token_store_folder, most_stored);
-    if (const auto* why = std::get_if<std::string>(&opened))
-        return gateway_.on_fleet_message("epochs seen are not kept: " + *why, true);
+    if (const auto* error = std::get_if<StoreError>(&opened))
+        return gateway_.on_fleet_message("epochs seen are not kept: " + std::string(error->reason()) +
+                                             " in " + error->folder + ": " + error->detail,
+                                         true);
     store_ = std::move(std::get<Store>(opened));
 }
 
@@ -169,7 +173,8 @@
     for (const auto& [key, text] : d.compares) holds.emplace_back(path(key), text);
     for (const auto& [key, text] : d.writes) writes.emplace_back(path(key), text);
     for (const Key& key : d.reads) shows.push_back(path(key));
-    connection_.send_request(registry_member_, registry::etcd::transaction(holds, writes, shows), false);
+    connection_.send_request(registry_member_, registry::etcd::transaction(holds, writes, shows),
+                             registry::ReplyForm::whole);
 }
 
 void FleetClient::use_next_registry_member() {
@@ -180,8 +185,9 @@
 void FleetClient::on_reply(int status, const std::string& body) {
     const auto read = registry::etcd::read_transaction_result(status, body, settings_.registry.prefix);
     if (const auto* wrong = std::get_if<registry::etcd::Error>(&read)) {
-        if (wrong->code == registry::etcd::ErrorCode::refused && connection_.retry_with_new_token()) return;
-        return on_connection_lost(wrong->message.c_str());
+        if (wrong->code == registry::etcd::ErrorCode::unauthenticated && connection_.retry_with_new_token())
+            return;
+        return on_request_failed({registry::RequestFailureReason::error_reply, wrong->message});
     }
     if (!pending_transaction_) return;
     const auto& settled = std::get<registry::etcd::TransactionResult>(read);
@@ -197,11 +203,11 @@
         for (const Key& key : d.reads) show(key);
     else
         for (const auto& [key, text] : d.compares) show(key);
-    agent_.on_transaction_result(clock(), settled.origin.revision, settled.succeeded, shown);
+    agent_.on_transaction_result(clock(), settled.header.revision, settled.succeeded, shown);
     run_due_tasks();
 }
 
-void FleetClient::on_connection_lost(const char*) {
+void FleetClient::on_request_failed(const registry::RequestFailure&) {
     connection_.close();
     use_next_registry_member();
     if (!std::exchange(pending_transaction_, std::nullopt)) return;
@@ -292,6 +298,10 @@
 
 void FleetClient::on_warning(std::string_view plain_line) { gateway_.on_fleet_message(plain_line, true); }
 
+void FleetClient::on_watch_warning(const registry::WatchWarning& warning) {
+    gateway_.on_fleet_message(registry::event_name(warning.kind), true);
+}
+
 void FleetClient::start_health_check(const CacheId& cache) {
     call_soon([this, cache] {
         // The process may have been stopped since it was asked for: the lease is checked again right before
@@ -353,12 +363,14 @@
     if (!store_) return;
     const std::string seen = agent_.fence().serialize() + std::to_string(agent_.incarnation().raw());
     if (seen == stored_tokens_) return;
-    auto why = store_->write(seen_name, agent_.fence().serialize());
-    if (!why && agent_.incarnation() > Incarnation{})
-        why = store_->write(start_name, std::to_string(agent_.incarnation().raw()));
-    if (why && !std::exchange(store_failed_, true))
-        gateway_.on_fleet_message("epochs seen are " + *why, true);
-    if (why) return;
+    auto written = store_->write(seen_name, agent_.fence().serialize());
+    if (std::holds_alternative<Store::Written>(written) && agent_.incarnation() > Incarnation{})
+        written = store_->write(start_name, std::to_string(agent_.incarnation().raw()));
+    if (const auto* error = std::get_if<StoreError>(&written)) {
+        if (!std::exchange(store_failed_, true))
+            gateway_.on_fleet_message("epochs seen are not stored: " + error->detail, true);
+        return;
+    }
     store_failed_ = false;
     stored_tokens_ = seen;
 }
--- a/src/fleet/fleet_client.hpp
+++ b/src/fleet/fleet_client.hpp
@@ -98,11 +98,12 @@
     void on_reply(int status, const std::string& body) override;
     void on_stream_message(std::string_view) override {}
     void on_message_too_long() override {}
-    void on_connection_lost(const char* why) override;
+    void on_request_failed(const registry::RequestFailure& failure) override;
     // registry::Knows
     void on_endpoints(TimePoint, const std::vector<EndpointRecord>&, bool) override {}
     void on_records(TimePoint, registry::Revision, const std::vector<registry::Change>&, bool all) override;
     void on_sync_state(TimePoint, registry::SyncState, TimePoint as_of) override;
+    void on_watch_warning(const registry::WatchWarning& warning) override;
 
     TimePoint clock() const;
     TimePoint to_event_loop_time(TimePoint by_clock) const {
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -7,6 +7,7 @@
 #include "base/flight_recorder.hpp"
 #include "base/log.hpp"
 #include "registry/endpoint_snapshot.hpp"
+#include "registry/registry_log.hpp"
 
 namespace irismux {
 namespace {
@@ -174,17 +175,20 @@
     stored_revision_ = {};
     if (registry_settings_->snapshot_folder.empty()) return;
     auto opened = Store::open(registry_settings_->snapshot_folder, most_kept);
-    if (const auto* why = std::get_if<std::string>(&opened))
-        return log::write(log::Level::warning, "registry: the list is not kept: " + *why);
+    if (const auto* error = std::get_if<StoreError>(&opened))
+        return log::event(
+            log::Level::warning, "registry_store_unavailable",
+            {{"reason", error->reason()}, {"folder", error->folder}, {"detail", error->detail}});
     store_ = std::move(std::get<Store>(opened));
     snapshot_timer_ = event_loop_.schedule_at(event_loop_.now() + keep_every, [this] { store_endpoints(); });
     const auto bytes = store_->read(list_name);
     if (!bytes) return;
     const auto read = registry::parse_snapshot(*bytes, snapshot_owner_ + registry_settings_->prefix,
                                                event_loop_.now(), registry_settings_->snapshot_max_age);
-    if (const auto* why = std::get_if<std::string>(&read))
-        return log::write(log::Level::warning, "registry: " + *why + "; the registry is waited for");
-    const auto& kept = std::get<registry::Snapshot>(read);
+    if (const auto* error = std::get_if<registry::SnapshotError>(&read))
+        return log::event(log::Level::warning, "registry_snapshot_rejected",
+                          {{"reason", registry::to_string(*error)}});
+    const auto& kept = std::get<registry::EndpointSnapshot>(read);
     if (!kept.records.empty()) registry_->start_from(kept.cluster, kept.revision, kept.records, kept.as_of);
 }
 
@@ -197,12 +201,15 @@
     if (watch.sync_state() != registry::SyncState::following ||
         (watch.view().revision() == stored_revision_ && !grown_old))
         return;
-    const auto why = store_->write(
+    const auto written = store_->write(
         list_name, registry::serialize_snapshot(watch.view(), watch.cluster(), watch.last_complete_at(),
                                                 snapshot_owner_ + registry_settings_->prefix));
-    if (why && !std::exchange(store_failure_logged_, true))
-        log::write(log::Level::warning, "registry: the list is " + *why);
-    if (why) return;
+    if (const auto* error = std::get_if<StoreError>(&written)) {
+        if (!std::exchange(store_failure_logged_, true))
+            log::event(log::Level::warning, "registry_snapshot_not_stored",
+                       {{"reason", error->reason()}, {"folder", error->folder}, {"detail", error->detail}});
+        return;
+    }
     store_failure_logged_ = false;
     stored_revision_ = watch.view().revision();
     stored_as_of_ = watch.last_complete_at();
@@ -554,17 +561,13 @@
 }
 
 void Gateway::on_sync_state(TimePoint now, registry::SyncState sight, TimePoint as_of) {
-    const bool bad = sight == registry::SyncState::disconnected;
-    log::write(bad ? log::Level::warning : log::Level::info,
-               "registry: " + std::string(registry::to_string(sight)) +
-                   (as_of > TimePoint{}
-                        ? ", the list was whole " + std::to_string((now - as_of).micros() / 1000) + " ms ago"
-                        : ", no list yet"));
-    if (bad) guarded_flag(inside_router_call_, [&] { router_.on_endpoint_updates_lost(now); });
+    registry::log_sync_state(now, sight, as_of);
+    if (sight == registry::SyncState::disconnected)
+        guarded_flag(inside_router_call_, [&] { router_.on_endpoint_updates_lost(now); });
 }
 
-void Gateway::on_warning(std::string_view plain_line) {
-    log::write(log::Level::warning, "registry: " + std::string(plain_line));
+void Gateway::on_watch_warning(const registry::WatchWarning& warning) {
+    registry::log_watch_warning(warning, *registry_settings_);
 }
 
 void Gateway::apply_endpoints(const std::vector<EndpointRecord>& lines, bool complete) {
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -71,7 +71,7 @@
     void on_endpoint_notice(const std::vector<EndpointRecord>&, bool complete) override;
     void on_endpoints(TimePoint now, const std::vector<EndpointRecord>&, bool complete) override;
     void on_sync_state(TimePoint now, registry::SyncState, TimePoint as_of) override;
-    void on_warning(std::string_view plain_line) override;
+    void on_watch_warning(const registry::WatchWarning& warning) override;
     void start_registry();
     void store_endpoints();
     void apply_endpoints(const std::vector<EndpointRecord>&, bool complete);
--- a/src/registry/endpoint_snapshot.hpp
+++ b/src/registry/endpoint_snapshot.hpp
@@ -1,6 +1,6 @@
-// A view as it is kept for the next start: written whole, with a checksum, and believed whole or not at all.
+// The endpoint list as stored for the next start. It has a checksum and is used whole or not at all.
 //
-// Form: 8 bytes of XXH64 over the rest, then CBOR (RFC 8949) of an object with "format" 1, "owner",
+// Format: 8 bytes of XXH64 over the rest, then CBOR (RFC 8949) of an object with "format" 1, "owner",
 // "cluster", "revision", "as_of_us" (Unix clock, microseconds) and "records", each [key, value, created,
 // modified].
 #pragma once
@@ -15,19 +15,33 @@
 
 namespace irismux::registry {
 
-struct Snapshot {
+struct EndpointSnapshot {
     ClusterId cluster;
     Revision revision;
-    TimePoint as_of;
+    TimePoint as_of;  ///< when the list was known to be complete
     std::vector<Record> records;
 };
 
-// What can be read of a view, for the owner named (a deployment's place and the prefix of the keys).
-std::string serialize_snapshot(const EndpointView& view, const ClusterId& cluster, TimePoint as_of,
-                               const std::string& owner);
+/// Why a snapshot cannot be used.
+enum class SnapshotError {
+    checksum_mismatch,
+    unsupported_format,
+    other_owner,  ///< of another deployment or prefix
+    from_future,  ///< later than the clock
+    too_old,
+    malformed  ///< the checksum holds, the content is not as described above
+};
+
+/// The error in snake_case, for the log.
+std::string_view to_string(SnapshotError error);
+
+/// Leaves out records that have never been readable.
+/// @param owner the deployment's location and the prefix of the keys.
+[[nodiscard]] std::string serialize_snapshot(const EndpointView& view, const ClusterId& cluster,
+                                             TimePoint as_of, const std::string& owner);
 
-// The snapshot, or one plain line: damaged, of another owner, older than `oldest`, or from the future.
-std::variant<Snapshot, std::string> parse_snapshot(std::string_view bytes, const std::string& owner,
-                                                   TimePoint now, Duration oldest);
+[[nodiscard]] std::variant<EndpointSnapshot, SnapshotError> parse_snapshot(std::string_view bytes,
+                                                                           const std::string& owner,
+                                                                           TimePoint now, Duration max_age);
 
 }  // namespace irismux::registry
--- a/src/registry/endpoint_view.cpp
+++ b/src/registry/endpoint_view.cpp
@@ -1,15 +1,16 @@
 #include "registry/endpoint_view.hpp"
 
+#include <algorithm>
 #include <nlohmann/json.hpp>
 #include <set>
+#include <utility>
 
 namespace irismux::registry {
 namespace {
 
-constexpr std::size_t most_left = 1024;
-
-bool same(const EndpointRecord& a, const EndpointRecord& b) {
-    const EndpointUpdate &x = a.first, &y = b.first;
+bool is_same(const EndpointRecord& a, const EndpointRecord& b) {
+    const EndpointUpdate& x = a.first;
+    const EndpointUpdate& y = b.first;
     return a.second == b.second && x.location == y.location && x.machine_type == y.machine_type &&
            x.cell == y.cell && x.weight == y.weight && x.status == y.status && x.started_at == y.started_at;
 }
@@ -17,87 +18,102 @@
 }  // namespace
 
 std::optional<EndpointRecord> parse_endpoint(const Record& record) {
-    const nlohmann::json told = nlohmann::json::parse(record.value, nullptr, false);
-    if (!told.is_object()) return std::nullopt;
+    const nlohmann::json value = nlohmann::json::parse(record.value, nullptr, false);
+    if (!value.is_object()) return std::nullopt;
     try {
-        EndpointRecord line = parse_endpoint_record(told);
-        if (line.first.cache.raw() != record.key.raw()) return std::nullopt;
-        return line;
+        EndpointRecord endpoint = parse_endpoint_record(value);
+        if (endpoint.first.cache.raw() != record.key.raw()) return std::nullopt;
+        return endpoint;
     } catch (const std::exception&) {
         return std::nullopt;
     }
 }
 
-// A record created anew is another process, whatever it says: one that names no start, or that of its
-// predecessor, has started now. Of the first list nothing is known to be new.
-void EndpointView::put(const Record& record, TimePoint now, std::vector<EndpointRecord>& told) {
+void EndpointView::upsert(const Record& record, TimePoint now, std::vector<EndpointRecord>& updates) {
     auto it = entries_.find(record.key);
     if (it != entries_.end() && it->second.created != record.created) {
-        remove(it, told);
+        remove(it, updates);
         it = entries_.end();
     }
     if (it == entries_.end()) it = entries_.emplace(record.key, Entry{}).first;
-    Entry& e = it->second;
-    std::optional<EndpointRecord> line = parse_endpoint(record);
-    unreadable_ += !line;
-    unreadable_ -= e.unreadable;
-    e.unreadable = !line;
-    e.created = record.created;
-    e.modified = record.modified;
-    if (!line) return;
-    if (complete_ && !e.endpoint) {
-        const auto former = removed_since_.find(record.key);
-        const TimePoint old = former == removed_since_.end() ? TimePoint{} : former->second;
-        if (line->first.started_at <= old) line->first.started_at = now;
-        if (former != removed_since_.end()) removed_since_.erase(former);
+    Entry& entry = it->second;
+    std::optional<EndpointRecord> endpoint = parse_endpoint(record);
+    if (entry.unreadable) --unreadable_;
+    entry.unreadable = !endpoint;
+    if (entry.unreadable) ++unreadable_;
+    entry.created = record.created;
+    entry.modified = record.modified;
+    if (endpoint) update_endpoint(entry, record, std::move(*endpoint), now, updates);
+}
+
+void EndpointView::update_endpoint(Entry& entry, const Record& record, EndpointRecord endpoint, TimePoint now,
+                                   std::vector<EndpointRecord>& updates) {
+    // Nothing is known to be new in the first list.
+    if (complete_ && !entry.endpoint) set_start_of_new_endpoint(record.key, endpoint.first, now);
+    // A start that was set then stays.
+    if (entry.endpoint)
+        endpoint.first.started_at = std::max(endpoint.first.started_at, entry.endpoint->first.started_at);
+    entry.value = record.value;
+    if (entry.endpoint && is_same(*entry.endpoint, endpoint)) return;
+    entry.endpoint = endpoint;
+    updates.push_back(std::move(endpoint));
+}
+
+// A record created anew is another process: if it has no start, or one not later than its predecessor's, it
+// counts as started now, and so as cold.
+void EndpointView::set_start_of_new_endpoint(const RecordKey& key, EndpointUpdate& update, TimePoint now) {
+    const auto predecessor = started_at_of_removed_.find(key);
+    if (predecessor == started_at_of_removed_.end()) {
+        if (update.started_at <= TimePoint{}) update.started_at = now;
+        return;
     }
-    // The start that it was given when it came anew stays with it.
-    if (e.endpoint && line->first.started_at < e.endpoint->first.started_at)
-        line->first.started_at = e.endpoint->first.started_at;
-    e.value = record.value;
-    if (e.endpoint && same(*e.endpoint, *line)) return;
-    e.endpoint = line;
-    told.push_back(*line);
+    if (update.started_at <= predecessor->second) update.started_at = now;
+    started_at_of_removed_.erase(predecessor);
 }
 
-void EndpointView::remove(std::map<RecordKey, Entry>::iterator it, std::vector<EndpointRecord>& told) {
-    unreadable_ -= it->second.unreadable;
-    if (it->second.endpoint) {
-        EndpointRecord gone = *it->second.endpoint;
-        gone.first.status = EndpointStatus::removed;
-        told.push_back(gone);
-        if (removed_since_.size() >= most_left) removed_since_.clear();
-        removed_since_[it->first] = gone.first.started_at;
+void EndpointView::remove(Entries::iterator it, std::vector<EndpointRecord>& updates) {
+    constexpr std::size_t max_removed = 1024;
+    const Entry& entry = it->second;
+    if (entry.unreadable) --unreadable_;
+    if (entry.endpoint) {
+        EndpointRecord removed = *entry.endpoint;
+        removed.first.status = EndpointStatus::removed;
+        updates.push_back(removed);
+        if (started_at_of_removed_.size() >= max_removed) started_at_of_removed_.clear();
+        started_at_of_removed_[it->first] = removed.first.started_at;
     }
     entries_.erase(it);
 }
 
 std::vector<EndpointRecord> EndpointView::replace(Revision at, const std::vector<Record>& records,
                                                   TimePoint now) {
-    std::vector<EndpointRecord> told;
+    std::vector<EndpointRecord> updates;
     std::set<RecordKey> present;
-    for (const Record& r : records) present.insert(r.key);
-    for (auto it = entries_.begin(); it != entries_.end();)
-        if (const auto gone = it++; !present.contains(gone->first)) remove(gone, told);
-    for (const Record& r : records) put(r, now, told);
+    for (const Record& record : records) present.insert(record.key);
+    for (auto it = entries_.begin(); it != entries_.end();) {
+        const auto current = it++;
+        if (!present.contains(current->first)) remove(current, updates);
+    }
+    for (const Record& record : records) upsert(record, now, updates);
     revision_ = at;
     complete_ = true;
-    return told;
+    return updates;
 }
 
-std::vector<EndpointRecord> EndpointView::apply(Revision upto, const std::vector<Change>& changes,
+std::vector<EndpointRecord> EndpointView::apply(Revision covered, const std::vector<Change>& changes,
                                                 TimePoint now) {
-    std::vector<EndpointRecord> told;
-    for (const Change& c : changes) {
-        if (c.record.modified <= revision_) continue;
-        if (!c.deleted)
-            put(c.record, now, told);
-        else if (const auto it = entries_.find(c.record.key); it != entries_.end())
-            remove(it, told);
+    std::vector<EndpointRecord> updates;
+    for (const Change& change : changes) {
+        if (change.record.modified <= revision_) continue;
+        const auto it = entries_.find(change.record.key);
+        if (!change.deleted)
+            upsert(change.record, now, updates);
+        else if (it != entries_.end())
+            remove(it, updates);
     }
-    for (const Change& c : changes) revision_ = std::max(revision_, c.record.modified);
-    revision_ = std::max(revision_, upto);
-    return told;
+    for (const Change& change : changes) revision_ = std::max(revision_, change.record.modified);
+    revision_ = std::max(revision_, covered);
+    return updates;
 }
 
 }  // namespace irismux::registry
--- a/src/registry/endpoint_view.hpp
+++ b/src/registry/endpoint_view.hpp
@@ -1,7 +1,7 @@
-// The list of caches at one revision of a registry. No I/O; the instant comes with each call.
+// The endpoint list at one revision of a registry. No I/O; the time comes with each call.
 //
-// Whatever changes it returns the lines to tell a Router, so that one who takes them all, in order, holds the
-// same list. A record that can't be read never holds up the others: its last good form stays.
+// Each change of the view returns the updates for a Router; one that applies them all, in order, has the same
+// list. A record that cannot be parsed does not delay the others: its last good form stays in force.
 #pragma once
 
 #include <map>
@@ -14,41 +14,44 @@
 
 namespace irismux::registry {
 
-// The line that a record holds; none where it can't be read or does not name its own key.
+/// The endpoint that a record describes; none if it cannot be parsed or its id is not its key.
 std::optional<EndpointRecord> parse_endpoint(const Record& record);
 
 class EndpointView {
 public:
     struct Entry {
         Revision created, modified;
-        std::string value;  // the last good form, as the registry holds it; empty: none yet
-        std::optional<EndpointRecord> endpoint;  // as told
-        bool unreadable = false;                 // the newest form can't be read
+        std::string value;  ///< the last good form, as the registry has it; empty: none so far
+        std::optional<EndpointRecord> endpoint;  ///< as in the last update returned
+        bool unreadable = false;                 ///< the newest form cannot be parsed
     };
 
     Revision revision() const { return revision_; }
     const std::map<RecordKey, Entry>& entries() const { return entries_; }
-    std::size_t unreadable() const { return unreadable_; }  // records whose newest form can't be read
+    /// Records whose newest form cannot be parsed.
+    std::size_t unreadable() const { return unreadable_; }
 
-    // The whole list at a revision. What is no longer there is told as gone, what was deleted and created
-    // anew as gone and then as new and cold, what only changed once, the rest not at all.
+    /// Replaces the list by a full one. A record that is missing is reported as removed; one deleted and
+    /// created anew as removed and then as new; one that only changed, once; an equal one not at all.
     std::vector<EndpointRecord> replace(Revision at, const std::vector<Record>& records, TimePoint now);
 
-    // All changes up to a revision, in its order. What is not newer than the view is dropped as a repeat.
-    std::vector<EndpointRecord> apply(Revision upto, const std::vector<Change>& changes, TimePoint now);
-
-    // Nothing has changed up to here.
-    void advance(Revision to) { revision_ = std::max(revision_, to); }
+    /// Applies changes in order of their revisions; those not newer than the view are repeats and ignored.
+    /// @param covered all changes up to this revision are known; zero: only those given.
+    std::vector<EndpointRecord> apply(Revision covered, const std::vector<Change>& changes, TimePoint now);
 
 private:
-    void put(const Record& record, TimePoint now, std::vector<EndpointRecord>& told);
-    void remove(std::map<RecordKey, Entry>::iterator it, std::vector<EndpointRecord>& told);
+    using Entries = std::map<RecordKey, Entry>;
+
+    void upsert(const Record& record, TimePoint now, std::vector<EndpointRecord>& updates);
+    void update_endpoint(Entry& entry, const Record& record, EndpointRecord endpoint, TimePoint now,
+                         std::vector<EndpointRecord>& updates);
+    void set_start_of_new_endpoint(const RecordKey& key, EndpointUpdate& update, TimePoint now);
+    void remove(Entries::iterator it, std::vector<EndpointRecord>& updates);
 
     Revision revision_;
-    bool complete_ = false;
-    std::map<RecordKey, Entry> entries_;
-    std::map<RecordKey, TimePoint>
-        removed_since_;  // starts of those taken away: 1,024 at most, then all are forgotten
+    bool complete_ = false;  // a full list has been applied
+    Entries entries_;
+    std::map<RecordKey, TimePoint> started_at_of_removed_;
     std::size_t unreadable_ = 0;
 };
 
--- a/src/registry/etcd_codec.cpp
+++ b/src/registry/etcd_codec.cpp
@@ -3,6 +3,7 @@
 #include <Poco/Base64Decoder.h>
 #include <Poco/Base64Encoder.h>
 
+#include <algorithm>
 #include <charconv>
 #include <nlohmann/json.hpp>
 #include <sstream>
@@ -12,11 +13,13 @@
 namespace irismux::registry::etcd {
 namespace {
 
-constexpr std::size_t most_words = 200;
-// Codes of the published gRPC status, as they stand in an error's "code".
-constexpr int code_out_of_range = 11, code_unauthenticated = 16, code_denied = 7;
+constexpr int http_ok = 200, http_unauthorized = 401;
+// gRPC status codes, as they stand in an error's "code".
+constexpr int grpc_permission_denied = 7, grpc_out_of_range = 11, grpc_unauthenticated = 16;
 
-std::string base64(const std::string& bytes) {
+// --- encoding
+
+std::string encode_base64(const std::string& bytes) {
     std::ostringstream out;
     Poco::Base64Encoder encoder(out);
     encoder.rdbuf()->setLineLength(0);
@@ -25,19 +28,8 @@
     return out.str();
 }
 
-// Throws on what is no base64.
-std::string plain(const std::string& coded) {
-    std::istringstream in(coded);
-    Poco::Base64Decoder decoder(in);
-    std::string bytes(coded.size(), '\0');
-    decoder.read(bytes.data(), static_cast<std::streamsize>(bytes.size()));
-    if (decoder.bad()) bad("bytes that are no base64");
-    bytes.resize(static_cast<std::size_t>(decoder.gcount()));
-    return bytes;
-}
-
-// The first key behind all that begin with the prefix.
-std::string behind(std::string prefix) {
+// The first key behind all those with the prefix.
+std::string end_of_prefix(std::string prefix) {
     while (!prefix.empty()) {
         if (static_cast<unsigned char>(prefix.back()) != 0xff) {
             ++prefix.back();
@@ -48,237 +40,300 @@
     return std::string(1, '\0');  // all keys
 }
 
-std::int64_t number(const json& o, const char* key) {
-    const auto it = o.find(key);
-    if (it == o.end() || it->is_null()) return 0;  // what is zero is left out
+json key_of(const std::string& key) { return {{"key", encode_base64(key)}}; }
+
+json keys_with(const std::string& prefix) {
+    return {{"key", encode_base64(prefix)}, {"range_end", encode_base64(end_of_prefix(prefix))}};
+}
+
+json put_of(const std::string& key, const std::string& value, std::int64_t lease) {
+    json put = {{"key", encode_base64(key)}, {"value", encode_base64(value)}};
+    if (lease != 0) put["lease"] = std::to_string(lease);
+    return put;
+}
+
+json compare_of(const KeyValue& compared) {
+    const auto& [key, value] = compared;
+    json compare = {{"key", encode_base64(key)}, {"result", "EQUAL"}};
+    if (value) {
+        compare["target"] = "VALUE";
+        compare["value"] = encode_base64(*value);
+    } else {
+        compare["target"] = "CREATE";
+        compare["create_revision"] = "0";
+    }
+    return compare;
+}
+
+json write_of(const KeyValue& write) {
+    const auto& [key, value] = write;
+    if (!value) return {{"request_delete_range", key_of(key)}};
+    return {{"request_put", put_of(key, *value, 0)}};
+}
+
+json read_of(const std::string& key) { return {{"request_range", key_of(key)}}; }
+
+// --- parsing. These throw std::exception on what is not as the interface says.
+
+std::string decode_base64(const std::string& text) {
+    std::istringstream in(text);
+    Poco::Base64Decoder decoder(in);
+    std::string bytes(text.size(), '\0');
+    decoder.read(bytes.data(), static_cast<std::streamsize>(bytes.size()));
+    if (decoder.bad()) bad("bytes that are no base64");
+    bytes.resize(static_cast<std::size_t>(decoder.gcount()));
+    return bytes;
+}
+
+// Zeros are left out of replies.
+std::int64_t parse_number(const json& object, const char* key) {
+    const auto it = object.find(key);
+    if (it == object.end() || it->is_null()) return 0;
     if (it->is_number_integer()) return it->get<std::int64_t>();
     if (!it->is_string()) bad(std::string("field '") + key + "' is not a number");
     const auto& text = it->get_ref<const std::string&>();
-    std::int64_t n = 0;
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), n);
+    std::int64_t number = 0;
+    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
     if (error != std::errc{} || end != text.data() + text.size())
         bad(std::string("field '") + key + "' is not a number");
-    return n;
+    return number;
 }
 
-Origin origin(const json& o) {
-    const json& header = need(o, "header");
-    if (!header.is_object()) bad("field 'header' is not an object");
-    const auto cluster = header.find("cluster_id");
-    Origin from;
-    if (cluster != header.end() && cluster->is_string())
-        from.cluster = ClusterId{cluster->get<std::string>()};
-    from.revision = Revision{number(header, "revision")};
-    return from;
+ReplyHeader parse_header(const json& reply) {
+    const json& fields = need(reply, "header");
+    if (!fields.is_object()) bad("field 'header' is not an object");
+    const auto cluster = fields.find("cluster_id");
+    ReplyHeader header;
+    if (cluster != fields.end() && cluster->is_string())
+        header.cluster = ClusterId{cluster->get<std::string>()};
+    header.revision = Revision{parse_number(fields, "revision")};
+    return header;
 }
 
-Record record(const json& kv, const std::string& prefix) {
-    const std::string key = plain(irismux::get<std::string>(kv, "key"));
+Record parse_record(const json& key_value, const std::string& prefix) {
+    const std::string key = decode_base64(irismux::get<std::string>(key_value, "key"));
     if (key.compare(0, prefix.size(), prefix) != 0) bad("a key outside the prefix");
-    return {RecordKey{key.substr(prefix.size())}, plain(get_or<std::string>(kv, "value", "")),
-            Revision{number(kv, "create_revision")}, Revision{number(kv, "mod_revision")}};
+    return {RecordKey{key.substr(prefix.size())}, decode_base64(get_or<std::string>(key_value, "value", "")),
+            Revision{parse_number(key_value, "create_revision")},
+            Revision{parse_number(key_value, "mod_revision")}};
+}
+
+// The records that a transaction's reads have found, in the form of the interface.
+std::vector<json> key_values_of_transaction(const json& reply) {
+    std::vector<json> found;
+    if (!reply.contains("responses")) return found;
+    for (const json& response : list_of(reply, "responses")) {
+        if (!response.contains("response_range") || !response["response_range"].contains("kvs")) continue;
+        for (const json& key_value : list_of(response["response_range"], "kvs")) found.push_back(key_value);
+    }
+    return found;
+}
+
+Change parse_change(const json& event, const std::string& prefix) {
+    const std::string type = get_or<std::string>(event, "type", "PUT");
+    if (type != "PUT" && type != "DELETE") bad("an event that is neither PUT nor DELETE");
+    return {parse_record(need(event, "kv"), prefix), type == "DELETE"};
 }
 
-Error problem(ErrorCode fault, std::string words) {
-    for (char& c : words)
+// --- errors
+
+Error make_error(ErrorCode code, std::string message) {
+    constexpr std::size_t max_message = 200;
+    for (char& c : message)
         if (static_cast<unsigned char>(c) < ' ') c = ' ';
-    words.resize(std::min(words.size(), most_words));
-    return {fault, std::move(words)};
+    message.resize(std::min(message.size(), max_message));
+    return {code, std::move(message)};
+}
+
+ErrorCode error_code(int status, std::int64_t grpc_code, const std::string& message) {
+    const auto contains = [&](const char* part) { return message.find(part) != std::string::npos; };
+    if (grpc_code == grpc_out_of_range && contains("compacted")) return ErrorCode::compacted;
+    if (grpc_code == grpc_out_of_range && contains("future revision")) return ErrorCode::revision_not_reached;
+    if (status == http_unauthorized || grpc_code == grpc_unauthenticated ||
+        grpc_code == grpc_permission_denied || contains("invalid auth token") ||
+        contains("user name is empty"))
+        return ErrorCode::unauthenticated;
+    return ErrorCode::other;
 }
 
-// What an error says, in whichever of its published forms.
-Error said_problem(const json& o, int status) {
-    const json& e = o.contains("error") && o["error"].is_object() ? o["error"] : o;
-    std::string words = "status " + std::to_string(status);
+// An error reply, in any of its published forms.
+Error parse_error(const json& reply, int status) {
+    const bool nested = reply.contains("error") && reply["error"].is_object();
+    const json& error = nested ? reply["error"] : reply;
+    std::string message = "status " + std::to_string(status);
     for (const char* key : {"message", "error"})
-        if (const auto it = e.find(key); it != e.end() && it->is_string()) words = it->get<std::string>();
-    std::int64_t code = 0;
+        if (const auto it = error.find(key); it != error.end() && it->is_string())
+            message = it->get<std::string>();
+    std::int64_t grpc_code = 0;
     for (const char* key : {"code", "grpc_code"})
-        if (const auto it = e.find(key); it != e.end() && it->is_number_integer())
-            code = it->get<std::int64_t>();
-    const auto says = [&](const char* part) { return words.find(part) != std::string::npos; };
-    if (code == code_out_of_range && says("compacted")) return problem(ErrorCode::compacted, words);
-    if (code == code_out_of_range && says("future revision"))
-        return problem(ErrorCode::revision_not_reached, words);
-    if (status == 401 || code == code_unauthenticated || code == code_denied || says("invalid auth token") ||
-        says("user name is empty"))
-        return problem(ErrorCode::refused, words);
-    return problem(ErrorCode::other, words);
-}
-
-// Reads an answer, or says why not.
-template <class T, class Step>
-ReadResult<T> reading(int status, std::string_view body, Step step) {
-    const json o = json::parse(body, nullptr, false);
-    if (!o.is_object())
-        return problem(status == 200 ? ErrorCode::unreadable : ErrorCode::other,
-                       "status " + std::to_string(status) + ", not JSON");
+        if (const auto it = error.find(key); it != error.end() && it->is_number_integer())
+            grpc_code = it->get<std::int64_t>();
+    return make_error(error_code(status, grpc_code, message), message);
+}
+
+// Parses a reply by `parse(json)`, which may throw; error replies and exceptions become an Error.
+template <class T, class Parse>
+ReadResult<T> read_reply(int status, std::string_view body, Parse parse) {
+    const json reply = json::parse(body, nullptr, false);
+    if (!reply.is_object())
+        return make_error(status == http_ok ? ErrorCode::unreadable : ErrorCode::other,
+                          "status " + std::to_string(status) + ", not JSON");
     try {
-        if (status != 200 || o.contains("error")) return said_problem(o, status);
-        return step(o);
+        if (status != http_ok || reply.contains("error")) return parse_error(reply, status);
+        return parse(reply);
     } catch (const std::exception& e) {
-        return problem(ErrorCode::unreadable, e.what());
+        return make_error(ErrorCode::unreadable, e.what());
     }
 }
 
-json keys(const std::string& prefix) {
-    return {{"key", base64(prefix)}, {"range_end", base64(behind(prefix))}};
-}
-std::string text(std::int64_t n) { return std::to_string(n); }
-
 }  // namespace
 
+// --- requests --------------------------------------------------------------------------------------------
+
 Request range(const std::string& prefix, const std::optional<RecordKey>& after, Revision at,
-              std::size_t most) {
-    json body = keys(prefix);
-    if (after) body["key"] = base64(prefix + after->raw() + '\0');
-    if (at > Revision{}) body["revision"] = text(at.raw());
-    body["limit"] = std::to_string(most);
+              std::size_t limit) {
+    json body = keys_with(prefix);
+    if (after) body["key"] = encode_base64(prefix + after->raw() + '\0');
+    if (at > Revision{}) body["revision"] = std::to_string(at.raw());
+    body["limit"] = std::to_string(limit);
     return {"/v3/kv/range", body.dump()};
 }
 
-Request most_recently_changed(const std::string& prefix, Revision at, std::size_t most) {
-    json body = keys(prefix);
-    body["revision"] = text(at.raw());
-    body["limit"] = std::to_string(most);
+Request most_recently_changed(const std::string& prefix, Revision at, std::size_t limit) {
+    json body = keys_with(prefix);
+    body["revision"] = std::to_string(at.raw());
+    body["limit"] = std::to_string(limit);
     body["sort_order"] = "DESCEND";
     body["sort_target"] = "MOD";
     return {"/v3/kv/range", body.dump()};
 }
 
 Request watch(const std::string& prefix, Revision from) {
-    json create = keys(prefix);
-    create["start_revision"] = text(from.raw());
+    json create = keys_with(prefix);
+    create["start_revision"] = std::to_string(from.raw());
     create["progress_notify"] = true;
     create["fragment"] = true;
     return {"/v3/watch", json{{"create_request", create}}.dump()};
 }
 
 Request put(const std::string& key, const std::string& value, std::int64_t lease) {
-    json body = {{"key", base64(key)}, {"value", base64(value)}};
-    if (lease != 0) body["lease"] = text(lease);
-    return {"/v3/kv/put", body.dump()};
+    return {"/v3/kv/put", put_of(key, value, lease).dump()};
 }
 
 Request put_if(const std::string& key, const std::string& value, Revision unchanged_since,
                std::int64_t lease) {
-    json write = {{"key", base64(key)}, {"value", base64(value)}};
-    if (lease != 0) write["lease"] = text(lease);
-    // A record that is not there has been changed by revision 0.
-    const json as_was = {{"key", base64(key)},
-                         {"target", "MOD"},
-                         {"result", "EQUAL"},
-                         {"mod_revision", text(unchanged_since.raw())}};
-    return {"/v3/kv/txn", json{{"compare", {as_was}},
-                               {"success", {{{"request_put", write}}}},
-                               {"failure", {{{"request_range", {{"key", base64(key)}}}}}}}
+    // The mod_revision of a record that does not exist is 0.
+    const json unchanged = {{"key", encode_base64(key)},
+                            {"target", "MOD"},
+                            {"result", "EQUAL"},
+                            {"mod_revision", std::to_string(unchanged_since.raw())}};
+    return {"/v3/kv/txn", json{{"compare", {unchanged}},
+                               {"success", {{{"request_put", put_of(key, value, lease)}}}},
+                               {"failure", {read_of(key)}}}
                               .dump()};
 }
 
-Request transaction(const std::vector<KeyValue>& holds, const std::vector<KeyValue>& writes,
-                    const std::vector<std::string>& shows) {
-    const auto look = [](const std::string& key) { return json{{"request_range", {{"key", base64(key)}}}}; };
-    json compare = json::array(), success = json::array(), failure = json::array();
-    for (const auto& [key, value] : holds) {
-        json c = {{"key", base64(key)}, {"result", "EQUAL"}};
-        if (value) {
-            c["target"] = "VALUE";
-            c["value"] = base64(*value);
-        } else {
-            c["target"] = "CREATE";
-            c["create_revision"] = "0";
-        }
-        compare.push_back(c);
-        failure.push_back(look(key));
+Request transaction(const std::vector<KeyValue>& compares, const std::vector<KeyValue>& writes,
+                    const std::vector<std::string>& reads) {
+    json compare = json::array();
+    json success = json::array();
+    json failure = json::array();
+    for (const KeyValue& compared : compares) {
+        compare.push_back(compare_of(compared));
+        failure.push_back(read_of(compared.first));
     }
-    for (const auto& [key, value] : writes)
-        success.push_back(value ? json{{"request_put", {{"key", base64(key)}, {"value", base64(*value)}}}}
-                                : json{{"request_delete_range", {{"key", base64(key)}}}});
-    for (const std::string& key : shows) success.push_back(look(key));
+    for (const KeyValue& write : writes) success.push_back(write_of(write));
+    for (const std::string& key : reads) success.push_back(read_of(key));
     return {"/v3/kv/txn", json{{"compare", compare}, {"success", success}, {"failure", failure}}.dump()};
 }
 
-Request get(const std::string& key) { return {"/v3/kv/range", json{{"key", base64(key)}}.dump()}; }
+Request get(const std::string& key) { return {"/v3/kv/range", key_of(key).dump()}; }
+
+Request erase(const std::string& key) { return {"/v3/kv/deleterange", key_of(key).dump()}; }
 
-Request erase(const std::string& key) { return {"/v3/kv/deleterange", json{{"key", base64(key)}}.dump()}; }
 Request authenticate(const std::string& name, const std::string& password) {
     return {"/v3/auth/authenticate", json{{"name", name}, {"password", password}}.dump()};
 }
-Request grant(std::int64_t seconds) { return {"/v3/lease/grant", json{{"TTL", text(seconds)}}.dump()}; }
-Request keep_alive(std::int64_t lease) { return {"/v3/lease/keepalive", json{{"ID", text(lease)}}.dump()}; }
-Request revoke(std::int64_t lease) { return {"/v3/lease/revoke", json{{"ID", text(lease)}}.dump()}; }
+
+Request grant(std::int64_t seconds) {
+    return {"/v3/lease/grant", json{{"TTL", std::to_string(seconds)}}.dump()};
+}
+
+Request keep_alive(std::int64_t lease) {
+    return {"/v3/lease/keepalive", json{{"ID", std::to_string(lease)}}.dump()};
+}
+
+Request revoke(std::int64_t lease) {
+    return {"/v3/lease/revoke", json{{"ID", std::to_string(lease)}}.dump()};
+}
+
+// --- replies ---------------------------------------------------------------------------------------------
 
 ReadResult<Range> read_range(int status, std::string_view body, const std::string& prefix) {
-    return reading<Range>(status, body, [&](const json& o) -> ReadResult<Range> {
-        Range r;
-        r.page.origin = origin(o);
-        r.page.more = get_or(o, "more", false);
-        if (o.contains("kvs"))
-            for (const json& kv : list_of(o, "kvs")) r.page.records.push_back(record(kv, prefix));
-        r.count = static_cast<std::size_t>(std::max<std::int64_t>(0, number(o, "count")));
-        return r;
+    return read_reply<Range>(status, body, [&](const json& reply) -> ReadResult<Range> {
+        Range range;
+        range.page.header = parse_header(reply);
+        range.page.more = get_or(reply, "more", false);
+        if (reply.contains("kvs"))
+            for (const json& key_value : list_of(reply, "kvs"))
+                range.page.records.push_back(parse_record(key_value, prefix));
+        range.count = static_cast<std::size_t>(std::max<std::int64_t>(0, parse_number(reply, "count")));
+        return range;
     });
 }
 
 ReadResult<WatchMessage> read_watch(std::string_view message, const std::string& prefix) {
-    return reading<WatchMessage>(200, message, [&](const json& o) -> ReadResult<WatchMessage> {
-        const json& result = need(o, "result");
-        WatchMessage s;
-        s.origin = origin(result);
-        s.created = get_or(result, "created", false);
-        s.fragment = get_or(result, "fragment", false);
-        s.canceled = get_or(result, "canceled", false);
-        if (s.canceled && number(result, "compact_revision") > 0)
-            return problem(ErrorCode::compacted, "the revision to watch from has been compacted");
+    return read_reply<WatchMessage>(http_ok, message, [&](const json& reply) -> ReadResult<WatchMessage> {
+        const json& result = need(reply, "result");
+        WatchMessage update;
+        update.header = parse_header(result);
+        update.created = get_or(result, "created", false);
+        update.fragment = get_or(result, "fragment", false);
+        update.canceled = get_or(result, "canceled", false);
+        if (update.canceled && parse_number(result, "compact_revision") > 0)
+            return make_error(ErrorCode::compacted, "the revision to watch from has been compacted");
         if (result.contains("events"))
-            for (const json& e : list_of(result, "events")) {
-                const std::string type = get_or<std::string>(e, "type", "PUT");
-                if (type != "PUT" && type != "DELETE") bad("an event that is neither PUT nor DELETE");
-                s.changes.push_back({record(need(e, "kv"), prefix), type == "DELETE"});
-            }
-        return s;
+            for (const json& event : list_of(result, "events"))
+                update.changes.push_back(parse_change(event, prefix));
+        return update;
     });
 }
 
 ReadResult<std::string> read_token(int status, std::string_view body) {
-    return reading<std::string>(status, body, [](const json& o) -> ReadResult<std::string> {
-        return irismux::get<std::string>(o, "token");
+    return read_reply<std::string>(status, body, [](const json& reply) -> ReadResult<std::string> {
+        return irismux::get<std::string>(reply, "token");
     });
 }
 
 ReadResult<Lease> read_lease(int status, std::string_view body) {
-    return reading<Lease>(status, body, [](const json& o) -> ReadResult<Lease> {
-        const json& r = o.contains("result") ? o["result"] : o;
-        return Lease{number(r, "ID"), number(r, "TTL")};
+    return read_reply<Lease>(status, body, [](const json& reply) -> ReadResult<Lease> {
+        const json& lease = reply.contains("result") ? reply["result"] : reply;
+        return Lease{parse_number(lease, "ID"), parse_number(lease, "TTL")};
     });
 }
 
 ReadResult<ConditionalWriteResult> read_conditional_write_result(int status, std::string_view body) {
-    return reading<ConditionalWriteResult>(
-        status, body, [](const json& o) -> ReadResult<ConditionalWriteResult> {
-            ConditionalWriteResult out;
-            out.succeeded = get_or(o, "succeeded", false);
-            if (out.succeeded || !o.contains("responses")) return out;
-            for (const json& r : list_of(o, "responses"))
-                if (r.contains("response_range") && r["response_range"].contains("kvs"))
-                    for (const json& kv : list_of(r["response_range"], "kvs"))
-                        out.conflicting_value = plain(get_or<std::string>(kv, "value", ""));
-            return out;
-        });
+    using Result = ReadResult<ConditionalWriteResult>;
+    return read_reply<ConditionalWriteResult>(status, body, [](const json& reply) -> Result {
+        ConditionalWriteResult result;
+        result.succeeded = get_or(reply, "succeeded", false);
+        if (result.succeeded) return result;
+        for (const json& key_value : key_values_of_transaction(reply))
+            result.conflicting_value = decode_base64(get_or<std::string>(key_value, "value", ""));
+        return result;
+    });
 }
 
 ReadResult<TransactionResult> read_transaction_result(int status, std::string_view body,
                                                       const std::string& prefix) {
-    return reading<TransactionResult>(status, body, [&](const json& o) -> ReadResult<TransactionResult> {
-        TransactionResult out;
-        out.origin = origin(o);
-        out.succeeded = get_or(o, "succeeded", false);
-        if (!o.contains("responses")) return out;
-        for (const json& r : list_of(o, "responses"))
-            if (r.contains("response_range") && r["response_range"].contains("kvs"))
-                for (const json& kv : list_of(r["response_range"], "kvs"))
-                    out.records.push_back(record(kv, prefix));
-        return out;
+    using Result = ReadResult<TransactionResult>;
+    return read_reply<TransactionResult>(status, body, [&](const json& reply) -> Result {
+        TransactionResult result;
+        result.header = parse_header(reply);
+        result.succeeded = get_or(reply, "succeeded", false);
+        for (const json& key_value : key_values_of_transaction(reply))
+            result.records.push_back(parse_record(key_value, prefix));
+        return result;
     });
 }
 
--- a/src/registry/record.hpp
+++ b/src/registry/record.hpp
@@ -1,9 +1,10 @@
-// What a key-value registry holds and how it numbers it.
+// Records of a key-value registry, and how the registry numbers its changes.
 //
 // Source: the published interface of etcd 3 (KV and Watch services): one revision for the whole store, raised
 // by each transaction; every record carries the revision that created it and the one that last changed it.
 #pragma once
 
+#include <cstdint>
 #include <string>
 #include <vector>
 
@@ -11,10 +12,10 @@
 
 namespace irismux::registry {
 
-using Revision = Id<struct RevisionTag, std::int64_t>;   // zero: none
-using ClusterId = Id<struct ClusterTag, std::string>;    // empty: not told
-using MemberIndex = Id<struct MemberTag, std::size_t>;   // place of a registry's member in the settings
-using RecordKey = Id<struct RecordKeyTag, std::string>;  // behind the prefix
+using Revision = Id<struct RevisionTag, std::int64_t>;   ///< zero: none
+using ClusterId = Id<struct ClusterTag, std::string>;    ///< empty: unknown
+using MemberIndex = Id<struct MemberTag, std::size_t>;   ///< position of a registry member in the settings
+using RecordKey = Id<struct RecordKeyTag, std::string>;  ///< the key without the prefix
 
 struct Record {
     RecordKey key;
@@ -22,22 +23,23 @@
     Revision created, modified;
 };
 
-// A record as one transaction left it, or that it took it away.
+/// A record as one transaction left it, or its deletion.
 struct Change {
-    Record record;  // deleted: its key, and in `modified` the revision of the deletion
+    Record record;  ///< deleted: only its key, and in `modified` the revision of the deletion
     bool deleted = false;
 };
 
-// Where an answer comes from, and the newest revision that its sender has.
-struct Origin {
+/// The cluster that a reply comes from, and the newest revision that its sender has.
+struct ReplyHeader {
     ClusterId cluster;
     Revision revision;
 };
 
+/// A part of a full read.
 struct Page {
-    Origin origin;
-    std::vector<Record> records;  // by key, rising
-    bool more = false;
+    ReplyHeader header;
+    std::vector<Record> records;  ///< in ascending order of keys
+    bool more = false;            ///< there are records behind the last one
 };
 
 }  // namespace irismux::registry
--- a/src/registry/registry_client.cpp
+++ b/src/registry/registry_client.cpp
@@ -1,34 +1,38 @@
 #include "registry/registry_client.hpp"
 
 #include <algorithm>
+#include <utility>
+#include <variant>
 
 namespace irismux::registry {
-namespace {
 
-// A page that takes less than this lets the next ones grow again.
-constexpr std::size_t grows_below = max_reply_bytes / 4;
-
-}  // namespace
-
-RegistryClient::RegistryClient(EventLoop& loop, WatchObserver& knows, Settings settings, std::uint64_t seed,
-                               RecordKind sort)
+RegistryClient::RegistryClient(EventLoop& loop, WatchObserver& observer, Settings settings,
+                               std::uint64_t seed, RecordKind kind)
     : event_loop_(loop),
       settings_(std::move(settings)),
-      watch_(*this, knows, settings_.poll_policy, seed, sort),
+      watch_(*this, observer, settings_.poll_policy, seed, kind),
       page_size_(settings_.page_size),
       connection_(loop, *this, settings_) {}
 
 RegistryClient::~RegistryClient() { event_loop_.cancel(wake_timer_); }
 
-void RegistryClient::read_page(MemberIndex m, const std::optional<RecordKey>& after, Revision at) {
-    send({Kind::read, m, after, at});
+// --- requests of the watch -------------------------------------------------------------------------------
+
+void RegistryClient::read_page(MemberIndex member, const std::optional<RecordKey>& after, Revision at) {
+    send({Operation::read_page, member, after, at});
+}
+
+void RegistryClient::check_revision(MemberIndex member, Revision at) {
+    send({Operation::check_revision, member, std::nullopt, at});
+}
+
+void RegistryClient::open_watch(MemberIndex member, Revision from) {
+    send({Operation::watch, member, std::nullopt, from});
 }
-void RegistryClient::check_revision(MemberIndex m, Revision at) { send({Kind::check, m, std::nullopt, at}); }
-void RegistryClient::open_watch(MemberIndex m, Revision from) { send({Kind::follow, m, std::nullopt, from}); }
 
 void RegistryClient::close() {
     connection_.close();
-    pending_ = PendingRequest{};
+    pending_request_ = PendingRequest{};
 }
 
 void RegistryClient::schedule_wake(TimePoint at) {
@@ -36,76 +40,94 @@
     wake_timer_ = event_loop_.schedule_at(at, [this] { watch_.on_wake(event_loop_.now()); });
 }
 
-void RegistryClient::send(PendingRequest ask) {
-    pending_ = std::move(ask);
-    connection_.send_request(pending_.member, request(), pending_.kind == Kind::follow);
+void RegistryClient::send(PendingRequest request) {
+    pending_request_ = std::move(request);
+    const bool watch = pending_request_.operation == Operation::watch;
+    connection_.send_request(pending_request_.member, encode(pending_request_),
+                             watch ? ReplyForm::stream : ReplyForm::whole);
 }
 
-etcd::Request RegistryClient::request() const {
-    if (pending_.kind == Kind::check)
-        return etcd::most_recently_changed(settings_.prefix, pending_.at, max_checked_records);
-    if (pending_.kind == Kind::follow) return etcd::watch(settings_.prefix, pending_.at);
-    return etcd::range(settings_.prefix, pending_.after, pending_.at, page_size_);
+etcd::Request RegistryClient::encode(const PendingRequest& request) const {
+    switch (request.operation) {
+        case Operation::check_revision:
+            return etcd::most_recently_changed(settings_.prefix, request.at, max_checked_records);
+        case Operation::watch:
+            return etcd::watch(settings_.prefix, request.at);
+        case Operation::none:
+        case Operation::read_page:
+            break;
+    }
+    return etcd::range(settings_.prefix, request.after, request.at, page_size_);
 }
 
+// --- replies ---------------------------------------------------------------------------------------------
+
 void RegistryClient::on_reply(int status, const std::string& body) {
-    if (pending_.kind == Kind::follow) {
-        // The stream was refused.
-        const auto read = etcd::read_watch(body, settings_.prefix);
-        const auto* wrong = std::get_if<etcd::Error>(&read);
-        return on_error(wrong ? *wrong : etcd::Error{etcd::ErrorCode::other, "the watch was refused"});
-    }
-    const auto read = etcd::read_range(status, body, settings_.prefix);
-    if (const auto* wrong = std::get_if<etcd::Error>(&read)) return on_error(*wrong);
-    const auto& range = std::get<etcd::Range>(read);
-    if (std::exchange(pending_.kind, Kind::none) == Kind::check)
-        watch_.on_check_result(event_loop_.now(), range.page.origin, range.count, range.page.records);
-    else
-        take_page(range.page, body.size());
+    if (pending_request_.operation == Operation::watch) return on_watch_refused(body);
+    const auto reply = etcd::read_range(status, body, settings_.prefix);
+    if (const auto* error = std::get_if<etcd::Error>(&reply)) return on_error(*error);
+    on_range(std::get<etcd::Range>(reply), body.size());
 }
 
-void RegistryClient::take_page(const Page& page, std::size_t bytes) {
-    if (bytes < grows_below) page_size_ = std::min(page_size_ * 2, settings_.page_size);
+void RegistryClient::on_watch_refused(const std::string& body) {
+    const auto reply = etcd::read_watch(body, settings_.prefix);
+    if (const auto* error = std::get_if<etcd::Error>(&reply)) return on_error(*error);
+    on_request_failed({RequestFailureReason::watch_refused, {}});
+}
+
+void RegistryClient::on_range(const etcd::Range& range, std::size_t reply_bytes) {
+    const Operation operation = std::exchange(pending_request_.operation, Operation::none);
+    const Page& page = range.page;
+    if (operation == Operation::check_revision)
+        return watch_.on_check_result(event_loop_.now(), page.header, range.count, page.records);
+    // Pages that were halved by on_reply_too_long() grow again once they are far below the limit.
+    constexpr std::size_t small_reply_bytes = max_reply_bytes / 4;
+    if (reply_bytes < small_reply_bytes) page_size_ = std::min(page_size_ * 2, settings_.page_size);
     watch_.on_page(event_loop_.now(), page);
 }
 
 void RegistryClient::on_stream_message(std::string_view message) {
     const auto read = etcd::read_watch(message, settings_.prefix);
-    if (const auto* wrong = std::get_if<etcd::Error>(&read)) return on_error(*wrong);
-    const auto& said = std::get<etcd::WatchMessage>(read);
-    if (said.canceled) return on_connection_lost("the watch was cancelled");
-    if (said.created)
-        watch_.on_watch_opened(event_loop_.now(), said.origin);
-    else
-        watch_.on_changes(event_loop_.now(), said.origin, said.changes, said.fragment);
+    if (const auto* error = std::get_if<etcd::Error>(&read)) return on_error(*error);
+    const auto& update = std::get<etcd::WatchMessage>(read);
+    if (update.canceled) return on_request_failed({RequestFailureReason::watch_cancelled, {}});
+    if (update.created) return watch_.on_watch_opened(event_loop_.now(), update.header);
+    watch_.on_changes(event_loop_.now(), update.header, update.changes, update.fragment);
 }
 
-void RegistryClient::on_error(const etcd::Error& problem) {
-    if (problem.code == etcd::ErrorCode::refused && connection_.retry_with_new_token()) return;
-    if (problem.code == etcd::ErrorCode::compacted) return watch_.on_compacted(event_loop_.now());
-    if (problem.code == etcd::ErrorCode::revision_not_reached)
-        return watch_.on_revision_not_reached(event_loop_.now());
-    on_connection_lost(problem.message.c_str());
+void RegistryClient::on_error(const etcd::Error& error) {
+    switch (error.code) {
+        case etcd::ErrorCode::unauthenticated:
+            if (connection_.retry_with_new_token()) return;
+            return on_request_failed({RequestFailureReason::authentication_failed, error.message});
+        case etcd::ErrorCode::compacted:
+            return watch_.on_compacted(event_loop_.now());
+        case etcd::ErrorCode::revision_not_reached:
+            return watch_.on_revision_not_reached(event_loop_.now());
+        case etcd::ErrorCode::unreadable:
+        case etcd::ErrorCode::other:
+            return on_request_failed({RequestFailureReason::error_reply, error.message});
+    }
 }
 
-void RegistryClient::on_message_too_long() {
-    on_error({etcd::ErrorCode::compacted, "a message that is too long"});
-}
+// Whatever it holds, a full read in pages that fit has it, too.
+void RegistryClient::on_message_too_long() { watch_.on_compacted(event_loop_.now()); }
 
-// Guards against the same long answer again and again: a page is asked for anew with half the records, and a
-// history that can't be compared is read whole.
+// Guards against the same long reply again and again: a page is requested anew with half the records, and a
+// history that does not fit is replaced by a full read.
 void RegistryClient::on_reply_too_long() {
-    if (pending_.kind == Kind::check) return watch_.on_compacted(event_loop_.now());
-    if (pending_.kind != Kind::read || page_size_ <= 1)
-        return on_connection_lost("a record that is too long");
+    if (pending_request_.operation == Operation::check_revision)
+        return watch_.on_compacted(event_loop_.now());
+    if (pending_request_.operation != Operation::read_page || page_size_ <= 1)
+        return on_request_failed({RequestFailureReason::record_too_long, {}});
     page_size_ /= 2;
-    send(PendingRequest(pending_));
+    send(PendingRequest(pending_request_));
 }
 
-void RegistryClient::on_connection_lost(const char* why) {
+void RegistryClient::on_request_failed(const RequestFailure& failure) {
     connection_.close();
-    pending_.kind = Kind::none;
-    watch_.on_broken(event_loop_.now(), why);
+    pending_request_.operation = Operation::none;
+    watch_.on_request_failed(event_loop_.now(), failure);
 }
 
 }  // namespace irismux::registry
--- a/src/registry/registry_client.hpp
+++ b/src/registry/registry_client.hpp
@@ -1,9 +1,10 @@
-// Carries what a Watch asks to a registry's members and back, on the loop. Decides nothing.
+// Runs a Watch against a registry: its requests go out as etcd requests, the replies come back parsed.
 #pragma once
 
 #include <cstdint>
-#include <memory>
+#include <optional>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "net/event_loop.hpp"
@@ -16,12 +17,13 @@
 
 class RegistryClient final : private WatchTransport, private ReplyHandler {
 public:
-    RegistryClient(EventLoop& loop, WatchObserver& knows, Settings settings, std::uint64_t seed,
-                   RecordKind sort = RecordKind::endpoints);
+    /// The loop and the observer must outlive it.
+    RegistryClient(EventLoop& loop, WatchObserver& observer, Settings settings, std::uint64_t seed,
+                   RecordKind kind = RecordKind::endpoints);
     ~RegistryClient() override;
 
     void start() { watch_.start(event_loop_.now()); }
-    // As Watch::start_from; before start().
+    /// As Watch::start_from.
     void start_from(const ClusterId& cluster, Revision at, const std::vector<Record>& records,
                     TimePoint as_of) {
         watch_.start_from(event_loop_.now(), cluster, at, records, as_of);
@@ -30,35 +32,39 @@
     const std::string& prefix() const { return settings_.prefix; }
 
 private:
-    enum class Kind { none, read, check, follow };
+    enum class Operation { none, read_page, check_revision, watch };
     struct PendingRequest {
-        Kind kind = Kind::none;
+        Operation operation = Operation::none;
         MemberIndex member;
         std::optional<RecordKey> after;
         Revision at;
     };
 
-    void read_page(MemberIndex, const std::optional<RecordKey>& after, Revision at) override;
-    void check_revision(MemberIndex, Revision at) override;
-    void open_watch(MemberIndex, Revision from) override;
+    // WatchTransport
+    void read_page(MemberIndex member, const std::optional<RecordKey>& after, Revision at) override;
+    void check_revision(MemberIndex member, Revision at) override;
+    void open_watch(MemberIndex member, Revision from) override;
     void close() override;
     void schedule_wake(TimePoint at) override;
 
-    void send(PendingRequest ask);
-    etcd::Request request() const;
-    void take_page(const Page& page, std::size_t bytes);
+    // ReplyHandler
     void on_reply(int status, const std::string& body) override;
     void on_stream_message(std::string_view message) override;
     void on_message_too_long() override;
     void on_reply_too_long() override;
-    void on_connection_lost(const char* why) override;
-    void on_error(const etcd::Error& problem);
+    void on_request_failed(const RequestFailure& failure) override;
+
+    void send(PendingRequest request);
+    etcd::Request encode(const PendingRequest& request) const;
+    void on_watch_refused(const std::string& body);
+    void on_range(const etcd::Range& range, std::size_t reply_bytes);
+    void on_error(const etcd::Error& error);
 
     EventLoop& event_loop_;
     Settings settings_;
     Watch watch_;
-    PendingRequest pending_;
-    std::size_t page_size_;  // records a page, as many as fit into an answer
+    PendingRequest pending_request_;
+    std::size_t page_size_;  // records per page, as many as fit into a reply
     RegistryConnection connection_;
     EventLoop::Timer wake_timer_{};
 };
--- /dev/null
+++ b/src/registry/registry_log.hpp
@@ -0,0 +1,21 @@
+// The log events of a registry connection.
+#pragma once
+
+#include <string_view>
+
+#include "registry/settings.hpp"
+#include "registry/watch_callbacks.hpp"
+
+namespace irismux::registry {
+
+/// The name of the warning's log event.
+std::string_view event_name(WatchWarningKind kind);
+
+/// Logs a warning with the member's address. The settings are those of the registry that it is about.
+void log_watch_warning(const WatchWarning& warning, const Settings& settings);
+
+/// Logs a new state: a warning if it is SyncState::disconnected.
+/// @param complete_at when the view was last known to be complete; zero: never.
+void log_sync_state(TimePoint now, SyncState state, TimePoint complete_at);
+
+}  // namespace irismux::registry
--- /dev/null
+++ b/src/registry/registry_socket.hpp
@@ -0,0 +1,61 @@
+// HTTP/1.1 to one registry member: a request is written, its reply is read whole or as a stream.
+#pragma once
+
+#include <Poco/Net/SocketAddress.h>
+
+#include <memory>
+#include <optional>
+#include <string>
+
+#include "codec/http.hpp"
+#include "net/connection.hpp"
+#include "registry/etcd_codec.hpp"
+#include "registry/reply_handler.hpp"
+
+namespace irismux::registry {
+
+class RegistrySocket final : public Connection {
+public:
+    /// The handler must live until close_silently().
+    RegistrySocket(EventLoop& loop, ReplyHandler& handler, MemberIndex member);
+
+    /// @param address numeric, with a port. Throws Poco::Exception if it is neither.
+    /// @return false if no connection attempt was possible.
+    [[nodiscard]] bool start(const std::string& address);
+    MemberIndex member() const { return member_; }
+    /// Ready for a request.
+    bool idle() const;
+    void write_request(const std::string& host, const etcd::Request& request, const std::string& token,
+                       ReplyForm form);
+    /// Closes without a call to the handler.
+    void close_silently();
+
+protected:
+    void on_open() override { schedule_write(); }
+    void on_data() override;
+    void on_closed() override { fail(RequestFailureReason::connection_lost); }
+
+private:
+    enum class State { idle, awaiting_head, reading_body };
+    enum class Progress { parsed, needs_input };
+
+    bool is_busy() const { return state_ != State::idle; }
+    Progress parse_head();
+    Progress parse_body();
+    void finish_reply();
+    void deliver_messages();
+    void reject_long_reply();
+    void fail(RequestFailureReason reason);
+    // Closes, and returns the handler, if there still is one.
+    ReplyHandler* detach();
+
+    ReplyHandler* handler_;  // null: closed
+    MemberIndex member_;
+    State state_ = State::idle;
+    ReplyForm form_ = ReplyForm::whole;
+    http::Head head_;
+    std::optional<http::BodyReader> body_reader_;
+    std::string text_;  // of the reply, or of the stream's next message, so far
+};
+
+}  // namespace irismux::registry
--- a/src/registry/watch.cpp
+++ b/src/registry/watch.cpp
@@ -2,34 +2,24 @@
 
 #include <algorithm>
 #include <cmath>
+#include <utility>
 
 namespace irismux::registry {
-namespace {
 
-// A pause doubles with each break in a row, up to the cap or so often.
-constexpr int most_doublings = 16;
-// A watch that has held for this part of the cap ends the row of breaks. Much less would let a registry that
-// takes and drops connections be asked at the base pace; much more would slow the return from breaks that
-// have nothing to do with each other.
-constexpr double held_of_cap = 0.02;
-// A read that leaves less than this part of its records readable is no instruction.
-constexpr double readable_least = 0.5;
-
-}  // namespace
-
-std::string_view to_string(SyncState sight) {
-    constexpr std::string_view words[] = {"reading", "resuming", "following", "behind", "blind"};
-    return words[static_cast<std::size_t>(sight)];
+std::string_view to_string(SyncState state) {
+    constexpr std::string_view names[] = {"reading", "resuming", "following", "lagging", "disconnected"};
+    return names[static_cast<std::size_t>(state)];
 }
 
-Watch::Watch(WatchTransport& asks, WatchObserver& knows, const PollPolicy& pace, std::uint64_t seed,
-             RecordKind sort)
-    : transport_(asks),
-      observer_(knows),
-      policy_(pace),
+Watch::Watch(WatchTransport& transport, WatchObserver& observer, const PollPolicy& policy, std::uint64_t seed,
+             RecordKind kind)
+    : transport_(transport),
+      observer_(observer),
+      policy_(policy),
       random_(static_cast<std::uint_fast32_t>(seed ^ (seed >> 32))),
-      record_kind_(sort),
-      member_(random_() % std::max<std::size_t>(1, pace.members)) {
+      record_kind_(kind),
+      member_(random_() % std::max<std::size_t>(1, policy.members)),
+      rollback_detector_(policy) {
     policy_.members = std::max<std::size_t>(1, policy_.members);
 }
 
@@ -37,12 +27,11 @@
                        const std::vector<Record>& records, TimePoint as_of) {
     cluster_ = cluster;
     last_complete_at_ = as_of;
-    const std::vector<EndpointRecord> lines = view_.replace(at, records, now);
+    const std::vector<EndpointRecord> updates = view_.replace(at, records, now);
     resume_revision_ = at;
-    endpoints_reported_ = true;
-    must_read_ = false;
-    may_have_been_restored_ = true;
-    observer_.on_endpoints(now, lines, true);
+    list_reported_ = true;
+    recovery_ = Recovery::history_check;
+    observer_.on_endpoints(now, updates, true);
     enter(now, SyncState::disconnected);
 }
 
@@ -51,278 +40,319 @@
     request_next(now);
 }
 
-// --- asking ----------------------------------------------------------------------------------------------
+// --- states and deadlines --------------------------------------------------------------------------------
 
-void Watch::enter(TimePoint now, SyncState sight) {
-    may_have_been_restored_ = may_have_been_restored_ || sight == SyncState::disconnected;
-    if (sight == sync_state_ && sight != SyncState::following) return;
-    // Whoever is blind stays so until something current has come.
-    if (sync_state_ == SyncState::disconnected && sight != SyncState::following) return;
-    const bool news = std::exchange(sync_state_, sight) != sight;
-    if (news) observer_.on_sync_state(now, sight, last_complete_at_);
+void Watch::enter(TimePoint now, SyncState state) {
+    if (state == SyncState::disconnected && recovery_ == Recovery::watch) recovery_ = Recovery::history_check;
+    if (state == sync_state_) return;
+    // Only something current ends a disconnection.
+    if (sync_state_ == SyncState::disconnected && state != SyncState::following) return;
+    sync_state_ = state;
+    observer_.on_sync_state(now, state, last_complete_at_);
+}
+
+void Watch::expect(TimePoint now, PendingOperation operation, Duration timeout) {
+    pending_operation_ = operation;
+    due_ = now + timeout;
+    // A disconnection is reported in time, whatever operation is pending.
+    const TimePoint disconnected_at = last_seen_ + policy_.watch_timeout;
+    if (sync_state_ == SyncState::disconnected || disconnected_at <= now)
+        transport_.schedule_wake(due_);
+    else
+        transport_.schedule_wake(std::min(due_, disconnected_at));
 }
 
-void Watch::expect(TimePoint now, PendingOperation what, Duration most) {
-    pending_operation_ = what;
-    due_ = now + most;
-    // Blindness is found in time, whatever is waited for.
-    const TimePoint blind = last_seen_ + policy_.watch_timeout;
-    transport_.schedule_wake(sync_state_ == SyncState::disconnected || blind <= now ? due_
-                                                                                    : std::min(due_, blind));
+void Watch::on_wake(TimePoint now) {
+    if (pending_operation_ == PendingOperation::nothing) return;
+    if (now - last_seen_ >= policy_.watch_timeout) enter(now, SyncState::disconnected);
+    if (now < due_) return expect(now, pending_operation_, due_ - now);
+    if (pending_operation_ == PendingOperation::pause) return request_next(now);
+    const bool watching = pending_operation_ == PendingOperation::watch_message;
+    on_request_failed(
+        now, {watching ? RequestFailureReason::watch_timeout : RequestFailureReason::reply_timeout, {}});
 }
 
-// Goes on with what is needed: a full read, or the watch.
+bool Watch::is_request_pending() const {
+    return pending_operation_ != PendingOperation::nothing && pending_operation_ != PendingOperation::pause;
+}
+
+// --- requests and retries --------------------------------------------------------------------------------
+
 void Watch::request_next(TimePoint now) {
-    pending_.clear();
-    if (!must_read_ && may_have_been_restored_) {
-        expect(now, PendingOperation::check, policy_.reply_timeout);
-        return transport_.check_revision(member_, view_.revision());
+    pending_changes_.clear();
+    switch (recovery_) {
+        case Recovery::history_check:
+            expect(now, PendingOperation::check, policy_.reply_timeout);
+            return transport_.check_revision(member_, view_.revision());
+        case Recovery::watch:
+            enter(now, SyncState::resuming);
+            return open_watch(now);
+        case Recovery::full_read:
+            enter(now, SyncState::reading);
+            full_read_ = FullRead{};
+            expect(now, PendingOperation::page, policy_.reply_timeout);
+            return transport_.read_page(member_, std::nullopt, Revision{});
     }
-    if (!must_read_) {
-        enter(now, SyncState::resuming);
-        expect(now, PendingOperation::watch_opening, policy_.reply_timeout);
-        return transport_.open_watch(member_, Revision{resume_revision_.raw() + 1});
-    }
-    enter(now, SyncState::reading);
-    pages_.clear();
-    read_origin_ = Origin{};
-    expect(now, PendingOperation::page, policy_.reply_timeout);
-    transport_.read_page(member_, std::nullopt, Revision{});
 }
 
-// Full jitter: all who lost a registry at once come back spread over the whole pause.
-void Watch::back_off(TimePoint now, bool at_cap) {
-    const Duration grown =
-        policy_.backoff_base * std::pow(2.0, std::min(consecutive_failures_++, most_doublings));
-    const Duration most = at_cap ? policy_.backoff_cap : std::min(grown, policy_.backoff_cap);
-    expect(now, PendingOperation::pause, most * random_fraction());
+void Watch::open_watch(TimePoint now) {
+    expect(now, PendingOperation::watch_opening, policy_.reply_timeout);
+    transport_.open_watch(member_, Revision{resume_revision_.raw() + 1});
+}
+
+// Full jitter: clients that lost a registry at the same time return spread over the whole pause.
+void Watch::back_off(TimePoint now, PauseLimit limit) {
+    constexpr int max_doublings = 16;
+    const int doublings = std::min(consecutive_failures_, max_doublings);
+    ++consecutive_failures_;
+    const Duration grown = std::min(policy_.backoff_base * std::pow(2.0, doublings), policy_.backoff_cap);
+    const Duration longest = limit == PauseLimit::cap ? policy_.backoff_cap : grown;
+    expect(now, PendingOperation::pause, longest * random_fraction());
 }
 
 double Watch::random_fraction() {
     return static_cast<double>(random_()) / static_cast<double>(std::ranlux24_base::max());
 }
 
-void Watch::on_broken(TimePoint now, std::string_view why) {
-    if (pending_operation_ == PendingOperation::nothing || pending_operation_ == PendingOperation::pause)
-        return;
+void Watch::on_request_failed(TimePoint now, const RequestFailure& failure) {
+    if (!is_request_pending()) return;
     if (sync_state_ == SyncState::following) enter(now, SyncState::resuming);
-    if (consecutive_failures_ == 0) observer_.on_warning(why);
+    if (consecutive_failures_ == 0)
+        observer_.on_watch_warning({WatchWarningKind::request_failed, member_, failure});
     transport_.close();
-    next_member();
-    back_off(now);
+    use_next_member();
+    back_off(now, PauseLimit::growing);
 }
 
-void Watch::on_wake(TimePoint now) {
-    if (pending_operation_ == PendingOperation::nothing) return;
-    if (now - last_seen_ >= policy_.watch_timeout) enter(now, SyncState::disconnected);
-    if (now < due_) return expect(now, pending_operation_, due_ - now);
-    if (pending_operation_ == PendingOperation::pause) return request_next(now);
-    on_broken(now, pending_operation_ == PendingOperation::watch_message ? "an open watch has gone silent"
-                                                                         : "no answer in time");
+void Watch::on_compacted(TimePoint now) {
+    if (!is_request_pending()) return;
+    full_read_.records.clear();
+    pending_changes_.clear();
+    transport_.close();
+    // The first full read in a row begins without a pause: the changes missed may be urgent.
+    const bool immediate = recovery_ != Recovery::full_read && read_restarts_ == 0;
+    recovery_ = Recovery::full_read;
+    ++read_restarts_;
+    if (immediate) return request_next(now);
+    if (read_restarts_ <= policy_.max_read_restarts) return back_off(now, PauseLimit::growing);
+    read_restarts_ = 0;
+    back_off(now, PauseLimit::cap);
 }
 
-// --- whom to believe -------------------------------------------------------------------------------------
+// --- which replies to believe ----------------------------------------------------------------------------
 
-Watch::RevisionOrder Watch::compare_revision(const Origin& from) const {
-    if (!cluster_.raw().empty() && !from.cluster.raw().empty() && from.cluster != cluster_)
-        return RevisionOrder::other_cluster;
-    return from.revision < resume_revision_ ? RevisionOrder::older : RevisionOrder::same;
+bool Watch::is_older(const ReplyHeader& header) const {
+    const bool both_known = !cluster_.raw().empty() && !header.cluster.raw().empty();
+    if (both_known && header.cluster != cluster_) return true;
+    return header.revision < resume_revision_;
 }
 
-// A member that shows less than has been seen lags, or the registry has been set back. One member can't tell
-// which: it is left for the others, and only when most of them have shown the same for the longest quiet is
-// it believed.
-bool Watch::accept_origin(TimePoint now, const Origin& from) {
-    if (compare_revision(from) == RevisionOrder::same) {
-        older_members_.clear();
-        accept_older_registry_ = false;
+// Whether to go on with this member: it is current, or the registry counts as rolled back.
+bool Watch::accept_header(TimePoint now, const ReplyHeader& header) {
+    if (!is_older(header)) {
+        rollback_detector_.reset();
         return true;
     }
-    if (older_members_.empty()) first_older_seen_at_ = now;
-    older_members_.insert(member_);
-    if (older_members_.size() * 2 > policy_.members && now - first_older_seen_at_ >= policy_.watch_timeout) {
-        if (!std::exchange(accept_older_registry_, true))
-            observer_.on_warning("the registry has gone back: it is read anew");
-        must_read_ = true;
-        return true;
+    const RollbackDetector::Verdict verdict = rollback_detector_.on_older_reply(now, member_);
+    switch (verdict) {
+        case RollbackDetector::Verdict::member_lags:
+        case RollbackDetector::Verdict::most_lag:
+            leave_lagging_member(now, verdict);
+            return false;
+        case RollbackDetector::Verdict::rolled_back:
+            warn(WatchWarningKind::registry_rolled_back);
+            break;
+        case RollbackDetector::Verdict::still_rolled_back:
+            break;
     }
+    recovery_ = Recovery::full_read;
+    return true;
+}
+
+void Watch::leave_lagging_member(TimePoint now, RollbackDetector::Verdict verdict) {
     transport_.close();
     enter(now, SyncState::lagging);
-    next_member();
-    if (older_members_.size() * 2 > policy_.members)  // nothing more is to be learnt before then
-        expect(now, PendingOperation::pause,
-               first_older_seen_at_ + policy_.watch_timeout - now + policy_.backoff_base * random_fraction());
-    else
-        back_off(now);
-    return false;
+    use_next_member();
+    if (verdict == RollbackDetector::Verdict::member_lags) return back_off(now, PauseLimit::growing);
+    const Duration jitter = policy_.backoff_base * random_fraction();
+    expect(now, PendingOperation::pause, rollback_detector_.confirmation_time() - now + jitter);
 }
 
-// Something current has come.
-void Watch::mark_current(TimePoint now) {
-    last_seen_ = last_complete_at_ = now;
-    if (pending_operation_ == PendingOperation::watch_opening) open_since_ = now;
-    if (now - open_since_ >= policy_.backoff_cap * held_of_cap) consecutive_failures_ = 0;
-    enter(now, SyncState::following);
-    expect(now, PendingOperation::watch_message, policy_.watch_timeout);
+// The member's revision is not in the reply; it is at least one below the one requested.
+void Watch::on_revision_not_reached(TimePoint now) {
+    if (!is_request_pending()) return;
+    if (accept_header(now, {cluster_, Revision{resume_revision_.raw() - 1}})) request_next(now);
 }
 
-// --- the full read ---------------------------------------------------------------------------------------
+// --- full read -------------------------------------------------------------------------------------------
 
 void Watch::on_page(TimePoint now, const Page& page) {
     if (pending_operation_ != PendingOperation::page) return;
-    if (read_origin_.revision == Revision{}) {
-        if (!accept_origin(now, page.origin)) return;
-        read_origin_ = page.origin;
-    }
-    if (pages_.size() + page.records.size() > policy_.max_records) {
-        if (!std::exchange(size_limit_logged_, true))
-            observer_.on_warning("the registry's list is too long: what is known stays");
-        pages_.clear();
-        transport_.close();
-        return back_off(now, true);
+    const bool first_page = full_read_.header.revision == Revision{};
+    if (first_page) {
+        if (!accept_header(now, page.header)) return;
+        full_read_.header = page.header;
     }
-    pages_.insert(pages_.end(), page.records.begin(), page.records.end());
-    if (page.more && page.records.empty()) return on_broken(now, "a page without records has more behind it");
+    std::vector<Record>& records = full_read_.records;
+    if (records.size() + page.records.size() > policy_.max_records) return reject_long_list(now);
+    records.insert(records.end(), page.records.begin(), page.records.end());
     if (!page.more) return finish_read(now);
+    if (page.records.empty()) return on_request_failed(now, {RequestFailureReason::empty_page, {}});
     expect(now, PendingOperation::page, policy_.reply_timeout);
-    transport_.read_page(member_, pages_.back().key, read_origin_.revision);
+    transport_.read_page(member_, records.back().key, full_read_.header.revision);
 }
 
-// Empty, or mostly unreadable, where there was a list.
+void Watch::reject_long_list(TimePoint now) {
+    if (!long_list_reported_) warn(WatchWarningKind::too_many_records);
+    long_list_reported_ = true;
+    full_read_.records.clear();
+    transport_.close();
+    back_off(now, PauseLimit::cap);
+}
+
+void Watch::finish_read(TimePoint now) {
+    read_restarts_ = 0;
+    long_list_reported_ = false;
+    if (is_doubtful(full_read_.records)) {
+        if (!is_confirmed(now)) return reject_doubtful_read(now);
+        warn(WatchWarningKind::doubtful_read_confirmed);
+    }
+    apply_full_read(now);
+}
+
+// Guards against a member that lost its data: its list is empty or mostly unreadable, and taking it into
+// force would remove the fleet. Such a list needs a confirmation, see is_confirmed().
 bool Watch::is_doubtful(const std::vector<Record>& records) const {
-    if (!endpoints_reported_ || view_.entries().empty()) return false;
+    constexpr double min_readable_share = 0.5;
+    if (!list_reported_ || view_.entries().empty()) return false;
     if (record_kind_ == RecordKind::opaque) return records.empty();
-    const auto good = std::count_if(records.begin(), records.end(),
-                                    [](const Record& r) { return parse_endpoint(r).has_value(); });
-    return static_cast<double>(good) < readable_least * static_cast<double>(records.size()) || good == 0;
+    const auto readable = std::count_if(records.begin(), records.end(),
+                                        [](const Record& r) { return parse_endpoint(r).has_value(); });
+    if (readable == 0) return true;
+    return static_cast<double>(readable) < min_readable_share * static_cast<double>(records.size());
 }
 
-void Watch::finish_read(TimePoint now) {
-    restarts_ = 0;
-    size_limit_logged_ = false;
-    if (is_doubtful(pages_)) {
-        const bool confirmed =
-            empty_read_doubted_ && (member_ != doubted_at_ || policy_.members == 1) &&
-            now - doubted_since_ >= (policy_.members == 1 ? policy_.watch_timeout : Duration{});
-        if (!confirmed) {
-            if (!std::exchange(empty_read_doubted_, true)) {
-                doubted_at_ = member_;
-                doubted_since_ = now;
-                observer_.on_warning(
-                    "the registry's list is empty or unreadable: what is known stays until that is "
-                    "confirmed");
-            }
-            pages_.clear();
-            next_member();
-            transport_.close();
-            return back_off(now);
-        }
-        observer_.on_warning("an empty or unreadable list is confirmed");
+// By another member; in a registry of one, by the same member after watch_timeout.
+bool Watch::is_confirmed(TimePoint now) const {
+    if (!doubtful_read_) return false;
+    if (policy_.members == 1) return now - doubtful_read_->at >= policy_.watch_timeout;
+    return member_ != doubtful_read_->member && now >= doubtful_read_->at;
+}
+
+void Watch::reject_doubtful_read(TimePoint now) {
+    if (!doubtful_read_) {
+        doubtful_read_ = DoubtfulRead{member_, now};
+        warn(WatchWarningKind::doubtful_read_rejected);
     }
+    full_read_.records.clear();
+    use_next_member();
+    transport_.close();
+    back_off(now, PauseLimit::growing);
+}
+
+void Watch::apply_full_read(TimePoint now) {
     ++full_reads_;
-    empty_read_doubted_ = may_have_been_restored_ = false;
-    older_members_.clear();
-    accept_older_registry_ = false;
-    must_read_ = false;
-    if (!read_origin_.cluster.raw().empty()) cluster_ = read_origin_.cluster;
-    const std::vector<Record> records = std::exchange(pages_, {});
-    const std::vector<EndpointRecord> lines = view_.replace(read_origin_.revision, records, now);
-    resume_revision_ = read_origin_.revision;
+    doubtful_read_.reset();
+    rollback_detector_.reset();
+    recovery_ = Recovery::watch;
+    const FullRead read = std::exchange(full_read_, {});
+    if (!read.header.cluster.raw().empty()) cluster_ = read.header.cluster;
+    const std::vector<EndpointRecord> updates = view_.replace(read.header.revision, read.records, now);
+    resume_revision_ = read.header.revision;
     last_seen_ = last_complete_at_ = now;
-    const bool complete = !std::exchange(endpoints_reported_, true);
-    if (complete || !lines.empty()) observer_.on_endpoints(now, lines, complete);
+    const bool first_list = !std::exchange(list_reported_, true);
+    if (first_list || !updates.empty()) observer_.on_endpoints(now, updates, first_list);
     std::vector<Change> all;
-    all.reserve(records.size());
-    for (const Record& r : records) all.push_back({r, false});
+    all.reserve(read.records.size());
+    for (const Record& record : read.records) all.push_back({record, false});
     observer_.on_records(now, resume_revision_, all, true);
-    expect(now, PendingOperation::watch_opening, policy_.reply_timeout);
-    transport_.open_watch(member_, Revision{resume_revision_.raw() + 1});
+    open_watch(now);
 }
 
-// --- the watch -------------------------------------------------------------------------------------------
+// --- history check ---------------------------------------------------------------------------------------
 
-// A registry that was restored and has grown past what we have seen since tells so in no number. Only its
-// history does: at our revision it must hold as many records as we do, and the last changed must be ours.
-void Watch::on_check_result(TimePoint now, const Origin& from, std::size_t records,
+// Guards against a registry that was restored and has since grown past our revision: no revision shows it,
+// and a watch alone would miss what the restore took away. Its history differs, so it is compared.
+void Watch::on_check_result(TimePoint now, const ReplyHeader& header, std::size_t records,
                             const std::vector<Record>& newest) {
-    if (pending_operation_ != PendingOperation::check || !accept_origin(now, from)) return;
-    const auto& ours = view_.entries();
-    const auto known = [&](const Record& r) {
-        const auto it = ours.find(r.key);
-        return it != ours.end() && it->second.modified == r.modified && it->second.created == r.created &&
-               (it->second.unreadable || it->second.value == r.value);
-    };
-    const bool same = records == ours.size() && newest.size() == std::min(records, max_checked_records) &&
-                      std::all_of(newest.begin(), newest.end(), known);
-    if (!same) {
-        observer_.on_warning("the registry has another history than the one known: it is read anew");
-        must_read_ = true;
-    }
-    may_have_been_restored_ = false;
+    if (pending_operation_ != PendingOperation::check) return;
+    if (!accept_header(now, header)) return;
+    const bool must_read = recovery_ == Recovery::full_read;
+    const bool same_history = is_same_history(records, newest);
+    if (!same_history) warn(WatchWarningKind::history_diverged);
+    recovery_ = same_history && !must_read ? Recovery::watch : Recovery::full_read;
     request_next(now);
 }
 
-void Watch::on_watch_opened(TimePoint now, const Origin& from) {
+bool Watch::is_same_history(std::size_t records, const std::vector<Record>& newest) const {
+    const auto& entries = view_.entries();
+    const auto is_known = [&](const Record& record) {
+        const auto it = entries.find(record.key);
+        if (it == entries.end()) return false;
+        const EndpointView::Entry& entry = it->second;
+        if (entry.modified != record.modified || entry.created != record.created) return false;
+        return entry.unreadable || entry.value == record.value;
+    };
+    return records == entries.size() && newest.size() == std::min(records, max_checked_records) &&
+           std::all_of(newest.begin(), newest.end(), is_known);
+}
+
+// --- watch -----------------------------------------------------------------------------------------------
+
+void Watch::on_watch_opened(TimePoint now, const ReplyHeader& header) {
     if (pending_operation_ != PendingOperation::watch_opening) return;
-    if (!accept_origin(now, from)) return;
-    if (must_read_) return request_next(now);
+    if (!accept_header(now, header)) return;
+    if (recovery_ == Recovery::full_read) return request_next(now);
     mark_current(now);
 }
 
-void Watch::on_changes(TimePoint now, const Origin& from, const std::vector<Change>& changes, bool goes_on) {
+void Watch::on_changes(TimePoint now, const ReplyHeader& header, const std::vector<Change>& changes,
+                       bool fragment) {
     if (pending_operation_ != PendingOperation::watch_message &&
         pending_operation_ != PendingOperation::watch_opening)
         return;
-    if (!accept_origin(now, from)) return;
-    if (must_read_) return request_next(now);
-    if (pending_.size() + changes.size() > policy_.max_pending_changes) {
-        pending_.clear();
-        must_read_ = true;
-        observer_.on_warning("too many changes in one piece: the list is read anew");
-        transport_.close();
-        return back_off(now);
-    }
-    pending_.insert(pending_.end(), changes.begin(), changes.end());
-    if (goes_on) {
+    if (!accept_header(now, header)) return;
+    if (recovery_ == Recovery::full_read) return request_next(now);
+    if (pending_changes_.size() + changes.size() > policy_.max_pending_changes)
+        return reject_long_change(now);
+    pending_changes_.insert(pending_changes_.end(), changes.begin(), changes.end());
+    if (fragment) {
         last_seen_ = now;
         return expect(now, PendingOperation::watch_message, policy_.watch_timeout);
     }
-    std::vector<Change> whole = std::exchange(pending_, {});
-    // With changes the sender may be ahead of what it has sent; without any, all up to its revision is known.
-    const Revision upto = whole.empty() ? from.revision : Revision{};
-    const Revision before = view_.revision();
-    const std::vector<EndpointRecord> lines = view_.apply(upto, whole, now);
-    std::erase_if(whole, [&](const Change& c) { return c.record.modified <= before; });
-    resume_revision_ = std::max(resume_revision_, view_.revision());
-    if (!lines.empty()) observer_.on_endpoints(now, lines, false);
-    if (!whole.empty()) observer_.on_records(now, view_.revision(), whole, false);
+    apply_pending_changes(now, header);
     mark_current(now);
 }
 
-// The revisions to go on from are gone: only a full read tells what has changed since.
-void Watch::on_compacted(TimePoint now) {
-    if (pending_operation_ == PendingOperation::nothing || pending_operation_ == PendingOperation::pause)
-        return;
-    pages_.clear();
-    pending_.clear();
+void Watch::reject_long_change(TimePoint now) {
+    pending_changes_.clear();
+    recovery_ = Recovery::full_read;
+    warn(WatchWarningKind::too_many_pending_changes);
     transport_.close();
-    // The first one of a row costs no pause: what has happened meanwhile may be urgent.
-    const bool at_once = !must_read_ && restarts_ == 0;
-    must_read_ = true;
-    if (at_once) {
-        restarts_ = 1;
-        return request_next(now);
-    }
-    if (++restarts_ <= policy_.max_read_restarts) return back_off(now);
-    restarts_ = 0;
-    back_off(now, true);
+    back_off(now, PauseLimit::growing);
 }
 
-// It lags, or has been set back: what it lacks says no more than a revision below ours does.
-void Watch::on_revision_not_reached(TimePoint now) {
-    if (pending_operation_ == PendingOperation::nothing || pending_operation_ == PendingOperation::pause)
-        return;
-    if (accept_origin(now, Origin{cluster_, Revision{resume_revision_.raw() - 1}})) request_next(now);
+void Watch::apply_pending_changes(TimePoint now, const ReplyHeader& header) {
+    std::vector<Change> changes = std::exchange(pending_changes_, {});
+    // A sender of changes may be ahead of what it has sent; a progress notice covers all up to its revision.
+    const Revision covered = changes.empty() ? header.revision : Revision{};
+    const Revision before = view_.revision();
+    const std::vector<EndpointRecord> updates = view_.apply(covered, changes, now);
+    std::erase_if(changes, [&](const Change& change) { return change.record.modified <= before; });
+    resume_revision_ = std::max(resume_revision_, view_.revision());
+    if (!updates.empty()) observer_.on_endpoints(now, updates, false);
+    if (!changes.empty()) observer_.on_records(now, view_.revision(), changes, false);
+}
+
+void Watch::mark_current(TimePoint now) {
+    // A watch that has lasted for this share of the cap ends a row of failures. Much less, and a registry
+    // that accepts and drops connections would be polled at the base pause.
+    constexpr double stable_share_of_cap = 0.02;
+    last_seen_ = last_complete_at_ = now;
+    if (pending_operation_ == PendingOperation::watch_opening) watch_opened_at_ = now;
+    if (now - watch_opened_at_ >= policy_.backoff_cap * stable_share_of_cap) consecutive_failures_ = 0;
+    enter(now, SyncState::following);
+    expect(now, PendingOperation::watch_message, policy_.watch_timeout);
 }
 
 }  // namespace irismux::registry
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -3,17 +3,16 @@
 #include <lmdb.h>
 
 #include <filesystem>
+#include <utility>
 
 namespace irismux {
 namespace {
 
-MDB_val bytes_of(std::string_view s) { return {s.size(), const_cast<char*>(s.data())}; }
+MDB_val bytes_of(std::string_view bytes) { return {bytes.size(), const_cast<char*>(bytes.data())}; }
 
-std::string words(const std::string& what, int error) { return what + ": " + mdb_strerror(error); }
-
-// Whether the file holds every page that its own record of pages names: one that was cut short would end the
-// process (SIGBUS) when such a page is read.
-bool whole(MDB_env* env, const std::string& folder) {
+// Guards against a file that was cut short: reading one of its missing pages would end the process (SIGBUS).
+// So the file must have all pages that its own header counts.
+bool has_all_pages(MDB_env* env, const std::string& folder) {
     MDB_envinfo info{};
     MDB_stat stat{};
     if (mdb_env_info(env, &info) != 0 || mdb_env_stat(env, &stat) != 0) return false;
@@ -22,37 +21,102 @@
     return !failed && size >= (info.me_last_pgno + 1) * stat.ms_psize;
 }
 
+// Aborts unless committed.
+class Transaction {
+public:
+    Transaction() = default;
+    ~Transaction() {
+        if (handle_) mdb_txn_abort(handle_);
+    }
+    Transaction(const Transaction&) = delete;
+    Transaction& operator=(const Transaction&) = delete;
+
+    // These return LMDB's error code; 0: none.
+    int begin(MDB_env* env, unsigned int flags) { return mdb_txn_begin(env, nullptr, flags, &handle_); }
+    int commit() { return mdb_txn_commit(std::exchange(handle_, nullptr)); }
+    MDB_txn* handle() const { return handle_; }
+
+private:
+    MDB_txn* handle_ = nullptr;
+};
+
 }  // namespace
 
+std::string_view StoreError::reason() const {
+    constexpr std::string_view names[] = {"open_failed", "truncated", "write_failed"};
+    return names[static_cast<std::size_t>(code)];
+}
+
 class Store::Environment {
 public:
-    Environment() = default;
+    static std::variant<std::unique_ptr<Environment>, StoreError> open(const std::string& folder,
+                                                                       std::size_t max_bytes) {
+        // If this fails, LMDB reports it.
+        std::error_code ignored;
+        std::filesystem::create_directories(folder, ignored);
+        auto environment = std::make_unique<Environment>(folder);
+        if (const int error = environment->open_file(max_bytes))
+            return environment->make_error(StoreError::Code::open_failed, error);
+        if (!has_all_pages(environment->env_, folder))
+            return StoreError{StoreError::Code::truncated, folder, {}};
+        if (const int error = environment->open_database())
+            return environment->make_error(StoreError::Code::open_failed, error);
+        return environment;
+    }
+
+    explicit Environment(std::string folder) : folder_(std::move(folder)) {}
+    ~Environment() {
+        if (env_) mdb_env_close(env_);
+    }
     Environment(const Environment&) = delete;
     Environment& operator=(const Environment&) = delete;
-    ~Environment() {
-        if (env) mdb_env_close(env);
+
+    // These return LMDB's error code; 0: none.
+    int put(std::string_view name, std::string_view value) {
+        Transaction transaction;
+        if (const int error = transaction.begin(env_, 0)) return error;
+        MDB_val key = bytes_of(name);
+        MDB_val data = bytes_of(value);
+        if (const int error = mdb_put(transaction.handle(), database_, &key, &data, 0)) return error;
+        return transaction.commit();
+    }
+
+    std::optional<std::string> get(std::string_view name) const {
+        Transaction transaction;
+        if (transaction.begin(env_, MDB_RDONLY) != 0) return std::nullopt;
+        MDB_val key = bytes_of(name);
+        MDB_val data{};
+        if (mdb_get(transaction.handle(), database_, &key, &data) != 0) return std::nullopt;
+        return std::string(static_cast<const char*>(data.mv_data), data.mv_size);
+    }
+
+    StoreError make_error(StoreError::Code code, int error) const {
+        return {code, folder_, mdb_strerror(error)};
     }
-    MDB_env* env = nullptr;
-    MDB_dbi all = 0;
+
+private:
+    int open_file(std::size_t max_bytes) {
+        constexpr mdb_mode_t file_mode = 0640;
+        if (const int error = mdb_env_create(&env_)) return error;
+        if (const int error = mdb_env_set_mapsize(env_, max_bytes)) return error;
+        return mdb_env_open(env_, folder_.c_str(), MDB_NOSYNC | MDB_NOTLS, file_mode);
+    }
+    int open_database() {
+        Transaction transaction;
+        if (const int error = transaction.begin(env_, 0)) return error;
+        if (const int error = mdb_dbi_open(transaction.handle(), nullptr, 0, &database_)) return error;
+        return transaction.commit();
+    }
+
+    std::string folder_;
+    MDB_env* env_ = nullptr;
+    MDB_dbi database_ = 0;
 };
 
-std::variant<Store, std::string> Store::open(const std::string& folder, std::size_t most) {
-    std::error_code failed;
-    std::filesystem::create_directories(folder, failed);
-    auto made = std::make_unique<Environment>();
-    int error = mdb_env_create(&made->env);
-    if (error == 0) error = mdb_env_set_mapsize(made->env, most);
-    if (error == 0) error = mdb_env_open(made->env, folder.c_str(), MDB_NOSYNC | MDB_NOTLS, 0640);
-    if (error == 0 && !whole(made->env, folder)) return "no store in " + folder + ": its file was cut short";
-    MDB_txn* txn = nullptr;
-    if (error == 0) error = mdb_txn_begin(made->env, nullptr, 0, &txn);
-    if (error == 0) error = mdb_dbi_open(txn, nullptr, 0, &made->all);
-    if (error == 0)
-        error = mdb_txn_commit(txn);
-    else if (txn)
-        mdb_txn_abort(txn);
-    if (error != 0) return words("no store in " + folder, error);
-    return Store(std::move(made));
+std::variant<Store, StoreError> Store::open(const std::string& folder, std::size_t max_bytes) {
+    auto opened = Environment::open(folder, max_bytes);
+    if (auto* error = std::get_if<StoreError>(&opened)) return std::move(*error);
+    return Store(std::get<std::unique_ptr<Environment>>(std::move(opened)));
 }
 
 Store::Store(std::unique_ptr<Environment> environment) : environment_(std::move(environment)) {}
@@ -60,29 +124,12 @@
 Store& Store::operator=(Store&&) noexcept = default;
 Store::~Store() = default;
 
-std::optional<std::string> Store::read(std::string_view name) const {
-    MDB_txn* txn = nullptr;
-    if (mdb_txn_begin(environment_->env, nullptr, MDB_RDONLY, &txn) != 0) return std::nullopt;
-    MDB_val key = bytes_of(name), value{};
-    std::optional<std::string> found;
-    if (mdb_get(txn, environment_->all, &key, &value) == 0)
-        found.emplace(static_cast<const char*>(value.mv_data), value.mv_size);
-    mdb_txn_abort(txn);
-    return found;
-}
+std::optional<std::string> Store::read(std::string_view name) const { return environment_->get(name); }
 
-std::optional<std::string> Store::write(std::string_view name, std::string_view value) {
-    MDB_txn* txn = nullptr;
-    int error = mdb_txn_begin(environment_->env, nullptr, 0, &txn);
-    if (error != 0) return words("not stored", error);
-    MDB_val key = bytes_of(name), said = bytes_of(value);
-    error = mdb_put(txn, environment_->all, &key, &said, 0);
-    if (error == 0)
-        error = mdb_txn_commit(txn);
-    else
-        mdb_txn_abort(txn);
-    if (error != 0) return words("not stored", error);
-    return std::nullopt;
+std::variant<Store::Written, StoreError> Store::write(std::string_view name, std::string_view value) {
+    const int error = environment_->put(name, value);
+    if (error != 0) return environment_->make_error(StoreError::Code::write_failed, error);
+    return Written{};
 }
 
 }  // namespace irismux
--- a/testing/stub_gateway.hpp
+++ b/testing/stub_gateway.hpp
@@ -74,7 +74,7 @@
     // registry::Knows
     void on_endpoints(TimePoint now, const std::vector<EndpointRecord>& lines, bool complete) override;
     void on_sync_state(TimePoint, registry::SyncState, TimePoint) override {}
-    void on_warning(std::string_view) override {}
+    void on_watch_warning(const registry::WatchWarning&) override {}
     // fleet::GatewayPort
     bool start_health_check(const CacheId& cache) override;
     void postpone_recovery_probe(const CacheId& cache, TimePoint at) override;
--- a/tests/fleet_process_test.cpp
+++ b/tests/fleet_process_test.cpp
@@ -317,8 +317,7 @@
         return a->written.size() > before && d && d->token > higher && working();
     }));
     bool read = false;
-    for (std::size_t n = 0; n < a->gateways.size(); ++n)
-        read = read || a->logged(n, "the registry has gone back");
+    for (std::size_t n = 0; n < a->gateways.size(); ++n) read = read || a->logged(n, "registry_rolled_back");
     EXPECT_TRUE(read);
 }
 
--- a/tests/registry_client_test.cpp
+++ b/tests/registry_client_test.cpp
@@ -30,7 +30,7 @@
     std::unique_ptr<RegistryClient> client;
     stand_ins::KnownEndpoints list;
     std::vector<SyncState> sights;
-    std::vector<std::string> remarks;
+    std::vector<WatchWarning> warnings;
     stand_ins::Intervals stretches{loop};  // the last: nothing of the above may go while the loop runs
 
     void SetUp() override { log::show(log::Level::error); }
@@ -75,7 +75,7 @@
         stand_ins::apply(list, lines, complete);
     }
     void on_sync_state(TimePoint, SyncState s, TimePoint) override { sights.push_back(s); }
-    void on_warning(std::string_view line) override { remarks.emplace_back(line); }
+    void on_watch_warning(const WatchWarning& warning) override { warnings.push_back(warning); }
 };
 
 TEST_F(OnSockets, ReadsInPagesThenFollows) {
@@ -167,7 +167,10 @@
     client->start();
     EXPECT_TRUE(until([&] { return r->ledger.logins > before + 3; }));
     EXPECT_NE(client->watch().sync_state(), SyncState::following);
-    for (const std::string& line : remarks) EXPECT_EQ(line.find("mistaken"), std::string::npos) << line;
+    for (const WatchWarning& warning : warnings) {
+        ASSERT_TRUE(warning.failure);
+        EXPECT_EQ(warning.failure->detail.find("mistaken"), std::string::npos) << warning.failure->detail;
+    }
 }
 
 // Drops, compaction at every revision, lag and pieces, all at once, from seeds; in the end all is as it is
@@ -230,8 +233,9 @@
     put_long("c9", "Ready", std::size_t{1} << 20);
     r->publish();
     ASSERT_TRUE(until([&] {
-        return std::any_of(remarks.begin(), remarks.end(),
-                           [](const auto& line) { return line == "a record that is too long"; });
+        return std::any_of(warnings.begin(), warnings.end(), [](const WatchWarning& warning) {
+            return warning.failure && warning.failure->reason == RequestFailureReason::record_too_long;
+        });
     }));
     EXPECT_EQ(list.size(), 3u);
     const int reads = r->ledger.reads;
@@ -330,6 +334,14 @@
 // --- what a registry writes
 // ----------------------------------------------------------------------------------
 
+template <class T>
+void expect_value_or_one_line(const etcd::ReadResult<T>& result) {
+    const auto* error = std::get_if<etcd::Error>(&result);
+    if (!error) return;
+    EXPECT_LE(error->message.size(), 200u);
+    EXPECT_EQ(error->message.find('\n'), std::string::npos);
+}
+
 TEST(Etcd, AnswersAreReadOrRefusedWhole) {
     const std::string good =
         R"({"header":{"cluster_id":"14841639068965178418","revision":"9"},"kvs":[{"key":"L2NhY2hlcy9jMQ==",)"
@@ -339,7 +351,7 @@
     const auto& range = std::get<etcd::Range>(read);
     EXPECT_EQ(range.page.records.at(0).key, RecordKey{"c1"});
     EXPECT_EQ(range.page.records.at(0).value, "{\"x\":1}");
-    EXPECT_EQ(range.page.origin.revision, Revision{9});
+    EXPECT_EQ(range.page.header.revision, Revision{9});
     EXPECT_TRUE(range.page.more);
     EXPECT_EQ(range.count, 3u);
     // Cut and mutated bytes end in a value or a problem of one line, whatever they are.
@@ -348,15 +360,11 @@
         std::string odd = good.substr(0, n % 3 ? good.size() : chance() % good.size());
         for (auto k = chance() % 4; k > 0 && !odd.empty(); --k)
             odd[chance() % odd.size()] = static_cast<char>(chance());
-        for (const auto& problem : {etcd::read_range(200, odd, prefix)})
-            if (const auto* p = std::get_if<etcd::Error>(&problem)) {
-                EXPECT_LE(p->message.size(), 200u);
-                EXPECT_EQ(p->message.find('\n'), std::string::npos);
-            }
-        etcd::read_watch("{\"result\":" + odd + "}", prefix);
-        etcd::read_token(200, odd);
-        etcd::read_lease(200, odd);
-        etcd::read_conditional_write_result(200, odd);
+        expect_value_or_one_line(etcd::read_range(200, odd, prefix));
+        expect_value_or_one_line(etcd::read_watch("{\"result\":" + odd + "}", prefix));
+        expect_value_or_one_line(etcd::read_token(200, odd));
+        expect_value_or_one_line(etcd::read_lease(200, odd));
+        expect_value_or_one_line(etcd::read_conditional_write_result(200, odd));
     }
 }
 
@@ -370,7 +378,7 @@
     EXPECT_EQ(fault(400, R"({"error":"etcdserver: mvcc: required revision is a future revision","code":11})"),
               etcd::ErrorCode::revision_not_reached);
     EXPECT_EQ(fault(401, R"({"error":"etcdserver: invalid auth token","code":16})"),
-              etcd::ErrorCode::refused);
+              etcd::ErrorCode::unauthenticated);
     EXPECT_EQ(fault(503, "busy"), etcd::ErrorCode::other);
     EXPECT_EQ(fault(200, "{}"), etcd::ErrorCode::unreadable);
     EXPECT_EQ(fault(200, R"({"header":{"revision":"x"}})"), etcd::ErrorCode::unreadable);
@@ -394,24 +402,24 @@
     const std::string owner = "here /caches/";
     const std::string bytes = serialize_snapshot(v, ClusterId{"77"}, then, owner);
     const auto why = [&](const std::string& b, const std::string& whose, TimePoint now) {
-        return std::get<std::string>(parse_snapshot(b, whose, now, Duration::seconds(60)));
+        return std::get<SnapshotError>(parse_snapshot(b, whose, now, Duration::seconds(60)));
     };
     const auto good = parse_snapshot(bytes, owner, then + Duration::seconds(59), Duration::seconds(60));
-    const auto* s = std::get_if<Snapshot>(&good);
+    const auto* s = std::get_if<EndpointSnapshot>(&good);
     ASSERT_TRUE(s);
     EXPECT_EQ(s->cluster, ClusterId{"77"});
     EXPECT_EQ(s->revision, Revision{9});
     EXPECT_EQ(s->as_of, then);
     ASSERT_EQ(s->records.size(), 2u) << "one that was never readable is not kept";
     EXPECT_EQ(s->records[1].modified, Revision{9});
-    EXPECT_EQ(why(bytes, "there /caches/", then), "the kept list is another deployment's");
-    EXPECT_EQ(why(bytes, owner, then + Duration::seconds(61)), "the kept list is too old");
-    EXPECT_EQ(why(bytes, owner, then - ms), "the kept list is from the future");
+    EXPECT_EQ(why(bytes, "there /caches/", then), SnapshotError::other_owner);
+    EXPECT_EQ(why(bytes, owner, then + Duration::seconds(61)), SnapshotError::too_old);
+    EXPECT_EQ(why(bytes, owner, then - ms), SnapshotError::from_future);
     for (std::size_t at = 0; at < bytes.size(); ++at) {
         std::string odd = bytes;
         odd[at] = static_cast<char>(odd[at] ^ 0x20);
-        EXPECT_EQ(why(odd, owner, then), "the kept list is damaged") << at;
-        EXPECT_EQ(why(bytes.substr(0, at), owner, then), "the kept list is damaged") << at;
+        EXPECT_EQ(why(odd, owner, then), SnapshotError::checksum_mismatch) << at;
+        EXPECT_EQ(why(bytes.substr(0, at), owner, then), SnapshotError::checksum_mismatch) << at;
     }
 }
 
@@ -420,20 +428,20 @@
         std::filesystem::temp_directory_path() / ("irismux_store." + std::to_string(::getpid()));
     {
         auto opened = Store::open(folder.string(), 1 << 20);
-        ASSERT_TRUE(std::holds_alternative<Store>(opened)) << std::get<std::string>(opened);
+        ASSERT_TRUE(std::holds_alternative<Store>(opened)) << std::get<StoreError>(opened).detail;
         Store& store = std::get<Store>(opened);
         EXPECT_FALSE(store.read("list"));
-        EXPECT_FALSE(store.write("list", "one"));
-        EXPECT_FALSE(store.write("list", std::string(100'000, 'x')));
-        const auto why = store.write("list", std::string(2 << 20, 'y'));
-        ASSERT_TRUE(why);
-        EXPECT_EQ(why->substr(0, 10), "not stored");
+        EXPECT_TRUE(std::holds_alternative<Store::Written>(store.write("list", "one")));
+        EXPECT_TRUE(std::holds_alternative<Store::Written>(store.write("list", std::string(100'000, 'x'))));
+        const auto refused = store.write("list", std::string(2 << 20, 'y'));
+        ASSERT_TRUE(std::holds_alternative<StoreError>(refused));
+        EXPECT_EQ(std::get<StoreError>(refused).code, StoreError::Code::write_failed);
         EXPECT_EQ(store.read("list"), std::string(100'000, 'x')) << "the former one is still there";
     }
     auto again = Store::open(folder.string(), 1 << 20);
     EXPECT_EQ(std::get<Store>(again).read("list"), std::string(100'000, 'x'));
     std::filesystem::remove_all(folder);
-    EXPECT_TRUE(std::holds_alternative<std::string>(Store::open("/proc/nowhere", 1 << 20)));
+    EXPECT_TRUE(std::holds_alternative<StoreError>(Store::open("/proc/nowhere", 1 << 20)));
 }
 
 // A file that was cut short is told and left as it is: to read from its missing pages would end the process.
@@ -445,14 +453,15 @@
         auto opened = Store::open(folder, 1 << 20);
         ASSERT_TRUE(std::holds_alternative<Store>(opened));
         for (const char* name : {"a", "b", "c"})
-            EXPECT_EQ(std::get<Store>(opened).write(name, std::string(50'000, 'x')), std::nullopt);
+            EXPECT_TRUE(std::holds_alternative<Store::Written>(
+                std::get<Store>(opened).write(name, std::string(50'000, 'x'))));
     }
     const std::uintmax_t whole = fs::file_size(folder + "/data.mdb");
     for (const std::uintmax_t size : {whole - 1, whole / 2, std::uintmax_t{8192}}) {
         fs::resize_file(folder + "/data.mdb", size);
         const auto again = Store::open(folder, 1 << 20);
-        ASSERT_TRUE(std::holds_alternative<std::string>(again)) << size;
-        EXPECT_NE(std::get<std::string>(again).find("cut short"), std::string::npos);
+        ASSERT_TRUE(std::holds_alternative<StoreError>(again)) << size;
+        EXPECT_EQ(std::get<StoreError>(again).code, StoreError::Code::truncated);
         EXPECT_EQ(fs::file_size(folder + "/data.mdb"), size);
     }
     fs::remove_all(folder);
--- a/tests/registry_watch_test.cpp
+++ b/tests/registry_watch_test.cpp
@@ -117,7 +117,7 @@
     TimePoint wake_at, now = start_time();
     int asks = 0;
     stand_ins::KnownEndpoints list;
-    std::vector<std::string> remarks;
+    std::vector<WatchWarningKind> warnings;
     std::vector<SyncState> sights;
     Watch watch;
 
@@ -134,7 +134,7 @@
         stand_ins::apply(list, lines, complete);
     }
     void on_sync_state(TimePoint, SyncState s, TimePoint) override { sights.push_back(s); }
-    void on_warning(std::string_view line) override { remarks.emplace_back(line); }
+    void on_watch_warning(const WatchWarning& warning) override { warnings.push_back(warning.kind); }
 
     void pass(Duration s) {
         const TimePoint until = now + s;
@@ -154,11 +154,11 @@
     }
 
     // Answers from a model, as one of its members sees it.
-    Origin origin(const RegistryModel& m) const { return {m.cluster(), m.newest()}; }
+    ReplyHeader header(const RegistryModel& m) const { return {m.cluster(), m.newest()}; }
     Page page(const RegistryModel& m, std::size_t most = 1000) const {
         const Revision r = at == Revision{} ? m.newest() : at;
         Page p;
-        p.origin = {m.cluster(), r};
+        p.header = {m.cluster(), r};
         for (const auto& [key, rec] : *m.at(r)) {
             if (after && key <= *after) continue;
             if (p.records.size() == most) return p.more = true, p;
@@ -169,7 +169,7 @@
     void read_all(const RegistryModel& m) {
         watch.on_page(now, page(m));
         ASSERT_EQ(asked, Ask::follow);
-        watch.on_watch_opened(now, origin(m));
+        watch.on_watch_opened(now, header(m));
     }
     void answer_check(const RegistryModel& m) {
         const RegistryModel::State* state = m.at(at);
@@ -179,10 +179,10 @@
         std::sort(newest.begin(), newest.end(),
                   [](const Record& x, const Record& y) { return x.modified > y.modified; });
         newest.resize(std::min(newest.size(), max_checked_records));
-        watch.on_check_result(now, origin(m), state->size(), newest);
+        watch.on_check_result(now, header(m), state->size(), newest);
     }
     void deliver(const RegistryModel& m) {
-        watch.on_changes(now, origin(m), *m.changes(at, m.newest()), false);
+        watch.on_changes(now, header(m), *m.changes(at, m.newest()), false);
     }
 };
 
@@ -224,8 +224,8 @@
 TEST_F(Following, ABrokenWatchGoesOnFromTheNextRevisionElsewhereAndReadsNothingAnew) {
     const MemberIndex first = b.member;
     b.pass(ms * 500);
-    b.watch.on_changes(b.now, b.origin(m), {}, false);
-    b.watch.on_broken(b.now, "connection lost");
+    b.watch.on_changes(b.now, b.header(m), {}, false);
+    b.watch.on_request_failed(b.now, {RequestFailureReason::connection_lost, {}});
     EXPECT_EQ(b.watch.sync_state(), SyncState::resuming);
     m.erase("c1");
     b.pass_to_ask();
@@ -233,7 +233,7 @@
     EXPECT_NE(b.member, first);
     EXPECT_EQ(b.at, m.newest());
     EXPECT_LE(b.now - start_time(), ms * 551) << "the first pause is at most the base";
-    b.watch.on_watch_opened(b.now, b.origin(m));
+    b.watch.on_watch_opened(b.now, b.header(m));
     b.deliver(m);
     EXPECT_FALSE(b.list.contains(CacheId{"c1"}));
     EXPECT_EQ(b.watch.full_reads(), 1u);
@@ -241,7 +241,7 @@
 
 // Without the full read c1 would stay in service, and c2, another process by now, warm.
 TEST_F(Following, ACompactedResumptionReadsAllAndTellsTheDifference) {
-    b.watch.on_broken(b.now, "connection lost");
+    b.watch.on_request_failed(b.now, {RequestFailureReason::connection_lost, {}});
     m.erase("c1");
     m.erase("c2");
     m.put("c2", list_value("c2", "Ready"));
@@ -285,15 +285,15 @@
     RegistryModel old = m;
     m.erase("c1");
     b.deliver(m);
-    b.watch.on_broken(b.now, "connection lost");
+    b.watch.on_request_failed(b.now, {RequestFailureReason::connection_lost, {}});
     b.pass_to_ask();
-    b.watch.on_watch_opened(b.now, b.origin(old));
+    b.watch.on_watch_opened(b.now, b.header(old));
     EXPECT_EQ(b.watch.sync_state(), SyncState::lagging);
     const MemberIndex lagging = b.member;
     b.pass_to_ask();
     EXPECT_NE(b.member, lagging);
     ASSERT_EQ(b.asked, Bench::Ask::follow);
-    b.watch.on_watch_opened(b.now, b.origin(m));
+    b.watch.on_watch_opened(b.now, b.header(m));
     EXPECT_EQ(b.watch.sync_state(), SyncState::following);
     EXPECT_FALSE(b.list.contains(CacheId{"c1"})) << "a reread at it would have brought c1 back";
     EXPECT_EQ(b.watch.full_reads(), 1u);
@@ -312,14 +312,14 @@
         b.read_all(m);
         ASSERT_TRUE(b.list.contains(CacheId{"c9"}));
         m.restore(backup, GetParam());
-        b.watch.on_broken(b.now, "connection lost");
+        b.watch.on_request_failed(b.now, {RequestFailureReason::connection_lost, {}});
         const TimePoint since = b.now;
         for (int n = 0; n < 200 && b.asked != Bench::Ask::read; ++n) {
             b.pass_to_ask();
             if (b.asked == Bench::Ask::check)
                 b.watch.on_revision_not_reached(b.now);
             else if (b.asked == Bench::Ask::follow)
-                b.watch.on_watch_opened(b.now, b.origin(m));
+                b.watch.on_watch_opened(b.now, b.header(m));
             EXPECT_TRUE(b.list.contains(CacheId{"c9"})) << "not yet believed";
         }
         ASSERT_EQ(b.asked, Bench::Ask::read);
@@ -349,7 +349,7 @@
         EXPECT_EQ(b.asked, Bench::Ask::none);
         // The next member has the list: nothing has happened.
         read_anew();
-        b.watch.on_watch_opened(b.now, b.origin(m));
+        b.watch.on_watch_opened(b.now, b.header(m));
         EXPECT_EQ(b.list.size(), 4u);
         EXPECT_EQ(b.watch.sync_state(), SyncState::following);
     }
@@ -370,7 +370,7 @@
     b.pass_to_ask();
     ASSERT_EQ(b.asked, Bench::Ask::check);
     b.answer_check(m);
-    b.watch.on_watch_opened(b.now, b.origin(m));
+    b.watch.on_watch_opened(b.now, b.header(m));
     EXPECT_EQ(b.watch.sync_state(), SyncState::following);
     EXPECT_EQ(b.watch.full_reads(), 1u);
 }
@@ -380,13 +380,13 @@
 TEST_F(Following, SilencesThatHaveNothingToDoWithEachOtherDoNotAddUp) {
     for (int n = 0; n < 12; ++n) {
         b.pass(ms * 300);
-        b.watch.on_changes(b.now, b.origin(m), {}, false);
+        b.watch.on_changes(b.now, b.header(m), {}, false);
         const TimePoint since = b.now;
         b.pass(Bench::pace(3).watch_timeout + ms);
         b.pass_to_ask();
         EXPECT_LE(b.now - since, Bench::pace(3).watch_timeout + ms + Bench::pace(3).backoff_base);
         b.answer_check(m);
-        b.watch.on_watch_opened(b.now, b.origin(m));
+        b.watch.on_watch_opened(b.now, b.header(m));
     }
 }
 
@@ -411,9 +411,9 @@
 
 TEST_F(Following, ProgressMovesThePointOfResumptionPastACompaction) {
     for (int n = 0; n < 50; ++n) m.put("elsewhere", "x");  // not under our prefix: nothing is delivered
-    b.watch.on_changes(b.now, b.origin(m), {}, false);
+    b.watch.on_changes(b.now, b.header(m), {}, false);
     m.compact(m.newest());
-    b.watch.on_broken(b.now, "connection lost");
+    b.watch.on_request_failed(b.now, {RequestFailureReason::connection_lost, {}});
     b.pass_to_ask();
     EXPECT_EQ(b.at, Revision{m.newest().raw() + 1});
 }
@@ -421,14 +421,14 @@
 TEST_F(Following, PartsOfARevisionCountTogetherOrNotAtAll) {
     const Revision r = m.commit({{RecordKey{"c1"}, std::nullopt}, {RecordKey{"c2"}, std::nullopt}});
     const std::vector<Change> all = *m.changes(r, r);
-    b.watch.on_changes(b.now, b.origin(m), {all[0]}, true);
+    b.watch.on_changes(b.now, b.header(m), {all[0]}, true);
     EXPECT_EQ(b.list.size(), 4u);
-    b.watch.on_broken(b.now, "cut in the middle");
+    b.watch.on_request_failed(b.now, {RequestFailureReason::connection_lost, {}});
     b.pass_to_ask();
     EXPECT_EQ(b.at, r) << "it is asked for once more, whole";
-    b.watch.on_watch_opened(b.now, b.origin(m));
-    b.watch.on_changes(b.now, b.origin(m), {all[0]}, true);
-    b.watch.on_changes(b.now, b.origin(m), {all[1]}, false);
+    b.watch.on_watch_opened(b.now, b.header(m));
+    b.watch.on_changes(b.now, b.header(m), {all[0]}, true);
+    b.watch.on_changes(b.now, b.header(m), {all[1]}, false);
     EXPECT_EQ(b.list.size(), 2u);
 }
 
@@ -440,7 +440,7 @@
     b.pass_to_ask();
     ASSERT_EQ(b.asked, Bench::Ask::read);
     Page p;
-    p.origin = {m.cluster(), Revision{200}};
+    p.header = {m.cluster(), Revision{200}};
     for (std::size_t n = 0; n <= Bench::pace(3).max_records; ++n)
         p.records.push_back(
             record("x" + std::to_string(n), list_value("x" + std::to_string(n), "Ready"), 3, 3));
@@ -449,9 +449,7 @@
         EXPECT_EQ(b.list.size(), 4u);
         b.pass_to_ask();
     }
-    EXPECT_EQ(std::count_if(b.remarks.begin(), b.remarks.end(),
-                            [](const std::string& r) { return r.find("too long") != std::string::npos; }),
-              1);
+    EXPECT_EQ(std::count(b.warnings.begin(), b.warnings.end(), WatchWarningKind::too_many_records), 1);
 }
 
 TEST(Watch, AThousandThatLoseTheRegistryComeBackSpreadOverThePause) {
@@ -461,12 +459,12 @@
         Bench b(1, seed * 7919 + 1);
         b.watch.start(b.now);
         b.read_all(m);
-        b.watch.on_broken(b.now, "connection lost");
+        b.watch.on_request_failed(b.now, {RequestFailureReason::connection_lost, {}});
         // Down for a while: each attempt fails at once.
         const TimePoint up = b.now + Duration::seconds(10);
         while (b.now < up) {
             b.pass_to_ask();
-            if (b.now < up) b.watch.on_broken(b.now, "refused");
+            if (b.now < up) b.watch.on_request_failed(b.now, {RequestFailureReason::connect_failed, {}});
         }
         ++by_ms[static_cast<int>((b.now - up).micros() / 100'000)];
     }
@@ -488,7 +486,7 @@
     ASSERT_EQ(b.asked, Bench::Ask::check) << "it may have been restored since";
     b.answer_check(m);
     m.erase("c1");
-    b.watch.on_watch_opened(b.now, b.origin(m));
+    b.watch.on_watch_opened(b.now, b.header(m));
     b.deliver(m);
     EXPECT_EQ(b.list.size(), 2u);
     EXPECT_EQ(b.watch.sync_state(), SyncState::following);
@@ -515,7 +513,7 @@
         else if (faults && what < 32)
             m_.compact(Revision{m_.newest().raw() - draw(3)});
         else if (faults && what < 35)
-            b_.watch.on_broken(b_.now, "broken");
+            b_.watch.on_request_failed(b_.now, {RequestFailureReason::connection_lost, {}});
         else if (faults && what < 37)
             lag_ = {MemberIndex{static_cast<std::size_t>(draw(3))}, draw(4)};
         else if (faults && what == 37 && b_.watch.view().revision() > Revision{})
@@ -562,10 +560,10 @@
     }
     // It takes longer than a connection that breaks.
     void set_back() {
-        b_.watch.on_broken(b_.now, "down");
+        b_.watch.on_request_failed(b_.now, {RequestFailureReason::connection_lost, {}});
         b_.now = b_.now + Bench::pace(1).watch_timeout;
         b_.watch.on_wake(b_.now);
-        b_.watch.on_broken(b_.now, "down");
+        b_.watch.on_request_failed(b_.now, {RequestFailureReason::connection_lost, {}});
         known_[m_.newest()] = *m_.at(m_.newest());
         lives_.push_back(known_);
         m_.restore(Revision{m_.newest().raw() - 1 - draw(4)}, draw(2) == 0);
@@ -578,13 +576,13 @@
         return std::max(m_.oldest(), Revision{m_.newest().raw() - behind});
     }
     void answer(bool faults) {
-        const Origin from{m_.cluster(), shown()};
+        const ReplyHeader from{m_.cluster(), shown()};
         if (b_.asked == Bench::Ask::read) {
             const Revision r = b_.at == Revision{} ? shown() : b_.at;
             const RegistryModel::State* state = m_.at(r);
             if (!state) return b_.watch.on_compacted(b_.now);
             Page p;
-            p.origin = {m_.cluster(), r};
+            p.header = {m_.cluster(), r};
             const std::size_t most = static_cast<std::size_t>(1 + draw(6));
             for (const auto& [key, rec] : *state) {
                 if (b_.after && key <= *b_.after) continue;
@@ -617,7 +615,8 @@
                                  all->begin() + static_cast<std::ptrdiff_t>(first + part)},
                                 goes_on);
             first += part;
-            if (goes_on && faults && draw(6) == 0) return b_.watch.on_broken(b_.now, "cut in the middle");
+            if (goes_on && faults && draw(6) == 0)
+                return b_.watch.on_request_failed(b_.now, {RequestFailureReason::connection_lost, {}});
         }
     }
 
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -76,8 +76,8 @@
 TEST(StoredData, AKeptListIsReadBack) {
     const auto read =
         registry::parse_snapshot(golden("stored/kept_list.bin"), kept_owner, kept_at + hour, hour);
-    const auto* kept = std::get_if<registry::Snapshot>(&read);
-    ASSERT_TRUE(kept) << std::get<std::string>(read);
+    const auto* kept = std::get_if<registry::EndpointSnapshot>(&read);
+    ASSERT_TRUE(kept) << to_string(std::get<registry::SnapshotError>(read));
     EXPECT_EQ(kept->cluster, registry::ClusterId{"14841639068965178418"});
     EXPECT_EQ(kept->revision, registry::Revision{41});
     EXPECT_EQ(kept->as_of, kept_at);
@@ -106,18 +106,18 @@
     for (std::size_t n = 0; n < bytes.size(); ++n) {
         std::string damaged = bytes;
         damaged[n] = static_cast<char>(damaged[n] ^ 1);
-        EXPECT_EQ(std::get<std::string>(registry::parse_snapshot(damaged, kept_owner, kept_at, hour)),
-                  "the kept list is damaged")
+        EXPECT_EQ(
+            std::get<registry::SnapshotError>(registry::parse_snapshot(damaged, kept_owner, kept_at, hour)),
+            registry::SnapshotError::checksum_mismatch)
             << "byte " << n;
     }
     const auto why = [&](const std::string& owner, TimePoint now) {
         const auto read = registry::parse_snapshot(bytes, owner, now, hour);
-        const auto* line = std::get_if<std::string>(&read);
-        return line ? *line : "";
+        return std::get<registry::SnapshotError>(read);
     };
-    EXPECT_EQ(why("hub /caches/", kept_at), "the kept list is another deployment's");
-    EXPECT_EQ(why(kept_owner, kept_at + hour + Duration::micros(1)), "the kept list is too old");
-    EXPECT_EQ(why(kept_owner, kept_at - Duration::micros(1)), "the kept list is from the future");
+    EXPECT_EQ(why("hub /caches/", kept_at), registry::SnapshotError::other_owner);
+    EXPECT_EQ(why(kept_owner, kept_at + hour + Duration::micros(1)), registry::SnapshotError::too_old);
+    EXPECT_EQ(why(kept_owner, kept_at - Duration::micros(1)), registry::SnapshotError::from_future);
 }
 
 // --- the fencing tokens that were seen
@@ -141,15 +141,15 @@
     fs::copy(golden_path("stored/store_list"), folder.path() + "/list", fs::copy_options::recursive);
     fs::copy(golden_path("stored/store_fleet"), folder.path() + "/fleet", fs::copy_options::recursive);
     auto list = Store::open(folder.path() + "/list", small_store);
-    ASSERT_TRUE(std::holds_alternative<Store>(list)) << std::get<std::string>(list);
+    ASSERT_TRUE(std::holds_alternative<Store>(list)) << std::get<StoreError>(list).detail;
     EXPECT_EQ(std::get<Store>(list).read("registry list"), golden("stored/kept_list.bin"));
     auto opened = Store::open(folder.path() + "/fleet", small_store);
-    ASSERT_TRUE(std::holds_alternative<Store>(opened)) << std::get<std::string>(opened);
+    ASSERT_TRUE(std::holds_alternative<Store>(opened)) << std::get<StoreError>(opened).detail;
     Store& store = std::get<Store>(opened);
     EXPECT_EQ(store.read("fleet epochs seen"), golden("stored/fleet_tokens_seen.json"));
     EXPECT_EQ(store.read("fleet last start"), "5000000");
     EXPECT_EQ(store.read("no such name"), std::nullopt);
-    EXPECT_EQ(store.write("fleet last start", "5000001"), std::nullopt);
+    EXPECT_TRUE(std::holds_alternative<Store::Written>(store.write("fleet last start", "5000001")));
     EXPECT_EQ(store.read("fleet last start"), "5000001");
     EXPECT_EQ(store.read("fleet epochs seen"), golden("stored/fleet_tokens_seen.json"));
 }
@@ -424,8 +424,8 @@
     void expect_kept_list(const std::string& bytes) const {
         const TimePoint far = TimePoint{} + Duration::seconds(4e9);
         const auto read = registry::parse_snapshot(bytes, kept_owner, far, Duration::seconds(4e9));
-        const auto* kept = std::get_if<registry::Snapshot>(&read);
-        ASSERT_TRUE(kept) << std::get<std::string>(read);
+        const auto* kept = std::get_if<registry::EndpointSnapshot>(&read);
+        ASSERT_TRUE(kept) << to_string(std::get<registry::SnapshotError>(read));
         ASSERT_EQ(kept->records.size(), 1u);
         EXPECT_EQ(kept->records[0].value, full_line);
     }
@@ -435,7 +435,7 @@
     }
     std::string read_store(const std::string& name, const std::string& key) const {
         auto store = Store::open(folder.path() + "/" + name, 64 << 20);
-        if (const auto* why = std::get_if<std::string>(&store)) return *why;
+        if (const auto* error = std::get_if<StoreError>(&store)) return error->detail;
         return std::get<Store>(store).read(key).value_or("");
     }
 };
--- a/tests/wire_names_test.cpp
+++ b/tests/wire_names_test.cpp
@@ -188,8 +188,8 @@
 TEST(WireNames, RegistryAnswersAreRead) {
     const auto range = std::get<etcd::Range>(etcd::read_range(
         200, "{" + header + R"(,"more":true,"count":"9","kvs":[)" + record_c1 + "]}", "/caches/"));
-    EXPECT_EQ(range.page.origin.cluster, registry::ClusterId{"1001"});
-    EXPECT_EQ(range.page.origin.revision, registry::Revision{41});
+    EXPECT_EQ(range.page.header.cluster, registry::ClusterId{"1001"});
+    EXPECT_EQ(range.page.header.revision, registry::Revision{41});
     EXPECT_TRUE(range.page.more);
     EXPECT_EQ(range.count, 9u);
     ASSERT_EQ(range.page.records.size(), 1u);
