--- a/src/cli/fleet_in_force.cpp
+++ b/src/cli/fleet_in_force_command.cpp
@@ -13,7 +13,7 @@
 #include <thread>
 #include <variant>
 
-#include "cli/fleet.hpp"
+#include "cli/fleet_commands.hpp"
 #include "cli/registry_session.hpp"
 #include "fleet/fleet_client.hpp"
 #include "fleet/fleet_status.hpp"
@@ -56,7 +56,7 @@
         const auto read = etcd::read_range(status, body, prefix);
         if (const auto* problem = std::get_if<etcd::Error>(&read)) throw Failure{problem->message};
         const registry::Page& page = std::get<etcd::Range>(read).page;
-        if (at == registry::Revision{}) at = page.origin.revision;
+        if (at == registry::Revision{}) at = page.header.revision;
         for (const auto& r : page.records) all[r.key.raw()] = r.value;
         if (!page.more || page.records.empty()) return all;
         after = page.records.back().key;
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -13,7 +13,7 @@
 #include "net/event_loop.hpp"
 #include "net/fastcgi_server.hpp"
 #include "net/notice_client.hpp"
-#include "registry/client.hpp"
+#include "registry/registry_client.hpp"
 #include "request/active_request.hpp"
 #include "request/duplicate_request_filter.hpp"
 #include "store/store.hpp"
@@ -71,7 +71,7 @@
     void on_endpoint_notice(const std::vector<EndpointRecord>&, bool complete) override;
     void on_endpoints(TimePoint now, const std::vector<EndpointRecord>&, bool complete) override;
     void on_sync_state(TimePoint now, registry::SyncState, TimePoint as_of) override;
-    void on_warning(std::string_view plain_line) override;
+    void on_watch_warning(const registry::WatchWarning& warning) override;
     void start_registry();
     void store_endpoints();
     void apply_endpoints(const std::vector<EndpointRecord>&, bool complete);
