--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -474,5 +474,13 @@
     expect_kept_list(read_store("list", "registry list"));
 }
 
+// Given: the store of an earlier program, which had joined under number 5000000. When: a gateway joins a
+// registry that knows nothing. Then: its number is the next one.
+TEST_F(StoredByProcess, AGatewayReadsTheNumberOfAnEarlierOne) {
+    start_in_place_of_an_earlier_one();
+    ASSERT_TRUE(stretches.until([&] { return !value("/fleet/roll/member/g1").empty(); }));
+    EXPECT_EQ(parse_member(value("/fleet/roll/member/g1"))->incarnation.raw(), 5'000'001);
+}
+
 }  // namespace
 }  // namespace irismux::testing
