--- a/src/fleet/fleet_client.cpp
+++ b/src/fleet/fleet_client.cpp
@@ -8,9 +8,6 @@
 namespace irismux::fleet {
 namespace {
 
-constexpr std::size_t most_stored = 8 << 20;  // of the store's file
-constexpr const char* seen_name = "fleet epochs seen";
-constexpr const char* start_name = "fleet last start";
 // The tokens seen are stored at most this often; a crash loses those of the last such interval.
 constexpr Duration store_every = Duration::micros(250'000);
 
@@ -62,10 +59,10 @@
     : event_loop_(loop),
       gateway_(gateway),
       settings_(settings),
+      token_store_(settings.token_store_folder),
       watch_settings_(watch_settings(settings)),
       instance_id_(random_instance_id()),
-      agent_((open_store(), *this), *this, settings.shared_config, identity(version),
-             mixed_with_chance(seed)),
+      agent_(*this, *this, settings.shared_config, identity(version), mixed_with_chance(seed)),
       health_watch_(*this, settings.health_check_interval, agent_.membership().heartbeat_interval()),
       garbage_collector_(settings.collection_interval, agent_.membership().eviction_timeout() * 2),
       connection_(loop, *this, settings_.registry),
@@ -78,10 +75,11 @@
             clock());
         site_reporter_->acknowledgement().on_configuration(settings.configuration);
     }
-    if (store_)
-        if (const auto seen = store_->read(seen_name); seen && !agent_.fence().restore(*seen))
-            gateway_.on_fleet_message(
-                "what was kept of epochs seen can't be read: lower ones are refused from now on only", true);
+    if (token_store_.open_error())
+        gateway_.on_fleet_message("epochs seen are not kept: " + *token_store_.open_error(), true);
+    if (!token_store_.restore(agent_.fence()))
+        gateway_.on_fleet_message(
+            "what was kept of epochs seen can't be read: lower ones are refused from now on only", true);
 }
 
 FleetClient::~FleetClient() {
@@ -89,25 +87,14 @@
     for (const auto& alarm : {wake_timer_, tasks_timer_, store_timer_}) event_loop_.cancel(alarm);
 }
 
-void FleetClient::open_store() {
-    if (settings_.token_store_folder.empty()) return;
-    auto opened = Store::open(settings_.token_store_folder, most_stored);
-    if (const auto* why = std::get_if<std::string>(&opened))
-        return gateway_.on_fleet_message("epochs seen are not kept: " + *why, true);
-    store_ = std::move(std::get<Store>(opened));
-}
-
 MemberIdentity FleetClient::identity(const std::string& version) {
-    MemberIdentity p{settings_.name,
-                     InstanceId{instance_id_},
-                     version,
-                     {},
-                     settings_.registry.poll_policy.reply_timeout,
-                     true,
-                     settings_.site.raw().empty() ? Duration{} : settings_.acknowledge_interval};
-    if (const auto start = store_ ? store_->read(start_name) : std::nullopt)
-        p.last_incarnation = Incarnation{std::atoll(start->c_str())};
-    return p;
+    return {settings_.name,
+            InstanceId{instance_id_},
+            version,
+            token_store_.last_incarnation(),
+            settings_.registry.poll_policy.reply_timeout,
+            true,
+            settings_.site.raw().empty() ? Duration{} : settings_.acknowledge_interval};
 }
 
 TimePoint FleetClient::clock() const {
@@ -133,7 +120,7 @@
 
 void FleetClient::leave() {
     store_tokens_seen();
-    store_.reset();
+    token_store_.close();
     agent_.leave(clock());
 }
 
@@ -350,17 +337,8 @@
 void FleetClient::store_tokens_seen() {
     event_loop_.cancel(store_timer_);
     store_timer_ = event_loop_.schedule_at(event_loop_.now() + store_every, [this] { store_tokens_seen(); });
-    if (!store_) return;
-    const std::string seen = agent_.fence().serialize() + std::to_string(agent_.incarnation().raw());
-    if (seen == stored_tokens_) return;
-    auto why = store_->write(seen_name, agent_.fence().serialize());
-    if (!why && agent_.incarnation() > Incarnation{})
-        why = store_->write(start_name, std::to_string(agent_.incarnation().raw()));
-    if (why && !std::exchange(store_failed_, true))
-        gateway_.on_fleet_message("epochs seen are " + *why, true);
-    if (why) return;
-    store_failed_ = false;
-    stored_tokens_ = seen;
+    if (const auto error = token_store_.save(agent_.fence(), agent_.incarnation()))
+        gateway_.on_fleet_message("epochs seen are " + *error, true);
 }
 
 }  // namespace irismux::fleet
--- a/src/fleet/fleet_client.hpp
+++ b/src/fleet/fleet_client.hpp
@@ -16,8 +16,8 @@
 #include "fleet/record_mirror.hpp"
 #include "fleet/settings.hpp"
 #include "fleet/site_reporter.hpp"
+#include "fleet/token_store.hpp"
 #include "registry/client.hpp"
-#include "store/store.hpp"
 
 namespace irismux::fleet {
 
@@ -113,13 +113,12 @@
     void run_due_tasks();
     void update_duties();
     void store_tokens_seen();
-    void open_store();
     MemberIdentity identity(const std::string& version);
 
     EventLoop& event_loop_;
     GatewayCallbacks& gateway_;
     Settings settings_;
-    std::optional<Store> store_;
+    TokenStore token_store_;  // before agent_, whose identity is read from it
     registry::Settings watch_settings_;
     std::string instance_id_;
     Agent agent_;
@@ -135,8 +134,6 @@
     registry::RegistryClient watch_client_;
     EventLoop::Timer wake_timer_{}, tasks_timer_{}, store_timer_{};
     std::shared_ptr<bool> liveness_token_ = std::make_shared<bool>(true);
-    std::string stored_tokens_;
-    bool store_failed_ = false;  // said once
     bool registry_silent_ = false;
 };
 
