--- a/src/fleet/agent.hpp
+++ b/src/fleet/agent.hpp
@@ -12,7 +12,7 @@
 //   3  no fencing token of a duty is given to two owners, also across restores of the registry
 //
 // Source files: agent.cpp (events, one transaction at a time), agent_join.cpp, agent_heartbeat.cpp (with
-// evictions), agent_duties.cpp, agent_writes.cpp (with publications), agent_debug.cpp.
+// evictions), agent_leases.cpp, agent_writes.cpp (with publications), agent_debug.cpp.
 #pragma once
 
 #include <deque>
@@ -196,7 +196,7 @@
     bool reads_all_heartbeats() const;
     bool next_eviction(TimePoint now);
 
-    // agent_duties.cpp
+    // agent_leases.cpp
     void on_duty_record(const DutyName&, const Duties::Duty&);
     void on_lower_token(const DutyName&, FencingToken shown, FencingToken seen);
     void update_leases(TimePoint now);
--- a/src/fleet/in_force.cpp
+++ b/src/fleet/applied_revisions.cpp
@@ -1,4 +1,4 @@
-#include "fleet/in_force.hpp"
+#include "fleet/applied_revisions.hpp"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
--- a/src/fleet/digest.hpp
+++ b/src/fleet/digest.hpp
@@ -22,7 +22,7 @@
 #include <utility>
 #include <vector>
 
-#include "fleet/in_force.hpp"
+#include "fleet/applied_revisions.hpp"
 
 namespace irismux::fleet {
 
--- a/src/fleet/fleet_client.hpp
+++ b/src/fleet/fleet_client.hpp
@@ -12,7 +12,7 @@
 
 #include "fleet/agent.hpp"
 #include "fleet/garbage_collector.hpp"
-#include "fleet/health_watch.hpp"
+#include "fleet/health_monitor.hpp"
 #include "fleet/record_mirror.hpp"
 #include "fleet/settings.hpp"
 #include "fleet/site_reporter.hpp"
--- a/src/fleet/health_watch.cpp
+++ b/src/fleet/health_monitor.cpp
@@ -1,4 +1,4 @@
-#include "fleet/health_watch.hpp"
+#include "fleet/health_monitor.hpp"
 
 #include <algorithm>
 
--- a/src/fleet/settings.hpp
+++ b/src/fleet/settings.hpp
@@ -4,7 +4,7 @@
 #include <map>
 #include <string>
 
-#include "fleet/in_force.hpp"
+#include "fleet/applied_revisions.hpp"
 #include "registry/settings.hpp"
 
 namespace irismux::fleet {
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 
 #include "fleet/garbage_collector.hpp"
-#include "fleet/health_watch.hpp"
+#include "fleet/health_monitor.hpp"
 #include "testing/fleet_simulation.hpp"
 #include "testing/transaction_ledger.hpp"
 
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -5,7 +5,7 @@
 #include "fleet/digest.hpp"
 #include "fleet/fence.hpp"
 #include "fleet/fleet_client.hpp"
-#include "fleet/in_force.hpp"
+#include "fleet/applied_revisions.hpp"
 #include "fleet/records.hpp"
 #include "golden.hpp"
 #include "registry/snapshot.hpp"
