--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -139,7 +139,7 @@
                 if (const auto who = parse_release(*aside))
                     std::cout << " left to others by " << who->name.raw() << " start "
                               << who->incarnation.raw();
-            if (const auto cache = watched_cache_of(name))
+            if (const auto cache = health_check_cache(name))
                 if (const Text seen = text_of(all, health_record_key(*cache)))
                     if (const auto f = parse_health_record(*seen))
                         std::cout << (f->healthy ? " answered " : " silent ") << f->streak
--- a/src/cli/fleet_in_force.cpp
+++ b/src/cli/fleet_in_force.cpp
@@ -83,7 +83,7 @@
 FleetStatus::RegistryReading read_status(RegistrySession& talk, const Settings& settings,
                                          const FleetStatus& status) {
     FleetStatus::RegistryReading reading;
-    reading.asked = steady_now();
+    reading.requested_at = steady_now();
     std::vector<std::string> paths;
     std::map<std::string, SiteName> sites;
     for (const auto& [site, owner] : status.owners()) {
@@ -172,7 +172,7 @@
     for (;;) {
         status.on_reading(read_status(talk, settings, status));
         if (question.event > 0)
-            if (const auto newest = newest_of_board(question.board)) status.on_board(*newest);
+            if (const auto newest = newest_of_board(question.board)) status.on_newest_event(*newest);
         auto verdict = status.judge(steady_now(), asked);
         if (verdict.reach == FleetStatus::Reach::everywhere || steady_now() >= end) return verdict;
         std::this_thread::sleep_for(std::chrono::microseconds((term * read_of_term).micros()));
@@ -223,7 +223,7 @@
         const std::string roster = path_of(roster_key(), SiteName{site}),
                           record = path_of(member_key(MemberName{member}), SiteName{site});
         const auto shown = read_keys(talk, settings.registry, {roster, record});
-        const auto known = shown.contains(roster) ? read_roster(shown.at(roster)) : std::nullopt;
+        const auto known = shown.contains(roster) ? parse_site_roster(shown.at(roster)) : std::nullopt;
         if (!known || !known->names.contains(MemberName{member}))
             return print_error("no gateway " + member + " is known in site " + site);
         if (shown.contains(record)) return print_error(member + " is a member: stop it first");
@@ -247,7 +247,7 @@
         const auto shown = read_keys(talk, settings.registry, {path});
         const Text was = shown.contains(path) ? Text{shown.at(path)} : Text{};
         std::random_device chance;
-        const auto next = next_generation(was ? read_generation(*was) : std::nullopt, {}, true,
+        const auto next = next_generation(was ? parse_generation(*was) : std::nullopt, {}, true,
                                           "operator/" + std::to_string(chance()) + std::to_string(chance()));
         const std::string key = settings.registry.prefix + path;
         return settle(talk, settings.registry, {{key, was}}, {{key, serialize(*next)}},
--- a/src/fleet/agent.cpp
+++ b/src/fleet/agent.cpp
@@ -22,7 +22,7 @@
     return membership.eviction_timeout() + membership.heartbeat_interval() * rounds + answer * 4;
 }
 
-Agent::Agent(RegistryPort& registry, AgentObserver& observer, const SharedConfig& shared_config,
+Agent::Agent(AgentTransport& registry, AgentObserver& observer, const SharedConfig& shared_config,
              MemberIdentity identity, std::uint64_t seed)
     : registry_(&registry),
       observer_(&observer),
@@ -31,7 +31,7 @@
       random_(static_cast<std::uint_fast32_t>(seed ^ (seed >> 32))),
       membership_(shared_config, identity_.name) {}
 
-Agent::Agent(const Agent& other, RegistryPort& registry, AgentObserver& observer) : Agent(other) {
+Agent::Agent(const Agent& other, AgentTransport& registry, AgentObserver& observer) : Agent(other) {
     registry_ = &registry;
     observer_ = &observer;
 }
@@ -42,7 +42,7 @@
 void Agent::start(TimePoint now) {
     started_ = true;
     if (identity_.randomized)
-        next_submit_ = now + membership_.heartbeat_interval() * (start_spread * random_fraction());
+        next_submit_at_ = now + membership_.heartbeat_interval() * (start_spread * random_fraction());
     advance(now);
 }
 
@@ -82,23 +82,23 @@
 }
 
 void Agent::set_heartbeat_reads(TimePoint now, HeartbeatReads reads) {
-    if (reads == reads_) return;
-    reads_ = std::move(reads);
-    if (reads_.frequent) acknowledge_soon(now);
+    if (reads == heartbeat_reads_) return;
+    heartbeat_reads_ = std::move(reads);
+    if (heartbeat_reads_.frequent) acknowledge_soon(now);
     advance(now);
 }
 
 // Changes within the pause go out together.
 void Agent::acknowledge_soon(TimePoint now) {
     if (in_site())
-        next_heartbeat_ =
-            std::min(next_heartbeat_, std::max(now, heartbeat_sent_ + identity_.acknowledge_interval));
+        next_heartbeat_at_ =
+            std::min(next_heartbeat_at_, std::max(now, heartbeat_sent_at_ + identity_.acknowledge_interval));
 }
 
 void Agent::on_records(TimePoint now, registry::Revision at, const std::vector<Entry>& records,
                        bool full_list) {
     if (full_list) on_full_list(now, records);
-    learn(now, at, records);
+    apply_records(now, at, records);
     advance(now);
 }
 
@@ -106,17 +106,17 @@
                                   const std::vector<Entry>& shown) {
     const Purpose purpose = std::exchange(purpose_, Purpose::none);
     if (purpose == Purpose::none) return;
-    unanswered_ = 0;
-    if (at < newest_) observer_->on_registry_restored();
-    newest_ = at;
+    consecutive_timeouts_ = 0;
+    if (at < newest_revision_) observer_->on_registry_restored();
+    newest_revision_ = at;
     if (purpose == Purpose::write) finish_write(held ? WriteOutcome::written : WriteOutcome::refused);
-    if (purpose == Purpose::join) join_unanswered_ = false;
+    if (purpose == Purpose::join) join_outcome_unknown_ = false;
     // Before any duty is judged: a heartbeat that has landed decides for how long we are in.
     if (held && (purpose == Purpose::join || purpose == Purpose::heartbeat)) on_heartbeat_landed(now);
-    if (held && purpose != Purpose::read_own_records) learn(now, at, transaction_.writes);
-    learn(now, at, shown);
+    if (held && purpose != Purpose::read_own_records) apply_records(now, at, transaction_.writes);
+    apply_records(now, at, shown);
     if (held && purpose == Purpose::heartbeat)
-        observer_->on_heartbeat_result(heartbeat_sent_, heartbeat_in_transaction_, shown);
+        observer_->on_heartbeat_result(heartbeat_sent_at_, heartbeat_in_transaction_, shown);
     if (!held) check_own_heartbeat(now, shown);
     if (purpose == Purpose::read_own_records) on_own_records(now, at, shown);
     if (purpose == Purpose::publish && held) record_text_ = transaction_.writes.front().second;
@@ -124,24 +124,25 @@
     // The cause may not be visible from here, such as a record in a newer form: not repeated at once.
     const bool may_fail_again =
         purpose == Purpose::claim || purpose == Purpose::evict || purpose == Purpose::publish;
-    if (!held && may_fail_again) next_submit_ = now + membership_.heartbeat_interval() * retry_pause;
+    if (!held && may_fail_again) next_submit_at_ = now + membership_.heartbeat_interval() * retry_pause;
     advance(now);
 }
 
-void Agent::on_no_answer(TimePoint now) {
+void Agent::on_transaction_timeout(TimePoint now) {
     const Purpose purpose = std::exchange(purpose_, Purpose::none);
     if (purpose == Purpose::none) return;
     if (purpose == Purpose::write) finish_write(WriteOutcome::unknown);
     for (const auto& [key, value] : transaction_.writes)
-        if (unsettled_keys_.size() < most_overdue_heartbeats_read && (duty_of(key) || member_of(key)))
-            unsettled_keys_.insert(key);
-    back_off(now);
-    if (purpose == Purpose::heartbeat) next_heartbeat_ = next_submit_;
+        if (keys_of_unknown_outcome_.size() < most_overdue_heartbeats_read &&
+            (duty_of(key) || member_of(key)))
+            keys_of_unknown_outcome_.insert(key);
+    schedule_retry(now);
+    if (purpose == Purpose::heartbeat) next_heartbeat_at_ = next_submit_at_;
     advance(now);
 }
 
 void Agent::on_wake(TimePoint now) {
-    if (purpose_ != Purpose::none && now >= answer_due_) return on_no_answer(now);
+    if (purpose_ != Purpose::none && now >= reply_deadline_) return on_transaction_timeout(now);
     advance(now);
 }
 
@@ -158,22 +159,22 @@
     }
     membership_.on_full_list(now, members);
     duties_.on_full_list(duties);
-    token_floor_at_ = {};
+    token_floor_revision_ = {};
     if (!floor_listed) token_floor_.reset();
 }
 
-void Agent::learn(TimePoint now, registry::Revision at, const std::vector<Entry>& shown) {
+void Agent::apply_records(TimePoint now, registry::Revision at, const std::vector<Entry>& shown) {
     const bool hold = reads_all_heartbeats();
     for (const auto& [key, text] : shown) {
-        if (const auto name = member_of(key)) membership_.record(now, at, *name, text);
+        if (const auto name = member_of(key)) membership_.on_member_record(now, at, *name, text);
         if (const auto name = duty_of(key))
-            if (duties_.record(at, *name, text)) on_duty_record(*name, duties_.all().at(*name));
+            if (duties_.on_record(at, *name, text)) on_duty_record(*name, duties_.all().at(*name));
         if (const auto name = released_duty_of(key))
             if (const auto it = duties_.all().find(*name); it != duties_.all().end())
-                it->second.released = text ? parse_release(*text) : std::nullopt;
-        if (key == floor_key() && at >= token_floor_at_) {
+                it->second.released_instance = text ? parse_release(*text) : std::nullopt;
+        if (key == floor_key() && at >= token_floor_revision_) {
             token_floor_ = text;
-            token_floor_at_ = at;
+            token_floor_revision_ = at;
         }
     }
     for (const auto& [key, text] : shown)
@@ -185,7 +186,7 @@
 void Agent::advance(TimePoint now) {
     update_leases(now);
     if (!started_) return;
-    if (purpose_ == Purpose::none && now >= next_submit_) submit_next(now);
+    if (purpose_ == Purpose::none && now >= next_submit_at_) submit_next(now);
     schedule_next(now);
 }
 
@@ -194,7 +195,7 @@
         if (!leaving_) read_own_records(now);
     } else if (leaving_) {
         submit_leave(now);
-    } else if (now >= next_heartbeat_) {
+    } else if (now >= next_heartbeat_at_) {
         send_heartbeat(now);
     } else if (membership_.in_term(now)) {
         next_write(now) || next_duty(now) || next_eviction(now) || next_publication(now);
@@ -204,25 +205,26 @@
 void Agent::schedule_next(TimePoint now) {
     TimePoint at = now + membership_.heartbeat_interval() * longest_sleep;
     if (purpose_ != Purpose::none)
-        at = std::min(at, answer_due_);
+        at = std::min(at, reply_deadline_);
     else
-        at = std::min(at, std::max(next_submit_, membership_.joined() ? next_heartbeat_ : next_submit_));
-    if (membership_.in_term(now)) at = std::min(at, membership_.end());
-    if (membership_.listening(now)) at = std::min(at, membership_.listens_until());
+        at = std::min(at,
+                      std::max(next_submit_at_, membership_.joined() ? next_heartbeat_at_ : next_submit_at_));
+    if (membership_.in_term(now)) at = std::min(at, membership_.term_end());
+    if (membership_.in_grace_period(now)) at = std::min(at, membership_.grace_period_end());
     registry_->schedule_wake(std::max(at, now + Duration::micros(1)));
 }
 
 void Agent::submit(TimePoint now, Purpose purpose, Transaction transaction) {
     purpose_ = purpose;
     transaction_ = std::move(transaction);
-    answer_due_ = now + identity_.reply_timeout;
+    reply_deadline_ = now + identity_.reply_timeout;
     registry_->submit(transaction_);
 }
 
-void Agent::back_off(TimePoint now) {
-    const double doubled = 1 << std::min(unanswered_++, most_doublings);
+void Agent::schedule_retry(TimePoint now) {
+    const double doubled = 1 << std::min(consecutive_timeouts_++, most_doublings);
     const double drawn = identity_.randomized ? random_fraction() : 1.0;
-    next_submit_ = now + membership_.heartbeat_interval() * (retry_pause * doubled * (0.5 + drawn / 2));
+    next_submit_at_ = now + membership_.heartbeat_interval() * (retry_pause * doubled * (0.5 + drawn / 2));
 }
 
 double Agent::random_fraction() {
--- a/src/fleet/agent.hpp
+++ b/src/fleet/agent.hpp
@@ -32,9 +32,9 @@
 namespace irismux::fleet {
 
 // What an Agent needs of its carrier. Results are never delivered from within a call.
-class RegistryPort {
+class AgentTransport {
 public:
-    virtual ~RegistryPort() = default;
+    virtual ~AgentTransport() = default;
     // Replaces the transaction before, whose result must not be delivered any more.
     virtual void submit(const Transaction&) = 0;
     // Calls on_wake() at that instant; replaces the instant before.
@@ -83,10 +83,10 @@
 
 class Agent {
 public:
-    Agent(RegistryPort& registry, AgentObserver& observer, const SharedConfig& shared_config,
+    Agent(AgentTransport& registry, AgentObserver& observer, const SharedConfig& shared_config,
           MemberIdentity identity, std::uint64_t seed);
     // A copy of the state with other ports, for exhaustive exploration.
-    Agent(const Agent& other, RegistryPort& registry, AgentObserver& observer);
+    Agent(const Agent& other, AgentTransport& registry, AgentObserver& observer);
 
     void start(TimePoint now);
     // Stops acting at once, then removes this member's records.
@@ -107,7 +107,7 @@
     void on_transaction_result(TimePoint now, registry::Revision at, bool held,
                                const std::vector<Entry>& shown);
     // The transaction may have landed, may still land, or never.
-    void on_no_answer(TimePoint now);
+    void on_transaction_timeout(TimePoint now);
     void on_wake(TimePoint now);
 
     // Whether this member owns the duty at that instant.
@@ -117,7 +117,9 @@
     // The token of the duty's newest known record; zero: none.
     FencingToken token_of(const DutyName&) const;
     // Whether an order that another member gives as that holder is to be obeyed.
-    bool accepts(const DutyName& duty, const LeaseHolder& holder) { return fence_.accepts(duty, holder); }
+    bool accepts_order_of(const DutyName& duty, const LeaseHolder& holder) {
+        return fence_.accepts(duty, holder);
+    }
     // Writes if the duty is still owned when the write lands; the observer is told the outcome. False: the
     // duty is not owned, or too many writes wait.
     bool write_fenced(TimePoint now, const DutyName&, const Key&, const std::string& value);
@@ -131,7 +133,7 @@
     const std::set<CacheId>& ejected_caches() const { return ejected_caches_; }
     Instance self() const { return {identity_.name, incarnation_}; }
     // The record below which no removed duty may be claimed, as known.
-    const Text& floor() const { return token_floor_; }
+    const Text& token_floor() const { return token_floor_; }
     // Whether that very instance is a member, as far as is known. One whose record can't be parsed counts.
     bool is_member(const Instance&) const;
     // The whole state as text, instants relative to `now`: equal texts, equal behaviour.
@@ -166,10 +168,10 @@
     void submit_next(TimePoint now);
     void schedule_next(TimePoint now);
     void submit(TimePoint now, Purpose purpose, Transaction transaction);
-    void back_off(TimePoint now);
+    void schedule_retry(TimePoint now);
     double random_fraction();  // from 0 to 1
     void on_full_list(TimePoint now, const std::vector<Entry>& records);
-    void learn(TimePoint now, registry::Revision at, const std::vector<Entry>& shown);
+    void apply_records(TimePoint now, registry::Revision at, const std::vector<Entry>& shown);
 
     // agent_join.cpp
     void read_own_records(TimePoint now);
@@ -206,7 +208,7 @@
     void give_up_duty(TimePoint now, const DutyName&, Duties::Duty&);
     LeaseConditions lease_conditions(TimePoint now, const DutyName&, const Duties::Duty&) const;
     bool owned_here(const Duties::Duty&) const;
-    bool holds_lease(TimePoint now, const Duties::Duty&) const;
+    bool record_grants_lease(TimePoint now, const Duties::Duty&) const;
     bool unowned(const Duties::Duty&) const;
     FencingToken next_token(const DutyName&, const Duties::Duty&) const;
     FencingToken highest_refused_by_others(const DutyName&) const;
@@ -220,11 +222,11 @@
     void finish_write(WriteOutcome outcome);
 
     // agent_debug.cpp
-    std::string debug_peers(TimePoint now) const;
+    std::string debug_members(TimePoint now) const;
     std::string debug_duties(TimePoint now) const;
     std::string debug_age(TimePoint now, TimePoint since) const;
 
-    RegistryPort* registry_;
+    AgentTransport* registry_;
     AgentObserver* observer_;
     SharedConfig shared_config_;
     MemberIdentity identity_;
@@ -244,30 +246,30 @@
     Purpose purpose_ = Purpose::none;
     Transaction transaction_;  // the one under way
     HeartbeatNumber heartbeat_in_transaction_;
-    TimePoint answer_due_;   // of the one under way
-    TimePoint next_submit_;  // nothing is submitted before
-    TimePoint next_heartbeat_;
-    TimePoint next_give_up_;  // no duty is handed back before
-    int unanswered_ = 0;      // transactions in a row
+    TimePoint reply_deadline_;  // of the one under way
+    TimePoint next_submit_at_;  // nothing is submitted before
+    TimePoint next_heartbeat_at_;
+    TimePoint next_give_up_at_;     // no duty is handed back before
+    int consecutive_timeouts_ = 0;  // transactions in a row
 
     // Records written by transactions without an answer; read with the next heartbeat.
-    std::set<Key> unsettled_keys_;
+    std::set<Key> keys_of_unknown_outcome_;
 
-    bool join_unanswered_ = false;  // a join went out, and its result is not known
+    bool join_outcome_unknown_ = false;  // a join went out, and its result is not known
     // Member record and heartbeat of another instance that holds our name, and since when they are unchanged.
     std::optional<std::pair<Text, Text>> name_holder_;
-    TimePoint name_holder_since_;
+    TimePoint name_holder_unchanged_since_;
     std::string last_warning_;  // on why we are not in
     std::deque<PendingWrite> pending_writes_;
     Text token_floor_;
-    registry::Revision token_floor_at_;
+    registry::Revision token_floor_revision_;
     std::set<CacheId> ejected_caches_;
-    TimePoint next_publication_;
+    TimePoint next_publication_at_;
     std::optional<AppliedRevisions> applied_revisions_;
-    HeartbeatReads reads_;
-    registry::Revision newest_;
-    TimePoint heartbeat_sent_,
-        next_peer_reads_;  // the newest; the next that reads others' for the membership
+    HeartbeatReads heartbeat_reads_;
+    registry::Revision newest_revision_;
+    TimePoint heartbeat_sent_at_,
+        next_member_reads_at_;  // the newest; the next that reads others' for the membership
 };
 
 }  // namespace irismux::fleet
--- a/src/fleet/agent_debug.cpp
+++ b/src/fleet/agent_debug.cpp
@@ -21,10 +21,10 @@
            ' ';
 }
 
-std::string Agent::debug_peers(TimePoint now) const {
+std::string Agent::debug_members(TimePoint now) const {
     std::string all;
     for (const auto& [name, peer] : membership_.members()) {
-        all += '\n' + name.raw() + ' ' + peer.text + debug_age(now, peer.since);
+        all += '\n' + name.raw() + ' ' + peer.text + debug_age(now, peer.first_seen);
         if (!peer.observed) continue;
         all += peer.heartbeat_text.value_or("-") + ' ';
         all += debug_age(now, peer.unchanged_since) + debug_age(now, peer.last_seen);
@@ -45,18 +45,18 @@
 std::string Agent::debug_state(TimePoint now) const {
     std::string all = std::to_string(static_cast<int>(purpose_)) + (leaving_ ? "L" : "");
     all += (membership_.joined() ? "in " : "out ") + std::to_string(incarnation_.raw()) + ' ';
-    for (const TimePoint at : {membership_.end(), membership_.listens_until(), next_submit_, next_heartbeat_,
-                               next_give_up_, answer_due_})
+    for (const TimePoint at : {membership_.term_end(), membership_.grace_period_end(), next_submit_at_,
+                               next_heartbeat_at_, next_give_up_at_, reply_deadline_})
         all += until(now, at);
     all += heartbeat_text_.value_or("-") + record_text_.value_or("-");
-    all += std::to_string(unanswered_) + (join_unanswered_ ? "j" : "");
+    all += std::to_string(consecutive_timeouts_) + (join_outcome_unknown_ ? "j" : "");
     if (name_holder_)
         all += name_holder_->first.value_or("-") + name_holder_->second.value_or("-") +
-               debug_age(now, name_holder_since_);
-    all += debug_peers(now) + debug_duties(now) + '\n' + fence_.serialize();
+               debug_age(now, name_holder_unchanged_since_);
+    all += debug_members(now) + debug_duties(now) + '\n' + fence_.serialize();
     for (const auto& [name, token] : refused_tokens_) all += name.raw() + std::to_string(token.raw());
     for (const PendingWrite& write : pending_writes_) all += write.key.raw();
-    for (const Key& key : unsettled_keys_) all += key.raw();
+    for (const Key& key : keys_of_unknown_outcome_) all += key.raw();
     for (const CacheId& cache : ejected_caches_) all += cache.raw();
     all += token_floor_.value_or("-");
     return all;
--- a/src/fleet/agent_heartbeat.cpp
+++ b/src/fleet/agent_heartbeat.cpp
@@ -15,24 +15,25 @@
 void Agent::send_heartbeat(TimePoint now) {
     Duration pause = membership_.heartbeat_interval();
     if (identity_.randomized) pause = pause * (1 - heartbeat_spread * random_fraction());
-    if (in_site() && reads_.frequent) pause = std::min(pause, identity_.acknowledge_interval);
-    next_heartbeat_ = now + pause;
-    heartbeat_sent_ = now;
-    const std::string heartbeat = with_claim(serialize(next_heartbeat_record()), applied_revisions_);
+    if (in_site() && heartbeat_reads_.frequent) pause = std::min(pause, identity_.acknowledge_interval);
+    next_heartbeat_at_ = now + pause;
+    heartbeat_sent_at_ = now;
+    const std::string heartbeat =
+        with_applied_revisions(serialize(next_heartbeat_record()), applied_revisions_);
     membership_.on_heartbeat_sent(now, heartbeat_in_transaction_);
     std::vector<Key> reads = keys_to_read(now);
-    reads.insert(reads.end(), unsettled_keys_.begin(), unsettled_keys_.end());
+    reads.insert(reads.end(), keys_of_unknown_outcome_.begin(), keys_of_unknown_outcome_.end());
     submit(now, Purpose::heartbeat,
            {{own_heartbeat()}, {{heartbeat_key(identity_.name), heartbeat}}, std::move(reads)});
 }
 
 // Heartbeats that go out early, to acknowledge, read others' only where the site's digest needs them.
 std::vector<Key> Agent::keys_to_read(TimePoint now) {
-    std::set<Key> keys(reads_.records.begin(), reads_.records.end());
-    for (const MemberName& name : reads_.heartbeats)
+    std::set<Key> keys(heartbeat_reads_.records.begin(), heartbeat_reads_.records.end());
+    for (const MemberName& name : heartbeat_reads_.heartbeats)
         if (name != identity_.name) keys.insert(heartbeat_key(name));
-    if (!in_site() || now >= next_peer_reads_) {
-        next_peer_reads_ = now + membership_.heartbeat_interval() * (1 - heartbeat_spread);
+    if (!in_site() || now >= next_member_reads_at_) {
+        next_member_reads_at_ = now + membership_.heartbeat_interval() * (1 - heartbeat_spread);
         for (const Key& key : heartbeats_to_read(now)) keys.insert(key);
     }
     return {keys.begin(), keys.end()};
@@ -47,7 +48,7 @@
 void Agent::on_heartbeat_landed(TimePoint now) {
     heartbeat_text_ = transaction_.writes.back().second;
     membership_.on_heartbeat_confirmed(now, heartbeat_in_transaction_);
-    unsettled_keys_.clear();
+    keys_of_unknown_outcome_.clear();
 }
 
 // A transaction failed. If it shows another heartbeat under our name, a later one of ours has landed without
@@ -60,7 +61,7 @@
     const auto record = text ? parse_heartbeat(*text) : std::nullopt;
     const bool ours =
         record && record->instance_id == identity_.instance_id && record->incarnation == incarnation_;
-    if (ours && record->number > membership_.last()) {
+    if (ours && record->number > membership_.last_confirmed()) {
         heartbeat_text_ = text;
         return membership_.on_heartbeat_confirmed(now, record->number);
     }
@@ -89,7 +90,7 @@
 
 // Compares the very heartbeat that was found unchanged: one that has landed since makes the eviction fail.
 bool Agent::next_eviction(TimePoint now) {
-    if (membership_.listening(now)) return false;
+    if (membership_.in_grace_period(now)) return false;
     for (const auto& [name, peer] : membership_.members()) {
         if (!membership_.evictable(peer)) continue;
         const Key member = member_key(name);
--- a/src/fleet/agent_join.cpp
+++ b/src/fleet/agent_join.cpp
@@ -26,7 +26,7 @@
 void Agent::on_own_records(TimePoint now, registry::Revision at, const std::vector<Entry>& shown) {
     // All earlier incarnations of that name are below the registry's revision, also those without a record.
     identity_.last_incarnation = std::max(identity_.last_incarnation, Incarnation{at.raw()});
-    next_submit_ = now + membership_.heartbeat_interval();
+    next_submit_at_ = now + membership_.heartbeat_interval();
     const std::string own_config = serialize(shared_config_);
     const Text& config = value_of(shown, shared_config_key());
     const Text& member = value_of(shown, member_key(identity_.name));
@@ -38,7 +38,7 @@
         return warn_once("the fleet there goes by other articles, " + config->substr(0, most_quoted) +
                          ": this gateway stays out");
     const Text& roster = value_of(shown, roster_key());
-    if (roster && !read_roster(*roster))
+    if (roster && !parse_site_roster(*roster))
         return warn_once("the roster of this site can't be read: this gateway stays out");
     if (!member && !heartbeat) return join(now, member, heartbeat, roster);
     const auto record = member ? parse_member(*member) : std::nullopt;
@@ -53,10 +53,10 @@
 void Agent::on_own_instance_found(TimePoint now, Incarnation incarnation, const Text& member,
                                   const Text& heartbeat, const Text& roster) {
     const auto record = heartbeat ? parse_heartbeat(*heartbeat) : std::nullopt;
-    const bool own_join = join_unanswered_ && incarnation == incarnation_ && record &&
+    const bool own_join = join_outcome_unknown_ && incarnation == incarnation_ && record &&
                           record->instance_id == identity_.instance_id;
     if (!own_join) return join(now, member, heartbeat, roster);
-    join_unanswered_ = false;
+    join_outcome_unknown_ = false;
     heartbeat_text_ = heartbeat;
     membership_.on_heartbeat_confirmed(now, record->number);
 }
@@ -66,23 +66,24 @@
 void Agent::wait_for_name(TimePoint now, const Text& member, const Text& heartbeat, const Text& roster) {
     const std::pair<Text, Text> holder{member, heartbeat};
     if (name_holder_ == holder) {
-        if (now - name_holder_since_ >= membership_.eviction_timeout()) join(now, member, heartbeat, roster);
+        if (now - name_holder_unchanged_since_ >= membership_.eviction_timeout())
+            join(now, member, heartbeat, roster);
         return;
     }
     if (name_holder_ && name_holder_->first == member)
         warn_once("the name " + identity_.name.raw() +
                   " is held by another living gateway: this one stays out until that has left");
     name_holder_ = holder;
-    name_holder_since_ = now;
+    name_holder_unchanged_since_ = now;
 }
 
 void Agent::join(TimePoint now, const Text& member, const Text& heartbeat, const Text& roster) {
     identity_.last_incarnation = Incarnation{identity_.last_incarnation.raw() + 1};
     incarnation_ = identity_.last_incarnation;
     record_text_ = serialize(own_record());
-    join_unanswered_ = true;
+    join_outcome_unknown_ = true;
     duties_.forget_given_up();
-    next_submit_ = heartbeat_sent_ = now;
+    next_submit_at_ = heartbeat_sent_at_ = now;
     const std::string first_heartbeat = serialize(next_heartbeat_record());
     membership_.on_heartbeat_sent(now, heartbeat_in_transaction_);
     const Key own = member_key(identity_.name);
@@ -93,8 +94,8 @@
         {}};
     // Guards against a digest that knows nothing of a member: its name is in the roster from the first join
     // on.
-    const SiteRoster known = roster ? read_roster(*roster).value_or(SiteRoster{}) : SiteRoster{};
-    if (const auto next = in_site() ? with_name(known, identity_.name) : std::nullopt) {
+    const SiteRoster known = roster ? parse_site_roster(*roster).value_or(SiteRoster{}) : SiteRoster{};
+    if (const auto next = in_site() ? add_to_roster(known, identity_.name) : std::nullopt) {
         transaction.compares.emplace_back(roster_key(), roster);
         transaction.writes.emplace_back(roster_key(), serialize(*next));
     }
@@ -113,8 +114,8 @@
     membership_.on_removed();
     membership_.restart_observations();
     name_holder_.reset();
-    join_unanswered_ = false;
-    unsettled_keys_.clear();
+    join_outcome_unknown_ = false;
+    keys_of_unknown_outcome_.clear();
     for (const PendingWrite& write : std::exchange(pending_writes_, {}))
         observer_->on_write_outcome(write.duty, write.key, WriteOutcome::refused);
     observer_->on_warning(why);
--- a/src/fleet/agent_leases.cpp
+++ b/src/fleet/agent_leases.cpp
@@ -10,11 +10,12 @@
 
 bool Agent::may_act(TimePoint now, const DutyName& name) const {
     const auto it = duties_.all().find(name);
-    return it != duties_.all().end() && holds_lease(now, it->second) && membership_.in_term(now) && !leaving_;
+    return it != duties_.all().end() && record_grants_lease(now, it->second) && membership_.in_term(now) &&
+           !leaving_;
 }
 
 bool Agent::may_begin_work(TimePoint now, const DutyName& name) const {
-    return may_act(now, name) && !membership_.near_end(now);
+    return may_act(now, name) && !membership_.near_term_end(now);
 }
 
 FencingToken Agent::token_of(const DutyName& name) const {
@@ -36,9 +37,9 @@
 }
 
 // The record names this instance, and nothing forbids to rely on it.
-bool Agent::holds_lease(TimePoint now, const Duties::Duty& duty) const {
+bool Agent::record_grants_lease(TimePoint now, const Duties::Duty& duty) const {
     return owned_here(duty) && duty.wanted && duty.record->token > duty.given_up &&
-           !membership_.listening(now);
+           !membership_.in_grace_period(now);
 }
 
 // It has never been owned, was given up, or its owner is no member any more.
@@ -50,12 +51,14 @@
 }
 
 std::size_t Agent::rank(TimePoint now, const DutyName& name, const Duties::Duty& duty, bool settled) const {
-    const bool released_by_us = duty.released && *duty.released == self();
+    const bool released_by_us = duty.released_instance && *duty.released_instance == self();
     std::size_t ahead = 0;
     for (const auto& [other, peer] : membership_.members()) {
         if (membership_.suspected(peer) || (settled && !membership_.settled(now, peer))) continue;
-        if (duty.released && duty.released->name == other && is_member(*duty.released)) continue;
-        ahead += released_by_us || Duties::precedes(name, other, identity_.name);
+        if (duty.released_instance && duty.released_instance->name == other &&
+            is_member(*duty.released_instance))
+            continue;
+        ahead += released_by_us || Duties::ranks_before(name, other, identity_.name);
     }
     return ahead;
 }
@@ -82,11 +85,11 @@
 
 LeaseConditions Agent::lease_conditions(TimePoint now, const DutyName& name, const Duties::Duty& duty) const {
     LeaseConditions conditions;
-    conditions.named = holds_lease(now, duty);
+    conditions.record_names_us = record_grants_lease(now, duty);
     conditions.in_term = membership_.in_term(now) && !leaving_;
-    conditions.near_end = membership_.near_end(now);
-    conditions.wanted =
-        !conditions.named && duty.wanted && unowned(duty) && rank(now, name, duty, false) == 0;
+    conditions.near_term_end = membership_.near_term_end(now);
+    conditions.should_claim =
+        !conditions.record_names_us && duty.wanted && unowned(duty) && rank(now, name, duty, false) == 0;
     return conditions;
 }
 
@@ -122,7 +125,7 @@
         else if (!duty.unowned_since)
             duty.unowned_since = now;
         const LeaseState before = duty.lease.state();
-        const LeaseState after = duty.lease.enter(lease_conditions(now, name, duty));
+        const LeaseState after = duty.lease.update(lease_conditions(now, name, duty));
         if (after != before && duty.wanted) observer_->on_lease_state(name, after, token_of(name));
     }
 }
@@ -130,7 +133,7 @@
 // --- claims and hand-backs
 
 bool Agent::next_duty(TimePoint now) {
-    if (membership_.listening(now)) return false;
+    if (membership_.in_grace_period(now)) return false;
     auto& all = duties_.all();
     for (auto it = all.begin(); it != all.end();) {
         auto& [name, duty] = *it;
@@ -158,7 +161,7 @@
     // A token that others refuse is replaced by one above all that they have seen.
     if (highest_refused_by_others(name) > duty.record->token) return claim_duty(now, name, duty), true;
     // It goes back to the first in the order once that member has settled; one duty a round.
-    if (now < next_give_up_ || rank(now, name, duty, true) == 0) return false;
+    if (now < next_give_up_at_ || rank(now, name, duty, true) == 0) return false;
     return give_up_duty(now, name, duty), true;
 }
 
@@ -180,7 +183,7 @@
 // From here on nothing is done under that token, whatever becomes of the transaction.
 void Agent::give_up_duty(TimePoint now, const DutyName& name, Duties::Duty& duty) {
     duty.given_up = duty.record->token;
-    if (duty.wanted) next_give_up_ = now + membership_.heartbeat_interval();
+    if (duty.wanted) next_give_up_at_ = now + membership_.heartbeat_interval();
     update_leases(now);
     const Key key = duty_key(name);
     const DutyRecord given_up{duty.record->token, MemberName{}, Incarnation{}};
--- a/src/fleet/agent_writes.cpp
+++ b/src/fleet/agent_writes.cpp
@@ -15,10 +15,10 @@
 
 bool Agent::next_publication(TimePoint now) {
     const std::string wanted = serialize(own_record());
-    if (record_text_ == wanted || now < next_publication_) return false;
+    if (record_text_ == wanted || now < next_publication_at_) return false;
     const double rounds = static_cast<double>(membership_.members().size()) /
                           static_cast<double>(members_per_publication_round);
-    next_publication_ = now + membership_.heartbeat_interval() * std::max(1.0, rounds);
+    next_publication_at_ = now + membership_.heartbeat_interval() * std::max(1.0, rounds);
     const Key own = member_key(identity_.name);
     submit(now, Purpose::publish, {{own_heartbeat(), {own, record_text_}}, {{own, wanted}}, {}});
     return true;
--- a/src/fleet/applied_revisions.cpp
+++ b/src/fleet/applied_revisions.cpp
@@ -35,9 +35,10 @@
 
 std::string serialize(const Generation& g) { return json{{"generation", g.number}, {"id", g.id}}.dump(); }
 
-std::optional<Generation> read_generation(std::string_view bytes) { return generation_of(object_of(bytes)); }
+std::optional<Generation> parse_generation(std::string_view bytes) { return generation_of(object_of(bytes)); }
 
-std::string with_claim(const std::string& heartbeat, const std::optional<AppliedRevisions>& claim) {
+std::string with_applied_revisions(const std::string& heartbeat,
+                                   const std::optional<AppliedRevisions>& claim) {
     if (!claim) return heartbeat;
     json all = object_of(heartbeat);
     json& o = all[claim_field];
@@ -45,12 +46,12 @@
          {"id", claim->generation.id},
          {"event", claim->event.raw()},
          {"configuration", claim->configuration.raw()}};
-    if (claim->worn) o["worn"] = true;
+    if (claim->history_lost) o["worn"] = true;
     return all.dump();
 }
 
 // What is there and can't be read is no claim.
-std::optional<AppliedRevisions> read_claim(std::string_view heartbeat) {
+std::optional<AppliedRevisions> parse_applied_revisions(std::string_view heartbeat) {
     const json all = object_of(heartbeat);
     const auto it = all.find(claim_field);
     if (it == all.end() || !it->is_object()) return std::nullopt;
@@ -68,54 +69,54 @@
     return Generation{std::max(shown ? shown->number : 0, known.number) + 1, new_id};
 }
 
-void Acknowledgement::on_generation(const Generation& shown) {
+void AppliedRevisionTracker::on_generation(const Generation& shown) {
     if (shown.number <= generation_.number) return;
     generation_ = shown;
-    known_in_generation_ = worn_ = false;
+    event_known_in_generation_ = history_lost_ = false;
     event_ = {};
 }
 
 // Where it was seen to go back, only the next generation gives its numbers a meaning again.
-bool Acknowledgement::needs_full_history() const {
-    if (from_start_ && from_start_generation_ == generation_) return false;
-    return !has_full_history_ || (generation_.number > 0 && !known_in_generation_ && !worn_);
+bool AppliedRevisionTracker::needs_full_history() const {
+    if (full_history_poll_in_flight_ && generation_at_full_history_start_ == generation_) return false;
+    return !has_full_history_ || (generation_.number > 0 && !event_known_in_generation_ && !history_lost_);
 }
 
-void Acknowledgement::on_poll_started(bool from_start) {
+void AppliedRevisionTracker::on_poll_started(bool from_start) {
     poll_in_flight_ = true;
-    poll_generation_ = generation_;
+    generation_at_poll_start_ = generation_;
     if (!from_start) return;
-    from_start_ = true;
-    from_start_generation_ = generation_;
+    full_history_poll_in_flight_ = true;
+    generation_at_full_history_start_ = generation_;
 }
 
 // Guards against an answer to a poll from before the generation was shown: it may be of the board's former
 // history.
-void Acknowledgement::on_poll_completed(EventNumber newest, EventNumber asked_from) {
+void AppliedRevisionTracker::on_poll_completed(EventNumber newest, EventNumber asked_from) {
     if (!std::exchange(poll_in_flight_, false)) return;
-    const bool whole = std::exchange(from_start_, false);
-    const bool whole_in_generation = whole && from_start_generation_ == generation_;
+    const bool whole = std::exchange(full_history_poll_in_flight_, false);
+    const bool whole_in_generation = whole && generation_at_full_history_start_ == generation_;
     has_full_history_ |= whole;
-    if (poll_generation_ != generation_) return;
+    if (generation_at_poll_start_ != generation_) return;
     if (newest < std::max(event_, asked_from)) return on_history_lost();
-    if (!known_in_generation_ && !whole_in_generation) return;
+    if (!event_known_in_generation_ && !whole_in_generation) return;
     // Where it has been seen to go back, numbers count again only in the next generation.
-    if (worn_) return;
-    known_in_generation_ = true;
+    if (history_lost_) return;
+    event_known_in_generation_ = true;
     event_ = newest;
 }
 
-void Acknowledgement::on_poll_failed() { poll_in_flight_ = false; }
+void AppliedRevisionTracker::on_poll_failed() { poll_in_flight_ = false; }
 
-void Acknowledgement::on_history_lost() {
-    worn_ = generation_.number > 0;
-    known_in_generation_ = from_start_ = false;
+void AppliedRevisionTracker::on_history_lost() {
+    history_lost_ = generation_.number > 0;
+    event_known_in_generation_ = full_history_poll_in_flight_ = false;
 }
 
-std::optional<AppliedRevisions> Acknowledgement::claim() const {
+std::optional<AppliedRevisions> AppliedRevisionTracker::applied_revisions() const {
     if (generation_.number == 0) return std::nullopt;
-    const bool counts = known_in_generation_ && !worn_ && !notice_skipped_;
-    return AppliedRevisions{generation_, counts ? event_ : EventNumber{}, configuration_, worn_};
+    const bool counts = event_known_in_generation_ && !history_lost_ && !notice_skipped_;
+    return AppliedRevisions{generation_, counts ? event_ : EventNumber{}, configuration_, history_lost_};
 }
 
 }  // namespace irismux::fleet
--- a/src/fleet/applied_revisions.hpp
+++ b/src/fleet/applied_revisions.hpp
@@ -39,17 +39,19 @@
     Generation generation;
     EventNumber event;
     ConfigurationNumber configuration;
-    bool worn = false;  // the board or the registry was seen to go back under it: it is to be replaced
+    bool history_lost =
+        false;  // the board or the registry was seen to go back under it: it is to be replaced
     bool operator==(const AppliedRevisions&) const = default;
 };
 
 Key generation_key();
 std::string serialize(const Generation&);
-std::optional<Generation> read_generation(std::string_view);
+std::optional<Generation> parse_generation(std::string_view);
 // The heartbeat's value with one more field; without a claim, as it is.
-std::string with_claim(const std::string& heartbeat, const std::optional<AppliedRevisions>& claim);
+std::string with_applied_revisions(const std::string& heartbeat,
+                                   const std::optional<AppliedRevisions>& claim);
 // None: the heartbeat says nothing of it, as those of older versions do.
-std::optional<AppliedRevisions> read_claim(std::string_view heartbeat);
+std::optional<AppliedRevisions> parse_applied_revisions(std::string_view heartbeat);
 
 // The generation to be written if the one that the registry shows can't stand: there is none, it is below one
 // that is known, it has a known number under another id, or it is worn: the board has gone back under it.
@@ -57,7 +59,7 @@
                                           bool worn, const std::string& new_id);
 
 // One process's account of what it has in force.
-class Acknowledgement {
+class AppliedRevisionTracker {
 public:
     // The registry's record. A lower one than known, or another under the same number, is not taken.
     void on_generation(const Generation& shown);
@@ -76,7 +78,7 @@
     // The registry has gone back: a higher generation may have been lost with it.
     void on_history_lost();
 
-    std::optional<AppliedRevisions> claim() const;
+    std::optional<AppliedRevisions> applied_revisions() const;
     const Generation& generation() const { return generation_; }
     // Whether the board has told all that it held since the process began: from then on this process lacks no
     // event that a former process under its name had claimed.
@@ -86,13 +88,14 @@
     Generation generation_;
     EventNumber event_;
     ConfigurationNumber configuration_;
-    bool known_in_generation_ = false;  // event_ is a position in generation_
-    bool worn_ = false;                 // seen under generation_
+    bool event_known_in_generation_ = false;  // event_ is a position in generation_
+    bool history_lost_ = false;               // seen under generation_
     bool has_full_history_ = false, notice_skipped_ = false;
     bool poll_in_flight_ = false;
-    Generation poll_generation_;  // when the poll went out
-    bool from_start_ = false;     // a telling from the start is under way, begun under that generation
-    Generation from_start_generation_;
+    Generation generation_at_poll_start_;  // when the poll went out
+    bool full_history_poll_in_flight_ =
+        false;  // a telling from the start is under way, begun under that generation
+    Generation generation_at_full_history_start_;
 };
 
 }  // namespace irismux::fleet
--- a/src/fleet/digest.cpp
+++ b/src/fleet/digest.cpp
@@ -37,17 +37,17 @@
               {"owner_id", d.owner_id},
               {"generation", d.generation.number},
               {"id", d.generation.id},
-              {"known", d.known},
-              {"live", d.live},
+              {"known", d.known_count},
+              {"live", d.live_count},
               {"lowest", d.lowest.raw()},
               {"highest", d.highest.raw()},
               {"configuration", d.lowest_configuration.raw()},
               {"absent_count", d.absent_count},
-              {"behind_count", d.behind_count}};
-    if (d.restart_required) o["worn"] = true;
-    if (d.incomplete) o["incomplete"] = true;
+              {"behind_count", d.lagging_count}};
+    if (d.history_lost) o["worn"] = true;
+    if (d.roster_incomplete) o["incomplete"] = true;
     for (const auto& a : d.absent) o["absent"].push_back({a.member.raw(), a.since_ms});
-    for (const auto& b : d.behind)
+    for (const auto& b : d.lagging)
         o["behind"].push_back({b.member.raw(), b.event.raw(), b.configuration.raw()});
     for (const auto& [cache, members] : d.ejected_caches) o["marks"].push_back({cache.raw(), members});
     return o;
@@ -76,7 +76,7 @@
 Duration max_unseen_time(Duration term) { return term * unseen_of_term; }
 Duration max_staleness(Duration term) { return term; }
 
-Duration longest_counted(Duration term, double drift) {
+Duration max_counted_time(Duration term, double drift) {
     return (max_unseen_time(term) + max_staleness(term)) * ((1 + drift) / (1 - drift));
 }
 
@@ -98,7 +98,7 @@
     return o.dump();
 }
 
-std::optional<SiteRoster> read_roster(std::string_view bytes) {
+std::optional<SiteRoster> parse_site_roster(std::string_view bytes) {
     const json o = json::parse(bytes, nullptr, false);
     if (!o.is_object() || !o.contains("names") || !o["names"].is_array()) return std::nullopt;
     SiteRoster r;
@@ -113,7 +113,7 @@
     return r;
 }
 
-std::optional<SiteRoster> with_name(const SiteRoster& roster, const MemberName& name) {
+std::optional<SiteRoster> add_to_roster(const SiteRoster& roster, const MemberName& name) {
     if (roster.names.contains(name)) return std::nullopt;
     SiteRoster next = roster;
     if (next.names.size() < max_roster_names)
@@ -125,12 +125,12 @@
 
 std::string serialize(const Digest& d) {
     json o = content(d);
-    o["as_of"] = d.as_of;
-    o["as_of_ms"] = d.as_of_ms;
+    o["as_of"] = d.as_of_heartbeat;
+    o["as_of_ms"] = d.as_of_unix_ms;
     return o.dump();
 }
 
-std::optional<Digest> read_digest(std::string_view bytes) {
+std::optional<Digest> parse_digest(std::string_view bytes) {
     const json o = json::parse(bytes, nullptr, false);
     if (!o.is_object()) return std::nullopt;
     const auto as_of = count(o, "as_of"), generation = count(o, "generation"), known = count(o, "known"),
@@ -143,18 +143,18 @@
     Digest d;
     d.owner = MemberName{text(o, "owner")};
     d.owner_id = text(o, "owner_id");
-    d.as_of = *as_of;
-    d.as_of_ms = count(o, "as_of_ms").value_or(0);
+    d.as_of_heartbeat = *as_of;
+    d.as_of_unix_ms = count(o, "as_of_ms").value_or(0);
     d.generation = {*generation, text(o, "id")};
-    d.restart_required = flag(o, "worn");
-    d.incomplete = flag(o, "incomplete");
-    d.known = static_cast<std::size_t>(*known);
-    d.live = static_cast<std::size_t>(*live);
+    d.history_lost = flag(o, "worn");
+    d.roster_incomplete = flag(o, "incomplete");
+    d.known_count = static_cast<std::size_t>(*known);
+    d.live_count = static_cast<std::size_t>(*live);
     d.lowest = EventNumber{*lowest};
     d.highest = EventNumber{*highest};
     d.lowest_configuration = ConfigurationNumber{*configuration};
     d.absent_count = static_cast<std::size_t>(*absent);
-    d.behind_count = static_cast<std::size_t>(*behind);
+    d.lagging_count = static_cast<std::size_t>(*behind);
     const bool lists_read =
         each(o, "absent", 1, max_named_members,
              [&](const json& e) {
@@ -162,15 +162,15 @@
              }) &&
         each(o, "behind", 2, max_named_members,
              [&](const json& e) {
-                 d.behind.push_back({MemberName{e[0].get<std::string>()},
-                                     EventNumber{e[1].get<std::int64_t>()},
-                                     ConfigurationNumber{e[2].get<std::int64_t>()}});
+                 d.lagging.push_back({MemberName{e[0].get<std::string>()},
+                                      EventNumber{e[1].get<std::int64_t>()},
+                                      ConfigurationNumber{e[2].get<std::int64_t>()}});
              }) &&
         each(o, "marks", 1, max_reported_caches, [&](const json& e) {
             d.ejected_caches.emplace_back(CacheId{e[0].get<std::string>()}, e[1].get<std::size_t>());
         });
     // Lists that are shorter than their counts are cut; longer ones can't be.
-    if (!lists_read || d.absent.size() > d.absent_count || d.behind.size() > d.behind_count)
+    if (!lists_read || d.absent.size() > d.absent_count || d.lagging.size() > d.lagging_count)
         return std::nullopt;
     return d;
 }
@@ -179,8 +179,8 @@
 
 // Guards against a registry that has gone back: an older heartbeat that comes after a newer one shows nothing
 // of its sender.
-void DigestKeeper::note(const MemberName& name, const std::optional<std::string>& text_shown,
-                        TimePoint asked) {
+void DigestBuilder::record_heartbeat(const MemberName& name, const std::optional<std::string>& text_shown,
+                                     TimePoint asked) {
     const auto heartbeat = text_shown ? parse_heartbeat(*text_shown) : std::nullopt;
     const auto known = evidence_.find(name);
     const bool first = known == evidence_.end();
@@ -193,50 +193,54 @@
     if (!first) {
         const Evidence& former = known->second;
         const bool same_text = former.text == next.text;
-        const bool follows = heartbeat && next.id == former.id && next.number > former.number;
-        next.before_text = same_text ? former.before_text : std::optional(former.last_asked);
-        next.before_previous = same_text ? former.before_previous
-                               : follows ? former.before_text
-                                         : std::nullopt;
+        const bool follows =
+            heartbeat && next.instance_id == former.instance_id && next.number > former.number;
+        next.text_not_shown_at = same_text ? former.text_not_shown_at : std::optional(former.last_shown_at);
+        next.previous_text_not_shown_at = same_text ? former.previous_text_not_shown_at
+                                          : follows ? former.text_not_shown_at
+                                                    : std::nullopt;
     }
     evidence_[name] = std::move(next);
 }
 
 // The sender of the heartbeat shown ran after the one before had landed, and that had not when
 // `before_previous` was asked.
-bool DigestKeeper::live(const MemberName& name, TimePoint answered) const {
+bool DigestBuilder::is_live(const MemberName& name, TimePoint answered) const {
     const auto it = evidence_.find(name);
-    if (it == evidence_.end() || it->second.id.empty() || !it->second.before_previous) return false;
-    return answered - *it->second.before_previous <= max_unseen_time(settings_.term);
+    if (it == evidence_.end() || it->second.instance_id.empty() || !it->second.previous_text_not_shown_at)
+        return false;
+    return answered - *it->second.previous_text_not_shown_at <= max_unseen_time(settings_.term);
 }
 
-Digest DigestKeeper::merge(const FleetSnapshot& look, const std::optional<AppliedRevisions>& own) const {
+Digest DigestBuilder::merge(const FleetSnapshot& look, const std::optional<AppliedRevisions>& own) const {
     Digest d;
     d.owner = settings_.self;
     d.owner_id = settings_.own_id;
-    d.as_of = look.number;
-    d.as_of_ms = look.unix_ms;
+    d.as_of_heartbeat = look.heartbeat_number;
+    d.as_of_unix_ms = look.unix_ms;
     d.generation = shown_generation_.value_or(Generation{});
-    d.known = roster_.names.size();
-    d.incomplete = roster_.incomplete || !roster_read_ || !roster_.names.contains(settings_.self);
-    std::vector<Digest::Behind> live_ones;
+    d.known_count = roster_.names.size();
+    d.roster_incomplete = roster_.incomplete || !roster_readable_ || !roster_.names.contains(settings_.self);
+    std::vector<Digest::LaggingMember> live_ones;
     for (const MemberName& name : roster_.names) {
         const bool self = name == settings_.self;
         const auto it = evidence_.find(name);
-        const auto claim = self ? own : it == evidence_.end() ? std::nullopt : read_claim(it->second.text);
+        const auto claim = self                    ? own
+                           : it == evidence_.end() ? std::nullopt
+                                                   : parse_applied_revisions(it->second.text);
         const bool counts = claim && claim->generation == d.generation;
         if (claim && claim->generation == d.generation) {
             d.highest = std::max(d.highest, claim->event);
-            d.restart_required |= claim->worn;
+            d.history_lost |= claim->history_lost;
         }
-        if (!self && !live(name, look.answered)) {
+        if (!self && !is_live(name, look.received_at)) {
             ++d.absent_count;
             const auto since = absent_since_.find(name);
             if (d.absent.size() < max_named_members)
                 d.absent.push_back({name, since == absent_since_.end() ? look.unix_ms : since->second});
             continue;
         }
-        ++d.live;
+        ++d.live_count;
         live_ones.push_back({name, counts ? claim->event : EventNumber{},
                              counts ? claim->configuration : ConfigurationNumber{}});
     }
@@ -253,45 +257,45 @@
     }
     for (const auto& m : live_ones) {
         if (m.event == d.highest && m.configuration == highest_configuration) continue;
-        ++d.behind_count;
-        if (d.behind.size() < max_named_members) d.behind.push_back(m);
+        ++d.lagging_count;
+        if (d.lagging.size() < max_named_members) d.lagging.push_back(m);
     }
     return d;
 }
 
 // Guards against a registry that has gone back: who has taken a higher generation, or another under the same
 // number, takes the one shown for none.
-void DigestKeeper::note_generations(const std::optional<AppliedRevisions>& own) {
-    generations_differ_ = false;
+void DigestBuilder::record_generations(const std::optional<AppliedRevisions>& own) {
+    generation_ids_conflict_ = false;
     const auto take = [&](const Generation& g) {
         if (shown_generation_ && g.number == shown_generation_->number && g != *shown_generation_)
-            generations_differ_ = true;
+            generation_ids_conflict_ = true;
         if (g.number > known_generation_.number) known_generation_ = g;
     };
     if (shown_generation_) take(*shown_generation_);
     if (own) take(own->generation);
     for (const auto& [name, e] : evidence_)
-        if (const auto claim = read_claim(e.text)) take(claim->generation);
+        if (const auto claim = parse_applied_revisions(e.text)) take(claim->generation);
 }
 
-void DigestKeeper::on_snapshot(const FleetSnapshot& look, const std::optional<AppliedRevisions>& own,
-                               const std::map<CacheId, std::size_t>& marks) {
-    const auto roster = look.roster ? read_roster(*look.roster) : std::nullopt;
-    roster_read_ = roster.has_value();
+void DigestBuilder::on_snapshot(const FleetSnapshot& look, const std::optional<AppliedRevisions>& own,
+                                const std::map<CacheId, std::size_t>& marks) {
+    const auto roster = look.roster ? parse_site_roster(*look.roster) : std::nullopt;
+    roster_readable_ = roster.has_value();
     if (roster) roster_ = *roster;
     std::erase_if(evidence_, [&](const auto& e) { return !roster_.names.contains(e.first); });
     for (const auto& [name, text_shown] : look.heartbeats)
-        if (roster_.names.contains(name)) note(name, text_shown, look.asked);
-    shown_generation_ = look.generation ? read_generation(*look.generation) : std::nullopt;
-    note_generations(own);
+        if (roster_.names.contains(name)) record_heartbeat(name, text_shown, look.requested_at);
+    shown_generation_ = look.generation ? parse_generation(*look.generation) : std::nullopt;
+    record_generations(own);
     // Since when somebody has been absent goes from owner to owner.
-    if (const auto former = look.former_digest ? read_digest(*look.former_digest) : std::nullopt)
+    if (const auto former = look.former_digest ? parse_digest(*look.former_digest) : std::nullopt)
         for (const auto& a : former->absent) absent_since_.try_emplace(a.member, a.since_ms);
     Digest d = merge(look, own);
     for (const auto& a : d.absent) absent_since_.try_emplace(a.member, a.since_ms);
     std::erase_if(absent_since_, [&](const auto& since) {
         return !roster_.names.contains(since.first) || since.first == settings_.self ||
-               live(since.first, look.answered);
+               is_live(since.first, look.received_at);
     });
     for (const auto& [cache, members] : marks) d.ejected_caches.emplace_back(cache, members);
     std::stable_sort(d.ejected_caches.begin(), d.ejected_caches.end(),
@@ -300,21 +304,22 @@
     digest_ = std::move(d);
 }
 
-std::optional<std::string> DigestKeeper::next(TimePoint now) {
+std::optional<std::string> DigestBuilder::next_digest(TimePoint now) {
     if (!digest_) return std::nullopt;
     const std::string is = content(*digest_).dump();
     const Duration since = now - written_at_;
-    if (ever_written_ && since < (is == written_ ? settings_.refresh : settings_.pace)) return std::nullopt;
+    if (ever_written_ && since < (is == written_content_ ? settings_.refresh : settings_.pace))
+        return std::nullopt;
     ever_written_ = true;
-    written_ = is;
+    written_content_ = is;
     written_at_ = now;
     return serialize(*digest_);
 }
 
-std::optional<Generation> DigestKeeper::next_generation(const std::string& new_id) const {
+std::optional<Generation> DigestBuilder::next_generation(const std::string& new_id) const {
     if (!digest_) return std::nullopt;
     return fleet::next_generation(shown_generation_, known_generation_,
-                                  digest_->restart_required || generations_differ_, new_id);
+                                  digest_->history_lost || generation_ids_conflict_, new_id);
 }
 
 }  // namespace irismux::fleet
--- a/src/fleet/digest.hpp
+++ b/src/fleet/digest.hpp
@@ -39,34 +39,34 @@
 };
 
 struct Digest {
-    struct Absent {
+    struct AbsentMember {
         MemberName member;
         std::int64_t since_ms = 0;  // Unix time by the clock of the owner that saw it first; for people
-        bool operator==(const Absent&) const = default;
+        bool operator==(const AbsentMember&) const = default;
     };
-    struct Behind {
+    struct LaggingMember {
         MemberName member;
         EventNumber event;
         ConfigurationNumber configuration;
-        bool operator==(const Behind&) const = default;
+        bool operator==(const LaggingMember&) const = default;
     };
 
     MemberName owner;
-    std::string owner_id;       // of the owner's process
-    std::int64_t as_of = 0;     // the owner's heartbeat that showed it all this
-    std::int64_t as_of_ms = 0;  // Unix time by the owner's clock; for people
+    std::string owner_id;              // of the owner's process
+    std::int64_t as_of_heartbeat = 0;  // the owner's heartbeat that showed it all this
+    std::int64_t as_of_unix_ms = 0;    // Unix time by the owner's clock; for people
     Generation generation;
-    bool restart_required = false;  // as one of them claims
-    std::size_t known = 0;          // names in the roster
-    std::size_t live = 0;
+    bool history_lost = false;    // as one of them claims
+    std::size_t known_count = 0;  // names in the roster
+    std::size_t live_count = 0;
     EventNumber lowest, highest;  // of live members; the highest also of those that are not
     ConfigurationNumber lowest_configuration;
-    std::vector<Absent> absent;
+    std::vector<AbsentMember> absent;
     std::size_t absent_count = 0;
-    std::vector<Behind>
-        behind;  // live, and below the site's highest event or configuration; the lowest first
-    std::size_t behind_count = 0;
-    bool incomplete = false;                                      // the roster is
+    std::vector<LaggingMember>
+        lagging;  // live, and below the site's highest event or configuration; the lowest first
+    std::size_t lagging_count = 0;
+    bool roster_incomplete = false;                               // the roster is
     std::vector<std::pair<CacheId, std::size_t>> ejected_caches;  // how many members pass that cache over
 };
 
@@ -75,10 +75,10 @@
 DutyName digest_duty();
 std::string serialize(const SiteRoster&);
 std::string serialize(const Digest&);
-std::optional<SiteRoster> read_roster(std::string_view);
-std::optional<Digest> read_digest(std::string_view);
+std::optional<SiteRoster> parse_site_roster(std::string_view);
+std::optional<Digest> parse_digest(std::string_view);
 // With that name in it. None: it is there already.
-std::optional<SiteRoster> with_name(const SiteRoster&, const MemberName&);
+std::optional<SiteRoster> add_to_roster(const SiteRoster&, const MemberName&);
 
 // For how long a member counts as live after the last instant at which its process is known to have run.
 Duration max_unseen_time(Duration term);
@@ -86,7 +86,7 @@
 Duration max_staleness(Duration term);
 // For how long after its last sign of life a process may still be counted, by a clock at either end of what
 // is allowed. A new process that the board has not answered must not act until so long after its start.
-Duration longest_counted(Duration term, double drift);
+Duration max_counted_time(Duration term, double drift);
 // How late a reader that reads each `read_every` says that an event is in force everywhere, after it has been
 // in force at the last gateway for the first time: all members live, the registry answering within `answer`,
 // the duty owned.
@@ -95,14 +95,14 @@
 
 // What the transaction of a heartbeat showed.
 struct FleetSnapshot {
-    TimePoint asked, answered;  // by the owner's clock
-    std::int64_t number = 0;    // of that heartbeat, its own
+    TimePoint requested_at, received_at;  // by the owner's clock
+    std::int64_t heartbeat_number = 0;    // of that heartbeat, its own
     std::int64_t unix_ms = 0;
     std::optional<std::string> roster, former_digest, generation;
     std::map<MemberName, std::optional<std::string>> heartbeats;  // of others that were asked for
 };
 
-class DigestKeeper {
+class DigestBuilder {
 public:
     struct Settings {
         MemberName self;
@@ -111,20 +111,20 @@
         Duration pace;     // between two digests, at least
         Duration refresh;  // a digest is written anew after so long, also if nothing has changed
     };
-    explicit DigestKeeper(Settings settings) : settings_(std::move(settings)) {}
+    explicit DigestBuilder(Settings settings) : settings_(std::move(settings)) {}
 
     // Whose heartbeats the next look must show.
-    const std::set<MemberName>& names() const { return roster_.names; }
+    const std::set<MemberName>& member_names() const { return roster_.names; }
     // Each look, whether or not this member owns the duty; `own` is what this member has in force.
     void on_snapshot(const FleetSnapshot& look, const std::optional<AppliedRevisions>& own,
                      const std::map<CacheId, std::size_t>& marks);
     // The digest to be written now, by the duty's owner. It is taken as written from here on; if it was not,
     // a later one is.
-    std::optional<std::string> next(TimePoint now);
+    std::optional<std::string> next_digest(TimePoint now);
     // The duty is another's: what was seen so far is no digest any more.
     void reset() { digest_.reset(); }
     // Whether one that is live lacks what another has: looks should be frequent.
-    bool uneven() const { return digest_ && digest_->behind_count > 0; }
+    bool has_lagging_members() const { return digest_ && digest_->lagging_count > 0; }
     const std::optional<Digest>& digest() const { return digest_; }
     // A generation to be written in place of the one shown, if that can't stand.
     std::optional<Generation> next_generation(const std::string& new_id) const;
@@ -132,29 +132,29 @@
 private:
     // What is known of one member's process.
     struct Evidence {
-        std::string text, id;  // of the heartbeat last shown, and of its sender's process
+        std::string text, instance_id;  // of the heartbeat last shown, and of its sender's process
         std::int64_t number = 0;
-        TimePoint last_asked;  // the last look that showed it, whatever it showed
+        TimePoint last_shown_at;  // the last look that showed it, whatever it showed
         // Asked at that instant, a look did not yet show this text; and so of the text before, of the same
         // process.
-        std::optional<TimePoint> before_text, before_previous;
+        std::optional<TimePoint> text_not_shown_at, previous_text_not_shown_at;
     };
 
-    void note(const MemberName& name, const std::optional<std::string>& text, TimePoint asked);
-    void note_generations(const std::optional<AppliedRevisions>& own);
-    bool live(const MemberName& name, TimePoint answered) const;
+    void record_heartbeat(const MemberName& name, const std::optional<std::string>& text, TimePoint asked);
+    void record_generations(const std::optional<AppliedRevisions>& own);
+    bool is_live(const MemberName& name, TimePoint answered) const;
     Digest merge(const FleetSnapshot& look, const std::optional<AppliedRevisions>& own) const;
 
     Settings settings_;
     SiteRoster roster_;
-    bool roster_read_ = false;
+    bool roster_readable_ = false;
     std::map<MemberName, Evidence> evidence_;  // of names in the roster
     std::map<MemberName, std::int64_t> absent_since_;
     std::optional<Generation> shown_generation_;
     Generation known_generation_;  // the highest that anybody was seen to have taken
-    bool generations_differ_ = false;
+    bool generation_ids_conflict_ = false;
     std::optional<Digest> digest_;
-    std::string written_;  // the last one's content, without when and by whom
+    std::string written_content_;  // the last one's content, without when and by whom
     TimePoint written_at_;
     bool ever_written_ = false;
 };
--- a/src/fleet/duties.cpp
+++ b/src/fleet/duties.cpp
@@ -20,7 +20,7 @@
     for (auto& [name, d] : all_) d.wanted = names.contains(name);
     bool whole = true;
     for (const DutyName& name : names) {
-        const bool room = all_.size() + given_up_.size() < most;
+        const bool room = all_.size() + given_up_.size() < max_duties;
         whole = whole && (room || all_.contains(name));
         if (!room) continue;
         const auto [it, fresh] = all_.try_emplace(name);
@@ -39,11 +39,11 @@
     all_.erase(it);
 }
 
-bool Duties::record(registry::Revision at, const DutyName& name, const std::optional<std::string>& text) {
+bool Duties::on_record(registry::Revision at, const DutyName& name, const std::optional<std::string>& text) {
     const auto it = all_.find(name);
-    if (it == all_.end() || at < it->second.at) return false;
+    if (it == all_.end() || at < it->second.revision) return false;
     Duty& d = it->second;
-    d.at = at;
+    d.revision = at;
     if (d.known && d.text == text) return false;
     d.known = true;
     d.text = text;
@@ -53,12 +53,12 @@
 
 void Duties::on_full_list(const std::set<DutyName>& listed) {
     for (auto& [name, d] : all_) {
-        d.at = {};
-        if (!listed.contains(name)) record({}, name, std::nullopt);
+        d.revision = {};
+        if (!listed.contains(name)) on_record({}, name, std::nullopt);
     }
 }
 
-bool Duties::precedes(const DutyName& duty, const MemberName& one, const MemberName& other) {
+bool Duties::ranks_before(const DutyName& duty, const MemberName& one, const MemberName& other) {
     const std::uint64_t first = score(duty, one), second = score(duty, other);
     return first > second || (first == second && one < other);
 }
@@ -66,7 +66,7 @@
 std::size_t Duties::rank(const DutyName& duty, const MemberName& self,
                          const std::vector<MemberName>& others) {
     return static_cast<std::size_t>(std::count_if(
-        others.begin(), others.end(), [&](const MemberName& m) { return precedes(duty, m, self); }));
+        others.begin(), others.end(), [&](const MemberName& m) { return ranks_before(duty, m, self); }));
 }
 
 }  // namespace irismux::fleet
--- a/src/fleet/duties.hpp
+++ b/src/fleet/duties.hpp
@@ -17,15 +17,15 @@
 public:
     // One duty as this member knows it.
     struct Duty {
-        std::optional<std::string> text;         // of the newest record known
-        std::optional<DutyRecord> record;        // none: there is none, or it can't be parsed
-        registry::Revision at;                   // of that record
-        bool known = false;                      // a record, or that there is none, has been shown
-        bool wanted = true;                      // false: it is removed as soon as it has been given up
-        std::optional<Instance> released;        // an operator wants this instance to leave it to others
-        std::optional<TimePoint> unowned_since;  // none: it is owned, as far as is known
-        FencingToken given_up;                   // records that name us with a token up to this are ignored
-        Lease lease;                             // of this member
+        std::optional<std::string> text;            // of the newest record known
+        std::optional<DutyRecord> record;           // none: there is none, or it can't be parsed
+        registry::Revision revision;                // of that record
+        bool known = false;                         // a record, or that there is none, has been shown
+        bool wanted = true;                         // false: it is removed as soon as it has been given up
+        std::optional<Instance> released_instance;  // an operator wants this instance to leave it to others
+        std::optional<TimePoint> unowned_since;     // none: it is owned, as far as is known
+        FencingToken given_up;  // records that name us with a token up to this are ignored
+        Lease lease;            // of this member
     };
 
     // The duties that are wanted; records of any others are ignored. False: there are too many, and some are
@@ -39,17 +39,17 @@
     const std::map<DutyName, Duty>& all() const { return all_; }
     // A record as of that revision; older ones than known are ignored. True: the duty is wanted, and the
     // record was news.
-    bool record(registry::Revision at, const DutyName&, const std::optional<std::string>& text);
+    bool on_record(registry::Revision at, const DutyName&, const std::optional<std::string>& text);
     // All records follow, of a possibly lower revision; duties that are not listed have no record.
     void on_full_list(const std::set<DutyName>& listed);
 
     // Whether one member comes before the other in the duty's order.
-    static bool precedes(const DutyName&, const MemberName& one, const MemberName& other);
+    static bool ranks_before(const DutyName&, const MemberName& one, const MemberName& other);
     // Rank of `self` in the duty's order among itself and the others; 0 is the first.
     static std::size_t rank(const DutyName&, const MemberName& self, const std::vector<MemberName>& others);
 
 private:
-    static constexpr std::size_t most = 4096;
+    static constexpr std::size_t max_duties = 4096;
     std::map<DutyName, Duty> all_;
     std::map<DutyName, FencingToken> given_up_;  // of removed duties
 };
--- a/src/fleet/fence.cpp
+++ b/src/fleet/fence.cpp
@@ -7,38 +7,40 @@
 using nlohmann::json;
 
 FencingToken Fence::conflicting_token(const DutyName& duty, const LeaseHolder& holder) const {
-    const auto it = seen_.find(duty);
-    if (it == seen_.end() || holder.token > it->second.token || holder == it->second) return FencingToken{};
+    const auto it = holders_.find(duty);
+    if (it == holders_.end() || holder.token > it->second.token || holder == it->second)
+        return FencingToken{};
     return it->second.token;
 }
 
 bool Fence::accepts(const DutyName& duty, const LeaseHolder& holder) {
-    return (seen_.contains(duty) || holder.token > forgotten_) && on_record(duty, holder);
+    return (holders_.contains(duty) || holder.token > highest_forgotten_) && on_record(duty, holder);
 }
 
 void Fence::forget(const DutyName& duty) {
-    const auto it = seen_.find(duty);
-    if (it == seen_.end()) return;
-    forgotten_ = std::max(forgotten_, it->second.token);
-    seen_.erase(it);
+    const auto it = holders_.find(duty);
+    if (it == holders_.end()) return;
+    highest_forgotten_ = std::max(highest_forgotten_, it->second.token);
+    holders_.erase(it);
 }
 
 bool Fence::on_record(const DutyName& duty, const LeaseHolder& holder) {
     if (holder.token == FencingToken{} || conflicting_token(duty, holder) != FencingToken{}) return false;
-    if (seen_.size() >= most_ && !seen_.contains(duty)) return false;
-    seen_[duty] = holder;
+    if (holders_.size() >= max_duties_ && !holders_.contains(duty)) return false;
+    holders_[duty] = holder;
     return true;
 }
 
 FencingToken Fence::highest(const DutyName& duty) const {
-    const auto it = seen_.find(duty);
-    return it == seen_.end() ? FencingToken{} : it->second.token;
+    const auto it = holders_.find(duty);
+    return it == holders_.end() ? FencingToken{} : it->second.token;
 }
 
 std::string Fence::serialize() const {
     json all = json::object();
-    for (const auto& [duty, h] : seen_) all[duty.raw()] = {h.token.raw(), h.owner.raw(), h.incarnation.raw()};
-    if (forgotten_ > FencingToken{}) all[""] = {forgotten_.raw(), "", 0};
+    for (const auto& [duty, h] : holders_)
+        all[duty.raw()] = {h.token.raw(), h.owner.raw(), h.incarnation.raw()};
+    if (highest_forgotten_ > FencingToken{}) all[""] = {highest_forgotten_.raw(), "", 0};
     return all.dump();
 }
 
@@ -54,7 +56,7 @@
                                 Incarnation{h[2].get<std::int64_t>()}};
     }
     if (const auto it = read.find(DutyName{}); it != read.end()) {
-        forgotten_ = std::max(forgotten_, it->second.token);
+        highest_forgotten_ = std::max(highest_forgotten_, it->second.token);
         read.erase(it);
     }
     for (const auto& [duty, h] : read) on_record(duty, h);
--- a/src/fleet/fence.hpp
+++ b/src/fleet/fence.hpp
@@ -31,7 +31,7 @@
 class Fence {
 public:
     // Tokens of more duties than `most` are refused.
-    explicit Fence(std::size_t most = 4096) : most_(most) {}
+    explicit Fence(std::size_t most = 4096) : max_duties_(most) {}
 
     // Whether an order under that token is to be obeyed; if so, no lower one is ever again.
     bool accepts(const DutyName& duty, const LeaseHolder& holder);
@@ -49,9 +49,9 @@
     bool restore(std::string_view bytes);
 
 private:
-    std::size_t most_;
-    FencingToken forgotten_;  // the highest of forgotten duties
-    std::map<DutyName, LeaseHolder> seen_;
+    std::size_t max_duties_;
+    FencingToken highest_forgotten_;  // the highest of forgotten duties
+    std::map<DutyName, LeaseHolder> holders_;
 };
 
 }  // namespace irismux::fleet
--- a/src/fleet/fleet_client.cpp
+++ b/src/fleet/fleet_client.cpp
@@ -63,7 +63,7 @@
       watch_settings_(watch_settings(settings)),
       instance_id_(random_instance_id()),
       agent_(*this, *this, settings.shared_config, identity(version), mixed_with_chance(seed)),
-      health_watch_(*this, settings.health_check_interval, agent_.membership().heartbeat_interval()),
+      health_monitor_(*this, settings.health_check_interval, agent_.membership().heartbeat_interval()),
       garbage_collector_(settings.collection_interval, agent_.membership().eviction_timeout() * 2),
       connection_(loop, *this, settings_.registry),
       registry_member_(seed % settings.registry.members.size()),
@@ -73,7 +73,7 @@
             SiteReporter::Settings{settings.name, instance_id_, settings.shared_config.term,
                                    settings.acknowledge_interval, settings.shared_config.drift},
             clock());
-        site_reporter_->acknowledgement().on_configuration(settings.configuration);
+        site_reporter_->applied().on_configuration(settings.configuration);
     }
     if (token_store_.open_error())
         gateway_.on_fleet_message("epochs seen are not kept: " + *token_store_.open_error(), true);
@@ -84,7 +84,7 @@
 
 FleetClient::~FleetClient() {
     *liveness_token_ = false;
-    for (const auto& alarm : {wake_timer_, tasks_timer_, store_timer_}) event_loop_.cancel(alarm);
+    for (const auto& alarm : {wake_timer_, due_tasks_timer_, store_timer_}) event_loop_.cancel(alarm);
 }
 
 MemberIdentity FleetClient::identity(const std::string& version) {
@@ -125,21 +125,21 @@
 }
 
 void FleetClient::on_ejection_changed(const CacheId& cache, bool is) {
-    health_watch_.on_ejection_changed(cache, is);
+    health_monitor_.on_ejection_changed(cache, is);
     // Where probes are not permitted the Router's own trial counts as the probe.
     call_soon([this, cache, is] {
-        if (!is) health_watch_.on_health_check_done(clock(), cache, true, agent_);
-        agent_.set_ejected_caches(clock(), health_watch_.ejected_caches());
+        if (!is) health_monitor_.on_health_check_done(clock(), cache, true, agent_);
+        agent_.set_ejected_caches(clock(), health_monitor_.ejected_caches());
         update_duties();
     });
 }
 
 void FleetClient::on_health_check_done(const CacheId& cache, bool answered) {
-    health_watch_.on_health_check_done(clock(), cache, answered, agent_);
+    health_monitor_.on_health_check_done(clock(), cache, answered, agent_);
 }
 
 bool FleetClient::may_check_health(const CacheId& cache) const {
-    return health_watch_.may_check(clock(), cache, agent_);
+    return health_monitor_.may_check(clock(), cache, agent_);
 }
 
 // --- transactions
@@ -192,7 +192,7 @@
     connection_.close();
     use_next_registry_member();
     if (!std::exchange(pending_transaction_, std::nullopt)) return;
-    agent_.on_no_answer(clock());
+    agent_.on_transaction_timeout(clock());
     run_due_tasks();
 }
 
@@ -218,9 +218,9 @@
     for (const auto& [key, text] : entries)
         if (const auto cache = health_record_cache(key))
             if (const auto f = text ? parse_health_record(*text) : std::nullopt) {
-                const DutyName duty = health_watch_duty(*cache);
-                if (agent_.accepts(duty, {f->token, f->by.name, f->by.incarnation}))
-                    health_watch_.on_probe_result(clock(), *cache, *f, agent_);
+                const DutyName duty = health_check_duty(*cache);
+                if (agent_.accepts_order_of(duty, {f->token, f->owner.name, f->owner.incarnation}))
+                    health_monitor_.on_probe_result(clock(), *cache, *f, agent_);
             }
     update_duties();
     run_due_tasks();
@@ -237,15 +237,15 @@
 void FleetClient::update_duties() {
     std::set<DutyName> wanted{garbage_collection_duty()};
     if (site_reporter_) wanted.insert(digest_duty());
-    for (const CacheId& c : health_watch_.monitored(agent_)) wanted.insert(health_watch_duty(c));
-    if (wanted == duties_) return;
+    for (const CacheId& c : health_monitor_.update_monitored(agent_)) wanted.insert(health_check_duty(c));
+    if (wanted == followed_duties_) return;
     std::vector<Entry> records;
     for (const DutyName& d : wanted)
-        if (!duties_.contains(d) && mirrored_revision_ > registry::Revision{})
+        if (!followed_duties_.contains(d) && mirrored_revision_ > registry::Revision{})
             for (const Key& key : {duty_key(d), release_key(d)})
                 records.emplace_back(key, record_mirror_.at(key));
-    duties_ = wanted;
-    agent_.set_duties(clock(), duties_);
+    followed_duties_ = wanted;
+    agent_.set_duties(clock(), followed_duties_);
     if (!records.empty()) agent_.on_records(clock(), mirrored_revision_, records, false);
 }
 
@@ -253,19 +253,19 @@
 
 // Probes and garbage collection that are due; sets the alarm for the next.
 void FleetClient::run_due_tasks() {
-    event_loop_.cancel(tasks_timer_);
+    event_loop_.cancel(due_tasks_timer_);
     const TimePoint now = clock();
     if (site_reporter_) site_reporter_->advance(now, agent_);
-    health_watch_.tick(now, agent_);
-    TimePoint due = health_watch_.due();
+    health_monitor_.run_due_checks(now, agent_);
+    TimePoint due = health_monitor_.next_check_at();
     if (agent_.may_begin_work(now, garbage_collection_duty())) {
-        if (auto write_request = garbage_collector_.next(now, record_mirror_, agent_))
+        if (auto write_request = garbage_collector_.next_write(now, record_mirror_, agent_))
             if (!agent_.write_fenced(now, garbage_collection_duty(), collection_progress_key(),
                                      std::move(*write_request)))
                 garbage_collector_.on_written(now, WriteOutcome::refused);
-        if (garbage_collector_.due() > now) due = std::min(due, garbage_collector_.due());
+        if (garbage_collector_.next_pass_at() > now) due = std::min(due, garbage_collector_.next_pass_at());
     }
-    tasks_timer_ = event_loop_.schedule_at(to_event_loop_time(due), [this] { run_due_tasks(); });
+    due_tasks_timer_ = event_loop_.schedule_at(to_event_loop_time(due), [this] { run_due_tasks(); });
 }
 
 void FleetClient::on_lease_state(const DutyName& duty, LeaseState state, FencingToken token) {
@@ -284,7 +284,8 @@
         // The process may have been stopped since it was asked for: the lease is checked again right before
         // the first byte.
         if (!may_check_health(cache)) return;
-        if (!gateway_.start_health_check(cache)) health_watch_.not_permitted(clock(), cache, agent_);
+        if (!gateway_.start_health_check(cache))
+            health_monitor_.on_check_not_permitted(clock(), cache, agent_);
     });
 }
 
@@ -295,31 +296,31 @@
 // --- what is in force here
 
 bool FleetClient::needs_full_notice_history() const {
-    return site_reporter_ && site_reporter_->acknowledgement().needs_full_history();
+    return site_reporter_ && site_reporter_->applied().needs_full_history();
 }
 
 void FleetClient::on_poll_started(bool from_start) {
-    if (site_reporter_) site_reporter_->acknowledgement().on_poll_started(from_start);
+    if (site_reporter_) site_reporter_->applied().on_poll_started(from_start);
 }
 
 void FleetClient::on_poll_completed(std::int64_t newest, std::int64_t asked_from) {
     if (!site_reporter_) return;
-    site_reporter_->acknowledgement().on_poll_completed(EventNumber{newest}, EventNumber{asked_from});
+    site_reporter_->applied().on_poll_completed(EventNumber{newest}, EventNumber{asked_from});
     site_reporter_->advance(clock(), agent_);
 }
 
 void FleetClient::on_poll_failed() {
-    if (site_reporter_) site_reporter_->acknowledgement().on_poll_failed();
+    if (site_reporter_) site_reporter_->applied().on_poll_failed();
 }
 
 void FleetClient::on_notice_skipped() {
-    if (site_reporter_) site_reporter_->acknowledgement().on_notice_skipped();
+    if (site_reporter_) site_reporter_->applied().on_notice_skipped();
 }
 
 void FleetClient::set_configuration(ConfigurationNumber number) {
     settings_.configuration = number;
     if (!site_reporter_) return;
-    site_reporter_->acknowledgement().on_configuration(number);
+    site_reporter_->applied().on_configuration(number);
     site_reporter_->advance(clock(), agent_);
 }
 
@@ -329,7 +330,7 @@
 }
 
 void FleetClient::on_registry_restored() {
-    if (site_reporter_) site_reporter_->acknowledgement().on_history_lost();
+    if (site_reporter_) site_reporter_->applied().on_history_lost();
 }
 
 // --- state that outlives the process
--- a/src/fleet/fleet_client.hpp
+++ b/src/fleet/fleet_client.hpp
@@ -46,7 +46,7 @@
 std::string path_of(const Key& key, const SiteName& site);
 std::string digest_prefix(const std::string& prefix);
 
-class FleetClient final : private RegistryPort,
+class FleetClient final : private AgentTransport,
                           private AgentObserver,
                           private HealthCheckCallbacks,
                           private registry::ReplyHandler,
@@ -123,16 +123,16 @@
     std::string instance_id_;
     Agent agent_;
     std::optional<SiteReporter> site_reporter_;
-    HealthMonitor health_watch_;
+    HealthMonitor health_monitor_;
     GarbageCollector garbage_collector_;
     RecordMirror record_mirror_;
     registry::Revision mirrored_revision_;
-    std::set<DutyName> duties_;
+    std::set<DutyName> followed_duties_;
     registry::RegistryConnection connection_;
     std::optional<Transaction> pending_transaction_;
     registry::MemberIndex registry_member_;
     registry::RegistryClient watch_client_;
-    EventLoop::Timer wake_timer_{}, tasks_timer_{}, store_timer_{};
+    EventLoop::Timer wake_timer_{}, due_tasks_timer_{}, store_timer_{};
     std::shared_ptr<bool> liveness_token_ = std::make_shared<bool>(true);
     bool registry_silent_ = false;
 };
--- a/src/fleet/fleet_status.cpp
+++ b/src/fleet/fleet_status.cpp
@@ -11,13 +11,13 @@
 }
 
 void FleetStatus::on_reading(const RegistryReading& reading) {
-    board_newest_.reset();
-    generation_ = reading.generation ? read_generation(*reading.generation) : std::nullopt;
-    old_form_ = reading.old_form;
+    newest_event_.reset();
+    generation_ = reading.generation ? parse_generation(*reading.generation) : std::nullopt;
+    legacy_members_ = reading.old_form;
     digests_.clear();
     unreadable_.clear();
     for (const auto& [site, text] : reading.digests) {
-        if (auto digest = read_digest(text))
+        if (auto digest = parse_digest(text))
             digests_[site] = std::move(*digest);
         else
             unreadable_.insert(site);
@@ -25,8 +25,8 @@
     for (const auto& [site, text] : reading.owner_heartbeats) {
         const auto heartbeat = parse_heartbeat(text);
         if (!heartbeat) continue;
-        auto& shown = shown_[site];
-        shown.push_back({reading.asked, heartbeat->instance_id.raw(), heartbeat->number.raw()});
+        auto& shown = heartbeat_readings_[site];
+        shown.push_back({reading.requested_at, heartbeat->instance_id.raw(), heartbeat->number.raw()});
         if (shown.size() > max_readings) shown.pop_front();
     }
 }
@@ -34,15 +34,15 @@
 // The heartbeat that the digest is as of landed after a reading was asked that still showed one below it.
 bool FleetStatus::fresh(TimePoint now, const SiteName& site) const {
     const auto digest = digests_.find(site);
-    const auto shown = shown_.find(site);
-    if (digest == digests_.end() || shown == shown_.end()) return false;
-    return std::any_of(shown->second.begin(), shown->second.end(), [&](const Shown& s) {
-        return s.owner_id == digest->second.owner_id && s.number < digest->second.as_of &&
+    const auto shown = heartbeat_readings_.find(site);
+    if (digest == digests_.end() || shown == heartbeat_readings_.end()) return false;
+    return std::any_of(shown->second.begin(), shown->second.end(), [&](const HeartbeatReading& s) {
+        return s.owner_id == digest->second.owner_id && s.number < digest->second.as_of_heartbeat &&
                now - s.asked <= max_staleness(term_);
     });
 }
 
-EventNumber FleetStatus::highest() const {
+EventNumber FleetStatus::highest_claimed_event() const {
     EventNumber all;
     for (const auto& [site, digest] : digests_) all = std::max(all, digest.highest);
     return all;
@@ -50,24 +50,24 @@
 
 void FleetStatus::judge_site(TimePoint now, const Query& question, const SiteName& site, const Digest& d,
                              std::vector<Missing>& missing) const {
-    if (!fresh(now, site)) return missing.push_back({MissingReason::site_silent, site, {}, d.as_of_ms});
-    if (!generation_ || d.generation != *generation_ || d.restart_required)
-        return missing.push_back({MissingReason::other_generation, site, {}, d.as_of_ms});
+    if (!fresh(now, site)) return missing.push_back({MissingReason::site_silent, site, {}, d.as_of_unix_ms});
+    if (!generation_ || d.generation != *generation_ || d.history_lost)
+        return missing.push_back({MissingReason::other_generation, site, {}, d.as_of_unix_ms});
     const auto expected = inventory_.find(site);
-    if (expected == inventory_.end() || d.known < expected->second)
+    if (expected == inventory_.end() || d.known_count < expected->second)
         missing.push_back({MissingReason::too_few, site, {}, 0});
-    if (d.incomplete || d.absent_count > d.absent.size())
+    if (d.roster_incomplete || d.absent_count > d.absent.size())
         missing.push_back({MissingReason::too_many, site, {}, 0});
     for (const auto& a : d.absent) missing.push_back({MissingReason::absent, site, a.member, a.since_ms});
     if (d.lowest >= question.event && d.lowest_configuration >= question.configuration) return;
     bool named = false;
-    for (const auto& b : d.behind)
+    for (const auto& b : d.lagging)
         if (b.event < question.event || b.configuration < question.configuration) {
             missing.push_back({MissingReason::behind, site, b.member, 0});
             named = true;
         }
     // All of the site stand below it alike, or those below it found no room.
-    if (!named || d.behind_count > d.behind.size()) missing.push_back({MissingReason::behind, site, {}, 0});
+    if (!named || d.lagging_count > d.lagging.size()) missing.push_back({MissingReason::behind, site, {}, 0});
 }
 
 FleetStatus::Verdict FleetStatus::judge(TimePoint now, const Query& question) const {
@@ -76,9 +76,10 @@
     // Guards against numbers from before the board was restored: what it has, it has no less of than was
     // claimed when it was asked.
     if (question.event > EventNumber{} &&
-        (!board_newest_ || *board_newest_ < question.event || *board_newest_ < highest()))
+        (!newest_event_ || *newest_event_ < question.event || *newest_event_ < highest_claimed_event()))
         v.missing.push_back({MissingReason::board_unknown, {}, {}, 0});
-    for (const MemberName& name : old_form_) v.missing.push_back({MissingReason::old_form, {}, name, 0});
+    for (const MemberName& name : legacy_members_)
+        v.missing.push_back({MissingReason::old_form, {}, name, 0});
     for (const auto& [site, count] : inventory_)
         if (count > 0 && !digests_.contains(site))
             v.missing.push_back({MissingReason::never_reported, site, {}, 0});
--- a/src/fleet/fleet_status.hpp
+++ b/src/fleet/fleet_status.hpp
@@ -55,7 +55,7 @@
     };
     // What one reading of the registry showed, all at one revision.
     struct RegistryReading {
-        TimePoint asked;
+        TimePoint requested_at;
         std::optional<std::string> generation;
         std::map<SiteName, std::string> digests;
         std::map<SiteName, std::string> owner_heartbeats;  // of those that owners() named
@@ -70,7 +70,7 @@
     std::map<SiteName, MemberName> owners() const;
     void on_reading(const RegistryReading&);
     // What the board answered to a question that was asked after the last reading.
-    void on_board(EventNumber newest) { board_newest_ = newest; }
+    void on_newest_event(EventNumber newest) { newest_event_ = newest; }
 
     Verdict judge(TimePoint now, const Query&) const;
     bool fresh(TimePoint now, const SiteName&) const;
@@ -79,22 +79,23 @@
 private:
     static constexpr std::size_t max_readings = 256;  // remembered of a site; beyond, the oldest goes
 
-    struct Shown {
+    struct HeartbeatReading {
         TimePoint asked;
         std::string owner_id;
         std::int64_t number = 0;
     };
     void judge_site(TimePoint now, const Query&, const SiteName&, const Digest&, std::vector<Missing>&) const;
-    EventNumber highest() const;
+    EventNumber highest_claimed_event() const;
 
     Duration term_;
     std::map<SiteName, std::size_t> inventory_;
     std::optional<Generation> generation_;
     std::map<SiteName, Digest> digests_;
     std::set<SiteName> unreadable_;
-    std::map<SiteName, std::deque<Shown>> shown_;  // heartbeats of owners, by the reading that showed them
-    std::set<MemberName> old_form_;
-    std::optional<EventNumber> board_newest_;
+    std::map<SiteName, std::deque<HeartbeatReading>>
+        heartbeat_readings_;  // heartbeats of owners, by the reading that showed them
+    std::set<MemberName> legacy_members_;
+    std::optional<EventNumber> newest_event_;
 };
 
 }  // namespace irismux::fleet
--- a/src/fleet/garbage_collector.cpp
+++ b/src/fleet/garbage_collector.cpp
@@ -20,7 +20,7 @@
                                                      const RecordMirror& record_mirror,
                                                      const Agent& agent) const {
     const Entry unchanged{key, text}, removed{key, std::nullopt};
-    if (const auto duty = duty_of(key); duty && watched_cache_of(*duty))
+    if (const auto duty = duty_of(key); duty && health_check_cache(*duty))
         return duty_removal(key, text, *duty, record_mirror, agent);
     if (released_duty_of(key)) {
         const auto instance = parse_release(text);
@@ -29,7 +29,7 @@
         return FencedWrite{{unchanged, *absence}, {removed}};
     }
     if (const auto cache = health_record_cache(key)) {
-        const Key duty = duty_key(health_watch_duty(*cache));
+        const Key duty = duty_key(health_check_duty(*cache));
         if (record_mirror.at(duty)) return std::nullopt;
         return FencedWrite{{unchanged, {duty, std::nullopt}}, {removed}};
     }
@@ -43,13 +43,13 @@
                                                           const Agent& agent) const {
     const auto record = parse_duty(text);
     if (!record || agent.duties().all().contains(duty)) return std::nullopt;
-    FencedWrite write{{{key, text}, {floor_key(), agent.floor()}}, {{key, std::nullopt}}};
+    FencedWrite write{{{key, text}, {floor_key(), agent.token_floor()}}, {{key, std::nullopt}}};
     if (!record->owner.raw().empty()) {
         const auto absence = absence_of({record->owner, record->incarnation}, record_mirror, agent);
         if (!absence) return std::nullopt;
         write.compares.push_back(*absence);
     }
-    const FencingToken floor = agent.floor() ? parse_floor(*agent.floor()) : FencingToken{};
+    const FencingToken floor = agent.token_floor() ? parse_floor(*agent.token_floor()) : FencingToken{};
     if (record->token > floor) write.writes.emplace_back(floor_key(), serialize_floor(record->token));
     return write;
 }
@@ -70,9 +70,9 @@
     scanned_ = true;
 }
 
-std::optional<FencedWrite> GarbageCollector::next(TimePoint now, const RecordMirror& record_mirror,
-                                                  const Agent& agent) {
-    if (write_under_way_ || now < next_) return std::nullopt;
+std::optional<FencedWrite> GarbageCollector::next_write(TimePoint now, const RecordMirror& record_mirror,
+                                                        const Agent& agent) {
+    if (write_under_way_ || now < next_pass_at_) return std::nullopt;
     const Text former = record_mirror.at(collection_progress_key());
     CollectionProgress place =
         former ? parse_collection_progress(*former).value_or(CollectionProgress{}) : CollectionProgress{};
@@ -86,13 +86,13 @@
         const Text text = record_mirror.at(at);
         if (text && at.raw() > place.last_key) write_request = removal(at, *text, record_mirror, agent);
     }
-    ends_pass_ = !write_request;
+    write_ends_pass_ = !write_request;
     if (!write_request) write_request.emplace();
-    place.removed_records += !ends_pass_;
-    place.pass += ends_pass_;
-    place.last_key = ends_pass_ ? "" : at.raw();
+    place.removed_records += !write_ends_pass_;
+    place.pass += write_ends_pass_;
+    place.last_key = write_ends_pass_ ? "" : at.raw();
     place.token = agent.token_of(garbage_collection_duty());
-    place.by = agent.self();
+    place.owner = agent.self();
     write_request->writes.emplace_back(collection_progress_key(), serialize(place));
     write_under_way_ = true;
     return write_request;
@@ -101,9 +101,9 @@
 // What was refused or may not have landed is tried again in the next pass, from the records as they are then.
 void GarbageCollector::on_written(TimePoint now, WriteOutcome) {
     write_under_way_ = false;
-    if (!ends_pass_) return;
+    if (!write_ends_pass_) return;
     scanned_ = false;
-    next_ = now + interval_;
+    next_pass_at_ = now + interval_;
 }
 
 }  // namespace irismux::fleet
--- a/src/fleet/garbage_collector.hpp
+++ b/src/fleet/garbage_collector.hpp
@@ -28,11 +28,12 @@
     GarbageCollector(Duration every, Duration minimum_age) : interval_(every), minimum_age_(minimum_age) {}
 
     // The next write, if one is due. One is under way at a time.
-    std::optional<FencedWrite> next(TimePoint now, const RecordMirror& record_mirror, const Agent& agent);
+    std::optional<FencedWrite> next_write(TimePoint now, const RecordMirror& record_mirror,
+                                          const Agent& agent);
     // The outcome of that write.
     void on_written(TimePoint now, WriteOutcome outcome);
     // When next() has something to do again, if nothing is under way.
-    TimePoint due() const { return next_; }
+    TimePoint next_pass_at() const { return next_pass_at_; }
 
 private:
     // Garbage as it was first seen.
@@ -50,8 +51,8 @@
 
     Duration interval_, minimum_age_;
     bool write_under_way_ = false;
-    bool ends_pass_ = false;  // that write
-    TimePoint next_;
+    bool write_ends_pass_ = false;  // that write
+    TimePoint next_pass_at_;
     std::set<Key> ready_removals_;         // to be removed in this pass
     bool scanned_ = false;                 // in this pass
     std::map<Key, Candidate> candidates_;  // at most as many as there are records
--- a/src/fleet/health_monitor.cpp
+++ b/src/fleet/health_monitor.cpp
@@ -24,7 +24,7 @@
     if (!is) healthy_.erase(cache);
 }
 
-const std::set<CacheId>& HealthMonitor::monitored(const Agent& agent) {
+const std::set<CacheId>& HealthMonitor::update_monitored(const Agent& agent) {
     std::map<CacheId, std::size_t> mark_counts;
     for (const CacheId& c : ejected_caches_) ++mark_counts[c];
     for (const auto& [name, peer] : agent.membership().members())
@@ -43,33 +43,34 @@
     if (!ejected_caches_.contains(cache)) return;
     if (!result.healthy) {
         healthy_.erase(cache);
-        return port_.postpone_recovery_probe(cache, now + interval_ * result_counts_for);
+        return callbacks_.postpone_recovery_probe(cache, now + interval_ * result_counts_for);
     }
     if (result.streak < well_after || !healthy_.insert(cache).second) return;
     // One gateway after the other, so that a cache that comes back does not meet all of them at once.
     std::vector<MemberName> others;
     for (const auto& [name, peer] : agent.membership().members())
         if (peer.member.ejected_caches.contains(cache)) others.push_back(name);
-    const auto rank = static_cast<double>(Duties::rank(health_watch_duty(cache), agent.self().name, others));
-    port_.postpone_recovery_probe(cache, now + interval_ * (rank / static_cast<double>(others.size() + 1)));
+    const auto rank = static_cast<double>(Duties::rank(health_check_duty(cache), agent.self().name, others));
+    callbacks_.postpone_recovery_probe(cache,
+                                       now + interval_ * (rank / static_cast<double>(others.size() + 1)));
 }
 
 bool HealthMonitor::may_check(TimePoint now, const CacheId& cache, const Agent& agent) const {
     const auto it = checks_.find(cache);
-    return it != checks_.end() && it->second.under_way && agent.may_act(now, health_watch_duty(cache));
+    return it != checks_.end() && it->second.under_way && agent.may_act(now, health_check_duty(cache));
 }
 
-void HealthMonitor::not_permitted(TimePoint now, const CacheId& cache, Agent& agent) {
+void HealthMonitor::on_check_not_permitted(TimePoint now, const CacheId& cache, Agent& agent) {
     if (ejected_caches_.contains(cache))
-        port_.postpone_recovery_probe(cache, now);
+        callbacks_.postpone_recovery_probe(cache, now);
     else
         on_health_check_done(now, cache, true, agent);
 }
 
-void HealthMonitor::tick(TimePoint now, Agent& agent) {
-    due_ = now + round_;
+void HealthMonitor::run_due_checks(TimePoint now, Agent& agent) {
+    next_check_at_ = now + idle_interval_;
     for (const CacheId& cache : monitored_) {
-        const DutyName duty = health_watch_duty(cache);
+        const DutyName duty = health_check_duty(cache);
         if (!agent.may_begin_work(now, duty)) {
             checks_.erase(cache);
             continue;
@@ -79,9 +80,9 @@
             on_health_check_done(now, cache, false, agent);
             probe.next = now + interval_;
             probe.under_way = true;
-            port_.start_health_check(cache);
+            callbacks_.start_health_check(cache);
         }
-        due_ = std::min(due_, probe.next);
+        next_check_at_ = std::min(next_check_at_, probe.next);
     }
 }
 
@@ -89,12 +90,12 @@
 void HealthMonitor::on_health_check_done(TimePoint now, const CacheId& cache, bool well, Agent& agent) {
     const auto it = checks_.find(cache);
     if (it == checks_.end() || !std::exchange(it->second.under_way, false)) return;
-    const DutyName duty = health_watch_duty(cache);
+    const DutyName duty = health_check_duty(cache);
     HealthRecord& last = it->second.last;
     last.streak = last.healthy == well ? std::min(last.streak + 1, most_counted) : 1;
     last.healthy = well;
     last.token = agent.token_of(duty);
-    last.by = agent.self();
+    last.owner = agent.self();
     agent.write_fenced(now, duty, health_record_key(cache), serialize(last));
 }
 
--- a/src/fleet/health_monitor.hpp
+++ b/src/fleet/health_monitor.hpp
@@ -33,13 +33,13 @@
 class HealthMonitor {
 public:
     HealthMonitor(HealthCheckCallbacks& port, Duration look_every, Duration round)
-        : port_(port), interval_(look_every), round_(round) {}
+        : callbacks_(port), interval_(look_every), idle_interval_(round) {}
 
     // The own Router has begun or ended to pass over that cache.
     void on_ejection_changed(const CacheId&, bool);
     const std::set<CacheId>& ejected_caches() const { return ejected_caches_; }
     // Updates and returns the caches to be watched, by the marks that the members publish.
-    const std::set<CacheId>& monitored(const Agent& agent);
+    const std::set<CacheId>& update_monitored(const Agent& agent);
     // A result that the owner of a watch has published.
     void on_probe_result(TimePoint now, const CacheId&, const HealthRecord&, const Agent& agent);
     // The outcome of an own probe.
@@ -47,11 +47,11 @@
     // Whether a probe that was asked for may still be sent.
     bool may_check(TimePoint now, const CacheId&, const Agent& agent) const;
     // Probes of that cache are not permitted: the gateway's own trial takes their place.
-    void not_permitted(TimePoint now, const CacheId&, Agent& agent);
+    void on_check_not_permitted(TimePoint now, const CacheId&, Agent& agent);
     // Sends the probes that are due. One without an outcome by its next time was not answered.
-    void tick(TimePoint now, Agent& agent);
+    void run_due_checks(TimePoint now, Agent& agent);
     // When tick() has something to do again.
-    TimePoint due() const { return due_; }
+    TimePoint next_check_at() const { return next_check_at_; }
 
 private:
     struct HealthCheck {
@@ -60,13 +60,13 @@
         HealthRecord last;
     };
 
-    HealthCheckCallbacks& port_;
-    Duration interval_, round_;
+    HealthCheckCallbacks& callbacks_;
+    Duration interval_, idle_interval_;
     std::set<CacheId> ejected_caches_;
     std::set<CacheId> monitored_;
     std::map<CacheId, HealthCheck> checks_;  // of watches that this member owns
     std::set<CacheId> healthy_;              // marked here, published as well, and the Router was told
-    TimePoint due_;
+    TimePoint next_check_at_;
 };
 
 }  // namespace irismux::fleet
--- a/src/fleet/lease.cpp
+++ b/src/fleet/lease.cpp
@@ -7,14 +7,14 @@
     return words[static_cast<std::size_t>(t)];
 }
 
-LeaseState Lease::enter(const LeaseConditions& g) {
-    const bool had = state_ == LeaseState::owning || state_ == LeaseState::released;
-    if (g.named && g.in_term)
-        state_ = g.near_end ? LeaseState::released : LeaseState::owning;
-    else if (had || (g.named && state_ == LeaseState::lost))
+LeaseState Lease::update(const LeaseConditions& g) {
+    const bool had = state_ == LeaseState::owning || state_ == LeaseState::expiring;
+    if (g.record_names_us && g.in_term)
+        state_ = g.near_term_end ? LeaseState::expiring : LeaseState::owning;
+    else if (had || (g.record_names_us && state_ == LeaseState::lost))
         state_ = LeaseState::lost;
     else
-        state_ = g.wanted && g.in_term ? LeaseState::seeking : LeaseState::idle;
+        state_ = g.should_claim && g.in_term ? LeaseState::seeking : LeaseState::idle;
     return state_;
 }
 
--- a/src/fleet/lease.hpp
+++ b/src/fleet/lease.hpp
@@ -15,22 +15,22 @@
 
 namespace irismux::fleet {
 
-enum class LeaseState { idle, seeking, owning, released, lost };
+enum class LeaseState { idle, seeking, owning, expiring, lost };
 // As the log names it.
 std::string_view to_string(LeaseState);
 
 // What decides the state, all at one instant of the member's own clock.
 struct LeaseConditions {
-    bool named = false;     // the newest record known names this very instance
-    bool in_term = false;   // a heartbeat has landed so recently that this member may act
-    bool near_end = false;  // of that term
-    bool wanted = false;    // the duty is unowned, and this member is the first in its order
+    bool record_names_us = false;  // the newest record known names this very instance
+    bool in_term = false;          // a heartbeat has landed so recently that this member may act
+    bool near_term_end = false;    // of that term
+    bool should_claim = false;     // the duty is unowned, and this member is the first in its order
 };
 
 class Lease {
 public:
     LeaseState state() const { return state_; }
-    LeaseState enter(const LeaseConditions& lease_conditions);
+    LeaseState update(const LeaseConditions& lease_conditions);
 
 private:
     LeaseState state_ = LeaseState::idle;
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -14,38 +14,38 @@
 
 Membership::Membership(const SharedConfig& a, MemberName self)
     : self_(std::move(self)),
-      term_(a.term * (1 - a.drift)),
+      term_less_drift_(a.term * (1 - a.drift)),
       eviction_timeout_(a.term * (1 + a.drift)),
       heartbeat_interval_(a.term * round_of_term),
       renewal_margin_(a.term * rest_of_term) {}
 
 void Membership::on_heartbeat_sent(TimePoint now, HeartbeatNumber heartbeat) {
-    if (sent_.size() >= max_unconfirmed) sent_.erase(sent_.begin());
-    sent_[heartbeat] = now;
+    if (unconfirmed_.size() >= max_unconfirmed) unconfirmed_.erase(unconfirmed_.begin());
+    unconfirmed_[heartbeat] = now;
 }
 
 void Membership::on_heartbeat_confirmed(TimePoint now, HeartbeatNumber heartbeat) {
-    const auto it = sent_.find(heartbeat);
+    const auto it = unconfirmed_.find(heartbeat);
     // One so old that its sending is forgotten does not extend the term.
-    const bool lapsed = !joined_ || it == sent_.end() || it->second >= end_;
+    const bool lapsed = !joined_ || it == unconfirmed_.end() || it->second >= term_end_;
     joined_ = true;
-    confirmed_ = heartbeat;
-    if (it != sent_.end()) end_ = std::max(end_, it->second + term_);
-    if (lapsed) listen_until_ = now + eviction_timeout_;
-    sent_.erase(sent_.begin(), sent_.upper_bound(heartbeat));
+    last_confirmed_ = heartbeat;
+    if (it != unconfirmed_.end()) term_end_ = std::max(term_end_, it->second + term_less_drift_);
+    if (lapsed) grace_period_end_ = now + eviction_timeout_;
+    unconfirmed_.erase(unconfirmed_.begin(), unconfirmed_.upper_bound(heartbeat));
 }
 
-bool Membership::record(TimePoint now, registry::Revision at, const MemberName& name,
-                        const std::optional<std::string>& text) {
+bool Membership::on_member_record(TimePoint now, registry::Revision at, const MemberName& name,
+                                  const std::optional<std::string>& text) {
     if (name == self_) return false;
     const auto it = members_.find(name);
-    const auto went = gone_.find(name);
-    if ((it != members_.end() && at < it->second.at) || (went != gone_.end() && at < went->second))
+    const auto went = removed_.find(name);
+    if ((it != members_.end() && at < it->second.revision) || (went != removed_.end() && at < went->second))
         return false;
     const auto read = text ? parse_member(*text) : std::nullopt;
     if (!text) {
-        if (gone_.size() >= max_members) gone_.clear();
-        gone_[name] = at;
+        if (removed_.size() >= max_members) removed_.clear();
+        removed_[name] = at;
         return members_.erase(name) > 0;
     }
     if (it == members_.end() && members_.size() >= max_members) return false;
@@ -55,26 +55,26 @@
                       it->second.member.instance_id == now_is.instance_id;
     Member& o = members_[name];
     if (!same) {
-        const bool returned = it != members_.end() || went != gone_.end();
+        const bool returned = it != members_.end() || went != removed_.end();
         o = Member{};
-        o.since = now;
+        o.first_seen = now;
         o.returned = returned;
     }
     o.text = *text;
     o.readable = read.has_value();
     o.member = now_is;
-    o.at = at;
-    gone_.erase(name);
+    o.revision = at;
+    removed_.erase(name);
     return !same;
 }
 
 void Membership::on_full_list(TimePoint now, const std::set<MemberName>& listed) {
-    gone_.clear();
-    for (auto& [name, o] : members_) o.at = {};
+    removed_.clear();
+    for (auto& [name, o] : members_) o.revision = {};
     std::vector<MemberName> missing;
     for (const auto& [name, o] : members_)
         if (!listed.contains(name)) missing.push_back(name);
-    for (const MemberName& name : missing) record(now, {}, name, std::nullopt);
+    for (const MemberName& name : missing) on_member_record(now, {}, name, std::nullopt);
 }
 
 void Membership::on_heartbeat(TimePoint now, const MemberName& name, const std::optional<std::string>& text,
--- a/src/fleet/membership.hpp
+++ b/src/fleet/membership.hpp
@@ -36,18 +36,18 @@
     void on_heartbeat_confirmed(TimePoint now, HeartbeatNumber heartbeat);
     void on_removed() { joined_ = false; }
     bool joined() const { return joined_; }
-    bool in_term(TimePoint now) const { return joined_ && now < end_; }
-    bool listening(TimePoint now) const { return now < listen_until_; }
-    bool near_end(TimePoint now) const { return now + renewal_margin_ >= end_; }
-    TimePoint end() const { return end_; }
-    TimePoint listens_until() const { return listen_until_; }
-    HeartbeatNumber last() const { return confirmed_; }
+    bool in_term(TimePoint now) const { return joined_ && now < term_end_; }
+    bool in_grace_period(TimePoint now) const { return now < grace_period_end_; }
+    bool near_term_end(TimePoint now) const { return now + renewal_margin_ >= term_end_; }
+    TimePoint term_end() const { return term_end_; }
+    TimePoint grace_period_end() const { return grace_period_end_; }
+    HeartbeatNumber last_confirmed() const { return last_confirmed_; }
 
     // --- the others
     // A member's record as of that revision; no text: there is none. Older ones than known are ignored. True:
     // it was news.
-    bool record(TimePoint now, registry::Revision at, const MemberName&,
-                const std::optional<std::string>& text);
+    bool on_member_record(TimePoint now, registry::Revision at, const MemberName&,
+                          const std::optional<std::string>& text);
     // All records follow, of a possibly lower revision; who is not listed is gone.
     void on_full_list(TimePoint now, const std::set<MemberName>& listed);
     // A heartbeat as the registry showed it. The same one again lets the wait go on; a new one starts it
@@ -61,13 +61,13 @@
         std::string text;       // of its record
         bool readable = true;   // false: a newer form; it is alive, and what it owns is left to it
         MemberRecord member;    // its record
-        TimePoint since;        // first seen with this incarnation
+        TimePoint first_seen;   // first seen with this incarnation
         bool returned = false;  // it was a member before
         bool observed = false;  // its heartbeats are being observed
         std::optional<std::string> heartbeat_text;
-        TimePoint unchanged_since;  // that heartbeat was first shown
-        TimePoint last_seen;        // that heartbeat was last shown
-        registry::Revision at;      // of its record
+        TimePoint unchanged_since;    // that heartbeat was first shown
+        TimePoint last_seen;          // that heartbeat was last shown
+        registry::Revision revision;  // of its record
     };
     const std::map<MemberName, Member>& members() const { return members_; }
     MemberStatus status_of(TimePoint now, const MemberName&) const;
@@ -78,7 +78,7 @@
     bool suspected(const Member& peer) const;
     // It has been a member for long enough to be handed a duty.
     bool settled(TimePoint now, const Member& peer) const {
-        return now - peer.since >= eviction_timeout_ + eviction_timeout_;
+        return now - peer.first_seen >= eviction_timeout_ + eviction_timeout_;
     }
 
     // The time between two heartbeats.
@@ -92,13 +92,13 @@
     static constexpr std::size_t max_members = 1024;
 
     MemberName self_;
-    Duration term_, eviction_timeout_, heartbeat_interval_, renewal_margin_;
+    Duration term_less_drift_, eviction_timeout_, heartbeat_interval_, renewal_margin_;
     bool joined_ = false;
-    std::map<HeartbeatNumber, TimePoint> sent_;
-    HeartbeatNumber confirmed_;
-    TimePoint end_, listen_until_;
+    std::map<HeartbeatNumber, TimePoint> unconfirmed_;
+    HeartbeatNumber last_confirmed_;
+    TimePoint term_end_, grace_period_end_;
     std::map<MemberName, Member> members_;
-    std::map<MemberName, registry::Revision> gone_;  // 1,024 at most, then all are forgotten
+    std::map<MemberName, registry::Revision> removed_;  // 1,024 at most, then all are forgotten
 };
 
 }  // namespace irismux::fleet
--- a/src/fleet/records.cpp
+++ b/src/fleet/records.cpp
@@ -62,8 +62,10 @@
 Key health_record_key(const CacheId& c) { return Key{std::string(findings) + c.raw()}; }
 std::optional<DutyName> released_duty_of(const Key& key) { return behind<DutyName>(key, asides); }
 std::optional<CacheId> health_record_cache(const Key& key) { return behind<CacheId>(key, findings); }
-DutyName health_watch_duty(const CacheId& c) { return DutyName{std::string(watches) + c.raw()}; }
-std::optional<CacheId> watched_cache_of(const DutyName& d) { return behind<CacheId>(Key{d.raw()}, watches); }
+DutyName health_check_duty(const CacheId& c) { return DutyName{std::string(watches) + c.raw()}; }
+std::optional<CacheId> health_check_cache(const DutyName& d) {
+    return behind<CacheId>(Key{d.raw()}, watches);
+}
 std::optional<MemberName> member_of(const Key& key) { return behind<MemberName>(key, members); }
 std::optional<MemberName> heartbeat_owner(const Key& key) { return behind<MemberName>(key, beats); }
 std::optional<DutyName> duty_of(const Key& key) { return behind<DutyName>(key, duties); }
@@ -98,14 +100,14 @@
 
 std::string serialize(const HealthRecord& f) {
     json o = {{"epoch", f.token.raw()}, {"well", f.healthy}, {"looks", f.streak}};
-    put(o, f.by);
+    put(o, f.owner);
     return o.dump();
 }
 
 std::string serialize(const CollectionProgress& s) {
     json o = {
         {"epoch", s.token.raw()}, {"pass", s.pass}, {"taken", s.removed_records}, {"behind", s.last_key}};
-    put(o, s.by);
+    put(o, s.owner);
     return o.dump();
 }
 
--- a/src/fleet/records.hpp
+++ b/src/fleet/records.hpp
@@ -86,7 +86,7 @@
 // The outcome of a health watch's last probes, written by the owner of its duty.
 struct HealthRecord {
     FencingToken token;
-    Instance by;
+    Instance owner;
     bool healthy = false;     // the last probe was answered
     std::int64_t streak = 0;  // consecutive probes with that outcome
 };
@@ -94,7 +94,7 @@
 // How far the garbage collector has come, for the next owner of its duty to continue.
 struct CollectionProgress {
     FencingToken token;
-    Instance by;
+    Instance owner;
     std::int64_t pass = 0;             // passes begun, by all owners together
     std::int64_t removed_records = 0;  // records removed, by all owners together
     std::string last_key;              // last key handled in this pass; empty: at the pass's start
@@ -119,8 +119,8 @@
 std::optional<CacheId> health_record_cache(const Key&);
 
 // The health watch over a cache is a duty of its own.
-DutyName health_watch_duty(const CacheId&);
-std::optional<CacheId> watched_cache_of(const DutyName&);
+DutyName health_check_duty(const CacheId&);
+std::optional<CacheId> health_check_cache(const DutyName&);
 
 // --- values
 
--- a/src/fleet/site_reporter.cpp
+++ b/src/fleet/site_reporter.cpp
@@ -20,9 +20,9 @@
 
 SiteReporter::SiteReporter(Settings settings, TimePoint began)
     : settings_(std::move(settings)),
-      serving_allowed_at_(began + longest_counted(settings_.term, settings_.drift)),
-      keeper_({settings_.self, settings_.instance_id, settings_.term, settings_.acknowledge_interval,
-               settings_.term * refresh_of_term}) {}
+      serving_allowed_at_(began + max_counted_time(settings_.term, settings_.drift)),
+      digest_builder_({settings_.self, settings_.instance_id, settings_.term, settings_.acknowledge_interval,
+                       settings_.term * refresh_of_term}) {}
 
 void SiteReporter::on_heartbeat(TimePoint now, std::int64_t unix_ms, TimePoint sent, HeartbeatNumber number,
                                 const std::vector<Entry>& shown, const Agent& agent) {
@@ -35,11 +35,11 @@
         if (key == generation_key()) look.generation = text;
         if (const auto member = heartbeat_owner(key)) look.heartbeats[*member] = text;
     }
-    generation_shown_ = look.generation;
-    const auto generation = look.generation ? read_generation(*look.generation) : std::nullopt;
-    if (generation) acknowledgement_.on_generation(*generation);
+    shown_generation_text_ = look.generation;
+    const auto generation = look.generation ? parse_generation(*look.generation) : std::nullopt;
+    if (generation) applied_.on_generation(*generation);
     if (!whole) return;
-    keeper_.on_snapshot(look, acknowledgement_.claim(), marks_of(agent));
+    digest_builder_.on_snapshot(look, applied_.applied_revisions(), marks_of(agent));
     generation_write_pending_ = false;  // what came of it is seen here
 }
 
@@ -53,30 +53,30 @@
     look.records = {generation_key()};
     if (owner) {
         look.records.insert(look.records.end(), {roster_key(), digest_key()});
-        look.heartbeats = keeper_.names();
-        look.frequent = keeper_.uneven();
+        look.heartbeats = digest_builder_.member_names();
+        look.frequent = digest_builder_.has_lagging_members();
     } else {
-        keeper_.reset();
+        digest_builder_.reset();
     }
     agent.set_heartbeat_reads(now, std::move(look));
-    agent.set_applied_revisions(now, acknowledgement_.claim());
+    agent.set_applied_revisions(now, applied_.applied_revisions());
     if (owner) write_due(now, agent);
 }
 
 void SiteReporter::write_due(TimePoint now, Agent& agent) {
     if (!generation_write_pending_) {
-        const std::string id = settings_.instance_id + '/' + std::to_string(generations_ + 1);
-        if (const auto next = keeper_.next_generation(id)) {
-            ++generations_;
+        const std::string id = settings_.instance_id + '/' + std::to_string(proposed_generations_ + 1);
+        if (const auto next = digest_builder_.next_generation(id)) {
+            ++proposed_generations_;
             generation_write_pending_ = true;
-            const FencedWrite chore{{{generation_key(), generation_shown_}},
+            const FencedWrite chore{{{generation_key(), shown_generation_text_}},
                                     {{generation_key(), serialize(*next)}}};
             if (!agent.write_fenced(now, digest_duty(), generation_key(), chore))
                 generation_write_pending_ = false;
         }
     }
     if (digest_write_pending_) return;
-    if (const auto digest = keeper_.next(now)) {
+    if (const auto digest = digest_builder_.next_digest(now)) {
         digest_write_pending_ = true;
         if (!agent.write_fenced(now, digest_duty(), digest_key(), *digest)) digest_write_pending_ = false;
     }
--- a/src/fleet/site_reporter.hpp
+++ b/src/fleet/site_reporter.hpp
@@ -22,13 +22,11 @@
     SiteReporter(Settings settings, TimePoint began);
 
     // The board's polls are told here, configurations too.
-    Acknowledgement& acknowledgement() { return acknowledgement_; }
-    const Acknowledgement& acknowledgement() const { return acknowledgement_; }
+    AppliedRevisionTracker& applied() { return applied_; }
+    const AppliedRevisionTracker& applied() const { return applied_; }
     // Until then lookups must not be taken: a former process under this name may be counted as having in
     // force what this one does not have yet.
-    bool may_serve(TimePoint now) const {
-        return acknowledgement_.has_full_history() || now >= serving_allowed_at_;
-    }
+    bool may_serve(TimePoint now) const { return applied_.has_full_history() || now >= serving_allowed_at_; }
     TimePoint serving_allowed_at() const { return serving_allowed_at_; }
 
     // As AgentObserver is told.
@@ -42,10 +40,10 @@
 
     Settings settings_;
     TimePoint serving_allowed_at_;
-    Acknowledgement acknowledgement_;
-    DigestKeeper keeper_;
-    std::optional<std::string> generation_shown_;
-    std::int64_t generations_ = 0;  // proposed by this process
+    AppliedRevisionTracker applied_;
+    DigestBuilder digest_builder_;
+    std::optional<std::string> shown_generation_text_;
+    std::int64_t proposed_generations_ = 0;  // proposed by this process
     bool digest_write_pending_ = false, generation_write_pending_ = false;
 };
 
--- a/testing/fleet_simulation.cpp
+++ b/testing/fleet_simulation.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-struct FleetSimulation::Node final : public RegistryPort, public AgentObserver {
+struct FleetSimulation::Node final : public AgentTransport, public AgentObserver {
     Node(FleetSimulation& w, std::size_t n) : world(w), no(n), name("m" + std::to_string(n)) {}
 
     FleetSimulation& world;
@@ -208,7 +208,7 @@
 void FleetSimulation::order(const DutyName& duty, const LeaseHolder& holder) {
     Node& n = *nodes_[chance_() % nodes_.size()];
     at(now_ + shared_config_.term * (3 * random_fraction()), [this, &n, duty, holder] {
-        if (!n.agent || n.stopped || !n.agent->accepts(duty, holder)) return;
+        if (!n.agent || n.stopped || !n.agent->accepts_order_of(duty, holder)) return;
         FencingToken& heeded = heeded_[{n.no, duty}];
         if (holder.token < heeded)
             broken.push_back(n.name.raw() + " heeds epoch " + std::to_string(holder.token.raw()) + " after " +
--- a/testing/interleaving_explorer.cpp
+++ b/testing/interleaving_explorer.cpp
@@ -29,7 +29,7 @@
                                        "stopped", "stopped once sent", "stopped once settled", "cut off",
                                        "died"};
 
-struct Ports final : RegistryPort, AgentObserver {
+struct Ports final : AgentTransport, AgentObserver {
     std::optional<Transaction> asked;
     TimePoint wake_at;
     void submit(const Transaction& d) override { asked = d; }
--- a/testing/process_fleet.cpp
+++ b/testing/process_fleet.cpp
@@ -249,10 +249,10 @@
         std::optional<FencedWriteSeen> w;
         if (const auto s =
                 key == collection_progress_key() ? parse_collection_progress(*value) : std::nullopt)
-            w = FencedWriteSeen{t.at, "sweep", s->token, s->by, t.held};
+            w = FencedWriteSeen{t.at, "sweep", s->token, s->owner, t.held};
         if (const auto c = health_record_cache(key))
             if (const auto f = parse_health_record(*value))
-                w = FencedWriteSeen{t.at, health_watch_duty(*c).raw(), f->token, f->by, t.held};
+                w = FencedWriteSeen{t.at, health_check_duty(*c).raw(), f->token, f->owner, t.held};
         if (!w) continue;
         written.push_back(*w);
         if (!w->held) continue;
@@ -274,7 +274,7 @@
     health_checks.push_back({loop.now(), gateway, cache});
     auto& order = health_checkers_[cache];
     if (!order.empty() && order.back() == gateway) return;
-    const auto d = duty(health_watch_duty(CacheId{caches[cache]->id()}).raw());
+    const auto d = duty(health_check_duty(CacheId{caches[cache]->id()}).raw());
     const bool owns = d && d->owner.raw() == gateways[gateway].name;
     if (order.empty() || owns) {
         order.push_back(gateway);
--- a/testing/site_simulation.cpp
+++ b/testing/site_simulation.cpp
@@ -25,7 +25,7 @@
 }  // namespace
 
 // One member's name: its process, if one runs, and what is between it and the others.
-struct SiteSimulation::Process final : public RegistryPort, public AgentObserver {
+struct SiteSimulation::Process final : public AgentTransport, public AgentObserver {
     Process(SiteSimulation& w, std::size_t n, std::string in) : world(w), no(n), site(std::move(in)) {}
 
     SiteSimulation& world;
@@ -65,7 +65,7 @@
     }
     void on_warning(std::string_view) override {}
     void on_registry_restored() override {
-        if (reporter) reporter->acknowledgement().on_history_lost();
+        if (reporter) reporter->applied().on_history_lost();
     }
     void on_heartbeat_result(TimePoint sent, HeartbeatNumber number,
                              const std::vector<Entry>& shown) override {
@@ -315,7 +315,7 @@
     const Key roster{where(p.site, roster_key())}, is_member{where(p.site, member_key(p.name))};
     const auto it = ledger_.records().find(roster);
     if (it == ledger_.records().end() || ledger_.records().contains(is_member)) return;
-    SiteRoster next = read_roster(it->second).value_or(SiteRoster{});
+    SiteRoster next = parse_site_roster(it->second).value_or(SiteRoster{});
     next.names.erase(p.name);
     ledger_.settle({{{roster, it->second}, {is_member, std::nullopt}}, {{roster, serialize(next)}}, {}});
 }
@@ -332,14 +332,14 @@
     const std::uint64_t life = p.life, mine = ++p.polls;
     p.when_running([this, &p, life, mine] {
         if (p.life != life || p.polls != mine) return;
-        const bool from_start = p.reporter && p.reporter->acknowledgement().needs_full_history();
+        const bool from_start = p.reporter && p.reporter->applied().needs_full_history();
         if (from_start) p.position = 0;
-        if (p.reporter) p.reporter->acknowledgement().on_poll_started(from_start);
+        if (p.reporter) p.reporter->applied().on_poll_started(from_start);
         if (p.board_cut) {
             at(now_ + poll_fails_after, [this, &p, life] {
                 if (p.life != life) return;
                 p.when_running([&p] {
-                    if (p.reporter) p.reporter->acknowledgement().on_poll_failed();
+                    if (p.reporter) p.reporter->applied().on_poll_failed();
                 });
                 poll(p);
             });
@@ -356,8 +356,7 @@
                     p.in_force.insert(owed.begin(), owed.end());
                     p.position = std::max(p.position, newest);
                     if (p.reporter)
-                        p.reporter->acknowledgement().on_poll_completed(EventNumber{newest},
-                                                                        EventNumber{from});
+                        p.reporter->applied().on_poll_completed(EventNumber{newest}, EventNumber{from});
                     note_in_force();
                     step(p);
                 });
@@ -374,7 +373,7 @@
     board_.resize(left);
     if (!announced) return;
     const auto it = ledger_.records().find(generation_key());
-    const auto shown = it == ledger_.records().end() ? std::nullopt : read_generation(it->second);
+    const auto shown = it == ledger_.records().end() ? std::nullopt : parse_generation(it->second);
     const auto next = next_generation(shown, {}, true,
                                       "operator." + std::to_string(published_) + '.' + std::to_string(next_));
     ledger_.settle({{}, {{generation_key(), serialize(*next)}}, {}});
@@ -386,7 +385,7 @@
     const TimePoint asked = TimePoint{} + Duration::seconds(now_.seconds() * r.rate);
     at(now_ + delay(fault_rates_.late), [this, &r, asked] {
         FleetStatus::RegistryReading reading;
-        reading.asked = asked;
+        reading.requested_at = asked;
         const auto text = [&](const std::string& key) -> Text {
             const auto it = ledger_.records().find(Key{key});
             return it == ledger_.records().end() ? Text{} : Text{it->second};
@@ -405,7 +404,7 @@
             if (key.raw().rfind(members, 0) == 0) reading.old_form.emplace(key.raw().substr(members.size()));
         at(now_ + delay(fault_rates_.late), [this, &r, reading] {
             r.status.on_reading(reading);
-            r.status.on_board(EventNumber{newest()});
+            r.status.on_newest_event(EventNumber{newest()});
             judge(r);
             at(now_ + read_every, [this, &r] { read(r); });
         });
@@ -526,9 +525,9 @@
         if (p->agent) all += p->agent->membership().joined() ? " in" : " out";
         if (p->agent && p->agent->may_act(p->clock(), digest_duty())) all += " owner";
         if (p->reporter)
-            if (const auto c = p->reporter->acknowledgement().claim())
+            if (const auto c = p->reporter->applied().applied_revisions())
                 all += " claims " + std::to_string(c->generation.number) + '/' +
-                       std::to_string(c->event.raw()) + (c->worn ? " worn" : "");
+                       std::to_string(c->event.raw()) + (c->history_lost ? " worn" : "");
         all += '\n';
     }
     for (const auto& [key, value] : ledger_.records()) all += key.raw() + ' ' + value + '\n';
--- a/tests/fleet_digest_test.cpp
+++ b/tests/fleet_digest_test.cpp
@@ -18,13 +18,13 @@
 // --- what a member may say of itself ---------------------------------------------------------------------
 
 // The board has answered a poll that named the last event that came, or none.
-void told(Acknowledgement& a, std::int64_t newest, std::int64_t asked_from = 0) {
+void told(AppliedRevisionTracker& a, std::int64_t newest, std::int64_t asked_from = 0) {
     a.on_poll_completed(event(newest), event(asked_from));
 }
 
 // Told everything by the board in that generation.
-Acknowledgement told(const Generation& g, std::int64_t newest) {
-    Acknowledgement a;
+AppliedRevisionTracker told(const Generation& g, std::int64_t newest) {
+    AppliedRevisionTracker a;
     a.on_generation(g);
     a.on_poll_started(true);
     told(a, newest);
@@ -32,69 +32,69 @@
 }
 
 TEST(Acknowledgement, ClaimsNothingBeforeTheGenerationIsKnownAndTheBoardHasToldAll) {
-    Acknowledgement a;
-    EXPECT_FALSE(a.claim());
+    AppliedRevisionTracker a;
+    EXPECT_FALSE(a.applied_revisions());
     EXPECT_TRUE(a.needs_full_history());
     a.on_poll_started(true);
     EXPECT_FALSE(a.needs_full_history());
     a.on_generation(first);
     // Asked before the generation was shown: it may be of the board's former history.
     told(a, 9);
-    EXPECT_EQ(a.claim()->event, event(0));
+    EXPECT_EQ(a.applied_revisions()->event, event(0));
     EXPECT_TRUE(a.has_full_history());
     EXPECT_TRUE(a.needs_full_history());
     // Only what is new since it started: events between are not known.
     a.on_poll_started(false);
     told(a, 12);
-    EXPECT_EQ(a.claim()->event, event(0));
+    EXPECT_EQ(a.applied_revisions()->event, event(0));
     a.on_poll_started(true);
     told(a, 13);
-    EXPECT_EQ(a.claim()->event, event(13));
+    EXPECT_EQ(a.applied_revisions()->event, event(13));
     EXPECT_FALSE(a.needs_full_history());
     a.on_poll_started(false);
     told(a, 14);
-    EXPECT_EQ(a.claim()->event, event(14));
+    EXPECT_EQ(a.applied_revisions()->event, event(14));
 }
 
 TEST(Acknowledgement, AFailedPollTellsNothing) {
-    Acknowledgement a = told(first, 5);
+    AppliedRevisionTracker a = told(first, 5);
     a.on_poll_started(false);
     a.on_poll_failed();
     told(a, 8);
-    EXPECT_EQ(a.claim()->event, event(5));
+    EXPECT_EQ(a.applied_revisions()->event, event(5));
 }
 
 TEST(Acknowledgement, ABoardThatWentBackCountsAgainOnlyInTheNextGeneration) {
-    Acknowledgement a = told(first, 100);
+    AppliedRevisionTracker a = told(first, 100);
     a.on_poll_started(false);
     told(a, 85);
-    EXPECT_TRUE(a.claim()->worn);
-    EXPECT_EQ(a.claim()->event, event(0));
+    EXPECT_TRUE(a.applied_revisions()->history_lost);
+    EXPECT_EQ(a.applied_revisions()->event, event(0));
     EXPECT_FALSE(a.needs_full_history());
     // Its numbers come as far again: they are others.
     a.on_poll_started(false);
     told(a, 120);
-    EXPECT_EQ(a.claim()->event, event(0));
+    EXPECT_EQ(a.applied_revisions()->event, event(0));
     a.on_generation(second);
-    EXPECT_FALSE(a.claim()->worn);
-    EXPECT_EQ(a.claim()->event, event(0));
+    EXPECT_FALSE(a.applied_revisions()->history_lost);
+    EXPECT_EQ(a.applied_revisions()->event, event(0));
     EXPECT_TRUE(a.needs_full_history());
     a.on_poll_started(true);
     told(a, 121);
-    EXPECT_EQ(a.claim(), (AppliedRevisions{second, event(121), {}, false}));
+    EXPECT_EQ(a.applied_revisions(), (AppliedRevisions{second, event(121), {}, false}));
 }
 
 TEST(Acknowledgement, AnAnswerToAPollFromBeforeTheGenerationIsNotOfIt) {
-    Acknowledgement a = told(first, 100);
+    AppliedRevisionTracker a = told(first, 100);
     a.on_poll_started(true);
     a.on_generation(second);
     told(a, 101);
-    EXPECT_EQ(a.claim()->event, event(0));
+    EXPECT_EQ(a.applied_revisions()->event, event(0));
 }
 
 // A long answer is broken off: the next poll goes on behind what has come, and is still the same telling.
 TEST(Acknowledgement, ATellingFromTheStartMayTakeSeveralPolls) {
-    Acknowledgement a;
+    AppliedRevisionTracker a;
     a.on_generation(first);
     a.on_poll_started(a.needs_full_history());
     a.on_poll_failed();
@@ -103,17 +103,17 @@
     a.on_poll_started(false);
     told(a, 30, 20);
     EXPECT_TRUE(a.has_full_history());
-    EXPECT_EQ(a.claim()->event, event(30));
+    EXPECT_EQ(a.applied_revisions()->event, event(30));
     // Restored in between: its numbers are below what has come.
-    Acknowledgement b;
+    AppliedRevisionTracker b;
     b.on_generation(first);
     b.on_poll_started(true);
     b.on_poll_failed();
     b.on_poll_started(false);
     told(b, 18, 20);
-    EXPECT_TRUE(b.claim()->worn);
+    EXPECT_TRUE(b.applied_revisions()->history_lost);
     // A new generation in between: it begins anew.
-    Acknowledgement c;
+    AppliedRevisionTracker c;
     c.on_generation(first);
     c.on_poll_started(true);
     c.on_poll_failed();
@@ -121,22 +121,22 @@
     EXPECT_TRUE(c.needs_full_history());
     c.on_poll_started(false);
     told(c, 30, 20);
-    EXPECT_EQ(c.claim()->event, event(0));
+    EXPECT_EQ(c.applied_revisions()->event, event(0));
 }
 
 TEST(Acknowledgement, AnEventThatCouldNotBeReadIsNotInForceNorAnyAfterIt) {
-    Acknowledgement a = told(first, 5);
+    AppliedRevisionTracker a = told(first, 5);
     a.on_notice_skipped();
     a.on_poll_started(false);
     told(a, 9, 5);
-    EXPECT_EQ(a.claim()->event, event(0));
+    EXPECT_EQ(a.applied_revisions()->event, event(0));
 }
 
 TEST(Acknowledgement, ALowerGenerationOrAnotherOfTheSameNumberIsNotTaken) {
-    Acknowledgement a = told(second, 7);
+    AppliedRevisionTracker a = told(second, 7);
     a.on_generation(first);
     a.on_generation({2, "other"});
-    EXPECT_EQ(a.claim(), (AppliedRevisions{second, event(7), {}, false}));
+    EXPECT_EQ(a.applied_revisions(), (AppliedRevisions{second, event(7), {}, false}));
 }
 
 TEST(Acknowledgement, TheNextGenerationIsAboveAllThatIsKnown) {
@@ -151,16 +151,17 @@
 TEST(Acknowledgement, AHeartbeatWithAClaimIsReadByFormerVersionsAndOneWithoutIsNoClaim) {
     const std::string plain = serialize(HeartbeatRecord{Incarnation{3}, InstanceId{"k"}, HeartbeatNumber{9}});
     const AppliedRevisions claim{first, event(12), ConfigurationNumber{4}, true};
-    const std::string with = with_claim(plain, claim);
+    const std::string with = with_applied_revisions(plain, claim);
     EXPECT_EQ(parse_heartbeat(with)->number, HeartbeatNumber{9});
-    EXPECT_EQ(read_claim(with), claim);
-    EXPECT_EQ(with_claim(plain, std::nullopt), plain);
-    EXPECT_FALSE(read_claim(plain));
-    for (std::size_t n = 0; n < with.size(); ++n) EXPECT_FALSE(read_claim(with.substr(0, n))) << n;
+    EXPECT_EQ(parse_applied_revisions(with), claim);
+    EXPECT_EQ(with_applied_revisions(plain, std::nullopt), plain);
+    EXPECT_FALSE(parse_applied_revisions(plain));
+    for (std::size_t n = 0; n < with.size(); ++n)
+        EXPECT_FALSE(parse_applied_revisions(with.substr(0, n))) << n;
     for (const char* bad :
          {R"({"in_force":{}})", R"({"in_force":[]})", R"({"in_force":{"generation":0,"id":"x"}})",
           R"({"in_force":{"generation":1,"id":"x","event":-1,"configuration":0}})"})
-        EXPECT_FALSE(read_claim(bad)) << bad;
+        EXPECT_FALSE(parse_applied_revisions(bad)) << bad;
 }
 
 // --- the digest ------------------------------------------------------------------------------------------
@@ -168,7 +169,7 @@
 // A site whose heartbeats the test writes; looks come once a round.
 class Site : public ::testing::Test {
 protected:
-    DigestKeeper keeper{{MemberName{"m0"}, "k0", term, ms * 250, round_length}};
+    DigestBuilder keeper{{MemberName{"m0"}, "k0", term, ms * 250, round_length}};
     TimePoint now = TimePoint::at_seconds(100);
     std::int64_t number = 0;
     SiteRoster roster;
@@ -193,13 +194,13 @@
         const std::string plain =
             serialize(HeartbeatRecord{Incarnation{1}, InstanceId{m.id}, HeartbeatNumber{m.heartbeat}});
         if (!m.generation) return plain;
-        return with_claim(plain, AppliedRevisions{*m.generation, event(m.event), {}, false});
+        return with_applied_revisions(plain, AppliedRevisions{*m.generation, event(m.event), {}, false});
     }
     const Digest& look(Duration took = ms * 20) {
         FleetSnapshot l;
-        l.asked = now;
-        l.answered = now + took;
-        l.number = ++number;
+        l.requested_at = now;
+        l.received_at = now + took;
+        l.heartbeat_number = ++number;
         l.unix_ms = now.seconds() > 0 ? static_cast<std::int64_t>(now.seconds() * 1000) : 0;
         l.roster = serialize(roster);
         l.former_digest = former;
@@ -220,20 +221,20 @@
     join("m2", 8);
     own_event = 9;
     const Digest& d = looks(5);
-    EXPECT_EQ(d.live, 3u);
+    EXPECT_EQ(d.live_count, 3u);
     EXPECT_EQ(d.lowest, event(8));
     EXPECT_EQ(d.highest, event(10));
-    ASSERT_EQ(d.behind.size(), 2u);
-    EXPECT_EQ(d.behind[0].member, MemberName{"m2"});
-    EXPECT_TRUE(keeper.uneven());
+    ASSERT_EQ(d.lagging.size(), 2u);
+    EXPECT_EQ(d.lagging[0].member, MemberName{"m2"});
+    EXPECT_TRUE(keeper.has_lagging_members());
 }
 
 // One heartbeat may have been sent by a process that has long ended, and have come late.
 TEST_F(Site, AMemberCountsOnceTwoOfItsHeartbeatsHaveBeenSeenToCome) {
     join("m1", 10);
-    EXPECT_EQ(look().live, 1u);
-    EXPECT_EQ(look().live, 1u);
-    EXPECT_EQ(look().live, 2u);
+    EXPECT_EQ(look().live_count, 1u);
+    EXPECT_EQ(look().live_count, 1u);
+    EXPECT_EQ(look().live_count, 2u);
 }
 
 TEST_F(Site, AMemberWhoseHeartbeatStandsStillIsAbsentSinceWhenItWasSeen) {
@@ -241,7 +242,7 @@
     looks(5);
     members[MemberName{"m1"}].runs = false;
     const Digest& d = looks(7);
-    EXPECT_EQ(d.live, 1u);
+    EXPECT_EQ(d.live_count, 1u);
     ASSERT_EQ(d.absent.size(), 1u);
     EXPECT_EQ(d.absent[0].member, MemberName{"m1"});
     const std::int64_t since = d.absent[0].since_ms;
@@ -252,7 +253,7 @@
 TEST_F(Site, AnOwnerThatWasStoppedCountsNobodyByWhatItSawBefore) {
     join("m1", 10);
     looks(5);
-    EXPECT_EQ(look(term * 2).live, 1u);
+    EXPECT_EQ(look(term * 2).live_count, 1u);
 }
 
 TEST_F(Site, AHeartbeatThatARestoredRegistryShowsAgainIsNoSignOfLife) {
@@ -260,16 +261,16 @@
     looks(5);
     members[MemberName{"m1"}].runs = false;
     members[MemberName{"m1"}].heartbeat = 2;
-    EXPECT_EQ(look().live, 1u);
+    EXPECT_EQ(look().live_count, 1u);
 }
 
 TEST_F(Site, ANewProcessUnderTheNameCountsOnlyByItsOwnHeartbeats) {
     join("m1", 10);
     looks(5);
     members[MemberName{"m1"}] = {true, 50, 3, "another", first};
-    EXPECT_EQ(look().live, 1u);
+    EXPECT_EQ(look().live_count, 1u);
     EXPECT_EQ(looks(3).lowest, event(0));
-    EXPECT_EQ(keeper.digest()->live, 2u);
+    EXPECT_EQ(keeper.digest()->live_count, 2u);
 }
 
 TEST_F(Site, AMemberThatSaysNothingOfItHasNothingInForce) {
@@ -277,9 +278,9 @@
     members[MemberName{"m1"}].generation.reset();
     own_event = 10;
     const Digest& d = looks(5);
-    EXPECT_EQ(d.live, 2u);
+    EXPECT_EQ(d.live_count, 2u);
     EXPECT_EQ(d.lowest, event(0));
-    EXPECT_EQ(d.behind[0].member, MemberName{"m1"});
+    EXPECT_EQ(d.lagging[0].member, MemberName{"m1"});
 }
 
 TEST_F(Site, AClaimInAnotherGenerationIsNone) {
@@ -297,7 +298,7 @@
 TEST_F(Site, WhoIsInTheRosterAndWasNeverSeenIsAbsent) {
     roster.names.insert(MemberName{"m9"});
     const Digest& d = looks(5);
-    EXPECT_EQ(d.known, 2u);
+    EXPECT_EQ(d.known_count, 2u);
     ASSERT_EQ(d.absent.size(), 1u);
 }
 
@@ -314,10 +315,10 @@
     for (int n = 1; n <= 40; ++n) join("x" + std::to_string(n), n);
     own_event = 40;
     const Digest& d = looks(5);
-    EXPECT_EQ(d.live, 41u);
-    EXPECT_EQ(d.behind_count, 39u);
-    EXPECT_EQ(d.behind.size(), max_named_members);
-    EXPECT_EQ(d.behind[0].event, event(1));
+    EXPECT_EQ(d.live_count, 41u);
+    EXPECT_EQ(d.lagging_count, 39u);
+    EXPECT_EQ(d.lagging.size(), max_named_members);
+    EXPECT_EQ(d.lagging[0].event, event(1));
     for (auto& [name, m] : members) m.runs = false;
     const Digest& still = looks(8);
     EXPECT_EQ(still.absent_count, 40u);
@@ -328,36 +329,37 @@
 TEST_F(Site, ADigestIsWrittenOnChangeAtItsPaceAndElseToStayFresh) {
     join("m1", 10);
     looks(5);
-    EXPECT_TRUE(keeper.next(now));
-    EXPECT_FALSE(keeper.next(now + ms * 900));
-    EXPECT_TRUE(keeper.next(now + ms * 1000));
+    EXPECT_TRUE(keeper.next_digest(now));
+    EXPECT_FALSE(keeper.next_digest(now + ms * 900));
+    EXPECT_TRUE(keeper.next_digest(now + ms * 1000));
     now = now + ms * 1000;
     members[MemberName{"m1"}].event = 11;
     const TimePoint changed = now;
     look();
-    EXPECT_FALSE(keeper.next(changed + ms * 249));
-    EXPECT_TRUE(keeper.next(changed + ms * 250));
+    EXPECT_FALSE(keeper.next_digest(changed + ms * 249));
+    EXPECT_TRUE(keeper.next_digest(changed + ms * 250));
 }
 
 TEST_F(Site, ARecordThatCannotBeReadIsNone) {
     join("m1", 10);
     const std::string good = serialize(looks(5));
-    ASSERT_TRUE(read_digest(good));
-    EXPECT_EQ(serialize(*read_digest(good)), good);
-    for (std::size_t n = 0; n < good.size(); ++n) EXPECT_FALSE(read_digest(good.substr(0, n))) << n;
-    for (const char* bad : {"{}", "[]", R"({"names":3})", R"({"names":[1]})"}) EXPECT_FALSE(read_roster(bad));
+    ASSERT_TRUE(parse_digest(good));
+    EXPECT_EQ(serialize(*parse_digest(good)), good);
+    for (std::size_t n = 0; n < good.size(); ++n) EXPECT_FALSE(parse_digest(good.substr(0, n))) << n;
+    for (const char* bad : {"{}", "[]", R"({"names":3})", R"({"names":[1]})"})
+        EXPECT_FALSE(parse_site_roster(bad));
 }
 
 TEST(Roster, HasRoomForSoManyAndSaysWhenThereIsNoMore) {
     SiteRoster r;
-    for (std::size_t n = 0; n < max_roster_names; ++n) r = *with_name(r, MemberName{std::to_string(n)});
-    EXPECT_FALSE(with_name(r, MemberName{"0"}));
+    for (std::size_t n = 0; n < max_roster_names; ++n) r = *add_to_roster(r, MemberName{std::to_string(n)});
+    EXPECT_FALSE(add_to_roster(r, MemberName{"0"}));
     EXPECT_FALSE(r.incomplete);
-    const auto over = with_name(r, MemberName{"one more"});
+    const auto over = add_to_roster(r, MemberName{"one more"});
     ASSERT_TRUE(over);
     EXPECT_TRUE(over->incomplete);
-    EXPECT_EQ(read_roster(serialize(*over)), *over);
-    EXPECT_FALSE(with_name(*over, MemberName{"another"}));
+    EXPECT_EQ(parse_site_roster(serialize(*over)), *over);
+    EXPECT_FALSE(add_to_roster(*over, MemberName{"another"}));
 }
 
 // --- what a reader may conclude --------------------------------------------------------------------------
@@ -383,27 +385,27 @@
         Digest d;
         d.owner = MemberName{owner};
         d.owner_id = "id-" + owner;
-        d.as_of = 1;
+        d.as_of_heartbeat = 1;
         d.generation = first;
-        d.known = d.live = live;
+        d.known_count = d.live_count = live;
         d.lowest = d.highest = event(10);
         return d;
     }
     // Owners' heartbeats are one ahead of their digests, unless they stand still.
     void read(bool moves = true) {
         FleetStatus::RegistryReading r;
-        r.asked = now;
+        r.requested_at = now;
         r.generation = generation;
         r.old_form = old_form;
         for (auto& [name, d] : sites) {
-            if (moves) ++d.as_of;
+            if (moves) ++d.as_of_heartbeat;
             r.digests[name] = serialize(d);
-            r.owner_heartbeats[name] =
-                serialize(HeartbeatRecord{Incarnation{1}, InstanceId{d.owner_id}, HeartbeatNumber{d.as_of}});
+            r.owner_heartbeats[name] = serialize(
+                HeartbeatRecord{Incarnation{1}, InstanceId{d.owner_id}, HeartbeatNumber{d.as_of_heartbeat}});
         }
         status->on_reading(r);
         now = now + ms * 100;
-        status->on_board(board);
+        status->on_newest_event(board);
     }
     FleetStatus::Verdict verdict(std::int64_t n = 10) {
         read();
@@ -438,22 +440,22 @@
 // Its heartbeat had landed long before; the digest itself was under way for long.
 TEST_F(Reader, ADigestThatComesLateIsNotFresh) {
     ASSERT_EQ(verdict().reach, Reach::everywhere);
-    for (auto& [name, d] : sites) ++d.as_of;
+    for (auto& [name, d] : sites) ++d.as_of_heartbeat;
     FleetStatus::RegistryReading r;
     r.generation = generation;
     for (int n = 0; n < 45; ++n) {
-        r.asked = now;
+        r.requested_at = now;
         for (const auto& [name, d] : sites) {
-            r.owner_heartbeats[name] =
-                serialize(HeartbeatRecord{Incarnation{1}, InstanceId{d.owner_id}, HeartbeatNumber{d.as_of}});
+            r.owner_heartbeats[name] = serialize(
+                HeartbeatRecord{Incarnation{1}, InstanceId{d.owner_id}, HeartbeatNumber{d.as_of_heartbeat}});
             Digest former = d;
-            --former.as_of;
+            --former.as_of_heartbeat;
             r.digests[name] = serialize(n < 44 ? former : d);
         }
         status->on_reading(r);
         now = now + ms * 100;
     }
-    status->on_board(board);
+    status->on_newest_event(board);
     EXPECT_EQ(status->judge(now, {event(10), {}}).reach, Reach::all_but);
 }
 
@@ -471,15 +473,15 @@
     sites[SiteName{"a"}].absent_count = 2;
     EXPECT_EQ(verdict().reach, Reach::not_yet);
     sites[SiteName{"a"}] = site("a0", 2);
-    sites[SiteName{"a"}].incomplete = true;
+    sites[SiteName{"a"}].roster_incomplete = true;
     EXPECT_EQ(verdict().reach, Reach::not_yet);
 }
 
 TEST_F(Reader, NamesTheLiveThatLackIt) {
     Digest& a = sites[SiteName{"a"}];
     a.lowest = event(8);
-    a.behind = {{MemberName{"a1"}, event(8), {}}};
-    a.behind_count = 1;
+    a.lagging = {{MemberName{"a1"}, event(8), {}}};
+    a.lagging_count = 1;
     const auto v = verdict(9);
     EXPECT_EQ(v.reach, Reach::not_yet);
     EXPECT_EQ(v.missing[0].member, MemberName{"a1"});
@@ -493,7 +495,7 @@
     sites[SiteName{"c"}] = site("c0", 1);  // not in the inventory
     EXPECT_EQ(whys(verdict()), std::vector{Why::too_few});
     sites.erase(SiteName{"c"});
-    sites[SiteName{"a"}].known = 1;
+    sites[SiteName{"a"}].known_count = 1;
     EXPECT_EQ(whys(verdict()), std::vector{Why::too_few});
     status.emplace(term, std::map<SiteName, std::size_t>{});
     sites.clear();
@@ -515,9 +517,9 @@
     sites[SiteName{"b"}].generation = second;
     EXPECT_EQ(whys(verdict()), std::vector{Why::other_generation});
     sites[SiteName{"b"}].generation = first;
-    sites[SiteName{"b"}].restart_required = true;
+    sites[SiteName{"b"}].history_lost = true;
     EXPECT_EQ(whys(verdict()), std::vector{Why::other_generation});
-    sites[SiteName{"b"}].restart_required = false;
+    sites[SiteName{"b"}].history_lost = false;
     generation.reset();
     EXPECT_EQ(verdict().reach, Reach::not_yet);
 }
@@ -530,7 +532,7 @@
     EXPECT_EQ(verdict(8).reach, Reach::everywhere);
     read();
     FleetStatus::RegistryReading r;
-    r.asked = now;
+    r.requested_at = now;
     status->on_reading(r);  // what the board said before is no answer to what was read after
     EXPECT_EQ(whys(status->judge(now, {event(8), {}})).front(), Why::board_unknown);
 }
--- a/tests/fleet_process_test.cpp
+++ b/tests/fleet_process_test.cpp
@@ -452,7 +452,7 @@
     a->stop(owner);
     ASSERT_TRUE(a->until([&] {
         const auto n = a->owner(watch);
-        return n && *n != owner && finding() && finding()->by.name.raw() == a->gateways[*n].name;
+        return n && *n != owner && finding() && finding()->owner.name.raw() == a->gateways[*n].name;
     }));
     a->resume(owner);
     a->pass(shape.term);
--- a/tests/fleet_sites_test.cpp
+++ b/tests/fleet_sites_test.cpp
@@ -116,7 +116,7 @@
     }
     std::size_t owner() const {
         const auto text = record("digest/a");
-        const auto digest = text ? read_digest(*text) : std::nullopt;
+        const auto digest = text ? parse_digest(*text) : std::nullopt;
         return digest && digest->owner == MemberName{"g1"} ? 0 : 1;
     }
     std::optional<std::string> record(const std::string& path) const {
@@ -201,7 +201,7 @@
     a->kill(1);
     a->start(1);
     const TimePoint started = a->loop.now();
-    const Duration counted = longest_counted(term, drift);
+    const Duration counted = max_counted_time(term, drift);
     ASSERT_TRUE(a->until([&] { return listens(1) || a->loop.now() - started > counted * 0.8; }));
     EXPECT_FALSE(listens(1));
     EXPECT_TRUE(a->until([&] { return listens(1); }));
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -73,18 +73,19 @@
 }
 
 TEST(Fleet, TheTableOfATenure) {
-    const LeaseConditions mine{.named = true, .in_term = true},
-        near{.named = true, .in_term = true, .near_end = true}, lapsed{.named = true},
-        wanted{.in_term = true, .wanted = true}, none{.in_term = true}, out{.wanted = true};
+    const LeaseConditions mine{.record_names_us = true, .in_term = true},
+        near{.record_names_us = true, .in_term = true, .near_term_end = true},
+        lapsed{.record_names_us = true}, wanted{.in_term = true, .should_claim = true}, none{.in_term = true},
+        out{.should_claim = true};
     const std::vector<std::pair<LeaseConditions, LeaseState>> steps = {
         {none, LeaseState::idle},     {out, LeaseState::idle},      {wanted, LeaseState::seeking},
-        {mine, LeaseState::owning},   {near, LeaseState::released}, {mine, LeaseState::owning},
-        {near, LeaseState::released}, {lapsed, LeaseState::lost},   {lapsed, LeaseState::lost},
+        {mine, LeaseState::owning},   {near, LeaseState::expiring}, {mine, LeaseState::owning},
+        {near, LeaseState::expiring}, {lapsed, LeaseState::lost},   {lapsed, LeaseState::lost},
         {mine, LeaseState::owning},   {wanted, LeaseState::lost},   {wanted, LeaseState::seeking},
         {none, LeaseState::idle},     {mine, LeaseState::owning},   {none, LeaseState::lost},
         {none, LeaseState::idle}};
     Lease t;
-    for (std::size_t n = 0; n < steps.size(); ++n) EXPECT_EQ(t.enter(steps[n].first), steps[n].second) << n;
+    for (std::size_t n = 0; n < steps.size(); ++n) EXPECT_EQ(t.update(steps[n].first), steps[n].second) << n;
 }
 
 TEST(Fleet, OneMembersLossMovesItsOwnDutiesAndNoOthers) {
@@ -125,7 +126,7 @@
 }
 
 // One gateway at a registry that answers at once, in steps of a tenth of a round.
-class Alone : public ::testing::Test, public RegistryPort, public AgentObserver {
+class Alone : public ::testing::Test, public AgentTransport, public AgentObserver {
 protected:
     stand_ins::TransactionLedger ledger;
     TimePoint now = TimePoint::at_seconds(1);
@@ -211,7 +212,7 @@
 
 TEST_F(Alone, ARegistryThatHasGoneBackIsRefusedUntilTheEpochHasJumped) {
     start("m", shared_config());
-    agent->accepts(DutyName{"d"}, {FencingToken{40}, MemberName{"x"}, Incarnation{1}});
+    agent->accepts_order_of(DutyName{"d"}, {FencingToken{40}, MemberName{"x"}, Incarnation{1}});
     put("duty/d", serialize(DutyRecord{FencingToken{7}, MemberName{"y"}, Incarnation{1}}));
     run(ms * 2'000);
     EXPECT_TRUE(remarked("has gone back"));
@@ -253,7 +254,7 @@
 // A duty that is not wanted any more is given up, swept after two waits, and claimed above its floor when it
 // is wanted again; a watch that lags shows it as ours, and is not heeded.
 TEST_F(Alone, WhatIsNotWantedIsGivenUpAndSweptAndItsEpochsDoNotComeAgain) {
-    const DutyName w = health_watch_duty(CacheId{"c"});
+    const DutyName w = health_check_duty(CacheId{"c"});
     start("m", shared_config());
     agent->set_duties(now, {garbage_collection_duty(), w});
     run(ms * 20'000);
@@ -279,7 +280,7 @@
         RecordMirror record_mirror;
         record_mirror.apply(ledger.all(), true);
         if (!gone && !ledger.records().contains(health_record_key(CacheId{"c"}))) gone = now;
-        if (auto write_request = sweep.next(now, record_mirror, *agent))
+        if (auto write_request = sweep.next_write(now, record_mirror, *agent))
             if (!agent->write_fenced(now, garbage_collection_duty(), collection_progress_key(),
                                      std::move(*write_request)))
                 sweep.on_written(now, WriteOutcome::refused);
@@ -324,47 +325,47 @@
 TEST_F(Watching, ItBeginsWithTheSecondMarkAndEndsWithTheLast) {
     start("m", shared_config());
     health_watch.on_ejection_changed(c, true);
-    EXPECT_TRUE(health_watch.monitored(*agent).empty());
+    EXPECT_TRUE(health_watch.update_monitored(*agent).empty());
     others_mark("x", true);
-    EXPECT_EQ(health_watch.monitored(*agent), std::set<CacheId>{c});
+    EXPECT_EQ(health_watch.update_monitored(*agent), std::set<CacheId>{c});
     health_watch.on_ejection_changed(c, false);
-    EXPECT_EQ(health_watch.monitored(*agent), std::set<CacheId>{c});
+    EXPECT_EQ(health_watch.update_monitored(*agent), std::set<CacheId>{c});
     others_mark("x", false);
-    EXPECT_TRUE(health_watch.monitored(*agent).empty());
+    EXPECT_TRUE(health_watch.update_monitored(*agent).empty());
 }
 
 TEST_F(Watching, ItsOwnerLooksAtAPaceAndWritesUnderItsEpochWhatItSaw) {
     start("m", shared_config());
     health_watch.on_ejection_changed(c, true);
-    agent->set_duties(now, {health_watch_duty(c)});
+    agent->set_duties(now, {health_check_duty(c)});
     int step = 0;
     const auto finding = [&] { return parse_health_record(ledger.records().at(health_record_key(c))); };
     run(ms * 20'000, [&] {
         others_mark("x", true);
-        health_watch.monitored(*agent);
-        health_watch.tick(now, *agent);
+        health_watch.update_monitored(*agent);
+        health_watch.run_due_checks(now, *agent);
         if (++step % 2) health_watch.on_health_check_done(now, CacheId{"unknown"}, true, *agent);
     });
-    ASSERT_TRUE(agent->may_act(now, health_watch_duty(c)));
+    ASSERT_TRUE(agent->may_act(now, health_check_duty(c)));
     for (std::size_t n = 1; n < looks.size(); ++n) EXPECT_GE(looks[n] - looks[n - 1], ms * 500);
     // Never answered.
     EXPECT_FALSE(finding()->healthy);
     EXPECT_GT(finding()->streak, 5);
-    EXPECT_EQ(finding()->token, agent->token_of(health_watch_duty(c)));
+    EXPECT_EQ(finding()->token, agent->token_of(health_check_duty(c)));
     const std::size_t before = looks.size();
     run(ms * 3'000, [&] {
         others_mark("x", true);
-        health_watch.tick(now, *agent);
+        health_watch.run_due_checks(now, *agent);
         if (looks.size() > before) health_watch.on_health_check_done(now, c, true, *agent);
     });
     EXPECT_TRUE(finding()->healthy);
     EXPECT_GE(finding()->streak, 2);
     // One that was asked for within the term, and would go out after a stop that outlasted it.
-    health_watch.tick(now + ms * 500, *agent);
+    health_watch.run_due_checks(now + ms * 500, *agent);
     EXPECT_TRUE(health_watch.may_check(now + ms * 500, c, *agent));
     EXPECT_FALSE(health_watch.may_check(now + ms * 5'000, c, *agent));
     const std::size_t told = trials.size();
-    health_watch.not_permitted(now, c, *agent);
+    health_watch.on_check_not_permitted(now, c, *agent);
     EXPECT_EQ(trials.size(), told + 1);
 }
 
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -2,10 +2,10 @@
 // program, are read back value by value, and are written again byte by byte.
 #include <nlohmann/json.hpp>
 
+#include "fleet/applied_revisions.hpp"
 #include "fleet/digest.hpp"
 #include "fleet/fence.hpp"
 #include "fleet/fleet_client.hpp"
-#include "fleet/applied_revisions.hpp"
 #include "fleet/records.hpp"
 #include "golden.hpp"
 #include "registry/snapshot.hpp"
@@ -170,19 +170,19 @@
     Digest d;
     d.owner = MemberName{"g1"};
     d.owner_id = "11.22.33.44";
-    d.as_of = 78;
-    d.as_of_ms = 1'790'000'000'123;
+    d.as_of_heartbeat = 78;
+    d.as_of_unix_ms = 1'790'000'000'123;
     d.generation = {4, "12.34"};
-    d.restart_required = d.incomplete = true;
-    d.known = 5;
-    d.live = 3;
+    d.history_lost = d.roster_incomplete = true;
+    d.known_count = 5;
+    d.live_count = 3;
     d.lowest = EventNumber{2047};
     d.highest = EventNumber{2049};
     d.lowest_configuration = ConfigurationNumber{16};
     d.absent = {{MemberName{"g4"}, 1'789'999'999'000}, {MemberName{"g5"}, 1'789'999'998'000}};
     d.absent_count = 2;
-    d.behind = {{MemberName{"g2"}, EventNumber{2047}, ConfigurationNumber{17}}};
-    d.behind_count = 1;
+    d.lagging = {{MemberName{"g2"}, EventNumber{2047}, ConfigurationNumber{17}}};
+    d.lagging_count = 1;
     d.ejected_caches = {{CacheId{"c1"}, 3}, {CacheId{"c2"}, 1}};
     return d;
 }
@@ -191,7 +191,7 @@
     Digest d;
     d.owner = MemberName{"g1"};
     d.owner_id = "11.22.33.44";
-    d.as_of = 1;
+    d.as_of_heartbeat = 1;
     return d;
 }
 
@@ -200,7 +200,7 @@
     const SiteName none, site{"north-1"};
     const MemberName g1{"g1"}, g2{"g2"};
     AppliedRevisions worn = claim;
-    worn.worn = true;
+    worn.history_lost = true;
     return {
         {path_of(shared_config_key(), none),
          serialize(SharedConfig{"north", Duration::micros(12'000'000), 0.01})},
@@ -209,7 +209,7 @@
         {path_of(heartbeat_key(g1), none), serialize(heartbeat)},
         {path_of(duty_key(DutyName{"sweep"}), none),
          serialize(DutyRecord{FencingToken{5}, g1, Incarnation{101}})},
-        {path_of(duty_key(health_watch_duty(CacheId{"c1"})), none),
+        {path_of(duty_key(health_check_duty(CacheId{"c1"})), none),
          serialize(DutyRecord{FencingToken{9}, MemberName{}, Incarnation{}})},
         {path_of(floor_key(), none), serialize_floor(FencingToken{8})},
         {path_of(release_key(DutyName{"sweep"}), none), serialize(owner)},
@@ -223,8 +223,8 @@
         {path_of(roster_key(), site), serialize(SiteRoster{{g1, g2}, false})},
         {path_of(roster_key(), SiteName{"north-2"}), serialize(SiteRoster{{g1}, true})},
         {path_of(member_key(g1), site), serialize(member)},
-        {path_of(heartbeat_key(g1), site), with_claim(serialize(heartbeat), claim)},
-        {path_of(heartbeat_key(g2), site), with_claim(serialize(heartbeat), worn)},
+        {path_of(heartbeat_key(g1), site), with_applied_revisions(serialize(heartbeat), claim)},
+        {path_of(heartbeat_key(g2), site), with_applied_revisions(serialize(heartbeat), worn)},
         {path_of(duty_key(digest_duty()), site),
          serialize(DutyRecord{FencingToken{3}, g1, Incarnation{101}})},
     };
@@ -246,7 +246,7 @@
     EXPECT_EQ(member_of(key_at("roll/member/g1")), MemberName{"g1"});
     EXPECT_EQ(heartbeat_owner(key_at("beat/g1")), MemberName{"g1"});
     EXPECT_EQ(duty_of(key_at("roll/duty/sweep")), DutyName{"sweep"});
-    EXPECT_EQ(watched_cache_of(*duty_of(key_at("roll/duty/watch/c1"))), CacheId{"c1"});
+    EXPECT_EQ(health_check_cache(*duty_of(key_at("roll/duty/watch/c1"))), CacheId{"c1"});
     EXPECT_EQ(released_duty_of(key_at("roll/aside/sweep")), DutyName{"sweep"});
     EXPECT_EQ(health_record_cache(key_at("roll/seen/c1")), CacheId{"c1"});
 }
@@ -275,12 +275,12 @@
 
 // Given: heartbeats with and without an acknowledgement. When: they are read. Then: it is as it was.
 TEST(StoredData, AcknowledgementsAreReadBack) {
-    EXPECT_EQ(read_claim(fleet_record("beat/g1")), std::nullopt);
-    EXPECT_EQ(read_claim(fleet_record("site/north-1/beat/g1")), claim);
+    EXPECT_EQ(parse_applied_revisions(fleet_record("beat/g1")), std::nullopt);
+    EXPECT_EQ(parse_applied_revisions(fleet_record("site/north-1/beat/g1")), claim);
     AppliedRevisions worn = claim;
-    worn.worn = true;
-    EXPECT_EQ(read_claim(fleet_record("site/north-1/beat/g2")), worn);
-    EXPECT_EQ(read_generation(fleet_record("generation")), claim.generation);
+    worn.history_lost = true;
+    EXPECT_EQ(parse_applied_revisions(fleet_record("site/north-1/beat/g2")), worn);
+    EXPECT_EQ(parse_generation(fleet_record("generation")), claim.generation);
 }
 
 // Given: the records of duties as files. When: they are read. Then: each value is as it was.
@@ -304,14 +304,14 @@
     const auto progress = parse_collection_progress(fleet_record("roll/swept"));
     ASSERT_TRUE(progress);
     EXPECT_EQ(progress->token, FencingToken{5});
-    EXPECT_EQ(progress->by, owner);
+    EXPECT_EQ(progress->owner, owner);
     EXPECT_EQ(progress->pass, 12);
     EXPECT_EQ(progress->removed_records, 34);
     EXPECT_EQ(progress->last_key, "duty/watch/c1");
     const auto probed = parse_health_record(fleet_record("roll/seen/c1"));
     ASSERT_TRUE(probed);
     EXPECT_EQ(probed->token, FencingToken{9});
-    EXPECT_EQ(probed->by, owner);
+    EXPECT_EQ(probed->owner, owner);
     EXPECT_TRUE(probed->healthy);
     EXPECT_EQ(probed->streak, 6);
 }
@@ -319,28 +319,30 @@
 // Given: digests and rosters of two sites as files. When: they are read. Then: each value is as it was.
 TEST(StoredData, DigestsAndRostersAreReadBack) {
     const Digest is = digest_to_write();
-    const auto d = read_digest(fleet_record("digest/north-1"));
+    const auto d = parse_digest(fleet_record("digest/north-1"));
     ASSERT_TRUE(d);
     EXPECT_EQ(d->owner, is.owner);
     EXPECT_EQ(d->owner_id, is.owner_id);
-    EXPECT_EQ(std::pair(d->as_of, d->as_of_ms), std::pair(is.as_of, is.as_of_ms));
+    EXPECT_EQ(std::pair(d->as_of_heartbeat, d->as_of_unix_ms),
+              std::pair(is.as_of_heartbeat, is.as_of_unix_ms));
     EXPECT_EQ(d->generation, is.generation);
-    EXPECT_TRUE(d->restart_required && d->incomplete);
-    EXPECT_EQ(std::pair(d->known, d->live), std::pair(is.known, is.live));
+    EXPECT_TRUE(d->history_lost && d->roster_incomplete);
+    EXPECT_EQ(std::pair(d->known_count, d->live_count), std::pair(is.known_count, is.live_count));
     EXPECT_EQ(std::pair(d->lowest, d->highest), std::pair(is.lowest, is.highest));
     EXPECT_EQ(d->lowest_configuration, is.lowest_configuration);
     EXPECT_EQ(d->absent, is.absent);
-    EXPECT_EQ(d->behind, is.behind);
-    EXPECT_EQ(std::pair(d->absent_count, d->behind_count), std::pair(is.absent_count, is.behind_count));
+    EXPECT_EQ(d->lagging, is.lagging);
+    EXPECT_EQ(std::pair(d->absent_count, d->lagging_count), std::pair(is.absent_count, is.lagging_count));
     EXPECT_EQ(d->ejected_caches, is.ejected_caches);
-    const auto plain = read_digest(fleet_record("digest/north-2"));
+    const auto plain = parse_digest(fleet_record("digest/north-2"));
     ASSERT_TRUE(plain);
-    EXPECT_EQ(plain->as_of, 1);
-    EXPECT_FALSE(plain->restart_required || plain->incomplete);
-    EXPECT_TRUE(plain->absent.empty() && plain->behind.empty() && plain->ejected_caches.empty());
-    EXPECT_EQ(read_roster(fleet_record("site/north-1/roll/roster")),
+    EXPECT_EQ(plain->as_of_heartbeat, 1);
+    EXPECT_FALSE(plain->history_lost || plain->roster_incomplete);
+    EXPECT_TRUE(plain->absent.empty() && plain->lagging.empty() && plain->ejected_caches.empty());
+    EXPECT_EQ(parse_site_roster(fleet_record("site/north-1/roll/roster")),
               (SiteRoster{{MemberName{"g1"}, MemberName{"g2"}}, false}));
-    EXPECT_EQ(read_roster(fleet_record("site/north-2/roll/roster")), (SiteRoster{{MemberName{"g1"}}, true}));
+    EXPECT_EQ(parse_site_roster(fleet_record("site/north-2/roll/roster")),
+              (SiteRoster{{MemberName{"g1"}}, true}));
 }
 
 // --- records of endpoints in the registry
