--- /dev/null
+++ b/src/gateway/request_admission.cpp
@@ -0,0 +1,48 @@
+#include "gateway/request_admission.hpp"
+
+#include <algorithm>
+
+namespace irismux {
+
+Duration longest_deadline(const Deployment& deployment) {
+    Duration longest;
+    for (const ObjectKind& kind : deployment.kinds) longest = std::max(longest, kind.deadline);
+    return longest;
+}
+
+RequestAdmission::RequestAdmission(const Deployment& deployment)
+    : longest_deadline_(longest_deadline(deployment)) {
+    for (const ObjectKind& kind : deployment.kinds) effects_.push_back(kind.effect);
+}
+
+bool RequestAdmission::has_effect(ObjectKindIndex kind) const {
+    return effects_[kind.raw()] == Effect::non_idempotent;
+}
+
+// A connection has one open request for each client id; on other connections the id is free. The same request
+// again is refused while the first is open, and one with an effect for the longest deadline after its own.
+RequestHandler::Admission RequestAdmission::admit(const ClientStream& stream,
+                                                  const ClientRequest& client_request, TimePoint now) {
+    const std::pair open_id{stream.connection, client_request.client_request_id};
+    if (open_client_request_ids_.contains(open_id)) return RequestHandler::Admission::id_in_use;
+    const Request& request = client_request.request;
+    const RequestFingerprint fingerprint{client_request.client_request_id, client_request.kind_name,
+                                         request.object.raw(), client_request.object_part,
+                                         client_request.body};
+    const Duration remembered_after_deadline = has_effect(request.kind) ? longest_deadline_ : Duration{};
+    if (!duplicate_filter_.accept(fingerprint, request.id, request.deadline + remembered_after_deadline, now))
+        return RequestHandler::Admission::duplicate;
+    open_client_request_ids_[open_id] = request.id;
+    return RequestHandler::Admission::accepted;
+}
+
+void RequestAdmission::release(const ActiveRequest& request, bool without_effect) {
+    const auto open =
+        open_client_request_ids_.find({request.client_stream().connection, request.client_request_id()});
+    if (open != open_client_request_ids_.end() && open->second == request.id())
+        open_client_request_ids_.erase(open);
+    if (without_effect || !has_effect(request.client_request().request.kind))
+        duplicate_filter_.forget_request(request.id());
+}
+
+}  // namespace irismux
--- /dev/null
+++ b/src/gateway/request_dispatcher.cpp
@@ -0,0 +1,298 @@
+#include "gateway/request_dispatcher.hpp"
+
+#include <algorithm>
+
+#include "gateway/request_log.hpp"
+
+namespace irismux {
+namespace {
+
+// Marks the time of a call of the router, also of one that throws.
+class RouterCallScope {
+public:
+    explicit RouterCallScope(bool& in_call) : in_call_(in_call), was_in_call_(std::exchange(in_call, true)) {}
+    ~RouterCallScope() { in_call_ = was_in_call_; }
+    RouterCallScope(const RouterCallScope&) = delete;
+    RouterCallScope& operator=(const RouterCallScope&) = delete;
+
+private:
+    bool& in_call_;
+    bool was_in_call_;
+};
+
+}  // namespace
+
+RequestDispatcher::RequestDispatcher(EventLoop& loop, FastCgiServer& server,
+                                     CacheConnectionPool& cache_connections,
+                                     EndpointHealthObserver& health_observer, const Deployment& deployment,
+                                     std::uint64_t seed)
+    : event_loop_(loop),
+      server_(server),
+      cache_connections_(cache_connections),
+      health_observer_(health_observer),
+      max_pending_requests_(static_cast<std::size_t>(deployment.max_pending_requests)),
+      admission_(deployment),
+      router_(*this, deployment, seed, loop.now()) {}
+
+template <class Event, class... Arguments>
+void RequestDispatcher::call_router(TimePoint now, Event event, const Arguments&... arguments) {
+    const RouterCallScope scope(in_router_call_);
+    (router_.*event)(now, arguments...);
+}
+
+RequestDispatcher::PendingRequest* RequestDispatcher::find(const RequestId& id) {
+    const auto it = pending_requests_.find(id);
+    return it == pending_requests_.end() ? nullptr : &it->second;
+}
+
+// --- requests: admission, the client, the deadline ---------------------------------------------------------
+
+RequestHandler::Admission RequestDispatcher::on_client_request(const ClientStream& stream,
+                                                               ClientRequest client_request) {
+    const RequestId id{++last_request_};
+    client_request.request.id = id;
+    const Admission admission = admission_.admit(stream, client_request, event_loop_.now());
+    if (admission != Admission::accepted) return admission;
+    request_log::admitted(stream, client_request);
+    const Request request = client_request.request;
+    PendingRequest& pending = pending_requests_[id];
+    pending.active = std::make_shared<ActiveRequest>(server_, stream, std::move(client_request));
+    by_client_stream_[stream] = id;
+    if (max_pending_requests_ > 0 && pending_requests_.size() > max_pending_requests_) {
+        reject(id, Duration{});
+    } else {
+        pending.deadline_timer = event_loop_.schedule_at(request.deadline, [this, id] { on_deadline(id); });
+        if (drain_deadline_) shorten_deadline(id, pending, *drain_deadline_);
+        call_router(event_loop_.now(), &Router::on_request, request);
+    }
+    erase_if_finished(id);
+    return Admission::accepted;
+}
+
+// What is in flight goes on: the router decides whether to cancel it, and its result shows the cache's state.
+// An attempt that waits for a connection, or is to be moved to another one, is taken back and does not begin.
+void RequestDispatcher::on_client_closed(const ClientStream& stream) {
+    const auto it = by_client_stream_.find(stream);
+    if (it == by_client_stream_.end()) return;
+    const RequestId id = it->second;
+    ActiveRequest& request = *pending_requests_.at(id).active;
+    request_log::client_closed(request, event_loop_.now());
+    request.on_client_closed();
+    release(request, false);
+    call_router(event_loop_.now(), &Router::on_client_closed, id);
+    cache_connections_.withdraw_unstarted_attempts(request);
+    for (std::size_t n = 0; n < request.attempt_count(); ++n)
+        if (request.attempt(n).progress == TransmitProgress::not_connected)
+            end_attempt(request, n, {.outcome = Outcome::cancelled});
+    erase_if_finished(id);
+}
+
+void RequestDispatcher::on_deadline(const RequestId& id) {
+    PendingRequest* const pending = find(id);
+    if (!pending) return;
+    ActiveRequest& request = *pending->active;
+    // The router gets the results of attempts before it learns that the deadline has passed.
+    if (request.has_unreported_result()) {
+        event_loop_.schedule_now([this, id] { on_deadline(id); });
+        return;
+    }
+    end_all_attempts(request, Outcome::deadline_exceeded);
+    // Failure: the router waits for something and the client gets no response. It shows as a request without
+    // response at its deadline; here every request that has none is failed.
+    if (request.fail()) {
+        release(request, false);
+        request_log::unanswered_at_deadline(request);
+        call_router(event_loop_.now(), &Router::on_client_closed, id);
+    }
+    erase_if_finished(id);
+}
+
+void RequestDispatcher::begin_drain(TimePoint deadline) {
+    drain_deadline_ = deadline;
+    call_router(event_loop_.now(), &Router::on_drain, deadline);
+    for (auto& [id, pending] : pending_requests_) shorten_deadline(id, pending, deadline);
+}
+
+void RequestDispatcher::shorten_deadline(const RequestId& id, PendingRequest& pending, TimePoint deadline) {
+    if (deadline >= pending.active->deadline()) return;
+    pending.active->shorten_deadline(deadline);
+    event_loop_.cancel(pending.deadline_timer);
+    pending.deadline_timer = event_loop_.schedule_at(deadline, [this, id] { on_deadline(id); });
+}
+
+bool RequestDispatcher::has_unanswered_request() const {
+    return std::any_of(pending_requests_.begin(), pending_requests_.end(),
+                       [](const auto& entry) { return !entry.second.active->answered(); });
+}
+
+void RequestDispatcher::release(const ActiveRequest& request, bool without_effect) {
+    request_log::answered(request);
+    admission_.release(request, without_effect);
+}
+
+void RequestDispatcher::erase_if_finished(const RequestId& id) {
+    const auto it = pending_requests_.find(id);
+    if (it == pending_requests_.end() || !it->second.active->finished()) return;
+    event_loop_.cancel(it->second.deadline_timer);
+    by_client_stream_.erase(it->second.active->client_stream());
+    pending_requests_.erase(it);
+}
+
+// --- attempts ----------------------------------------------------------------------------------------------
+
+void RequestDispatcher::begin_attempt(const RequestId& id, Attempt attempt) {
+    PendingRequest* const pending = find(id);
+    if (!pending) return;
+    ActiveRequest& request = *pending->active;
+    const Duration timeout = attempt.plan ? attempt.plan->timeout : Duration{};
+    const std::size_t n = request.add_attempt(std::move(attempt));
+    request_log::attempt_started(id, n);
+    const TimePoint times_out_at = event_loop_.now() + timeout;
+    if (timeout > Duration{} && times_out_at < request.deadline())
+        pending->attempt_timers[n] =
+            event_loop_.schedule_at(times_out_at, [this, id, n] { on_attempt_timeout(id, n); });
+    cache_connections_.start_attempt(request, n);
+}
+
+bool RequestDispatcher::may_begin_attempt(ActiveRequest& request, std::size_t attempt) {
+    return !request.answered() &&
+           router_.may_begin_attempt(event_loop_.now(), request.id(), AttemptIndex{attempt});
+}
+
+void RequestDispatcher::on_attempt_timeout(const RequestId& id, std::size_t attempt) {
+    PendingRequest* const pending = find(id);
+    if (!pending) return;
+    ActiveRequest& request = *pending->active;
+    pending->attempt_timers.erase(attempt);
+    cache_connections_.cancel_attempt(request, attempt);
+    on_attempt_ended(request, attempt, {.outcome = Outcome::deadline_exceeded});
+}
+
+void RequestDispatcher::cancel_attempt_timer(const RequestId& id, std::size_t attempt) {
+    PendingRequest* const pending = find(id);
+    if (!pending) return;
+    const auto timer = pending->attempt_timers.find(attempt);
+    if (timer == pending->attempt_timers.end()) return;
+    event_loop_.cancel(timer->second);
+    pending->attempt_timers.erase(timer);
+}
+
+void RequestDispatcher::on_attempt_ended(ActiveRequest& request, std::size_t attempt, const AttemptEnd& end) {
+    const RequestId id = request.id();
+    end_attempt(request, attempt, end);
+    erase_if_finished(id);
+}
+
+// Only clients that use an id again shortly after, or several at once, meet this. A first attempt has not
+// run, so the request is rejected without effect.
+void RequestDispatcher::on_request_id_in_use(ActiveRequest& request, std::size_t attempt) {
+    request_log::id_in_use_at_cache(request, attempt);
+    if (attempt > 0) return on_attempt_ended(request, attempt, {.outcome = Outcome::overloaded});
+    if (request.reject(Duration{})) release(request, true);
+    on_attempt_ended(request, attempt, {.outcome = Outcome::cancelled});
+}
+
+void RequestDispatcher::end_attempt(ActiveRequest& request, std::size_t n, const AttemptEnd& end) {
+    Attempt& attempt = request.attempt(n);
+    if (attempt.ended) return;
+    attempt.ended = true;
+    cancel_attempt_timer(request.id(), n);
+    if (end.outcome == Outcome::completed && request.respond(end)) release(request, false);
+    const AttemptResult result{request.id(),  AttemptIndex{n},   attempt.cache,
+                               end.outcome,   end.cache_status,  event_loop_.now() - attempt.decided_at,
+                               end.fill_wait, request.answered()};
+    request_log::attempt_ended(request, result);
+    if (!in_router_call_) return report_to_router(result);
+    // The router must not be called from within its own calls.
+    event_loop_.schedule_now([this, result] {
+        report_to_router(result);
+        erase_if_finished(result.request);
+    });
+}
+
+void RequestDispatcher::end_all_attempts(ActiveRequest& request, Outcome outcome) {
+    for (std::size_t n = 0; n < request.attempt_count(); ++n) {
+        if (request.attempt(n).ended) continue;
+        cache_connections_.cancel_attempt(request, n);
+        end_attempt(request, n, {.outcome = outcome});
+    }
+}
+
+void RequestDispatcher::report_to_router(const AttemptResult& result) {
+    PendingRequest* const pending = find(result.request);
+    if (!pending) return;
+    pending->active->attempt(result.attempt.raw()).router_notified = true;
+    AttemptResult reported = result;
+    reported.request_finished = pending->active->answered();
+    call_router(event_loop_.now(), &Router::on_attempt_result, reported);
+}
+
+void RequestDispatcher::on_health_check_result(const HealthCheckResult& result) {
+    health_observer_.on_health_check_done(result.cache, result.outcome == Outcome::completed);
+}
+
+// --- what the router decides -------------------------------------------------------------------------------
+
+void RequestDispatcher::start_direct_attempt(const RequestId& id, const CacheId& origin, Duration timeout) {
+    AttemptPlan plan;
+    plan.cache = origin;
+    plan.source = origin;
+    plan.timeout = timeout;
+    start_attempt(id, plan);
+}
+
+void RequestDispatcher::start_attempt(const RequestId& id, const AttemptPlan& plan) {
+    begin_attempt(id, {.cache = plan.cache, .plan = plan, .decided_at = event_loop_.now()});
+}
+
+void RequestDispatcher::cancel_attempt(const RequestId& id, AttemptIndex attempt) {
+    PendingRequest* const pending = find(id);
+    if (!pending || attempt.raw() >= pending->active->attempt_count()) return;
+    ActiveRequest& request = *pending->active;
+    if (request.attempt(attempt.raw()).ended) return;
+    cache_connections_.cancel_attempt(request, attempt.raw());
+    end_attempt(request, attempt.raw(), {.outcome = Outcome::cancelled});
+}
+
+void RequestDispatcher::reject(const RequestId& id, Duration retry_after) {
+    PendingRequest* const pending = find(id);
+    if (!pending) return;
+    request_log::rejected(*pending->active, retry_after);
+    if (pending->active->reject(retry_after)) release(*pending->active, true);
+}
+
+void RequestDispatcher::fail(const RequestId& id) {
+    PendingRequest* const pending = find(id);
+    if (!pending) return;
+    request_log::failed(*pending->active);
+    if (pending->active->fail()) release(*pending->active, false);
+}
+
+void RequestDispatcher::set_timer(TimerId timer, TimePoint due) {
+    event_loop_.schedule_at(due, [this, timer] { call_router(event_loop_.now(), &Router::on_timer, timer); });
+}
+
+void RequestDispatcher::on_ejection_changed(const CacheId& cache, bool ejected) {
+    health_observer_.on_ejection_changed(cache, ejected);
+}
+
+// --- what the router is told by other parts ----------------------------------------------------------------
+
+void RequestDispatcher::on_endpoint_updates(const std::vector<EndpointUpdate>& updates, bool complete) {
+    call_router(event_loop_.now(), &Router::on_endpoint_updates, updates, complete);
+}
+
+void RequestDispatcher::on_endpoint_updates_lost(TimePoint now) {
+    call_router(now, &Router::on_endpoint_updates_lost);
+}
+
+void RequestDispatcher::on_purge(TimePoint now, Duration age, PurgeGroupId group,
+                                 const std::optional<ObjectName>& object) {
+    call_router(now, &Router::on_purge, age, group, object);
+}
+
+void RequestDispatcher::postpone_recovery_probe(const CacheId& cache, TimePoint not_before) {
+    call_router(event_loop_.now(), &Router::postpone_recovery_probe, cache, not_before);
+}
+
+}  // namespace irismux
--- /dev/null
+++ b/src/gateway/request_dispatcher.hpp
@@ -0,0 +1,108 @@
+// Takes each client request to the router and carries out what the router decides: attempts, their timeouts,
+// the deadline and the final response. All calls of the router are made here.
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <memory>
+#include <optional>
+#include <utility>
+#include <vector>
+
+#include "gateway/request_admission.hpp"
+#include "irismux/router.hpp"
+#include "net/cache_connection_pool.hpp"
+#include "net/event_loop.hpp"
+#include "net/fastcgi_server.hpp"
+#include "request/active_request.hpp"
+
+namespace irismux {
+
+/// Receives what the dispatcher learns of the health of caches.
+class EndpointHealthObserver {
+public:
+    virtual ~EndpointHealthObserver() = default;
+    /// The router has ejected the endpoint, or readmitted it.
+    virtual void on_ejection_changed(const CacheId& cache, bool ejected) = 0;
+    /// A health check that the pool was given has ended.
+    virtual void on_health_check_done(const CacheId& cache, bool passed) = 0;
+};
+
+class RequestDispatcher final : public RequestHandler, public AttemptObserver, private RouterCallbacks {
+public:
+    /// All references must outlive the dispatcher. The server and the pool are not used before the first
+    /// request, so that they may be built after it.
+    RequestDispatcher(EventLoop& loop, FastCgiServer& server, CacheConnectionPool& cache_connections,
+                      EndpointHealthObserver& health_observer, const Deployment& deployment,
+                      std::uint64_t seed);
+
+    // What the router is told by the other parts of the gateway.
+    void on_endpoint_updates(const std::vector<EndpointUpdate>& updates, bool complete);
+    void on_endpoint_updates_lost(TimePoint now);
+    void on_purge(TimePoint now, Duration age, PurgeGroupId group, const std::optional<ObjectName>& object);
+    void postpone_recovery_probe(const CacheId& cache, TimePoint not_before);
+
+    /// From now on every request, also one that comes later, is answered by `deadline`.
+    void begin_drain(TimePoint deadline);
+    [[nodiscard]] std::size_t pending_request_count() const { return pending_requests_.size(); }
+    /// Whether a client still waits for its final response. Attempts may outlive it.
+    [[nodiscard]] bool has_unanswered_request() const;
+
+    // RequestHandler
+    Admission on_client_request(const ClientStream& stream, ClientRequest client_request) override;
+    void on_client_closed(const ClientStream& stream) override;
+    // AttemptObserver
+    void on_attempt_ended(ActiveRequest& request, std::size_t attempt, const AttemptEnd& end) override;
+    void on_request_id_in_use(ActiveRequest& request, std::size_t attempt) override;
+    void on_health_check_result(const HealthCheckResult& result) override;
+    bool may_begin_attempt(ActiveRequest& request, std::size_t attempt) override;
+
+private:
+    // RouterCallbacks
+    void start_direct_attempt(const RequestId& id, const CacheId& origin, Duration timeout) override;
+    void start_attempt(const RequestId& id, const AttemptPlan& plan) override;
+    void cancel_attempt(const RequestId& id, AttemptIndex attempt) override;
+    void reject(const RequestId& id, Duration retry_after) override;
+    void fail(const RequestId& id) override;
+    void set_timer(TimerId timer, TimePoint due) override;
+    void subscribe_to_endpoints() override {}  // updates come from the start
+    void on_ejection_changed(const CacheId& cache, bool ejected) override;
+
+    struct PendingRequest {
+        std::shared_ptr<ActiveRequest> active;  // shared with the connections that carry its attempts
+        EventLoop::Timer deadline_timer;
+        std::map<std::size_t, EventLoop::Timer> attempt_timers;  // by attempt, of those in flight
+    };
+    // Null if the request is over.
+    PendingRequest* find(const RequestId& id);
+
+    template <class Event, class... Arguments>
+    void call_router(TimePoint now, Event event, const Arguments&... arguments);
+
+    void begin_attempt(const RequestId& id, Attempt attempt);
+    void on_attempt_timeout(const RequestId& id, std::size_t attempt);
+    void cancel_attempt_timer(const RequestId& id, std::size_t attempt);
+    // Leaves the request in place, for callers that go on with it.
+    void end_attempt(ActiveRequest& request, std::size_t attempt, const AttemptEnd& end);
+    void end_all_attempts(ActiveRequest& request, Outcome outcome);
+    void report_to_router(const AttemptResult& result);
+    void on_deadline(const RequestId& id);
+    void shorten_deadline(const RequestId& id, PendingRequest& pending, TimePoint deadline);
+    void release(const ActiveRequest& request, bool without_effect);
+    void erase_if_finished(const RequestId& id);
+
+    EventLoop& event_loop_;
+    FastCgiServer& server_;
+    CacheConnectionPool& cache_connections_;
+    EndpointHealthObserver& health_observer_;
+    std::size_t max_pending_requests_;  // 0: no limit
+    RequestAdmission admission_;
+    Router router_;
+    bool in_router_call_ = false;
+    std::uint64_t last_request_ = 0;
+    std::map<RequestId, PendingRequest> pending_requests_;
+    std::map<ClientStream, RequestId> by_client_stream_;
+    std::optional<TimePoint> drain_deadline_;
+};
+
+}  // namespace irismux
--- /dev/null
+++ b/src/gateway/resource_limits.cpp
@@ -0,0 +1,44 @@
+#include "gateway/resource_limits.hpp"
+
+#include <algorithm>
+
+namespace irismux {
+namespace {
+
+// Clients that keep to the protocol hold a third of the descriptors; half leaves room for half as many again.
+constexpr std::size_t client_descriptor_divisor = 2;
+// At most this part of the memory for requests of clients, and as much for responses not read yet.
+constexpr std::size_t request_memory_divisor = 5;
+// For the listener, the notice board, the log, the poll set and the libraries.
+constexpr std::size_t internal_descriptors = 24;
+
+std::size_t client_descriptors(const Configuration& configuration) {
+    return configuration.descriptors / client_descriptor_divisor;
+}
+
+}  // namespace
+
+FastCgiServerLimits client_limits(const Configuration& configuration) {
+    return {client_descriptors(configuration), configuration.memory / request_memory_divisor,
+            configuration.settings.deployment.connections.connect_timeout};
+}
+
+CacheConnectionLimits cache_limits(const Configuration& configuration) {
+    const Deployment& deployment = configuration.settings.deployment;
+    const ConnectionSettings& connections = deployment.connections;
+    const std::size_t reserved = client_descriptors(configuration) + internal_descriptors;
+    const std::size_t available =
+        configuration.descriptors > reserved ? configuration.descriptors - reserved : 1;
+    // A cache closes idle connections after the same time: the gateway must be first, or an attempt could be
+    // written to a connection that is being closed.
+    const Duration idle_timeout =
+        std::max(connections.idle_timeout - connections.connect_timeout, connections.connect_timeout);
+    return {available,
+            static_cast<std::size_t>(connections.max_streams),
+            connections.connect_timeout,
+            idle_timeout,
+            deployment.timer_resolution,
+            connections.connect_timeout};
+}
+
+}  // namespace irismux
--- a/src/request/active_request.hpp
+++ b/src/request/active_request.hpp
@@ -79,6 +79,7 @@
     TimePoint deadline() const { return client_request_.request.deadline; }
 
     Attempt& attempt(std::size_t n) { return attempts_[n]; }
+    const Attempt& attempt(std::size_t n) const { return attempts_[n]; }
     std::size_t attempt_count() const { return attempts_.size(); }
     std::size_t add_attempt(Attempt send);
     // Whether one of its sends has been given to that connection.
--- a/tests/client_gone_test.cpp
+++ b/tests/client_gone_test.cpp
@@ -27,7 +27,7 @@
     one->send(1, {.id = id_of(1)});
     ASSERT_TRUE(solo.until([&] { return solo.pending_connections(*solo.caches[0]) == 1; }));
     leave(*one, 1);
-    ASSERT_TRUE(solo.until([&] { return solo.logged("client_left lookup=" + id_of(1)); }));
+    ASSERT_TRUE(solo.until([&] { return solo.logged("client_closed client_request_id=" + id_of(1)); }));
     solo.caches[0]->resume_accepting();
     // Every connection that the gateway has begun to that cache comes up, then one more lookup passes.
     ASSERT_TRUE(solo.until([&] { return solo.pending_connections(*solo.caches[0]) == 0; }));
@@ -48,7 +48,7 @@
     cache.received[0].wire->reset();
     ASSERT_TRUE(solo.until([&] { return solo.pending_connections(cache) == 1; }));
     leave(*one, 1);
-    ASSERT_TRUE(solo.until([&] { return solo.logged("client_left lookup=" + id_of(1)); }));
+    ASSERT_TRUE(solo.until([&] { return solo.logged("client_closed client_request_id=" + id_of(1)); }));
     cache.resume_accepting();
     ASSERT_TRUE(solo.until([&] { return solo.pending_connections(cache) == 0; }));
     other->send(1, {.id = id_of(2)});
@@ -75,10 +75,10 @@
     ASSERT_TRUE(
         solo.until([&] { return solo.logged("request=" + std::to_string(1 + large) + " bytes=240000"); }));
     leave(*one, 1);
-    ASSERT_TRUE(
-        solo.until([&] { return solo.logged("client_left lookup=" + id_of(1)); }, Duration::seconds(2)));
+    ASSERT_TRUE(solo.until([&] { return solo.logged("client_closed client_request_id=" + id_of(1)); },
+                           Duration::seconds(2)));
     cache.received[0].wire->reset();
-    ASSERT_TRUE(solo.until([&] { return solo.logged("send_ended lookup=" + id_of(1)); }));
+    ASSERT_TRUE(solo.until([&] { return solo.logged("attempt_ended client_request_id=" + id_of(1)); }));
     const auto other = solo.connect_client();
     other->send(1, {.id = id_of(99)});
     ASSERT_TRUE(solo.until([&] { return solo.attempts_received(id_of(99)) == 1; }));
--- a/tests/event_order_test.cpp
+++ b/tests/event_order_test.cpp
@@ -73,7 +73,7 @@
     const TimePoint first = cache.received[0].at;
     cache.hold_connections();
     cache.received[0].wire->reset();
-    ASSERT_TRUE(solo.until([&] { return solo.logged("send_ended lookup=" + id_of(1)); }));
+    ASSERT_TRUE(solo.until([&] { return solo.logged("attempt_ended client_request_id=" + id_of(1)); }));
     ASSERT_TRUE(solo.until([&] { return solo.loop.now() > first + Duration::seconds(0.5); }));
     cache.resume_accepting();
     ASSERT_TRUE(solo.until([&] { return a->has_response(1); }));
@@ -117,7 +117,7 @@
     home.wires[0]->close();
     ASSERT_TRUE(solo.until([&] { return a->has_response(1); }));
     a->send(2, {.id = id_of(2)});
-    ASSERT_TRUE(solo.until([&] { return solo.logged("taken lookup=" + id_of(2)); }));
+    ASSERT_TRUE(solo.until([&] { return solo.logged("request_admitted client_request_id=" + id_of(2)); }));
     solo.notice_board->post(
         {{"pool",
           {{"version", 2},
--- a/tests/fatal_signal_test.cpp
+++ b/tests/fatal_signal_test.cpp
@@ -17,8 +17,8 @@
     ASSERT_TRUE(solo.until([&] { return !solo.process->running(); }));
     EXPECT_FALSE(solo.process->left());
     EXPECT_TRUE(solo.logged("fatal: signal " + std::to_string(GetParam()))) << solo.log_tail();
-    EXPECT_TRUE(solo.logged("us before: taken 1 1")) << solo.log_tail();
-    EXPECT_TRUE(solo.logged("us before: answered 1 1")) << solo.log_tail();
+    EXPECT_TRUE(solo.logged("us before: request_admitted 1 1")) << solo.log_tail();
+    EXPECT_TRUE(solo.logged("us before: request_answered 1 1")) << solo.log_tail();
 }
 
 INSTANTIATE_TEST_SUITE_P(Signals, FatalSignal, ::testing::Values(SIGSEGV, SIGABRT, SIGBUS));
--- a/tests/repeated_id_test.cpp
+++ b/tests/repeated_id_test.cpp
@@ -231,7 +231,7 @@
     n.one->send(1, question);
     ASSERT_TRUE(n.pulled(1));
     n.one->close();
-    ASSERT_TRUE(n.solo.until([&] { return n.solo.logged("client_left lookup=" + id_of(7)); }));
+    ASSERT_TRUE(n.solo.until([&] { return n.solo.logged("client_closed client_request_id=" + id_of(7)); }));
     n.other->send(1, question);
     ASSERT_TRUE(n.pulled(2));
     n.answer(1);
