--- a/bench/data_path_load.cpp
+++ b/bench/data_path_load.cpp
@@ -191,7 +191,7 @@
     for (int n = 0; n < most_looks && process_->running(); ++n) {
         std::ifstream log(folder_ + "/log");
         for (std::string line; std::getline(log, line);)
-            if (line.find("serves on") != std::string::npos) return;
+            if (line.find("listening gateway=") != std::string::npos) return;
         std::this_thread::sleep_for(std::chrono::milliseconds(10));
     }
     throw std::runtime_error("the gateway does not serve");
--- a/bench/fleet_owner.cpp
+++ b/bench/fleet_owner.cpp
@@ -236,7 +236,8 @@
             else
                 g.process = std::make_unique<stand_ins::Process>(
                     stand_ins::Process::Start{{program}, {"NODE_CONFIG=" + g.configuration}, "", g.log});
-            a.until([&] { return a.logged(0, "serves on") && (!on || a.all_joined()); }, ms * 30'000);
+            a.until([&] { return a.logged(0, "listening gateway=") && (!on || a.all_joined()); },
+                    ms * 30'000);
             const pid_t id = g.process->id();
             const double idle = processor_seconds(id);
             a.pass(ms * 5'000);
--- /dev/null
+++ b/src/gateway/listener_start.cpp
@@ -0,0 +1,62 @@
+#include "gateway/listener_start.hpp"
+
+#include <Poco/Net/SocketAddress.h>
+
+#include <utility>
+
+#include "base/log.hpp"
+
+namespace irismux {
+namespace {
+
+// The platform expects a gateway to be ready 10 s after its start.
+constexpr Duration max_start_time = Duration::micros(8'000'000);
+constexpr Duration retry_interval = Duration::micros(50'000);
+
+}  // namespace
+
+ListenerStart::ListenerStart(EventLoop& loop, FastCgiServer& server, const FleetParticipation& fleet,
+                             std::string gateway_name, std::string address)
+    : event_loop_(loop),
+      server_(server),
+      fleet_(fleet),
+      gateway_name_(std::move(gateway_name)),
+      address_(std::move(address)) {}
+
+ListenerStart::~ListenerStart() { event_loop_.cancel(retry_timer_); }
+
+void ListenerStart::start() {
+    give_up_at_ = event_loop_.now() + max_start_time;
+    try_now();
+}
+
+void ListenerStart::try_now() {
+    event_loop_.cancel(retry_timer_);
+    if (server_.listening() || given_up_) return;
+    if (!fleet_.may_serve()) return try_at(fleet_.may_serve_from());
+    if (const auto reason = server_.listen(Poco::Net::SocketAddress(address_)))
+        return on_listen_failed(*reason);
+    log::event(log::Level::info, "listening", {{"gateway", gateway_name_}, {"address", address_}});
+}
+
+void ListenerStart::try_at(TimePoint due) {
+    retry_timer_ = event_loop_.schedule_at(due, [this] { try_now(); });
+}
+
+// The process before this one may still hold the address, or descriptors may be short for a moment.
+void ListenerStart::on_listen_failed(const std::string& reason) {
+    const TimePoint now = event_loop_.now();
+    if (now >= give_up_at_) {
+        failure_ = ListenFailure{address_, reason};
+        event_loop_.stop();
+        return;
+    }
+    if (!failure_logged_)
+        log::event(log::Level::warning, "listen_failed", {{"reason", reason}, {"address", address_}});
+    failure_logged_ = true;
+    try_at(now + retry_interval);
+}
+
+void ListenerStart::give_up() { given_up_ = true; }
+
+}  // namespace irismux
--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -194,7 +194,7 @@
         host.serve();
         look_for_signals(*loop, host, files, signals);
         loop->run();
-        if (host.start_failure()) return wrong(*host.start_failure());
+        if (host.start_failure()) return wrong(host.start_failure()->text());
     } catch (const Poco::Exception& e) {
         return wrong(e.displayText());
     } catch (const std::exception& e) {
--- /dev/null
+++ b/src/gateway/stored_endpoint_list.cpp
@@ -0,0 +1,76 @@
+#include "gateway/stored_endpoint_list.hpp"
+
+#include <utility>
+#include <variant>
+
+#include "base/log.hpp"
+
+namespace irismux {
+namespace {
+
+constexpr Duration write_interval = Duration::micros(2'000'000);
+// An unchanged list is written again after this share of the age up to which it may be read.
+constexpr double rewrite_after_share_of_max_age = 0.25;
+// Address space of the store's file; only what is used takes memory or disk.
+constexpr std::size_t max_store_bytes = 64 << 20;
+// The list's name in the store. Other versions of the program use it too.
+constexpr const char* stored_name = "registry list";
+
+}  // namespace
+
+StoredEndpointList::StoredEndpointList(EventLoop& loop, const registry::Settings& settings,
+                                       const LocationId& location, const registry::Watch& watch)
+    : event_loop_(loop),
+      watch_(watch),
+      owner_(location.raw() + ' ' + settings.prefix),
+      max_age_(settings.snapshot_max_age) {
+    if (settings.snapshot_folder.empty()) return;
+    auto opened = Store::open(settings.snapshot_folder, max_store_bytes);
+    if (const auto* reason = std::get_if<std::string>(&opened)) {
+        log::event(log::Level::warning, "registry_store_unavailable", {{"reason", *reason}});
+        return;
+    }
+    store_ = std::move(std::get<Store>(opened));
+    schedule_write();
+}
+
+StoredEndpointList::~StoredEndpointList() { event_loop_.cancel(write_timer_); }
+
+std::optional<registry::Snapshot> StoredEndpointList::read() const {
+    if (!store_) return std::nullopt;
+    const auto bytes = store_->read(stored_name);
+    if (!bytes) return std::nullopt;
+    auto snapshot = registry::parse_snapshot(*bytes, owner_, event_loop_.now(), max_age_);
+    if (const auto* reason = std::get_if<std::string>(&snapshot)) {
+        log::event(log::Level::warning, "registry_snapshot_rejected", {{"reason", *reason}});
+        return std::nullopt;
+    }
+    return std::move(std::get<registry::Snapshot>(snapshot));
+}
+
+void StoredEndpointList::schedule_write() {
+    write_timer_ =
+        event_loop_.schedule_at(event_loop_.now() + write_interval, [this] { write_if_changed(); });
+}
+
+void StoredEndpointList::write_if_changed() {
+    schedule_write();
+    const bool due_again =
+        watch_.last_complete_at() - written_as_of_ > max_age_ * rewrite_after_share_of_max_age;
+    const bool changed = watch_.view().revision() != written_revision_;
+    if (watch_.sync_state() != registry::SyncState::following || (!changed && !due_again)) return;
+    const auto failure = store_->write(
+        stored_name,
+        registry::serialize_snapshot(watch_.view(), watch_.cluster(), watch_.last_complete_at(), owner_));
+    if (failure) {
+        if (!write_failure_logged_)
+            log::event(log::Level::warning, "registry_snapshot_not_stored", {{"reason", *failure}});
+        write_failure_logged_ = true;
+        return;
+    }
+    write_failure_logged_ = false;
+    written_revision_ = watch_.view().revision();
+    written_as_of_ = watch_.last_complete_at();
+}
+
+}  // namespace irismux
--- /dev/null
+++ b/src/gateway/stored_endpoint_list.hpp
@@ -0,0 +1,46 @@
+// The registry's endpoint list on disk. After a restart the gateway serves from it until the registry
+// answers.
+#pragma once
+
+#include <optional>
+#include <string>
+
+#include "irismux/ids.hpp"
+#include "net/event_loop.hpp"
+#include "registry/settings.hpp"
+#include "registry/snapshot.hpp"
+#include "registry/watch.hpp"
+#include "store/store.hpp"
+
+namespace irismux {
+
+/// Reads the list once and writes it from time to time. What fails is logged and costs the stored list only.
+class StoredEndpointList {
+public:
+    /// Without a folder in the settings nothing is stored.
+    /// @param watch what is stored; must outlive this object.
+    StoredEndpointList(EventLoop& loop, const registry::Settings& settings, const LocationId& location,
+                       const registry::Watch& watch);
+    ~StoredEndpointList();
+    StoredEndpointList(const StoredEndpointList&) = delete;
+    StoredEndpointList& operator=(const StoredEndpointList&) = delete;
+
+    /// The list of an earlier process, if there is one that is complete and not too old.
+    [[nodiscard]] std::optional<registry::Snapshot> read() const;
+
+private:
+    void schedule_write();
+    void write_if_changed();
+
+    EventLoop& event_loop_;
+    const registry::Watch& watch_;
+    std::string owner_;  // a list of another location or prefix is not read
+    Duration max_age_;
+    std::optional<Store> store_;
+    registry::Revision written_revision_;
+    TimePoint written_as_of_;
+    bool write_failure_logged_ = false;
+    EventLoop::Timer write_timer_{};
+};
+
+}  // namespace irismux
--- a/testing/single_process.cpp
+++ b/testing/single_process.cpp
@@ -163,7 +163,7 @@
     process = std::make_unique<Process>(Process::Start{{shape.program}, environment, "", log});
     for (const auto& c : caches)
         if (shape.answers) c->then = [&c = *c](const ScriptedCache::ReceivedAttempt& p) { c.answer(p); };
-    if (!until([&] { return logged("serves on"); }))
+    if (!until([&] { return logged("listening gateway="); }))
         throw std::runtime_error("the gateway does not serve, " +
                                  std::string(process->running() ? "and runs" : "its process has ended") +
                                  ":\n" + log_tail());
--- a/tests/fleet_process_test.cpp
+++ b/tests/fleet_process_test.cpp
@@ -396,7 +396,7 @@
     const TimePoint woke = a->loop.now();
     a->resume(first);
     // Its sleep took no time here: nobody has followed it yet. Still it acts no more until it has listened.
-    EXPECT_TRUE(a->until([&] { return a->logged(first, "duty=sweep tenancy=lost"); }));
+    EXPECT_TRUE(a->until([&] { return a->logged(first, "duty_lease_changed duty=sweep state=lost"); }));
     const std::size_t all = a->written.size();
     EXPECT_TRUE(a->until([&] { return a->owner(sweep) && a->written.size() > all + 5; }));
     for (const auto& w : a->written) {
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -41,7 +41,7 @@
         resting->send(1, {.id = id_of(1)});
         ASSERT_TRUE(solo.until([&] { return resting->has_response(1); }));
         solo.process->signal(SIGTERM);
-        ASSERT_TRUE(solo.until([&] { return solo.logged("leaving: "); }));
+        ASSERT_TRUE(solo.until([&] { return solo.logged("shutdown_started"); }));
         solo.process->signal(SIGSTOP);
         const TimePoint due = solo.loop.now() + Duration::seconds(work_after);
         meanwhile();
@@ -82,7 +82,7 @@
         solo.until([&] { return solo.attempts_received(id_of(1)) + solo.attempts_received(id_of(2)) == 2; }));
     solo.process->signal(SIGTERM);
     // Its end is seen: the question goes out now, and only then is anything read.
-    ASSERT_TRUE(solo.until([&] { return solo.logged("leaving: connections end"); }));
+    ASSERT_TRUE(solo.until([&] { return solo.logged("shutdown_closing_connections"); }));
     resting.say(writes->request(2, {.id = id_of(3)}));
     resting.say(std::string(20'000, 'x'));
     EXPECT_TRUE(solo.exited_cleanly());
@@ -101,7 +101,7 @@
     a->write(std::string_view(bytes).substr(0, bytes.size() / 2));
     ASSERT_TRUE(solo.until([&] { return a->wire->all_written(); }));
     solo.process->signal(SIGTERM);
-    ASSERT_TRUE(solo.until([&] { return solo.logged("leaving: "); }));
+    ASSERT_TRUE(solo.until([&] { return solo.logged("shutdown_started"); }));
     a->write(std::string_view(bytes).substr(bytes.size() / 2));
     ASSERT_TRUE(solo.until([&] { return a->has_response(1); }));
     EXPECT_TRUE(a->has_response(1, "Status: 200"));
@@ -115,14 +115,14 @@
     a->send(1, {.id = id_of(1), .patience_ms = 2000});
     ASSERT_TRUE(solo.until([&] { return solo.cache_serving(id_of(1)) != nullptr; }));
     solo.process->signal(SIGTERM);
-    ASSERT_TRUE(solo.until([&] { return solo.logged("leaving: "); }));
+    ASSERT_TRUE(solo.until([&] { return solo.logged("shutdown_started"); }));
     stand_ins::NoticeBoard other(solo.loop);
     json moved = solo.configured;
     moved["board"] = other.address();
     std::ofstream(solo.configuration_file) << moved.dump();
     solo.process->signal(SIGHUP);
     solo.process->signal(SIGTERM);
-    ASSERT_TRUE(solo.until([&] { return solo.logged("not reread"); }));
+    ASSERT_TRUE(solo.until([&] { return solo.logged("reload_ignored reason=shutting_down"); }));
     ScriptedCache& cache = *solo.cache_serving(id_of(1));
     cache.answer(cache.received[0]);
     EXPECT_TRUE(solo.exited_cleanly());
--- a/tests/wire_names_test.cpp
+++ b/tests/wire_names_test.cpp
@@ -689,7 +689,8 @@
         process = std::make_unique<stand_ins::Process>(stand_ins::Process::Start{
             {IRISMUX_PROGRAM}, {"NODE_CONFIG=" + path, "NODE_LISTEN=" + listen}, "", log});
         ASSERT_TRUE(stretches.until([&] {
-            return std::filesystem::exists(log) && bytes_of_file(log).find("serves on") != std::string::npos;
+            return std::filesystem::exists(log) &&
+                   bytes_of_file(log).find("listening gateway=") != std::string::npos;
         }));
         connect();
     }
