--- a/tests/cache_connection_pool_test.cpp
+++ b/tests/cache_connection_pool_test.cpp
@@ -38,7 +38,7 @@
         for (const char* id : {"e1", "e2"}) {
             accepts[id] = std::make_unique<Acceptor>(
                 loop, [this](Poco::Net::StreamSocket s) { take(std::move(s)); }, backlog);
-            lines.emplace_back(listing(id, edge_machine), accepts[id]->address());
+            lines.emplace_back(endpoint_update(id, edge_machine), accepts[id]->address());
         }
         roster.apply(lines, true);
         caches = std::make_unique<CacheConnectionPool>(
@@ -79,7 +79,7 @@
     void ask(const std::string& id, const std::string& cache = "e1", std::string body = {}) {
         ClientRequest a;
         a.body = std::move(body);
-        a.request = arrival(id, "a1", loop.now() + Duration::seconds(1));
+        a.request = request_for(id, "a1", loop.now() + Duration::seconds(1));
         a.client_request_id = ClientRequestId{id};
         a.client_etag = "k1";
         lookups.push_back(std::make_shared<ActiveRequest>(*this, ClientStream{}, std::move(a)));
--- a/tests/endpoint_table_test.cpp
+++ b/tests/endpoint_table_test.cpp
@@ -10,7 +10,7 @@
 const TimePoint start = TimePoint::at_seconds(1000);
 
 Request lookup_of(const std::string& object, std::int64_t group = 0) {
-    Request a = arrival("l1", object, start + Duration::seconds(1));
+    Request a = request_for("l1", object, start + Duration::seconds(1));
     a.purge_group = PurgeGroupId{group};
     return a;
 }
--- a/tests/random_gateway_scenario.hpp
+++ b/tests/random_gateway_scenario.hpp
@@ -55,7 +55,7 @@
 }
 
 inline std::vector<EndpointUpdate> widely_drawn_list() {
-    std::vector<EndpointUpdate> all = usual_list();
+    std::vector<EndpointUpdate> all = usual_endpoints();
     for (EndpointUpdate& l : all) l.weight = draw(1, 10) * (l.machine_type == parent_machine ? 5 : 1);
     return all;
 }
@@ -63,23 +63,23 @@
 // One gateway's life, from its start to its being killed.
 class Life {
 public:
-    Life(const Deployment& d, std::uint64_t seed) : b_(d, seed), list_(usual_list()) {}
+    Life(const Deployment& d, std::uint64_t seed) : harness_(d, seed), list_(usual_endpoints()) {}
     Life(const Deployment& d, std::uint64_t seed, std::vector<EndpointUpdate> list)
-        : b_(d, seed, list), list_(std::move(list)), wide_(true) {}
+        : harness_(d, seed, list), list_(std::move(list)), wide_(true) {}
 
     void step() {
         const int what = draw(0, 99);
         if (what < 40) {
-            Request a =
-                arrival("l" + std::to_string(made_++), "o" + std::to_string(draw(0, 12)),
-                        b_.now + Duration::seconds(draw(1, 40) / 10.0), static_cast<std::size_t>(draw(0, 2)));
+            Request a = request_for("l" + std::to_string(made_++), "o" + std::to_string(draw(0, 12)),
+                                    harness_.now + Duration::seconds(draw(1, 40) / 10.0),
+                                    static_cast<std::size_t>(draw(0, 2)));
             a.purge_group = PurgeGroupId{draw(0, 2)};
             if (wide_) {
-                a.deadline = b_.now + (toss() ? Duration::seconds(draw(5, 50) / 100.0)
-                                              : Duration::seconds(draw(5, 30)));
+                a.deadline = harness_.now + (toss() ? Duration::seconds(draw(5, 50) / 100.0)
+                                                    : Duration::seconds(draw(5, 30)));
                 a.size_kb = toss() ? draw(20, 400) : draw(400, 4000);
             }
-            b_.lookup(a);
+            harness_.request(a);
         } else if (what < 70) {
             answer_one();
         } else if (what < 85) {
@@ -89,18 +89,18 @@
         } else if (what < 97) {
             const ObjectName object{"o" + std::to_string(draw(0, 12))};
             const Duration age = Duration::seconds(draw(0, 400) / 1000.0);
-            b_.port.purged[object] = b_.now - age;
-            b_.router.on_purge(b_.now, age, PurgeGroupId{0}, object);
-        } else if (!b_.port.open.empty()) {
-            const RequestId id = b_.port.open.begin()->first;
-            b_.port.open.erase(id);
-            b_.router.on_client_closed(b_.now, id);
+            harness_.callbacks.purged_at[object] = harness_.now - age;
+            harness_.router.on_purge(harness_.now, age, PurgeGroupId{0}, object);
+        } else if (!harness_.callbacks.unanswered.empty()) {
+            const RequestId id = harness_.callbacks.unanswered.begin()->first;
+            harness_.callbacks.unanswered.erase(id);
+            harness_.router.on_client_closed(harness_.now, id);
         }
         check();
     }
 
 private:
-    Bench b_;
+    RouterHarness harness_;
     int made_ = 0, waves_ = 0;
     bool ageing_ = toss();              // whether e1 answers only now and then, and late
     std::vector<EndpointUpdate> list_;  // as it is in truth
@@ -110,76 +110,78 @@
 
     void answer_one() {
         std::vector<std::size_t> out;
-        for (std::size_t s = 0; s < b_.port.sends.size(); ++s)
-            if (b_.port.sends[s].out) out.push_back(s);
+        for (std::size_t s = 0; s < harness_.callbacks.attempts.size(); ++s)
+            if (harness_.callbacks.attempts[s].in_flight) out.push_back(s);
         if (out.empty()) return;
         const std::size_t s = out[static_cast<std::size_t>(draw(0, static_cast<int>(out.size()) - 1))];
-        if (ageing_ && b_.port.sends[s].fill.cache == CacheId{"e1"} && draw(0, 4) > 0) return;
+        if (ageing_ && harness_.callbacks.attempts[s].plan.cache == CacheId{"e1"} && draw(0, 4) > 0) return;
         const Outcome o = toss() ? Outcome::completed : static_cast<Outcome>(draw(0, 8));
         // Only a lookup that is over can be superseded, or overdue at its deadline.
         if (o == Outcome::superseded || o == Outcome::deadline_exceeded) return;
-        const CacheStatus note = static_cast<CacheStatus>(draw(0, 10));
-        if (wide_) return answer_in_truth(s, o, note);
-        b_.answer(s, o, note);
+        const CacheStatus cache_status = static_cast<CacheStatus>(draw(0, 10));
+        if (wide_) return answer_in_truth(s, o, cache_status);
+        harness_.end_attempt(s, o, cache_status);
     }
 
     // What is down refuses. One that was refused with nothing else out is cold from its first answer on, told
     // or not.
-    void answer_in_truth(std::size_t s, Outcome o, CacheStatus note) {
-        const CacheId cache = b_.port.sends[s].fill.cache;
-        if (const auto d = down_.find(cache); d != down_.end() && b_.now < d->second)
+    void answer_in_truth(std::size_t s, Outcome o, CacheStatus cache_status) {
+        const CacheId cache = harness_.callbacks.attempts[s].plan.cache;
+        if (const auto d = down_.find(cache); d != down_.end() && harness_.now < d->second)
             o = Outcome::connection_refused;
         if (o == Outcome::connection_refused) {
-            b_.port.sends[s].out = false;
-            const bool out = std::any_of(b_.port.sends.begin(), b_.port.sends.end(),
-                                         [&](const SendSeen& x) { return x.out && x.fill.cache == cache; });
-            b_.port.sends[s].out = true;
-            if (!out) died_.try_emplace(cache, b_.now);
+            harness_.callbacks.attempts[s].in_flight = false;
+            const bool out =
+                std::any_of(harness_.callbacks.attempts.begin(), harness_.callbacks.attempts.end(),
+                            [&](const StartedAttempt& x) { return x.in_flight && x.plan.cache == cache; });
+            harness_.callbacks.attempts[s].in_flight = true;
+            if (!out) died_.try_emplace(cache, harness_.now);
         } else if (died_.contains(cache) && cache.raw()[0] == 'e' &&
                    (o == Outcome::completed || o == Outcome::cache_miss || o == Outcome::errored ||
-                    (o == Outcome::overloaded && note != CacheStatus::none))) {
-            b_.port.cold[cache] = b_.now;
+                    (o == Outcome::overloaded && cache_status != CacheStatus::none))) {
+            harness_.callbacks.started_at[cache] = harness_.now;
             died_.erase(cache);
         }
-        b_.answer(s, o, note);
+        harness_.end_attempt(s, o, cache_status);
     }
 
     void pass(Duration s) {
-        b_.pass(s);
-        while (!untold_.empty() && untold_.begin()->first <= b_.now) {
+        harness_.advance(s);
+        while (!untold_.empty() && untold_.begin()->first <= harness_.now) {
             tell(untold_.begin()->second);
             untold_.erase(untold_.begin());
         }
-        for (std::size_t n = 0; n < b_.port.sends.size(); ++n) {
-            const auto it = b_.port.open.find(b_.port.sends[n].id);
-            if (it == b_.port.open.end() || it->second.deadline > b_.now) continue;
-            b_.answer(n, Outcome::deadline_exceeded);
+        for (std::size_t n = 0; n < harness_.callbacks.attempts.size(); ++n) {
+            const auto it = harness_.callbacks.unanswered.find(harness_.callbacks.attempts[n].request);
+            if (it == harness_.callbacks.unanswered.end() || it->second.deadline > harness_.now) continue;
+            harness_.end_attempt(n, Outcome::deadline_exceeded);
         }
     }
 
     void change_list() {
-        std::vector<EndpointUpdate> all = usual_list();
+        std::vector<EndpointUpdate> all = usual_endpoints();
         const int what = draw(0, 9);
         if (what == 0) {  // a rack restarts at once
-            for (std::size_t e = 0; e < 2; ++e) all[e].started_at = b_.now;
-            return b_.list({all[0], all[1]});
+            for (std::size_t e = 0; e < 2; ++e) all[e].started_at = harness_.now;
+            return harness_.update_endpoints({all[0], all[1]});
         }
         EndpointUpdate l = all[static_cast<std::size_t>(draw(0, 4))];
         if (what <= 2) {  // a wave: one drains or is gone, and a machine of a new id takes its place
             l.status = toss() ? EndpointStatus::draining : EndpointStatus::removed;
-            EndpointUpdate next = listing(l.cache.raw() + std::to_string(++waves_), l.machine_type, l.weight);
-            next.started_at = b_.now;
-            if (l.machine_type == parent_machine) b_.port.parents.insert(next.cache);
-            return b_.list({l, next});
+            EndpointUpdate next =
+                endpoint_update(l.cache.raw() + std::to_string(++waves_), l.machine_type, l.weight);
+            next.started_at = harness_.now;
+            if (l.machine_type == parent_machine) harness_.callbacks.parents.insert(next.cache);
+            return harness_.update_endpoints({l, next});
         }
         l.status = static_cast<EndpointStatus>(draw(0, 2));
-        if (l.status == EndpointStatus::active) l.started_at = b_.now - Duration::seconds(draw(0, 3));
-        b_.list({l});
+        if (l.status == EndpointStatus::active) l.started_at = harness_.now - Duration::seconds(draw(0, 3));
+        harness_.update_endpoints({l});
     }
 
     void tell(const EndpointUpdate& l) {
         if (l.status == EndpointStatus::active) died_.erase(l.cache);
-        b_.list({l});
+        harness_.update_endpoints({l});
     }
 
     // Starts: of one, of a whole location, in mid-warm-up; told at once, late, twice, under two dates or
@@ -199,10 +201,10 @@
                 EndpointUpdate gone = l;
                 gone.status = toss() ? EndpointStatus::draining : EndpointStatus::removed;
                 tell(gone);
-                untold_.emplace(b_.now + Duration::seconds(draw(0, 30) / 10.0), l);
+                untold_.emplace(harness_.now + Duration::seconds(draw(0, 30) / 10.0), l);
                 continue;
             }
-            l.started_at = b_.now + Duration::seconds(toss() ? 0 : draw(0, 20) / 10.0);
+            l.started_at = harness_.now + Duration::seconds(toss() ? 0 : draw(0, 20) / 10.0);
             down_[l.cache] = l.started_at;
             if (what == 4) continue;  // never told
             const TimePoint told = l.started_at + Duration::seconds(toss() ? 0 : draw(0, 80) / 10.0);
@@ -217,14 +219,15 @@
 
     void check() {
         std::size_t watches = 0;
-        for (const auto& [n, at] : b_.port.alarms) watches += n == TimerId{0};
-        if (watches > 1) RC_FAIL("alarms multiply");
-        if (!b_.port.broken.empty()) RC_FAIL(b_.port.broken.front());
-        for (const auto& [id, a] : b_.port.open) {
+        for (const auto& [n, at] : harness_.callbacks.timers) watches += n == TimerId{0};
+        if (watches > 1) RC_FAIL("timers multiply");
+        if (!harness_.callbacks.violations.empty()) RC_FAIL(harness_.callbacks.violations.front());
+        for (const auto& [id, a] : harness_.callbacks.unanswered) {
             bool out = false;
-            for (const std::size_t s : b_.port.of[id]) out = out || b_.port.sends[s].out;
+            for (const std::size_t s : harness_.callbacks.attempts_of[id])
+                out = out || harness_.callbacks.attempts[s].in_flight;
             if (!out) RC_FAIL("1: a lookup is held with nothing out: " + std::to_string(id.raw()));
-            if (a.deadline <= b_.now - b_.port.told.timer_resolution * 2 && !out)
+            if (a.deadline <= harness_.now - harness_.callbacks.settings.timer_resolution * 2 && !out)
                 RC_FAIL("1: past its deadline");
         }
     }
--- a/tests/random_seed_sweep.cpp
+++ b/tests/random_seed_sweep.cpp
@@ -29,12 +29,12 @@
         const auto result = checkTestable(
             narrow ? irismux::testing::narrow_lives : irismux::testing::wide_lives, metadata, params);
         ++tried;
-        FailureResult broken;
-        if (!result.match(broken)) continue;
+        FailureResult violation;
+        if (!result.match(violation)) continue;
         ++failed;
         std::printf(
             "seed %ld: %s\n  RC_PARAMS=\"seed=%ld max_success=%ld\" irismux_tests --gtest_filter=Random.%s\n",
-            seed, broken.description.substr(broken.description.rfind('\n') + 1).c_str(), seed, runs,
+            seed, violation.description.substr(violation.description.rfind('\n') + 1).c_str(), seed, runs,
             narrow ? "EveryStepKeepsTheRules" : "EveryStepKeepsTheRulesWhateverTheListSaysOfStarts");
     }
     std::printf("%ld seeds tried, %ld failed\n", tried, failed);
--- a/tests/request_identity_test.cpp
+++ b/tests/request_identity_test.cpp
@@ -144,24 +144,26 @@
     EXPECT_EQ(times.start(b, after(-3599)), after(20));
 }
 
-// A late send goes with its end: alarms that come behind it find nothing.
+// A late send goes with its end: timers that come behind it find nothing.
 TEST(Router, WhatIsLeftOfALookupFindsNothing) {
-    Bench b;
+    RouterHarness harness;
     for (int n = 0; n < 50; ++n) {
-        ASSERT_NE(b.lookup(arrival("x" + std::to_string(n), "object", b.now + Duration::seconds(5))),
+        ASSERT_NE(harness.request(
+                      request_for("x" + std::to_string(n), "object", harness.now + Duration::seconds(5))),
                   nullptr);
-        b.answer(b.port.sends.size() - 1, Outcome::completed, CacheStatus::hit, true);
-        b.pass(Duration::seconds(0.5));
+        harness.end_attempt(harness.callbacks.attempts.size() - 1, Outcome::completed, CacheStatus::hit,
+                            true);
+        harness.advance(Duration::seconds(0.5));
     }
-    EXPECT_TRUE(b.port.broken.empty()) << b.port.broken.front();
+    EXPECT_TRUE(harness.callbacks.violations.empty()) << harness.callbacks.violations.front();
 }
 
 // A host that gives an identity twice harms nothing: the second lookup is not taken.
 TEST(Router, AnIdentityIsGivenOnce) {
-    Bench b;
-    const Request lookup = arrival("twice", "object", b.now + Duration::seconds(5));
-    ASSERT_NE(b.lookup(lookup), nullptr);
-    EXPECT_EQ(b.lookup(lookup), nullptr);
+    RouterHarness harness;
+    const Request lookup = request_for("twice", "object", harness.now + Duration::seconds(5));
+    ASSERT_NE(harness.request(lookup), nullptr);
+    EXPECT_EQ(harness.request(lookup), nullptr);
 }
 
 }  // namespace
--- /dev/null
+++ b/tests/router_fixture.hpp
@@ -0,0 +1,61 @@
+// A router in the usual deployment, and short ways to play a request.
+#pragma once
+
+#include "router_test_support.hpp"
+
+namespace irismux::testing {
+
+inline const Duration second = Duration::seconds(1);
+
+class RouterTest : public ::testing::Test {
+protected:
+    RouterHarness harness;
+    int made = 0;
+
+    Request new_request(const std::string& object, std::size_t kind = 0) {
+        return request_for("l" + std::to_string(made++), object, harness.now + second * 5, kind);
+    }
+    // Plays a request whose first attempt ends like this, and after which the client has its final response.
+    StartedAttempt request_and_end(const std::string& object, Outcome outcome,
+                                   CacheStatus status = CacheStatus::none) {
+        const StartedAttempt* started = harness.request(new_request(object));
+        if (!started) return {};
+        const StartedAttempt copy = *started;
+        harness.end_attempt(harness.callbacks.attempts.size() - 1, outcome, status, true);
+        return copy;
+    }
+    // Plays a request that no cache has a copy for. @return the attempt that fills
+    StartedAttempt request_fill(const std::string& object, CacheStatus status = CacheStatus::filled) {
+        std::vector<StartedAttempt>& attempts = harness.callbacks.attempts;
+        if (!harness.request(new_request(object))) return {};
+        if (attempts.back().plan.only_if_cached)
+            harness.end_attempt(attempts.size() - 1, Outcome::cache_miss);
+        const StartedAttempt copy = attempts.back();
+        harness.end_attempt(attempts.size() - 1, Outcome::completed, status);
+        return copy;
+    }
+    // An object that this cache serves first.
+    std::string object_of_cache(const std::string& cache) {
+        return object_with([&](const AttemptPlan& plan) { return plan.cache == CacheId{cache}; });
+    }
+    // An object that is filled from this parent first.
+    std::string object_of_parent(const std::string& parent) {
+        return object_with([&](const AttemptPlan& plan) { return plan.source == CacheId{parent}; });
+    }
+    void TearDown() override {
+        EXPECT_TRUE(harness.callbacks.violations.empty()) << harness.callbacks.violations.front();
+    }
+
+private:
+    template <class Predicate>
+    std::string object_with(Predicate is_wanted) {
+        for (int n = 0; n < 200; ++n) {
+            const std::string name = "o" + std::to_string(n);
+            if (is_wanted(request_and_end(name, Outcome::completed, CacheStatus::hit).plan)) return name;
+        }
+        ADD_FAILURE() << "no such object";
+        return "";
+    }
+};
+
+}  // namespace irismux::testing
--- a/tests/router_test_support.hpp
+++ b/tests/router_test_support.hpp
@@ -1,4 +1,4 @@
-// What the tests share: a deployment, a port that records, and a checker of the five rules.
+// What tests of the router share: a deployment, callbacks that check the five rules, and a harness.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -52,7 +52,7 @@
     return d;
 }
 
-inline EndpointUpdate listing(const std::string& id, const MachineType& machine, double weight = 6) {
+inline EndpointUpdate endpoint_update(const std::string& id, const MachineType& machine, double weight = 6) {
     EndpointUpdate l;
     l.cache = CacheId{id};
     l.location = machine == edge_machine ? here : LocationId{"hub"};
@@ -61,154 +61,162 @@
     return l;
 }
 
-inline std::vector<EndpointUpdate> usual_list() {
-    std::vector<EndpointUpdate> all = {listing("e1", edge_machine),       listing("e2", edge_machine),
-                                       listing("e3", edge_machine),       listing("p1", parent_machine, 30),
-                                       listing("p2", parent_machine, 30), listing("o", origin_machine)};
+inline std::vector<EndpointUpdate> usual_endpoints() {
+    std::vector<EndpointUpdate> all = {
+        endpoint_update("e1", edge_machine),       endpoint_update("e2", edge_machine),
+        endpoint_update("e3", edge_machine),       endpoint_update("p1", parent_machine, 30),
+        endpoint_update("p2", parent_machine, 30), endpoint_update("o", origin_machine)};
     all[2].cell = CellId{1};
     return all;
 }
 
-// The identity that a test's name for a lookup stands for.
-inline RequestId lookup_named(const std::string& name) {
+// The id that a test's name for a request stands for.
+inline RequestId request_id_named(const std::string& name) {
     static std::map<std::string, std::uint64_t> known;
     return RequestId{known.try_emplace(name, known.size() + 1).first->second};
 }
 
-struct SendSeen {
-    RequestId id;
-    AttemptIndex n;
-    AttemptPlan fill;
-    TimePoint at;
-    bool out = true;
+struct StartedAttempt {
+    RequestId request;
+    AttemptIndex index;
+    AttemptPlan plan;
+    TimePoint started_at;
+    bool in_flight = true;
 };
 
-// Records what leaves the Router and checks each rule as it does.
-class RecordingPort final : public RouterCallbacks {
+// Records what the router decides, and checks each decision against the five rules.
+class RecordingCallbacks final : public RouterCallbacks {
 public:
-    explicit RecordingPort(Deployment d) : told(std::move(d)) {}
+    explicit RecordingCallbacks(Deployment d) : settings(std::move(d)) {}
 
-    Deployment told;
+    Deployment settings;
     TimePoint now;
-    std::vector<SendSeen> sends;
-    std::map<RequestId, Request> open;  // owed an answer
-    std::map<RequestId, std::vector<std::size_t>> of;
-    std::map<RequestId, std::vector<std::pair<std::size_t, Outcome>>> outcomes;
-    std::map<CacheId, TimePoint> left;  // told to drain or gone, since
-    std::map<CacheId, TimePoint> cold;  // told to have started at
+    std::vector<StartedAttempt> attempts;
+    std::map<RequestId, Request> unanswered;                    // without a final response
+    std::map<RequestId, std::vector<std::size_t>> attempts_of;  // positions in `attempts`
+    std::map<CacheId, TimePoint> not_active_since;              // draining or removed
+    std::map<CacheId, TimePoint> started_at;                    // as listed
     std::map<CacheId, double> weight;
     std::map<CacheId, CellId> cell;
-    std::map<CacheId, std::vector<std::pair<TimePoint, double>>> asked;  // sending time asked of a cold one
-    std::map<ObjectName, TimePoint> purged;                              // when it was purged
+    std::map<CacheId, std::vector<std::pair<TimePoint, double>>> sent;  // seconds of transfer time
+    std::map<ObjectName, TimePoint> purged_at;
     std::set<CacheId> parents;
-    std::vector<std::string> broken;
-    std::vector<std::pair<TimerId, TimePoint>> alarms;
-    std::vector<RequestId> nacked, failed;
+    std::vector<std::string> violations;
+    std::vector<std::pair<TimerId, TimePoint>> timers;
+    std::vector<RequestId> rejected, failed;
     std::vector<std::pair<RequestId, AttemptIndex>> cancelled;
-    std::vector<std::pair<CacheId, bool>> marks;
+    std::vector<std::pair<CacheId, bool>> ejection_changes;
 
-    void on_ejection_changed(const CacheId& cache, bool is) override { marks.emplace_back(cache, is); }
+    void on_ejection_changed(const CacheId& cache, bool is) override {
+        ejection_changes.emplace_back(cache, is);
+    }
 
-    void start_direct_attempt(const RequestId& id, const CacheId& cache, Duration time_out) override {
+    void start_direct_attempt(const RequestId& id, const CacheId& cache, Duration timeout) override {
         AttemptPlan f;
         f.cache = f.source = cache;
-        f.timeout = time_out;
-        went(id, f, false);
+        f.timeout = timeout;
+        record(id, f, false);
     }
-    void start_attempt(const RequestId& id, const AttemptPlan& f) override { went(id, f, true); }
+    void start_attempt(const RequestId& id, const AttemptPlan& f) override { record(id, f, true); }
     void cancel_attempt(const RequestId& id, AttemptIndex n) override {
-        if (n.raw() >= of[id].size()) broken.push_back("cancels a send never made");
+        if (n.raw() >= attempts_of[id].size())
+            violations.push_back("cancels an attempt that was never started");
         cancelled.emplace_back(id, n);
     }
     void reject(const RequestId& id, Duration) override {
-        const auto it = open.find(id);
-        if (it == open.end()) return (void)broken.push_back("1: a second answer");
-        const ObjectKind& k = told.kinds[it->second.kind.raw()];
-        if (k.effect == Effect::non_idempotent && may_have_run(id)) broken.push_back("2: nack after a run");
+        const auto it = unanswered.find(id);
+        if (it == unanswered.end()) return (void)violations.push_back("1: a second final response");
+        const ObjectKind& k = settings.kinds[it->second.kind.raw()];
+        if (k.effect == Effect::non_idempotent && may_have_run(id))
+            violations.push_back("2: rejected though it may have run");
         if (k.effect == Effect::deduplicated && k.dedup_scope != DedupScope::all && may_have_run(id))
-            broken.push_back("2: nack of a deduplicated lookup that may have run");
-        nacked.push_back(id);
-        open.erase(it);
+            violations.push_back("2: a deduplicated request is rejected though it may have run");
+        rejected.push_back(id);
+        unanswered.erase(it);
     }
     void fail(const RequestId& id) override {
-        if (open.erase(id) == 0) broken.push_back("1: a second answer");
+        if (unanswered.erase(id) == 0) violations.push_back("1: a second final response");
         failed.push_back(id);
     }
-    void set_timer(TimerId n, TimePoint at) override { alarms.emplace_back(n, at); }
+    void set_timer(TimerId n, TimePoint at) override { timers.emplace_back(n, at); }
     void subscribe_to_endpoints() override {}
 
-    bool may_have_run(const RequestId& id) const { return !runs(id).empty(); }
+    bool may_have_run(const RequestId& id) const { return !attempts_that_may_have_run(id).empty(); }
 
-    // The sends of a lookup that may have run, those still out among them.
-    std::vector<std::size_t> runs(const RequestId& id) const {
+    // Positions in `attempts`, those in flight among them.
+    std::vector<std::size_t> attempts_that_may_have_run(const RequestId& id) const {
         std::vector<std::size_t> r;
-        const auto it = of.find(id);
-        if (it == of.end()) return r;
+        const auto it = attempts_of.find(id);
+        if (it == attempts_of.end()) return r;
         for (const std::size_t s : it->second)
-            if (sends[s].out || ran.contains(s)) r.push_back(s);
+            if (attempts[s].in_flight || ended_and_may_have_run.contains(s)) r.push_back(s);
         return r;
     }
 
-    void came_back(std::size_t s, Outcome o) {
-        sends[s].out = false;
+    void end_attempt(std::size_t s, Outcome o) {
+        attempts[s].in_flight = false;
         if (o != Outcome::overloaded && o != Outcome::connection_refused && o != Outcome::superseded &&
             o != Outcome::cache_miss)
-            ran.insert(s);
+            ended_and_may_have_run.insert(s);
     }
 
 private:
-    std::set<std::size_t> ran;
+    std::set<std::size_t> ended_and_may_have_run;
 
-    static bool at_hub(const CacheId& c) { return c.raw()[0] != 'e'; }
+    static bool is_elsewhere(const CacheId& c) { return c.raw()[0] != 'e'; }
 
-    void went(const RequestId& id, const AttemptPlan& f, bool by_age) {
-        const auto it = open.find(id);
-        if (it == open.end()) return (void)broken.push_back("1: a send after the answer");
-        const ObjectKind& k = told.kinds[it->second.kind.raw()];
-        const std::vector<std::size_t> before = runs(id);
-        if (k.effect == Effect::non_idempotent && !before.empty()) broken.push_back("2: re-sent after a run");
+    void record(const RequestId& id, const AttemptPlan& f, bool by_age) {
+        const auto it = unanswered.find(id);
+        if (it == unanswered.end())
+            return (void)violations.push_back("1: an attempt after the final response");
+        const ObjectKind& k = settings.kinds[it->second.kind.raw()];
+        const std::vector<std::size_t> before = attempts_that_may_have_run(id);
+        if (k.effect == Effect::non_idempotent && !before.empty())
+            violations.push_back("2: repeated though it may have run");
         for (const std::size_t s : before) {
-            if (sends[s].out && !told.capabilities.hedged_requests) broken.push_back("2: two copies out");
-            if (k.effect == Effect::deduplicated && now > sends[s].at + k.dedup_window)
-                broken.push_back("2: re-sent past the window");
+            if (attempts[s].in_flight && !settings.capabilities.hedged_requests)
+                violations.push_back("2: two attempts in flight");
+            if (k.effect == Effect::deduplicated && now > attempts[s].started_at + k.dedup_window)
+                violations.push_back("2: repeated past the idempotency window");
             if (k.effect == Effect::deduplicated && k.dedup_scope == DedupScope::cell &&
-                cell[sends[s].fill.cache] != cell[f.cache])
-                broken.push_back("2: re-sent outside the cell");
+                cell[attempts[s].plan.cache] != cell[f.cache])
+                violations.push_back("2: repeated outside the cell");
             if (k.effect == Effect::deduplicated && k.dedup_scope == DedupScope::location &&
-                at_hub(sends[s].fill.cache) != at_hub(f.cache))
-                broken.push_back("2: re-sent outside the location");
+                is_elsewhere(attempts[s].plan.cache) != is_elsewhere(f.cache))
+                violations.push_back("2: repeated outside the location");
         }
-        if (static_cast<int>(of[id].size()) >= told.capabilities.max_attempts)
-            broken.push_back("too many sends");
+        if (static_cast<int>(attempts_of[id].size()) >= settings.capabilities.max_attempts)
+            violations.push_back("too many attempts");
         for (const CacheId& c : {f.cache, f.source})
-            if (const auto l = left.find(c); l != left.end() && now - l->second > told.drain_grace_period)
-                broken.push_back("3: sent to one that drains");
-        if (const auto p = purged.find(it->second.object);
-            by_age && !k.uncacheable && p != purged.end() && now - p->second < told.purge_retention) {
+            if (const auto l = not_active_since.find(c);
+                l != not_active_since.end() && now - l->second > settings.drain_grace_period)
+                violations.push_back("3: sent to an endpoint that drains");
+        if (const auto p = purged_at.find(it->second.object);
+            by_age && !k.uncacheable && p != purged_at.end() && now - p->second < settings.purge_retention) {
             const Duration hair = Duration::micros(1);
             const bool fresh_enough = f.max_age > Duration{} && now - f.max_age + hair >= p->second;
-            if (!fresh_enough) broken.push_back("5: an older copy would do");
+            if (!fresh_enough) violations.push_back("5: a copy from before the purge is allowed");
         }
-        pressed(f.cache, it->second);
-        if (f.source != f.cache && parents.contains(f.source)) pressed(f.source, it->second);
-        of[id].push_back(sends.size());
-        sends.push_back({id, AttemptIndex{of[id].size() - 1}, f, now});
+        check_slow_start(f.cache, it->second);
+        if (f.source != f.cache && parents.contains(f.source)) check_slow_start(f.source, it->second);
+        attempts_of[id].push_back(attempts.size());
+        attempts.push_back({id, AttemptIndex{attempts_of[id].size() - 1}, f, now});
     }
 
-    // Rule 4 with every gateway sending its even share: what this one asks, times the gateways that share.
-    // It binds from when a start is told until the longest warm-up is over, and counts what went to that
-    // process before it was told, too. What went to the process before it is no load of the new one.
-    void pressed(const CacheId& cache, const Request& lk) {
-        const double work = lk.size_kb / told.transfer_rate_kb_per_s;
-        auto& list = asked[cache];
-        std::erase_if(list, [&](const auto& a) { return now - a.first > told.overload_window; });
-        list.emplace_back(now, work);
-        const auto c = cold.find(cache);
+    // Rule 4, taking what this gateway sends times the gateways that share the endpoint. It binds from when
+    // the start is listed until the slow-start window is over, and counts what was sent to the new process
+    // before it was listed, but not what was sent to the process before.
+    void check_slow_start(const CacheId& cache, const Request& request) {
+        const double work = request.size_kb / settings.transfer_rate_kb_per_s;
+        auto& recent = sent[cache];
+        std::erase_if(recent, [&](const auto& a) { return now - a.first > settings.overload_window; });
+        recent.emplace_back(now, work);
+        const auto c = started_at.find(cache);
         const bool parent = parents.contains(cache);
-        const SlowStart& start = parent ? told.parent_slow_start : told.edge_slow_start;
-        if (c == cold.end() || now - c->second >= start.window) return;
+        const SlowStart& start = parent ? settings.parent_slow_start : settings.edge_slow_start;
+        if (c == started_at.end() || now - c->second >= start.window) return;
         double sum = 0, largest = 0;
-        for (const auto& [at, w] : list) {
+        for (const auto& [at, w] : recent) {
             if (at < c->second) continue;
             sum += w;
             largest = std::max(largest, w);
@@ -216,19 +224,19 @@
         const double present =
             start.initial_capacity_share +
             (1 - start.initial_capacity_share) * std::max(0.0, (now - c->second) / start.window);
-        const double window = told.overload_window.seconds();
-        const int gateways = parent ? told.gateways : told.gateways_in_location;
-        // A budget can't be split finer than a lookup: this one and the largest before it are the slack.
+        const double window = settings.overload_window.seconds();
+        const int gateways = parent ? settings.gateways : settings.gateways_in_location;
+        // A budget can't be split finer than a request: this one and the largest before it are the slack.
         if (sum * gateways >
             start.overload_multiple * present * weight[cache] * window + (work + largest) * gateways)
-            broken.push_back("4: a cold one is pushed over: " + cache.raw());
+            violations.push_back("4: a warming endpoint is pushed over: " + cache.raw());
     }
 };
 
-inline Request arrival(const std::string& id, const std::string& object, TimePoint expires,
-                       std::size_t kind = 0) {
+inline Request request_for(const std::string& id, const std::string& object, TimePoint expires,
+                           std::size_t kind = 0) {
     Request a;
-    a.id = lookup_named(id);
+    a.id = request_id_named(id);
     a.kind = ObjectKindIndex{kind};
     a.object = ObjectName{object};
     a.deadline = expires;
@@ -236,74 +244,79 @@
     return a;
 }
 
-// A Router with its port, and the time that passes for both.
-class Bench {
+// A router with its callbacks, and the time of both.
+class RouterHarness {
 public:
-    explicit Bench(const Deployment& d = deployment(), std::uint64_t seed = 7,
-                   const std::vector<EndpointUpdate>& first = usual_list())
-        : port(d), router(port, d, seed, now) {
+    explicit RouterHarness(const Deployment& d = deployment(), std::uint64_t seed = 7,
+                           const std::vector<EndpointUpdate>& first = usual_endpoints())
+        : callbacks(d), router(callbacks, d, seed, now) {
         for (const EndpointUpdate& l : first) {
-            port.cell[l.cache] = l.cell;
-            if (l.machine_type == parent_machine) port.parents.insert(l.cache);
+            callbacks.cell[l.cache] = l.cell;
+            if (l.machine_type == parent_machine) callbacks.parents.insert(l.cache);
         }
-        list(first, true);
+        update_endpoints(first, true);
     }
 
     TimePoint now = TimePoint::at_seconds(100);
-    RecordingPort port;
+    RecordingCallbacks callbacks;
     Router router;
 
-    void list(const std::vector<EndpointUpdate>& lines, bool complete = false) {
-        for (const EndpointUpdate& l : lines) {
+    void update_endpoints(const std::vector<EndpointUpdate>& updates, bool complete = false) {
+        for (const EndpointUpdate& l : updates) {
             if (l.status != EndpointStatus::active) {
-                port.left.try_emplace(l.cache, now);
+                callbacks.not_active_since.try_emplace(l.cache, now);
                 continue;
             }
-            port.left.erase(l.cache);
-            port.weight[l.cache] = l.weight;
-            if (l.started_at > TimePoint{}) port.cold[l.cache] = l.started_at;
+            callbacks.not_active_since.erase(l.cache);
+            callbacks.weight[l.cache] = l.weight;
+            if (l.started_at > TimePoint{}) callbacks.started_at[l.cache] = l.started_at;
         }
-        at();
-        router.on_endpoint_updates(now, lines, complete);
+        sync_time();
+        router.on_endpoint_updates(now, updates, complete);
     }
-    const SendSeen* lookup(const Request& a) {
-        at();
-        port.open[a.id] = a;
-        const std::size_t before = port.sends.size();
+    // The attempt that is started for the request; null: it is rejected.
+    const StartedAttempt* request(const Request& a) {
+        sync_time();
+        callbacks.unanswered[a.id] = a;
+        const std::size_t before = callbacks.attempts.size();
         router.on_request(now, a);
-        return port.sends.size() > before ? &port.sends.back() : nullptr;
+        return callbacks.attempts.size() > before ? &callbacks.attempts.back() : nullptr;
     }
-    void answer(std::size_t s, Outcome o, CacheStatus note = CacheStatus::none, bool last = false) {
-        at();
-        const SendSeen seen = port.sends[s];
-        if (!seen.out) return;
-        port.came_back(s, o);
+    // Reports the end of an attempt. `finished`: the client has its final response.
+    void end_attempt(std::size_t s, Outcome o, CacheStatus cache_status = CacheStatus::none,
+                     bool finished = false) {
+        sync_time();
+        const StartedAttempt seen = callbacks.attempts[s];
+        if (!seen.in_flight) return;
+        callbacks.end_attempt(s, o);
         AttemptResult a;
-        a.request = seen.id;
-        a.attempt = seen.n;
-        a.cache = seen.fill.cache;
+        a.request = seen.request;
+        a.attempt = seen.index;
+        a.cache = seen.plan.cache;
         a.outcome = o;
-        a.cache_status = note;
-        a.elapsed = a.fill_wait = now - seen.at;
-        a.request_finished = last || o == Outcome::completed || !port.open.contains(seen.id);
-        if (a.request_finished) port.open.erase(seen.id);
+        a.cache_status = cache_status;
+        a.elapsed = a.fill_wait = now - seen.started_at;
+        a.request_finished =
+            finished || o == Outcome::completed || !callbacks.unanswered.contains(seen.request);
+        if (a.request_finished) callbacks.unanswered.erase(seen.request);
         router.on_attempt_result(now, a);
     }
-    void pass(Duration s) {
-        now = now + s;
-        at();
+    // Lets time pass and timers fire.
+    void advance(Duration by) {
+        now = now + by;
+        sync_time();
         std::vector<std::pair<TimerId, TimePoint>> due;
-        std::swap(due, port.alarms);
+        std::swap(due, callbacks.timers);
         for (const auto& [n, when] : due) {
             if (when <= now)
                 router.on_timer(now, n);
             else
-                port.alarms.emplace_back(n, when);
+                callbacks.timers.emplace_back(n, when);
         }
     }
 
 private:
-    void at() { port.now = now; }
+    void sync_time() { callbacks.now = now; }
 };
 
 }  // namespace irismux::testing
--- a/tests/routing/endpoint_set_test.cpp
+++ b/tests/routing/endpoint_set_test.cpp
@@ -23,7 +23,7 @@
     EXPECT_EQ(endpoints_.active(EndpointRole::edge).size(), 3u);
     EXPECT_EQ(endpoints_.active(EndpointRole::parent).size(), 2u);
     EXPECT_EQ(endpoints_.active(EndpointRole::origin).size(), 1u);
-    EndpointUpdate elsewhere = listing("far", edge_machine);
+    EndpointUpdate elsewhere = endpoint_update("far", edge_machine);
     elsewhere.location = LocationId{"there"};
     update(elsewhere);
     EXPECT_EQ(endpoints_.active(EndpointRole::edge).size(), 3u);
@@ -31,23 +31,23 @@
 
 TEST_F(EndpointSetTest, DrainingAndRemovedEndpointsLeaveTheirRole) {
     for (const EndpointStatus status : {EndpointStatus::draining, EndpointStatus::removed}) {
-        EndpointUpdate leaves = listing("e1", edge_machine);
+        EndpointUpdate leaves = endpoint_update("e1", edge_machine);
         leaves.status = status;
         update(leaves);
         EXPECT_EQ(endpoints_.active(EndpointRole::edge).size(), 2u);
-        update(listing("e1", edge_machine));
+        update(endpoint_update("e1", edge_machine));
     }
 }
 
 TEST_F(EndpointSetTest, ACompleteListRemovesWhatItDoesNotName) {
     endpoints_.remove_all();
-    update(listing("e2", edge_machine));
+    update(endpoint_update("e2", edge_machine));
     ASSERT_EQ(endpoints_.active(EndpointRole::edge).size(), 1u);
     EXPECT_EQ(endpoints_.active(EndpointRole::edge)[0]->id, CacheId{"e2"});
 }
 
 TEST_F(EndpointSetTest, TellsOfAStartOnceAndOnlyWhileItWarmsUp) {
-    EndpointUpdate started = listing("e1", edge_machine);
+    EndpointUpdate started = endpoint_update("e1", edge_machine);
     started.started_at = now_ - one_second;
     EXPECT_EQ(update(started), endpoints_.find(CacheId{"e1"}));
     EXPECT_EQ(update(started), nullptr);
@@ -58,7 +58,7 @@
 // Given endpoints that come and go, when they have long been removed, then they are erased, but not while a
 // result of theirs is to come.
 TEST_F(EndpointSetTest, ErasesRemovedEndpointsOnceTheyAreIdle) {
-    EndpointUpdate leaves = listing("e1", edge_machine);
+    EndpointUpdate leaves = endpoint_update("e1", edge_machine);
     leaves.status = EndpointStatus::removed;
     update(leaves);
     EndpointState* removed = endpoints_.find(CacheId{"e1"});
@@ -81,7 +81,7 @@
     const double before = links.endpoint(endpoints_.at(CacheId{"e1"}));
     EXPECT_DOUBLE_EQ(before, 20);
     endpoints_.remove_all();
-    update(listing("e1", edge_machine));
+    update(endpoint_update("e1", edge_machine));
     EXPECT_DOUBLE_EQ(links.endpoint(endpoints_.at(CacheId{"e1"})), before);
 }
 
--- a/tests/routing/outlier_detector_test.cpp
+++ b/tests/routing/outlier_detector_test.cpp
@@ -9,7 +9,7 @@
 protected:
     Deployment deployment_ = deployment();
     TimePoint now_ = TimePoint::at_seconds(100);
-    RecordingPort callbacks_{deployment_};
+    RecordingCallbacks callbacks_{deployment_};
     EndpointSet endpoints_ = endpoint_set(deployment_, now_);
     LinkCapacity links_{deployment_, endpoints_};
     OutlierDetector outliers_{deployment_, endpoints_, links_, callbacks_};
@@ -45,8 +45,8 @@
     EXPECT_FALSE(may_choose());
     wait(0.1);
     EXPECT_TRUE(may_choose());
-    ASSERT_EQ(callbacks_.marks.size(), 1u);
-    EXPECT_EQ(callbacks_.marks[0], (std::pair{cache_.id, true}));
+    ASSERT_EQ(callbacks_.ejection_changes.size(), 1u);
+    EXPECT_EQ(callbacks_.ejection_changes[0], (std::pair{cache_.id, true}));
 }
 
 TEST_F(OutlierDetectorTest, TheBackoffDoublesUpToItsLimit) {
@@ -77,7 +77,7 @@
     probe.probes_cache = true;
     outliers_.on_cache_result(cache_, probe, result_of(Outcome::completed), false, now_);
     EXPECT_EQ(cache_.health.ejection, EjectionState::admitted);
-    EXPECT_EQ(callbacks_.marks.back(), (std::pair{cache_.id, false}));
+    EXPECT_EQ(callbacks_.ejection_changes.back(), (std::pair{cache_.id, false}));
 }
 
 TEST_F(OutlierDetectorTest, AProbeThatShowsNothingIsFollowedByAnother) {
--- a/tests/routing/routing_test_support.hpp
+++ b/tests/routing/routing_test_support.hpp
@@ -16,7 +16,7 @@
 
 /// The endpoints of a list, as of its arrival.
 inline EndpointSet endpoint_set(const Deployment& deployment, TimePoint now,
-                                const std::vector<EndpointUpdate>& list = usual_list()) {
+                                const std::vector<EndpointUpdate>& list = usual_endpoints()) {
     EndpointSet endpoints{deployment};
     for (const EndpointUpdate& update : list) endpoints.apply(update, now);
     endpoints.finish_updates(now);
--- a/tests/slow_start_fleet_test.cpp
+++ b/tests/slow_start_fleet_test.cpp
@@ -30,9 +30,9 @@
     bool told = false;
     std::deque<Asked>* asked = nullptr;
     std::priority_queue<Due, std::vector<Due>, std::greater<>>* due = nullptr;
-    std::map<RequestId, std::uint64_t> sends;
-    std::uint64_t filled = 0, nacked = 0;
-    std::vector<std::pair<TimePoint, TimerId>> alarms;
+    std::map<RequestId, std::uint64_t> attempts;
+    std::uint64_t filled = 0, rejected = 0;
+    std::vector<std::pair<TimePoint, TimerId>> timers;
     double work = 0;
 
     void start_direct_attempt(const RequestId&, const CacheId&, Duration) override {}
@@ -40,16 +40,17 @@
         if (f.source == cold || f.cache == cold) asked->push_back({now, work, told});
         const bool looked = f.source == f.cache;
         ++filled;
-        due->push({now + Duration::seconds(looked ? 0.002 : 0.06),
-                   gateway,
-                   {id, AttemptIndex{sends[id]++}, f.cache, looked ? Outcome::cache_miss : Outcome::completed,
-                    looked ? CacheStatus::none : CacheStatus::filled,
-                    Duration::seconds(looked ? 0.002 : 0.06), Duration{}, !looked}});
+        due->push(
+            {now + Duration::seconds(looked ? 0.002 : 0.06),
+             gateway,
+             {id, AttemptIndex{attempts[id]++}, f.cache, looked ? Outcome::cache_miss : Outcome::completed,
+              looked ? CacheStatus::none : CacheStatus::filled, Duration::seconds(looked ? 0.002 : 0.06),
+              Duration{}, !looked}});
     }
     void cancel_attempt(const RequestId&, AttemptIndex) override {}
-    void reject(const RequestId&, Duration) override { ++nacked; }
+    void reject(const RequestId&, Duration) override { ++rejected; }
     void fail(const RequestId&) override {}
-    void set_timer(TimerId n, TimePoint at) override { alarms.emplace_back(at, n); }
+    void set_timer(TimerId n, TimePoint at) override { timers.emplace_back(at, n); }
     void subscribe_to_endpoints() override {}
 };
 
@@ -78,7 +79,7 @@
     double draw() { return static_cast<double>(chance()) / static_cast<double>(std::ranlux24_base::max()); }
 
     std::vector<EndpointUpdate> list(bool again) const {
-        std::vector<EndpointUpdate> all = usual_list();
+        std::vector<EndpointUpdate> all = usual_endpoints();
         for (EndpointUpdate& l : all) {
             l.weight = l.machine_type == edge_machine ? 1e4 : parent_weight;
             if (again && l.cache.raw() == "p1") l.started_at = began;
@@ -88,8 +89,8 @@
     void start(std::size_t g, TimePoint now, bool knows) {
         FleetPort& p = *ports[g];
         p.told = knows;
-        p.alarms.clear();
-        p.sends.clear();
+        p.timers.clear();
+        p.attempts.clear();
         routers[g] = std::make_unique<Router>(p, d, chance(), now);
         routers[g]->on_endpoint_updates(now, list(knows), true);
     }
@@ -126,8 +127,8 @@
                 // Restarts in the warm-up, that forget all: about one in two gateways in all.
                 if (now > began + Duration::seconds(2) && draw() < 0.01 * 0.5 / std::max(1.0, burst_after))
                     start(g, now, true);
-                for (const auto& [at, no] : std::exchange(p.alarms, {}))
-                    at <= now ? routers[g]->on_timer(now, no) : (void)p.alarms.emplace_back(at, no);
+                for (const auto& [at, no] : std::exchange(p.timers, {}))
+                    at <= now ? routers[g]->on_timer(now, no) : (void)p.timers.emplace_back(at, no);
                 // A tenth of the gateways gets most of the traffic.
                 const double heavy = g % 10 == 0 ? 4 : 0.7;
                 const double pace = (now >= burst && now < burst + Duration::seconds(1) ? 10 : 0.02) * heavy;
@@ -136,14 +137,14 @@
         }
     }
     void ask(std::size_t g, TimePoint now) {
-        Request lk;
-        lk.id = RequestId{++lookups};
-        lk.kind = ObjectKindIndex{0};
-        lk.object = ObjectName{"a" + std::to_string(lookups * 7919)};
-        lk.purge_group = PurgeGroupId{1};
-        lk.deadline = now + Duration::seconds(5);
-        lk.size_kb = work * d.transfer_rate_kb_per_s;
-        routers[g]->on_request(now, lk);
+        Request request;
+        request.id = RequestId{++lookups};
+        request.kind = ObjectKindIndex{0};
+        request.object = ObjectName{"a" + std::to_string(lookups * 7919)};
+        request.purge_group = PurgeGroupId{1};
+        request.deadline = now + Duration::seconds(5);
+        request.size_kb = work * d.transfer_rate_kb_per_s;
+        routers[g]->on_request(now, request);
     }
     // What was asked by those that had been told, in each window that ends with one of them.
     void judge() { judge(d.parent_slow_start, parent_weight); }
@@ -202,7 +203,7 @@
         d.location_link_capacity_kb_per_s = 3 * cache_capacity / 2 * d.transfer_rate_kb_per_s;
     }
     std::vector<EndpointUpdate> lines(EndpointStatus of_peers) const {
-        std::vector<EndpointUpdate> all = usual_list();
+        std::vector<EndpointUpdate> all = usual_endpoints();
         for (EndpointUpdate& l : all) {
             if (l.cache.raw() == "e1") l.started_at = began;
             if (l.cache.raw() == "e2" || l.cache.raw() == "e3") l.status = of_peers;
@@ -212,8 +213,8 @@
     void gateway_starts(std::size_t g, TimePoint now, EndpointStatus peers) {
         FleetPort& p = *ports[g];
         p.now = now;
-        p.alarms.clear();
-        p.sends.clear();
+        p.timers.clear();
+        p.attempts.clear();
         routers[g] = std::make_unique<Router>(p, d, chance(), now);
         routers[g]->on_endpoint_updates(now, lines(peers), true);
     }
@@ -253,8 +254,8 @@
                     step[g] = 2;
                     routers[g]->on_endpoint_updates(now, lines(EndpointStatus::removed), false);
                 }
-                for (const auto& [at, no] : std::exchange(ports[g]->alarms, {}))
-                    at <= now ? routers[g]->on_timer(now, no) : (void)ports[g]->alarms.emplace_back(at, no);
+                for (const auto& [at, no] : std::exchange(ports[g]->timers, {}))
+                    at <= now ? routers[g]->on_timer(now, no) : (void)ports[g]->timers.emplace_back(at, no);
                 const double heavy = g % 10 == 0 ? 4 : 0.7;
                 if (draw() < (now >= burst ? burst_pace : quiet_pace) / d.gateways * heavy * 0.01)
                     ask(g, now);
