--- a/tests/random_gateway_scenario.hpp
+++ b/tests/random_gateway_scenario.hpp
@@ -1,5 +1,4 @@
-// A gateway's life at random: settings, events and their order are drawn, and the rules checked at every
-// step.
+// A router with random settings, events and order of events. The five rules are checked at every step.
 #pragma once
 
 #include <rapidcheck.h>
@@ -8,87 +7,90 @@
 
 namespace irismux::testing {
 
-inline int draw(int low, int high) { return *rc::gen::inRange(low, high + 1); }
-inline bool toss() { return draw(0, 1) == 1; }
+inline int random_int(int low, int high) { return *rc::gen::inRange(low, high + 1); }
+inline bool random_bool() { return random_int(0, 1) == 1; }
 
-inline Deployment drawn_deployment() {
+inline Deployment random_deployment() {
     Deployment d = deployment();
-    d.gateways_in_location = toss() ? draw(1, 3) : draw(4, 12);
-    d.gateways = d.gateways_in_location + (toss() ? draw(0, 4) : draw(60, 150));
-    d.locations = draw(1, 25);
-    d.capabilities.cache_status = static_cast<CacheStatusReporting>(draw(0, 2));
-    d.origin_stops_when_overloaded = toss();
-    d.location_link_capacity_kb_per_s = toss() ? 0 : draw(5, 80) * 1000.0;
+    d.gateways_in_location = random_bool() ? random_int(1, 3) : random_int(4, 12);
+    d.gateways = d.gateways_in_location + (random_bool() ? random_int(0, 4) : random_int(60, 150));
+    d.locations = random_int(1, 25);
+    d.capabilities.cache_status = static_cast<CacheStatusReporting>(random_int(0, 2));
+    d.origin_stops_when_overloaded = random_bool();
+    d.location_link_capacity_kb_per_s = random_bool() ? 0 : random_int(5, 80) * 1000.0;
     d.total_link_capacity_kb_per_s = d.location_link_capacity_kb_per_s * d.locations;
-    d.capabilities.cancellation = toss();
-    d.capabilities.hedged_requests = toss();
-    d.capabilities.direct_attempts = toss();
-    d.capabilities.coalescing = toss();
-    d.capabilities.retry_after = toss();
-    d.capabilities.max_attempts = draw(1, 8);
+    d.capabilities.cancellation = random_bool();
+    d.capabilities.hedged_requests = random_bool();
+    d.capabilities.direct_attempts = random_bool();
+    d.capabilities.coalescing = random_bool();
+    d.capabilities.retry_after = random_bool();
+    d.capabilities.max_attempts = random_int(1, 8);
     d.weights_known = true;
-    d.edge_slow_start = {draw(10, 40) / 100.0, Duration::seconds(draw(5, 20)),
-                         static_cast<double>(draw(2, 4))};
-    d.parent_slow_start = {draw(5, 15) / 100.0, Duration::seconds(draw(10, 25)), 2};
+    d.edge_slow_start = {random_int(10, 40) / 100.0, Duration::seconds(random_int(5, 20)),
+                         static_cast<double>(random_int(2, 4))};
+    d.parent_slow_start = {random_int(5, 15) / 100.0, Duration::seconds(random_int(10, 25)), 2};
     for (ObjectKind& k : d.kinds) {
-        k.dedup_scope = static_cast<DedupScope>(draw(0, 2));
-        k.dedup_window = Duration::seconds(draw(1, 5));
-        k.uncacheable = k.effect == Effect::non_idempotent || (k.effect == Effect::deduplicated && toss());
-        if (k.effect == Effect::idempotent && toss()) {
-            k.fresh_for = Duration::seconds(draw(5, 20));
-            k.stale_if_error_for = Duration::seconds(draw(0, 10));
+        k.dedup_scope = static_cast<DedupScope>(random_int(0, 2));
+        k.dedup_window = Duration::seconds(random_int(1, 5));
+        k.uncacheable =
+            k.effect == Effect::non_idempotent || (k.effect == Effect::deduplicated && random_bool());
+        if (k.effect == Effect::idempotent && random_bool()) {
+            k.fresh_for = Duration::seconds(random_int(5, 20));
+            k.stale_if_error_for = Duration::seconds(random_int(0, 10));
         }
     }
     return d;
 }
 
-// What may break rule 4 is drawn more widely: shares, sizes and weights by ten, windows against deadlines.
-inline Deployment widely_drawn_deployment() {
-    Deployment d = drawn_deployment();
-    d.gateways_in_location = draw(1, 8);
-    d.gateways = d.gateways_in_location + (toss() ? draw(0, 8) : draw(60, 150));
-    d.overload_window = Duration::seconds(draw(5, 40) / 10.0);
-    d.edge_slow_start.overload_multiple = draw(20, 45) / 10.0;
-    d.parent_slow_start.overload_multiple = draw(20, 30) / 10.0;
-    d.capabilities.max_attempts = draw(3, 8);
+// Wider draws of what rule 4 depends on: shares, sizes and weights by a factor of ten, windows, deadlines.
+inline Deployment wide_random_deployment() {
+    Deployment d = random_deployment();
+    d.gateways_in_location = random_int(1, 8);
+    d.gateways = d.gateways_in_location + (random_bool() ? random_int(0, 8) : random_int(60, 150));
+    d.overload_window = Duration::seconds(random_int(5, 40) / 10.0);
+    d.edge_slow_start.overload_multiple = random_int(20, 45) / 10.0;
+    d.parent_slow_start.overload_multiple = random_int(20, 30) / 10.0;
+    d.capabilities.max_attempts = random_int(3, 8);
     return d;
 }
 
-inline std::vector<EndpointUpdate> widely_drawn_list() {
+inline std::vector<EndpointUpdate> wide_random_endpoints() {
     std::vector<EndpointUpdate> all = usual_endpoints();
-    for (EndpointUpdate& l : all) l.weight = draw(1, 10) * (l.machine_type == parent_machine ? 5 : 1);
+    for (EndpointUpdate& l : all) l.weight = random_int(1, 10) * (l.machine_type == parent_machine ? 5 : 1);
     return all;
 }
 
-// One gateway's life, from its start to its being killed.
-class Life {
+// One router, from its start on.
+class RandomScenario {
 public:
-    Life(const Deployment& d, std::uint64_t seed) : harness_(d, seed), list_(usual_endpoints()) {}
-    Life(const Deployment& d, std::uint64_t seed, std::vector<EndpointUpdate> list)
-        : harness_(d, seed, list), list_(std::move(list)), wide_(true) {}
+    RandomScenario(const Deployment& d, std::uint64_t seed)
+        : harness_(d, seed), endpoints_(usual_endpoints()) {}
+    RandomScenario(const Deployment& d, std::uint64_t seed, std::vector<EndpointUpdate> list)
+        : harness_(d, seed, list), endpoints_(std::move(list)), wide_(true) {}
 
     void step() {
-        const int what = draw(0, 99);
+        const int what = random_int(0, 99);
         if (what < 40) {
-            Request a = request_for("l" + std::to_string(made_++), "o" + std::to_string(draw(0, 12)),
-                                    harness_.now + Duration::seconds(draw(1, 40) / 10.0),
-                                    static_cast<std::size_t>(draw(0, 2)));
-            a.purge_group = PurgeGroupId{draw(0, 2)};
+            Request a = request_for("l" + std::to_string(made_++), "o" + std::to_string(random_int(0, 12)),
+                                    harness_.now + Duration::seconds(random_int(1, 40) / 10.0),
+                                    static_cast<std::size_t>(random_int(0, 2)));
+            a.purge_group = PurgeGroupId{random_int(0, 2)};
             if (wide_) {
-                a.deadline = harness_.now + (toss() ? Duration::seconds(draw(5, 50) / 100.0)
-                                                    : Duration::seconds(draw(5, 30)));
-                a.size_kb = toss() ? draw(20, 400) : draw(400, 4000);
+                a.deadline = harness_.now + (random_bool() ? Duration::seconds(random_int(5, 50) / 100.0)
+                                                           : Duration::seconds(random_int(5, 30)));
+                a.size_kb = random_bool() ? random_int(20, 400) : random_int(400, 4000);
             }
             harness_.request(a);
         } else if (what < 70) {
-            answer_one();
+            end_one_attempt();
         } else if (what < 85) {
-            pass(Duration::seconds((wide_ && toss() ? draw(1, 1000) : draw(1, 300)) / 1000.0));
+            advance(Duration::seconds((wide_ && random_bool() ? random_int(1, 1000) : random_int(1, 300)) /
+                                      1000.0));
         } else if (what < 92) {
-            wide_ ? change_starts() : change_list();
+            wide_ ? change_starts() : change_endpoints();
         } else if (what < 97) {
-            const ObjectName object{"o" + std::to_string(draw(0, 12))};
-            const Duration age = Duration::seconds(draw(0, 400) / 1000.0);
+            const ObjectName object{"o" + std::to_string(random_int(0, 12))};
+            const Duration age = Duration::seconds(random_int(0, 400) / 1000.0);
             harness_.callbacks.purged_at[object] = harness_.now - age;
             harness_.router.on_purge(harness_.now, age, PurgeGroupId{0}, object);
         } else if (!harness_.callbacks.unanswered.empty()) {
@@ -101,55 +103,59 @@
 
 private:
     RouterHarness harness_;
-    int made_ = 0, waves_ = 0;
-    bool ageing_ = toss();              // whether e1 answers only now and then, and late
-    std::vector<EndpointUpdate> list_;  // as it is in truth
+    int made_ = 0, replacements_ = 0;
+    bool cache_is_failing_ = random_bool();  // e1 answers one attempt in five, and late
+    std::vector<EndpointUpdate> endpoints_;  // as they are, listed or not
     bool wide_ = false;
-    std::multimap<TimePoint, EndpointUpdate> untold_;  // starts that the list tells later
-    std::map<CacheId, TimePoint> down_, died_;  // dead, and since when until when; refused with nothing out
+    std::multimap<TimePoint, EndpointUpdate> late_updates_;  // that the list tells later
+    std::map<CacheId, TimePoint> down_until_;
+    std::map<CacheId, TimePoint> refused_while_idle_;
 
-    void answer_one() {
-        std::vector<std::size_t> out;
+    void end_one_attempt() {
+        std::vector<std::size_t> in_flight;
         for (std::size_t s = 0; s < harness_.callbacks.attempts.size(); ++s)
-            if (harness_.callbacks.attempts[s].in_flight) out.push_back(s);
-        if (out.empty()) return;
-        const std::size_t s = out[static_cast<std::size_t>(draw(0, static_cast<int>(out.size()) - 1))];
-        if (ageing_ && harness_.callbacks.attempts[s].plan.cache == CacheId{"e1"} && draw(0, 4) > 0) return;
-        const Outcome o = toss() ? Outcome::completed : static_cast<Outcome>(draw(0, 8));
-        // Only a lookup that is over can be superseded, or overdue at its deadline.
+            if (harness_.callbacks.attempts[s].in_flight) in_flight.push_back(s);
+        if (in_flight.empty()) return;
+        const std::size_t s =
+            in_flight[static_cast<std::size_t>(random_int(0, static_cast<int>(in_flight.size()) - 1))];
+        if (cache_is_failing_ && harness_.callbacks.attempts[s].plan.cache == CacheId{"e1"} &&
+            random_int(0, 4) > 0)
+            return;
+        const Outcome o = random_bool() ? Outcome::completed : static_cast<Outcome>(random_int(0, 8));
+        // Only a finished request can be superseded; deadlines end attempts in advance().
         if (o == Outcome::superseded || o == Outcome::deadline_exceeded) return;
-        const CacheStatus cache_status = static_cast<CacheStatus>(draw(0, 10));
-        if (wide_) return answer_in_truth(s, o, cache_status);
+        const CacheStatus cache_status = static_cast<CacheStatus>(random_int(0, 10));
+        if (wide_) return end_attempt_as_endpoint_is(s, o, cache_status);
         harness_.end_attempt(s, o, cache_status);
     }
 
-    // What is down refuses. One that was refused with nothing else out is cold from its first answer on, told
-    // or not.
-    void answer_in_truth(std::size_t s, Outcome o, CacheStatus cache_status) {
+    // An endpoint that is down refuses. One that refused with nothing else in flight is warming up from its
+    // first response on, whatever the list says.
+    void end_attempt_as_endpoint_is(std::size_t s, Outcome o, CacheStatus cache_status) {
         const CacheId cache = harness_.callbacks.attempts[s].plan.cache;
-        if (const auto d = down_.find(cache); d != down_.end() && harness_.now < d->second)
+        if (const auto d = down_until_.find(cache); d != down_until_.end() && harness_.now < d->second)
             o = Outcome::connection_refused;
         if (o == Outcome::connection_refused) {
             harness_.callbacks.attempts[s].in_flight = false;
-            const bool out =
+            const bool in_flight =
                 std::any_of(harness_.callbacks.attempts.begin(), harness_.callbacks.attempts.end(),
                             [&](const StartedAttempt& x) { return x.in_flight && x.plan.cache == cache; });
             harness_.callbacks.attempts[s].in_flight = true;
-            if (!out) died_.try_emplace(cache, harness_.now);
-        } else if (died_.contains(cache) && cache.raw()[0] == 'e' &&
+            if (!in_flight) refused_while_idle_.try_emplace(cache, harness_.now);
+        } else if (refused_while_idle_.contains(cache) && cache.raw()[0] == 'e' &&
                    (o == Outcome::completed || o == Outcome::cache_miss || o == Outcome::errored ||
                     (o == Outcome::overloaded && cache_status != CacheStatus::none))) {
             harness_.callbacks.started_at[cache] = harness_.now;
-            died_.erase(cache);
+            refused_while_idle_.erase(cache);
         }
         harness_.end_attempt(s, o, cache_status);
     }
 
-    void pass(Duration s) {
+    void advance(Duration s) {
         harness_.advance(s);
-        while (!untold_.empty() && untold_.begin()->first <= harness_.now) {
-            tell(untold_.begin()->second);
-            untold_.erase(untold_.begin());
+        while (!late_updates_.empty() && late_updates_.begin()->first <= harness_.now) {
+            update(late_updates_.begin()->second);
+            late_updates_.erase(late_updates_.begin());
         }
         for (std::size_t n = 0; n < harness_.callbacks.attempts.size(); ++n) {
             const auto it = harness_.callbacks.unanswered.find(harness_.callbacks.attempts[n].request);
@@ -158,99 +164,105 @@
         }
     }
 
-    void change_list() {
+    void change_endpoints() {
         std::vector<EndpointUpdate> all = usual_endpoints();
-        const int what = draw(0, 9);
+        const int what = random_int(0, 9);
         if (what == 0) {  // a rack restarts at once
             for (std::size_t e = 0; e < 2; ++e) all[e].started_at = harness_.now;
             return harness_.update_endpoints({all[0], all[1]});
         }
-        EndpointUpdate l = all[static_cast<std::size_t>(draw(0, 4))];
-        if (what <= 2) {  // a wave: one drains or is gone, and a machine of a new id takes its place
-            l.status = toss() ? EndpointStatus::draining : EndpointStatus::removed;
+        EndpointUpdate l = all[static_cast<std::size_t>(random_int(0, 4))];
+        if (what <= 2) {  // one drains or is removed, and another of a new id takes its place
+            l.status = random_bool() ? EndpointStatus::draining : EndpointStatus::removed;
             EndpointUpdate next =
-                endpoint_update(l.cache.raw() + std::to_string(++waves_), l.machine_type, l.weight);
+                endpoint_update(l.cache.raw() + std::to_string(++replacements_), l.machine_type, l.weight);
             next.started_at = harness_.now;
             if (l.machine_type == parent_machine) harness_.callbacks.parents.insert(next.cache);
             return harness_.update_endpoints({l, next});
         }
-        l.status = static_cast<EndpointStatus>(draw(0, 2));
-        if (l.status == EndpointStatus::active) l.started_at = harness_.now - Duration::seconds(draw(0, 3));
+        l.status = static_cast<EndpointStatus>(random_int(0, 2));
+        if (l.status == EndpointStatus::active)
+            l.started_at = harness_.now - Duration::seconds(random_int(0, 3));
         harness_.update_endpoints({l});
     }
 
-    void tell(const EndpointUpdate& l) {
-        if (l.status == EndpointStatus::active) died_.erase(l.cache);
+    void update(const EndpointUpdate& l) {
+        if (l.status == EndpointStatus::active) refused_while_idle_.erase(l.cache);
         harness_.update_endpoints({l});
     }
 
-    // Starts: of one, of a whole location, in mid-warm-up; told at once, late, twice, under two dates or
-    // never.
+    // Starts: of one, of a whole location, during a warm-up; listed at once, late, twice, with two start
+    // times or never.
     void change_starts() {
-        const int what = draw(0, 9);
-        const std::size_t first = what <= 1 ? 0 : static_cast<std::size_t>(draw(0, 4));
+        const int what = random_int(0, 9);
+        const std::size_t first = what <= 1 ? 0 : static_cast<std::size_t>(random_int(0, 4));
         const std::size_t last = what <= 1 ? 2 : first;
         for (std::size_t n = first; n <= last; ++n) {
-            EndpointUpdate& l = list_[n];
-            if (what == 2) {  // only told to be larger or smaller
-                l.weight = draw(1, 10) * (l.machine_type == parent_machine ? 5 : 1);
-                tell(l);
+            EndpointUpdate& l = endpoints_[n];
+            if (what == 2) {  // another weight only
+                l.weight = random_int(1, 10) * (l.machine_type == parent_machine ? 5 : 1);
+                update(l);
                 continue;
             }
             if (what == 3) {  // leaves, and comes back as it was
                 EndpointUpdate gone = l;
-                gone.status = toss() ? EndpointStatus::draining : EndpointStatus::removed;
-                tell(gone);
-                untold_.emplace(harness_.now + Duration::seconds(draw(0, 30) / 10.0), l);
+                gone.status = random_bool() ? EndpointStatus::draining : EndpointStatus::removed;
+                update(gone);
+                late_updates_.emplace(harness_.now + Duration::seconds(random_int(0, 30) / 10.0), l);
                 continue;
             }
-            l.started_at = harness_.now + Duration::seconds(toss() ? 0 : draw(0, 20) / 10.0);
-            down_[l.cache] = l.started_at;
-            if (what == 4) continue;  // never told
-            const TimePoint told = l.started_at + Duration::seconds(toss() ? 0 : draw(0, 80) / 10.0);
-            untold_.emplace(told, l);
-            if (toss()) untold_.emplace(told + Duration::seconds(draw(0, 40) / 10.0), l);
-            if (draw(0, 3) > 0) continue;
+            l.started_at = harness_.now + Duration::seconds(random_bool() ? 0 : random_int(0, 20) / 10.0);
+            down_until_[l.cache] = l.started_at;
+            if (what == 4) continue;  // never listed
+            const TimePoint listed_at =
+                l.started_at + Duration::seconds(random_bool() ? 0 : random_int(0, 80) / 10.0);
+            late_updates_.emplace(listed_at, l);
+            if (random_bool())
+                late_updates_.emplace(listed_at + Duration::seconds(random_int(0, 40) / 10.0), l);
+            if (random_int(0, 3) > 0) continue;
             EndpointUpdate moved = l;
-            moved.started_at = l.started_at + Duration::seconds(draw(0, 20) / 10.0);
-            untold_.emplace(std::max(told, moved.started_at) + Duration::seconds(draw(0, 40) / 10.0), moved);
+            moved.started_at = l.started_at + Duration::seconds(random_int(0, 20) / 10.0);
+            late_updates_.emplace(
+                std::max(listed_at, moved.started_at) + Duration::seconds(random_int(0, 40) / 10.0), moved);
         }
     }
 
     void check() {
-        std::size_t watches = 0;
-        for (const auto& [n, at] : harness_.callbacks.timers) watches += n == TimerId{0};
-        if (watches > 1) RC_FAIL("timers multiply");
+        std::size_t monitor_timers = 0;
+        for (const auto& [n, at] : harness_.callbacks.timers) monitor_timers += n == TimerId{0};
+        if (monitor_timers > 1) RC_FAIL("more than one timer of an id");
         if (!harness_.callbacks.violations.empty()) RC_FAIL(harness_.callbacks.violations.front());
         for (const auto& [id, a] : harness_.callbacks.unanswered) {
-            bool out = false;
+            bool in_flight = false;
             for (const std::size_t s : harness_.callbacks.attempts_of[id])
-                out = out || harness_.callbacks.attempts[s].in_flight;
-            if (!out) RC_FAIL("1: a lookup is held with nothing out: " + std::to_string(id.raw()));
-            if (a.deadline <= harness_.now - harness_.callbacks.settings.timer_resolution * 2 && !out)
-                RC_FAIL("1: past its deadline");
+                in_flight = in_flight || harness_.callbacks.attempts[s].in_flight;
+            if (!in_flight)
+                RC_FAIL("1: a request is pending without an attempt: " + std::to_string(id.raw()));
+            if (a.deadline <= harness_.now - harness_.callbacks.settings.timer_resolution * 2 && !in_flight)
+                RC_FAIL("1: a request is pending past its deadline");
         }
     }
 };
 
 template <class Draw>
-void lives(Draw one) {
-    const auto birth = one();
-    for (int life = 0; life < 2; ++life) {
-        Life gateway = birth(static_cast<std::uint64_t>(draw(0, 1 << 20)));
-        const int steps = draw(50, 400);
-        for (int n = 0; n < steps; ++n) gateway.step();
+void play_scenarios(Draw draw_settings) {
+    const auto start = draw_settings();
+    for (int run = 0; run < 2; ++run) {
+        RandomScenario scenario = start(static_cast<std::uint64_t>(random_int(0, 1 << 20)));
+        const int steps = random_int(50, 400);
+        for (int n = 0; n < steps; ++n) scenario.step();
     }
 }
 
-inline void narrow_lives() {
-    lives([] { return [d = drawn_deployment()](std::uint64_t seed) { return Life(d, seed); }; });
+inline void narrow_scenarios() {
+    play_scenarios(
+        [] { return [d = random_deployment()](std::uint64_t seed) { return RandomScenario(d, seed); }; });
 }
 
-inline void wide_lives() {
-    lives([] {
-        return [d = widely_drawn_deployment(), l = widely_drawn_list()](std::uint64_t seed) {
-            return Life(d, seed, l);
+inline void wide_scenarios() {
+    play_scenarios([] {
+        return [d = wide_random_deployment(), l = wide_random_endpoints()](std::uint64_t seed) {
+            return RandomScenario(d, seed, l);
         };
     });
 }
--- a/tests/random_seed_sweep.cpp
+++ b/tests/random_seed_sweep.cpp
@@ -27,7 +27,7 @@
         metadata.id = metadata.description =
             narrow ? "every step keeps the rules" : "every step keeps the rules, wider draws";
         const auto result = checkTestable(
-            narrow ? irismux::testing::narrow_lives : irismux::testing::wide_lives, metadata, params);
+            narrow ? irismux::testing::narrow_scenarios : irismux::testing::wide_scenarios, metadata, params);
         ++tried;
         FailureResult violation;
         if (!result.match(violation)) continue;
--- a/tests/request_identity_test.cpp
+++ b/tests/request_identity_test.cpp
@@ -144,8 +144,8 @@
     EXPECT_EQ(times.start(b, after(-3599)), after(20));
 }
 
-// A late send goes with its end: timers that come behind it find nothing.
-TEST(Router, WhatIsLeftOfALookupFindsNothing) {
+// Given attempts that have ended, when timers fire, then nothing is found.
+TEST(Router, TimersOfEndedAttemptsFindNothing) {
     RouterHarness harness;
     for (int n = 0; n < 50; ++n) {
         ASSERT_NE(harness.request(
@@ -158,8 +158,8 @@
     EXPECT_TRUE(harness.callbacks.violations.empty()) << harness.callbacks.violations.front();
 }
 
-// A host that gives an identity twice harms nothing: the second lookup is not taken.
-TEST(Router, AnIdentityIsGivenOnce) {
+// Given a request id that is used twice, when the second request comes, then it is ignored.
+TEST(Router, ASecondRequestOfTheSameIdIsIgnored) {
     RouterHarness harness;
     const Request lookup = request_for("twice", "object", harness.now + Duration::seconds(5));
     ASSERT_NE(harness.request(lookup), nullptr);
--- a/tests/router_random_test.cpp
+++ b/tests/router_random_test.cpp
@@ -6,10 +6,12 @@
 
 namespace {
 
-TEST(Random, EveryStepKeepsTheRules) { EXPECT_TRUE(rc::check("every step keeps the rules", narrow_lives)); }
+TEST(Random, EveryStepKeepsTheRules) {
+    EXPECT_TRUE(rc::check("every step keeps the rules", narrow_scenarios));
+}
 
 TEST(Random, EveryStepKeepsTheRulesWhateverTheListSaysOfStarts) {
-    EXPECT_TRUE(rc::check("every step keeps the rules, wider draws", wide_lives));
+    EXPECT_TRUE(rc::check("every step keeps the rules, wider draws", wide_scenarios));
 }
 
 }  // namespace
--- a/tests/waiting_attempt_test.cpp
+++ b/tests/waiting_attempt_test.cpp
@@ -1,5 +1,5 @@
-// What the decisions say of a send that has waited, when its first byte could go. Windows and ends of the
-// process are forced on whole processes (crossing_test, leave_test).
+// Router::may_begin_attempt: an attempt that has waited is judged again at its first byte. Idempotency
+// windows and shutdown are tested with whole processes (event_order_test, shutdown_test).
 #include "router_test_support.hpp"
 
 using namespace irismux;
@@ -9,7 +9,7 @@
 
 const Duration second = Duration::seconds(1);
 
-class Waiting : public ::testing::Test {
+class WaitingAttempt : public ::testing::Test {
 protected:
     RouterHarness harness;
     bool may_begin(std::size_t s) {
@@ -22,7 +22,7 @@
     }
 };
 
-TEST_F(Waiting, AClientThatHasLeftLetsNothingBegin) {
+TEST_F(WaitingAttempt, DoesNotBeginOnceItsClientHasClosed) {
     ASSERT_TRUE(harness.request(request_for("l", "x", harness.now + second * 5)));
     EXPECT_TRUE(may_begin(last()));
     harness.router.on_client_closed(harness.now, request_id_named("l"));
@@ -30,34 +30,34 @@
     harness.callbacks.unanswered.clear();
 }
 
-// Of the cache or of the source: a gateway that has just heard of a start has nothing to spend, and a send
-// that was judged once is not charged again.
-TEST_F(Waiting, AStartToldMeanwhileHoldsItToItsBudget) {
+// Given an attempt that waits, when its cache or its source restarts, then it may begin only within the new
+// budget, which is charged once.
+TEST_F(WaitingAttempt, MustFitTheBudgetOfAnEndpointThatHasRestarted) {
     for (const bool source : {false, true}) {
         const std::string id = source ? "s" : "c";
         const StartedAttempt* s = harness.request(request_for(id, "x", harness.now + second * 30));
         ASSERT_TRUE(s);
         ASSERT_NE(s->plan.source, s->plan.cache);
         const std::size_t n = last();
-        const CacheId again = source ? s->plan.source : s->plan.cache;
+        const CacheId restarted = source ? s->plan.source : s->plan.cache;
         EXPECT_TRUE(may_begin(n));
         harness.advance(second);
         for (EndpointUpdate l : usual_endpoints()) {
-            if (l.cache != again) continue;
+            if (l.cache != restarted) continue;
             l.started_at = harness.now;
             harness.update_endpoints({l});
         }
         harness.advance(Duration::micros(1000));
-        EXPECT_FALSE(may_begin(n)) << again.raw();
+        EXPECT_FALSE(may_begin(n)) << restarted.raw();
         harness.advance(second * 5);
-        EXPECT_TRUE(may_begin(n) && may_begin(n)) << again.raw();
+        EXPECT_TRUE(may_begin(n) && may_begin(n)) << restarted.raw();
         harness.end_attempt(n, Outcome::completed, CacheStatus::filled);
     }
 }
 
-// A deduplicated lookup that may only be repeated within its cell stays there when the cache that had it is
-// long gone.
-TEST(Forgetting, ACacheLongGoneStillNamesTheCellOfItsSends) {
+// Given a request that may only be repeated within its cell, when its cache has long been removed, then it
+// stays in that cell all the same.
+TEST(RemovedCache, StillTellsTheCellOfItsAttempts) {
     Deployment d = deployment();
     d.kinds[2].dedup_scope = DedupScope::cell;
     d.kinds[2].dedup_window = second * 200;
@@ -81,12 +81,12 @@
     EndpointUpdate gone = first[2];
     gone.status = EndpointStatus::removed;
     harness.update_endpoints({gone});
-    // Its answer is owed: the record stays. When it has come, and a list after the longest warm-up, it goes.
+    // The cache is kept while a result is to come, and erased with the first list after that.
     harness.advance(second * 30);
     harness.update_endpoints({first[0]});
     const std::size_t before = harness.callbacks.attempts.size();
     harness.end_attempt(at, Outcome::connection_reset);
-    EXPECT_EQ(harness.callbacks.attempts.size(), before) << "sent again outside its cell";
+    EXPECT_EQ(harness.callbacks.attempts.size(), before) << "repeated outside its cell";
     EXPECT_TRUE(harness.callbacks.violations.empty()) << harness.callbacks.violations.front();
 }
 
