--- a/src/routing/adaptive_limit.cpp
+++ b/src/routing/adaptive_limit.cpp
@@ -10,7 +10,7 @@
 constexpr Duration cut_time = Duration::micros(800'000);
 // One bad result stands for no more than this much of the time since the last cut.
 constexpr Duration longest_time_per_cut = Duration::micros(1'000'000);
-// Some traffic always goes on, or a recovery would not be seen.
+// Bounds the time until the share is full again, however long the bad results lasted.
 constexpr double min_share_after_cut = 0.05;
 
 }  // namespace
--- a/src/routing/attempt_monitor.hpp
+++ b/src/routing/attempt_monitor.hpp
@@ -40,7 +40,7 @@
     void eject_unresponsive_endpoints(PendingRequests& requests, TimePoint now) const;
     void cancel_attempts_at(const EndpointState& endpoint, PendingRequests& requests) const;
 
-    AttemptMonitorOutputs out_;
+    AttemptMonitorOutputs outputs_;
     bool can_cancel_;
     Duration interval_;
     bool timer_is_set_ = false;
--- a/src/routing/fill_source.cpp
+++ b/src/routing/fill_source.cpp
@@ -20,7 +20,7 @@
 }  // namespace
 
 FillSource::FillSource(const Deployment& deployment, const FillSourceInputs& inputs)
-    : in_(inputs),
+    : inputs_(inputs),
       has_parents_(deployment.parent_machine.has_value()),
       longest_latency_objective_(longest_latency_objective(deployment)),
       fetch_limit_(deployment.origin_stops_when_overloaded ? stopping_origin_doubling_time
@@ -31,14 +31,14 @@
 bool FillSource::select(PendingRequest& request, const EndpointState& cache, TimePoint now) {
     if (request.plan.source != CacheId{}) return true;  // a direct attempt
     const ObjectName& object = request.request.object;
-    const Endpoints origins = in_.endpoints.ranked(object, EndpointRole::origin);
+    const Endpoints origins = inputs_.endpoints.ranked(object, EndpointRole::origin);
     EndpointState* origin = origins.empty() ? nullptr : origins.front();
     if (request.kind->uncacheable && origin) {
         request.plan.source = origin->id;
         return true;
     }
-    const double transfer_seconds = in_.statistics.transfer_seconds(request.request);
-    const Endpoints parents = in_.endpoints.ranked(object, EndpointRole::parent);
+    const double transfer_seconds = inputs_.statistics.transfer_seconds(request.request);
+    const Endpoints parents = inputs_.endpoints.ranked(object, EndpointRole::parent);
     if (ask_cache_first(request, cache, parents, transfer_seconds, now)) {
         plan_cache_only(request, MissHandling::fill_next_time, now);
         request.plan.timeout = lost_attempt_timeout(request, cache, now);
@@ -46,7 +46,7 @@
     }
     EndpointState* parent = parent_with_budget(request, parents, transfer_seconds, now);
     if (!parent || parent != parents.front()) request.allow_stale = true;  // from the next attempt on
-    const bool exhausted = in_.congestion.fills_exhausted(transfer_seconds);
+    const bool exhausted = inputs_.congestion.fills_exhausted(transfer_seconds);
     if (origin_takes_parents_fill(parent, origin, exhausted, transfer_seconds, now)) {
         request.plan.source = origin->id;
         return true;
@@ -66,10 +66,10 @@
 bool FillSource::ask_cache_first(const PendingRequest& request, const EndpointState& cache,
                                  const Endpoints& parents, double transfer_seconds, TimePoint now) const {
     if (request.known_miss) return false;
-    if (in_.congestion.fills_congested(transfer_seconds)) return true;
+    if (inputs_.congestion.fills_congested(transfer_seconds)) return true;
     if (cache.warm_up.warming_up_since) return false;
     const auto usable = std::find_if(parents.begin(), parents.end(), [&](const EndpointState* parent) {
-        return in_.outliers.may_choose(*parent, request, now);
+        return inputs_.outliers.may_choose(*parent, request, now);
     });
     const bool fill_is_budgeted = usable == parents.end() || (*usable)->warm_up.warming_up_since;
     return fill_is_budgeted || OutlierDetector::loses_attempts(cache, now);
@@ -78,8 +78,8 @@
 EndpointState* FillSource::parent_with_budget(const PendingRequest& request, const Endpoints& parents,
                                               double transfer_seconds, TimePoint now) const {
     const auto found = std::find_if(parents.begin(), parents.end(), [&](EndpointState* parent) {
-        return in_.outliers.may_choose(*parent, request, now) &&
-               in_.slow_start.has_budget(*parent, transfer_seconds, now);
+        return inputs_.outliers.may_choose(*parent, request, now) &&
+               inputs_.slow_start.has_budget(*parent, transfer_seconds, now);
     });
     return found == parents.end() ? nullptr : *found;
 }
@@ -88,34 +88,34 @@
 bool FillSource::origin_takes_parents_fill(const EndpointState* parent, EndpointState* origin,
                                            bool fills_exhausted, double transfer_seconds,
                                            TimePoint now) const {
-    const bool wanted = fills_exhausted || (parent && in_.random.next() > parent->fill_limit.share(now));
+    const bool wanted = fills_exhausted || (parent && inputs_.random.next() > parent->fill_limit.share(now));
     if (!wanted || !origin || !has_parents_) return false;
     const double share = origin->fill_limit.share(now) * fetch_limit_.share(now);
-    return in_.random.next() < share && in_.slow_start.has_budget(*origin, transfer_seconds, now);
+    return inputs_.random.next() < share && inputs_.slow_start.has_budget(*origin, transfer_seconds, now);
 }
 
 // No parent is up, or none has budget left.
 bool FillSource::origin_replaces_parents(const PendingRequest& request, EndpointState* origin,
                                          double transfer_seconds, TimePoint now) const {
     if (!origin || request.avoids(origin->id)) return false;
-    return !has_parents_ || in_.slow_start.has_budget(*origin, transfer_seconds, now);
+    return !has_parents_ || inputs_.slow_start.has_budget(*origin, transfer_seconds, now);
 }
 
 void FillSource::plan_cache_only(PendingRequest& request, MissHandling on_miss, TimePoint now) const {
     request.on_miss = on_miss;
     request.plan.source = request.plan.cache;
     request.plan.only_if_cached = true;
-    request.plan.max_age = in_.freshness.max_age(request, true, now);
+    request.plan.max_age = inputs_.freshness.max_age(request, true, now);
 }
 
 // The attempt is soon repeated there, since the cache has the object. Zero: until the request's deadline.
 Duration FillSource::lost_attempt_timeout(const PendingRequest& request, const EndpointState& cache,
                                           TimePoint now) const {
-    const bool transfer_time_known = in_.statistics.shortest_transfer_seconds(request.request.object) > 0;
+    const bool transfer_time_known = inputs_.statistics.shortest_transfer_seconds(request.request.object) > 0;
     if (!transfer_time_known || !OutlierDetector::loses_attempts(cache, now)) return Duration{};
-    const double transfer_seconds = in_.statistics.transfer_seconds(request.request);
+    const double transfer_seconds = inputs_.statistics.transfer_seconds(request.request);
     return Duration::seconds(transfer_seconds * lost_after_transfer_times *
-                             std::max(1.0, in_.congestion.load(cache, now))) +
+                             std::max(1.0, inputs_.congestion.load(cache, now))) +
            request.kind->latency_objective * lost_after_objective_share;
 }
 
@@ -127,11 +127,11 @@
     }
     // Guards a slow origin: fetches hold places at caches and parents, and push it over.
     const double fetch_share = fetch_limit_.share(now);
-    if (fetch_share >= 1 || in_.random.next() <= fetch_share) return;
+    if (fetch_share >= 1 || inputs_.random.next() <= fetch_share) return;
     if (source.role == EndpointRole::origin) return plan_cache_only(request, MissHandling::reject, now);
     request.on_miss = MissHandling::reject;
     request.plan.only_if_cached = true;  // also for the parent
-    request.plan.max_age = in_.freshness.max_age(request, true, now);
+    request.plan.max_age = inputs_.freshness.max_age(request, true, now);
 }
 
 // --- result coming up ---
@@ -187,7 +187,7 @@
     const double wait = result.fill_wait.seconds();
     const bool has_mean = mean_origin_wait_seconds_ > 0;
     if (has_mean && wait > mean_origin_wait_seconds_ * unusual_wait_multiple)
-        for (EndpointState* origin : in_.endpoints.active(EndpointRole::origin))
+        for (EndpointState* origin : inputs_.endpoints.active(EndpointRole::origin))
             origin->fill_limit.record(true, now);
     mean_origin_wait_seconds_ += (wait - mean_origin_wait_seconds_) / (has_mean ? mean_over_fetches : 1);
 }
--- a/src/routing/fill_source.hpp
+++ b/src/routing/fill_source.hpp
@@ -59,7 +59,7 @@
                      EndpointState& source, TimePoint now) const;
     void record_origin_wait(const AttemptResult& result, TimePoint now);
 
-    FillSourceInputs in_;
+    FillSourceInputs inputs_;
     bool has_parents_;
     Duration longest_latency_objective_;
     AdaptiveLimit fetch_limit_;            // of fetches from the origin, by caches and by parents
--- a/src/routing/purge_table.cpp
+++ b/src/routing/purge_table.cpp
@@ -8,8 +8,8 @@
 namespace irismux {
 namespace {
 
-// What is over is looked for this often, as a share of the time for which a purge is in force.
-constexpr double forget_every = 0.05;
+// Expired purges are erased this often, as a share of their retention.
+constexpr double erase_interval_share = 0.05;
 
 std::size_t hash_of(const ObjectName& object) { return std::hash<std::string>{}(object.raw()); }
 
@@ -28,17 +28,17 @@
 std::optional<TimePoint> PurgeTable::newest(const ObjectName& object, PurgeGroupId group,
                                             TimePoint now) const {
     std::optional<TimePoint> at = everything_;
-    const auto count = [&](TimePoint purge) { at = std::max(at.value_or(purge), purge); };
-    if (const auto o = objects_.find(hash_of(object)); o != objects_.end()) count(o->second);
-    if (const auto g = groups_.find(group.raw()); g != groups_.end()) count(g->second);
+    const auto take_newer = [&](TimePoint purge) { at = std::max(at.value_or(purge), purge); };
+    if (const auto o = objects_.find(hash_of(object)); o != objects_.end()) take_newer(o->second);
+    if (const auto g = groups_.find(group.raw()); g != groups_.end()) take_newer(g->second);
     return at && expired(*at, now) ? std::nullopt : at;
 }
 
-// Guards long runs of purges: looking through all that are kept at each of them would take the square of
-// their number.
+// Guards against many purges in a row: going through all of them at each would take the square of their
+// number.
 void PurgeTable::erase_expired(TimePoint now) {
     if (now < next_erase_at_) return;
-    next_erase_at_ = now + retention_ * forget_every;
+    next_erase_at_ = now + retention_ * erase_interval_share;
     const auto is_over = [&](const auto& purge) { return expired(purge.second, now); };
     std::erase_if(objects_, is_over);
     std::erase_if(groups_, is_over);
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -6,7 +6,8 @@
 namespace irismux {
 namespace {
 
-// The budget's rate, as a multiple of the present capacity; but at most this share of the overload multiple.
+// The budget grows at this multiple of the present capacity, but at most at this share of the overload
+// multiple.
 constexpr double rate_per_capacity = 1.2;
 constexpr double rate_share_of_overload = 0.5;
 // The most that a budget saves up, as a share of what its rate gives in an overload window.
@@ -17,7 +18,6 @@
 // What an endpoint is sent in an overload window, as a multiple of what its rate gives.
 constexpr double most_sent_per_window = 1.3;
 
-// The rate may be below this multiple of present capacity to stay clear of the overload multiple.
 double rate_multiple(const SlowStart& settings) {
     return std::min(rate_per_capacity, settings.overload_multiple * rate_share_of_overload);
 }
--- a/src/routing/windowed_sum.hpp
+++ b/src/routing/windowed_sum.hpp
@@ -1,4 +1,4 @@
-// A sum over a moving window, kept in so many parts of it: bounded, whatever is added.
+// A sum over a moving window, kept in a fixed number of parts of it.
 #pragma once
 
 #include <algorithm>
@@ -16,20 +16,20 @@
     void add(double amount, TimePoint now, Duration window) {
         const std::int64_t part = part_of(now, window);
         Part& p = parts_[static_cast<std::size_t>(part) % parts_.size()];
-        if (p.no != part) p = {part, 0};
+        if (p.index != part) p = {part, 0};
         p.amount += amount;
     }
-    // Since then, within the window; a part that began before counts whole.
+    /// Since `start`, within the window; a part of the window that began earlier counts whole.
     double since(TimePoint start, TimePoint now, Duration window) const {
         const std::int64_t first = part_of(std::max(start, now - window), window);
         double sum = 0;
-        for (const Part& p : parts_) sum += p.no >= first ? p.amount : 0;
+        for (const Part& p : parts_) sum += p.index >= first ? p.amount : 0;
         return sum;
     }
 
 private:
     struct Part {
-        std::int64_t no = 0;
+        std::int64_t index = 0;
         double amount = 0;
     };
     std::array<Part, parts + 1> parts_{};
