--- a/src/routing/adaptive_limit.cpp
+++ b/src/routing/adaptive_limit.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace irismux {
+namespace irismux::routing {
 namespace {
 
 // While all results are bad the share falls by the factor e in this time.
@@ -26,4 +26,4 @@
     cut_at_ = now;
 }
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/adaptive_limit.hpp
+++ b/src/routing/adaptive_limit.hpp
@@ -3,7 +3,7 @@
 
 #include "irismux/time.hpp"
 
-namespace irismux {
+namespace irismux::routing {
 
 /// Bad results cut the share; it comes back with time alone, since few results would otherwise keep it low.
 /// Cuts go by the time since the last one, so that gateways with many and with few results follow alike.
@@ -24,4 +24,4 @@
     TimePoint cut_at_;
 };
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/attempt_monitor.cpp
+++ b/src/routing/attempt_monitor.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace irismux {
+namespace irismux::routing {
 namespace {
 
 // How often it looks, as a share of the shortest latency objective.
@@ -79,4 +79,4 @@
     }
 }
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/attempt_monitor.hpp
+++ b/src/routing/attempt_monitor.hpp
@@ -10,7 +10,7 @@
 #include "routing/outlier_detector.hpp"
 #include "routing/pending_request.hpp"
 
-namespace irismux {
+namespace irismux::routing {
 
 /// What AttemptMonitor reports to; all must outlive it.
 struct AttemptMonitorOutputs {
@@ -47,4 +47,4 @@
     LateAttemptQueue late_attempts_;
 };
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/congestion.cpp
+++ b/src/routing/congestion.cpp
@@ -6,7 +6,7 @@
 #include "routing/latency.hpp"
 #include "routing/outlier_detector.hpp"
 
-namespace irismux {
+namespace irismux::routing {
 namespace {
 
 // Limits are for each transfer that fits the link in question.
@@ -124,4 +124,4 @@
                       min_size_allowance, max_size_allowance);
 }
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/congestion.hpp
+++ b/src/routing/congestion.hpp
@@ -6,7 +6,7 @@
 #include "routing/object_statistics.hpp"
 #include "routing/pending_request.hpp"
 
-namespace irismux {
+namespace irismux::routing {
 
 class Congestion {
 public:
@@ -54,4 +54,4 @@
     int known_fills_ = 0;    // in flight
 };
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/edge_selection.cpp
+++ b/src/routing/edge_selection.cpp
@@ -4,7 +4,7 @@
 
 #include "routing/idempotency.hpp"
 
-namespace irismux {
+namespace irismux::routing {
 namespace {
 
 // A broken transfer may be the network's fault: the cache that has the object gets this many attempts.
@@ -96,4 +96,4 @@
     request.avoided.push_back(attempt.cache);
 }
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/edge_selection.hpp
+++ b/src/routing/edge_selection.hpp
@@ -6,7 +6,7 @@
 #include "routing/outlier_detector.hpp"
 #include "routing/slow_start.hpp"
 
-namespace irismux {
+namespace irismux::routing {
 
 class EdgeSelection {
 public:
@@ -40,4 +40,4 @@
     bool direct_attempts_;
 };
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/endpoint_set.cpp
+++ b/src/routing/endpoint_set.cpp
@@ -5,7 +5,7 @@
 #include "routing/latency.hpp"
 #include "routing/rendezvous_hash.hpp"
 
-namespace irismux {
+namespace irismux::routing {
 
 EndpointSet::EndpointSet(const Deployment& deployment)
     : location_(deployment.location),
@@ -104,4 +104,4 @@
     });
 }
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/endpoint_set.hpp
+++ b/src/routing/endpoint_set.hpp
@@ -9,7 +9,7 @@
 #include "irismux/deployment.hpp"
 #include "routing/endpoint_state.hpp"
 
-namespace irismux {
+namespace irismux::routing {
 
 class EndpointSet {
 public:
@@ -51,4 +51,4 @@
     std::size_t most_edges_ = 1, most_parents_ = 1;
 };
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/endpoint_state.hpp
+++ b/src/routing/endpoint_state.hpp
@@ -11,7 +11,7 @@
 #include "routing/adaptive_limit.hpp"
 #include "routing/windowed_sum.hpp"
 
-namespace irismux {
+namespace irismux::routing {
 
 enum class EndpointRole {
     edge,      ///< a cache of this gateway's location
@@ -85,4 +85,4 @@
     [[nodiscard]] bool active() const { return status == EndpointStatus::active; }
 };
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/fill_source.cpp
+++ b/src/routing/fill_source.cpp
@@ -4,7 +4,7 @@
 
 #include "routing/latency.hpp"
 
-namespace irismux {
+namespace irismux::routing {
 namespace {
 
 // An origin that stops when pushed over needs longer to be ready for more.
@@ -192,4 +192,4 @@
     mean_origin_wait_seconds_ += (wait - mean_origin_wait_seconds_) / (has_mean ? mean_over_fetches : 1);
 }
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/fill_source.hpp
+++ b/src/routing/fill_source.hpp
@@ -9,7 +9,7 @@
 #include "routing/random_fraction.hpp"
 #include "routing/slow_start.hpp"
 
-namespace irismux {
+namespace irismux::routing {
 
 /// What FillSource asks; all must outlive it.
 struct FillSourceInputs {
@@ -66,4 +66,4 @@
     double mean_origin_wait_seconds_ = 0;  // of fetches behind parents and of our own; 0: none yet
 };
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/freshness.cpp
+++ b/src/routing/freshness.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace irismux {
+namespace irismux::routing {
 namespace {
 
 // Copies of objects that are requested again are evicted after those that are requested once.
@@ -59,4 +59,4 @@
     return std::max(now - *purged_at - timer_resolution_, min_max_age);
 }
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/freshness.hpp
+++ b/src/routing/freshness.hpp
@@ -7,7 +7,7 @@
 #include "routing/pending_request.hpp"
 #include "routing/purge_table.hpp"
 
-namespace irismux {
+namespace irismux::routing {
 
 class FreshnessPolicy {
 public:
@@ -33,4 +33,4 @@
     bool coalescing_;
 };
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/idempotency.cpp
+++ b/src/routing/idempotency.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace irismux {
+namespace irismux::routing {
 namespace {
 
 bool may_have_effect(const Attempt& attempt) { return attempt.may_have_run || attempt.in_flight(); }
@@ -48,4 +48,4 @@
     }
 }
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/idempotency.hpp
+++ b/src/routing/idempotency.hpp
@@ -6,7 +6,7 @@
 #include "routing/endpoint_state.hpp"
 #include "routing/pending_request.hpp"
 
-namespace irismux {
+namespace irismux::routing {
 
 class IdempotencyPolicy {
 public:
@@ -29,4 +29,4 @@
     Duration timer_resolution_;
 };
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/late_attempts.hpp
+++ b/src/routing/late_attempts.hpp
@@ -9,7 +9,7 @@
 #include "irismux/ids.hpp"
 #include "irismux/time.hpp"
 
-namespace irismux {
+namespace irismux::routing {
 
 class LateAttemptQueue {
 public:
@@ -33,4 +33,4 @@
     std::set<Entry> entries_;
 };
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/latency.hpp
+++ b/src/routing/latency.hpp
@@ -5,7 +5,7 @@
 
 #include "irismux/deployment.hpp"
 
-namespace irismux {
+namespace irismux::routing {
 
 /// A response after this long is late.
 /// @param transfer_seconds transfer time of the object at full rate
@@ -20,4 +20,4 @@
     return longest;
 }
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/link_capacity.cpp
+++ b/src/routing/link_capacity.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace irismux {
+namespace irismux::routing {
 namespace {
 
 // The link into a location carries a minority of what its caches send: they serve most from copies.
@@ -50,4 +50,4 @@
     return std::max(1.0, edge_links / edge_links_per_location_link);
 }
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/link_capacity.hpp
+++ b/src/routing/link_capacity.hpp
@@ -5,7 +5,7 @@
 #include "irismux/deployment.hpp"
 #include "routing/endpoint_set.hpp"
 
-namespace irismux {
+namespace irismux::routing {
 
 class LinkCapacity {
 public:
@@ -24,4 +24,4 @@
     double location_link_ = 0, all_links_ = 0;  // in transfers; 0: unknown
 };
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/object_statistics.cpp
+++ b/src/routing/object_statistics.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace irismux {
+namespace irismux::routing {
 namespace {
 
 // A generation lasts this many of the longest deadline.
@@ -68,4 +68,4 @@
     return size_is_known(request) ? attempt.transfer_seconds : shortest_transfer_seconds(request.object);
 }
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/object_statistics.hpp
+++ b/src/routing/object_statistics.hpp
@@ -7,7 +7,7 @@
 #include "irismux/deployment.hpp"
 #include "routing/pending_request.hpp"
 
-namespace irismux {
+namespace irismux::routing {
 
 /// Times are seconds at the full rate of one transfer.
 class ObjectStatistics {
@@ -47,4 +47,4 @@
     Duration generation_;
 };
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/outlier_detector.cpp
+++ b/src/routing/outlier_detector.cpp
@@ -5,7 +5,7 @@
 
 #include "routing/latency.hpp"
 
-namespace irismux {
+namespace irismux::routing {
 namespace {
 
 constexpr Duration first_backoff = Duration::micros(2'000'000);
@@ -249,4 +249,4 @@
     }
 }
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/outlier_detector.hpp
+++ b/src/routing/outlier_detector.hpp
@@ -10,7 +10,7 @@
 #include "routing/link_capacity.hpp"
 #include "routing/pending_request.hpp"
 
-namespace irismux {
+namespace irismux::routing {
 
 class OutlierDetector {
 public:
@@ -67,4 +67,4 @@
     Duration longest_latency_objective_;
 };
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/pending_request.hpp
+++ b/src/routing/pending_request.hpp
@@ -10,7 +10,7 @@
 #include "irismux/deployment.hpp"
 #include "irismux/request.hpp"
 
-namespace irismux {
+namespace irismux::routing {
 
 enum class AttemptState {
     in_flight,
@@ -95,4 +95,4 @@
     return status == CacheStatus::hit || status == CacheStatus::stale || status == CacheStatus::coalesced;
 }
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/random_fraction.hpp
+++ b/src/routing/random_fraction.hpp
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <random>
 
-namespace irismux {
+namespace irismux::routing {
 
 /// Uniform fractions in [0, 1]. Equal seeds give equal sequences, so the number and order of draws are part
 /// of the router's behaviour.
@@ -19,4 +19,4 @@
     std::ranlux24_base engine_;
 };
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/rendezvous_hash.cpp
+++ b/src/routing/rendezvous_hash.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace irismux {
+namespace irismux::routing {
 namespace {
 
 constexpr std::uint64_t fnv_offset_basis = 0xcbf29ce484222325ULL;
@@ -40,4 +40,4 @@
     return endpoints;
 }
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/rendezvous_hash.hpp
+++ b/src/routing/rendezvous_hash.hpp
@@ -9,7 +9,7 @@
 #include "irismux/ids.hpp"
 #include "routing/endpoint_state.hpp"
 
-namespace irismux {
+namespace irismux::routing {
 
 /// FNV-1a over the bytes of a name, finished by MurmurHash3's 64-bit finalizer.
 std::uint64_t rendezvous_key(const std::string& name);
@@ -21,4 +21,4 @@
 std::vector<EndpointState*> rank_by_rendezvous_hash(const ObjectName& object,
                                                     std::vector<EndpointState*> endpoints);
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/retry_policy.cpp
+++ b/src/routing/retry_policy.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace irismux {
+namespace irismux::routing {
 namespace {
 
 // Retries multiply a fault by the attempts of gateways, caches and clients: so only this many for a request
@@ -51,4 +51,4 @@
     return retry_after_is_sent_ ? wait : Duration{};
 }
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/retry_policy.hpp
+++ b/src/routing/retry_policy.hpp
@@ -5,7 +5,7 @@
 #include "routing/pending_request.hpp"
 #include "routing/random_fraction.hpp"
 
-namespace irismux {
+namespace irismux::routing {
 
 enum class NextStep {
     none,        ///< the request is finished
@@ -36,4 +36,4 @@
     double retry_budget_;  // in attempts
 };
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -21,6 +21,9 @@
 #include "routing/slow_start.hpp"
 
 namespace irismux {
+
+using namespace routing;
+
 namespace {
 
 const TimerId resubscribe_timer{1};
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace irismux {
+namespace irismux::routing {
 namespace {
 
 // The budget grows at this multiple of the present capacity, but at most at this share of the overload
@@ -133,4 +133,4 @@
     return links_.endpoint(endpoint) / (endpoint.role == EndpointRole::edge ? gateways_here_ : gateways_);
 }
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/slow_start.hpp
+++ b/src/routing/slow_start.hpp
@@ -9,7 +9,7 @@
 #include "routing/pending_request.hpp"
 #include "routing/random_fraction.hpp"
 
-namespace irismux {
+namespace irismux::routing {
 
 class SlowStartPolicy {
 public:
@@ -46,4 +46,4 @@
     Duration overload_window_;
 };
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/windowed_sum.hpp
+++ b/src/routing/windowed_sum.hpp
@@ -8,7 +8,7 @@
 
 #include "irismux/time.hpp"
 
-namespace irismux {
+namespace irismux::routing {
 
 template <std::size_t parts>
 class WindowedSum {
@@ -39,4 +39,4 @@
     }
 };
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/tests/routing/adaptive_limit_test.cpp
+++ b/tests/routing/adaptive_limit_test.cpp
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-namespace irismux {
+namespace irismux::routing {
 namespace {
 
 const Duration second = Duration::seconds(1);
@@ -44,4 +44,4 @@
 }
 
 }  // namespace
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/tests/routing/congestion_test.cpp
+++ b/tests/routing/congestion_test.cpp
@@ -5,6 +5,8 @@
 namespace irismux::testing {
 namespace {
 
+using namespace routing;
+
 class CongestionTest : public ::testing::Test {
 protected:
     static constexpr double mean = 0.4;  // before any result: the latency objective
--- a/tests/routing/endpoint_set_test.cpp
+++ b/tests/routing/endpoint_set_test.cpp
@@ -6,6 +6,8 @@
 namespace irismux::testing {
 namespace {
 
+using namespace routing;
+
 class EndpointSetTest : public ::testing::Test {
 protected:
     Deployment deployment_ = deployment();
--- a/tests/routing/object_statistics_test.cpp
+++ b/tests/routing/object_statistics_test.cpp
@@ -5,6 +5,8 @@
 namespace irismux::testing {
 namespace {
 
+using namespace routing;
+
 class ObjectStatisticsTest : public ::testing::Test {
 protected:
     Deployment deployment_ = deployment();
--- a/tests/routing/rendezvous_hash_test.cpp
+++ b/tests/routing/rendezvous_hash_test.cpp
@@ -8,6 +8,8 @@
 namespace irismux::testing {
 namespace {
 
+using namespace routing;
+
 class RendezvousHash : public ::testing::Test {
 protected:
     std::vector<EndpointState> caches_ = std::vector<EndpointState>(5);
--- a/tests/routing/routing_test_support.hpp
+++ b/tests/routing/routing_test_support.hpp
@@ -15,17 +15,18 @@
 inline const Duration one_second = Duration::seconds(1);
 
 /// The endpoints of a list, as of its arrival.
-inline EndpointSet endpoint_set(const Deployment& deployment, TimePoint now,
-                                const std::vector<EndpointUpdate>& list = usual_endpoints()) {
-    EndpointSet endpoints{deployment};
+inline routing::EndpointSet endpoint_set(const Deployment& deployment, TimePoint now,
+                                         const std::vector<EndpointUpdate>& list = usual_endpoints()) {
+    routing::EndpointSet endpoints{deployment};
     for (const EndpointUpdate& update : list) endpoints.apply(update, now);
     endpoints.finish_updates(now);
     return endpoints;
 }
 
 /// @param kind must outlive the result
-inline PendingRequest pending_request(const ObjectKind& kind, TimePoint deadline, double size_kb = 500) {
-    PendingRequest pending;
+inline routing::PendingRequest pending_request(const ObjectKind& kind, TimePoint deadline,
+                                               double size_kb = 500) {
+    routing::PendingRequest pending;
     pending.request.id = RequestId{1};
     pending.request.kind = ObjectKindIndex{0};
     pending.request.object = ObjectName{"object"};
@@ -35,8 +36,8 @@
     return pending;
 }
 
-inline Attempt attempt_at(const std::string& cache, TimePoint started_at) {
-    Attempt attempt;
+inline routing::Attempt attempt_at(const std::string& cache, TimePoint started_at) {
+    routing::Attempt attempt;
     attempt.cache = CacheId{cache};
     attempt.source = attempt.cache;
     attempt.started_at = started_at;
--- a/tests/routing/slow_start_test.cpp
+++ b/tests/routing/slow_start_test.cpp
@@ -5,6 +5,8 @@
 namespace irismux::testing {
 namespace {
 
+using namespace routing;
+
 class SlowStartTest : public ::testing::Test {
 protected:
     static constexpr double transfer_seconds = 0.1;
