--- a/src/fleet/agent.cpp
+++ b/src/fleet/agent.cpp
@@ -52,8 +52,7 @@
 }
 
 void Agent::set_duties(TimePoint now, const std::set<DutyName>& names) {
-    if (!duties_.set_names(names))
-        observer_->on_warning("there are more duties than this gateway can follow");
+    if (!duties_.set_names(names)) observer_->on_event(DutyLimitExceeded{Duties::max_duties});
     std::vector<DutyName> finished;
     for (auto& [name, duty] : duties_.all()) {
         if (duty.wanted) continue;
@@ -120,7 +119,7 @@
     if (!held) check_own_heartbeat(now, shown);
     if (purpose == Purpose::read_own_records) on_own_records(now, at, shown);
     if (purpose == Purpose::publish && held) record_text_ = transaction_.writes.front().second;
-    if (purpose == Purpose::leave) drop_membership(now, "left");
+    if (purpose == Purpose::leave) drop_membership(now, MembershipEnd::left);
     // The cause may not be visible from here, such as a record in a newer form: not repeated at once.
     const bool may_fail_again =
         purpose == Purpose::claim || purpose == Purpose::evict || purpose == Purpose::publish;
--- a/src/fleet/agent.hpp
+++ b/src/fleet/agent.hpp
@@ -19,63 +19,19 @@
 #include <random>
 #include <set>
 #include <string>
-#include <string_view>
 #include <utility>
 #include <vector>
 
+#include "fleet/agent_callbacks.hpp"
 #include "fleet/digest.hpp"
 #include "fleet/duties.hpp"
 #include "fleet/fence.hpp"
+#include "fleet/member_identity.hpp"
 #include "fleet/membership.hpp"
 #include "fleet/transaction.hpp"
 
 namespace irismux::fleet {
 
-// What an Agent needs of its carrier. Results are never delivered from within a call.
-class AgentTransport {
-public:
-    virtual ~AgentTransport() = default;
-    // Replaces the transaction before, whose result must not be delivered any more.
-    virtual void submit(const Transaction&) = 0;
-    // Calls on_wake() at that instant; replaces the instant before.
-    virtual void schedule_wake(TimePoint at) = 0;
-};
-
-// Who is told about an Agent's leases and writes.
-class AgentObserver {
-public:
-    virtual ~AgentObserver() = default;
-    virtual void on_lease_state(const DutyName&, LeaseState, FencingToken) = 0;
-    virtual void on_write_outcome(const DutyName&, const Key&, WriteOutcome) = 0;
-    // One line for the log.
-    virtual void on_warning(std::string_view plain_line) = 0;
-    // A heartbeat has landed: when it was sent, its number, and what its transaction showed.
-    virtual void on_heartbeat_result(TimePoint, HeartbeatNumber, const std::vector<Entry>&) {}
-    // An answer is of a lower revision than one before: the registry was restored.
-    virtual void on_registry_restored() {}
-};
-
-// What tells a member apart from all others.
-struct MemberIdentity {
-    MemberName name;
-    InstanceId instance_id;
-    std::string version;           // of the program
-    Incarnation last_incarnation;  // the highest known of that name; zero: none
-    Duration reply_timeout = Duration::micros(1'000'000);
-    bool randomized = true;  // heartbeats go out, and are read, at random; false in exhaustive models
-    // Of a site's member: a heartbeat goes out so soon after a change of what it claims, and the first join
-    // enters the name in the site's roster. Zero: of no site.
-    Duration acknowledge_interval = {};
-};
-
-// What each heartbeat of a site's member reads besides, and whether they go out as often as acknowledgements.
-struct HeartbeatReads {
-    std::set<MemberName> heartbeats;
-    std::vector<Key> records;
-    bool frequent = false;
-    bool operator==(const HeartbeatReads&) const = default;
-};
-
 // For how long at most a duty has no owner after its owner has stopped, if the registry answers within
 // `answer` and `places` live members stand before the first that can claim. Holds for fleets whose heartbeats
 // are all read each round; in larger ones each round in which the stopped owner's is not read adds a round.
@@ -183,8 +139,8 @@
     bool in_site() const { return identity_.acknowledge_interval > Duration{}; }
     void acknowledge_soon(TimePoint now);
     void submit_leave(TimePoint now);
-    void drop_membership(TimePoint now, std::string_view why);
-    void warn_once(const std::string& line);
+    void drop_membership(TimePoint now, MembershipEnd reason);
+    void refuse_to_join(JoinRefusal reason, std::string registry_config = {});
     MemberRecord own_record() const;
 
     // agent_heartbeat.cpp
@@ -259,7 +215,7 @@
     // Member record and heartbeat of another instance that holds our name, and since when they are unchanged.
     std::optional<std::pair<Text, Text>> name_holder_;
     TimePoint name_holder_unchanged_since_;
-    std::string last_warning_;  // on why we are not in
+    std::optional<JoinRefused> last_refusal_;  // reported once
     std::deque<PendingWrite> pending_writes_;
     Text token_floor_;
     registry::Revision token_floor_revision_;
--- a/src/fleet/agent_heartbeat.cpp
+++ b/src/fleet/agent_heartbeat.cpp
@@ -65,7 +65,7 @@
         heartbeat_text_ = text;
         return membership_.on_heartbeat_confirmed(now, record->number);
     }
-    drop_membership(now, ours ? "the registry has gone back: joining anew" : "evicted: joining anew");
+    drop_membership(now, ours ? MembershipEnd::registry_restored : MembershipEnd::evicted);
 }
 
 bool Agent::reads_all_heartbeats() const {
--- a/src/fleet/agent_join.cpp
+++ b/src/fleet/agent_join.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // Longest part of another fleet's shared configuration that a log line repeats.
-constexpr std::size_t most_quoted = 200;
+constexpr std::size_t max_quoted_bytes = 200;
 
 const Text& value_of(const std::vector<Entry>& shown, const Key& key) {
     static const Text none;
@@ -35,11 +35,9 @@
         return submit(now, Purpose::found_fleet,
                       {{{shared_config_key(), std::nullopt}}, {{shared_config_key(), own_config}}, {}});
     if (*config != own_config)
-        return warn_once("the fleet there goes by other articles, " + config->substr(0, most_quoted) +
-                         ": this gateway stays out");
+        return refuse_to_join(JoinRefusal::shared_config_differs, config->substr(0, max_quoted_bytes));
     const Text& roster = value_of(shown, roster_key());
-    if (roster && !parse_site_roster(*roster))
-        return warn_once("the roster of this site can't be read: this gateway stays out");
+    if (roster && !parse_site_roster(*roster)) return refuse_to_join(JoinRefusal::roster_unreadable);
     if (!member && !heartbeat) return join(now, member, heartbeat, roster);
     const auto record = member ? parse_member(*member) : std::nullopt;
     if (record) identity_.last_incarnation = std::max(identity_.last_incarnation, record->incarnation);
@@ -70,9 +68,7 @@
             join(now, member, heartbeat, roster);
         return;
     }
-    if (name_holder_ && name_holder_->first == member)
-        warn_once("the name " + identity_.name.raw() +
-                  " is held by another living gateway: this one stays out until that has left");
+    if (name_holder_ && name_holder_->first == member) refuse_to_join(JoinRefusal::name_in_use);
     name_holder_ = holder;
     name_holder_unchanged_since_ = now;
 }
@@ -110,7 +106,7 @@
            {{own_heartbeat()}, {{own, std::nullopt}, {heartbeat_key(identity_.name), std::nullopt}}, {}});
 }
 
-void Agent::drop_membership(TimePoint now, std::string_view why) {
+void Agent::drop_membership(TimePoint now, MembershipEnd reason) {
     membership_.on_removed();
     membership_.restart_observations();
     name_holder_.reset();
@@ -118,12 +114,16 @@
     keys_of_unknown_outcome_.clear();
     for (const PendingWrite& write : std::exchange(pending_writes_, {}))
         observer_->on_write_outcome(write.duty, write.key, WriteOutcome::refused);
-    observer_->on_warning(why);
+    observer_->on_event(MembershipEnded{reason, identity_.name});
     update_leases(now);
 }
 
-void Agent::warn_once(const std::string& line) {
-    if (std::exchange(last_warning_, line) != line) observer_->on_warning(line);
+// The same refusal in a row is reported once.
+void Agent::refuse_to_join(JoinRefusal reason, std::string registry_config) {
+    JoinRefused refused{reason, identity_.name, std::move(registry_config)};
+    if (last_refusal_ == refused) return;
+    last_refusal_ = std::move(refused);
+    observer_->on_event(*last_refusal_);
 }
 
 MemberRecord Agent::own_record() const {
--- a/src/fleet/agent_leases.cpp
+++ b/src/fleet/agent_leases.cpp
@@ -96,9 +96,7 @@
 // --- what records show
 
 void Agent::on_duty_record(const DutyName& name, const Duties::Duty& duty) {
-    if (duty.text && !duty.record)
-        return observer_->on_warning("the record of duty " + name.raw() +
-                                     " can't be read: it is left alone until an operator has mended it");
+    if (duty.text && !duty.record) return observer_->on_event(DutyRecordUnreadable{name});
     if (!duty.text) fence_.forget(name);
     if (!duty.record || duty.record->owner.raw().empty()) return;
     const LeaseHolder holder{duty.record->token, duty.record->owner, duty.record->incarnation};
@@ -112,10 +110,7 @@
 void Agent::on_lower_token(const DutyName& name, FencingToken shown, FencingToken seen) {
     if (refused_tokens_.size() < max_published_refusals || refused_tokens_.contains(name))
         refused_tokens_[name] = seen;
-    observer_->on_warning(
-        "duty " + name.raw() + " stands at epoch " + std::to_string(shown.raw()) + ", and " +
-        std::to_string(seen.raw()) +
-        " has been seen: the registry has gone back; the owner is told to take a higher one");
+    observer_->on_event(FencingTokenRegressed{name, shown, seen});
 }
 
 void Agent::update_leases(TimePoint now) {
--- a/src/fleet/duties.hpp
+++ b/src/fleet/duties.hpp
@@ -15,6 +15,9 @@
 
 class Duties {
 public:
+    /// Followed at once, those given up among them.
+    static constexpr std::size_t max_duties = 4096;
+
     // One duty as this member knows it.
     struct Duty {
         std::optional<std::string> text;            // of the newest record known
@@ -49,7 +52,6 @@
     static std::size_t rank(const DutyName&, const MemberName& self, const std::vector<MemberName>& others);
 
 private:
-    static constexpr std::size_t max_duties = 4096;
     std::map<DutyName, Duty> all_;
     std::map<DutyName, FencingToken> given_up_;  // of removed duties
 };
--- a/src/fleet/fleet_client.cpp
+++ b/src/fleet/fleet_client.cpp
@@ -1,26 +1,21 @@
 #include "fleet/fleet_client.hpp"
 
-#include <time.h>
-
 #include <algorithm>
 #include <random>
+#include <utility>
 
 namespace irismux::fleet {
 namespace {
 
-// The tokens seen are stored at most this often; a crash loses those of the last such interval.
-constexpr Duration store_every = Duration::micros(250'000);
-
-constexpr std::string_view roll = "roll/", beats = "beat/";
-
 std::string random_instance_id() {
-    std::random_device chance;
-    std::string mark;
-    for (int n = 0; n < 4; ++n) mark += std::to_string(chance()) + (n < 3 ? "." : "");
-    return mark;
+    constexpr int parts = 4;
+    std::random_device random;
+    std::string id = std::to_string(random());
+    for (int n = 1; n < parts; ++n) id += '.' + std::to_string(random());
+    return id;
 }
 
-std::uint64_t mixed_with_chance(std::uint64_t seed) { return seed ^ std::random_device{}(); }
+std::uint64_t randomized_seed(std::uint64_t seed) { return seed ^ std::random_device{}(); }
 
 registry::Settings watch_settings(const Settings& settings) {
     registry::Settings watched = settings.registry;
@@ -28,66 +23,40 @@
     return watched;
 }
 
-std::int64_t unix_ms_now() {
-    timespec t{};
-    ::clock_gettime(CLOCK_REALTIME, &t);
-    return static_cast<std::int64_t>(t.tv_sec) * 1000 + t.tv_nsec / 1'000'000;
-}
-
 }  // namespace
 
-std::string path_of(const Key& key) {
-    return key.raw().rfind(beats, 0) == 0 ? key.raw() : std::string(roll) + key.raw();
-}
-Key key_at(const std::string& path) {
-    return Key{path.rfind(roll, 0) == 0 ? path.substr(roll.size()) : path};
-}
-std::string watched_prefix(const std::string& prefix) { return prefix + std::string(roll); }
-std::string site_prefix(const std::string& prefix, const SiteName& site) {
-    return site.raw().empty() ? prefix : prefix + "site/" + site.raw() + '/';
-}
-std::string digest_prefix(const std::string& prefix) { return prefix + "digest/"; }
-std::string path_of(const Key& key, const SiteName& site) {
-    if (site.raw().empty()) return path_of(key);
-    if (key == generation_key()) return key.raw();
-    if (key == digest_key()) return digest_prefix("") + site.raw();
-    return site_prefix("", site) + path_of(key);
-}
-
 FleetClient::FleetClient(EventLoop& loop, GatewayCallbacks& gateway, const Settings& settings,
                          const std::string& version, std::uint64_t seed)
     : event_loop_(loop),
       gateway_(gateway),
       settings_(settings),
       token_store_(settings.token_store_folder),
-      watch_settings_(watch_settings(settings)),
       instance_id_(random_instance_id()),
-      agent_(*this, *this, settings.shared_config, identity(version), mixed_with_chance(seed)),
+      agent_(*this, *this, settings.shared_config, identity(version), randomized_seed(seed)),
       health_monitor_(*this, settings.health_check_interval, agent_.membership().heartbeat_interval()),
       garbage_collector_(settings.collection_interval, agent_.membership().eviction_timeout() * 2),
-      connection_(loop, *this, settings_.registry),
-      registry_member_(seed % settings.registry.members.size()),
-      watch_client_(loop, *this, watch_settings_, mixed_with_chance(seed), registry::RecordKind::opaque) {
+      transaction_client_(loop, *this, settings_.registry, settings.site,
+                          registry::MemberIndex{seed % settings.registry.members.size()}),
+      watch_client_(loop, *this, watch_settings(settings), randomized_seed(seed),
+                    registry::RecordKind::opaque) {
     if (!settings.site.raw().empty()) {
         site_reporter_.emplace(
             SiteReporter::Settings{settings.name, instance_id_, settings.shared_config.term,
                                    settings.acknowledge_interval, settings.shared_config.drift},
-            clock());
+            boot_time());
         site_reporter_->applied().on_configuration(settings.configuration);
     }
     if (token_store_.open_error())
-        gateway_.on_fleet_message("epochs seen are not kept: " + *token_store_.open_error(), true);
+        on_event(TokenStoreFailed{TokenStoreOperation::open, *token_store_.open_error()});
     if (!token_store_.restore(agent_.fence()))
-        gateway_.on_fleet_message(
-            "what was kept of epochs seen can't be read: lower ones are refused from now on only", true);
+        on_event(TokenStoreFailed{TokenStoreOperation::parse, "unreadable"});
 }
 
 FleetClient::~FleetClient() {
-    *liveness_token_ = false;
-    for (const auto& alarm : {wake_timer_, due_tasks_timer_, store_timer_}) event_loop_.cancel(alarm);
+    for (const auto& timer : {wake_timer_, due_tasks_timer_, save_timer_}) event_loop_.cancel(timer);
 }
 
-MemberIdentity FleetClient::identity(const std::string& version) {
+MemberIdentity FleetClient::identity(const std::string& version) const {
     return {settings_.name,
             InstanceId{instance_id_},
             version,
@@ -97,12 +66,6 @@
             settings_.site.raw().empty() ? Duration{} : settings_.acknowledge_interval};
 }
 
-TimePoint FleetClient::clock() const {
-    timespec t{};
-    ::clock_gettime(CLOCK_BOOTTIME, &t);
-    return TimePoint{} + Duration::micros(static_cast<std::int64_t>(t.tv_sec) * 1'000'000 + t.tv_nsec / 1000);
-}
-
 // Runs it after the current call has returned; never after this client has been destroyed.
 void FleetClient::call_soon(std::function<void()> then) {
     event_loop_.schedule_now([alive = std::weak_ptr<bool>(liveness_token_), then = std::move(then)] {
@@ -112,94 +75,68 @@
 
 void FleetClient::start() {
     update_duties();
-    agent_.start(clock());
+    agent_.start(boot_time());
     watch_client_.start();
     run_due_tasks();
-    store_tokens_seen();
+    save_tokens();
 }
 
 void FleetClient::leave() {
-    store_tokens_seen();
+    save_tokens();
     token_store_.close();
-    agent_.leave(clock());
+    agent_.leave(boot_time());
 }
 
-void FleetClient::on_ejection_changed(const CacheId& cache, bool is) {
-    health_monitor_.on_ejection_changed(cache, is);
-    // Where probes are not permitted the Router's own trial counts as the probe.
-    call_soon([this, cache, is] {
-        if (!is) health_monitor_.on_health_check_done(clock(), cache, true, agent_);
-        agent_.set_ejected_caches(clock(), health_monitor_.ejected_caches());
+// --- health checks
+
+void FleetClient::on_ejection_changed(const CacheId& cache, bool ejected) {
+    health_monitor_.on_ejection_changed(cache, ejected);
+    // Where health checks are not permitted, the router's own recovery probe counts as one.
+    call_soon([this, cache, ejected] {
+        if (!ejected) health_monitor_.on_health_check_done(boot_time(), cache, true, agent_);
+        agent_.set_ejected_caches(boot_time(), health_monitor_.ejected_caches());
         update_duties();
     });
 }
 
 void FleetClient::on_health_check_done(const CacheId& cache, bool answered) {
-    health_monitor_.on_health_check_done(clock(), cache, answered, agent_);
+    health_monitor_.on_health_check_done(boot_time(), cache, answered, agent_);
 }
 
 bool FleetClient::may_check_health(const CacheId& cache) const {
-    return health_monitor_.may_check(clock(), cache, agent_);
+    return health_monitor_.may_check(boot_time(), cache, agent_);
+}
+
+void FleetClient::start_health_check(const CacheId& cache) {
+    call_soon([this, cache] {
+        // Guards against a process that was stopped meanwhile: its lease may have ended.
+        if (!may_check_health(cache)) return;
+        if (!gateway_.start_health_check(cache))
+            health_monitor_.on_check_not_permitted(boot_time(), cache, agent_);
+    });
+}
+
+void FleetClient::postpone_recovery_probe(const CacheId& cache, TimePoint at) {
+    call_soon([this, cache, at] { gateway_.postpone_recovery_probe(cache, to_event_loop_time(at)); });
 }
 
 // --- transactions
 
-void FleetClient::submit(const Transaction& d) {
-    // The one before has had no answer: that member of the registry may hang.
-    if (pending_transaction_) use_next_registry_member();
-    pending_transaction_ = d;
-    std::vector<registry::etcd::KeyValue> holds, writes;
-    std::vector<std::string> shows;
-    const auto path = [&](const Key& key) {
-        return settings_.registry.prefix + path_of(key, settings_.site);
-    };
-    for (const auto& [key, text] : d.compares) holds.emplace_back(path(key), text);
-    for (const auto& [key, text] : d.writes) writes.emplace_back(path(key), text);
-    for (const Key& key : d.reads) shows.push_back(path(key));
-    connection_.send_request(registry_member_, registry::etcd::transaction(holds, writes, shows), false);
-}
-
-void FleetClient::use_next_registry_member() {
-    registry_member_ =
-        registry::MemberIndex{(registry_member_.raw() + 1) % settings_.registry.members.size()};
-}
-
-void FleetClient::on_reply(int status, const std::string& body) {
-    const auto read = registry::etcd::read_transaction_result(status, body, settings_.registry.prefix);
-    if (const auto* wrong = std::get_if<registry::etcd::Error>(&read)) {
-        if (wrong->code == registry::etcd::ErrorCode::refused && connection_.retry_with_new_token()) return;
-        return on_connection_lost(wrong->message.c_str());
-    }
-    if (!pending_transaction_) return;
-    const auto& settled = std::get<registry::etcd::TransactionResult>(read);
-    const Transaction d = *std::exchange(pending_transaction_, std::nullopt);
-    std::vector<Entry> shown;
-    const auto show = [&](const Key& key) {
-        const auto it = std::find_if(settled.records.begin(), settled.records.end(), [&](const auto& r) {
-            return r.key.raw() == path_of(key, settings_.site);
-        });
-        shown.emplace_back(key, it == settled.records.end() ? Text{} : Text{it->value});
-    };
-    if (settled.succeeded)
-        for (const Key& key : d.reads) show(key);
-    else
-        for (const auto& [key, text] : d.compares) show(key);
-    agent_.on_transaction_result(clock(), settled.origin.revision, settled.succeeded, shown);
+void FleetClient::on_transaction_result(registry::Revision revision, bool succeeded,
+                                        const std::vector<Entry>& records) {
+    agent_.on_transaction_result(boot_time(), revision, succeeded, records);
     run_due_tasks();
 }
 
-void FleetClient::on_connection_lost(const char*) {
-    connection_.close();
-    use_next_registry_member();
-    if (!std::exchange(pending_transaction_, std::nullopt)) return;
-    agent_.on_transaction_timeout(clock());
+void FleetClient::on_transaction_lost() {
+    agent_.on_transaction_timeout(boot_time());
     run_due_tasks();
 }
 
 void FleetClient::schedule_wake(TimePoint at) {
     event_loop_.cancel(wake_timer_);
     wake_timer_ = event_loop_.schedule_at(to_event_loop_time(at), [this] {
-        agent_.on_wake(clock());
+        agent_.on_wake(boot_time());
         run_due_tasks();
     });
 }
@@ -210,90 +147,84 @@
                              bool all) {
     std::vector<Entry> entries;
     entries.reserve(changes.size());
-    for (const auto& c : changes)
-        entries.emplace_back(Key{c.record.key.raw()}, c.deleted ? Text{} : Text{c.record.value});
+    for (const auto& change : changes)
+        entries.emplace_back(Key{change.record.key.raw()},
+                             change.deleted ? Text{} : Text{change.record.value});
     record_mirror_.apply(entries, all);
     mirrored_revision_ = at;
-    agent_.on_records(clock(), at, entries, all);
-    for (const auto& [key, text] : entries)
-        if (const auto cache = health_record_cache(key))
-            if (const auto f = text ? parse_health_record(*text) : std::nullopt) {
-                const DutyName duty = health_check_duty(*cache);
-                if (agent_.accepts_order_of(duty, {f->token, f->owner.name, f->owner.incarnation}))
-                    health_monitor_.on_probe_result(clock(), *cache, *f, agent_);
-            }
+    agent_.on_records(boot_time(), at, entries, all);
+    for (const auto& [key, value] : entries)
+        if (const auto cache = health_record_cache(key)) apply_health_record(*cache, value);
     update_duties();
     run_due_tasks();
 }
 
-void FleetClient::on_sync_state(TimePoint, registry::SyncState sight, TimePoint) {
-    const bool blind = sight == registry::SyncState::disconnected;
-    if (std::exchange(registry_silent_, blind) != blind)
-        gateway_.on_fleet_message(blind ? "the registry says nothing: what is known of the fleet ages"
-                                        : "the registry is heard again",
-                                  blind);
+void FleetClient::apply_health_record(const CacheId& cache, const Text& value) {
+    const auto record = value ? parse_health_record(*value) : std::nullopt;
+    if (!record) return;
+    const LeaseHolder holder{record->token, record->owner.name, record->owner.incarnation};
+    if (agent_.accepts_order_of(health_check_duty(cache), holder))
+        health_monitor_.on_probe_result(boot_time(), cache, *record, agent_);
+}
+
+void FleetClient::on_sync_state(TimePoint, registry::SyncState state, TimePoint) {
+    const bool disconnected = state == registry::SyncState::disconnected;
+    if (std::exchange(registry_disconnected_, disconnected) != disconnected)
+        on_event(RegistryConnectionChanged{!disconnected});
 }
 
+void FleetClient::on_warning(std::string_view reason) { on_event(RegistryWatchWarning{std::string(reason)}); }
+
+// --- duties
+
+// The records of duties that are new here have been delivered before, and must be so again.
 void FleetClient::update_duties() {
-    std::set<DutyName> wanted{garbage_collection_duty()};
-    if (site_reporter_) wanted.insert(digest_duty());
-    for (const CacheId& c : health_monitor_.update_monitored(agent_)) wanted.insert(health_check_duty(c));
-    if (wanted == followed_duties_) return;
+    std::set<DutyName> duties{garbage_collection_duty()};
+    if (site_reporter_) duties.insert(digest_duty());
+    for (const CacheId& cache : health_monitor_.update_monitored(agent_))
+        duties.insert(health_check_duty(cache));
+    if (duties == followed_duties_) return;
     std::vector<Entry> records;
-    for (const DutyName& d : wanted)
-        if (!followed_duties_.contains(d) && mirrored_revision_ > registry::Revision{})
-            for (const Key& key : {duty_key(d), release_key(d)})
+    for (const DutyName& duty : duties)
+        if (!followed_duties_.contains(duty) && mirrored_revision_ > registry::Revision{})
+            for (const Key& key : {duty_key(duty), release_key(duty)})
                 records.emplace_back(key, record_mirror_.at(key));
-    followed_duties_ = wanted;
-    agent_.set_duties(clock(), followed_duties_);
-    if (!records.empty()) agent_.on_records(clock(), mirrored_revision_, records, false);
+    followed_duties_ = std::move(duties);
+    agent_.set_duties(boot_time(), followed_duties_);
+    if (!records.empty()) agent_.on_records(boot_time(), mirrored_revision_, records, false);
 }
 
-// --- duties
-
-// Probes and garbage collection that are due; sets the alarm for the next.
+// Starts what is due, and schedules itself for the next.
 void FleetClient::run_due_tasks() {
     event_loop_.cancel(due_tasks_timer_);
-    const TimePoint now = clock();
+    const TimePoint now = boot_time();
     if (site_reporter_) site_reporter_->advance(now, agent_);
     health_monitor_.run_due_checks(now, agent_);
-    TimePoint due = health_monitor_.next_check_at();
-    if (agent_.may_begin_work(now, garbage_collection_duty())) {
-        if (auto write_request = garbage_collector_.next_write(now, record_mirror_, agent_))
-            if (!agent_.write_fenced(now, garbage_collection_duty(), collection_progress_key(),
-                                     std::move(*write_request)))
-                garbage_collector_.on_written(now, WriteOutcome::refused);
-        if (garbage_collector_.next_pass_at() > now) due = std::min(due, garbage_collector_.next_pass_at());
-    }
-    due_tasks_timer_ = event_loop_.schedule_at(to_event_loop_time(due), [this] { run_due_tasks(); });
+    const TimePoint next_task_at = collect_garbage(now, health_monitor_.next_check_at());
+    due_tasks_timer_ = event_loop_.schedule_at(to_event_loop_time(next_task_at), [this] { run_due_tasks(); });
 }
 
-void FleetClient::on_lease_state(const DutyName& duty, LeaseState state, FencingToken token) {
-    gateway_.on_duty_state(duty, state, token);
+// Returns when the next task is due, this one's included.
+TimePoint FleetClient::collect_garbage(TimePoint now, TimePoint next_task_at) {
+    const DutyName duty = garbage_collection_duty();
+    if (!agent_.may_begin_work(now, duty)) return next_task_at;
+    if (auto write = garbage_collector_.next_write(now, record_mirror_, agent_))
+        if (!agent_.write_fenced(now, duty, collection_progress_key(), std::move(*write)))
+            garbage_collector_.on_written(now, WriteOutcome::refused);
+    const TimePoint next_pass_at = garbage_collector_.next_pass_at();
+    return next_pass_at > now ? std::min(next_task_at, next_pass_at) : next_task_at;
 }
 
-void FleetClient::on_write_outcome(const DutyName& duty, const Key& key, WriteOutcome done) {
-    if (duty == digest_duty() && site_reporter_) site_reporter_->on_written(key);
-    if (duty == garbage_collection_duty()) garbage_collector_.on_written(clock(), done);
-}
-
-void FleetClient::on_warning(std::string_view plain_line) { gateway_.on_fleet_message(plain_line, true); }
-
-void FleetClient::start_health_check(const CacheId& cache) {
-    call_soon([this, cache] {
-        // The process may have been stopped since it was asked for: the lease is checked again right before
-        // the first byte.
-        if (!may_check_health(cache)) return;
-        if (!gateway_.start_health_check(cache))
-            health_monitor_.on_check_not_permitted(clock(), cache, agent_);
-    });
+void FleetClient::on_lease_state(const DutyName& duty, LeaseState state, FencingToken token) {
+    on_event(LeaseStateChanged{duty, state, token});
 }
 
-void FleetClient::postpone_recovery_probe(const CacheId& cache, TimePoint at) {
-    call_soon([this, cache, at] { gateway_.postpone_recovery_probe(cache, to_event_loop_time(at)); });
+void FleetClient::on_write_outcome(const DutyName& duty, const Key& key, WriteOutcome outcome) {
+    if (duty == digest_duty() && site_reporter_) site_reporter_->on_written(key);
+    if (duty == garbage_collection_duty()) garbage_collector_.on_written(boot_time(), outcome);
 }
 
-// --- what is in force here
+// --- what this member has applied
 
 bool FleetClient::needs_full_notice_history() const {
     return site_reporter_ && site_reporter_->applied().needs_full_history();
@@ -306,7 +237,7 @@
 void FleetClient::on_poll_completed(std::int64_t newest, std::int64_t asked_from) {
     if (!site_reporter_) return;
     site_reporter_->applied().on_poll_completed(EventNumber{newest}, EventNumber{asked_from});
-    site_reporter_->advance(clock(), agent_);
+    site_reporter_->advance(boot_time(), agent_);
 }
 
 void FleetClient::on_poll_failed() {
@@ -321,25 +252,28 @@
     settings_.configuration = number;
     if (!site_reporter_) return;
     site_reporter_->applied().on_configuration(number);
-    site_reporter_->advance(clock(), agent_);
+    site_reporter_->advance(boot_time(), agent_);
 }
 
 void FleetClient::on_heartbeat_result(TimePoint sent, HeartbeatNumber number,
-                                      const std::vector<Entry>& shown) {
-    if (site_reporter_) site_reporter_->on_heartbeat(clock(), unix_ms_now(), sent, number, shown, agent_);
+                                      const std::vector<Entry>& records) {
+    if (site_reporter_)
+        site_reporter_->on_heartbeat(boot_time(), unix_time_ms(), sent, number, records, agent_);
 }
 
 void FleetClient::on_registry_restored() {
     if (site_reporter_) site_reporter_->applied().on_history_lost();
 }
 
-// --- state that outlives the process
+// --- what outlives the process
 
-void FleetClient::store_tokens_seen() {
-    event_loop_.cancel(store_timer_);
-    store_timer_ = event_loop_.schedule_at(event_loop_.now() + store_every, [this] { store_tokens_seen(); });
+// A crash loses the tokens seen since the last save.
+void FleetClient::save_tokens() {
+    constexpr Duration save_interval = Duration::micros(250'000);
+    event_loop_.cancel(save_timer_);
+    save_timer_ = event_loop_.schedule_at(event_loop_.now() + save_interval, [this] { save_tokens(); });
     if (const auto error = token_store_.save(agent_.fence(), agent_.incarnation()))
-        gateway_.on_fleet_message("epochs seen are " + *error, true);
+        on_event(TokenStoreFailed{TokenStoreOperation::write, *error});
 }
 
 }  // namespace irismux::fleet
--- a/src/fleet/lease.cpp
+++ b/src/fleet/lease.cpp
@@ -3,7 +3,7 @@
 namespace irismux::fleet {
 
 std::string_view to_string(LeaseState t) {
-    constexpr std::string_view words[] = {"idle", "seeking", "owning", "resting", "lost"};
+    constexpr std::string_view words[] = {"idle", "seeking", "owning", "expiring", "lost"};
     return words[static_cast<std::size_t>(t)];
 }
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -531,15 +531,6 @@
     guarded_flag(inside_router_call_, [&] { router_.postpone_recovery_probe(event_loop_.now(), cache, at); });
 }
 
-void Gateway::on_duty_state(const fleet::DutyName& duty, fleet::LeaseState state, fleet::FencingToken token) {
-    log::event(state == fleet::LeaseState::lost ? log::Level::warning : log::Level::info, "duty",
-               {{"duty", duty.raw()}, {"tenancy", fleet::to_string(state)}, {"epoch", token.raw()}});
-}
-
-void Gateway::on_fleet_message(std::string_view plain_line, bool trouble) {
-    log::write(trouble ? log::Level::warning : log::Level::info, "fleet: " + std::string(plain_line));
-}
-
 void Gateway::on_health_check_result(const HealthCheckResult& a) {
     if (fleet_client_) fleet_client_->on_health_check_done(a.cache, a.outcome == Outcome::completed);
 }
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -56,8 +56,7 @@
     // fleet::GatewayPort
     bool start_health_check(const CacheId&) override;
     void postpone_recovery_probe(const CacheId&, TimePoint) override;
-    void on_duty_state(const fleet::DutyName&, fleet::LeaseState, fleet::FencingToken) override;
-    void on_fleet_message(std::string_view plain_line, bool trouble) override;
+    void on_fleet_event(const fleet::FleetEvent& event) override { fleet::write_to_log(event); }
     void start_fleet();
     void stop_fleet();
 
--- a/testing/fleet_simulation.cpp
+++ b/testing/fleet_simulation.cpp
@@ -49,7 +49,7 @@
     }
     void on_lease_state(const DutyName&, LeaseState, FencingToken) override {}
     void on_write_outcome(const DutyName&, const Key&, WriteOutcome) override {}
-    void on_warning(std::string_view) override {}
+    void on_event(const FleetEvent&) override {}
     // Runs at once, or when a stopped process goes on; never for a former one.
     void when_running(std::function<void()> then) {
         if (!agent) return;
--- a/testing/interleaving_explorer.cpp
+++ b/testing/interleaving_explorer.cpp
@@ -36,7 +36,7 @@
     void schedule_wake(TimePoint at) override { wake_at = at; }
     void on_lease_state(const DutyName&, LeaseState, FencingToken) override {}
     void on_write_outcome(const DutyName&, const Key&, WriteOutcome) override {}
-    void on_warning(std::string_view) override {}
+    void on_event(const FleetEvent&) override {}
 };
 
 struct Node {
--- a/testing/site_simulation.cpp
+++ b/testing/site_simulation.cpp
@@ -63,7 +63,7 @@
     void on_write_outcome(const DutyName&, const Key& key, WriteOutcome) override {
         if (reporter) reporter->on_written(key);
     }
-    void on_warning(std::string_view) override {}
+    void on_event(const FleetEvent&) override {}
     void on_registry_restored() override {
         if (reporter) reporter->applied().on_history_lost();
     }
--- a/testing/stub_gateway.hpp
+++ b/testing/stub_gateway.hpp
@@ -75,11 +75,10 @@
     void on_endpoints(TimePoint now, const std::vector<EndpointRecord>& lines, bool complete) override;
     void on_sync_state(TimePoint, registry::SyncState, TimePoint) override {}
     void on_warning(std::string_view) override {}
-    // fleet::GatewayPort
+    // fleet::GatewayCallbacks
     bool start_health_check(const CacheId& cache) override;
     void postpone_recovery_probe(const CacheId& cache, TimePoint at) override;
-    void on_duty_state(const fleet::DutyName&, fleet::LeaseState, fleet::FencingToken) override {}
-    void on_fleet_message(std::string_view, bool) override {}
+    void on_fleet_event(const fleet::FleetEvent&) override {}
 
     void apply_endpoints(const std::vector<EndpointRecord>& lines, bool complete);
 
--- a/tests/fleet_process_test.cpp
+++ b/tests/fleet_process_test.cpp
@@ -396,7 +396,7 @@
     const TimePoint woke = a->loop.now();
     a->resume(first);
     // Its sleep took no time here: nobody has followed it yet. Still it acts no more until it has listened.
-    EXPECT_TRUE(a->until([&] { return a->logged(first, "duty=sweep tenancy=lost"); }));
+    EXPECT_TRUE(a->until([&] { return a->logged(first, "warning: fleet_lease_lost duty=sweep token="); }));
     const std::size_t all = a->written.size();
     EXPECT_TRUE(a->until([&] { return a->owner(sweep) && a->written.size() > all + 5; }));
     for (const auto& w : a->written) {
@@ -495,7 +495,8 @@
 
 TEST_F(Fleet, TwoUnderOneNameAndAnotherInstallationStayOutAndSaySo) {
     begin();
-    const std::size_t n = (*a->owner(sweep) + 1) % 3, m = (n + 1) % 3;
+    const std::size_t owner = *a->owner(sweep), n = (owner + 1) % 3, m = (n + 1) % 3;
+    const std::string taken_name = a->gateways[owner].name;
     const auto replace = [&](std::size_t of, const std::string& was, const std::string& is) {
         std::ifstream in(a->gateways[of].parts);
         std::string all((std::istreambuf_iterator<char>(in)), {});
@@ -503,14 +504,18 @@
         std::ofstream(a->gateways[of].parts) << all;
     };
     a->kill(n);
-    replace(n, "[fleet]\n", "[fleet]\nname = \"" + a->gateways[*a->owner(sweep)].name + "\"\n");
+    replace(n, "[fleet]\n", "[fleet]\nname = \"" + taken_name + "\"\n");
     a->start(n);
-    EXPECT_TRUE(a->until([&] { return a->logged(n, "held by another living gateway"); }));
+    EXPECT_TRUE(a->until(
+        [&] { return a->logged(n, "warning: fleet_join_refused reason=name_in_use member=" + taken_name); }));
     a->kill(n);
     a->kill(m);
     replace(m, "\"arena\"", "\"another\"");
     a->start(m);
-    EXPECT_TRUE(a->until([&] { return a->logged(m, "goes by other articles"); }));
+    EXPECT_TRUE(a->until([&] {
+        return a->logged(
+            m, "warning: fleet_join_refused reason=shared_config_differs member=" + a->gateways[m].name);
+    }));
     EXPECT_TRUE(a->until([&] { return !a->member(n) && !a->member(m); }));
     EXPECT_TRUE(working());
 }
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -132,7 +132,7 @@
     TimePoint now = TimePoint::at_seconds(1);
     std::optional<Transaction> out;
     std::vector<Transaction> said;
-    std::vector<std::string> remarks;
+    std::vector<FleetEvent> events;
     std::function<void(WriteOutcome)> worked = [](WriteOutcome) {};
     std::unique_ptr<Agent> agent;
 
@@ -157,9 +157,8 @@
             agent->on_wake(now);
         }
     }
-    bool remarked(const std::string& part) const {
-        return std::any_of(remarks.begin(), remarks.end(),
-                           [&](const std::string& r) { return r.find(part) != std::string::npos; });
+    bool reported(const FleetEvent& event) const {
+        return std::find(events.begin(), events.end(), event) != events.end();
     }
     void submit(const Transaction& d) override {
         out = d;
@@ -168,7 +167,7 @@
     void schedule_wake(TimePoint) override {}
     void on_lease_state(const DutyName&, LeaseState, FencingToken) override {}
     void on_write_outcome(const DutyName&, const Key&, WriteOutcome done) override { worked(done); }
-    void on_warning(std::string_view line) override { remarks.emplace_back(line); }
+    void on_event(const FleetEvent& event) override { events.push_back(event); }
 };
 
 TEST_F(Alone, AnotherInstallationsRegistryIsLeftAlone) {
@@ -177,8 +176,9 @@
     start("m", shared_config());
     run(ms * 30'000);
     EXPECT_EQ(ledger.records(), before);
-    EXPECT_EQ(remarks.size(), 1u);
-    EXPECT_TRUE(remarked("other articles"));
+    EXPECT_EQ(events.size(), 1u);
+    EXPECT_TRUE(reported(JoinRefused{JoinRefusal::shared_config_differs, MemberName{"m"},
+                                     serialize(SharedConfig{"other", ms * 4000, 0.05})}));
     EXPECT_FALSE(agent->may_act(now, DutyName{"d"}));
 }
 
@@ -192,7 +192,7 @@
             serialize(HeartbeatRecord{Incarnation{4}, InstanceId{"other"}, HeartbeatNumber{++beats}}));
     });
     EXPECT_FALSE(agent->membership().joined());
-    EXPECT_TRUE(remarked("held by another living gateway"));
+    EXPECT_TRUE(reported(JoinRefused{JoinRefusal::name_in_use, MemberName{"m"}, ""}));
     run(ms * 20'000);
     EXPECT_TRUE(agent->may_act(now, DutyName{"d"}));
     EXPECT_GT(agent->incarnation(), Incarnation{4});
@@ -205,7 +205,7 @@
     run(ms * 30'000);
     EXPECT_TRUE(agent->membership().joined());
     EXPECT_FALSE(agent->may_act(now, DutyName{"d"}));
-    EXPECT_TRUE(remarked("can't be read"));
+    EXPECT_TRUE(reported(DutyRecordUnreadable{DutyName{"d"}}));
     EXPECT_EQ(ledger.records().at(Key{"duty/d"}), "{\"format\":9}");
     EXPECT_EQ(parse_duty(ledger.records().at(Key{"duty/newer"}))->owner, MemberName{"gone"});
 }
@@ -215,7 +215,7 @@
     agent->accepts_order_of(DutyName{"d"}, {FencingToken{40}, MemberName{"x"}, Incarnation{1}});
     put("duty/d", serialize(DutyRecord{FencingToken{7}, MemberName{"y"}, Incarnation{1}}));
     run(ms * 2'000);
-    EXPECT_TRUE(remarked("has gone back"));
+    EXPECT_TRUE(reported(FencingTokenRegressed{DutyName{"d"}, FencingToken{7}, FencingToken{40}}));
     EXPECT_EQ(parse_member(ledger.records().at(Key{"member/m"}))->refused_tokens.at(DutyName{"d"}),
               FencingToken{40});
     run(ms * 30'000);
