--- a/src/fleet/agent.hpp
+++ b/src/fleet/agent.hpp
@@ -1,18 +1,18 @@
-// One gateway as a member of its fleet: it joins, sends heartbeats, evicts members that send none, claims,
-// hands over and gives up duties, and writes on behalf of the fleet. It combines Membership, Lease, Fence and
-// Duties. No I/O and no clock: each call brings the instant of the gateway's own steady clock.
-//
-// One transaction is under way at a time. A missing answer is neither success nor failure: the transaction
-// may have landed, may land later, or never. Each compares enough for a late one to do no harm, and the next
-// read shows what became of it.
-//
-// Guarantees (premises in docs/fleet.md; may_act() must be asked at the very instant of acting):
-//   1  at no instant may two members act on one duty
-//   2  a fenced write lands only while its writer owns the duty, in the registry's own order
-//   3  no fencing token of a duty is given to two owners, also across restores of the registry
-//
-// Source files: agent.cpp (events, one transaction at a time), agent_join.cpp, agent_heartbeat.cpp (with
-// evictions), agent_leases.cpp, agent_writes.cpp (with publications), agent_debug.cpp.
+/// One gateway as a member of its fleet: it joins, sends heartbeats, evicts members that send none, claims,
+/// hands over and gives up duties, and writes on behalf of the fleet. It combines Membership, Lease, Fence
+/// and Duties. No I/O and no clock: each call brings the instant of the gateway's own steady clock.
+///
+/// One transaction is under way at a time. A missing answer is neither success nor failure: the transaction
+/// may have landed, may land later, or never. Each compares enough for a late one to do no harm, and the next
+/// read shows what became of it.
+///
+/// Guarantees (premises in docs/fleet.md; may_act() must be asked at the very instant of acting):
+///   1  at no instant may two members act on one duty
+///   2  a fenced write lands only while its writer owns the duty, in the registry's own order
+///   3  no fencing token of a duty is given to two owners, also across restores of the registry
+///
+/// Source files: agent.cpp (events, one transaction at a time), agent_join.cpp, agent_heartbeat.cpp (with
+/// evictions), agent_leases.cpp, agent_writes.cpp (with publications), agent_debug.cpp.
 #pragma once
 
 #include <deque>
@@ -32,54 +32,55 @@
 
 namespace irismux::fleet {
 
-// For how long at most a duty has no owner after its owner has stopped, if the registry answers within
-// `answer` and `places` live members stand before the first that can claim. Holds for fleets whose heartbeats
-// are all read each round; in larger ones each round in which the stopped owner's is not read adds a round.
+/// For how long at most a duty has no owner after its owner has stopped, if the registry answers within
+/// `answer` and `places` live members stand before the first that can claim. Holds for fleets whose
+/// heartbeats are all read each round; in larger ones each round in which the stopped owner's is not read
+/// adds a round.
 Duration longest_without_owner(const SharedConfig& shared_config, Duration answer, std::size_t places);
 
 class Agent {
 public:
     Agent(AgentTransport& registry, AgentObserver& observer, const SharedConfig& shared_config,
           MemberIdentity identity, std::uint64_t seed);
-    // A copy of the state with other ports, for exhaustive exploration.
+    /// A copy of the state with other ports, for exhaustive exploration.
     Agent(const Agent& other, AgentTransport& registry, AgentObserver& observer);
 
     void start(TimePoint now);
-    // Stops acting at once, then removes this member's records.
+    /// Stops acting at once, then removes this member's records.
     void leave(TimePoint now);
-    // The duties that this member may own; one that is not named any more is given up. The records of duties
-    // that are new here must be delivered again through on_records().
+    /// The duties that this member may own; one that is not named any more is given up. The records of duties
+    /// that are new here must be delivered again through on_records().
     void set_duties(TimePoint now, const std::set<DutyName>& names);
-    // The caches that this gateway passes over; published at most once a round.
+    /// The caches that this gateway passes over; published at most once a round.
     void set_ejected_caches(TimePoint now, std::set<CacheId> caches);
 
-    // Watched records as of a revision; they may lag behind transactions. `full_list`: they are all there
-    // are. Keys of unknown sorts are ignored.
-    // What this gateway has in force, for its heartbeats.
+    /// Watched records as of a revision; they may lag behind transactions. `full_list`: they are all there
+    /// are. Keys of unknown sorts are ignored.
+    /// What this gateway has in force, for its heartbeats.
     void set_applied_revisions(TimePoint now, const std::optional<AppliedRevisions>& claim);
     void set_heartbeat_reads(TimePoint now, HeartbeatReads reads);
     void on_records(TimePoint now, registry::Revision at, const std::vector<Entry>& records, bool full_list);
-    // `held`: the comparison succeeded and all is written. `shown`: see Transaction.
+    /// `held`: the comparison succeeded and all is written. `shown`: see Transaction.
     void on_transaction_result(TimePoint now, registry::Revision at, bool held,
                                const std::vector<Entry>& shown);
-    // The transaction may have landed, may still land, or never.
+    /// The transaction may have landed, may still land, or never.
     void on_transaction_timeout(TimePoint now);
     void on_wake(TimePoint now);
 
-    // Whether this member owns the duty at that instant.
+    /// Whether this member owns the duty at that instant.
     bool may_act(TimePoint now, const DutyName&) const;
-    // As may_act(), and the lease runs for long enough to begin something new.
+    /// As may_act(), and the lease runs for long enough to begin something new.
     bool may_begin_work(TimePoint now, const DutyName&) const;
-    // The token of the duty's newest known record; zero: none.
+    /// The token of the duty's newest known record; zero: none.
     FencingToken token_of(const DutyName&) const;
-    // Whether an order that another member gives as that holder is to be obeyed.
+    /// Whether an order that another member gives as that holder is to be obeyed.
     bool accepts_order_of(const DutyName& duty, const LeaseHolder& holder) {
         return fence_.accepts(duty, holder);
     }
-    // Writes if the duty is still owned when the write lands; the observer is told the outcome. False: the
-    // duty is not owned, or too many writes wait.
+    /// Writes if the duty is still owned when the write lands; the observer is told the outcome. False: the
+    /// duty is not owned, or too many writes wait.
     bool write_fenced(TimePoint now, const DutyName&, const Key&, const std::string& value);
-    // As above; the outcome names `key`.
+    /// As above; the outcome names `key`.
     bool write_fenced(TimePoint now, const DutyName&, const Key& key, FencedWrite write_request);
 
     const Membership& membership() const { return membership_; }
@@ -88,11 +89,11 @@
     Incarnation incarnation() const { return incarnation_; }
     const std::set<CacheId>& ejected_caches() const { return ejected_caches_; }
     Instance self() const { return {identity_.name, incarnation_}; }
-    // The record below which no removed duty may be claimed, as known.
+    /// The record below which no removed duty may be claimed, as known.
     const Text& token_floor() const { return token_floor_; }
-    // Whether that very instance is a member, as far as is known. One whose record can't be parsed counts.
+    /// Whether that very instance is a member, as far as is known. One whose record can't be parsed counts.
     bool is_member(const Instance&) const;
-    // The whole state as text, instants relative to `now`: equal texts, equal behaviour.
+    /// The whole state as text, instants relative to `now`: equal texts, equal behaviour.
     std::string debug_state(TimePoint now) const;
 
 private:
--- a/src/fleet/garbage_collector.hpp
+++ b/src/fleet/garbage_collector.hpp
@@ -1,13 +1,13 @@
-// Removes records that dead members left behind. It is a duty of the fleet, so one member at a time does it.
-// No I/O.
-//
-//   duty/watch/...  of an unowned health watch that this member does not want; its token goes into the floor
-//   aside/...       a release that names an instance which is gone
-//   seen/...        a probe result of a health watch without a record
-//
-// A record is removed only after it has stood unchanged as garbage for a minimum age by this owner's clock.
-// Each removal is one transaction together with the position reached in the pass, so that the next owner
-// continues behind it. Records of other duties stay: their names are few.
+/// Removes records that dead members left behind. It is a duty of the fleet, so one member at a time does it.
+/// No I/O.
+///
+///   duty/watch/...  of an unowned health watch that this member does not want; its token goes into the floor
+///   aside/...       a release that names an instance which is gone
+///   seen/...        a probe result of a health watch without a record
+///
+/// A record is removed only after it has stood unchanged as garbage for a minimum age by this owner's clock.
+/// Each removal is one transaction together with the position reached in the pass, so that the next owner
+/// continues behind it. Records of other duties stay: their names are few.
 #pragma once
 
 #include <map>
@@ -24,15 +24,15 @@
 
 class GarbageCollector {
 public:
-    // A pass begins `every` after the end of the one before, by this owner's clock.
+    /// A pass begins `every` after the end of the one before, by this owner's clock.
     GarbageCollector(Duration every, Duration minimum_age) : interval_(every), minimum_age_(minimum_age) {}
 
-    // The next write, if one is due. One is under way at a time.
+    /// The next write, if one is due. One is under way at a time.
     std::optional<FencedWrite> next_write(TimePoint now, const RecordMirror& record_mirror,
                                           const Agent& agent);
-    // The outcome of that write.
+    /// The outcome of that write.
     void on_written(TimePoint now, WriteOutcome outcome);
-    // When next() has something to do again, if nothing is under way.
+    /// When next() has something to do again, if nothing is under way.
     TimePoint next_pass_at() const { return next_pass_at_; }
 
 private:
--- a/src/fleet/lease.hpp
+++ b/src/fleet/lease.hpp
@@ -1,12 +1,12 @@
-// The lease of one duty as one member sees its own: whether it owns the duty, and for how long yet. No I/O.
-//
-//   idle      another member owns the duty, or is to have it
-//   seeking   this member should own it, and a claim is due or under way
-//   owning    the record names this member, and its term runs
-//   resting   as owning, but too near the end of the term to begin anything
-//   lost      it was owned, and the term has ended or the record names another: nothing may be done
-//
-// `enter` is the one function that changes the state; docs/fleet.md has the table.
+/// The lease of one duty as one member sees its own: whether it owns the duty, and for how long yet. No I/O.
+///
+///   idle      another member owns the duty, or is to have it
+///   seeking   this member should own it, and a claim is due or under way
+///   owning    the record names this member, and its term runs
+///   resting   as owning, but too near the end of the term to begin anything
+///   lost      it was owned, and the term has ended or the record names another: nothing may be done
+///
+/// `enter` is the one function that changes the state; docs/fleet.md has the table.
 #pragma once
 
 #include <string_view>
@@ -16,15 +16,15 @@
 namespace irismux::fleet {
 
 enum class LeaseState { idle, seeking, owning, expiring, lost };
-// As the log names it.
+/// As the log names it.
 std::string_view to_string(LeaseState);
 
-// What decides the state, all at one instant of the member's own clock.
+/// What decides the state, all at one instant of the member's own clock.
 struct LeaseConditions {
-    bool record_names_us = false;  // the newest record known names this very instance
-    bool in_term = false;          // a heartbeat has landed so recently that this member may act
-    bool near_term_end = false;    // of that term
-    bool should_claim = false;     // the duty is unowned, and this member is the first in its order
+    bool record_names_us = false;  ///< the newest record known names this very instance
+    bool in_term = false;          ///< a heartbeat has landed so recently that this member may act
+    bool near_term_end = false;    ///< of that term
+    bool should_claim = false;     ///< the duty is unowned, and this member is the first in its order
 };
 
 class Lease {
--- a/src/fleet/membership.hpp
+++ b/src/fleet/membership.hpp
@@ -1,12 +1,12 @@
-// Who is alive, as one member sees it: its own term, and the heartbeats of the others. No I/O. The instants
-// are of this member's own steady clock, which must also count the time during which the machine is
-// suspended.
-//
-// Guarantee: while in_term() holds at a member, no other evicts it. Premises: no clock's rate is off by more
-// than `drift`; a heartbeat is confirmed only once the registry holds it, and counts from the instant at
-// which it was sent; an eviction is a transaction that compares the very heartbeat that was found unchanged.
-//
-//   own term: until sent + term * (1 - drift)       wait for others: from first seen, term * (1 + drift)
+/// Who is alive, as one member sees it: its own term, and the heartbeats of the others. No I/O. The instants
+/// are of this member's own steady clock, which must also count the time during which the machine is
+/// suspended.
+///
+/// Guarantee: while in_term() holds at a member, no other evicts it. Premises: no clock's rate is off by more
+/// than `drift`; a heartbeat is confirmed only once the registry holds it, and counts from the instant at
+/// which it was sent; an eviction is a transaction that compares the very heartbeat that was found unchanged.
+///
+///   own term: until sent + term * (1 - drift)       wait for others: from first seen, term * (1 + drift)
 #pragma once
 
 #include <map>
@@ -20,8 +20,8 @@
 
 namespace irismux::fleet {
 
-// A member as another sees it. `suspected`: its heartbeat is overdue; `back`: it was gone and has joined
-// anew.
+/// A member as another sees it. `suspected`: its heartbeat is overdue; `back`: it was gone and has joined
+/// anew.
 enum class MemberStatus { joined, suspected, removed, rejoined };
 
 class Membership {
@@ -30,9 +30,9 @@
 
     // --- this member's own term
     void on_heartbeat_sent(TimePoint now, HeartbeatNumber heartbeat);
-    // The registry holds that heartbeat. If the term had lapsed before it was sent, the new one begins with
-    // listening: for a wait nothing is owned, so that terms which a registry's former state granted have
-    // ended.
+    /// The registry holds that heartbeat. If the term had lapsed before it was sent, the new one begins with
+    /// listening: for a wait nothing is owned, so that terms which a registry's former state granted have
+    /// ended.
     void on_heartbeat_confirmed(TimePoint now, HeartbeatNumber heartbeat);
     void on_removed() { joined_ = false; }
     bool joined() const { return joined_; }
@@ -44,46 +44,46 @@
     HeartbeatNumber last_confirmed() const { return last_confirmed_; }
 
     // --- the others
-    // A member's record as of that revision; no text: there is none. Older ones than known are ignored. True:
-    // it was news.
+    /// A member's record as of that revision; no text: there is none. Older ones than known are ignored.
+    /// True: it was news.
     bool on_member_record(TimePoint now, registry::Revision at, const MemberName&,
                           const std::optional<std::string>& text);
-    // All records follow, of a possibly lower revision; who is not listed is gone.
+    /// All records follow, of a possibly lower revision; who is not listed is gone.
     void on_full_list(TimePoint now, const std::set<MemberName>& listed);
-    // A heartbeat as the registry showed it. The same one again lets the wait go on; a new one starts it
-    // again or, unless `hold`, ends it until that member is observed anew.
+    /// A heartbeat as the registry showed it. The same one again lets the wait go on; a new one starts it
+    /// again or, unless `hold`, ends it until that member is observed anew.
     void on_heartbeat(TimePoint now, const MemberName&, const std::optional<std::string>& text, bool hold);
-    // The registry was restored: heartbeats observed before say nothing.
+    /// The registry was restored: heartbeats observed before say nothing.
     void restart_observations();
 
-    // Another member.
+    /// Another member.
     struct Member {
-        std::string text;       // of its record
-        bool readable = true;   // false: a newer form; it is alive, and what it owns is left to it
-        MemberRecord member;    // its record
-        TimePoint first_seen;   // first seen with this incarnation
-        bool returned = false;  // it was a member before
-        bool observed = false;  // its heartbeats are being observed
+        std::string text;       ///< of its record
+        bool readable = true;   ///< false: a newer form; it is alive, and what it owns is left to it
+        MemberRecord member;    ///< its record
+        TimePoint first_seen;   ///< first seen with this incarnation
+        bool returned = false;  ///< it was a member before
+        bool observed = false;  ///< its heartbeats are being observed
         std::optional<std::string> heartbeat_text;
-        TimePoint unchanged_since;    // that heartbeat was first shown
-        TimePoint last_seen;          // that heartbeat was last shown
-        registry::Revision revision;  // of its record
+        TimePoint unchanged_since;    ///< that heartbeat was first shown
+        TimePoint last_seen;          ///< that heartbeat was last shown
+        registry::Revision revision;  ///< of its record
     };
     const std::map<MemberName, Member>& members() const { return members_; }
     MemberStatus status_of(TimePoint now, const MemberName&) const;
-    // Its heartbeat was shown unchanged for the whole wait.
+    /// Its heartbeat was shown unchanged for the whole wait.
     bool evictable(const Member& peer) const {
         return peer.observed && peer.last_seen - peer.unchanged_since >= eviction_timeout_;
     }
     bool suspected(const Member& peer) const;
-    // It has been a member for long enough to be handed a duty.
+    /// It has been a member for long enough to be handed a duty.
     bool settled(TimePoint now, const Member& peer) const {
         return now - peer.first_seen >= eviction_timeout_ + eviction_timeout_;
     }
 
-    // The time between two heartbeats.
+    /// The time between two heartbeats.
     Duration heartbeat_interval() const { return heartbeat_interval_; }
-    // How long a heartbeat must have been unchanged before an eviction.
+    /// How long a heartbeat must have been unchanged before an eviction.
     Duration eviction_timeout() const { return eviction_timeout_; }
 
 private:
--- a/src/fleet/records.hpp
+++ b/src/fleet/records.hpp
@@ -1,17 +1,17 @@
-// The records that a fleet keeps in its registry, all under one prefix:
-//
-//   about          the shared configuration; a member whose own differs stays out
-//   member/NAME    the living instance of that name: written at its join, removed when it leaves or is
-//   evicted,
-//                  and rewritten only to publish refused tokens and marked caches
-//   beat/NAME      its last heartbeat; no two heartbeats ever written are equal
-//   duty/NAME      the owner of a duty and its fencing token; an empty owner: the duty was given up
-//   floor          the highest token of any removed duty record; a duty without a record starts above it
-//   aside/DUTY     an operator's release: that instance is to leave the duty to others
-//   swept          the progress of the garbage collector
-//   seen/CACHE     the last probe result of the health watch over that cache
-//
-// Values are JSON objects; a value that can't be parsed is treated as absent. Pure functions of bytes.
+/// The records that a fleet keeps in its registry, all under one prefix:
+///
+///   about          the shared configuration; a member whose own differs stays out
+///   member/NAME    the living instance of that name: written at its join, removed when it leaves or is
+///   evicted,
+///                  and rewritten only to publish refused tokens and marked caches
+///   beat/NAME      its last heartbeat; no two heartbeats ever written are equal
+///   duty/NAME      the owner of a duty and its fencing token; an empty owner: the duty was given up
+///   floor          the highest token of any removed duty record; a duty without a record starts above it
+///   aside/DUTY     an operator's release: that instance is to leave the duty to others
+///   swept          the progress of the garbage collector
+///   seen/CACHE     the last probe result of the health watch over that cache
+///
+/// Values are JSON objects; a value that can't be parsed is treated as absent. Pure functions of bytes.
 #pragma once
 
 #include <cstdint>
@@ -28,76 +28,77 @@
 
 using MemberName = Id<struct MemberNameTag, std::string>;
 using DutyName = Id<struct DutyNameTag, std::string>;
-// Number of a member's join. Higher at each join of that name, and above the registry's revision at that
-// time.
+/// Number of a member's join. Higher at each join of that name, and above the registry's revision at that
+/// time.
 using Incarnation = Id<struct IncarnationTag, std::int64_t>;
-// Drawn at random once a process, to tell apart instances of one name.
+/// Drawn at random once a process, to tell apart instances of one name.
 using InstanceId = Id<struct InstanceIdTag, std::string>;
-// Rises with each owner of a duty; zero: none. Writes and orders under a lower one are refused.
+/// Rises with each owner of a duty; zero: none. Writes and orders under a lower one are refused.
 using FencingToken = Id<struct FencingTokenTag, std::int64_t>;
-// Rises with each heartbeat of one instance.
+/// Rises with each heartbeat of one instance.
 using HeartbeatNumber = Id<struct HeartbeatNumberTag, std::int64_t>;
-// A record's key, behind the fleet's prefix.
+/// A record's key, behind the fleet's prefix.
 using Key = Id<struct FleetKeyTag, std::string>;
 
-// Settings that must be equal at all members, since the safety of each rests on the others' keeping them.
+/// Settings that must be equal at all members, since the safety of each rests on the others' keeping them.
 struct SharedConfig {
     std::string installation;
     Duration term =
-        Duration::micros(12'000'000);  // a heartbeat lets its sender act for so long, less the drift
-    double drift = 0.01;               // largest error of a clock's rate, either way; at most 0.5
+        Duration::micros(12'000'000);  ///< a heartbeat lets its sender act for so long, less the drift
+    double drift = 0.01;               ///< largest error of a clock's rate, either way; at most 0.5
     bool operator==(const SharedConfig&) const = default;
 };
 
 constexpr std::size_t max_published_refusals =
-    16;  // in a member's record; further ones, by duty's name, wait
-constexpr std::size_t max_published_ejections = 64;  // in a member's record; further ones are not published
+    16;  ///< in a member's record; further ones, by duty's name, wait
+constexpr std::size_t max_published_ejections = 64;  ///< in a member's record; further ones are not published
 
-// One living member.
+/// One living member.
 struct MemberRecord {
     Incarnation incarnation;
     InstanceId instance_id;
-    std::string version;                              // of the program
-    std::map<DutyName, FencingToken> refused_tokens;  // tokens seen that are above that of the duty's record
-    std::set<CacheId> ejected_caches = {};            // caches that it passes over because they do not answer
+    std::string version;  ///< of the program
+    std::map<DutyName, FencingToken>
+        refused_tokens;                     ///< tokens seen that are above that of the duty's record
+    std::set<CacheId> ejected_caches = {};  ///< caches that it passes over because they do not answer
 };
 
-// A member's last heartbeat.
+/// A member's last heartbeat.
 struct HeartbeatRecord {
     Incarnation incarnation;
     InstanceId instance_id;
     HeartbeatNumber number;
 };
 
-// The owner of a duty.
+/// The owner of a duty.
 struct DutyRecord {
     FencingToken token;
-    MemberName owner;         // empty: given up
-    Incarnation incarnation;  // of the owner
+    MemberName owner;         ///< empty: given up
+    Incarnation incarnation;  ///< of the owner
 };
 
-// One instance of a member, as others refer to it.
+/// One instance of a member, as others refer to it.
 struct Instance {
     MemberName name;
     Incarnation incarnation;
     bool operator==(const Instance&) const = default;
 };
 
-// The outcome of a health watch's last probes, written by the owner of its duty.
+/// The outcome of a health watch's last probes, written by the owner of its duty.
 struct HealthRecord {
     FencingToken token;
     Instance owner;
-    bool healthy = false;     // the last probe was answered
-    std::int64_t streak = 0;  // consecutive probes with that outcome
+    bool healthy = false;     ///< the last probe was answered
+    std::int64_t streak = 0;  ///< consecutive probes with that outcome
 };
 
-// How far the garbage collector has come, for the next owner of its duty to continue.
+/// How far the garbage collector has come, for the next owner of its duty to continue.
 struct CollectionProgress {
     FencingToken token;
     Instance owner;
-    std::int64_t pass = 0;             // passes begun, by all owners together
-    std::int64_t removed_records = 0;  // records removed, by all owners together
-    std::string last_key;              // last key handled in this pass; empty: at the pass's start
+    std::int64_t pass = 0;             ///< passes begun, by all owners together
+    std::int64_t removed_records = 0;  ///< records removed, by all owners together
+    std::string last_key;              ///< last key handled in this pass; empty: at the pass's start
 };
 
 // --- keys
@@ -111,14 +112,14 @@
 Key release_key(const DutyName&);
 Key health_record_key(const CacheId&);
 
-// What a key refers to; none if it is of another sort.
+/// What a key refers to; none if it is of another sort.
 std::optional<MemberName> member_of(const Key&);
 std::optional<MemberName> heartbeat_owner(const Key&);
 std::optional<DutyName> duty_of(const Key&);
 std::optional<DutyName> released_duty_of(const Key&);
 std::optional<CacheId> health_record_cache(const Key&);
 
-// The health watch over a cache is a duty of its own.
+/// The health watch over a cache is a duty of its own.
 DutyName health_check_duty(const CacheId&);
 std::optional<CacheId> health_check_cache(const DutyName&);
 
@@ -132,13 +133,13 @@
 std::string serialize(const HealthRecord&);
 std::string serialize(const CollectionProgress&);
 std::string serialize_floor(FencingToken);
-// None: it can't be parsed.
+/// None: it can't be parsed.
 std::optional<MemberRecord> parse_member(std::string_view);
 std::optional<HeartbeatRecord> parse_heartbeat(std::string_view);
 std::optional<DutyRecord> parse_duty(std::string_view);
 std::optional<Instance> parse_release(std::string_view);
 std::optional<HealthRecord> parse_health_record(std::string_view);
 std::optional<CollectionProgress> parse_collection_progress(std::string_view);
-FencingToken parse_floor(std::string_view);  // zero: it can't be parsed
+FencingToken parse_floor(std::string_view);  ///< zero: it can't be parsed
 
 }  // namespace irismux::fleet
--- a/src/fleet/transaction.hpp
+++ b/src/fleet/transaction.hpp
@@ -1,4 +1,4 @@
-// Transactions on the registry, as the fleet's cores ask for them.
+/// Transactions on the registry, as the fleet's cores ask for them.
 #pragma once
 
 #include <optional>
@@ -10,25 +10,25 @@
 
 namespace irismux::fleet {
 
-// A record's value; none: there is no such record.
+/// A record's value; none: there is no such record.
 using Text = std::optional<std::string>;
 using Entry = std::pair<Key, Text>;
 
-// Writes only if all records compared are as given. Its result shows the records in `reads` as they are after
-// it or, where the comparison failed, all those in `compares`.
+/// Writes only if all records compared are as given. Its result shows the records in `reads` as they are
+/// after it or, where the comparison failed, all those in `compares`.
 struct Transaction {
     std::vector<Entry> compares;
     std::vector<Entry> writes;
     std::vector<Key> reads;
 };
 
-// A write that lands only while its writer owns a duty and the further records compared are as given.
+/// A write that lands only while its writer owns a duty and the further records compared are as given.
 struct FencedWrite {
     std::vector<Entry> compares;
     std::vector<Entry> writes;
 };
 
-// `refused`: the comparison failed, or the duty was lost before it was sent. `unknown`: there was no answer.
+/// `refused`: the comparison failed, or the duty was lost before it was sent. `unknown`: there was no answer.
 enum class WriteOutcome { written, refused, unknown };
 
 }  // namespace irismux::fleet
