--- a/src/fleet/fleet_client.cpp
+++ b/src/fleet/fleet_client.cpp
@@ -46,14 +46,9 @@
             boot_time());
         site_reporter_->applied().on_configuration(settings.configuration);
     }
-    if (token_store_.open_error())
-        on_event(TokenStoreFailed{TokenStoreOperation::open, *token_store_.open_error()});
+    if (token_store_.open_error()) report_store_error(TokenStoreOperation::open, *token_store_.open_error());
     if (!token_store_.restore(agent_.fence()))
-        on_event(TokenStoreFailed{TokenStoreOperation::parse, "unreadable"});
-}
-
-FleetClient::~FleetClient() {
-    for (const auto& timer : {wake_timer_, due_tasks_timer_, save_timer_}) event_loop_.cancel(timer);
+        on_event(TokenStoreFailed{TokenStoreOperation::parse, "malformed", settings.token_store_folder});
 }
 
 MemberIdentity FleetClient::identity(const std::string& version) const {
@@ -134,8 +129,7 @@
 }
 
 void FleetClient::schedule_wake(TimePoint at) {
-    event_loop_.cancel(wake_timer_);
-    wake_timer_ = event_loop_.schedule_at(to_event_loop_time(at), [this] {
+    wake_timer_ = ScopedTimer(event_loop_, to_event_loop_time(at), [this] {
         agent_.on_wake(boot_time());
         run_due_tasks();
     });
@@ -173,7 +167,9 @@
         on_event(RegistryConnectionChanged{!disconnected});
 }
 
-void FleetClient::on_warning(std::string_view reason) { on_event(RegistryWatchWarning{std::string(reason)}); }
+void FleetClient::on_watch_warning(const registry::WatchWarning& warning) {
+    on_event(RegistryWatchWarning{warning.kind, warning.failure ? warning.failure->detail : ""});
+}
 
 // --- duties
 
@@ -196,12 +192,13 @@
 
 // Starts what is due, and schedules itself for the next.
 void FleetClient::run_due_tasks() {
-    event_loop_.cancel(due_tasks_timer_);
+    due_tasks_timer_.cancel();
     const TimePoint now = boot_time();
     if (site_reporter_) site_reporter_->advance(now, agent_);
     health_monitor_.run_due_checks(now, agent_);
     const TimePoint next_task_at = collect_garbage(now, health_monitor_.next_check_at());
-    due_tasks_timer_ = event_loop_.schedule_at(to_event_loop_time(next_task_at), [this] { run_due_tasks(); });
+    due_tasks_timer_ =
+        ScopedTimer(event_loop_, to_event_loop_time(next_task_at), [this] { run_due_tasks(); });
 }
 
 // Returns when the next task is due, this one's included.
@@ -270,10 +267,13 @@
 // A crash loses the tokens seen since the last save.
 void FleetClient::save_tokens() {
     constexpr Duration save_interval = Duration::micros(250'000);
-    event_loop_.cancel(save_timer_);
-    save_timer_ = event_loop_.schedule_at(event_loop_.now() + save_interval, [this] { save_tokens(); });
+    save_timer_ = ScopedTimer(event_loop_, event_loop_.now() + save_interval, [this] { save_tokens(); });
     if (const auto error = token_store_.save(agent_.fence(), agent_.incarnation()))
-        on_event(TokenStoreFailed{TokenStoreOperation::write, *error});
+        report_store_error(TokenStoreOperation::write, *error);
+}
+
+void FleetClient::report_store_error(TokenStoreOperation operation, const StoreError& error) {
+    on_event(TokenStoreFailed{operation, std::string(error.reason()), error.folder + ": " + error.detail});
 }
 
 }  // namespace irismux::fleet
--- a/src/fleet/fleet_client.hpp
+++ b/src/fleet/fleet_client.hpp
@@ -20,7 +20,7 @@
 #include "fleet/site_reporter.hpp"
 #include "fleet/token_store.hpp"
 #include "fleet/transaction_client.hpp"
-#include "registry/client.hpp"
+#include "registry/registry_client.hpp"
 
 namespace irismux::fleet {
 
@@ -33,7 +33,6 @@
 public:
     FleetClient(EventLoop& loop, GatewayCallbacks& gateway, const Settings& settings,
                 const std::string& version, std::uint64_t seed);
-    ~FleetClient() override;
 
     void start();
     /// Stops acting at once, removes this member's records, and closes its store, so that a successor in this
@@ -85,7 +84,7 @@
     void on_endpoints(TimePoint, const std::vector<EndpointRecord>&, bool) override {}
     void on_records(TimePoint, registry::Revision, const std::vector<registry::Change>&, bool all) override;
     void on_sync_state(TimePoint, registry::SyncState, TimePoint as_of) override;
-    void on_warning(std::string_view reason) override;
+    void on_watch_warning(const registry::WatchWarning& warning) override;
 
     TimePoint to_event_loop_time(TimePoint boot) const { return event_loop_.now() + (boot - boot_time()); }
     void call_soon(std::function<void()> then);
@@ -94,6 +93,7 @@
     TimePoint collect_garbage(TimePoint now, TimePoint next_task_at);
     void update_duties();
     void save_tokens();
+    void report_store_error(TokenStoreOperation operation, const StoreError& error);
     MemberIdentity identity(const std::string& version) const;
 
     EventLoop& event_loop_;
@@ -110,7 +110,9 @@
     std::set<DutyName> followed_duties_;
     TransactionClient transaction_client_;
     registry::RegistryClient watch_client_;
-    EventLoop::Timer wake_timer_{}, due_tasks_timer_{}, save_timer_{};
+    ScopedTimer wake_timer_;
+    ScopedTimer due_tasks_timer_;
+    ScopedTimer save_timer_;
     std::shared_ptr<bool> liveness_token_ = std::make_shared<bool>(true);
     bool registry_disconnected_ = false;
 };
--- a/src/fleet/fleet_event.cpp
+++ b/src/fleet/fleet_event.cpp
@@ -1,6 +1,7 @@
 #include "fleet/fleet_event.hpp"
 
 #include "base/log.hpp"
+#include "registry/registry_log.hpp"
 
 namespace irismux::fleet {
 namespace {
@@ -81,12 +82,14 @@
 }
 
 void write(const RegistryWatchWarning& event) {
-    log::event(Level::warning, "fleet_registry_watch_warning", {{"reason", event.reason}});
+    log::event(Level::warning, "fleet_registry_watch_warning",
+               {{"reason", registry::event_name(event.kind)}, {"detail", event.detail}});
 }
 
 void write(const TokenStoreFailed& event) {
-    log::event(Level::warning, "fleet_token_store_failed",
-               {{"operation", to_string(event.operation)}, {"reason", event.reason}});
+    log::event(
+        Level::warning, "fleet_token_store_failed",
+        {{"operation", to_string(event.operation)}, {"reason", event.reason}, {"detail", event.detail}});
 }
 
 }  // namespace
--- a/src/fleet/fleet_event.hpp
+++ b/src/fleet/fleet_event.hpp
@@ -8,6 +8,7 @@
 
 #include "fleet/lease.hpp"
 #include "fleet/records.hpp"
+#include "registry/watch_callbacks.hpp"
 
 namespace irismux::fleet {
 
@@ -75,7 +76,8 @@
 
 /// What the watch over the fleet's records reports of its own.
 struct RegistryWatchWarning {
-    std::string reason;
+    registry::WatchWarningKind kind = registry::WatchWarningKind::request_failed;
+    std::string detail;  ///< of a failed request; may be empty
     bool operator==(const RegistryWatchWarning&) const = default;
 };
 
@@ -84,7 +86,8 @@
 /// Tokens seen are not kept over a restart, or were not read back from an earlier one.
 struct TokenStoreFailed {
     TokenStoreOperation operation = TokenStoreOperation::open;
-    std::string reason;
+    std::string reason;  ///< in snake_case
+    std::string detail;  ///< the folder and the store's own message; may be empty
     bool operator==(const TokenStoreFailed&) const = default;
 };
 
--- a/src/fleet/token_store.cpp
+++ b/src/fleet/token_store.cpp
@@ -15,7 +15,7 @@
 TokenStore::TokenStore(const std::string& folder) {
     if (folder.empty()) return;
     auto opened = Store::open(folder, max_store_bytes);
-    if (const auto* error = std::get_if<std::string>(&opened))
+    if (const auto* error = std::get_if<StoreError>(&opened))
         open_error_ = *error;
     else
         store_ = std::move(std::get<Store>(opened));
@@ -31,21 +31,21 @@
     return !saved || fence.restore(*saved);
 }
 
-std::optional<std::string> TokenStore::save(const Fence& fence, Incarnation incarnation) {
+std::optional<StoreError> TokenStore::save(const Fence& fence, Incarnation incarnation) {
     if (!store_) return std::nullopt;
     const std::string tokens = fence.serialize();
     const std::string state = tokens + std::to_string(incarnation.raw());
     if (state == saved_state_) return std::nullopt;
-    auto error = store_->write(tokens_name, tokens);
-    if (!error && incarnation > Incarnation{})
-        error = store_->write(incarnation_name, std::to_string(incarnation.raw()));
-    if (!error) {
-        write_error_reported_ = false;
-        saved_state_ = state;
-        return std::nullopt;
+    auto written = store_->write(tokens_name, tokens);
+    if (std::holds_alternative<Store::Written>(written) && incarnation > Incarnation{})
+        written = store_->write(incarnation_name, std::to_string(incarnation.raw()));
+    if (const auto* error = std::get_if<StoreError>(&written)) {
+        if (std::exchange(write_error_reported_, true)) return std::nullopt;
+        return *error;
     }
-    if (std::exchange(write_error_reported_, true)) return std::nullopt;
-    return error;
+    write_error_reported_ = false;
+    saved_state_ = state;
+    return std::nullopt;
 }
 
 }  // namespace irismux::fleet
--- a/src/fleet/transaction_client.cpp
+++ b/src/fleet/transaction_client.cpp
@@ -30,7 +30,7 @@
     for (const auto& [key, value] : transaction.compares) compares.emplace_back(path(key), value);
     for (const auto& [key, value] : transaction.writes) writes.emplace_back(path(key), value);
     for (const Key& key : transaction.reads) reads.push_back(path(key));
-    connection_.send_request(member_, etcd::transaction(compares, writes, reads), false);
+    connection_.send_request(member_, etcd::transaction(compares, writes, reads), registry::ReplyForm::whole);
 }
 
 void TransactionClient::use_next_member() {
@@ -56,17 +56,17 @@
 void TransactionClient::on_reply(int status, const std::string& body) {
     const auto reply = etcd::read_transaction_result(status, body, settings_.prefix);
     if (const auto* error = std::get_if<etcd::Error>(&reply)) {
-        if (error->code == etcd::ErrorCode::refused && connection_.retry_with_new_token()) return;
-        return on_connection_lost(error->message.c_str());
+        if (error->code == etcd::ErrorCode::unauthenticated && connection_.retry_with_new_token()) return;
+        return on_request_failed({registry::RequestFailureReason::error_reply, error->message});
     }
     if (!pending_) return;
     const auto& result = std::get<etcd::TransactionResult>(reply);
     const Transaction transaction = *std::exchange(pending_, std::nullopt);
-    observer_.on_transaction_result(result.origin.revision, result.succeeded,
+    observer_.on_transaction_result(result.header.revision, result.succeeded,
                                     records_shown(transaction, result));
 }
 
-void TransactionClient::on_connection_lost(const char*) {
+void TransactionClient::on_request_failed(const registry::RequestFailure&) {
     connection_.close();
     use_next_member();
     if (std::exchange(pending_, std::nullopt)) observer_.on_transaction_lost();
--- a/src/fleet/transaction_client.hpp
+++ b/src/fleet/transaction_client.hpp
@@ -36,7 +36,7 @@
     void on_reply(int status, const std::string& body) override;
     void on_stream_message(std::string_view) override {}
     void on_message_too_long() override {}
-    void on_connection_lost(const char* reason) override;
+    void on_request_failed(const registry::RequestFailure&) override;
 
     void use_next_member();
     std::vector<Entry> records_shown(const Transaction& transaction,
