--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -3,10 +3,11 @@
 #include <chrono>
 #include <iostream>
 #include <map>
+#include <optional>
 #include <thread>
 #include <variant>
 
-#include "cli/registry_session.hpp"
+#include "cli/registry_queries.hpp"
 #include "fleet/fleet_client.hpp"
 #include "fleet/membership.hpp"
 
@@ -17,89 +18,105 @@
 using namespace fleet;
 using Records = std::map<Key, std::string>;
 
-// Of a term: how long a release waits for the owner, which hands on one duty a round, and looks in between.
-constexpr double waits_of_term = 3, looks_of_term = 1.0 / 16;
-constexpr int most_writes = 3;  // of one record, each only if those before it were not done
-
-// All records of the fleet, at one revision.
-std::variant<Records, etcd::Error> read_all(RegistrySession& talk, const registry::Settings& settings) {
-    Records all;
-    std::optional<registry::RecordKey> after;
-    registry::Revision at;
-    for (;;) {
-        const auto [status, body] = talk.request(etcd::range(settings.prefix, after, at, settings.page_size));
-        const auto read = etcd::read_range(status, body, settings.prefix);
-        if (const auto* problem = std::get_if<etcd::Error>(&read)) return *problem;
-        const registry::Page& page = std::get<etcd::Range>(read).page;
-        if (at == registry::Revision{}) at = page.header.revision;
-        for (const auto& r : page.records) all[key_at(r.key.raw())] = r.value;
-        if (!page.more || page.records.empty()) return all;
-        after = page.records.back().key;
-    }
+// All records of the site, at one revision.
+etcd::ReadResult<Records> read_records(RegistrySession& session, const registry::Settings& settings) {
+    const auto read = read_all(session, settings, settings.prefix);
+    if (const auto* error = std::get_if<etcd::Error>(&read)) return *error;
+    Records records;
+    for (const auto& [key, value] : std::get<ValuesByKey>(read)) records[key_at(key)] = value;
+    return records;
 }
 
-Text text_of(const Records& all, const Key& key) {
-    const auto it = all.find(key);
-    return it == all.end() ? Text{} : Text{it->second};
+Text text_of(const Records& records, const Key& key) {
+    const auto it = records.find(key);
+    return it == records.end() ? Text{} : Text{it->second};
 }
 
-template <class Step>
-int with_records(const Settings& settings, Step step) {
-    return with_session(settings.registry, [&](RegistrySession& talk) {
-        const auto read = read_all(talk, settings.registry);
-        if (const auto* problem = std::get_if<etcd::Error>(&read)) return print_error(problem->message);
-        const Records& all = std::get<Records>(read);
-        const Text about = text_of(all, shared_config_key());
-        if (about && *about != serialize(settings.shared_config))
-            std::cerr << "irismux: the fleet there goes by other articles: " << *about << '\n';
-        return step(talk, all);
+template <class Run>
+int with_records(const Settings& settings, Run run) {
+    return with_session(settings.registry, [&](RegistrySession& session) {
+        const Records records = value_or_throw(read_records(session, settings.registry));
+        const Text shared_config = text_of(records, shared_config_key());
+        if (shared_config && *shared_config != serialize(settings.shared_config))
+            std::cerr << "irismux: the fleet there goes by other articles: " << *shared_config << '\n';
+        return run(session, records);
     });
 }
 
-bool lives(const Records& all, const Instance& who) {
-    const Text member = text_of(all, member_key(who.name));
-    const auto read = member ? parse_member(*member) : std::nullopt;
-    return member && (!read || read->incarnation == who.incarnation);
+bool is_live(const Records& records, const Instance& instance) {
+    const Text text = text_of(records, member_key(instance.name));
+    if (!text) return false;
+    const auto member = parse_member(*text);
+    return !member || member->incarnation == instance.incarnation;
 }
 
-// Writes that record if it still is as it was; a lost answer is looked up. The exit code, if it is not
-// written.
-std::optional<int> settle(RegistrySession& talk, const registry::Settings& settings, const Key& key,
-                          const Text& was, const Text& is, const std::vector<Entry>& holds) {
-    const auto path = [&](const Key& k) { return settings.prefix + path_of(k); };
-    std::vector<etcd::KeyValue> compared{{path(key), was}};
-    for (const auto& [k, text] : holds) compared.emplace_back(path(k), text);
-    for (int n = 0; n < most_writes; ++n) {
-        if (const auto answer = talk.request_once(etcd::transaction(compared, {{path(key), is}}, {}))) {
-            const auto read = etcd::read_transaction_result(answer->first, answer->second, settings.prefix);
-            if (const auto* problem = std::get_if<etcd::Error>(&read)) return print_error(problem->message);
-            const auto& settled = std::get<etcd::TransactionResult>(read);
-            if (settled.succeeded) return std::nullopt;
-            for (const auto& r : settled.records)
-                if (n > 0 && r.key.raw() == path_of(key) && is == r.value) return std::nullopt;
-            return print_error("the records have changed meanwhile: nothing is written, look again");
+// Replaces one record if it and those of `conditions` are as they were. After a lost reply the record is
+// read: it shows whether the write was carried out.
+class RecordUpdate {
+public:
+    RecordUpdate(RegistrySession& session, const registry::Settings& settings, Key key, Text before,
+                 Text after, std::vector<Entry> conditions)
+        : session_(session),
+          settings_(settings),
+          key_(std::move(key)),
+          before_(std::move(before)),
+          after_(std::move(after)),
+          conditions_(std::move(conditions)) {}
+
+    // Returns the exit code: 0, or 1 after an error line.
+    int run() {
+        std::vector<etcd::KeyValue> compares{{path(key_), before_}};
+        for (const auto& [key, text] : conditions_) compares.emplace_back(path(key), text);
+        const etcd::Request write = etcd::transaction(compares, {{path(key_), after_}}, {});
+        for (int n = 0; n < max_writes; ++n) {
+            const auto sent = session_.request_once(write);
+            if (const auto* reply = std::get_if<Reply>(&sent)) return on_reply(*reply, n > 0);
+            if (const auto exit_code = on_no_reply()) return *exit_code;
         }
-        const auto read = read_all(talk, settings);
-        if (const auto* problem = std::get_if<etcd::Error>(&read))
-            return print_error("no answer, and " + problem->message +
-                               "; whether it is written can't be told");
-        const Text now = text_of(std::get<Records>(read), key);
-        if (now == is) return std::nullopt;
-        if (now != was)
-            return print_error("changed meanwhile; whether ours was written before that can't be told");
+        return print_error("no answer to " + std::to_string(max_writes) +
+                           " writes; it was not written when last looked at");
     }
-    return print_error("no answer to " + std::to_string(most_writes) +
-                       " writes; it was not written when last looked at");
-}
 
-// A line for each record of a sort, by name.
-template <class NameOf, class Read, class Print>
-void list(const Records& all, NameOf name_of, Read read, Print print) {
-    for (const auto& [key, text] : all) {
+private:
+    static constexpr int max_writes = 3;
+
+    int on_reply(const Reply& reply, bool reply_lost_before) const {
+        const auto result =
+            value_or_throw(etcd::read_transaction_result(reply.status, reply.body, settings_.prefix));
+        if (result.succeeded) return 0;
+        for (const auto& record : result.records)
+            if (reply_lost_before && record.key.raw() == path_of(key_) && after_ == record.value) return 0;
+        return print_error("the records have changed meanwhile: nothing is written, look again");
+    }
+
+    // The exit code; none if the record is unchanged and can be written again.
+    std::optional<int> on_no_reply() {
+        const auto read = read_records(session_, settings_);
+        if (const auto* error = std::get_if<etcd::Error>(&read))
+            return print_error("no answer, and " + error->message + "; whether it is written can't be told");
+        const Text now = text_of(std::get<Records>(read), key_);
+        if (now == after_) return 0;
+        if (now == before_) return std::nullopt;
+        return print_error("changed meanwhile; whether ours was written before that can't be told");
+    }
+
+    std::string path(const Key& key) const { return settings_.prefix + path_of(key); }
+
+    RegistrySession& session_;
+    const registry::Settings& settings_;
+    Key key_;
+    Text before_, after_;
+    std::vector<Entry> conditions_;
+};
+
+// Prints a line for each record of one kind, by name.
+template <class NameOf, class Parse, class Print>
+void print_each(const Records& records, NameOf name_of, Parse parse, Print print) {
+    for (const auto& [key, text] : records) {
         const auto name = name_of(key);
         if (!name) continue;
         std::cout << name->raw();
-        if (const auto record = read(text))
+        if (const auto record = parse(text))
             print(*name, *record);
         else
             std::cout << "   (in a form that this version can't read)";
@@ -107,90 +124,114 @@
     }
 }
 
+void print_member(const Records& records, const MemberName& name, const MemberRecord& member) {
+    const Text text = text_of(records, heartbeat_key(name));
+    const auto heartbeat = text ? parse_heartbeat(*text) : std::nullopt;
+    const bool own_heartbeat = heartbeat && heartbeat->instance_id == member.instance_id;
+    std::cout << " start " << member.incarnation.raw() << " version " << member.version << " sign "
+              << (own_heartbeat ? std::to_string(heartbeat->number.raw()) : "none");
+    for (const CacheId& cache : member.ejected_caches) std::cout << " marks " << cache.raw();
+    for (const auto& [duty, token] : member.refused_tokens)
+        std::cout << " refuses " << duty.raw() << " up to " << token.raw();
+}
+
+void print_release(const Records& records, const DutyName& duty) {
+    const Text text = text_of(records, release_key(duty));
+    const auto owner = text ? parse_release(*text) : std::nullopt;
+    if (owner)
+        std::cout << " left to others by " << owner->name.raw() << " start " << owner->incarnation.raw();
+}
+
+void print_health(const Records& records, const DutyName& duty) {
+    const auto cache = watched_cache_of(duty);
+    const Text text = cache ? text_of(records, health_record_key(*cache)) : Text{};
+    const auto health = text ? parse_health_record(*text) : std::nullopt;
+    if (health)
+        std::cout << (health->healthy ? " answered " : " silent ") << health->streak << " times in a row";
+}
+
+void print_duty(const Records& records, const DutyName& name, const DutyRecord& duty) {
+    std::cout << " epoch " << duty.token.raw();
+    if (duty.owner.raw().empty())
+        std::cout << " nobody's";
+    else
+        std::cout << " owner " << duty.owner.raw() << " start " << duty.incarnation.raw()
+                  << (is_live(records, {duty.owner, duty.incarnation}) ? "" : " (gone)");
+    print_release(records, name);
+    print_health(records, name);
+}
+
+// Waits until another member than `owner` has the duty. The owner hands on one duty a round.
+int wait_for_next_owner(RegistrySession& session, const Settings& settings, const DutyName& name,
+                        const DutyRecord& former) {
+    constexpr double wait_per_term = 3;
+    constexpr double poll_interval_per_term = 1.0 / 16;
+    const Duration term = settings.shared_config.term;
+    for (double waited = 0; waited < wait_per_term; waited += poll_interval_per_term) {
+        const auto read = read_records(session, settings.registry);
+        const auto* records = std::get_if<Records>(&read);
+        const Text text = records ? text_of(*records, duty_key(name)) : Text{};
+        const auto duty = text ? parse_duty(*text) : std::nullopt;
+        if (duty && !duty->owner.raw().empty() && duty->token > former.token && duty->owner != former.owner) {
+            std::cout << name.raw() << " is now owned by " << duty->owner.raw() << " under epoch "
+                      << duty->token.raw() << '\n';
+            return 0;
+        }
+        std::this_thread::sleep_for(std::chrono::microseconds((term * poll_interval_per_term).micros()));
+    }
+    return print_error("asked of " + former.owner.raw() +
+                       ", and not taken by another yet: is there one that has been in "
+                       "for two terms? The word stands until it is restored");
+}
+
 }  // namespace
 
 int fleet_members(const Settings& settings) {
-    return with_records(settings, [&](RegistrySession&, const Records& all) {
-        list(all, member_of, parse_member, [&](const MemberName& name, const MemberRecord& m) {
-            const Text sign = text_of(all, heartbeat_key(name));
-            const auto heartbeat = sign ? parse_heartbeat(*sign) : std::nullopt;
-            std::cout << " start " << m.incarnation.raw() << " version " << m.version << " sign "
-                      << (heartbeat && heartbeat->instance_id == m.instance_id
-                              ? std::to_string(heartbeat->number.raw())
-                              : "none");
-            for (const CacheId& c : m.ejected_caches) std::cout << " marks " << c.raw();
-            for (const auto& [duty, token] : m.refused_tokens)
-                std::cout << " refuses " << duty.raw() << " up to " << token.raw();
+    return with_records(settings, [&](RegistrySession&, const Records& records) {
+        print_each(records, member_of, parse_member, [&](const MemberName& name, const MemberRecord& member) {
+            print_member(records, name, member);
         });
         return 0;
     });
 }
 
 int fleet_duties(const Settings& settings) {
-    return with_records(settings, [&](RegistrySession&, const Records& all) {
-        list(all, duty_of, parse_duty, [&](const DutyName& name, const DutyRecord& d) {
-            std::cout << " epoch " << d.token.raw();
-            if (d.owner.raw().empty())
-                std::cout << " nobody's";
-            else
-                std::cout << " owner " << d.owner.raw() << " start " << d.incarnation.raw()
-                          << (lives(all, {d.owner, d.incarnation}) ? "" : " (gone)");
-            if (const Text aside = text_of(all, release_key(name)))
-                if (const auto who = parse_release(*aside))
-                    std::cout << " left to others by " << who->name.raw() << " start "
-                              << who->incarnation.raw();
-            if (const auto cache = watched_cache_of(name))
-                if (const Text seen = text_of(all, health_record_key(*cache)))
-                    if (const auto f = parse_health_record(*seen))
-                        std::cout << (f->healthy ? " answered " : " silent ") << f->streak
-                                  << " times in a row";
-        });
-        if (const Text swept = text_of(all, collection_progress_key()))
-            if (const auto s = parse_collection_progress(*swept))
-                std::cout << "swept " << s->removed_records << " records in " << s->pass << " passes\n";
+    return with_records(settings, [&](RegistrySession&, const Records& records) {
+        print_each(records, duty_of, parse_duty,
+                   [&](const DutyName& name, const DutyRecord& duty) { print_duty(records, name, duty); });
+        const Text text = text_of(records, collection_progress_key());
+        const auto progress = text ? parse_collection_progress(*text) : std::nullopt;
+        if (progress)
+            std::cout << "swept " << progress->removed_records << " records in " << progress->pass
+                      << " passes\n";
         return 0;
     });
 }
 
 int fleet_release(const Settings& settings, const std::string& name) {
-    const DutyName duty{name};
-    return with_records(settings, [&](RegistrySession& talk, const Records& all) {
-        const Text text = text_of(all, duty_key(duty));
-        const auto d = text ? parse_duty(*text) : std::nullopt;
-        if (!d || d->owner.raw().empty()) return print_error("nobody owns " + name);
-        const Instance owner{d->owner, d->incarnation};
-        if (!lives(all, owner))
+    const DutyName duty_name{name};
+    return with_records(settings, [&](RegistrySession& session, const Records& records) {
+        const Text text = text_of(records, duty_key(duty_name));
+        const auto duty = text ? parse_duty(*text) : std::nullopt;
+        if (!duty || duty->owner.raw().empty()) return print_error("nobody owns " + name);
+        const Instance owner{duty->owner, duty->incarnation};
+        if (!is_live(records, owner))
             return print_error(name + " is owned by one that has gone: another takes it by itself");
-        const Key aside = release_key(duty);
-        if (const auto failed = settle(talk, settings.registry, aside, text_of(all, aside), serialize(owner),
-                                       {{duty_key(duty), text}}))
-            return *failed;
-        const Duration term = settings.shared_config.term;
-        for (double waited = 0; waited < waits_of_term; waited += looks_of_term) {
-            const auto read = read_all(talk, settings.registry);
-            const Text now = std::holds_alternative<Records>(read)
-                                 ? text_of(std::get<Records>(read), duty_key(duty))
-                                 : text;
-            const auto next = now ? parse_duty(*now) : std::nullopt;
-            if (next && !next->owner.raw().empty() && next->token > d->token && next->owner != owner.name) {
-                std::cout << name << " is now owned by " << next->owner.raw() << " under epoch "
-                          << next->token.raw() << '\n';
-                return 0;
-            }
-            std::this_thread::sleep_for(std::chrono::microseconds((term * looks_of_term).micros()));
-        }
-        return print_error("asked of " + owner.name.raw() +
-                           ", and not taken by another yet: is there one that has been in "
-                           "for two terms? The word stands until it is restored");
+        const Key key = release_key(duty_name);
+        RecordUpdate update(session, settings.registry, key, text_of(records, key), serialize(owner),
+                            {{duty_key(duty_name), text}});
+        if (const int exit_code = update.run(); exit_code != 0) return exit_code;
+        return wait_for_next_owner(session, settings, duty_name, *duty);
     });
 }
 
 int fleet_restore(const Settings& settings, const std::string& name) {
-    const Key aside = release_key(DutyName{name});
-    return with_records(settings, [&](RegistrySession& talk, const Records& all) {
-        const Text was = text_of(all, aside);
-        if (!was) return print_error("nobody was asked to leave " + name);
-        if (const auto failed = settle(talk, settings.registry, aside, was, std::nullopt, {})) return *failed;
+    const Key key = release_key(DutyName{name});
+    return with_records(settings, [&](RegistrySession& session, const Records& records) {
+        const Text release = text_of(records, key);
+        if (!release) return print_error("nobody was asked to leave " + name);
+        RecordUpdate update(session, settings.registry, key, release, std::nullopt, {});
+        if (const int exit_code = update.run(); exit_code != 0) return exit_code;
         std::cout << "restored\n";
         return 0;
     });
--- /dev/null
+++ b/src/cli/fleet_repair_commands.cpp
@@ -0,0 +1,72 @@
+#include <iostream>
+#include <random>
+#include <variant>
+
+#include "cli/fleet_commands.hpp"
+#include "cli/registry_queries.hpp"
+#include "fleet/fleet_client.hpp"
+#include "fleet/fleet_status.hpp"
+
+namespace irismux::cli {
+namespace {
+
+namespace etcd = registry::etcd;
+using namespace fleet;
+
+// Writes if all compared records are as given, once. Prints `success` or an error; returns the exit code.
+int write_once(RegistrySession& session, const registry::Settings& settings,
+               const std::vector<etcd::KeyValue>& compares, const std::vector<etcd::KeyValue>& writes,
+               const std::string& success) {
+    const auto sent = session.request_once(etcd::transaction(compares, writes, {}));
+    const auto* reply = std::get_if<Reply>(&sent);
+    if (!reply) return print_error("no answer: whether it is written can't be told, look again");
+    const auto result =
+        value_or_throw(etcd::read_transaction_result(reply->status, reply->body, settings.prefix));
+    if (!result.succeeded)
+        return print_error("the records have changed meanwhile: nothing is written, look again");
+    std::cout << success << '\n';
+    return 0;
+}
+
+}  // namespace
+
+int fleet_forget(const Settings& settings, const std::string& site, const std::string& member) {
+    return with_session(settings.registry, [&](RegistrySession& session) {
+        const std::string roster = path_of(roster_key(), SiteName{site});
+        const std::string record = path_of(member_key(MemberName{member}), SiteName{site});
+        const ValuesByKey found = read_keys(session, settings.registry, {roster, record});
+        const auto known = found.contains(roster) ? read_roster(found.at(roster)) : std::nullopt;
+        if (!known || !known->names.contains(MemberName{member}))
+            return print_error("no gateway " + member + " is known in site " + site);
+        if (found.contains(record)) return print_error(member + " is a member: stop it first");
+        SiteRoster remaining = *known;
+        remaining.names.erase(MemberName{member});
+        const bool site_empty = remaining.names.empty() && !remaining.incomplete;
+        const std::string& prefix = settings.registry.prefix;
+        std::vector<etcd::KeyValue> writes;
+        writes.emplace_back(prefix + roster, site_empty ? Text{} : Text{serialize(remaining)});
+        // An empty site has no gateway that would update its digest.
+        if (site_empty) writes.emplace_back(prefix + path_of(digest_key(), SiteName{site}), std::nullopt);
+        const std::vector<etcd::KeyValue> compares{{prefix + roster, found.at(roster)},
+                                                   {prefix + record, std::nullopt}};
+        return write_once(session, settings.registry, compares, writes, "forgotten");
+    });
+}
+
+int fleet_new_generation(const Settings& settings) {
+    return with_session(settings.registry, [&](RegistrySession& session) {
+        const std::string path = path_of(generation_key(), SiteName{"-"});
+        const ValuesByKey found = read_keys(session, settings.registry, {path});
+        const Text present = found.contains(path) ? Text{found.at(path)} : Text{};
+        std::random_device random;
+        const std::string first_half = std::to_string(random());
+        const std::string second_half = std::to_string(random());
+        const auto next = next_generation(present ? read_generation(*present) : std::nullopt, {}, true,
+                                          "operator/" + first_half + second_half);
+        const std::string key = settings.registry.prefix + path;
+        return write_once(session, settings.registry, {{key, present}}, {{key, serialize(*next)}},
+                          "generation " + std::to_string(next->number));
+    });
+}
+
+}  // namespace irismux::cli
--- a/src/cli/registry_commands.cpp
+++ b/src/cli/registry_commands.cpp
@@ -6,8 +6,9 @@
 
 #include <iostream>
 #include <nlohmann/json.hpp>
+#include <optional>
 
-#include "cli/registry_session.hpp"
+#include "cli/registry_queries.hpp"
 #include "registry/registry_client.hpp"
 #include "registry/registry_log.hpp"
 
@@ -18,100 +19,122 @@
 using registry::Record;
 using registry::Revision;
 
-// The one record of a key; its created revision is zero where there is none.
-std::variant<Record, etcd::Error> look_up(RegistrySession& talk, const registry::Settings& settings,
-                                          const std::string& id) {
-    const auto [status, body] = talk.request(etcd::get(settings.prefix + id));
-    auto read = etcd::read_range(status, body, settings.prefix);
-    if (auto* problem = std::get_if<etcd::Error>(&read)) return *problem;
-    auto& records = std::get<etcd::Range>(read).page.records;
-    return records.empty() ? Record{} : records.front();
-}
-
-constexpr int most_writes = 3;  // of one record, each only if the ones before it were not done
-
-int written(const std::string& how) { return std::cout << "written" << how << '\n', 0; }
-
-// A lost answer is neither yes nor no: the record itself is looked at, and says which.
-int write_if_unchanged(RegistrySession& talk, const registry::Settings& settings, const std::string& id,
-                       const std::string& value, Revision unchanged_since) {
-    const std::string key = settings.prefix + id;
-    bool lost = false;
-    for (int n = 0; n < most_writes; ++n) {
-        const auto answer = talk.request_once(etcd::put_if(key, value, unchanged_since, 0));
-        if (answer) {
-            const auto read = etcd::read_conditional_write_result(answer->first, answer->second);
-            if (const auto* problem = std::get_if<etcd::Error>(&read)) return print_error(problem->message);
-            const auto& outcome = std::get<etcd::ConditionalWriteResult>(read);
-            if (outcome.succeeded) return written("");
-            if (lost && outcome.conflicting_value == value) return written("; its answer was lost");
-            return print_error(
-                id + " was changed by somebody else meanwhile; " +
-                (lost ? "whether ours was written before that can't be told" : "nothing is written"));
+// Writes one record if it was last changed by a given revision. A write is not sent again before a read has
+// shown that the one before was not carried out.
+class RecordWriter {
+public:
+    RecordWriter(RegistrySession& session, const registry::Settings& settings, const std::string& id)
+        : session_(session), settings_(settings), id_(id) {}
+
+    // Returns the exit code, and prints what came of it.
+    int write(const std::string& value, Revision unchanged_since) {
+        for (int n = 0; n < max_writes; ++n) {
+            const auto sent =
+                session_.request_once(etcd::put_if(settings_.prefix + id_, value, unchanged_since, 0));
+            if (const auto* reply = std::get_if<Reply>(&sent)) return on_reply(*reply, value);
+            reply_lost_ = true;
+            if (const auto exit_code = on_no_reply(value, unchanged_since)) return *exit_code;
         }
-        lost = true;
-        std::variant<Record, etcd::Error> found;
+        return print_error("no answer to " + std::to_string(max_writes) + " writes of " + id_ +
+                           "; it was not written when last looked at");
+    }
+
+private:
+    static constexpr int max_writes = 3;
+
+    int on_reply(const Reply& reply, const std::string& value) const {
+        const auto result = value_or_throw(etcd::read_conditional_write_result(reply.status, reply.body));
+        if (result.succeeded) return print_written("");
+        if (reply_lost_ && result.conflicting_value == value) return print_written("; its answer was lost");
+        const char* const outcome =
+            reply_lost_ ? "whether ours was written before that can't be told" : "nothing is written";
+        return print_error(id_ + " was changed by somebody else meanwhile; " + outcome);
+    }
+
+    // The exit code; none if the record is unchanged and can be written again.
+    std::optional<int> on_no_reply(const std::string& value, Revision unchanged_since) {
+        etcd::ReadResult<Record> found;
         try {
-            found = look_up(talk, settings, id);
+            found = read_record(session_, settings_, id_);
         } catch (const Poco::Exception& e) {
-            return print_error("no answer to the write of " + id + ", and it can't be looked at: " +
-                               e.displayText() + "; whether it is written can't be told");
+            return print_unknown("it can't be looked at: " + e.displayText());
         }
-        if (const auto* problem = std::get_if<etcd::Error>(&found))
-            return print_error("no answer to the write of " + id + ", and " + problem->message +
-                               "; whether it is written can't be told");
-        const Record& r = std::get<Record>(found);
-        if (r.modified != unchanged_since && r.value == value) return written("; its answer was lost");
-        if (r.modified != unchanged_since)
-            return print_error(id +
-                               " was changed meanwhile; whether ours was written before that can't be told");
+        if (const auto* error = std::get_if<etcd::Error>(&found)) return print_unknown(error->message);
+        const Record& record = std::get<Record>(found);
+        if (record.modified == unchanged_since) return std::nullopt;
+        if (record.value == value) return print_written("; its answer was lost");
+        return print_error(id_ +
+                           " was changed meanwhile; whether ours was written before that can't be told");
     }
-    return print_error("no answer to " + std::to_string(most_writes) + " writes of " + id +
-                       "; it was not written when last looked at");
-}
 
-class Printing final : public registry::WatchObserver {
+    int print_unknown(const std::string& why) const {
+        return print_error("no answer to the write of " + id_ + ", and " + why +
+                           "; whether it is written can't be told");
+    }
+    static int print_written(const char* how) {
+        std::cout << "written" << how << '\n';
+        return 0;
+    }
+
+    RegistrySession& session_;
+    const registry::Settings& settings_;
+    const std::string& id_;
+    bool reply_lost_ = false;
+};
+
+// Prints what a gateway would receive, each line with the Unix time in seconds.
+class PrintingObserver final : public registry::WatchObserver {
 public:
-    explicit Printing(EventLoop& loop) : loop_(loop) {}
-    void on_endpoints(TimePoint, const std::vector<EndpointRecord>& lines, bool complete) override {
-        constexpr const char* phases[] = {"in service", "draining", "gone"};
-        if (complete) say("the list, " + std::to_string(lines.size()) + " caches");
-        for (const auto& [l, address] : lines)
-            say(l.cache.raw() + ' ' + phases[static_cast<std::size_t>(l.status)] + " at " + l.location.raw() +
-                ' ' + address);
+    explicit PrintingObserver(EventLoop& loop) : loop_(loop) {}
+
+    void on_endpoints(TimePoint, const std::vector<EndpointRecord>& updates, bool complete) override {
+        constexpr const char* status_names[] = {"in service", "draining", "gone"};
+        if (complete) print("the list, " + std::to_string(updates.size()) + " caches");
+        for (const auto& [update, address] : updates)
+            print(update.cache.raw() + ' ' + status_names[static_cast<std::size_t>(update.status)] + " at " +
+                  update.location.raw() + ' ' + address);
     }
-    void on_sync_state(TimePoint, registry::SyncState sight, TimePoint) override {
-        say(std::string(registry::to_string(sight)));
+    void on_sync_state(TimePoint, registry::SyncState state, TimePoint) override {
+        print(std::string(registry::to_string(state)));
     }
     void on_watch_warning(const registry::WatchWarning& warning) override {
-        say(std::string(registry::event_name(warning.kind)));
+        std::string line(registry::event_name(warning.kind));
+        if (warning.failure) line.append(" ").append(registry::to_string(warning.failure->reason));
+        if (warning.failure && !warning.failure->detail.empty())
+            line.append(": ").append(warning.failure->detail);
+        print(line);
     }
 
 private:
-    void say(const std::string& line) { std::cout << loop_.now().seconds() << ' ' << line << std::endl; }
+    void print(const std::string& line) { std::cout << loop_.now().seconds() << ' ' << line << std::endl; }
+
     EventLoop& loop_;
 };
 
+// A reactor without sockets runs no timers: this one has a socket that nobody connects to.
+class ReactorKeepAlive {
+public:
+    explicit ReactorKeepAlive(EventLoop& loop) : socket_(Poco::Net::SocketAddress("127.0.0.1:0")) {
+        loop.addEventHandler(socket_, Poco::NObserver<ReactorKeepAlive, Poco::Net::ReadableNotification>(
+                                          *this, &ReactorKeepAlive::on_readable));
+    }
+
+private:
+    void on_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {}
+
+    Poco::Net::ServerSocket socket_;
+};
+
 }  // namespace
 
 int registry_dump(const registry::Settings& settings) {
-    return with_session(settings, [&](RegistrySession& talk) {
-        std::optional<registry::RecordKey> after;
-        Revision at;
-        for (;;) {
-            const auto [status, body] =
-                talk.request(etcd::range(settings.prefix, after, at, settings.page_size));
-            const auto read = etcd::read_range(status, body, settings.prefix);
-            if (const auto* problem = std::get_if<etcd::Error>(&read)) return print_error(problem->message);
-            const registry::Page& page = std::get<etcd::Range>(read).page;
-            if (at == Revision{}) at = page.header.revision;
-            for (const Record& r : page.records)
-                std::cout << r.key.raw() << ' ' << r.value
-                          << (registry::parse_endpoint(r) ? "" : "   (a gateway can't read it)") << '\n';
-            if (!page.more || page.records.empty()) break;
-            after = page.records.back().key;
-        }
-        std::cout << "at revision " << at.raw() << '\n';
+    return with_session(settings, [&](RegistrySession& session) {
+        const auto print = [](const Record& record) {
+            std::cout << record.key.raw() << ' ' << record.value
+                      << (registry::parse_endpoint(record) ? "" : "   (a gateway can't read it)") << '\n';
+        };
+        const Revision revision = value_or_throw(visit_records(session, settings, settings.prefix, print));
+        std::cout << "at revision " << revision.raw() << '\n';
         return 0;
     });
 }
@@ -120,45 +143,36 @@
     std::cout << std::fixed;
     std::cout.precision(3);
     EventLoop loop;
-    // A reactor without sockets runs no alarms: this one waits for nobody.
-    Poco::Net::ServerSocket awake(Poco::Net::SocketAddress("127.0.0.1:0"));
-    struct Nobody {
-        void look(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {}
-    } nobody;
-    loop.addEventHandler(awake,
-                         Poco::NObserver<Nobody, Poco::Net::ReadableNotification>(nobody, &Nobody::look));
-    Printing printing(loop);
-    registry::RegistryClient client(loop, printing, settings,
-                                    static_cast<std::uint64_t>(loop.now().seconds() * 1e6));
+    const ReactorKeepAlive keep_alive(loop);
+    PrintingObserver observer(loop);
+    const auto seed = static_cast<std::uint64_t>(loop.now().seconds() * 1e6);
+    registry::RegistryClient client(loop, observer, settings, seed);
     client.start();
     loop.run();
     return 0;
 }
 
 int registry_put(const registry::Settings& settings, const std::string& line) {
-    const auto told = nlohmann::json::parse(line, nullptr, false);
-    if (!told.is_object() || !told.contains("id") || !told["id"].is_string())
+    const auto record = nlohmann::json::parse(line, nullptr, false);
+    if (!record.is_object() || !record.contains("id") || !record["id"].is_string())
         return print_error("the line must be a JSON object with an \"id\"");
-    const auto id = told["id"].get<std::string>();
+    const auto id = record["id"].get<std::string>();
     if (!registry::parse_endpoint({registry::RecordKey{id}, line, {}, {}}))
         return print_error("no gateway could read that line");
-    return with_session(settings, [&](RegistrySession& talk) {
-        const auto found = look_up(talk, settings, id);
-        if (const auto* problem = std::get_if<etcd::Error>(&found)) return print_error(problem->message);
-        return write_if_unchanged(talk, settings, id, line, std::get<Record>(found).modified);
+    return with_session(settings, [&](RegistrySession& session) {
+        const Record present = value_or_throw(read_record(session, settings, id));
+        return RecordWriter(session, settings, id).write(line, present.modified);
     });
 }
 
 int registry_state(const registry::Settings& settings, const std::string& id, const std::string& state) {
-    return with_session(settings, [&](RegistrySession& talk) {
-        const auto found = look_up(talk, settings, id);
-        if (const auto* problem = std::get_if<etcd::Error>(&found)) return print_error(problem->message);
-        const Record& record = std::get<Record>(found);
-        auto line = nlohmann::json::parse(record.value, nullptr, false);
-        if (record.created == Revision{} || !line.is_object())
+    return with_session(settings, [&](RegistrySession& session) {
+        const Record present = value_or_throw(read_record(session, settings, id));
+        auto fields = nlohmann::json::parse(present.value, nullptr, false);
+        if (present.created == Revision{} || !fields.is_object())
             return print_error("there is no readable record of " + id);
-        line["state"] = state;
-        return write_if_unchanged(talk, settings, id, line.dump(), record.modified);
+        fields["state"] = state;
+        return RecordWriter(session, settings, id).write(fields.dump(), present.modified);
     });
 }
 
--- a/src/cli/registry_commands.hpp
+++ b/src/cli/registry_commands.hpp
@@ -1,20 +1,21 @@
-// `irismux registry ...`: what an operator asks of the key-value registry by hand.
+// `irismux registry ...`: an operator's view of the endpoint records, and changes of them.
 #pragma once
 
 #include <string>
 
-#include "registry/registry_client.hpp"
+#include "registry/settings.hpp"
 
 namespace irismux::cli {
 
-// Each returns the exit code: 0, or 1 with one plain line on standard error.
-int registry_dump(
-    const registry::Settings& settings);  // each record of the list, a line each, at one revision
-int registry_watch(
-    const registry::Settings& settings);  // the list, then each change as a gateway would be told it
-// A record as it stands in `line` (JSON), whose "id" names it.
+// Each returns the exit code: 0, or 1 with one line on standard error.
+
+/// Prints each endpoint record, one per line, all at one revision.
+int registry_dump(const registry::Settings& settings);
+/// Prints the endpoint list and its changes as a gateway receives them, until the process is ended.
+int registry_watch(const registry::Settings& settings);
+/// Writes the record in `line`, a JSON object with an "id".
 int registry_put(const registry::Settings& settings, const std::string& line);
-// Marks a cache as draining, or, with `state`, as something else; never a record that changes meanwhile.
+/// Sets the "state" of an endpoint's record, unless the record changes meanwhile.
 int registry_state(const registry::Settings& settings, const std::string& id, const std::string& state);
 
 }  // namespace irismux::cli
--- a/src/cli/registry_session.cpp
+++ b/src/cli/registry_session.cpp
@@ -11,60 +11,61 @@
 
 namespace etcd = registry::etcd;
 
-int print_error(const std::string& why) {
-    std::cerr << "irismux: registry: " << why << '\n';
+int print_error(const std::string& message) {
+    std::cerr << "irismux: registry: " << message << '\n';
     return 1;
 }
 
-std::pair<int, std::string> RegistrySession::request(const etcd::Request& request) {
+Reply RegistrySession::request(const etcd::Request& request) {
     authenticate(request);
-    std::string last = "no member can be reached";
-    for (const std::string& address : settings_.members) try {
+    std::string last_error = "no member can be reached";
+    for (const std::string& address : settings_.members) {
+        try {
             Poco::Net::HTTPClientSession session{Poco::Net::SocketAddress(address)};
             return exchange(session, request);
         } catch (const Poco::Exception& e) {
-            last = address + ": " + e.displayText();
+            last_error = address + ": " + e.displayText();
         }
-    throw Poco::ApplicationException(last);
+    }
+    throw Poco::ApplicationException(last_error);
 }
 
-std::optional<std::pair<int, std::string>> RegistrySession::request_once(const etcd::Request& request) {
+std::variant<Reply, NoReply> RegistrySession::request_once(const etcd::Request& request) {
     authenticate(request);
-    std::string last = "no member can be reached";
+    const Poco::Timespan timeout(settings_.poll_policy.reply_timeout.micros());
+    std::string last_error = "no member can be reached";
     for (const std::string& address : settings_.members) {
         Poco::Net::StreamSocket socket;
         try {
-            socket.connect(Poco::Net::SocketAddress(address),
-                           Poco::Timespan(settings_.poll_policy.reply_timeout.micros()));
+            socket.connect(Poco::Net::SocketAddress(address), timeout);
         } catch (const Poco::Exception& e) {
-            last = address + ": " + e.displayText();
+            last_error = address + ": " + e.displayText();
             continue;
         }
-        // A session that is given its socket sets no times on it.
-        socket.setReceiveTimeout(Poco::Timespan(settings_.poll_policy.reply_timeout.micros()));
-        socket.setSendTimeout(Poco::Timespan(settings_.poll_policy.reply_timeout.micros()));
+        // A session sets no timeouts on a socket that it is given.
+        socket.setReceiveTimeout(timeout);
+        socket.setSendTimeout(timeout);
         Poco::Net::HTTPClientSession session(socket);
         try {
             return exchange(session, request);
         } catch (const Poco::Exception&) {
-            return std::nullopt;
+            return NoReply{};
         }
     }
-    throw Poco::ApplicationException(last);
+    throw Poco::ApplicationException(last_error);
 }
 
 void RegistrySession::authenticate(const etcd::Request& request) {
-    if (settings_.user.empty() || !token_.empty() || request.target == "/v3/auth/authenticate") return;
-    const auto [status, body] = this->request(etcd::authenticate(settings_.user, settings_.password));
-    const auto read = etcd::read_token(status, body);
-    if (const auto* token = std::get_if<std::string>(&read))
-        token_ = *token;
-    else
-        throw Poco::ApplicationException(std::get<etcd::Error>(read).message);
+    const bool needs_token = !settings_.user.empty() && token_.empty();
+    if (!needs_token || request.target == "/v3/auth/authenticate") return;
+    const Reply reply = this->request(etcd::authenticate(settings_.user, settings_.password));
+    auto token = etcd::read_token(reply.status, reply.body);
+    if (const auto* error = std::get_if<etcd::Error>(&token))
+        throw Poco::ApplicationException(error->message);
+    token_ = std::get<std::string>(std::move(token));
 }
 
-std::pair<int, std::string> RegistrySession::exchange(Poco::Net::HTTPClientSession& session,
-                                                      const etcd::Request& request) {
+Reply RegistrySession::exchange(Poco::Net::HTTPClientSession& session, const etcd::Request& request) {
     session.setTimeout(Poco::Timespan(settings_.poll_policy.reply_timeout.micros()));
     Poco::Net::HTTPRequest out(Poco::Net::HTTPRequest::HTTP_POST, request.target, "HTTP/1.1");
     out.setContentType("application/json");
--- a/src/cli/registry_session.hpp
+++ b/src/cli/registry_session.hpp
@@ -1,11 +1,12 @@
-// A registry asked by hand: one answer after the other, waited for.
+// Blocking requests to a registry, for the command line.
 #pragma once
 
 #include <Poco/Exception.h>
 
-#include <optional>
+#include <stdexcept>
 #include <string>
 #include <utility>
+#include <variant>
 
 #include "registry/etcd_codec.hpp"
 #include "registry/settings.hpp"
@@ -16,37 +17,61 @@
 
 namespace irismux::cli {
 
+/// An HTTP reply.
+struct Reply {
+    int status = 0;
+    std::string body;
+};
+
+/// The request was sent, and no reply came: it may have been carried out or not.
+struct NoReply {};
+
+/// The registry answered with an error, or in a form that cannot be parsed.
+class RegistryError : public std::runtime_error {
+public:
+    explicit RegistryError(const registry::etcd::Error& error) : std::runtime_error(error.message) {}
+};
+
 class RegistrySession {
 public:
-    // The settings must outlive it.
+    /// The settings must outlive it.
     explicit RegistrySession(const registry::Settings& settings) : settings_(settings) {}
 
-    // From the first member that takes connections. Throws Poco::Exception where none can be reached.
-    std::pair<int, std::string> request(const registry::etcd::Request& request);
-    // As ask(), for what must not be sent twice: none where it went out and no answer came, which says
-    // neither that it was done nor that it was not.
-    std::optional<std::pair<int, std::string>> request_once(const registry::etcd::Request& request);
+    /// Sends a request to the first member that replies; only for requests that may be sent more than once.
+    /// Throws Poco::Exception if there is none.
+    [[nodiscard]] Reply request(const registry::etcd::Request& request);
+    /// Sends a request to the first member that can be reached, once. Throws Poco::Exception if there is
+    /// none.
+    [[nodiscard]] std::variant<Reply, NoReply> request_once(const registry::etcd::Request& request);
 
 private:
     void authenticate(const registry::etcd::Request& request);
-    std::pair<int, std::string> exchange(Poco::Net::HTTPClientSession& session,
-                                         const registry::etcd::Request& request);
+    Reply exchange(Poco::Net::HTTPClientSession& session, const registry::etcd::Request& request);
 
     const registry::Settings& settings_;
     std::string token_;
 };
 
-// One line on standard error, and the exit code that goes with it.
-int print_error(const std::string& why);
+/// The value; throws RegistryError if there is none.
+template <class T>
+T value_or_throw(registry::etcd::ReadResult<T> result) {
+    if (const auto* error = std::get_if<registry::etcd::Error>(&result)) throw RegistryError(*error);
+    return std::get<T>(std::move(result));
+}
+
+/// Prints one line on standard error. Returns exit code 1.
+int print_error(const std::string& message);
 
-// What the step returns, or that no member was reached.
-template <class Step>
-int with_session(const registry::Settings& settings, Step step) {
+/// Returns the exit code of `run(session)`, or prints why the registry could not be asked.
+template <class Run>
+int with_session(const registry::Settings& settings, Run run) {
     try {
-        RegistrySession talk(settings);
-        return step(talk);
+        RegistrySession session(settings);
+        return run(session);
     } catch (const Poco::Exception& e) {
         return print_error(e.displayText());
+    } catch (const RegistryError& e) {
+        return print_error(e.what());
     }
 }
 
--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -261,7 +261,7 @@
     release->add_option("duty", duty)->required();
     CLI::App* const restore = fellows->add_subcommand("restore", "take a release back");
     restore->add_option("duty", duty)->required();
-    cli::InForceQuestion question;
+    cli::InForceQuery question;
     CLI::App* const in_force = fellows->add_subcommand("in-force", "whether an event is in force everywhere");
     in_force->add_option("--event", question.event, "its number on the notice board");
     in_force->add_option("--configuration", question.configuration, "a configuration's number");
--- /dev/null
+++ b/tests/store_test.cpp
@@ -0,0 +1,61 @@
+// The embedded store: full, and with a file cut short.
+#include "store/store.hpp"
+
+#include <gtest/gtest.h>
+#include <unistd.h>
+
+#include <cstdlib>
+#include <filesystem>
+
+namespace irismux {
+namespace {
+
+// Given: a store with a value. When: a value larger than the store is written. Then: the write fails, and
+// the former value is still there, also after the store is opened again.
+TEST(Store, AFullStoreRefusesTheWriteAndKeepsTheFormerValue) {
+    const auto folder =
+        std::filesystem::temp_directory_path() / ("irismux_store." + std::to_string(::getpid()));
+    {
+        auto opened = Store::open(folder.string(), 1 << 20);
+        ASSERT_TRUE(std::holds_alternative<Store>(opened)) << std::get<StoreError>(opened).detail;
+        Store& store = std::get<Store>(opened);
+        EXPECT_FALSE(store.read("list"));
+        EXPECT_TRUE(std::holds_alternative<Store::Written>(store.write("list", "one")));
+        EXPECT_TRUE(std::holds_alternative<Store::Written>(store.write("list", std::string(100'000, 'x'))));
+        const auto refused = store.write("list", std::string(2 << 20, 'y'));
+        ASSERT_TRUE(std::holds_alternative<StoreError>(refused));
+        EXPECT_EQ(std::get<StoreError>(refused).code, StoreError::Code::write_failed);
+        EXPECT_EQ(store.read("list"), std::string(100'000, 'x')) << "the former one is still there";
+    }
+    auto again = Store::open(folder.string(), 1 << 20);
+    EXPECT_EQ(std::get<Store>(again).read("list"), std::string(100'000, 'x'));
+    std::filesystem::remove_all(folder);
+    EXPECT_TRUE(std::holds_alternative<StoreError>(Store::open("/proc/nowhere", 1 << 20)));
+}
+
+// Given: a store whose file is cut short. When: it is opened. Then: it is refused as truncated and left
+// as it is; reading its missing pages would end the process.
+TEST(Store, ATruncatedFileIsRefusedAndNotChanged) {
+    namespace fs = std::filesystem;
+    std::string folder = (fs::temp_directory_path() / "irismux-store-XXXXXX").string();
+    ASSERT_TRUE(::mkdtemp(folder.data()));
+    {
+        auto opened = Store::open(folder, 1 << 20);
+        ASSERT_TRUE(std::holds_alternative<Store>(opened));
+        for (const char* name : {"a", "b", "c"})
+            EXPECT_TRUE(std::holds_alternative<Store::Written>(
+                std::get<Store>(opened).write(name, std::string(50'000, 'x'))));
+    }
+    const std::uintmax_t whole = fs::file_size(folder + "/data.mdb");
+    for (const std::uintmax_t size : {whole - 1, whole / 2, std::uintmax_t{8192}}) {
+        fs::resize_file(folder + "/data.mdb", size);
+        const auto again = Store::open(folder, 1 << 20);
+        ASSERT_TRUE(std::holds_alternative<StoreError>(again)) << size;
+        EXPECT_EQ(std::get<StoreError>(again).code, StoreError::Code::truncated);
+        EXPECT_EQ(fs::file_size(folder + "/data.mdb"), size);
+    }
+    fs::remove_all(folder);
+}
+
+}  // namespace
+}  // namespace irismux
--- /dev/null
+++ b/tests/watch_random_test.cpp
@@ -0,0 +1,194 @@
+// Watch under random faults: the view is always one revision of the registry.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <map>
+#include <random>
+
+#include "watch_harness.hpp"
+
+namespace irismux::registry::testing {
+namespace {
+
+// One registry and one Watch, driven by random steps; each step ends with a check of the view.
+class RandomRun {
+public:
+    explicit RandomRun(std::uint64_t seed)
+        : random_(static_cast<std::uint_fast32_t>(seed)), harness_(1 + draw(3), seed) {
+        for (int n = 0; n < 5; ++n) change();
+        harness_.watch.start(harness_.now);
+    }
+
+    void step(bool faults) {
+        const int what = draw(100);
+        if (faults && what < 25)
+            change();
+        else if (faults && what < 32)
+            registry_.compact(Revision{registry_.newest().raw() - draw(3)});
+        else if (faults && what < 35)
+            harness_.watch.on_request_failed(harness_.now, {RequestFailureReason::connection_lost, {}});
+        else if (faults && what < 37)
+            lag_ = {MemberIndex{static_cast<std::size_t>(draw(3))}, draw(4)};
+        else if (faults && what == 37 && harness_.watch.view().revision() > Revision{})
+            restore();
+        else if (what < 80)
+            reply(faults);
+        else
+            harness_.advance(ms * (1 + draw(faults ? 900 : 300)));
+        check();
+    }
+    void settle() {
+        lag_ = {MemberIndex{0}, 0};
+        for (int n = 0; n < 4000; ++n) step(false);
+        ASSERT_EQ(harness_.watch.sync_state(), SyncState::following);
+        ASSERT_EQ(harness_.watch.view().revision(), registry_.newest());
+        check();
+    }
+
+private:
+    std::ranlux24_base random_;
+    RegistryModel registry_;
+    WatchHarness harness_;
+    std::map<Revision, RegistryModel::State> history_;                        // of the present registry
+    std::vector<std::map<Revision, RegistryModel::State>> former_histories_;  // before restores
+    std::pair<MemberIndex, int> lag_{MemberIndex{0}, 0};
+    Revision last_;
+    std::uint64_t reads_ = 0;
+
+    int draw(int below) { return static_cast<int>(random_() % static_cast<std::uint_fast32_t>(below)); }
+
+    void change() {
+        std::vector<std::pair<RecordKey, std::optional<std::string>>> writes;
+        const int n = 1 + draw(3);
+        for (int w = 0; w < n; ++w) {
+            const std::string id = "c" + std::to_string(draw(8));
+            if (draw(3) == 0)
+                writes.emplace_back(RecordKey{id}, std::nullopt);
+            else
+                writes.emplace_back(RecordKey{id},
+                                    list_value(id, draw(3) ? "Ready" : "Terminating", 1 + draw(5)));
+        }
+        registry_.commit(writes);
+        history_[registry_.newest()] = *registry_.at(registry_.newest());
+    }
+    // Takes longer than the watch timeout, as restores do.
+    void restore() {
+        harness_.watch.on_request_failed(harness_.now, {RequestFailureReason::connection_lost, {}});
+        harness_.now = harness_.now + WatchHarness::policy(1).watch_timeout;
+        harness_.watch.on_wake(harness_.now);
+        harness_.watch.on_request_failed(harness_.now, {RequestFailureReason::connection_lost, {}});
+        history_[registry_.newest()] = *registry_.at(registry_.newest());
+        former_histories_.push_back(history_);
+        registry_.restore(Revision{registry_.newest().raw() - 1 - draw(4)}, draw(2) == 0);
+        history_.clear();
+        history_[registry_.newest()] = *registry_.at(registry_.newest());
+        lag_ = {MemberIndex{0}, 0};
+    }
+    Revision shown() const {
+        const std::int64_t behind = harness_.member == lag_.first ? lag_.second : 0;
+        return std::max(registry_.oldest(), Revision{registry_.newest().raw() - behind});
+    }
+    void reply(bool faults) {
+        const ReplyHeader from{registry_.cluster(), shown()};
+        if (harness_.pending_request == WatchHarness::Request::read_page) {
+            const Revision r = harness_.at == Revision{} ? shown() : harness_.at;
+            const RegistryModel::State* state = registry_.at(r);
+            if (!state) return harness_.watch.on_compacted(harness_.now);
+            Page p;
+            p.header = {registry_.cluster(), r};
+            const std::size_t most = static_cast<std::size_t>(1 + draw(6));
+            for (const auto& [key, rec] : *state) {
+                if (harness_.after && key <= *harness_.after) continue;
+                if (p.records.size() == most) {
+                    p.more = true;
+                    break;
+                }
+                p.records.push_back(rec);
+            }
+            return harness_.watch.on_page(harness_.now, p);
+        }
+        if (harness_.pending_request == WatchHarness::Request::check_revision)
+            return harness_.reply_to_check(registry_);
+        if (harness_.pending_request != WatchHarness::Request::watch) return;
+        harness_.watch.on_watch_opened(harness_.now, from);
+        if (harness_.pending_request != WatchHarness::Request::watch ||
+            harness_.watch.sync_state() != SyncState::following)
+            return;
+        if (faults && draw(5) == 0) return;  // open, no message for now
+        Revision next{std::max(harness_.at, Revision{harness_.watch.view().revision().raw() + 1})};
+        if (faults && draw(4) == 0)
+            next = Revision{std::max<std::int64_t>(2, next.raw() - draw(3))};  // repeats
+        if (next > from.revision) return harness_.watch.on_changes(harness_.now, from, {}, false);
+        const auto all = registry_.changes(next, from.revision);
+        if (!all) return harness_.watch.on_compacted(harness_.now);
+        if (all->empty()) return harness_.watch.on_changes(harness_.now, from, {}, false);
+        std::size_t first = 0;
+        while (first < all->size()) {
+            const std::size_t part = std::min(all->size() - first, static_cast<std::size_t>(1 + draw(4)));
+            const bool fragment = first + part < all->size();
+            harness_.watch.on_changes(harness_.now, from,
+                                      {all->begin() + static_cast<std::ptrdiff_t>(first),
+                                       all->begin() + static_cast<std::ptrdiff_t>(first + part)},
+                                      fragment);
+            first += part;
+            if (fragment && faults && draw(6) == 0)
+                return harness_.watch.on_request_failed(harness_.now,
+                                                        {RequestFailureReason::connection_lost, {}});
+        }
+    }
+
+    bool view_is(const RegistryModel::State& state) const {
+        const auto& entries = harness_.watch.view().entries();
+        if (entries.size() != state.size()) return false;
+        for (const auto& [key, rec] : state) {
+            const auto it = entries.find(key);
+            if (it == entries.end() || it->second.value != rec.value || it->second.created != rec.created)
+                return false;
+        }
+        return true;
+    }
+    void check() {
+        const EndpointView& v = harness_.watch.view();
+        // The revision goes back only by a full read.
+        ASSERT_TRUE(v.revision() >= last_ || harness_.watch.full_reads() > reads_);
+        last_ = v.revision();
+        reads_ = harness_.watch.full_reads();
+        if (v.revision() == Revision{}) return;
+        const auto contains_view = [&](const std::map<Revision, RegistryModel::State>& history) {
+            const auto it = history.find(v.revision());
+            return it != history.end() && view_is(it->second);
+        };
+        const bool found = contains_view(history_) ||
+                           std::any_of(former_histories_.begin(), former_histories_.end(), contains_view);
+        ASSERT_TRUE(found) << "no revision of the registry is " << v.revision().raw();
+        std::size_t reported = 0;
+        for (const auto& [key, e] : v.entries()) {
+            ASSERT_TRUE(e.endpoint);
+            const auto it = harness_.endpoints.find(e.endpoint->first.cache);
+            ASSERT_TRUE(it != harness_.endpoints.end()) << key.raw();
+            ASSERT_EQ(it->second.status, e.endpoint->first.status);
+            ASSERT_EQ(it->second.weight, e.endpoint->first.weight);
+            ++reported;
+        }
+        ASSERT_EQ(reported, harness_.endpoints.size());
+    }
+};
+
+// Given: a registry with random changes, compactions and restores, whose members lag. When: replies are
+// lost, repeated, cut and late. Then: after each step the view is exactly one of its revisions, and
+// without faults it ends at the newest.
+TEST(WatchUnderRandomFaults, TheViewIsAlwaysOneRevisionAndInTheEndTheNewest) {
+    for (std::uint64_t seed = 1; seed <= 300; ++seed) {
+        SCOPED_TRACE("seed " + std::to_string(seed));
+        RandomRun run(seed);
+        for (int n = 0; n < 400; ++n) {
+            run.step(true);
+            if (HasFatalFailure()) return;
+        }
+        run.settle();
+        if (HasFatalFailure()) return;
+    }
+}
+
+}  // namespace
+}  // namespace irismux::registry::testing
