--- a/src/registry/registry_client.cpp
+++ b/src/registry/registry_client.cpp
@@ -14,8 +14,6 @@
       page_size_(settings_.page_size),
       connection_(loop, *this, settings_) {}
 
-RegistryClient::~RegistryClient() { event_loop_.cancel(wake_timer_); }
-
 // --- requests of the watch -------------------------------------------------------------------------------
 
 void RegistryClient::read_page(MemberIndex member, const std::optional<RecordKey>& after, Revision at) {
@@ -36,8 +34,7 @@
 }
 
 void RegistryClient::schedule_wake(TimePoint at) {
-    event_loop_.cancel(wake_timer_);
-    wake_timer_ = event_loop_.schedule_at(at, [this] { watch_.on_wake(event_loop_.now()); });
+    wake_timer_ = ScopedTimer(event_loop_, at, [this] { watch_.on_wake(event_loop_.now()); });
 }
 
 void RegistryClient::send(PendingRequest request) {
--- a/src/registry/registry_client.hpp
+++ b/src/registry/registry_client.hpp
@@ -20,7 +20,6 @@
     /// The loop and the observer must outlive it.
     RegistryClient(EventLoop& loop, WatchObserver& observer, Settings settings, std::uint64_t seed,
                    RecordKind kind = RecordKind::endpoints);
-    ~RegistryClient() override;
 
     void start() { watch_.start(event_loop_.now()); }
     /// As Watch::start_from.
@@ -66,7 +65,7 @@
     PendingRequest pending_request_;
     std::size_t page_size_;  // records per page, as many as fit into a reply
     RegistryConnection connection_;
-    EventLoop::Timer wake_timer_{};
+    ScopedTimer wake_timer_;
 };
 
 }  // namespace irismux::registry
--- a/src/registry/registry_connection.cpp
+++ b/src/registry/registry_connection.cpp
@@ -13,12 +13,11 @@
     : event_loop_(loop), reply_handler_(handler), settings_(settings) {}
 
 RegistryConnection::~RegistryConnection() {
-    event_loop_.cancel(failure_timer_);
     if (socket_) socket_->close_silently();
 }
 
 void RegistryConnection::send_request(MemberIndex member, etcd::Request request, ReplyForm form) {
-    event_loop_.cancel(failure_timer_);
+    failure_timer_.cancel();
     member_ = member;
     request_ = std::move(request);
     reply_form_ = form;
@@ -29,7 +28,7 @@
 }
 
 void RegistryConnection::close() {
-    event_loop_.cancel(failure_timer_);
+    failure_timer_.cancel();
     if (socket_) close_socket();
     phase_ = Phase::idle;
 }
@@ -61,8 +60,7 @@
         // Reported below, as any connection that cannot be opened.
     }
     close_socket();
-    event_loop_.cancel(failure_timer_);
-    failure_timer_ = event_loop_.schedule_now([this] {
+    failure_timer_ = ScopedTimer(event_loop_, event_loop_.now(), [this] {
         if (!socket_ && phase_ != Phase::idle)
             reply_handler_.on_request_failed({RequestFailureReason::connect_failed, {}});
     });
--- a/src/registry/registry_connection.hpp
+++ b/src/registry/registry_connection.hpp
@@ -53,8 +53,8 @@
     Phase phase_ = Phase::idle;
     std::string token_;
     bool token_renewed_ = false;  // for the pending request
-    EventLoop::Timer failure_timer_{};
     std::shared_ptr<RegistrySocket> socket_;
+    ScopedTimer failure_timer_;
 };
 
 }  // namespace irismux::registry
