--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -143,7 +143,7 @@
 }
 
 void print_health(const Records& records, const DutyName& duty) {
-    const auto cache = watched_cache_of(duty);
+    const auto cache = health_check_cache(duty);
     const Text text = cache ? text_of(records, health_record_key(*cache)) : Text{};
     const auto health = text ? parse_health_record(*text) : std::nullopt;
     if (health)
--- a/src/cli/fleet_in_force_command.cpp
+++ b/src/cli/fleet_in_force_command.cpp
@@ -53,7 +53,7 @@
 FleetStatus::RegistryReading read_status(RegistrySession& session, const Settings& settings,
                                          const FleetStatus& status) {
     FleetStatus::RegistryReading reading;
-    reading.asked = steady_now();
+    reading.requested_at = steady_now();
     read_owner_heartbeats(session, settings, status, reading);
     const std::string digests = digest_prefix(settings.registry.prefix);
     for (const auto& [site, text] : read_all_or_throw(session, settings, digests))
@@ -162,7 +162,7 @@
     for (;;) {
         status.on_reading(read_status(session, settings, status));
         if (query.event > 0)
-            if (const auto newest = read_newest_event(query.board)) status.on_board(*newest);
+            if (const auto newest = read_newest_event(query.board)) status.on_newest_event(*newest);
         auto verdict = status.judge(steady_now(), asked);
         if (verdict.reach == FleetStatus::Reach::everywhere || steady_now() >= end) return verdict;
         std::this_thread::sleep_for(std::chrono::microseconds((term * poll_interval_per_term).micros()));
--- a/src/cli/fleet_repair_commands.cpp
+++ b/src/cli/fleet_repair_commands.cpp
@@ -35,7 +35,7 @@
         const std::string roster = path_of(roster_key(), SiteName{site});
         const std::string record = path_of(member_key(MemberName{member}), SiteName{site});
         const ValuesByKey found = read_keys(session, settings.registry, {roster, record});
-        const auto known = found.contains(roster) ? read_roster(found.at(roster)) : std::nullopt;
+        const auto known = found.contains(roster) ? parse_site_roster(found.at(roster)) : std::nullopt;
         if (!known || !known->names.contains(MemberName{member}))
             return print_error("no gateway " + member + " is known in site " + site);
         if (found.contains(record)) return print_error(member + " is a member: stop it first");
@@ -61,7 +61,7 @@
         std::random_device random;
         const std::string first_half = std::to_string(random());
         const std::string second_half = std::to_string(random());
-        const auto next = next_generation(present ? read_generation(*present) : std::nullopt, {}, true,
+        const auto next = next_generation(present ? parse_generation(*present) : std::nullopt, {}, true,
                                           "operator/" + first_half + second_half);
         const std::string key = settings.registry.prefix + path;
         return write_once(session, settings.registry, {{key, present}}, {{key, serialize(*next)}},
