--- a/bench/scale/main.cpp
+++ b/bench/scale/main.cpp
@@ -84,7 +84,7 @@
 
 int main(int argc, char** argv) try {
     std::signal(SIGPIPE, SIG_IGN);
-    log::show(log::Level::error);
+    log::set_level(log::Level::error);
     CLI::App app("what control costs a fleet of many gateways", "scale");
     app.require_subcommand(1);
     scale::RigSettings settings;
--- a/bench/scale/roles.cpp
+++ b/bench/scale/roles.cpp
@@ -348,7 +348,7 @@
 
 int run_role(const std::string& role, const std::string& control, std::size_t number) {
     std::signal(SIGPIPE, SIG_IGN);
-    log::show(log::Level::error);
+    log::set_level(log::Level::error);
     std::unique_ptr<Role> made;
     if (role == "registry") made = std::make_unique<RegistryRole>();
     if (role == "board") made = std::make_unique<BoardRole>();
--- a/src/base/file.cpp
+++ b/src/base/file.cpp
@@ -4,6 +4,7 @@
 #include <unistd.h>
 
 #include <algorithm>
+#include <array>
 #include <cerrno>
 #include <cstring>
 #include <iterator>
@@ -11,15 +12,17 @@
 namespace irismux {
 namespace {
 
-// Closes what it holds.
+// Owns a file descriptor.
 class Descriptor {
 public:
     explicit Descriptor(int number) : number_(number) {}
     ~Descriptor() {
-        if (number_ >= 0) ::close(number_);
+        if (is_open()) ::close(number_);
     }
     Descriptor(const Descriptor&) = delete;
     Descriptor& operator=(const Descriptor&) = delete;
+
+    bool is_open() const { return number_ >= 0; }
     int number() const { return number_; }
 
 private:
@@ -28,24 +31,25 @@
 
 }  // namespace
 
-bool FileError::passes() const {
-    constexpr int passing[] = {EINTR, EAGAIN, EIO, ENFILE, EMFILE, ENOMEM, ENOBUFS};
-    return std::find(std::begin(passing), std::end(passing), number) != std::end(passing);
+bool FileError::is_transient() const {
+    constexpr int transient[] = {EINTR, EAGAIN, EIO, ENFILE, EMFILE, ENOMEM, ENOBUFS};
+    return std::find(std::begin(transient), std::end(transient), error_number) != std::end(transient);
 }
 
-std::string FileError::text() const { return std::strerror(number); }
+std::string FileError::message() const { return std::strerror(error_number); }
 
 std::variant<std::string, FileError> read_file(const std::string& path) {
+    constexpr std::size_t buffer_bytes = std::size_t{16} * 1024;
     const Descriptor file(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
-    if (file.number() < 0) return FileError{errno};
-    std::string text;
-    char some[16 * 1024];
+    if (!file.is_open()) return FileError{errno};
+    std::string content;
+    std::array<char, buffer_bytes> buffer;
     for (;;) {
-        const ssize_t n = ::read(file.number(), some, sizeof some);
-        if (n < 0 && errno == EINTR) continue;
-        if (n < 0) return FileError{errno};
-        if (n == 0) return text;
-        text.append(some, static_cast<std::size_t>(n));
+        const ssize_t bytes = ::read(file.number(), buffer.data(), buffer.size());
+        if (bytes < 0 && errno == EINTR) continue;
+        if (bytes < 0) return FileError{errno};
+        if (bytes == 0) return content;
+        content.append(buffer.data(), static_cast<std::size_t>(bytes));
     }
 }
 
--- a/src/base/file.hpp
+++ b/src/base/file.hpp
@@ -1,4 +1,4 @@
-// Whole files, with what went wrong as a value.
+// Reads whole files.
 #pragma once
 
 #include <string>
@@ -6,14 +6,15 @@
 
 namespace irismux {
 
+/// Why a file cannot be read.
 struct FileError {
-    int number = 0;  // as in errno
-    // Whether the same call may succeed before long: a signal came, descriptors or memory had run out, a
-    // device has failed once.
-    bool passes() const;
-    std::string text() const;
+    int error_number = 0;  ///< as in errno
+
+    /// Whether the same call may succeed soon: interrupted, out of descriptors or memory, a device error.
+    [[nodiscard]] bool is_transient() const;
+    [[nodiscard]] std::string message() const;
 };
 
-std::variant<std::string, FileError> read_file(const std::string& path);
+[[nodiscard]] std::variant<std::string, FileError> read_file(const std::string& path);
 
 }  // namespace irismux
--- a/src/base/flight_recorder.cpp
+++ b/src/base/flight_recorder.cpp
@@ -12,19 +12,19 @@
 namespace irismux::flight_recorder {
 namespace {
 
-struct Entry {
-    std::int64_t at_us = 0;  // steady
+struct Event {
+    std::int64_t at_us = 0;  // CLOCK_MONOTONIC
     std::size_t length = 0;
-    char text[longest_text] = {};
+    char text[max_text_bytes] = {};
 };
 
-std::array<Entry, most_events> ring;
-std::size_t noted = 0;  // events so far
+std::array<Event, max_events> ring;
+std::size_t event_count = 0;  // so far
 
 struct FatalSignal {
     int number;
     const char* name;
-    struct sigaction before;
+    struct sigaction former_action;
 };
 FatalSignal fatal_signals[] = {{SIGSEGV, "SIGSEGV", {}},
                                {SIGBUS, "SIGBUS", {}},
@@ -32,108 +32,125 @@
                                {SIGILL, "SIGILL", {}},
                                {SIGABRT, "SIGABRT", {}}};
 
-std::int64_t steady_us() {
+std::int64_t monotonic_us() {
     timespec now{};
     ::clock_gettime(CLOCK_MONOTONIC, &now);
     return static_cast<std::int64_t>(now.tv_sec) * 1'000'000 + now.tv_nsec / 1000;
 }
 
-// Text in a buffer of fixed size; what does not fit is left out.
-class Text {
+// Builds text in a buffer of fixed size; what does not fit is cut off. Safe in a signal handler.
+class TextBuilder {
 public:
-    Text(char* to, std::size_t most) : to_(to), most_(most) {}
-    Text& add(std::string_view text) {
-        const std::size_t n = std::min(text.size(), most_ - length_);
-        std::memcpy(to_ + length_, text.data(), n);
-        length_ += n;
-        return *this;
+    TextBuilder(char* buffer, std::size_t capacity) : buffer_(buffer), capacity_(capacity) {}
+
+    void append(std::string_view text) {
+        const std::size_t bytes = std::min(text.size(), capacity_ - length_);
+        std::memcpy(buffer_ + length_, text.data(), bytes);
+        length_ += bytes;
     }
     template <class Number>
-    Text& add_number(Number n, int base = 10) {
+    void append_number(Number number, int base = 10) {
         char digits[24];
-        const auto [end, error] = std::to_chars(digits, digits + sizeof digits, n, base);
-        return add({digits, static_cast<std::size_t>(end - digits)});
+        const auto [end, error] = std::to_chars(digits, digits + sizeof digits, number, base);
+        append({digits, static_cast<std::size_t>(end - digits)});
     }
     std::size_t length() const { return length_; }
 
 private:
-    char* to_;
-    std::size_t most_, length_ = 0;
+    char* buffer_;
+    std::size_t capacity_;
+    std::size_t length_ = 0;
 };
 
-Entry& next_entry() {
-    Entry& entry = ring[noted++ % most_events];
-    entry.at_us = steady_us();
-    return entry;
+Event& next_event() {
+    Event& event = ring[event_count % max_events];
+    ++event_count;
+    event.at_us = monotonic_us();
+    return event;
 }
 
-void write_all(const char* from, std::size_t n) {
-    while (n > 0) {
-        const ssize_t written = ::write(STDERR_FILENO, from, n);
+void write_to_stderr(const char* bytes, std::size_t size) {
+    while (size > 0) {
+        const ssize_t written = ::write(STDERR_FILENO, bytes, size);
         if (written <= 0) return;
-        from += written;
-        n -= static_cast<std::size_t>(written);
+        bytes += written;
+        size -= static_cast<std::size_t>(written);
     }
 }
 
+void print_event(const Event& event, std::int64_t now_us) {
+    char line[max_text_bytes + 64];
+    TextBuilder text(line, sizeof line);
+    text.append("fatal: ");
+    text.append_number(now_us - event.at_us);
+    text.append(" us before: ");
+    text.append({event.text, std::min(event.length, max_text_bytes)});
+    text.append("\n");
+    write_to_stderr(line, text.length());
+}
+
 void print_last_events() {
-    const std::int64_t now = steady_us();
-    for (std::size_t n = noted > most_events ? noted - most_events : 0; n < noted; ++n) {
-        const Entry& entry = ring[n % most_events];
-        char line[longest_text + 64];
-        Text text(line, sizeof line);
-        text.add("fatal: ").add_number(now - entry.at_us).add(" us before: ");
-        text.add({entry.text, std::min(entry.length, longest_text)}).add("\n");
-        write_all(line, text.length());
-    }
+    const std::int64_t now_us = monotonic_us();
+    const std::size_t first = event_count > max_events ? event_count - max_events : 0;
+    for (std::size_t n = first; n < event_count; ++n) print_event(ring[n % max_events], now_us);
 }
 
-// What the signal did before happens once this has returned: it is still pending, or its cause occurs again.
+// The former action takes effect when this returns: the signal is raised again, or its cause occurs again.
 void on_fatal_signal(int number, siginfo_t* info, void*) {
     char line[160];
-    Text text(line, sizeof line);
-    text.add("fatal: signal ").add_number(number);
-    for (const FatalSignal& s : fatal_signals) {
-        if (s.number != number) continue;
-        text.add(" (").add(s.name).add(")");
-        ::sigaction(number, &s.before, nullptr);
+    TextBuilder text(line, sizeof line);
+    text.append("fatal: signal ");
+    text.append_number(number);
+    for (const FatalSignal& signal : fatal_signals) {
+        if (signal.number != number) continue;
+        text.append(" (");
+        text.append(signal.name);
+        text.append(")");
+        ::sigaction(number, &signal.former_action, nullptr);
     }
-    text.add(" at 0x").add_number(reinterpret_cast<std::uintptr_t>(info->si_addr), 16);
-    text.add("; the last of ").add_number(noted).add(" events:\n");
-    write_all(line, text.length());
+    text.append(" at 0x");
+    text.append_number(reinterpret_cast<std::uintptr_t>(info->si_addr), 16);
+    text.append("; the last of ");
+    text.append_number(event_count);
+    text.append(" events:\n");
+    write_to_stderr(line, text.length());
     print_last_events();
     ::raise(number);
 }
 
 }  // namespace
 
-void note(std::string_view event, std::uint64_t subject, std::uint64_t detail) {
-    Entry& entry = next_entry();
-    Text text(entry.text, longest_text);
-    text.add(event).add(" ").add_number(subject).add(" ").add_number(detail);
-    entry.length = text.length();
+void note(std::string_view event_name, std::uint64_t id, std::uint64_t detail) {
+    Event& event = next_event();
+    TextBuilder text(event.text, max_text_bytes);
+    text.append(event_name);
+    text.append(" ");
+    text.append_number(id);
+    text.append(" ");
+    text.append_number(detail);
+    event.length = text.length();
 }
 
-void note(std::string_view line) {
-    Entry& entry = next_entry();
-    Text text(entry.text, longest_text);
-    text.add(line);
-    entry.length = text.length();
+void note(std::string_view record) {
+    Event& event = next_event();
+    TextBuilder text(event.text, max_text_bytes);
+    text.append(record);
+    event.length = text.length();
 }
 
 void report_fatal_signals() {
-    // A stack that has overflowed can't carry the handler.
+    // The handler needs a stack of its own: the process's may have overflowed.
     constexpr std::size_t stack_bytes = std::size_t{64} * 1024;
     static std::array<char, stack_bytes> stack;
-    stack_t other{};
-    other.ss_sp = stack.data();
-    other.ss_size = stack.size();
-    ::sigaltstack(&other, nullptr);
-    for (FatalSignal& s : fatal_signals) {
+    stack_t handler_stack{};
+    handler_stack.ss_sp = stack.data();
+    handler_stack.ss_size = stack.size();
+    ::sigaltstack(&handler_stack, nullptr);
+    for (FatalSignal& signal : fatal_signals) {
         struct sigaction action {};
         action.sa_sigaction = on_fatal_signal;
         action.sa_flags = SA_SIGINFO | SA_ONSTACK;
-        ::sigaction(s.number, &action, &s.before);
+        ::sigaction(signal.number, &action, &signal.former_action);
     }
 }
 
--- a/src/base/flight_recorder.hpp
+++ b/src/base/flight_recorder.hpp
@@ -1,8 +1,7 @@
-// The last events of the process in a ring of fixed size, which a fatal signal prints before the process
-// dies.
+// The last events of the process, in a ring of fixed size that a fatal signal prints before the process ends.
 //
-// Noting an event takes no lock and no memory; printing uses calls that are safe in a signal handler only.
-// One thread notes events.
+// Noting an event takes no lock and allocates nothing; printing uses only calls that are safe in a signal
+// handler. Only one thread may note events.
 #pragma once
 
 #include <cstddef>
@@ -11,16 +10,16 @@
 
 namespace irismux::flight_recorder {
 
-constexpr std::size_t most_events = 64;
-constexpr std::size_t longest_text = 95;  // of an event; the rest is cut off
+constexpr std::size_t max_events = 64;
+constexpr std::size_t max_text_bytes = 95;  ///< of an event; the rest is cut off
 
-// An event by name, with the numbers of what it concerns.
-void note(std::string_view event, std::uint64_t subject, std::uint64_t detail = 0);
-// A line as it was logged, or left out of the log.
-void note(std::string_view line);
+/// Notes an event by its name, an id and a further number.
+void note(std::string_view event, std::uint64_t id, std::uint64_t detail = 0);
+/// Notes a log record.
+void note(std::string_view record);
 
-// From now on SIGSEGV, SIGBUS, SIGFPE, SIGILL and SIGABRT are told on standard error, with the last events,
-// before they take the course that they had.
+/// Installs handlers of SIGSEGV, SIGBUS, SIGFPE, SIGILL and SIGABRT, which print the signal and the last
+/// events on standard error. The signal then has the effect that it had before.
 void report_fatal_signals();
 
 }  // namespace irismux::flight_recorder
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -4,132 +4,171 @@
 #include <spdlog/spdlog.h>
 
 #include <chrono>
+#include <cstdlib>
 #include <map>
 #include <memory>
 #include <nlohmann/json.hpp>
+#include <utility>
 
 #include "base/flight_recorder.hpp"
 
 namespace irismux::log {
 namespace {
 
-// Below debug: a trouble must not fill a disk or hold up the loop.
-constexpr int lines_a_second = 50, lines_of_a_sort = 10;
-constexpr std::size_t most_sorts = 32;  // counted apart within a second; those behind count as one
-constexpr const char* other_sorts = "others";
-constexpr std::size_t longest = 4096;
-constexpr spdlog::level::level_enum levels[] = {spdlog::level::err, spdlog::level::warn, spdlog::level::info,
-                                                spdlog::level::debug};
-constexpr const char* names[] = {"error", "warning", "info", "debug"};
-
-Form form_now = Form::text;
-std::string name_now;
-std::chrono::steady_clock::time_point second;
-int lines = 0;
-struct Count {
-    int shown = 0, left_out = 0;
-};
-std::map<std::string, Count, std::less<>> sorts;  // of this second
+Format current_format = Format::text;
+std::string process_name;
 
-// No registry of loggers and no thread: one sink, one write a record.
-spdlog::logger& out() {
-    static const std::unique_ptr<spdlog::logger> made = [] {
-        auto logger =
-            std::make_unique<spdlog::logger>("irismux", std::make_shared<spdlog::sinks::stderr_sink_st>());
-        logger->set_pattern("%v");
-        logger->set_level(spdlog::level::info);
-        logger->flush_on(spdlog::level::debug);
-        return logger;
-    }();
-    return *made;
+std::string_view name_of(Level level) {
+    constexpr std::string_view names[] = {"error", "warning", "info", "debug"};
+    return names[static_cast<std::size_t>(level)];
 }
 
-void put(Level level, std::string line) {
-    if (line.size() > longest) line.resize(longest);
-    out().log(levels[static_cast<int>(level)], spdlog::string_view_t(line));
+spdlog::level::level_enum spdlog_level(Level level) {
+    constexpr spdlog::level::level_enum levels[] = {spdlog::level::err, spdlog::level::warn,
+                                                    spdlog::level::info, spdlog::level::debug};
+    return levels[static_cast<std::size_t>(level)];
 }
 
-std::string json_of(Level level, std::string_view event, std::initializer_list<Field> fields) {
-    nlohmann::json o = {{"level", names[static_cast<int>(level)]}, {"event", event}};
-    o["at_us"] = std::chrono::duration_cast<std::chrono::microseconds>(
-                     std::chrono::system_clock::now().time_since_epoch())
-                     .count();
-    if (!name_now.empty()) o["by"] = name_now;
-    for (const Field& f : fields)
-        o[std::string(f.name)] =
-            f.number ? nlohmann::json(std::atoll(f.text.c_str())) : nlohmann::json(f.text);
-    // What is no UTF-8 is marked as such: a record is never lost for what it tells of.
-    return o.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
+// One sink without a lock or a thread; each record is one write.
+spdlog::logger& logger() {
+    static const std::unique_ptr<spdlog::logger> instance = [] {
+        auto created =
+            std::make_unique<spdlog::logger>("irismux", std::make_shared<spdlog::sinks::stderr_sink_st>());
+        created->set_pattern("%v");
+        created->set_level(spdlog::level::info);
+        created->flush_on(spdlog::level::debug);
+        return created;
+    }();
+    return *instance;
 }
 
-void tell_left_out() {
-    for (const auto& [sort, count] : sorts) {
-        if (count.left_out == 0) continue;
-        put(Level::warning,
-            form_now == Form::json
-                ? json_of(Level::warning, "left_out", {{"lines", count.left_out}, {"of", sort}})
-                : "warning: " + std::to_string(count.left_out) + " lines left out: " + sort);
+// --- formats ---------------------------------------------------------------------------------------------
+
+std::string format_json(Level level, std::string_view event, std::initializer_list<Field> fields) {
+    using std::chrono::microseconds;
+    const auto unix_time = std::chrono::system_clock::now().time_since_epoch();
+    nlohmann::json record = {{"level", name_of(level)}, {"event", event}};
+    record["at_us"] = std::chrono::duration_cast<microseconds>(unix_time).count();
+    if (!process_name.empty()) record["by"] = process_name;
+    for (const Field& field : fields) {
+        nlohmann::json& value = record[std::string(field.name)];
+        if (field.is_number)
+            value = std::atoll(field.text.c_str());
+        else
+            value = field.text;
     }
+    // A field that is not UTF-8 does not cost the record.
+    return record.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-Count& count_of(std::string_view sort) {
-    const auto known = sorts.find(sort);
-    if (known != sorts.end()) return known->second;
-    return sorts[sorts.size() < most_sorts ? std::string(sort) : other_sorts];
+// Without the level.
+std::string format_text(std::string_view event, std::initializer_list<Field> fields) {
+    std::string line(event);
+    for (const Field& field : fields) line.append(" ").append(field.name).append("=").append(field.text);
+    return line;
 }
 
-bool within_bound(std::string_view sort) {
-    const auto now = std::chrono::steady_clock::now();
-    if (now - second >= std::chrono::seconds(1)) {
-        tell_left_out();
-        second = now;
-        lines = 0;
-        sorts.clear();
-    }
-    Count& count = count_of(sort);
-    const bool shows = lines < lines_a_second && count.shown < lines_of_a_sort;
-    ++(shows ? count.shown : count.left_out);
-    lines += shows;
-    return shows;
+void write_line(Level level, std::string line) {
+    constexpr std::size_t max_bytes = 4096;
+    if (line.size() > max_bytes) line.resize(max_bytes);
+    logger().log(spdlog_level(level), spdlog::string_view_t(line));
 }
 
-bool wanted(Level level, std::string_view sort) {
-    return shown(level) && (level == Level::debug || within_bound(sort));
+void write_text(Level level, std::string_view line) {
+    write_line(level, std::string(name_of(level)).append(": ").append(line));
 }
 
-std::string line_of(std::string_view name, std::initializer_list<Field> fields) {
-    std::string line(name);
-    for (const Field& f : fields) line.append(" ").append(f.name).append("=").append(f.text);
-    return line;
+// --- limits ----------------------------------------------------------------------------------------------
+
+// Counts the records of the present second, in all and per kind. A fault must neither fill a disk nor block
+// the event loop with writes.
+class RateLimit {
+public:
+    // Whether a record of that kind may be written now. Reports what was suppressed in the last second.
+    [[nodiscard]] bool admit(std::string_view kind) {
+        begin_second();
+        Count& count = count_of(kind);
+        if (written_ >= max_records_per_second || count.written >= max_records_of_a_kind_per_second) {
+            ++count.suppressed;
+            return false;
+        }
+        ++count.written;
+        ++written_;
+        return true;
+    }
+
+private:
+    static constexpr int max_records_per_second = 50;
+    static constexpr int max_records_of_a_kind_per_second = 10;
+    static constexpr std::size_t max_kinds = 32;  // further ones are counted as "others"
+
+    struct Count {
+        int written = 0, suppressed = 0;
+    };
+
+    void begin_second() {
+        const auto now = std::chrono::steady_clock::now();
+        if (now - second_began_at_ < std::chrono::seconds(1)) return;
+        for (const auto& [kind, count] : counts_)
+            if (count.suppressed > 0) report_suppressed(kind, count.suppressed);
+        second_began_at_ = now;
+        written_ = 0;
+        counts_.clear();
+    }
+
+    static void report_suppressed(const std::string& kind, int records) {
+        constexpr std::string_view name = "log_records_suppressed";
+        const std::initializer_list<Field> fields = {{"count", records}, {"suppressed_event", kind}};
+        if (current_format == Format::json)
+            return write_line(Level::warning, format_json(Level::warning, name, fields));
+        write_text(Level::warning, format_text(name, fields));
+    }
+
+    Count& count_of(std::string_view kind) {
+        const auto it = counts_.find(kind);
+        if (it != counts_.end()) return it->second;
+        return counts_[counts_.size() < max_kinds ? std::string(kind) : "others"];
+    }
+
+    std::chrono::steady_clock::time_point second_began_at_;
+    int written_ = 0;
+    std::map<std::string, Count, std::less<>> counts_;
+};
+
+bool admit(Level level, std::string_view kind) {
+    static RateLimit limit;
+    if (!shown(level)) return false;
+    return level == Level::debug || limit.admit(kind);
 }
 
-std::string sort_of(std::string_view name, std::initializer_list<Field> fields) {
-    std::string sort(name);
-    for (const Field& f : fields)
-        if (f.name == "reason") sort.append(" ").append(f.text);
-    return sort;
+std::string kind_of(std::string_view event, std::initializer_list<Field> fields) {
+    std::string kind(event);
+    for (const Field& field : fields)
+        if (field.name == "reason") kind.append(" ").append(field.text);
+    return kind;
 }
 
 }  // namespace
 
-void show(Level most) { out().set_level(levels[static_cast<int>(most)]); }
-void form(Form form) { form_now = form; }
-void by(std::string name) { name_now = std::move(name); }
-bool shown(Level level) { return out().should_log(levels[static_cast<int>(level)]); }
-
-void write(Level level, std::string_view text) {
-    if (level != Level::debug) flight_recorder::note(text);
-    if (!wanted(level, text.substr(0, text.find(':')))) return;
-    if (form_now == Form::json) return put(level, json_of(level, "remark", {{"text", text}}));
-    put(level, std::string(names[static_cast<int>(level)]).append(": ").append(text));
-}
+void set_level(Level highest) { logger().set_level(spdlog_level(highest)); }
+void set_format(Format format) { current_format = format; }
+void set_process_name(std::string name) { process_name = std::move(name); }
+bool shown(Level level) { return logger().should_log(spdlog_level(level)); }
 
 void event(Level level, std::string_view name, std::initializer_list<Field> fields) {
-    const std::string line = line_of(name, fields);
+    const std::string line = format_text(name, fields);
     if (level != Level::debug) flight_recorder::note(line);
-    if (!wanted(level, sort_of(name, fields))) return;
-    if (form_now == Form::json) return put(level, json_of(level, name, fields));
-    put(level, std::string(names[static_cast<int>(level)]).append(": ").append(line));
+    if (!admit(level, kind_of(name, fields))) return;
+    if (current_format == Format::json) return write_line(level, format_json(level, name, fields));
+    write_text(level, line);
+}
+
+void write(Level level, std::string_view text) {
+    if (level != Level::debug) flight_recorder::note(text);
+    if (!admit(level, text.substr(0, text.find(':')))) return;
+    if (current_format == Format::json)
+        return write_line(level, format_json(level, "remark", {{"text", text}}));
+    write_text(level, text);
 }
 
 }  // namespace irismux::log
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -1,10 +1,9 @@
-// Records to standard error behind a level filter, on spdlog; bounded whatever happens: so many lines a
-// second in all, and fewer of one sort, so that a flood of one does not hide the others. What is left out is
-// counted by sort. Each record, also one that is left out, is noted in the flight recorder.
+// The log: events on standard error, by spdlog, as text or JSON.
 //
-// One record an event: its name and named fields, as text or as a line of JSON. What belongs together carries
-// the same id in the same field (`lookup`, `duty`, `cache`), in the records of every process, so that one
-// lookup or duty can be followed through all of them; `by` says whose record it is, once that has been told.
+// An event is a name in snake_case with named fields. Records that belong together have the same id in the
+// same field (`request_id`, `duty`, `cache`), in the logs of all processes. Records of error, warning and
+// info are limited per second, in all and per event, so that a flood of one event does not hide others; those
+// suppressed are counted by event. Each of them, suppressed or not, is also noted in the flight recorder.
 #pragma once
 
 #include <concepts>
@@ -15,24 +14,29 @@
 namespace irismux::log {
 
 enum class Level { error, warning, info, debug };
-enum class Form { text, json };
+enum class Format { text, json };
 
-void show(Level most);
-void form(Form form);
-void by(std::string name);  // of JSON records, from now on; text is read beside its process
-bool shown(Level level);
-
-// A remark in plain words. Its sort is its text up to the first colon.
-void write(Level level, std::string_view text);
+/// Records above that level are not written. At the start: info.
+void set_level(Level highest);
+void set_format(Format format);
+/// The process named in JSON records, in the field `by`.
+void set_process_name(std::string name);
+/// Whether records of that level are written.
+[[nodiscard]] bool shown(Level level);
 
 struct Field {
     std::string_view name;
     std::string text;
-    bool number = false;
-    Field(std::string_view n, std::string_view v) : name(n), text(v) {}
-    Field(std::string_view n, std::integral auto v) : name(n), text(std::to_string(v)), number(true) {}
+    bool is_number = false;
+    Field(std::string_view field_name, std::string_view value) : name(field_name), text(value) {}
+    Field(std::string_view field_name, std::integral auto value)
+        : name(field_name), text(std::to_string(value)), is_number(true) {}
 };
-// Its sort is its name, with the text of its field `reason` where it has one.
+
+/// Writes a record. The limit per second counts events of one name, and of one `reason` if there is one.
 void event(Level level, std::string_view name, std::initializer_list<Field> fields);
 
+/// Writes a line of prose. The limit per second counts lines with the same text up to the first colon.
+void write(Level level, std::string_view text);
+
 }  // namespace irismux::log
--- a/src/gateway/configuration.cpp
+++ b/src/gateway/configuration.cpp
@@ -10,8 +10,8 @@
 Configuration read_configuration(const std::string& path) {
     const auto text = read_file(path);
     if (const auto* error = std::get_if<FileError>(&text)) {
-        const std::string why = "cannot read the configuration " + path + ": " + error->text();
-        if (error->passes()) throw TransientError(why);
+        const std::string why = "cannot read the configuration " + path + ": " + error->message();
+        if (error->is_transient()) throw TransientError(why);
         bad(why);
     }
     json all;
--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -69,7 +69,7 @@
 bool read_level(std::string_view said) {
     constexpr std::string_view json = ":json";
     if (said.size() > json.size() && said.substr(said.size() - json.size()) == json) {
-        log::form(log::Form::json);
+        log::set_format(log::Format::json);
         said.remove_suffix(json.size());
     }
     constexpr std::pair<const char*, log::Level> levels[] = {{"error", log::Level::error},
@@ -77,7 +77,7 @@
                                                              {"info", log::Level::info},
                                                              {"debug", log::Level::debug}};
     for (const auto& [name, level] : levels)
-        if (said == name) return log::show(level), true;
+        if (said == name) return log::set_level(level), true;
     return false;
 }
 
@@ -186,7 +186,7 @@
     try {
         Configuration configuration =
             try_until_it_passes([&] { return read_configuration(files.configuration); });
-        log::by(configuration.name);
+        log::set_process_name(configuration.name);
         if (const char* listen = std::getenv("NODE_LISTEN")) configuration.listen = listen;
         std::optional<EventLoop> loop;
         make_loop(loop);
--- a/tests/cache_connection_pool_test.cpp
+++ b/tests/cache_connection_pool_test.cpp
@@ -32,7 +32,7 @@
     std::function<bool(Poco::Net::StreamSocket&)> accepted = [](auto&) { return true; };
 
     explicit CachesDay(std::size_t links, int backlog = 64) {
-        log::show(log::Level::error);
+        log::set_level(log::Level::error);
         then = [this](StandInConnection& w, const std::string& id) { say(w, id, "NONE", "-", ""); };
         std::vector<std::pair<EndpointUpdate, std::string>> lines;
         for (const char* id : {"e1", "e2"}) {
--- a/tests/fatal_signal_test.cpp
+++ b/tests/fatal_signal_test.cpp
@@ -1,4 +1,4 @@
-// A process that dies by a signal says so, with what happened last.
+// A process ended by a fatal signal prints it, with the last events.
 #include <csignal>
 
 #include "single_process_fixture.hpp"
@@ -8,17 +8,19 @@
 
 class FatalSignal : public ::testing::TestWithParam<int> {};
 
-TEST_P(FatalSignal, IsToldWithTheLastEvents) {
-    stand_ins::SingleProcess solo(answering(solo_shape(1)));
-    const auto client = solo.connect_client();
+// Given: a process that has answered a request. When: a fatal signal ends it. Then: its log has the signal,
+// and the request's events with the time since.
+TEST_P(FatalSignal, IsPrintedWithTheLastEvents) {
+    stand_ins::SingleProcess gateway(answering(solo_shape(1)));
+    const auto client = gateway.connect_client();
     client->send(1, {.id = id_of(1)});
-    ASSERT_TRUE(solo.until([&] { return client->has_response(1); }));
-    solo.process->signal(GetParam());
-    ASSERT_TRUE(solo.until([&] { return !solo.process->running(); }));
-    EXPECT_FALSE(solo.process->left());
-    EXPECT_TRUE(solo.logged("fatal: signal " + std::to_string(GetParam()))) << solo.log_tail();
-    EXPECT_TRUE(solo.logged("us before: taken 1 1")) << solo.log_tail();
-    EXPECT_TRUE(solo.logged("us before: answered 1 1")) << solo.log_tail();
+    ASSERT_TRUE(gateway.until([&] { return client->has_response(1); }));
+    gateway.process->signal(GetParam());
+    ASSERT_TRUE(gateway.until([&] { return !gateway.process->running(); }));
+    EXPECT_FALSE(gateway.process->left());
+    EXPECT_TRUE(gateway.logged("fatal: signal " + std::to_string(GetParam()))) << gateway.log_tail();
+    EXPECT_TRUE(gateway.logged("us before: taken 1 1")) << gateway.log_tail();
+    EXPECT_TRUE(gateway.logged("us before: answered 1 1")) << gateway.log_tail();
 }
 
 INSTANTIATE_TEST_SUITE_P(Signals, FatalSignal, ::testing::Values(SIGSEGV, SIGABRT, SIGBUS));
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -407,7 +407,7 @@
 class WithRegistry : public ::testing::TestWithParam<const char*> {};
 
 TEST_P(WithRegistry, TheRulesHoldAndTheDrainArrives) {
-    log::show(log::Level::error);
+    log::set_level(log::Level::error);
     const std::string what = GetParam();
     Day day(77);
     day.trouble = [&](stand_ins::RegistryStandIn& r, bool drained) {
@@ -442,7 +442,7 @@
     bool hold_on = false;  // answers nobody
 
     FrontDay() {
-        log::show(log::Level::error);
+        log::set_level(log::Level::error);
         {
             Poco::Net::ServerSocket free(Poco::Net::SocketAddress("127.0.0.1:0"));
             at = free.address().toString();
@@ -675,7 +675,7 @@
 }
 
 TEST(Gateway, KeepsTheRulesWhenCachesAndBoardFail) {
-    log::show(log::Level::error);
+    log::set_level(log::Level::error);
     for (const std::uint32_t seed : {1u, 2u, 3u}) {
         Day day(seed);
         day.play(300);
--- a/tests/long_notice_answer_test.cpp
+++ b/tests/long_notice_answer_test.cpp
@@ -83,7 +83,7 @@
     }
     void run() { run_for(Duration::seconds(5)); }
     void run_for(Duration most) {
-        log::show(log::Level::error);
+        log::set_level(log::Level::error);
         board.poll();
         loop.schedule_at(loop.now() + most, [this] { loop.stop(); });
         loop.run();
@@ -303,7 +303,7 @@
 // Guards against a loop that is woken in each of its turns by a poll that the board holds: the program took a
 // whole core at rest. One purge has come, so that the connection has read an answer before.
 TEST(LongAnswer, OnceReadLeavesTheLoopAtRestWhileTheNextPollIsHeld) {
-    log::show(log::Level::error);
+    log::set_level(log::Level::error);
     EventLoop loop;
     PurgeLedger ledger;
     BoardStandIn stand_in(loop);
--- a/tests/notice_client_test.cpp
+++ b/tests/notice_client_test.cpp
@@ -23,7 +23,7 @@
 // An answer that breaks off is asked for again at once; an event that can't be read once more, and then the
 // others go on without it; and after a move the numbers go on.
 TEST(Board, LosesNoEvent) {
-    log::show(log::Level::error);
+    log::set_level(log::Level::error);
     EventLoop loop;
     Hears hears;
     BoardStandIn one(loop), other(loop);
@@ -73,7 +73,7 @@
     NoticeClient board{loop, hears, one.accepts.address(), pause};
     // How long it took.
     Duration run() {
-        log::show(log::Level::error);
+        log::set_level(log::Level::error);
         const TimePoint from = loop.now();
         board.poll();
         loop.schedule_at(from + Duration::seconds(5), [this] { loop.stop(); });
--- a/tests/registry_client_test.cpp
+++ b/tests/registry_client_test.cpp
@@ -27,7 +27,7 @@
     std::vector<WatchWarning> warnings;
     stand_ins::Intervals intervals{loop};  // the last: nothing of the above may go while the loop runs
 
-    void SetUp() override { log::show(log::Level::error); }
+    void SetUp() override { log::set_level(log::Level::error); }
     void begin(std::size_t members = 3, const std::string& user = "", const std::string& password = "") {
         registry = std::make_unique<stand_ins::RegistryStandIn>(loop, members, ms * 20);
         for (const char* id : {"c1", "c2", "c3"}) put(id, "Ready");
