--- a/sim/simulator_host.cpp
+++ b/sim/simulator_host.cpp
@@ -36,7 +36,7 @@
     l.machine_type = MachineType{get_or<std::string>(e, "type", "")};
     l.cell = CellId{get_or<std::int64_t>(e, "group", 0)};
     l.weight = get_or(e, "nominal", 1.0);
-    l.status = word(get<std::string>(e, "mode"), "mode", phases);
+    l.status = parse_enum(get<std::string>(e, "mode"), "mode", phases);
     l.started_at = TimePoint::at_seconds(get_or(e, "startedAtS", 0.0));
     return l;
 }
@@ -103,9 +103,9 @@
     json reply_to(const json& batch) {
         const TimePoint now = TimePoint::at_seconds(get<double>(batch, "clockS"));
         json all = json::array();
-        for (const json& g : list_of(batch, "gateways")) {
+        for (const json& g : get_array(batch, "gateways")) {
             const std::string name = get<std::string>(g, "gatewayId");
-            for (const json& item : list_of(g, "items")) take(now, name, item);
+            for (const json& item : get_array(g, "items")) take(now, name, item);
             const auto it = instances_.find(name);
             if (it == instances_.end() || it->second->port.outbox.empty()) continue;
             all.push_back({{"gatewayId", name}, {"outbox", std::move(it->second->port.outbox)}});
@@ -124,7 +124,7 @@
             return;
         }
         const auto it = instances_.find(name);
-        if (it == instances_.end()) bad("'" + t + "' for '" + name + "', which is not running");
+        if (it == instances_.end()) throw_parse_error("'" + t + "' for '" + name + "', which is not running");
         Instance& in = *it->second;
         Router& router = *in.router;
         if (t == "Ingress") {
@@ -141,12 +141,12 @@
             std::optional<ObjectName> object;
             if (const auto key = get_or<std::string>(item, "contentId", ""); !key.empty())
                 object = ObjectName{key};
-            router.on_purge(now, span_of(item, "ageS"), PurgeGroupId{get_or<std::int64_t>(item, "setNo", 0)},
-                            object);
+            router.on_purge(now, get_duration(item, "ageS"),
+                            PurgeGroupId{get_or<std::int64_t>(item, "setNo", 0)}, object);
         } else if (t == "ClientGone") {
             client_gone(now, in, item);
         } else if (!is_ignored(t)) {
-            bad("unknown message '" + t + "'");
+            throw_parse_error("unknown message '" + t + "'");
         }
     }
 
@@ -171,7 +171,7 @@
 
     void open(TimePoint now, const std::string& name, const json& item) {
         auto in = std::make_unique<Instance>();
-        DeploymentSettings r = read_deployment(need(item, "setup"));
+        DeploymentSettings r = read_deployment(require(item, "setup"));
         in->kind_places = std::move(r.kind_indexes);
         in->router.emplace(in->port, r.deployment, get<std::uint64_t>(item, "seed"), now);
         instances_[name] = std::move(in);
@@ -179,17 +179,18 @@
 
     void read_ledger(const json& item) {
         std::vector<EndpointUpdate> lines;
-        for (const json& e : list_of(item, "elements")) lines.push_back(read_listing(e));
+        for (const json& e : get_array(item, "elements")) lines.push_back(read_listing(e));
         ledgers_[get_or<std::int64_t>(item, "ref", 0)] = std::move(lines);
     }
 
     void view(TimePoint now, Router& router, const json& item) {
         const std::string how = get<std::string>(item, "how");
         if (how == "lost") return router.on_endpoint_updates_lost(now);
-        if (how != "incr" && how != "total" && how != "warm_copy") bad("unknown kind of list '" + how + "'");
+        if (how != "incr" && how != "total" && how != "warm_copy")
+            throw_parse_error("unknown kind of list '" + how + "'");
         const auto number = get_or<std::int64_t>(item, "ref", 0);
         const auto it = ledgers_.find(number);
-        if (it == ledgers_.end()) bad("unknown list number " + std::to_string(number));
+        if (it == ledgers_.end()) throw_parse_error("unknown list number " + std::to_string(number));
         router.on_endpoint_updates(now, it->second, how != "incr");
     }
 
@@ -197,7 +198,7 @@
         Request a;
         const std::string kind = get<std::string>(item, "kind");
         const auto place = in.kind_places.find(kind);
-        if (place == in.kind_places.end()) bad("unknown kind '" + kind + "'");
+        if (place == in.kind_places.end()) throw_parse_error("unknown kind '" + kind + "'");
         a.id = in.port.lookups.begin(get<std::string>(item, "xid"));
         a.kind = place->second;
         a.object = ObjectName{get_or<std::string>(item, "contentId", "")};
@@ -214,13 +215,13 @@
         a.request = id;
         a.attempt = AttemptIndex{get_or<std::size_t>(item, "trial", 0)};
         a.cache = CacheId{get<std::string>(item, "cache")};
-        a.outcome = word(get<std::string>(item, "verdict"), "verdict", outcomes);
+        a.outcome = parse_enum(get<std::string>(item, "verdict"), "verdict", outcomes);
         const int note = get_or(item, "remark", 0);
         a.cache_status = note >= 0 && note <= static_cast<int>(CacheStatus::origin_failed)
                              ? static_cast<CacheStatus>(note)
                              : CacheStatus::none;
-        a.elapsed = span_of(item, "timeTakenS");
-        a.fill_wait = span_of(item, "fillWaitS");
+        a.elapsed = get_duration(item, "timeTakenS");
+        a.fill_wait = get_duration(item, "fillWaitS");
         a.request_finished = get_or(item, "last", false);
         return a;
     }
--- a/src/base/json_reader.hpp
+++ b/src/base/json_reader.hpp
@@ -1,4 +1,4 @@
-// Reading JSON with plain words for what is wrong.
+// Reads fields of JSON objects. These functions throw ParseError with one line for an operator.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -13,54 +13,70 @@
 
 using nlohmann::json;
 
-// What went wrong may go right before long: the same is worth trying again.
+/// The input is not as it should be.
+class ParseError : public std::runtime_error {
+public:
+    using std::runtime_error::runtime_error;
+};
+
+/// The input cannot be read at present; another attempt may succeed soon.
 class TransientError : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
 };
 
-[[noreturn]] inline void bad(const std::string& what) { throw std::runtime_error(what); }
+[[noreturn]] inline void throw_parse_error(const std::string& message) { throw ParseError(message); }
 
-inline const json& need(const json& o, const char* key) {
-    if (!o.is_object()) bad(std::string("expected an object that holds '") + key + "'");
-    const auto it = o.find(key);
-    if (it == o.end() || it->is_null()) bad(std::string("missing field '") + key + "'");
+/// The field with that name, which must be there and not null.
+inline const json& require(const json& object, const char* key) {
+    if (!object.is_object()) throw_parse_error(std::string("expected an object that holds '") + key + "'");
+    const auto it = object.find(key);
+    if (it == object.end() || it->is_null()) throw_parse_error(std::string("missing field '") + key + "'");
     return *it;
 }
 
+/// A boolean, a number or text that must be there.
 template <class T>
-T get(const json& o, const char* key) {
-    const json& v = need(o, key);
+T get(const json& object, const char* key) {
+    const json& value = require(object, key);
+    const auto fail = [&](const char* problem) {
+        throw_parse_error(std::string("field '") + key + "' " + problem);
+    };
     if constexpr (std::is_same_v<T, bool>) {
-        if (!v.is_boolean()) bad(std::string("field '") + key + "' is not true or false");
+        if (!value.is_boolean()) fail("is not true or false");
     } else if constexpr (std::is_arithmetic_v<T>) {
-        if (!v.is_number()) bad(std::string("field '") + key + "' is not a number");
-    } else if (!v.is_string()) {
-        bad(std::string("field '") + key + "' is not text");
+        if (!value.is_number()) fail("is not a number");
+    } else if (!value.is_string()) {
+        fail("is not text");
     }
-    return v.get<T>();
+    return value.get<T>();
 }
 
 template <class T>
-T get_or(const json& o, const char* key, T other) {
-    const auto it = o.find(key);
-    return it == o.end() || it->is_null() ? other : get<T>(o, key);
+T get_or(const json& object, const char* key, T fallback) {
+    const auto it = object.find(key);
+    return it == object.end() || it->is_null() ? fallback : get<T>(object, key);
 }
 
-inline Duration span_of(const json& o, const char* key) { return Duration::seconds(get_or(o, key, 0.0)); }
+/// Seconds; zero if the field is not there.
+inline Duration get_duration(const json& object, const char* key) {
+    return Duration::seconds(get_or(object, key, 0.0));
+}
 
-inline const json& list_of(const json& o, const char* key) {
-    const json& v = need(o, key);
-    if (!v.is_array()) bad(std::string("field '") + key + "' is not a list");
-    return v;
+/// An array that must be there.
+inline const json& get_array(const json& object, const char* key) {
+    const json& value = require(object, key);
+    if (!value.is_array()) throw_parse_error(std::string("field '") + key + "' is not a list");
+    return value;
 }
 
-// A value that stands in a table of words; an unknown word is an error.
+/// The value with that name in a table.
+/// @param what what the text is, for the error message.
 template <class T, std::size_t N>
-T word(const std::string& said, const char* what, const std::pair<const char*, T> (&known)[N]) {
-    for (const auto& [name, value] : known)
-        if (said == name) return value;
-    bad(std::string("unknown ") + what + " '" + said + "'");
+T parse_enum(const std::string& text, const char* what, const std::pair<const char*, T> (&names)[N]) {
+    for (const auto& [name, value] : names)
+        if (text == name) return value;
+    throw_parse_error(std::string("unknown ") + what + " '" + text + "'");
 }
 
 }  // namespace irismux
--- a/src/codec/notice_reader.cpp
+++ b/src/codec/notice_reader.cpp
@@ -18,7 +18,7 @@
     Notice notice;
     notice.revision = answer_revision;
     try {
-        if (!content.is_object()) bad("an event that is not an object");
+        if (!content.is_object()) throw_parse_error("an event that is not an object");
         notice.numbered = content.contains("rev");
         notice.revision = get_or(content, "rev", answer_revision);
     } catch (const std::exception& e) {
--- a/src/endpoint/endpoint_record.cpp
+++ b/src/endpoint/endpoint_record.cpp
@@ -27,7 +27,7 @@
     l.machine_type = MachineType{get_or<std::string>(e, "kind", "")};
     l.cell = CellId{get_or<std::int64_t>(e, "cell", 0)};
     l.weight = get_or(e, "weight", 1.0);
-    l.status = word(get<std::string>(e, "state"), "state", phases);
+    l.status = parse_enum(get<std::string>(e, "state"), "state", phases);
     l.started_at = time_from_unix_ms(get_or<std::int64_t>(e, "started_ms", 0));
     return {l, get_or<std::string>(e, "addr", "")};
 }
--- a/src/gateway/deployment_reader.cpp
+++ b/src/gateway/deployment_reader.cpp
@@ -35,11 +35,11 @@
     Deployment& d = r.deployment;
     const json none = json::object();
     const json& special = s.contains("specifics") ? s.at("specifics") : none;
-    const json& limits = need(s, "ceilings");
-    const json& safety = need(s, "safety");
+    const json& limits = require(s, "ceilings");
+    const json& safety = require(s, "safety");
     d.gateways = get_or(s, "balancers", 1);
     d.location = LocationId{get_or<std::string>(s, "zone", "")};
-    const json& zones = list_of(s, "dcs");
+    const json& zones = get_array(s, "dcs");
     d.locations = 0;
     for (std::size_t z = 0; z < zones.size(); ++z) {
         const int here = nth_or(special, "zoneBalancers", z, 0);
@@ -50,13 +50,13 @@
         d.gateways_in_location = here;
         d.location_link_capacity_kb_per_s = pipe;
     }
-    const json& lanes = list_of(s, "lanes");
+    const json& lanes = get_array(s, "lanes");
     for (std::size_t n = 0; n < lanes.size(); ++n) {
         const json& lane = lanes[n];
         ObjectKind k;
-        k.effect = word(get<std::string>(lane, "effect"), "effect", effects);
-        k.dedup_scope = word(get_or<std::string>(lane, "group", "all"), "group", groups);
-        k.dedup_window = span_of(lane, "windowS");
+        k.effect = parse_enum(get<std::string>(lane, "effect"), "effect", effects);
+        k.dedup_scope = parse_enum(get_or<std::string>(lane, "group", "all"), "group", groups);
+        k.dedup_window = get_duration(lane, "windowS");
         k.latency_objective = Duration::seconds(get<double>(lane, "aimS"));
         k.latency_objective_stretch = get_or(lane, "aimStretch", 0.0);
         k.deadline = Duration::seconds(get<double>(lane, "hardLimitS"));
@@ -69,7 +69,7 @@
         d.kinds.push_back(k);
         r.kind_indexes.emplace(get<std::string>(lane, "name"), ObjectKindIndex{n});
     }
-    const json& machines = list_of(s, "kinds");
+    const json& machines = get_array(s, "kinds");
     d.parent_machine = machine_at(machines, get_or<std::int64_t>(special, "secondTierKind", -1));
     d.origin_machine = machine_at(machines, get_or<std::int64_t>(special, "originKind", -1));
     d.capabilities.cancellation = get_or(limits, "cancel", false);
@@ -79,23 +79,23 @@
     d.capabilities.direct_attempts = get_or(special, "passThroughOk", false);
     d.capabilities.coalescing = get_or(special, "canJoin", false);
     d.capabilities.siblings =
-        word(get_or<std::string>(special, "neighbours", "off"), "neighbours", sibling_words);
-    d.capabilities.cache_status = word(get_or<std::string>(special, "says", "off"), "says", note_words);
+        parse_enum(get_or<std::string>(special, "neighbours", "off"), "neighbours", sibling_words);
+    d.capabilities.cache_status = parse_enum(get_or<std::string>(special, "says", "off"), "says", note_words);
     d.capabilities.max_attempts = get_or(limits, "attemptsCap", 1);
-    d.capabilities.max_retry_after = span_of(limits, "maxRetryAfterS");
+    d.capabilities.max_retry_after = get_duration(limits, "maxRetryAfterS");
     d.subscribe_to_endpoints = get_or<std::string>(s, "discovery", "pushed") == "on_request";
     d.weights_known = get_or<std::string>(s, "weightSource", "off") != "off";
-    d.edge_slow_start = {get_or(safety, "coldFrom", 1.0), span_of(safety, "coldS"),
+    d.edge_slow_start = {get_or(safety, "coldFrom", 1.0), get_duration(safety, "coldS"),
                          get_or(safety, "fallMultiple", 1.0)};
-    d.parent_slow_start = {get_or(special, "parentFloor", 1.0), span_of(special, "upperColdS"),
+    d.parent_slow_start = {get_or(special, "parentFloor", 1.0), get_duration(special, "upperColdS"),
                            get_or(special, "parentBreaksAt", 1.0)};
     d.origin_stops_when_overloaded = get_or(special, "rootFallMultiple", 0.0) > 0;
-    d.overload_window = span_of(safety, "fallS");
-    d.drain_grace_period = span_of(safety, "drainGraceS");
-    d.purge_grace_period = span_of(special, "purgeGraceS");
-    d.purge_retention = span_of(special, "purgeDoneS");
-    d.timer_resolution = span_of(s, "tickS");
-    d.connections = {span_of(limits, "connectTimeoutS"), span_of(limits, "connIdleS"),
+    d.overload_window = get_duration(safety, "fallS");
+    d.drain_grace_period = get_duration(safety, "drainGraceS");
+    d.purge_grace_period = get_duration(special, "purgeGraceS");
+    d.purge_retention = get_duration(special, "purgeDoneS");
+    d.timer_resolution = get_duration(s, "tickS");
+    d.connections = {get_duration(limits, "connectTimeoutS"), get_duration(limits, "connIdleS"),
                      std::max(1, get_or(limits, "streamsPerConn", 1))};
     d.max_pending_requests = get_or(limits, "maxOpen", 0);
     d.transfer_rate_kb_per_s = get_or(special, "oneFlowKbPerS", 0.0);
--- a/src/net/notice_client.cpp
+++ b/src/net/notice_client.cpp
@@ -267,7 +267,7 @@
     history_ = std::max(history_, last);
     history_known_at_ = event_loop_.now();
     find_newest(known);
-    for (const json& event : list_of(known, "notices")) {
+    for (const json& event : get_array(known, "notices")) {
         const Notice notice = notice_of(event, last);
         if (!apply(notice)) apply(notice);
     }
@@ -294,11 +294,11 @@
     const auto count = [](TimePoint& newest, std::int64_t ms) {
         newest = std::max(newest, time_from_unix_ms(ms));
     };
-    for (const json& event : list_of(known, "notices")) try {
+    for (const json& event : get_array(known, "notices")) try {
             if (const auto flush = event.find("flush"); flush != event.end())
                 count(newest_purge, get<std::int64_t>(*flush, "ms"));
             if (const auto pool = event.find("pool"); pool != event.end())
-                for (const json& line : list_of(*pool, "servers"))
+                for (const json& line : get_array(*pool, "servers"))
                     count(newest_start, get_or<std::int64_t>(line, "started_ms", 0));
         } catch (const std::exception&) {
             continue;
@@ -331,7 +331,7 @@
 
 void NoticeClient::deliver_list(const json& pool) {
     std::vector<EndpointRecord> lines;
-    for (const json& line : list_of(pool, "servers")) {
+    for (const json& line : get_array(pool, "servers")) {
         lines.push_back(parse_endpoint_record(line));
         EndpointUpdate& listing = lines.back().first;
         listing.started_at = times_.start(listing.cache, listing.started_at);
--- a/src/registry/endpoint_snapshot.cpp
+++ b/src/registry/endpoint_snapshot.cpp
@@ -34,7 +34,7 @@
     snapshot.as_of = TimePoint{} + Duration::micros(get<std::int64_t>(content, "as_of_us"));
     if (snapshot.as_of > now) return SnapshotError::from_future;
     if (now - snapshot.as_of > max_age) return SnapshotError::too_old;
-    for (const json& fields : list_of(content, "records")) snapshot.records.push_back(parse_record(fields));
+    for (const json& fields : get_array(content, "records")) snapshot.records.push_back(parse_record(fields));
     return snapshot;
 }
 
--- a/src/registry/etcd_codec.cpp
+++ b/src/registry/etcd_codec.cpp
@@ -80,7 +80,7 @@
     Poco::Base64Decoder decoder(in);
     std::string bytes(text.size(), '\0');
     decoder.read(bytes.data(), static_cast<std::streamsize>(bytes.size()));
-    if (decoder.bad()) bad("bytes that are no base64");
+    if (decoder.bad()) throw_parse_error("bytes that are no base64");
     bytes.resize(static_cast<std::size_t>(decoder.gcount()));
     return bytes;
 }
@@ -90,18 +90,18 @@
     const auto it = object.find(key);
     if (it == object.end() || it->is_null()) return 0;
     if (it->is_number_integer()) return it->get<std::int64_t>();
-    if (!it->is_string()) bad(std::string("field '") + key + "' is not a number");
+    if (!it->is_string()) throw_parse_error(std::string("field '") + key + "' is not a number");
     const auto& text = it->get_ref<const std::string&>();
     std::int64_t number = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
     if (error != std::errc{} || end != text.data() + text.size())
-        bad(std::string("field '") + key + "' is not a number");
+        throw_parse_error(std::string("field '") + key + "' is not a number");
     return number;
 }
 
 ReplyHeader parse_header(const json& reply) {
-    const json& fields = need(reply, "header");
-    if (!fields.is_object()) bad("field 'header' is not an object");
+    const json& fields = require(reply, "header");
+    if (!fields.is_object()) throw_parse_error("field 'header' is not an object");
     const auto cluster = fields.find("cluster_id");
     ReplyHeader header;
     if (cluster != fields.end() && cluster->is_string())
@@ -112,7 +112,7 @@
 
 Record parse_record(const json& key_value, const std::string& prefix) {
     const std::string key = decode_base64(irismux::get<std::string>(key_value, "key"));
-    if (key.compare(0, prefix.size(), prefix) != 0) bad("a key outside the prefix");
+    if (key.compare(0, prefix.size(), prefix) != 0) throw_parse_error("a key outside the prefix");
     return {RecordKey{key.substr(prefix.size())}, decode_base64(get_or<std::string>(key_value, "value", "")),
             Revision{parse_number(key_value, "create_revision")},
             Revision{parse_number(key_value, "mod_revision")}};
@@ -122,17 +122,17 @@
 std::vector<json> key_values_of_transaction(const json& reply) {
     std::vector<json> found;
     if (!reply.contains("responses")) return found;
-    for (const json& response : list_of(reply, "responses")) {
+    for (const json& response : get_array(reply, "responses")) {
         if (!response.contains("response_range") || !response["response_range"].contains("kvs")) continue;
-        for (const json& key_value : list_of(response["response_range"], "kvs")) found.push_back(key_value);
+        for (const json& key_value : get_array(response["response_range"], "kvs")) found.push_back(key_value);
     }
     return found;
 }
 
 Change parse_change(const json& event, const std::string& prefix) {
     const std::string type = get_or<std::string>(event, "type", "PUT");
-    if (type != "PUT" && type != "DELETE") bad("an event that is neither PUT nor DELETE");
-    return {parse_record(need(event, "kv"), prefix), type == "DELETE"};
+    if (type != "PUT" && type != "DELETE") throw_parse_error("an event that is neither PUT nor DELETE");
+    return {parse_record(require(event, "kv"), prefix), type == "DELETE"};
 }
 
 // --- errors
@@ -275,7 +275,7 @@
         range.page.header = parse_header(reply);
         range.page.more = get_or(reply, "more", false);
         if (reply.contains("kvs"))
-            for (const json& key_value : list_of(reply, "kvs"))
+            for (const json& key_value : get_array(reply, "kvs"))
                 range.page.records.push_back(parse_record(key_value, prefix));
         range.count = static_cast<std::size_t>(std::max<std::int64_t>(0, parse_number(reply, "count")));
         return range;
@@ -284,7 +284,7 @@
 
 ReadResult<WatchMessage> read_watch(std::string_view message, const std::string& prefix) {
     return read_reply<WatchMessage>(http_ok, message, [&](const json& reply) -> ReadResult<WatchMessage> {
-        const json& result = need(reply, "result");
+        const json& result = require(reply, "result");
         WatchMessage update;
         update.header = parse_header(result);
         update.created = get_or(result, "created", false);
@@ -293,7 +293,7 @@
         if (update.canceled && parse_number(result, "compact_revision") > 0)
             return make_error(ErrorCode::compacted, "the revision to watch from has been compacted");
         if (result.contains("events"))
-            for (const json& event : list_of(result, "events"))
+            for (const json& event : get_array(result, "events"))
                 update.changes.push_back(parse_change(event, prefix));
         return update;
     });
