--- a/tests/registry_client_test.cpp
+++ b/tests/registry_client_test.cpp
@@ -266,76 +266,99 @@
     EXPECT_LE(registry->ledger.checks, 2);
 }
 
-// Given: members that drop connections, compact, lag, garble and send fragments, drawn from a seed. When:
-// the faults end. Then: the client has the newest list.
-TEST_F(RegistryClientOnSockets, ManyFaultsAtOnceEndInTheNewestList) {
-    for (std::uint32_t seed = 1; seed <= 6; ++seed) {
-        SCOPED_TRACE(seed);
+class RegistryClientUnderRandomFaults : public RegistryClientOnSockets {
+protected:
+    static constexpr std::size_t members = 3;
+    std::ranlux24_base random;
+    int steps_left = 0;
+
+    int draw(int below) { return static_cast<int>(random() % static_cast<unsigned>(below)); }
+
+    void change_a_record() {
+        const std::string id = "c" + std::to_string(draw(9));
+        if (draw(3) == 0)
+            registry->model.erase(prefix + id);
+        else
+            put(id, draw(2) ? "Ready" : "Terminating");
+        if (draw(3) == 0) registry->model.compact(registry->model.newest());
+    }
+    void make_a_fault(std::size_t member) {
+        stand_ins::RegistryStandIn::Faults& faults = registry->faults(member);
+        switch (draw(10)) {
+            case 0:
+                return registry->break_connections(member);
+            case 1:
+                faults.cut = true;
+                return;
+            case 2:
+                faults.garble = true;
+                return;
+            case 3:
+                faults.lag = draw(4);
+                return;
+            case 4:
+                faults.fragment = draw(3);
+                return;
+            case 5:
+                faults.silent = !faults.silent;
+                return;
+            case 6:
+                return draw(2) ? registry->down(member) : registry->up(member);
+            default:
+                return;
+        }
+    }
+    void step() {
+        const auto member = static_cast<std::size_t>(draw(static_cast<int>(members)));
+        change_a_record();
+        make_a_fault(member);
+        registry->publish();
+        --steps_left;
+        if (steps_left > 0) loop.schedule_at(loop.now() + ms * (1 + draw(6)), [this] { step(); });
+    }
+    void run_steps(std::uint32_t seed) {
         endpoints.clear();
         client.reset();
-        begin();
-        std::ranlux24_base random(seed);
-        const auto draw = [&](int below) {
-            return static_cast<int>(random() % static_cast<unsigned>(below));
-        };
+        begin(members);
+        random.seed(seed);
         client->start();
-        int steps_left = 120;
-        const std::function<void()> fault_step = [&] {
-            const std::size_t m = static_cast<std::size_t>(draw(3));
-            stand_ins::RegistryStandIn::Faults& f = registry->faults(m);
-            const std::string id = "c" + std::to_string(draw(9));
-            if (draw(3) == 0)
-                registry->model.erase(prefix + id);
-            else
-                put(id, draw(2) ? "Ready" : "Terminating");
-            if (draw(3) == 0) registry->model.compact(registry->model.newest());
-            switch (draw(10)) {
-                case 0:
-                    registry->break_connections(m);
-                    break;
-                case 1:
-                    f.cut = true;
-                    break;
-                case 2:
-                    f.garble = true;
-                    break;
-                case 3:
-                    f.lag = draw(4);
-                    break;
-                case 4:
-                    f.fragment = draw(3);
-                    break;
-                case 5:
-                    f.silent = !f.silent;
-                    break;
-                case 6:
-                    draw(2) ? registry->down(m) : registry->up(m);
-                    break;
-                default:
-                    break;
-            }
-            registry->publish();
-            if (--steps_left > 0) loop.schedule_at(loop.now() + ms * (1 + draw(6)), fault_step);
-        };
-        loop.schedule_now(fault_step);
+        steps_left = 120;
+        loop.schedule_now([this] { step(); });
         ASSERT_TRUE(until([&] { return steps_left == 0; }));
-        for (std::size_t m = 0; m < 3; ++m) {
-            registry->faults(m) = {};
-            registry->up(m);
+    }
+    void end_faults() {
+        for (std::size_t member = 0; member < members; ++member) {
+            registry->faults(member) = {};
+            registry->up(member);
         }
-        EXPECT_TRUE(until([&] {
-            return client->watch().sync_state() == SyncState::following &&
-                   client->watch().view().revision() >= registry->model.newest();
-        }));
+    }
+    void expect_newest_list() const {
         const auto* state = registry->model.at(registry->model.newest());
         EXPECT_EQ(endpoints.size(), state->size());
-        for (const auto& [key, rec] : *state) {
-            const auto& entries = client->watch().view().entries();
+        const auto& entries = client->watch().view().entries();
+        for (const auto& [key, record] : *state) {
             const auto it = entries.find(RecordKey{key.raw().substr(prefix.size())});
             ASSERT_TRUE(it != entries.end()) << key.raw();
-            EXPECT_EQ(it->second.value, rec.value);
+            EXPECT_EQ(it->second.value, record.value);
         }
     }
+};
+
+// Given: members that drop connections, compact, lag, garble and send fragments, drawn from a seed. When:
+// the faults end. Then: the client has the newest list.
+TEST_F(RegistryClientUnderRandomFaults, EndsAtTheNewestList) {
+    for (std::uint32_t seed = 1; seed <= 6; ++seed) {
+        SCOPED_TRACE(seed);
+        run_steps(seed);
+        if (HasFatalFailure()) return;
+        end_faults();
+        EXPECT_TRUE(until([&] {
+            return client->watch().sync_state() == SyncState::following &&
+                   client->watch().view().revision() >= registry->model.newest();
+        }));
+        expect_newest_list();
+        if (HasFatalFailure()) return;
+    }
 }
 
 }  // namespace
--- a/tests/watch_harness.hpp
+++ b/tests/watch_harness.hpp
@@ -87,16 +87,19 @@
         return {registry.cluster(), registry.newest()};
     }
     Page page(const RegistryModel& registry, std::size_t max_records = 1000) const {
-        const Revision r = at == Revision{} ? registry.newest() : at;
+        return page_at(registry, at == Revision{} ? registry.newest() : at, max_records);
+    }
+    // The revision must not be compacted.
+    Page page_at(const RegistryModel& registry, Revision revision, std::size_t max_records) const {
         Page result;
-        result.header = {registry.cluster(), r};
-        for (const auto& [key, record_at] : *registry.at(r)) {
+        result.header = {registry.cluster(), revision};
+        for (const auto& [key, present] : *registry.at(revision)) {
             if (after && key <= *after) continue;
             if (result.records.size() == max_records) {
                 result.more = true;
                 return result;
             }
-            result.records.push_back(record_at);
+            result.records.push_back(present);
         }
         return result;
     }
--- a/tests/watch_random_test.cpp
+++ b/tests/watch_random_test.cpp
@@ -89,28 +89,27 @@
         return std::max(registry_.oldest(), Revision{registry_.newest().raw() - behind});
     }
     void reply(bool faults) {
-        const ReplyHeader from{registry_.cluster(), shown()};
-        if (harness_.pending_request == WatchHarness::Request::read_page) {
-            const Revision r = harness_.at == Revision{} ? shown() : harness_.at;
-            const RegistryModel::State* state = registry_.at(r);
-            if (!state) return harness_.watch.on_compacted(harness_.now);
-            Page p;
-            p.header = {registry_.cluster(), r};
-            const std::size_t most = static_cast<std::size_t>(1 + draw(6));
-            for (const auto& [key, rec] : *state) {
-                if (harness_.after && key <= *harness_.after) continue;
-                if (p.records.size() == most) {
-                    p.more = true;
-                    break;
-                }
-                p.records.push_back(rec);
-            }
-            return harness_.watch.on_page(harness_.now, p);
+        using Request = WatchHarness::Request;
+        switch (harness_.pending_request) {
+            case Request::read_page:
+                return reply_with_page();
+            case Request::check_revision:
+                return harness_.reply_to_check(registry_);
+            case Request::watch:
+                return reply_to_watch(faults);
+            case Request::none:
+                break;
         }
-        if (harness_.pending_request == WatchHarness::Request::check_revision)
-            return harness_.reply_to_check(registry_);
-        if (harness_.pending_request != WatchHarness::Request::watch) return;
-        harness_.watch.on_watch_opened(harness_.now, from);
+    }
+    void reply_with_page() {
+        const Revision revision = harness_.at == Revision{} ? shown() : harness_.at;
+        if (!registry_.at(revision)) return harness_.watch.on_compacted(harness_.now);
+        const std::size_t max_records = static_cast<std::size_t>(1 + draw(6));
+        harness_.watch.on_page(harness_.now, harness_.page_at(registry_, revision, max_records));
+    }
+    void reply_to_watch(bool faults) {
+        const ReplyHeader header{registry_.cluster(), shown()};
+        harness_.watch.on_watch_opened(harness_.now, header);
         if (harness_.pending_request != WatchHarness::Request::watch ||
             harness_.watch.sync_state() != SyncState::following)
             return;
@@ -118,19 +117,21 @@
         Revision next{std::max(harness_.at, Revision{harness_.watch.view().revision().raw() + 1})};
         if (faults && draw(4) == 0)
             next = Revision{std::max<std::int64_t>(2, next.raw() - draw(3))};  // repeats
-        if (next > from.revision) return harness_.watch.on_changes(harness_.now, from, {}, false);
-        const auto all = registry_.changes(next, from.revision);
-        if (!all) return harness_.watch.on_compacted(harness_.now);
-        if (all->empty()) return harness_.watch.on_changes(harness_.now, from, {}, false);
+        if (next > header.revision) return harness_.watch.on_changes(harness_.now, header, {}, false);
+        const auto changes = registry_.changes(next, header.revision);
+        if (!changes) return harness_.watch.on_compacted(harness_.now);
+        if (changes->empty()) return harness_.watch.on_changes(harness_.now, header, {}, false);
+        deliver_in_fragments(header, *changes, faults);
+    }
+    void deliver_in_fragments(const ReplyHeader& header, const std::vector<Change>& changes, bool faults) {
         std::size_t first = 0;
-        while (first < all->size()) {
-            const std::size_t part = std::min(all->size() - first, static_cast<std::size_t>(1 + draw(4)));
-            const bool fragment = first + part < all->size();
-            harness_.watch.on_changes(harness_.now, from,
-                                      {all->begin() + static_cast<std::ptrdiff_t>(first),
-                                       all->begin() + static_cast<std::ptrdiff_t>(first + part)},
-                                      fragment);
-            first += part;
+        while (first < changes.size()) {
+            const std::size_t size = std::min(changes.size() - first, static_cast<std::size_t>(1 + draw(4)));
+            const bool fragment = first + size < changes.size();
+            const auto begin = changes.begin() + static_cast<std::ptrdiff_t>(first);
+            harness_.watch.on_changes(harness_.now, header,
+                                      {begin, begin + static_cast<std::ptrdiff_t>(size)}, fragment);
+            first += size;
             if (fragment && faults && draw(6) == 0)
                 return harness_.watch.on_request_failed(harness_.now,
                                                         {RequestFailureReason::connection_lost, {}});
