--- a/src/fleet/fleet_client.cpp
+++ b/src/fleet/fleet_client.cpp
@@ -5,12 +5,11 @@
 #include <algorithm>
 #include <random>
 
+#include "registry/registry_log.hpp"
+
 namespace irismux::fleet {
 namespace {
 
-constexpr std::size_t most_stored = 8 << 20;  // of the store's file
-constexpr const char* seen_name = "fleet epochs seen";
-constexpr const char* start_name = "fleet last start";
 // The tokens seen are stored at most this often; a crash loses those of the last such interval.
 constexpr Duration store_every = Duration::micros(250'000);
 
@@ -62,11 +61,11 @@
     : event_loop_(loop),
       gateway_(gateway),
       settings_(settings),
+      token_store_(settings.token_store_folder),
       watch_settings_(watch_settings(settings)),
       instance_id_(random_instance_id()),
-      agent_((open_store(), *this), *this, settings.shared_config, identity(version),
-             mixed_with_chance(seed)),
-      health_watch_(*this, settings.health_check_interval, agent_.membership().heartbeat_interval()),
+      agent_(*this, *this, settings.shared_config, identity(version), mixed_with_chance(seed)),
+      health_monitor_(*this, settings.health_check_interval, agent_.membership().heartbeat_interval()),
       garbage_collector_(settings.collection_interval, agent_.membership().eviction_timeout() * 2),
       connection_(loop, *this, settings_.registry),
       registry_member_(seed % settings.registry.members.size()),
@@ -76,38 +75,30 @@
             SiteReporter::Settings{settings.name, instance_id_, settings.shared_config.term,
                                    settings.acknowledge_interval, settings.shared_config.drift},
             clock());
-        site_reporter_->acknowledgement().on_configuration(settings.configuration);
+        site_reporter_->applied().on_configuration(settings.configuration);
     }
-    if (store_)
-        if (const auto seen = store_->read(seen_name); seen && !agent_.fence().restore(*seen))
-            gateway_.on_fleet_message(
-                "what was kept of epochs seen can't be read: lower ones are refused from now on only", true);
+    if (const auto& error = token_store_.open_error())
+        gateway_.on_fleet_message("epochs seen are not kept: " + std::string(error->reason()) + " in " +
+                                      error->folder + ": " + error->detail,
+                                  true);
+    if (!token_store_.restore(agent_.fence()))
+        gateway_.on_fleet_message(
+            "what was kept of epochs seen can't be read: lower ones are refused from now on only", true);
 }
 
 FleetClient::~FleetClient() {
     *liveness_token_ = false;
-    for (const auto& alarm : {wake_timer_, tasks_timer_, store_timer_}) event_loop_.cancel(alarm);
-}
-
-void FleetClient::open_store() {
-    if (settings_.token_store_folder.empty()) return;
-    auto opened = Store::open(settings_.token_store_folder, most_stored);
-    if (const auto* why = std::get_if<std::string>(&opened))
-        return gateway_.on_fleet_message("epochs seen are not kept: " + *why, true);
-    store_ = std::move(std::get<Store>(opened));
+    for (const auto& alarm : {wake_timer_, due_tasks_timer_, store_timer_}) event_loop_.cancel(alarm);
 }
 
 MemberIdentity FleetClient::identity(const std::string& version) {
-    MemberIdentity p{settings_.name,
-                     InstanceId{instance_id_},
-                     version,
-                     {},
-                     settings_.registry.poll_policy.reply_timeout,
-                     true,
-                     settings_.site.raw().empty() ? Duration{} : settings_.acknowledge_interval};
-    if (const auto start = store_ ? store_->read(start_name) : std::nullopt)
-        p.last_incarnation = Incarnation{std::atoll(start->c_str())};
-    return p;
+    return {settings_.name,
+            InstanceId{instance_id_},
+            version,
+            token_store_.last_incarnation(),
+            settings_.registry.poll_policy.reply_timeout,
+            true,
+            settings_.site.raw().empty() ? Duration{} : settings_.acknowledge_interval};
 }
 
 TimePoint FleetClient::clock() const {
@@ -133,26 +124,26 @@
 
 void FleetClient::leave() {
     store_tokens_seen();
-    store_.reset();
+    token_store_.close();
     agent_.leave(clock());
 }
 
 void FleetClient::on_ejection_changed(const CacheId& cache, bool is) {
-    health_watch_.on_ejection_changed(cache, is);
+    health_monitor_.on_ejection_changed(cache, is);
     // Where probes are not permitted the Router's own trial counts as the probe.
     call_soon([this, cache, is] {
-        if (!is) health_watch_.on_health_check_done(clock(), cache, true, agent_);
-        agent_.set_ejected_caches(clock(), health_watch_.ejected_caches());
+        if (!is) health_monitor_.on_health_check_done(clock(), cache, true, agent_);
+        agent_.set_ejected_caches(clock(), health_monitor_.ejected_caches());
         update_duties();
     });
 }
 
 void FleetClient::on_health_check_done(const CacheId& cache, bool answered) {
-    health_watch_.on_health_check_done(clock(), cache, answered, agent_);
+    health_monitor_.on_health_check_done(clock(), cache, answered, agent_);
 }
 
 bool FleetClient::may_check_health(const CacheId& cache) const {
-    return health_watch_.may_check(clock(), cache, agent_);
+    return health_monitor_.may_check(clock(), cache, agent_);
 }
 
 // --- transactions
@@ -169,7 +160,8 @@
     for (const auto& [key, text] : d.compares) holds.emplace_back(path(key), text);
     for (const auto& [key, text] : d.writes) writes.emplace_back(path(key), text);
     for (const Key& key : d.reads) shows.push_back(path(key));
-    connection_.send_request(registry_member_, registry::etcd::transaction(holds, writes, shows), false);
+    connection_.send_request(registry_member_, registry::etcd::transaction(holds, writes, shows),
+                             registry::ReplyForm::whole);
 }
 
 void FleetClient::use_next_registry_member() {
@@ -180,8 +172,9 @@
 void FleetClient::on_reply(int status, const std::string& body) {
     const auto read = registry::etcd::read_transaction_result(status, body, settings_.registry.prefix);
     if (const auto* wrong = std::get_if<registry::etcd::Error>(&read)) {
-        if (wrong->code == registry::etcd::ErrorCode::refused && connection_.retry_with_new_token()) return;
-        return on_connection_lost(wrong->message.c_str());
+        if (wrong->code == registry::etcd::ErrorCode::unauthenticated && connection_.retry_with_new_token())
+            return;
+        return on_request_failed({registry::RequestFailureReason::error_reply, wrong->message});
     }
     if (!pending_transaction_) return;
     const auto& settled = std::get<registry::etcd::TransactionResult>(read);
@@ -197,15 +190,15 @@
         for (const Key& key : d.reads) show(key);
     else
         for (const auto& [key, text] : d.compares) show(key);
-    agent_.on_transaction_result(clock(), settled.origin.revision, settled.succeeded, shown);
+    agent_.on_transaction_result(clock(), settled.header.revision, settled.succeeded, shown);
     run_due_tasks();
 }
 
-void FleetClient::on_connection_lost(const char*) {
+void FleetClient::on_request_failed(const registry::RequestFailure&) {
     connection_.close();
     use_next_registry_member();
     if (!std::exchange(pending_transaction_, std::nullopt)) return;
-    agent_.on_no_answer(clock());
+    agent_.on_transaction_timeout(clock());
     run_due_tasks();
 }
 
@@ -231,9 +224,9 @@
     for (const auto& [key, text] : entries)
         if (const auto cache = health_record_cache(key))
             if (const auto f = text ? parse_health_record(*text) : std::nullopt) {
-                const DutyName duty = health_watch_duty(*cache);
-                if (agent_.accepts(duty, {f->token, f->by.name, f->by.incarnation}))
-                    health_watch_.on_probe_result(clock(), *cache, *f, agent_);
+                const DutyName duty = health_check_duty(*cache);
+                if (agent_.accepts_order_of(duty, {f->token, f->owner.name, f->owner.incarnation}))
+                    health_monitor_.on_probe_result(clock(), *cache, *f, agent_);
             }
     update_duties();
     run_due_tasks();
@@ -250,15 +243,15 @@
 void FleetClient::update_duties() {
     std::set<DutyName> wanted{garbage_collection_duty()};
     if (site_reporter_) wanted.insert(digest_duty());
-    for (const CacheId& c : health_watch_.monitored(agent_)) wanted.insert(health_watch_duty(c));
-    if (wanted == duties_) return;
+    for (const CacheId& c : health_monitor_.update_monitored(agent_)) wanted.insert(health_check_duty(c));
+    if (wanted == followed_duties_) return;
     std::vector<Entry> records;
     for (const DutyName& d : wanted)
-        if (!duties_.contains(d) && mirrored_revision_ > registry::Revision{})
+        if (!followed_duties_.contains(d) && mirrored_revision_ > registry::Revision{})
             for (const Key& key : {duty_key(d), release_key(d)})
                 records.emplace_back(key, record_mirror_.at(key));
-    duties_ = wanted;
-    agent_.set_duties(clock(), duties_);
+    followed_duties_ = wanted;
+    agent_.set_duties(clock(), followed_duties_);
     if (!records.empty()) agent_.on_records(clock(), mirrored_revision_, records, false);
 }
 
@@ -266,19 +259,19 @@
 
 // Probes and garbage collection that are due; sets the alarm for the next.
 void FleetClient::run_due_tasks() {
-    event_loop_.cancel(tasks_timer_);
+    event_loop_.cancel(due_tasks_timer_);
     const TimePoint now = clock();
     if (site_reporter_) site_reporter_->advance(now, agent_);
-    health_watch_.tick(now, agent_);
-    TimePoint due = health_watch_.due();
+    health_monitor_.run_due_checks(now, agent_);
+    TimePoint due = health_monitor_.next_check_at();
     if (agent_.may_begin_work(now, garbage_collection_duty())) {
-        if (auto write_request = garbage_collector_.next(now, record_mirror_, agent_))
+        if (auto write_request = garbage_collector_.next_write(now, record_mirror_, agent_))
             if (!agent_.write_fenced(now, garbage_collection_duty(), collection_progress_key(),
                                      std::move(*write_request)))
                 garbage_collector_.on_written(now, WriteOutcome::refused);
-        if (garbage_collector_.due() > now) due = std::min(due, garbage_collector_.due());
+        if (garbage_collector_.next_pass_at() > now) due = std::min(due, garbage_collector_.next_pass_at());
     }
-    tasks_timer_ = event_loop_.schedule_at(to_event_loop_time(due), [this] { run_due_tasks(); });
+    due_tasks_timer_ = event_loop_.schedule_at(to_event_loop_time(due), [this] { run_due_tasks(); });
 }
 
 void FleetClient::on_lease_state(const DutyName& duty, LeaseState state, FencingToken token) {
@@ -292,12 +285,17 @@
 
 void FleetClient::on_warning(std::string_view plain_line) { gateway_.on_fleet_message(plain_line, true); }
 
+void FleetClient::on_watch_warning(const registry::WatchWarning& warning) {
+    gateway_.on_fleet_message(registry::event_name(warning.kind), true);
+}
+
 void FleetClient::start_health_check(const CacheId& cache) {
     call_soon([this, cache] {
         // The process may have been stopped since it was asked for: the lease is checked again right before
         // the first byte.
         if (!may_check_health(cache)) return;
-        if (!gateway_.start_health_check(cache)) health_watch_.not_permitted(clock(), cache, agent_);
+        if (!gateway_.start_health_check(cache))
+            health_monitor_.on_check_not_permitted(clock(), cache, agent_);
     });
 }
 
@@ -308,31 +306,31 @@
 // --- what is in force here
 
 bool FleetClient::needs_full_notice_history() const {
-    return site_reporter_ && site_reporter_->acknowledgement().needs_full_history();
+    return site_reporter_ && site_reporter_->applied().needs_full_history();
 }
 
 void FleetClient::on_poll_started(bool from_start) {
-    if (site_reporter_) site_reporter_->acknowledgement().on_poll_started(from_start);
+    if (site_reporter_) site_reporter_->applied().on_poll_started(from_start);
 }
 
 void FleetClient::on_poll_completed(std::int64_t newest, std::int64_t asked_from) {
     if (!site_reporter_) return;
-    site_reporter_->acknowledgement().on_poll_completed(EventNumber{newest}, EventNumber{asked_from});
+    site_reporter_->applied().on_poll_completed(EventNumber{newest}, EventNumber{asked_from});
     site_reporter_->advance(clock(), agent_);
 }
 
 void FleetClient::on_poll_failed() {
-    if (site_reporter_) site_reporter_->acknowledgement().on_poll_failed();
+    if (site_reporter_) site_reporter_->applied().on_poll_failed();
 }
 
 void FleetClient::on_notice_skipped() {
-    if (site_reporter_) site_reporter_->acknowledgement().on_notice_skipped();
+    if (site_reporter_) site_reporter_->applied().on_notice_skipped();
 }
 
 void FleetClient::set_configuration(ConfigurationNumber number) {
     settings_.configuration = number;
     if (!site_reporter_) return;
-    site_reporter_->acknowledgement().on_configuration(number);
+    site_reporter_->applied().on_configuration(number);
     site_reporter_->advance(clock(), agent_);
 }
 
@@ -342,7 +340,7 @@
 }
 
 void FleetClient::on_registry_restored() {
-    if (site_reporter_) site_reporter_->acknowledgement().on_history_lost();
+    if (site_reporter_) site_reporter_->applied().on_history_lost();
 }
 
 // --- state that outlives the process
@@ -350,17 +348,8 @@
 void FleetClient::store_tokens_seen() {
     event_loop_.cancel(store_timer_);
     store_timer_ = event_loop_.schedule_at(event_loop_.now() + store_every, [this] { store_tokens_seen(); });
-    if (!store_) return;
-    const std::string seen = agent_.fence().serialize() + std::to_string(agent_.incarnation().raw());
-    if (seen == stored_tokens_) return;
-    auto why = store_->write(seen_name, agent_.fence().serialize());
-    if (!why && agent_.incarnation() > Incarnation{})
-        why = store_->write(start_name, std::to_string(agent_.incarnation().raw()));
-    if (why && !std::exchange(store_failed_, true))
-        gateway_.on_fleet_message("epochs seen are " + *why, true);
-    if (why) return;
-    store_failed_ = false;
-    stored_tokens_ = seen;
+    if (const auto error = token_store_.save(agent_.fence(), agent_.incarnation()))
+        gateway_.on_fleet_message("epochs seen are not stored: " + error->detail, true);
 }
 
 }  // namespace irismux::fleet
--- a/src/fleet/fleet_client.hpp
+++ b/src/fleet/fleet_client.hpp
@@ -12,12 +12,12 @@
 
 #include "fleet/agent.hpp"
 #include "fleet/garbage_collector.hpp"
-#include "fleet/health_watch.hpp"
+#include "fleet/health_monitor.hpp"
 #include "fleet/record_mirror.hpp"
 #include "fleet/settings.hpp"
 #include "fleet/site_reporter.hpp"
-#include "registry/client.hpp"
-#include "store/store.hpp"
+#include "fleet/token_store.hpp"
+#include "registry/registry_client.hpp"
 
 namespace irismux::fleet {
 
@@ -46,7 +46,7 @@
 std::string path_of(const Key& key, const SiteName& site);
 std::string digest_prefix(const std::string& prefix);
 
-class FleetClient final : private RegistryPort,
+class FleetClient final : private AgentTransport,
                           private AgentObserver,
                           private HealthCheckCallbacks,
                           private registry::ReplyHandler,
@@ -98,11 +98,12 @@
     void on_reply(int status, const std::string& body) override;
     void on_stream_message(std::string_view) override {}
     void on_message_too_long() override {}
-    void on_connection_lost(const char* why) override;
+    void on_request_failed(const registry::RequestFailure& failure) override;
     // registry::Knows
     void on_endpoints(TimePoint, const std::vector<EndpointRecord>&, bool) override {}
     void on_records(TimePoint, registry::Revision, const std::vector<registry::Change>&, bool all) override;
     void on_sync_state(TimePoint, registry::SyncState, TimePoint as_of) override;
+    void on_watch_warning(const registry::WatchWarning& warning) override;
 
     TimePoint clock() const;
     TimePoint to_event_loop_time(TimePoint by_clock) const {
@@ -113,30 +114,27 @@
     void run_due_tasks();
     void update_duties();
     void store_tokens_seen();
-    void open_store();
     MemberIdentity identity(const std::string& version);
 
     EventLoop& event_loop_;
     GatewayCallbacks& gateway_;
     Settings settings_;
-    std::optional<Store> store_;
+    TokenStore token_store_;  // before agent_, whose identity is read from it
     registry::Settings watch_settings_;
     std::string instance_id_;
     Agent agent_;
     std::optional<SiteReporter> site_reporter_;
-    HealthMonitor health_watch_;
+    HealthMonitor health_monitor_;
     GarbageCollector garbage_collector_;
     RecordMirror record_mirror_;
     registry::Revision mirrored_revision_;
-    std::set<DutyName> duties_;
+    std::set<DutyName> followed_duties_;
     registry::RegistryConnection connection_;
     std::optional<Transaction> pending_transaction_;
     registry::MemberIndex registry_member_;
     registry::RegistryClient watch_client_;
-    EventLoop::Timer wake_timer_{}, tasks_timer_{}, store_timer_{};
+    EventLoop::Timer wake_timer_{}, due_tasks_timer_{}, store_timer_{};
     std::shared_ptr<bool> liveness_token_ = std::make_shared<bool>(true);
-    std::string stored_tokens_;
-    bool store_failed_ = false;  // said once
     bool registry_silent_ = false;
 };
 
--- a/tests/fleet_process_test.cpp
+++ b/tests/fleet_process_test.cpp
@@ -317,8 +317,7 @@
         return a->written.size() > before && d && d->token > higher && working();
     }));
     bool read = false;
-    for (std::size_t n = 0; n < a->gateways.size(); ++n)
-        read = read || a->logged(n, "the registry has gone back");
+    for (std::size_t n = 0; n < a->gateways.size(); ++n) read = read || a->logged(n, "registry_rolled_back");
     EXPECT_TRUE(read);
 }
 
@@ -396,7 +395,7 @@
     const TimePoint woke = a->loop.now();
     a->resume(first);
     // Its sleep took no time here: nobody has followed it yet. Still it acts no more until it has listened.
-    EXPECT_TRUE(a->until([&] { return a->logged(first, "duty=sweep tenancy=lost"); }));
+    EXPECT_TRUE(a->until([&] { return a->logged(first, "duty_lease_changed duty=sweep state=lost"); }));
     const std::size_t all = a->written.size();
     EXPECT_TRUE(a->until([&] { return a->owner(sweep) && a->written.size() > all + 5; }));
     for (const auto& w : a->written) {
@@ -452,7 +451,7 @@
     a->stop(owner);
     ASSERT_TRUE(a->until([&] {
         const auto n = a->owner(watch);
-        return n && *n != owner && finding() && finding()->by.name.raw() == a->gateways[*n].name;
+        return n && *n != owner && finding() && finding()->owner.name.raw() == a->gateways[*n].name;
     }));
     a->resume(owner);
     a->pass(shape.term);
--- a/tests/wire_names_test.cpp
+++ b/tests/wire_names_test.cpp
@@ -14,7 +14,7 @@
 #include "golden.hpp"
 #include "net/cache_connection_pool.hpp"
 #include "net/notice_client.hpp"
-#include "registry/etcd.hpp"
+#include "registry/etcd_codec.hpp"
 #include "request/active_request.hpp"
 #include "testing/process.hpp"
 #include "testing/sockets.hpp"
@@ -59,12 +59,12 @@
 
 // --- commands
 
-struct WatchMessage {
+struct CommandOutput {
     int status;
     std::string text;
 };
 
-WatchMessage run(const std::vector<std::string>& words, std::vector<std::string> environment = {}) {
+CommandOutput run(const std::vector<std::string>& words, std::vector<std::string> environment = {}) {
     Folder folder;
     std::vector<std::string> all = {IRISMUX_PROGRAM};
     all.insert(all.end(), words.begin(), words.end());
@@ -97,7 +97,7 @@
         std::string file = "help/irismux";
         for (const std::string& word : words) file += "_" + word;
         words.push_back("--help");
-        const WatchMessage said = run(words);
+        const CommandOutput said = run(words);
         EXPECT_EQ(said.status, 0) << file;
         expect_golden(file + ".txt", said.text);
     }
@@ -107,7 +107,7 @@
 // the variable or what it holds, and ends with 2.
 TEST(WireNames, VariablesOfTheEnvironmentAreRead) {
     const auto expect = [](std::vector<std::string> environment, const std::string& line) {
-        const WatchMessage said = run({"serve"}, std::move(environment));
+        const CommandOutput said = run({"serve"}, std::move(environment));
         EXPECT_EQ(said.text, "irismux: " + line + '\n');
         EXPECT_EQ(said.status, 2 << 8);
     };
@@ -188,8 +188,8 @@
 TEST(WireNames, RegistryAnswersAreRead) {
     const auto range = std::get<etcd::Range>(etcd::read_range(
         200, "{" + header + R"(,"more":true,"count":"9","kvs":[)" + record_c1 + "]}", "/caches/"));
-    EXPECT_EQ(range.page.origin.cluster, registry::ClusterId{"1001"});
-    EXPECT_EQ(range.page.origin.revision, registry::Revision{41});
+    EXPECT_EQ(range.page.header.cluster, registry::ClusterId{"1001"});
+    EXPECT_EQ(range.page.header.revision, registry::Revision{41});
     EXPECT_TRUE(range.page.more);
     EXPECT_EQ(range.count, 9u);
     ASSERT_EQ(range.page.records.size(), 1u);
@@ -689,7 +689,8 @@
         process = std::make_unique<stand_ins::Process>(stand_ins::Process::Start{
             {IRISMUX_PROGRAM}, {"NODE_CONFIG=" + path, "NODE_LISTEN=" + listen}, "", log});
         ASSERT_TRUE(stretches.until([&] {
-            return std::filesystem::exists(log) && bytes_of_file(log).find("serves on") != std::string::npos;
+            return std::filesystem::exists(log) &&
+                   bytes_of_file(log).find("listening gateway=") != std::string::npos;
         }));
         connect();
     }
