--- a/include/irismux/endpoint.hpp
+++ b/include/irismux/endpoint.hpp
@@ -13,6 +13,15 @@
     removed    ///< no longer part of the deployment
 };
 
+/// Why an endpoint is ejected: passed over until a recovery probe succeeds.
+enum class EjectionReason {
+    connection_refused,  ///< no connection came up
+    errors,              ///< errors that stand out among its peers
+    unresponsive,        ///< silent for far longer than usual while peers respond
+    deadline_exceeded,   ///< an attempt ran out of time, and nothing was received since it began
+    source_unreachable   ///< caches could not reach it as their fill source
+};
+
 /// One entry of the endpoint list, as service discovery announces it.
 struct EndpointUpdate {
     CacheId cache;
--- a/include/irismux/router_callbacks.hpp
+++ b/include/irismux/router_callbacks.hpp
@@ -2,6 +2,7 @@
 #pragma once
 
 #include "irismux/attempt.hpp"
+#include "irismux/endpoint.hpp"
 #include "irismux/ids.hpp"
 #include "irismux/time.hpp"
 
@@ -32,11 +33,10 @@
     virtual void set_timer(TimerId timer, TimePoint due) = 0;
     /// Asks service discovery for the endpoint list and its changes.
     virtual void subscribe_to_endpoints() = 0;
-    /// An endpoint was ejected (passed over from now on) or readmitted.
-    virtual void on_ejection_changed(const CacheId& cache, bool ejected) {
-        (void)cache;
-        (void)ejected;
-    }
+    /// The endpoint is passed over from now on, but for recovery probes.
+    virtual void on_endpoint_ejected(const CacheId& /*cache*/, EjectionReason /*reason*/) {}
+    /// An ejected endpoint is chosen again like any other.
+    virtual void on_endpoint_readmitted(const CacheId& /*cache*/) {}
 };
 
 }  // namespace irismux
--- a/src/gateway/request_dispatcher.cpp
+++ b/src/gateway/request_dispatcher.cpp
@@ -272,8 +272,14 @@
     event_loop_.schedule_at(due, [this, timer] { call_router(event_loop_.now(), &Router::on_timer, timer); });
 }
 
-void RequestDispatcher::on_ejection_changed(const CacheId& cache, bool ejected) {
-    health_observer_.on_ejection_changed(cache, ejected);
+void RequestDispatcher::on_endpoint_ejected(const CacheId& cache, EjectionReason reason) {
+    request_log::endpoint_ejected(cache, reason);
+    health_observer_.on_ejection_changed(cache, true);
+}
+
+void RequestDispatcher::on_endpoint_readmitted(const CacheId& cache) {
+    request_log::endpoint_readmitted(cache);
+    health_observer_.on_ejection_changed(cache, false);
 }
 
 // --- what the router is told by other parts ----------------------------------------------------------------
--- a/src/gateway/request_dispatcher.hpp
+++ b/src/gateway/request_dispatcher.hpp
@@ -66,7 +66,8 @@
     void fail(const RequestId& id) override;
     void set_timer(TimerId timer, TimePoint due) override;
     void subscribe_to_endpoints() override {}  // updates come from the start
-    void on_ejection_changed(const CacheId& cache, bool ejected) override;
+    void on_endpoint_ejected(const CacheId& cache, EjectionReason reason) override;
+    void on_endpoint_readmitted(const CacheId& cache) override;
 
     struct PendingRequest {
         std::shared_ptr<ActiveRequest> active;  // shared with the connections that carry its attempts
--- a/src/gateway/request_log.cpp
+++ b/src/gateway/request_log.cpp
@@ -23,6 +23,8 @@
     "none",        "hit",          "filled",         "via_origin",
     "coalesced",   "stale",        "source_refused", "source_unreachable",
     "source_miss", "no_fill_slot", "origin_failed"};
+constexpr std::array<std::string_view, 5> ejection_reasons{"connection_refused", "errors", "unresponsive",
+                                                           "deadline_exceeded", "source_unreachable"};
 constexpr std::array<std::string_view, 5> progress_names{"not_connected", "not_written", "partially_written",
                                                          "fully_written", "response_begun"};
 
@@ -102,4 +104,13 @@
                 {"attempt", attempt}});
 }
 
+void endpoint_ejected(const CacheId& cache, EjectionReason reason) {
+    log::event(log::Level::warning, "endpoint_ejected",
+               {{"cache", cache.raw()}, {"reason", name_of(ejection_reasons, reason)}});
+}
+
+void endpoint_readmitted(const CacheId& cache) {
+    log::event(log::Level::info, "endpoint_readmitted", {{"cache", cache.raw()}});
+}
+
 }  // namespace irismux::request_log
--- a/src/gateway/request_log.hpp
+++ b/src/gateway/request_log.hpp
@@ -20,4 +20,8 @@
 /// Every connection that could carry an attempt carries its id for another request.
 void id_in_use_at_cache(const ActiveRequest& request, std::size_t attempt);
 
+/// The router passes the endpoint over from now on.
+void endpoint_ejected(const CacheId& cache, EjectionReason reason);
+void endpoint_readmitted(const CacheId& cache);
+
 }  // namespace irismux::request_log
--- a/src/routing/attempt_monitor.cpp
+++ b/src/routing/attempt_monitor.cpp
@@ -58,7 +58,7 @@
     for (const EndpointRole role : {EndpointRole::edge, EndpointRole::parent})
         for (EndpointState* endpoint : outputs_.endpoints.active(role)) {
             if (endpoint->health.ejected() || !outputs_.outliers.is_unresponsive(*endpoint, now)) continue;
-            outputs_.outliers.eject(*endpoint, now);
+            outputs_.outliers.eject(*endpoint, EjectionReason::unresponsive, now);
             cancel_attempts_at(*endpoint, requests);
         }
 }
--- a/src/routing/outlier_detector.cpp
+++ b/src/routing/outlier_detector.cpp
@@ -41,10 +41,10 @@
 
 // --- ejection and recovery probe ---
 
-void OutlierDetector::eject(EndpointState& endpoint, TimePoint now) const {
+void OutlierDetector::eject(EndpointState& endpoint, EjectionReason reason, TimePoint now) const {
     EndpointHealth& health = endpoint.health;
     if (health.ejection == EjectionState::ejected && now < health.next_probe_at) return;
-    if (!health.ejected()) callbacks_.on_ejection_changed(endpoint.id, true);
+    if (!health.ejected()) callbacks_.on_endpoint_ejected(endpoint.id, reason);
     health.ejection = EjectionState::ejected;
     const int doublings = std::min(health.consecutive_ejections, most_backoff_doublings);
     health.backoff_ends_at = now + std::min(first_backoff * std::pow(2.0, doublings), longest_backoff);
@@ -55,7 +55,7 @@
 void OutlierDetector::readmit(EndpointState& endpoint) const {
     const bool was_ejected = endpoint.health.ejected();
     endpoint.health.ejection = EjectionState::admitted;
-    if (was_ejected) callbacks_.on_ejection_changed(endpoint.id, false);
+    if (was_ejected) callbacks_.on_endpoint_readmitted(endpoint.id);
 }
 
 void OutlierDetector::on_restart(EndpointState& endpoint) const {
@@ -134,7 +134,8 @@
     health.error_share += (1.0 - health.error_share) / error_memory_results;
     if (health.error_share < ejection_error_share) return;
     const double peers = mean_error_share_of_peers(endpoint);
-    if (health.error_share > ejection_error_share + ejection_multiple_of_peers * peers) eject(endpoint, now);
+    if (health.error_share > ejection_error_share + ejection_multiple_of_peers * peers)
+        eject(endpoint, EjectionReason::errors, now);
 }
 
 double OutlierDetector::mean_error_share_of_peers(const EndpointState& endpoint) const {
@@ -204,13 +205,14 @@
                 record_success(cache);
         }
     } else if (result.outcome == Outcome::connection_refused) {
-        eject(cache, now);
+        eject(cache, EjectionReason::connection_refused, now);
     } else if (result.outcome == Outcome::connection_reset) {
         // Connections also break while the process lives on; if it has stopped, the next one is refused.
         record_error(cache, now);
     } else if (result.outcome == Outcome::deadline_exceeded) {
         const bool silent_since_start = cache.health.last_seen <= attempt.started_at;
-        if (silent_since_start && peer_has_responded_since(cache)) eject(cache, now);
+        if (silent_since_start && peer_has_responded_since(cache))
+            eject(cache, EjectionReason::deadline_exceeded, now);
     }
     if (attempt.probes_cache) end_recovery_probe(cache);
 }
@@ -239,13 +241,13 @@
 void OutlierDetector::on_source_unreachable(EndpointState& source, const Attempt& attempt,
                                             const AttemptResult& result, TimePoint now) const {
     if (result.outcome == Outcome::overloaded) {
-        eject(source, now);
+        eject(source, EjectionReason::source_unreachable, now);
     } else if (result.fill_wait < longest_latency_objective_) {
         record_error(source, now);
     } else {
         const bool silent_since_start = source.health.last_seen <= attempt.started_at;
         if (attempt.probes_source || (silent_since_start && peer_has_responded_since(source)))
-            eject(source, now);
+            eject(source, EjectionReason::source_unreachable, now);
     }
 }
 
--- a/src/routing/outlier_detector.hpp
+++ b/src/routing/outlier_detector.hpp
@@ -38,7 +38,7 @@
     /// An attempt has passed its latency limit.
     void on_late_attempt(EndpointState& cache, const Attempt& attempt, TimePoint now) const;
 
-    void eject(EndpointState& endpoint, TimePoint now) const;
+    void eject(EndpointState& endpoint, EjectionReason reason, TimePoint now) const;
     void readmit(EndpointState& endpoint) const;
     /// What was held against the process before this one is void.
     void on_restart(EndpointState& endpoint) const;
--- a/tests/router_test_support.hpp
+++ b/tests/router_test_support.hpp
@@ -107,8 +107,11 @@
     std::vector<std::pair<RequestId, AttemptIndex>> cancelled;
     std::vector<std::pair<CacheId, bool>> ejection_changes;
 
-    void on_ejection_changed(const CacheId& cache, bool is) override {
-        ejection_changes.emplace_back(cache, is);
+    void on_endpoint_ejected(const CacheId& cache, EjectionReason) override {
+        ejection_changes.emplace_back(cache, true);
+    }
+    void on_endpoint_readmitted(const CacheId& cache) override {
+        ejection_changes.emplace_back(cache, false);
     }
 
     void start_direct_attempt(const RequestId& id, const CacheId& cache, Duration timeout) override {
