--- a/bench/scale/roles.cpp
+++ b/bench/scale/roles.cpp
@@ -198,7 +198,7 @@
             slot.settings.seed = g.at("seed").get<std::uint64_t>();
             slot.settings.board = g.at("board").get<std::string>();
             const auto read = read_parts_text(g.at("parts").get<std::string>(), slot.settings.name);
-            if (const auto* why = std::get_if<std::string>(&read)) throw std::runtime_error(*why);
+            if (const auto* error = std::get_if<PartsError>(&read)) throw std::runtime_error(error->text());
             slot.settings.registry = std::get<Parts>(read).registry;
             slot.settings.fleet = std::get<Parts>(read).fleet;
             numbers_[slot.settings.name] = slot.number;
--- a/src/gateway/parts.hpp
+++ b/src/gateway/parts.hpp
@@ -1,11 +1,11 @@
-// Parts that a gateway may be fitted with besides what its platform gives it: a TOML file, named at start.
-// Without the file every part is off.
+// The parts file: what a gateway has besides what its platform gives it. TOML, named at the start; without it
+// every part is off.
 //
 // Durations are text with a unit ("250ms", "2s", "1min"). The file is used whole or not at all: an unknown
-// key, a value of the wrong type or out of bounds is one line that names file, line, key and what would be
-// right.
+// key, or a value of the wrong type or out of bounds, is an error.
 #pragma once
 
+#include <cstddef>
 #include <optional>
 #include <string>
 #include <variant>
@@ -16,14 +16,24 @@
 namespace irismux {
 
 struct Parts {
-    std::optional<registry::Settings>
-        registry;                          // the list of caches comes from there, and not from the board
-    std::optional<fleet::Settings> fleet;  // counts only where the command line names the file
+    /// Where the endpoint list comes from, in place of the notice board.
+    std::optional<registry::Settings> registry;
+    /// Followed only if the command line names the file.
+    std::optional<fleet::Settings> fleet;
 };
 
-// The parts, or one plain line that says why the file can't be used.
-std::variant<Parts, std::string> read_parts(const std::string& path);
-// As if a file of that name held the text.
-std::variant<Parts, std::string> read_parts_text(std::string_view text, const std::string& name);
+/// Why a parts file cannot be used.
+struct PartsError {
+    std::string file;
+    std::size_t line = 0;  ///< 0: the file cannot be read
+    std::string problem;   ///< names the key, and what would be right
+
+    /// One line for an operator.
+    [[nodiscard]] std::string text() const;
+};
+
+[[nodiscard]] std::variant<Parts, PartsError> read_parts(const std::string& path);
+/// As if a file of that name held the text.
+[[nodiscard]] std::variant<Parts, PartsError> read_parts_text(std::string_view text, const std::string& file);
 
 }  // namespace irismux
--- /dev/null
+++ b/src/gateway/serve.cpp
@@ -0,0 +1,202 @@
+#include "gateway/serve.hpp"
+
+#include <Poco/ErrorHandler.h>
+#include <Poco/Exception.h>
+
+#include <malloc.h>
+
+#include <chrono>
+#include <cstdlib>
+#include <iostream>
+#include <optional>
+#include <string_view>
+#include <thread>
+#include <utility>
+
+#include "base/flight_recorder.hpp"
+#include "base/log.hpp"
+#include "base/reading.hpp"
+#include "gateway/gateway.hpp"
+#include "gateway/process_signals.hpp"
+
+namespace irismux {
+namespace {
+
+// A step of the start that fails for a moment is tried again for so long, at this interval.
+constexpr std::chrono::milliseconds max_start_retry_time{8'000}, start_retry_interval{50};
+constexpr Duration signal_check_interval = Duration::micros(50'000);
+// A configuration that cannot be read for a moment is read again so many times, one each signal check.
+constexpr int max_reload_attempts = 20;
+// Larger blocks are returned to the system when freed, so that a burst's buffers do not stay with the
+// process.
+constexpr int mmap_threshold_bytes = 64 * 1024, trim_threshold_bytes = 128 * 1024;
+
+// Logs what an event handler threw; only that handler ends.
+class LoggingErrorHandler final : public Poco::ErrorHandler {
+public:
+    void exception(const Poco::Exception& e) override { log_exception(e.displayText()); }
+    void exception(const std::exception& e) override { log_exception(e.what()); }
+    void exception() override { log_exception("unknown exception"); }
+
+private:
+    static void log_exception(std::string_view reason) {
+        log::event(log::Level::error, "unhandled_exception", {{"reason", reason}});
+    }
+};
+
+// The value of IRISMUX_LOG: a level, with ":json" after it for records in JSON.
+[[nodiscard]] bool set_log_level(std::string_view setting) {
+    constexpr std::string_view json_suffix = ":json";
+    if (setting.size() > json_suffix.size() && setting.ends_with(json_suffix)) {
+        log::form(log::Form::json);
+        setting.remove_suffix(json_suffix.size());
+    }
+    constexpr std::pair<std::string_view, log::Level> levels[] = {{"error", log::Level::error},
+                                                                  {"warning", log::Level::warning},
+                                                                  {"info", log::Level::info},
+                                                                  {"debug", log::Level::debug}};
+    for (const auto& [name, level] : levels) {
+        if (setting != name) continue;
+        log::show(level);
+        return true;
+    }
+    return false;
+}
+
+struct ConfigurationFiles {
+    const char* configuration = nullptr;
+    std::string parts;                     // empty: none
+    bool parts_from_command_line = false;  // not from the environment
+};
+
+// A fleet is joined only if the command line names the file.
+std::variant<Parts, PartsError> read_configured_parts(const ConfigurationFiles& files) {
+    if (files.parts.empty()) return Parts{};
+    auto read = read_parts(files.parts);
+    auto* const parts = std::get_if<Parts>(&read);
+    if (parts && parts->fleet && !files.parts_from_command_line) {
+        parts->fleet.reset();
+        log::event(log::Level::warning, "fleet_settings_ignored",
+                   {{"reason", "not_named_by_option_parts"}, {"file", files.parts}});
+    }
+    return read;
+}
+
+// Carries out a step of the start again while it throws TransientError.
+template <class Step>
+auto retry_transient(Step step) {
+    const auto give_up_at = std::chrono::steady_clock::now() + max_start_retry_time;
+    for (bool logged = false;; logged = true) {
+        try {
+            return step();
+        } catch (const TransientError& e) {
+            if (std::chrono::steady_clock::now() >= give_up_at) throw;
+            if (!logged) log::event(log::Level::warning, "start_retried", {{"reason", e.what()}});
+        }
+        std::this_thread::sleep_for(start_retry_interval);
+    }
+}
+
+void create_event_loop(std::optional<EventLoop>& loop) {
+    retry_transient([&] {
+        try {
+            loop.emplace();
+        } catch (const Poco::Exception& e) {
+            throw TransientError("no loop can be made: " + e.displayText());
+        }
+    });
+}
+
+// Passes signals on to the gateway, from a timer of the loop.
+class SignalHandling {
+public:
+    SignalHandling(EventLoop& loop, Gateway& gateway, const ConfigurationFiles& files,
+                   ProcessSignals& signals)
+        : event_loop_(loop), gateway_(gateway), files_(files), signals_(signals) {}
+
+    void check() {
+        signals_.deliver();
+        if (signals_.take_reload_request()) reload_attempts_ = max_reload_attempts;
+        if (reload_attempts_ > 0) try_reload();
+        if (signals_.shutdown_requested()) gateway_.begin_shutdown();
+        event_loop_.schedule_at(event_loop_.now() + signal_check_interval, [this] { check(); });
+    }
+
+private:
+    // A file that cannot be used changes nothing.
+    void try_reload() {
+        --reload_attempts_;
+        try {
+            const auto parts = read_configured_parts(files_);
+            if (const auto* error = std::get_if<PartsError>(&parts)) throw std::runtime_error(error->text());
+            gateway_.reload(read_configuration(files_.configuration), std::get<Parts>(parts));
+            reload_attempts_ = 0;
+        } catch (const TransientError& e) {
+            if (reload_attempts_ == 0) log_failure(e);
+        } catch (const std::exception& e) {
+            log_failure(e);
+            reload_attempts_ = 0;
+        }
+    }
+    static void log_failure(const std::exception& e) {
+        log::event(log::Level::error, "reload_failed", {{"reason", e.what()}});
+    }
+
+    EventLoop& event_loop_;
+    Gateway& gateway_;
+    const ConfigurationFiles& files_;
+    ProcessSignals& signals_;
+    int reload_attempts_ = 0;  // left
+};
+
+void run_gateway(const ConfigurationFiles& files, const Parts& parts, ProcessSignals& signals,
+                 std::optional<ListenFailure>& start_failure) {
+    Configuration configuration = retry_transient([&] { return read_configuration(files.configuration); });
+    log::by(configuration.name);
+    if (const char* address = std::getenv("NODE_LISTEN")) configuration.listen = address;
+    std::optional<EventLoop> loop;
+    create_event_loop(loop);
+    Gateway gateway(*loop, configuration, parts);
+    SignalHandling signal_handling(*loop, gateway, files, signals);
+    gateway.serve();
+    signal_handling.check();
+    loop->run();
+    start_failure = gateway.start_failure();
+}
+
+}  // namespace
+
+int exit_with_error(const std::string& line) {
+    std::cerr << "irismux: " << line << '\n';
+    return 2;
+}
+
+int serve(std::string parts_path) {
+    if (const char* level = std::getenv("IRISMUX_LOG"); level && !set_log_level(level))
+        return exit_with_error(std::string("IRISMUX_LOG is '") + level +
+                               "', not error, warning, info or debug, with or without :json");
+    const bool from_command_line = !parts_path.empty();
+    if (const char* path = std::getenv("IRISMUX_PARTS"); path && !from_command_line) parts_path = path;
+    const ConfigurationFiles files{std::getenv("NODE_CONFIG"), std::move(parts_path), from_command_line};
+    if (!files.configuration) return exit_with_error("NODE_CONFIG does not name a configuration");
+    const auto parts = read_configured_parts(files);
+    if (const auto* error = std::get_if<PartsError>(&parts)) return exit_with_error(error->text());
+    mallopt(M_MMAP_THRESHOLD, mmap_threshold_bytes);
+    mallopt(M_TRIM_THRESHOLD, trim_threshold_bytes);
+    ProcessSignals signals;
+    flight_recorder::report_fatal_signals();
+    LoggingErrorHandler error_handler;
+    Poco::ErrorHandler::set(&error_handler);
+    try {
+        std::optional<ListenFailure> start_failure;
+        run_gateway(files, std::get<Parts>(parts), signals, start_failure);
+        if (start_failure) return exit_with_error(start_failure->text());
+    } catch (const Poco::Exception& e) {
+        return exit_with_error(e.displayText());
+    } catch (const std::exception& e) {
+        return exit_with_error(e.what());
+    }
+    return 0;
+}
+
+}  // namespace irismux
--- a/tests/fleet_process_test.cpp
+++ b/tests/fleet_process_test.cpp
@@ -570,7 +570,8 @@
     a->kill(0);
     g.process = std::make_unique<stand_ins::Process>(stand_ins::Process::Start{
         {shape.program, "serve"}, {"NODE_CONFIG=" + g.configuration, "IRISMUX_PARTS=" + g.parts}, "", g.log});
-    EXPECT_TRUE(a->until([&] { return a->logged(0, "[fleet] counts only with --parts"); }));
+    EXPECT_TRUE(
+        a->until([&] { return a->logged(0, "fleet_settings_ignored reason=not_named_by_option_parts"); }));
     a->serve(0);
     EXPECT_TRUE(a->until([&] { return g.clients->served > 20 && !a->member(0); }));
     EXPECT_FALSE(a->member(0).has_value() && a->member(0)->incarnation > former);
--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -22,8 +22,8 @@
 
 std::string line_for(const std::string& text) {
     const auto read = read_parts_text(text, "p.toml");
-    const auto* why = std::get_if<std::string>(&read);
-    return why ? *why : "";
+    const auto* error = std::get_if<PartsError>(&read);
+    return error ? error->text() : "";
 }
 
 std::string with(const std::string& from, const std::string& to) {
@@ -35,7 +35,7 @@
 TEST(Parts, AGoodFileBecomesTheFiguresUsed) {
     const auto read = read_parts_text(good, "p.toml");
     const auto* parts = std::get_if<Parts>(&read);
-    ASSERT_TRUE(parts && parts->registry) << std::get<std::string>(read);
+    ASSERT_TRUE(parts && parts->registry) << std::get<PartsError>(read).text();
     EXPECT_EQ(parts->registry->members.size(), 2u);
     EXPECT_EQ(parts->registry->poll_policy.members, 2u);
     EXPECT_EQ(parts->registry->poll_policy.watch_timeout, Duration::seconds(1.5));
@@ -77,7 +77,7 @@
     std::ofstream(empty).flush();
     EXPECT_TRUE(std::holds_alternative<Parts>(read_parts(empty))) << "names no part, and can be read";
     std::remove(empty.c_str());
-    EXPECT_EQ(std::get<std::string>(read_parts("/nowhere/p.toml")), "cannot read /nowhere/p.toml");
+    EXPECT_EQ(std::get<PartsError>(read_parts("/nowhere/p.toml")).text(), "cannot read /nowhere/p.toml");
 }
 
 TEST(Parts, AFleetNeedsAPlaceOfItsOwnAndTermsThatHoldTogether) {
--- a/tests/wire_names_test.cpp
+++ b/tests/wire_names_test.cpp
@@ -323,7 +323,7 @@
     text.replace(text.find(path), path.size(), folder.path() + "/password");
     const auto read = read_parts_text(text, "p.toml");
     const auto* parts = std::get_if<Parts>(&read);
-    ASSERT_TRUE(parts) << std::get<std::string>(read);
+    ASSERT_TRUE(parts) << std::get<PartsError>(read).text();
     ASSERT_TRUE(parts->registry && parts->fleet);
     const registry::Settings& r = *parts->registry;
     EXPECT_EQ(r.members, std::vector<std::string>{"127.0.0.1:2379"});
@@ -360,8 +360,8 @@
     for (std::string line; std::getline(lines, line);)
         if (line.rfind(key + " ", 0) != 0) text += line + '\n';
     const auto read = read_parts_text(text + key + " = false\n", "p.toml");
-    const auto* why = std::get_if<std::string>(&read);
-    return why ? *why : "accepted";
+    const auto* error = std::get_if<PartsError>(&read);
+    return error ? error->text() : "accepted";
 }
 
 // Given: parts in which one key after the other has a value that can't be. When: they are read. Then: the
