--- a/sim/request_names.hpp
+++ b/sim/request_names.hpp
@@ -1,8 +1,8 @@
-// The simulator's names of lookups and the identities that stand for them inside. A name is forgotten once
-// its lookup has ended and none of its sends is out; what still comes under it finds nothing.
+// The simulator's names of requests, and the ids that the router knows them by.
 #pragma once
 
 #include <cstddef>
+#include <cstdint>
 #include <map>
 #include <optional>
 #include <string>
@@ -11,43 +11,46 @@
 
 namespace irismux::sim {
 
-class LookupNames {
+/// A name is dropped once its request has its final response and no attempt is in flight. A message that
+/// names it later finds nothing, and the name may be used again.
+class RequestNames {
 public:
-    // A new lookup of that name.
-    RequestId begin(const std::string& name) {
-        const RequestId id{++last_};
+    /// A new request. An earlier one of that name is no longer found by it.
+    [[nodiscard]] RequestId add(const std::string& name) {
+        const RequestId id{++last_id_};
         by_name_[name] = id;
-        lookups_[id] = {name};
+        requests_[id] = {name};
         return id;
     }
-    std::optional<RequestId> find(const std::string& name) const {
+    [[nodiscard]] std::optional<RequestId> find(const std::string& name) const {
         const auto it = by_name_.find(name);
         return it == by_name_.end() ? std::nullopt : std::optional(it->second);
     }
-    const std::string& name_of(RequestId id) const { return lookups_.at(id).name; }
+    [[nodiscard]] const std::string& name_of(RequestId id) const { return requests_.at(id).name; }
 
-    void send_began(RequestId id) { ++lookups_.at(id).out; }
-    void send_ended(RequestId id) {
-        if (Lookup& lookup = lookups_.at(id); lookup.out > 0) --lookup.out;
+    void on_attempt_started(RequestId id) { ++requests_.at(id).attempts_in_flight; }
+    void on_attempt_ended(RequestId id) {
+        NamedRequest& request = requests_.at(id);
+        if (request.attempts_in_flight > 0) --request.attempts_in_flight;
     }
-    void lookup_ended(RequestId id) { lookups_.at(id).ended = true; }
-    void forget_if_over(RequestId id) {
-        const auto it = lookups_.find(id);
-        if (it == lookups_.end() || !it->second.ended || it->second.out > 0) return;
+    void on_request_finished(RequestId id) { requests_.at(id).finished = true; }
+    void drop_if_over(RequestId id) {
+        const auto it = requests_.find(id);
+        if (it == requests_.end() || !it->second.finished || it->second.attempts_in_flight > 0) return;
         const auto named = by_name_.find(it->second.name);
         if (named != by_name_.end() && named->second == id) by_name_.erase(named);
-        lookups_.erase(it);
+        requests_.erase(it);
     }
 
 private:
-    struct Lookup {
+    struct NamedRequest {
         std::string name;
-        std::size_t out = 0;  // sends
-        bool ended = false;
+        std::size_t attempts_in_flight = 0;
+        bool finished = false;
     };
-    std::uint64_t last_ = 0;
+    std::uint64_t last_id_ = 0;
     std::map<std::string, RequestId> by_name_;
-    std::map<RequestId, Lookup> lookups_;
+    std::map<RequestId, NamedRequest> requests_;
 };
 
 }  // namespace irismux::sim
--- a/sim/simulator_host.cpp
+++ b/sim/simulator_host.cpp
@@ -1,250 +1,220 @@
-// irismux_simhost: the simulator's wire on standard input and output. It only reads, calls and writes.
-#include <cstdio>
+// irismux_simhost: runs routers for the simulator. Reads batches of messages from standard input, a line
+// each, and writes what the routers decide to standard output.
+#include <algorithm>
 #include <iostream>
 #include <map>
 #include <memory>
 #include <nlohmann/json.hpp>
-#include <stdexcept>
+#include <optional>
 #include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
 
 #include "base/reading.hpp"
 #include "gateway/deployment_reader.hpp"
 #include "irismux/router.hpp"
 #include "sim/request_names.hpp"
+#include "sim/simulator_codec.hpp"
 
+namespace irismux::sim {
 namespace {
 
-using namespace irismux;
-using nlohmann::json;
-
-constexpr std::pair<const char*, Outcome> outcomes[] = {{"completed", Outcome::completed},
-                                                        {"errored", Outcome::errored},
-                                                        {"saturated", Outcome::overloaded},
-                                                        {"overdue", Outcome::deadline_exceeded},
-                                                        {"refused_conn", Outcome::connection_refused},
-                                                        {"severed", Outcome::connection_reset},
-                                                        {"recalled", Outcome::cancelled},
-                                                        {"superseded", Outcome::superseded},
-                                                        {"lookup_miss", Outcome::cache_miss}};
-constexpr std::pair<const char*, EndpointStatus> phases[] = {{"in_service", EndpointStatus::active},
-                                                             {"terminating", EndpointStatus::draining},
-                                                             {"terminated", EndpointStatus::removed}};
-EndpointUpdate read_listing(const json& e) {
-    EndpointUpdate l;
-    l.cache = CacheId{get<std::string>(e, "cache")};
-    l.location = LocationId{get_or<std::string>(e, "locality", "")};
-    l.machine_type = MachineType{get_or<std::string>(e, "type", "")};
-    l.cell = CellId{get_or<std::int64_t>(e, "group", 0)};
-    l.weight = get_or(e, "nominal", 1.0);
-    l.status = word(get<std::string>(e, "mode"), "mode", phases);
-    l.started_at = TimePoint::at_seconds(get_or(e, "startedAtS", 0.0));
-    return l;
-}
-
-// Writes each answer of the Router as one message of the reply.
-class WirePort final : public RouterCallbacks {
+// Collects the router's decisions as messages.
+class MessageWriter final : public RouterCallbacks {
 public:
-    json outbox = json::array();
-    sim::LookupNames lookups;
-
-    void start_direct_attempt(const RequestId& id, const CacheId& cache, Duration time_out) override {
-        lookups.send_began(id);
-        put({{"t", "Dispatch"},
-             {"xid", lookups.name_of(id)},
-             {"cache", cache.raw()},
-             {"giveUpAfterS", time_out.seconds()}});
-    }
-    void start_attempt(const RequestId& id, const AttemptPlan& f) override {
-        const int bits = (f.coalesce ? 1 : 0) + (f.only_if_cached ? 2 : 0) + (f.bypass_parent_cache ? 4 : 0) +
-                         (f.revalidate ? 8 : 0);
-        lookups.send_began(id);
-        put({{"t", "ServeOrFill"},
-             {"xid", lookups.name_of(id)},
-             {"ageS", f.max_age.seconds()},
-             {"cache", f.cache.raw()},
-             {"switches", bits},
-             {"storeAs", f.storage_rank},
-             {"fillFrom", f.source.raw()},
-             {"giveUpAfterS", f.timeout.seconds()}});
-    }
-    void cancel_attempt(const RequestId& id, AttemptIndex n) override {
-        put({{"t", "DropAttempt"}, {"xid", lookups.name_of(id)}, {"trial", n.raw()}});
-    }
-    void reject(const RequestId& id, Duration in) override {
-        put({{"t", "Bounce"}, {"xid", lookups.name_of(id)}, {"coolDownS", in.seconds()}});
-        lookups.lookup_ended(id);
-    }
-    void fail(const RequestId& id) override {
-        put({{"t", "Abort"}, {"xid", lookups.name_of(id)}});
-        lookups.lookup_ended(id);
-    }
-    void set_timer(TimerId n, TimePoint at) override {
-        put({{"t", "NotifyMe"}, {"tag", n.raw()}, {"alarmTimeS", at.seconds()}});
-    }
-    void subscribe_to_endpoints() override { put({{"t", "Subscribe"}, {"active", true}}); }
+    RequestNames names;
+
+    [[nodiscard]] json take_messages() { return std::exchange(messages_, json::array()); }
+
+    void start_direct_attempt(const RequestId& request, const CacheId& origin, Duration timeout) override {
+        names.on_attempt_started(request);
+        messages_.push_back(start_direct_attempt_message(names.name_of(request), origin, timeout));
+    }
+    void start_attempt(const RequestId& request, const AttemptPlan& plan) override {
+        names.on_attempt_started(request);
+        messages_.push_back(start_attempt_message(names.name_of(request), plan));
+    }
+    void cancel_attempt(const RequestId& request, AttemptIndex attempt) override {
+        messages_.push_back(cancel_attempt_message(names.name_of(request), attempt));
+    }
+    void reject(const RequestId& request, Duration retry_after) override {
+        messages_.push_back(reject_message(names.name_of(request), retry_after));
+        names.on_request_finished(request);
+    }
+    void fail(const RequestId& request) override {
+        messages_.push_back(fail_message(names.name_of(request)));
+        names.on_request_finished(request);
+    }
+    void set_timer(TimerId timer, TimePoint due) override {
+        messages_.push_back(set_timer_message(timer, due));
+    }
+    void subscribe_to_endpoints() override { messages_.push_back(subscribe_message()); }
 
 private:
-    void put(json message) { outbox.push_back(std::move(message)); }
+    json messages_ = json::array();
 };
 
-struct Instance {
-    WirePort port;
-    std::map<std::string, ObjectKindIndex> kind_places;
-    std::optional<Router> router;
+// One gateway of the simulation.
+class SimulatedGateway {
+public:
+    SimulatedGateway(TimePoint now, const json& message) {
+        DeploymentSettings settings = read_deployment(need(message, "setup"));
+        kind_indexes_ = std::move(settings.kind_indexes);
+        router_.emplace(writer_, settings.deployment, get<std::uint64_t>(message, "seed"), now);
+    }
+
+    [[nodiscard]] json take_messages() { return writer_.take_messages(); }
+
+    void on_request(TimePoint now, const json& message) {
+        const std::string kind = get<std::string>(message, "kind");
+        const auto index = kind_indexes_.find(kind);
+        if (index == kind_indexes_.end()) bad("unknown kind '" + kind + "'");
+        Request request = read_request(message);
+        request.kind = index->second;
+        request.id = writer_.names.add(get<std::string>(message, "xid"));
+        router_->on_request(now, request);
+        writer_.names.drop_if_over(request.id);
+    }
+
+    void on_attempt_result(TimePoint now, const json& message) {
+        const auto id = writer_.names.find(get<std::string>(message, "xid"));
+        if (!id) return;
+        const AttemptResult result = read_attempt_result(*id, message);
+        writer_.names.on_attempt_ended(*id);
+        if (result.request_finished || result.outcome == Outcome::completed)
+            writer_.names.on_request_finished(*id);
+        router_->on_attempt_result(now, result);
+        writer_.names.drop_if_over(*id);
+    }
+
+    void on_client_closed(TimePoint now, const json& message) {
+        const auto id = writer_.names.find(get<std::string>(message, "xid"));
+        if (!id) return;
+        writer_.names.on_request_finished(*id);
+        router_->on_client_closed(now, *id);
+        writer_.names.drop_if_over(*id);
+    }
+
+    void on_timer(TimePoint now, const json& message) {
+        router_->on_timer(now, TimerId{get<std::uint64_t>(message, "tag")});
+    }
+
+    void on_purge(TimePoint now, const json& message) {
+        std::optional<ObjectName> object;
+        if (const auto name = get_or<std::string>(message, "contentId", ""); !name.empty())
+            object = ObjectName{name};
+        router_->on_purge(now, span_of(message, "ageS"),
+                          PurgeGroupId{get_or<std::int64_t>(message, "setNo", 0)}, object);
+    }
+
+    using EndpointLists = std::map<std::int64_t, std::vector<EndpointUpdate>>;
+    void on_endpoint_list(TimePoint now, const json& message, const EndpointLists& lists) {
+        const std::string kind = get<std::string>(message, "how");
+        if (kind == "lost") return router_->on_endpoint_updates_lost(now);
+        if (kind != "incr" && kind != "total" && kind != "warm_copy")
+            bad("unknown kind of list '" + kind + "'");
+        const auto number = get_or<std::int64_t>(message, "ref", 0);
+        const auto list = lists.find(number);
+        if (list == lists.end()) bad("unknown list number " + std::to_string(number));
+        router_->on_endpoint_updates(now, list->second, kind != "incr");
+    }
+
+private:
+    MessageWriter writer_;
+    std::map<std::string, ObjectKindIndex> kind_indexes_;
+    std::optional<Router> router_;  // built after the writer that it calls
 };
 
-// Messages that no decision depends on.
+// No decision depends on these.
 bool is_ignored(std::string_view type) {
     return type == "Opened" || type == "ProbeDone" || type == "NoteFrom";
 }
 
-class Host {
+class SimulatorHost {
 public:
-    json reply_to(const json& batch) {
+    [[nodiscard]] json reply_to(const json& batch) {
         const TimePoint now = TimePoint::at_seconds(get<double>(batch, "clockS"));
-        json all = json::array();
-        for (const json& g : list_of(batch, "gateways")) {
-            const std::string name = get<std::string>(g, "gatewayId");
-            for (const json& item : list_of(g, "items")) take(now, name, item);
-            const auto it = instances_.find(name);
-            if (it == instances_.end() || it->second->port.outbox.empty()) continue;
-            all.push_back({{"gatewayId", name}, {"outbox", std::move(it->second->port.outbox)}});
-            it->second->port.outbox = json::array();
+        json replies = json::array();
+        for (const json& entry : list_of(batch, "gateways")) {
+            const std::string name = get<std::string>(entry, "gatewayId");
+            for (const json& message : list_of(entry, "items")) receive(now, name, message);
+            const auto gateway = gateways_.find(name);
+            if (gateway == gateways_.end()) continue;
+            json messages = gateway->second->take_messages();
+            if (!messages.empty()) replies.push_back({{"gatewayId", name}, {"outbox", std::move(messages)}});
         }
-        return {{"gateways", std::move(all)}};
+        return {{"gateways", std::move(replies)}};
     }
 
 private:
-    void take(TimePoint now, const std::string& name, const json& item) {
-        const std::string t = get<std::string>(item, "t");
-        if (t == "Ledger") return read_ledger(item);
-        if (t == "OpenInstance") return open(now, name, item);
-        if (t == "Exit") {
-            instances_.erase(name);
-            return;
-        }
-        const auto it = instances_.find(name);
-        if (it == instances_.end()) bad("'" + t + "' for '" + name + "', which is not running");
-        Instance& in = *it->second;
-        Router& router = *in.router;
-        if (t == "Ingress") {
-            const Request arrival = read_arrival(in, item);
-            router.on_request(now, arrival);
-            in.port.lookups.forget_if_over(arrival.id);
-        } else if (t == "Resolved") {
-            resolved(now, in, item);
-        } else if (t == "Due") {
-            router.on_timer(now, TimerId{get<std::uint64_t>(item, "tag")});
-        } else if (t == "View") {
-            view(now, router, item);
-        } else if (t == "Outdated") {
-            std::optional<ObjectName> object;
-            if (const auto key = get_or<std::string>(item, "contentId", ""); !key.empty())
-                object = ObjectName{key};
-            router.on_purge(now, span_of(item, "ageS"), PurgeGroupId{get_or<std::int64_t>(item, "setNo", 0)},
-                            object);
-        } else if (t == "ClientGone") {
-            client_gone(now, in, item);
-        } else if (!is_ignored(t)) {
-            bad("unknown message '" + t + "'");
-        }
-    }
+    void receive(TimePoint now, const std::string& name, const json& message) {
+        const std::string type = get<std::string>(message, "t");
+        if (type == "Ledger")
+            read_endpoint_list(message);
+        else if (type == "OpenInstance")
+            gateways_[name] = std::make_unique<SimulatedGateway>(now, message);
+        else if (type == "Exit")
+            gateways_.erase(name);
+        else
+            deliver(now, gateway_for(type, name), type, message);
+    }
+
+    SimulatedGateway& gateway_for(const std::string& type, const std::string& name) {
+        const auto gateway = gateways_.find(name);
+        if (gateway == gateways_.end()) bad("'" + type + "' for '" + name + "', which is not running");
+        return *gateway->second;
+    }
+
+    void deliver(TimePoint now, SimulatedGateway& gateway, const std::string& type, const json& message) {
+        if (type == "Ingress")
+            gateway.on_request(now, message);
+        else if (type == "Resolved")
+            gateway.on_attempt_result(now, message);
+        else if (type == "Due")
+            gateway.on_timer(now, message);
+        else if (type == "View")
+            gateway.on_endpoint_list(now, message, endpoint_lists_);
+        else if (type == "Outdated")
+            gateway.on_purge(now, message);
+        else if (type == "ClientGone")
+            gateway.on_client_closed(now, message);
+        else if (!is_ignored(type))
+            bad("unknown message '" + type + "'");
+    }
+
+    void read_endpoint_list(const json& message) {
+        std::vector<EndpointUpdate> updates;
+        for (const json& element : list_of(message, "elements"))
+            updates.push_back(read_endpoint_update(element));
+        endpoint_lists_[get_or<std::int64_t>(message, "ref", 0)] = std::move(updates);
+    }
+
+    std::map<std::string, std::unique_ptr<SimulatedGateway>> gateways_;
+    SimulatedGateway::EndpointLists endpoint_lists_;
+};
 
-    static void resolved(TimePoint now, Instance& in, const json& item) {
-        const auto id = in.port.lookups.find(get<std::string>(item, "xid"));
-        if (!id) return;
-        const AttemptResult answer = read_answer(*id, item);
-        in.port.lookups.send_ended(*id);
-        if (answer.request_finished || answer.outcome == Outcome::completed)
-            in.port.lookups.lookup_ended(*id);
-        in.router->on_attempt_result(now, answer);
-        in.port.lookups.forget_if_over(*id);
+void run() {
+    SimulatorHost host;
+    std::string line;
+    while (std::getline(std::cin, line)) {
+        if (line.empty()) continue;
+        const std::string reply = host.reply_to(json::parse(line)).dump();
+        std::cout << reply << '\n' << std::flush;
     }
-
-    static void client_gone(TimePoint now, Instance& in, const json& item) {
-        const auto id = in.port.lookups.find(get<std::string>(item, "xid"));
-        if (!id) return;
-        in.port.lookups.lookup_ended(*id);
-        in.router->on_client_closed(now, *id);
-        in.port.lookups.forget_if_over(*id);
-    }
-
-    void open(TimePoint now, const std::string& name, const json& item) {
-        auto in = std::make_unique<Instance>();
-        DeploymentSettings r = read_deployment(need(item, "setup"));
-        in->kind_places = std::move(r.kind_indexes);
-        in->router.emplace(in->port, r.deployment, get<std::uint64_t>(item, "seed"), now);
-        instances_[name] = std::move(in);
-    }
-
-    void read_ledger(const json& item) {
-        std::vector<EndpointUpdate> lines;
-        for (const json& e : list_of(item, "elements")) lines.push_back(read_listing(e));
-        ledgers_[get_or<std::int64_t>(item, "ref", 0)] = std::move(lines);
-    }
-
-    void view(TimePoint now, Router& router, const json& item) {
-        const std::string how = get<std::string>(item, "how");
-        if (how == "lost") return router.on_endpoint_updates_lost(now);
-        if (how != "incr" && how != "total" && how != "warm_copy") bad("unknown kind of list '" + how + "'");
-        const auto number = get_or<std::int64_t>(item, "ref", 0);
-        const auto it = ledgers_.find(number);
-        if (it == ledgers_.end()) bad("unknown list number " + std::to_string(number));
-        router.on_endpoint_updates(now, it->second, how != "incr");
-    }
-
-    static Request read_arrival(Instance& in, const json& item) {
-        Request a;
-        const std::string kind = get<std::string>(item, "kind");
-        const auto place = in.kind_places.find(kind);
-        if (place == in.kind_places.end()) bad("unknown kind '" + kind + "'");
-        a.id = in.port.lookups.begin(get<std::string>(item, "xid"));
-        a.kind = place->second;
-        a.object = ObjectName{get_or<std::string>(item, "contentId", "")};
-        a.purge_group = PurgeGroupId{get_or<std::int64_t>(item, "labelNo", 0)};
-        a.deadline = TimePoint::at_seconds(get<double>(item, "expiresS"));
-        a.size_kb = get_or(item, "kbytes", 0.0);
-        a.is_client_retry = get_or(item, "isRetry", false);
-        a.is_write = get_or(item, "update", false);
-        return a;
-    }
-
-    static AttemptResult read_answer(RequestId id, const json& item) {
-        AttemptResult a;
-        a.request = id;
-        a.attempt = AttemptIndex{get_or<std::size_t>(item, "trial", 0)};
-        a.cache = CacheId{get<std::string>(item, "cache")};
-        a.outcome = word(get<std::string>(item, "verdict"), "verdict", outcomes);
-        const int note = get_or(item, "remark", 0);
-        a.cache_status = note >= 0 && note <= static_cast<int>(CacheStatus::origin_failed)
-                             ? static_cast<CacheStatus>(note)
-                             : CacheStatus::none;
-        a.elapsed = span_of(item, "timeTakenS");
-        a.fill_wait = span_of(item, "fillWaitS");
-        a.request_finished = get_or(item, "last", false);
-        return a;
-    }
-
-    std::map<std::string, std::unique_ptr<Instance>> instances_;
-    std::map<std::int64_t, std::vector<EndpointUpdate>> ledgers_;
-};
+}
 
 }  // namespace
+}  // namespace irismux::sim
 
 int main() {
     std::ios::sync_with_stdio(false);
-    Host host;
-    std::string line;
     try {
-        while (std::getline(std::cin, line)) {
-            if (line.empty()) continue;
-            const std::string reply = host.reply_to(json::parse(line)).dump();
-            std::cout << reply << '\n' << std::flush;
-        }
+        irismux::sim::run();
     } catch (const std::exception& e) {
         std::string text = e.what();
-        for (char& c : text)
-            if (c == '\n' || c == '\r') c = ' ';
+        std::replace_if(
+            text.begin(), text.end(), [](char c) { return c == '\n' || c == '\r'; }, ' ');
         std::cerr << "irismux_simhost: " << text << '\n';
         return 1;
     }
--- a/src/gateway/deployment_reader.cpp
+++ b/src/gateway/deployment_reader.cpp
@@ -1,105 +1,161 @@
 #include "gateway/deployment_reader.hpp"
 
 #include <algorithm>
+#include <string>
+#include <utility>
 
 #include "base/reading.hpp"
 
 namespace irismux {
 namespace {
 
+// The words of the settings, which are fixed, and the terms that they stand for.
 constexpr std::pair<const char*, Effect> effects[] = {
     {"repeatable", Effect::idempotent}, {"by_key", Effect::deduplicated}, {"once", Effect::non_idempotent}};
-constexpr std::pair<const char*, DedupScope> groups[] = {
+constexpr std::pair<const char*, DedupScope> dedup_scopes[] = {
     {"all", DedupScope::all}, {"zone", DedupScope::location}, {"cell", DedupScope::cell}};
-constexpr std::pair<const char*, Siblings> sibling_words[] = {
+constexpr std::pair<const char*, Siblings> sibling_scopes[] = {
     {"off", Siblings::none}, {"location", Siblings::location}, {"any", Siblings::any}};
-constexpr std::pair<const char*, CacheStatusReporting> note_words[] = {{"off", CacheStatusReporting::none},
-                                                                       {"hit", CacheStatusReporting::hits},
-                                                                       {"all", CacheStatusReporting::all}};
-
-std::optional<MachineType> machine_at(const json& names, std::int64_t place) {
-    if (place < 0 || place >= static_cast<std::int64_t>(names.size())) return std::nullopt;
-    return MachineType{names[static_cast<std::size_t>(place)].get<std::string>()};
-}
+constexpr std::pair<const char*, CacheStatusReporting> cache_status_reportings[] = {
+    {"off", CacheStatusReporting::none},
+    {"hit", CacheStatusReporting::hits},
+    {"all", CacheStatusReporting::all}};
 
+// The element of a list, or the default if there is no such list or element.
 template <class T>
-T nth_or(const json& o, const char* key, std::size_t n, T other) {
-    const auto it = o.find(key);
-    return it == o.end() || !it->is_array() || n >= it->size() ? other : (*it)[n].get<T>();
+T element_or(const json& object, const char* key, std::size_t index, T default_value) {
+    const auto list = object.find(key);
+    if (list == object.end() || !list->is_array() || index >= list->size()) return default_value;
+    return (*list)[index].get<T>();
 }
 
-}  // namespace
+// The settings and the objects in them that are read from more than once.
+struct Settings {
+    explicit Settings(const json& settings)
+        : all(settings),
+          specifics(settings.contains("specifics") ? settings.at("specifics") : none),
+          limits(need(settings, "ceilings")),
+          safety(need(settings, "safety")) {}
 
-DeploymentSettings read_deployment(const json& s) {
-    DeploymentSettings r;
-    Deployment& d = r.deployment;
     const json none = json::object();
-    const json& special = s.contains("specifics") ? s.at("specifics") : none;
-    const json& limits = need(s, "ceilings");
-    const json& safety = need(s, "safety");
-    d.gateways = get_or(s, "balancers", 1);
-    d.location = LocationId{get_or<std::string>(s, "zone", "")};
-    const json& zones = list_of(s, "dcs");
-    d.locations = 0;
-    for (std::size_t z = 0; z < zones.size(); ++z) {
-        const int here = nth_or(special, "zoneBalancers", z, 0);
-        d.locations += here > 0;
-        const double pipe = nth_or(special, "pipeKbPerS", z, 0.0);
-        d.total_link_capacity_kb_per_s += pipe;
-        if (zones[z].get<std::string>() != d.location.raw()) continue;
-        d.gateways_in_location = here;
-        d.location_link_capacity_kb_per_s = pipe;
+    const json& all;
+    const json& specifics;
+    const json& limits;
+    const json& safety;
+};
+
+void read_locations(const Settings& settings, Deployment& deployment) {
+    deployment.gateways = get_or(settings.all, "balancers", 1);
+    deployment.location = LocationId{get_or<std::string>(settings.all, "zone", "")};
+    const json& locations = list_of(settings.all, "dcs");
+    deployment.locations = 0;
+    for (std::size_t n = 0; n < locations.size(); ++n) {
+        const int gateways = element_or(settings.specifics, "zoneBalancers", n, 0);
+        if (gateways > 0) ++deployment.locations;
+        const double link_capacity = element_or(settings.specifics, "pipeKbPerS", n, 0.0);
+        deployment.total_link_capacity_kb_per_s += link_capacity;
+        if (locations[n].get<std::string>() != deployment.location.raw()) continue;
+        deployment.gateways_in_location = gateways;
+        deployment.location_link_capacity_kb_per_s = link_capacity;
     }
-    const json& lanes = list_of(s, "lanes");
+}
+
+ObjectKind read_kind(const Settings& settings, const json& lane, std::size_t index) {
+    const json& specifics = settings.specifics;
+    ObjectKind kind;
+    kind.effect = word(get<std::string>(lane, "effect"), "effect", effects);
+    kind.dedup_scope = word(get_or<std::string>(lane, "group", "all"), "group", dedup_scopes);
+    kind.dedup_window = span_of(lane, "windowS");
+    kind.latency_objective = Duration::seconds(get<double>(lane, "aimS"));
+    kind.latency_objective_stretch = get_or(lane, "aimStretch", 0.0);
+    kind.deadline = Duration::seconds(get<double>(lane, "hardLimitS"));
+    kind.utility = get_or(lane, "credit", 1.0);
+    kind.late_utility_share = get_or(lane, "lateWorth", 0.0);
+    kind.fresh_for = Duration::seconds(element_or(specifics, "goodForS", index, 0.0));
+    kind.stale_if_error_for = Duration::seconds(element_or(specifics, "staleForS", index, 0.0));
+    kind.stale_utility_share = element_or(specifics, "classStaleWorth", index, 1.0);
+    kind.uncacheable = element_or(specifics, "neverKept", index, false);
+    return kind;
+}
+
+void read_kinds(const Settings& settings, DeploymentSettings& result) {
+    const json& lanes = list_of(settings.all, "lanes");
     for (std::size_t n = 0; n < lanes.size(); ++n) {
-        const json& lane = lanes[n];
-        ObjectKind k;
-        k.effect = word(get<std::string>(lane, "effect"), "effect", effects);
-        k.dedup_scope = word(get_or<std::string>(lane, "group", "all"), "group", groups);
-        k.dedup_window = span_of(lane, "windowS");
-        k.latency_objective = Duration::seconds(get<double>(lane, "aimS"));
-        k.latency_objective_stretch = get_or(lane, "aimStretch", 0.0);
-        k.deadline = Duration::seconds(get<double>(lane, "hardLimitS"));
-        k.utility = get_or(lane, "credit", 1.0);
-        k.late_utility_share = get_or(lane, "lateWorth", 0.0);
-        k.fresh_for = Duration::seconds(nth_or(special, "goodForS", n, 0.0));
-        k.stale_if_error_for = Duration::seconds(nth_or(special, "staleForS", n, 0.0));
-        k.stale_utility_share = nth_or(special, "classStaleWorth", n, 1.0);
-        k.uncacheable = nth_or(special, "neverKept", n, false);
-        d.kinds.push_back(k);
-        r.kind_indexes.emplace(get<std::string>(lane, "name"), ObjectKindIndex{n});
+        result.deployment.kinds.push_back(read_kind(settings, lanes[n], n));
+        result.kind_indexes.emplace(get<std::string>(lanes[n], "name"), ObjectKindIndex{n});
     }
-    const json& machines = list_of(s, "kinds");
-    d.parent_machine = machine_at(machines, get_or<std::int64_t>(special, "secondTierKind", -1));
-    d.origin_machine = machine_at(machines, get_or<std::int64_t>(special, "originKind", -1));
-    d.capabilities.cancellation = get_or(limits, "cancel", false);
-    d.capabilities.probes = get_or(limits, "probes", false);
-    d.capabilities.retry_after = get_or(limits, "retryAfter", false);
-    d.capabilities.hedged_requests = get_or(limits, "parallelTries", false);
-    d.capabilities.direct_attempts = get_or(special, "passThroughOk", false);
-    d.capabilities.coalescing = get_or(special, "canJoin", false);
-    d.capabilities.siblings =
-        word(get_or<std::string>(special, "neighbours", "off"), "neighbours", sibling_words);
-    d.capabilities.cache_status = word(get_or<std::string>(special, "says", "off"), "says", note_words);
-    d.capabilities.max_attempts = get_or(limits, "attemptsCap", 1);
-    d.capabilities.max_retry_after = span_of(limits, "maxRetryAfterS");
-    d.subscribe_to_endpoints = get_or<std::string>(s, "discovery", "pushed") == "on_request";
-    d.weights_known = get_or<std::string>(s, "weightSource", "off") != "off";
-    d.edge_slow_start = {get_or(safety, "coldFrom", 1.0), span_of(safety, "coldS"),
-                         get_or(safety, "fallMultiple", 1.0)};
-    d.parent_slow_start = {get_or(special, "parentFloor", 1.0), span_of(special, "upperColdS"),
-                           get_or(special, "parentBreaksAt", 1.0)};
-    d.origin_stops_when_overloaded = get_or(special, "rootFallMultiple", 0.0) > 0;
-    d.overload_window = span_of(safety, "fallS");
-    d.drain_grace_period = span_of(safety, "drainGraceS");
-    d.purge_grace_period = span_of(special, "purgeGraceS");
-    d.purge_retention = span_of(special, "purgeDoneS");
-    d.timer_resolution = span_of(s, "tickS");
-    d.connections = {span_of(limits, "connectTimeoutS"), span_of(limits, "connIdleS"),
-                     std::max(1, get_or(limits, "streamsPerConn", 1))};
-    d.max_pending_requests = get_or(limits, "maxOpen", 0);
-    d.transfer_rate_kb_per_s = get_or(special, "oneFlowKbPerS", 0.0);
-    return r;
+}
+
+// The machine type at that position of the settings' list; none if the position lies outside of it.
+std::optional<MachineType> machine_type_at(const json& names, std::int64_t position) {
+    if (position < 0 || position >= static_cast<std::int64_t>(names.size())) return std::nullopt;
+    return MachineType{names[static_cast<std::size_t>(position)].get<std::string>()};
+}
+
+void read_machine_types(const Settings& settings, Deployment& deployment) {
+    const json& names = list_of(settings.all, "kinds");
+    deployment.parent_machine =
+        machine_type_at(names, get_or<std::int64_t>(settings.specifics, "secondTierKind", -1));
+    deployment.origin_machine =
+        machine_type_at(names, get_or<std::int64_t>(settings.specifics, "originKind", -1));
+}
+
+void read_capabilities(const Settings& settings, Capabilities& capabilities) {
+    const json& limits = settings.limits;
+    const json& specifics = settings.specifics;
+    capabilities.cancellation = get_or(limits, "cancel", false);
+    capabilities.probes = get_or(limits, "probes", false);
+    capabilities.retry_after = get_or(limits, "retryAfter", false);
+    capabilities.hedged_requests = get_or(limits, "parallelTries", false);
+    capabilities.direct_attempts = get_or(specifics, "passThroughOk", false);
+    capabilities.coalescing = get_or(specifics, "canJoin", false);
+    capabilities.siblings =
+        word(get_or<std::string>(specifics, "neighbours", "off"), "neighbours", sibling_scopes);
+    capabilities.cache_status =
+        word(get_or<std::string>(specifics, "says", "off"), "says", cache_status_reportings);
+    capabilities.max_attempts = get_or(limits, "attemptsCap", 1);
+    capabilities.max_retry_after = span_of(limits, "maxRetryAfterS");
+}
+
+void read_overload_protection(const Settings& settings, Deployment& deployment) {
+    const json& safety = settings.safety;
+    const json& specifics = settings.specifics;
+    deployment.edge_slow_start = {get_or(safety, "coldFrom", 1.0), span_of(safety, "coldS"),
+                                  get_or(safety, "fallMultiple", 1.0)};
+    deployment.parent_slow_start = {get_or(specifics, "parentFloor", 1.0), span_of(specifics, "upperColdS"),
+                                    get_or(specifics, "parentBreaksAt", 1.0)};
+    deployment.origin_stops_when_overloaded = get_or(specifics, "rootFallMultiple", 0.0) > 0;
+    deployment.overload_window = span_of(safety, "fallS");
+}
+
+void read_times_and_limits(const Settings& settings, Deployment& deployment) {
+    const json& limits = settings.limits;
+    deployment.drain_grace_period = span_of(settings.safety, "drainGraceS");
+    deployment.purge_grace_period = span_of(settings.specifics, "purgeGraceS");
+    deployment.purge_retention = span_of(settings.specifics, "purgeDoneS");
+    deployment.timer_resolution = span_of(settings.all, "tickS");
+    deployment.connections = {span_of(limits, "connectTimeoutS"), span_of(limits, "connIdleS"),
+                              std::max(1, get_or(limits, "streamsPerConn", 1))};
+    deployment.max_pending_requests = get_or(limits, "maxOpen", 0);
+    deployment.transfer_rate_kb_per_s = get_or(settings.specifics, "oneFlowKbPerS", 0.0);
+}
+
+}  // namespace
+
+DeploymentSettings read_deployment(const json& settings_json) {
+    const Settings settings(settings_json);
+    DeploymentSettings result;
+    Deployment& deployment = result.deployment;
+    read_locations(settings, deployment);
+    read_kinds(settings, result);
+    read_machine_types(settings, deployment);
+    read_capabilities(settings, deployment.capabilities);
+    deployment.subscribe_to_endpoints =
+        get_or<std::string>(settings.all, "discovery", "pushed") == "on_request";
+    deployment.weights_known = get_or<std::string>(settings.all, "weightSource", "off") != "off";
+    read_overload_protection(settings, deployment);
+    read_times_and_limits(settings, deployment);
+    return result;
 }
 
 }  // namespace irismux
--- a/src/gateway/deployment_reader.hpp
+++ b/src/gateway/deployment_reader.hpp
@@ -1,4 +1,5 @@
-// The one reader of what a gateway is told at start, whoever tells it: the simulator or the configuration.
+// Reads the deployment's settings (JSON), as the gateway's configuration and the simulator both have them.
+// Their words are fixed and appear nowhere else.
 #pragma once
 
 #include <map>
@@ -11,9 +12,10 @@
 
 struct DeploymentSettings {
     Deployment deployment;
-    std::map<std::string, ObjectKindIndex> kind_indexes;
+    std::map<std::string, ObjectKindIndex> kind_indexes;  ///< by the kind's name
 };
 
-DeploymentSettings read_deployment(const nlohmann::json& told);
+/// Throws std::runtime_error if a setting is missing, or not as it must be.
+[[nodiscard]] DeploymentSettings read_deployment(const nlohmann::json& settings);
 
 }  // namespace irismux
