--- a/sim/simulator_codec.cpp
+++ b/sim/simulator_codec.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "base/reading.hpp"
+#include "base/json_reader.hpp"
 
 namespace irismux::sim {
 namespace {
--- a/sim/simulator_host.cpp
+++ b/sim/simulator_host.cpp
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-#include "base/reading.hpp"
+#include "base/json_reader.hpp"
 #include "gateway/deployment_reader.hpp"
 #include "irismux/router.hpp"
 #include "sim/request_names.hpp"
--- a/src/codec/notices.cpp
+++ b/src/codec/notice_reader.cpp
@@ -1,9 +1,9 @@
-#include "codec/notices.hpp"
+#include "codec/notice_reader.hpp"
 
 #include <algorithm>
 #include <utility>
 
-#include "base/reading.hpp"
+#include "base/json_reader.hpp"
 
 namespace irismux {
 namespace {
--- a/src/gateway/endpoint_source.cpp
+++ b/src/gateway/endpoint_source.cpp
@@ -3,6 +3,7 @@
 #include <utility>
 
 #include "base/log.hpp"
+#include "registry/registry_log.hpp"
 
 namespace irismux {
 
@@ -55,18 +56,12 @@
 
 void EndpointSource::on_sync_state(TimePoint now, registry::SyncState state, TimePoint as_of) {
     const bool disconnected = state == registry::SyncState::disconnected;
-    const log::Level level = disconnected ? log::Level::warning : log::Level::info;
-    const std::string_view name = registry::to_string(state);
-    if (as_of > TimePoint{})
-        log::event(level, "registry_sync_state",
-                   {{"state", name}, {"list_age_ms", (now - as_of).micros() / 1000}});
-    else
-        log::event(level, "registry_sync_state", {{"state", name}, {"list_age_ms", "none"}});
+    registry::log_sync_state(now, state, as_of);
     if (disconnected) observer_.on_endpoint_source_lost(now);
 }
 
-void EndpointSource::on_warning(std::string_view reason) {
-    log::event(log::Level::warning, "registry_warning", {{"reason", reason}});
+void EndpointSource::on_watch_warning(const registry::WatchWarning& warning) {
+    registry::log_watch_warning(warning, *settings_);
 }
 
 }  // namespace irismux
--- a/src/gateway/endpoint_source.hpp
+++ b/src/gateway/endpoint_source.hpp
@@ -10,7 +10,7 @@
 #include "endpoint/endpoint_record.hpp"
 #include "gateway/stored_endpoint_list.hpp"
 #include "net/event_loop.hpp"
-#include "registry/client.hpp"
+#include "registry/registry_client.hpp"
 
 namespace irismux {
 
@@ -47,7 +47,7 @@
     // registry::WatchObserver
     void on_endpoints(TimePoint now, const std::vector<EndpointRecord>& records, bool complete) override;
     void on_sync_state(TimePoint now, registry::SyncState state, TimePoint as_of) override;
-    void on_warning(std::string_view reason) override;
+    void on_watch_warning(const registry::WatchWarning& warning) override;
 
     EventLoop& event_loop_;
     EndpointListObserver& observer_;
--- a/src/gateway/listener_start.cpp
+++ b/src/gateway/listener_start.cpp
@@ -3,6 +3,7 @@
 #include <Poco/Net/SocketAddress.h>
 
 #include <utility>
+#include <variant>
 
 #include "base/log.hpp"
 
@@ -34,8 +35,8 @@
     event_loop_.cancel(retry_timer_);
     if (server_.listening() || given_up_) return;
     if (!fleet_.may_serve()) return try_at(fleet_.may_serve_from());
-    if (const auto reason = server_.listen(Poco::Net::SocketAddress(address_)))
-        return on_listen_failed(*reason);
+    const ListenResult result = server_.listen(Poco::Net::SocketAddress(address_));
+    if (const auto* error = std::get_if<ListenError>(&result)) return on_listen_failed(error->message);
     log::event(log::Level::info, "listening", {{"gateway", gateway_name_}, {"address", address_}});
 }
 
--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -6,8 +6,8 @@
 #include <string>
 #include <variant>
 
-#include "cli/fleet.hpp"
-#include "cli/registry.hpp"
+#include "cli/fleet_commands.hpp"
+#include "cli/registry_commands.hpp"
 #include "fleet/fleet_client.hpp"
 #include "gateway/parts.hpp"
 #include "gateway/serve.hpp"
--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -14,8 +14,8 @@
 #include <utility>
 
 #include "base/flight_recorder.hpp"
+#include "base/json_reader.hpp"
 #include "base/log.hpp"
-#include "base/reading.hpp"
 #include "gateway/gateway.hpp"
 #include "gateway/process_signals.hpp"
 
--- a/src/gateway/stored_endpoint_list.cpp
+++ b/src/gateway/stored_endpoint_list.cpp
@@ -26,8 +26,9 @@
       max_age_(settings.snapshot_max_age) {
     if (settings.snapshot_folder.empty()) return;
     auto opened = Store::open(settings.snapshot_folder, max_store_bytes);
-    if (const auto* reason = std::get_if<std::string>(&opened)) {
-        log::event(log::Level::warning, "registry_store_unavailable", {{"reason", *reason}});
+    if (const auto* error = std::get_if<StoreError>(&opened)) {
+        log::event(log::Level::warning, "registry_store_unavailable",
+                   {{"reason", error->reason()}, {"folder", error->folder}, {"detail", error->detail}});
         return;
     }
     store_ = std::move(std::get<Store>(opened));
@@ -36,16 +37,17 @@
 
 StoredEndpointList::~StoredEndpointList() { event_loop_.cancel(write_timer_); }
 
-std::optional<registry::Snapshot> StoredEndpointList::read() const {
+std::optional<registry::EndpointSnapshot> StoredEndpointList::read() const {
     if (!store_) return std::nullopt;
     const auto bytes = store_->read(stored_name);
     if (!bytes) return std::nullopt;
     auto snapshot = registry::parse_snapshot(*bytes, owner_, event_loop_.now(), max_age_);
-    if (const auto* reason = std::get_if<std::string>(&snapshot)) {
-        log::event(log::Level::warning, "registry_snapshot_rejected", {{"reason", *reason}});
+    if (const auto* error = std::get_if<registry::SnapshotError>(&snapshot)) {
+        log::event(log::Level::warning, "registry_snapshot_rejected",
+                   {{"reason", registry::to_string(*error)}});
         return std::nullopt;
     }
-    return std::move(std::get<registry::Snapshot>(snapshot));
+    return std::move(std::get<registry::EndpointSnapshot>(snapshot));
 }
 
 void StoredEndpointList::schedule_write() {
@@ -59,12 +61,13 @@
         watch_.last_complete_at() - written_as_of_ > max_age_ * rewrite_after_share_of_max_age;
     const bool changed = watch_.view().revision() != written_revision_;
     if (watch_.sync_state() != registry::SyncState::following || (!changed && !due_again)) return;
-    const auto failure = store_->write(
+    const auto written = store_->write(
         stored_name,
         registry::serialize_snapshot(watch_.view(), watch_.cluster(), watch_.last_complete_at(), owner_));
-    if (failure) {
+    if (const auto* error = std::get_if<StoreError>(&written)) {
         if (!write_failure_logged_)
-            log::event(log::Level::warning, "registry_snapshot_not_stored", {{"reason", *failure}});
+            log::event(log::Level::warning, "registry_snapshot_not_stored",
+                       {{"reason", error->reason()}, {"folder", error->folder}, {"detail", error->detail}});
         write_failure_logged_ = true;
         return;
     }
--- a/src/gateway/stored_endpoint_list.hpp
+++ b/src/gateway/stored_endpoint_list.hpp
@@ -7,8 +7,8 @@
 
 #include "irismux/ids.hpp"
 #include "net/event_loop.hpp"
+#include "registry/endpoint_snapshot.hpp"
 #include "registry/settings.hpp"
-#include "registry/snapshot.hpp"
 #include "registry/watch.hpp"
 #include "store/store.hpp"
 
@@ -26,7 +26,7 @@
     StoredEndpointList& operator=(const StoredEndpointList&) = delete;
 
     /// The list of an earlier process, if there is one that is complete and not too old.
-    [[nodiscard]] std::optional<registry::Snapshot> read() const;
+    [[nodiscard]] std::optional<registry::EndpointSnapshot> read() const;
 
 private:
     void schedule_write();
--- a/testing/interleaving_explorer.cpp
+++ b/testing/interleaving_explorer.cpp
@@ -29,7 +29,7 @@
                                        "stopped", "stopped once sent", "stopped once settled", "cut off",
                                        "died"};
 
-struct Ports final : RegistryPort, AgentObserver {
+struct Ports final : AgentTransport, AgentObserver {
     std::optional<Transaction> asked;
     TimePoint wake_at;
     void submit(const Transaction& d) override { asked = d; }
@@ -114,7 +114,7 @@
     }
 
     TransactionLedger::Outcome settle(const Transaction& transaction) {
-        const TransactionLedger::Outcome o = ledger.settle(transaction);
+        TransactionLedger::Outcome o = ledger.settle(transaction);
         for (const auto& [key, value] : transaction.writes) {
             if (!o.held || !value || key.raw().rfind("work/", 0) != 0) continue;
             // EPOCH/NAME/START: a member of that incarnation, and no token below one that has written.
--- a/tests/fleet_process_test.cpp
+++ b/tests/fleet_process_test.cpp
@@ -317,8 +317,7 @@
         return a->written.size() > before && d && d->token > higher && working();
     }));
     bool read = false;
-    for (std::size_t n = 0; n < a->gateways.size(); ++n)
-        read = read || a->logged(n, "the registry has gone back");
+    for (std::size_t n = 0; n < a->gateways.size(); ++n) read = read || a->logged(n, "registry_rolled_back");
     EXPECT_TRUE(read);
 }
 
@@ -452,7 +451,7 @@
     a->stop(owner);
     ASSERT_TRUE(a->until([&] {
         const auto n = a->owner(watch);
-        return n && *n != owner && finding() && finding()->by.name.raw() == a->gateways[*n].name;
+        return n && *n != owner && finding() && finding()->owner.name.raw() == a->gateways[*n].name;
     }));
     a->resume(owner);
     a->pass(shape.term);
