--- a/src/endpoint/endpoint_record.cpp
+++ b/src/endpoint/endpoint_record.cpp
@@ -8,28 +8,28 @@
 namespace irismux {
 namespace {
 
-constexpr std::pair<const char*, EndpointStatus> phases[] = {{"Ready", EndpointStatus::active},
-                                                             {"Terminating", EndpointStatus::draining},
-                                                             {"Gone", EndpointStatus::removed}};
+constexpr std::pair<const char*, EndpointStatus> statuses[] = {{"Ready", EndpointStatus::active},
+                                                               {"Terminating", EndpointStatus::draining},
+                                                               {"Gone", EndpointStatus::removed}};
 
 }  // namespace
 
 TimePoint time_from_unix_ms(std::int64_t ms) {
-    // Far beyond any clock, and far from where differences overflow.
-    constexpr std::int64_t most_ms = std::numeric_limits<std::int64_t>::max() / 4000;
-    return TimePoint{} + Duration::micros(std::clamp(ms, -most_ms, most_ms) * 1000);
+    // Beyond any clock, and so far from the limits that differences in microseconds do not overflow.
+    constexpr std::int64_t max_ms = std::numeric_limits<std::int64_t>::max() / 4000;
+    return TimePoint{} + Duration::micros(std::clamp(ms, -max_ms, max_ms) * 1000);
 }
 
-EndpointRecord parse_endpoint_record(const json& e) {
-    EndpointUpdate l;
-    l.cache = CacheId{get<std::string>(e, "id")};
-    l.location = LocationId{get_or<std::string>(e, "zone", "")};
-    l.machine_type = MachineType{get_or<std::string>(e, "kind", "")};
-    l.cell = CellId{get_or<std::int64_t>(e, "cell", 0)};
-    l.weight = get_or(e, "weight", 1.0);
-    l.status = word(get<std::string>(e, "state"), "state", phases);
-    l.started_at = time_from_unix_ms(get_or<std::int64_t>(e, "started_ms", 0));
-    return {l, get_or<std::string>(e, "addr", "")};
+EndpointRecord parse_endpoint_record(const json& record) {
+    EndpointUpdate update;
+    update.cache = CacheId{get<std::string>(record, "id")};
+    update.location = LocationId{get_or<std::string>(record, "zone", "")};
+    update.machine_type = MachineType{get_or<std::string>(record, "kind", "")};
+    update.cell = CellId{get_or<std::int64_t>(record, "cell", 0)};
+    update.weight = get_or(record, "weight", 1.0);
+    update.status = word(get<std::string>(record, "state"), "state", statuses);
+    update.started_at = time_from_unix_ms(get_or<std::int64_t>(record, "started_ms", 0));
+    return {update, get_or<std::string>(record, "addr", "")};
 }
 
 }  // namespace irismux
--- a/src/endpoint/endpoint_table.cpp
+++ b/src/endpoint/endpoint_table.cpp
@@ -3,20 +3,22 @@
 #include <algorithm>
 
 namespace irismux {
+namespace {
 
-void EndpointTable::apply(const std::vector<std::pair<EndpointUpdate, std::string>>& lines, bool complete) {
+bool is_listed(const Endpoint& endpoint) { return endpoint.update.status != EndpointStatus::removed; }
+bool is_unused(const Endpoint& endpoint) { return !is_listed(endpoint) && endpoint.connections.empty(); }
+
+}  // namespace
+
+void EndpointTable::apply(const std::vector<EndpointRecord>& records, bool complete) {
     if (complete)
-        for (auto& [id, p] : endpoints_) p.update.status = EndpointStatus::removed;
-    for (const auto& [listing, address] : lines) {
-        Endpoint& p = endpoints_[listing.cache];
-        p.update = listing;
-        if (!address.empty()) p.address = address;
-    }
-    for (auto it = endpoints_.begin(); it != endpoints_.end();) {
-        const Endpoint& p = it->second;
-        it = p.update.status == EndpointStatus::removed && p.connections.empty() ? endpoints_.erase(it)
-                                                                                 : std::next(it);
+        for (auto& [id, endpoint] : endpoints_) endpoint.update.status = EndpointStatus::removed;
+    for (const auto& [update, address] : records) {
+        Endpoint& endpoint = endpoints_[update.cache];
+        endpoint.update = update;
+        if (!address.empty()) endpoint.address = address;
     }
+    std::erase_if(endpoints_, [](const auto& entry) { return is_unused(entry.second); });
 }
 
 Endpoint* EndpointTable::find(const CacheId& id) {
@@ -29,22 +31,20 @@
     return it != endpoints_.end() && it->second.update.status == EndpointStatus::active;
 }
 
-void EndpointTable::for_each(const std::function<void(Endpoint&)>& visit) {
-    for (auto& [id, p] : endpoints_) visit(p);
+void EndpointTable::for_each(const std::function<void(Endpoint&)>& callback) {
+    for (auto& [id, endpoint] : endpoints_) callback(endpoint);
 }
 
 std::size_t EndpointTable::count_at(const LocationId& location) const {
-    return static_cast<std::size_t>(std::count_if(endpoints_.begin(), endpoints_.end(), [&](const auto& p) {
-        return p.second.update.location == location && p.second.update.status != EndpointStatus::removed;
-    }));
+    return static_cast<std::size_t>(
+        std::count_if(endpoints_.begin(), endpoints_.end(), [&](const auto& entry) {
+            return entry.second.update.location == location && is_listed(entry.second);
+        }));
 }
 
 void EndpointTable::erase_if_removed(const CacheId& id) {
     const auto it = endpoints_.find(id);
-    if (it == endpoints_.end() || it->second.update.status != EndpointStatus::removed ||
-        !it->second.connections.empty())
-        return;
-    endpoints_.erase(it);
+    if (it != endpoints_.end() && is_unused(it->second)) endpoints_.erase(it);
 }
 
 void EndpointTable::add_purge(TimePoint at, PurgeGroupId group, const std::optional<ObjectName>& object,
@@ -52,11 +52,14 @@
     purges_.add(at, group, object, now);
 }
 
-std::optional<Duration> EndpointTable::max_age_after_purges(const Request& lk, TimePoint now) const {
-    const std::optional<TimePoint> at = purges_.newest(lk.object, lk.purge_group, now);
-    if (!at) return std::nullopt;
-    // Guards against a purge of this very instant, or of a clock that is ahead: none at all would bind there.
-    return std::max(now - *at, Duration::micros(1));
+std::optional<Duration> EndpointTable::max_age_after_purges(const Request& request, TimePoint now) const {
+    const std::optional<TimePoint> purged_at = purges_.newest(request.object, request.purge_group, now);
+    if (!purged_at) return std::nullopt;
+    // Failure: a purge of this instant, or of a clock that is ahead, gives an age of zero or less, which
+    // means that no limit is set, and a purged copy is served. So the age is never less than the smallest
+    // one.
+    constexpr Duration min_max_age = Duration::micros(1);
+    return std::max(now - *purged_at, min_max_age);
 }
 
 }  // namespace irismux
--- a/src/gateway/configuration.hpp
+++ b/src/gateway/configuration.hpp
@@ -15,8 +15,8 @@
     std::string notice_board;
     std::uint64_t seed = 0;
     std::size_t descriptors = 0;
-    std::size_t memory = 0;  // bytes
-    nlohmann::json known;    // the notice board's events up to the start
+    std::size_t memory = 0;                           // bytes
+    nlohmann::json known = nlohmann::json::object();  // the notice board's events up to the start
     DeploymentSettings settings;
 };
 
--- a/src/gateway/fleet_participation.cpp
+++ b/src/gateway/fleet_participation.cpp
@@ -22,8 +22,6 @@
                            deployment.location, deployment.parent_machine, deployment.origin_machine};
 }
 
-FleetParticipation::~FleetParticipation() { event_loop_.cancel(leave_timer_); }
-
 void FleetParticipation::open_client() {
     if (!settings_) return;
     fleet::Settings settings = *settings_;
@@ -44,9 +42,8 @@
     if (!client_) return;
     client_->leave();
     leaving_client_ = std::move(client_);
-    event_loop_.cancel(leave_timer_);
-    leave_timer_ = event_loop_.schedule_at(event_loop_.now() + settings_->registry.poll_policy.reply_timeout,
-                                           [this] { leaving_client_.reset(); });
+    leave_timer_ = ScopedTimer(event_loop_, event_loop_.now() + settings_->registry.poll_policy.reply_timeout,
+                               [this] { leaving_client_.reset(); });
 }
 
 void FleetParticipation::reload(const std::optional<fleet::Settings>& settings) {
--- a/src/gateway/fleet_participation.hpp
+++ b/src/gateway/fleet_participation.hpp
@@ -25,7 +25,6 @@
     FleetParticipation(EventLoop& loop, EndpointTable& endpoints, RequestDispatcher& dispatcher,
                        CacheConnectionPool& cache_connections, const Configuration& configuration,
                        std::optional<fleet::Settings> settings);
-    ~FleetParticipation() override;
 
     /// Opens the client without connecting.
     void open_client();
@@ -88,7 +87,7 @@
     std::unique_ptr<fleet::FleetClient> client_;
     std::unique_ptr<fleet::FleetClient>
         leaving_client_;  // keeps its connection until its last write is through
-    EventLoop::Timer leave_timer_{};
+    ScopedTimer leave_timer_;
 };
 
 }  // namespace irismux
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -71,6 +71,7 @@
 void Gateway::on_endpoint_list(const std::vector<EndpointRecord>& records, bool complete) {
     endpoints_.apply(records, complete);
     std::vector<EndpointUpdate> updates;
+    updates.reserve(records.size());
     for (const auto& [update, address] : records) updates.push_back(update);
     dispatcher_.on_endpoint_updates(updates, complete);
     for (const EndpointUpdate& update : updates)
--- a/src/gateway/listener_start.cpp
+++ b/src/gateway/listener_start.cpp
@@ -24,15 +24,13 @@
       gateway_name_(std::move(gateway_name)),
       address_(std::move(address)) {}
 
-ListenerStart::~ListenerStart() { event_loop_.cancel(retry_timer_); }
-
 void ListenerStart::start() {
     give_up_at_ = event_loop_.now() + max_start_time;
     try_now();
 }
 
 void ListenerStart::try_now() {
-    event_loop_.cancel(retry_timer_);
+    retry_timer_.cancel();
     if (server_.listening() || given_up_) return;
     if (!fleet_.may_serve()) return try_at(fleet_.may_serve_from());
     const ListenResult result = server_.listen(Poco::Net::SocketAddress(address_));
@@ -41,7 +39,7 @@
 }
 
 void ListenerStart::try_at(TimePoint due) {
-    retry_timer_ = event_loop_.schedule_at(due, [this] { try_now(); });
+    retry_timer_ = ScopedTimer(event_loop_, due, [this] { try_now(); });
 }
 
 // The process before this one may still hold the address, or descriptors may be short for a moment.
--- a/src/gateway/listener_start.hpp
+++ b/src/gateway/listener_start.hpp
@@ -23,7 +23,6 @@
     /// All references must outlive this object.
     ListenerStart(EventLoop& loop, FastCgiServer& server, const FleetParticipation& fleet,
                   std::string gateway_name, std::string address);
-    ~ListenerStart();
     ListenerStart(const ListenerStart&) = delete;
     ListenerStart& operator=(const ListenerStart&) = delete;
 
@@ -44,7 +43,7 @@
     const FleetParticipation& fleet_;
     std::string gateway_name_;
     std::string address_;
-    EventLoop::Timer retry_timer_{};
+    ScopedTimer retry_timer_;
     TimePoint give_up_at_;
     bool given_up_ = false;
     bool failure_logged_ = false;
--- a/src/gateway/parts_section.cpp
+++ b/src/gateway/parts_section.cpp
@@ -109,7 +109,7 @@
 }
 
 std::string PartsSection::name_of(std::string_view key) const {
-    const std::string value = text(require(key), key);
+    std::string value = text(require(key), key);
     const bool has_invisible =
         std::any_of(value.begin(), value.end(), [](unsigned char c) { return c <= ' ' || c > '~'; });
     if (value.empty() || value.size() > max_name_length || has_invisible)
--- a/src/gateway/request_dispatcher.cpp
+++ b/src/gateway/request_dispatcher.cpp
@@ -61,7 +61,7 @@
     if (max_pending_requests_ > 0 && pending_requests_.size() > max_pending_requests_) {
         reject(id, Duration{});
     } else {
-        pending.deadline_timer = event_loop_.schedule_at(request.deadline, [this, id] { on_deadline(id); });
+        pending.deadline_timer = ScopedTimer(event_loop_, request.deadline, [this, id] { on_deadline(id); });
         if (drain_deadline_) shorten_deadline(id, pending, *drain_deadline_);
         call_router(event_loop_.now(), &Router::on_request, request);
     }
@@ -116,8 +116,7 @@
 void RequestDispatcher::shorten_deadline(const RequestId& id, PendingRequest& pending, TimePoint deadline) {
     if (deadline >= pending.active->deadline()) return;
     pending.active->shorten_deadline(deadline);
-    event_loop_.cancel(pending.deadline_timer);
-    pending.deadline_timer = event_loop_.schedule_at(deadline, [this, id] { on_deadline(id); });
+    pending.deadline_timer = ScopedTimer(event_loop_, deadline, [this, id] { on_deadline(id); });
 }
 
 bool RequestDispatcher::has_unanswered_request() const {
@@ -133,7 +132,6 @@
 void RequestDispatcher::erase_if_finished(const RequestId& id) {
     const auto it = pending_requests_.find(id);
     if (it == pending_requests_.end() || !it->second.active->finished()) return;
-    event_loop_.cancel(it->second.deadline_timer);
     by_client_stream_.erase(it->second.active->client_stream());
     pending_requests_.erase(it);
 }
@@ -150,7 +148,7 @@
     const TimePoint times_out_at = event_loop_.now() + timeout;
     if (timeout > Duration{} && times_out_at < request.deadline())
         pending->attempt_timers[n] =
-            event_loop_.schedule_at(times_out_at, [this, id, n] { on_attempt_timeout(id, n); });
+            ScopedTimer(event_loop_, times_out_at, [this, id, n] { on_attempt_timeout(id, n); });
     cache_connections_.start_attempt(request, n);
 }
 
@@ -168,15 +166,6 @@
     on_attempt_ended(request, attempt, {.outcome = Outcome::deadline_exceeded});
 }
 
-void RequestDispatcher::cancel_attempt_timer(const RequestId& id, std::size_t attempt) {
-    PendingRequest* const pending = find(id);
-    if (!pending) return;
-    const auto timer = pending->attempt_timers.find(attempt);
-    if (timer == pending->attempt_timers.end()) return;
-    event_loop_.cancel(timer->second);
-    pending->attempt_timers.erase(timer);
-}
-
 void RequestDispatcher::on_attempt_ended(ActiveRequest& request, std::size_t attempt, const AttemptEnd& end) {
     const RequestId id = request.id();
     end_attempt(request, attempt, end);
@@ -194,9 +183,9 @@
 
 void RequestDispatcher::end_attempt(ActiveRequest& request, std::size_t n, const AttemptEnd& end) {
     Attempt& attempt = request.attempt(n);
-    if (attempt.ended) return;
-    attempt.ended = true;
-    cancel_attempt_timer(request.id(), n);
+    if (attempt.ended()) return;
+    attempt.state = AttemptState::ended;
+    if (PendingRequest* const pending = find(request.id())) pending->attempt_timers.erase(n);
     if (end.outcome == Outcome::completed && request.respond(end)) release(request, false);
     const AttemptResult result{request.id(),  AttemptIndex{n},   attempt.cache,
                                end.outcome,   end.cache_status,  event_loop_.now() - attempt.decided_at,
@@ -212,7 +201,7 @@
 
 void RequestDispatcher::end_all_attempts(ActiveRequest& request, Outcome outcome) {
     for (std::size_t n = 0; n < request.attempt_count(); ++n) {
-        if (request.attempt(n).ended) continue;
+        if (request.attempt(n).ended()) continue;
         cache_connections_.cancel_attempt(request, n);
         end_attempt(request, n, {.outcome = outcome});
     }
@@ -221,7 +210,7 @@
 void RequestDispatcher::report_to_router(const AttemptResult& result) {
     PendingRequest* const pending = find(result.request);
     if (!pending) return;
-    pending->active->attempt(result.attempt.raw()).router_notified = true;
+    pending->active->attempt(result.attempt.raw()).state = AttemptState::reported;
     AttemptResult reported = result;
     reported.request_finished = pending->active->answered();
     call_router(event_loop_.now(), &Router::on_attempt_result, reported);
@@ -249,7 +238,7 @@
     PendingRequest* const pending = find(id);
     if (!pending || attempt.raw() >= pending->active->attempt_count()) return;
     ActiveRequest& request = *pending->active;
-    if (request.attempt(attempt.raw()).ended) return;
+    if (request.attempt(attempt.raw()).ended()) return;
     cache_connections_.cancel_attempt(request, attempt.raw());
     end_attempt(request, attempt.raw(), {.outcome = Outcome::cancelled});
 }
--- a/src/gateway/request_dispatcher.hpp
+++ b/src/gateway/request_dispatcher.hpp
@@ -70,8 +70,8 @@
 
     struct PendingRequest {
         std::shared_ptr<ActiveRequest> active;  // shared with the connections that carry its attempts
-        EventLoop::Timer deadline_timer;
-        std::map<std::size_t, EventLoop::Timer> attempt_timers;  // by attempt, of those in flight
+        ScopedTimer deadline_timer;
+        std::map<std::size_t, ScopedTimer> attempt_timers;  // by attempt, of those in flight
     };
     // Null if the request is over.
     PendingRequest* find(const RequestId& id);
@@ -81,7 +81,6 @@
 
     void begin_attempt(const RequestId& id, Attempt attempt);
     void on_attempt_timeout(const RequestId& id, std::size_t attempt);
-    void cancel_attempt_timer(const RequestId& id, std::size_t attempt);
     // Leaves the request in place, for callers that go on with it.
     void end_attempt(ActiveRequest& request, std::size_t attempt, const AttemptEnd& end);
     void end_all_attempts(ActiveRequest& request, Outcome outcome);
--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -119,7 +119,8 @@
         if (signals_.take_reload_request()) reload_attempts_ = max_reload_attempts;
         if (reload_attempts_ > 0) try_reload();
         if (signals_.shutdown_requested()) gateway_.begin_shutdown();
-        event_loop_.schedule_at(event_loop_.now() + signal_check_interval, [this] { check(); });
+        next_check_ =
+            ScopedTimer(event_loop_, event_loop_.now() + signal_check_interval, [this] { check(); });
     }
 
 private:
@@ -147,6 +148,7 @@
     const ConfigurationFiles& files_;
     ProcessSignals& signals_;
     int reload_attempts_ = 0;  // left
+    ScopedTimer next_check_;
 };
 
 void run_gateway(const ConfigurationFiles& files, const Parts& parts, ProcessSignals& signals,
--- a/src/gateway/shutdown.cpp
+++ b/src/gateway/shutdown.cpp
@@ -50,7 +50,8 @@
     if (state_ == State::draining) finish_draining_if_due(now);
     if (state_ == State::closing) finish_closing_if_due(now);
     if (state_ == State::stopped) return;
-    event_loop_.schedule_at(std::max(accepts_until_, now + check_interval), [this] { check_progress(); });
+    const TimePoint next_check = std::max(accepts_until_, now + check_interval);
+    check_timer_ = ScopedTimer(event_loop_, next_check, [this] { check_progress(); });
 }
 
 bool Shutdown::all_answered() const { return !dispatcher_.has_unanswered_request() && server_.drained(); }
--- a/src/gateway/shutdown.hpp
+++ b/src/gateway/shutdown.hpp
@@ -41,6 +41,7 @@
     FleetParticipation& fleet_;
     Duration longest_deadline_;
     State state_ = State::none;
+    ScopedTimer check_timer_;
     TimePoint accepts_until_;    // clients may send requests up to then
     TimePoint answer_deadline_;  // of every request that is pending or comes while draining
     TimePoint close_at_;         // connections are closed then, whatever is pending
--- a/src/gateway/stored_endpoint_list.cpp
+++ b/src/gateway/stored_endpoint_list.cpp
@@ -35,8 +35,6 @@
     schedule_write();
 }
 
-StoredEndpointList::~StoredEndpointList() { event_loop_.cancel(write_timer_); }
-
 std::optional<registry::EndpointSnapshot> StoredEndpointList::read() const {
     if (!store_) return std::nullopt;
     const auto bytes = store_->read(stored_name);
@@ -52,7 +50,7 @@
 
 void StoredEndpointList::schedule_write() {
     write_timer_ =
-        event_loop_.schedule_at(event_loop_.now() + write_interval, [this] { write_if_changed(); });
+        ScopedTimer(event_loop_, event_loop_.now() + write_interval, [this] { write_if_changed(); });
 }
 
 void StoredEndpointList::write_if_changed() {
--- a/src/gateway/stored_endpoint_list.hpp
+++ b/src/gateway/stored_endpoint_list.hpp
@@ -21,7 +21,6 @@
     /// @param watch what is stored; must outlive this object.
     StoredEndpointList(EventLoop& loop, const registry::Settings& settings, const LocationId& location,
                        const registry::Watch& watch);
-    ~StoredEndpointList();
     StoredEndpointList(const StoredEndpointList&) = delete;
     StoredEndpointList& operator=(const StoredEndpointList&) = delete;
 
@@ -40,7 +39,7 @@
     registry::Revision written_revision_;
     TimePoint written_as_of_;
     bool write_failure_logged_ = false;
-    EventLoop::Timer write_timer_{};
+    ScopedTimer write_timer_;
 };
 
 }  // namespace irismux
--- a/src/net/cache_connection_pool.cpp
+++ b/src/net/cache_connection_pool.cpp
@@ -86,7 +86,7 @@
 void CacheConnectionPool::withdraw_unstarted_attempts(ActiveRequest& request) {
     for (std::size_t index = 0; index < request.attempt_count(); ++index) {
         const Attempt& attempt = request.attempt(index);
-        if (attempt.ended) continue;
+        if (attempt.ended()) continue;
         if (attempt.progress == TransmitProgress::not_connected) cancel_attempt(request, index);
         if (attempt.progress == TransmitProgress::partially_written) withdraw_partially_written(attempt);
     }
--- a/src/net/cache_connection_pool.hpp
+++ b/src/net/cache_connection_pool.hpp
@@ -9,6 +9,7 @@
 #include <vector>
 
 #include "endpoint/endpoint_table.hpp"
+#include "irismux/deployment.hpp"
 #include "net/attempt_observer.hpp"
 #include "net/cache_connection.hpp"
 #include "net/event_loop.hpp"
--- a/src/request/active_request.hpp
+++ b/src/request/active_request.hpp
@@ -1,111 +1,99 @@
-// One lookup from its last byte to its answer: the client's side, the sends, and nothing else. The server
-// and the client component know this object and not each other.
+// One request from its admission until it has its final response and all its attempts have ended: the
+// client's side and the attempts, and nothing of either's connections.
 #pragma once
 
-#include <algorithm>
+#include <cstddef>
 #include <cstdint>
 #include <deque>
 #include <memory>
 #include <optional>
-#include <string>
 #include <string_view>
 
-#include "irismux/router.hpp"
+#include "irismux/attempt.hpp"
+#include "request/client_request.hpp"
 
 namespace irismux {
 
-// Where an answer goes: a request of a client's connection. Its number there is the client's choice and is
-// used again; what tells it from all others is the place at which it began.
-struct ClientStream {
-    std::uint64_t connection = 0;
-    std::uint16_t fastcgi_request = 0;
-    std::uint64_t sequence = 0;  // counted on the connection
-    auto operator<=>(const ClientStream&) const = default;
-};
-
-// What a client asks.
-struct ClientRequest {
-    Request request;                    // the host gives it its identity
-    ClientRequestId client_request_id;  // the client's name for it, which the caches are told
-    std::string kind_name;              // its name
-    std::string object_part;            // of the object
-    std::string client_etag;            // the tag of the client's copy
-    std::string idempotency_key;  // by which whoever runs a deduplicated lookup knows a repeat; may be absent
-    std::string body;
-};
+/// How far an attempt has come on its connection. Only one that was never fully written to a cache is known
+/// not to have run.
+enum class TransmitProgress { not_connected, not_written, partially_written, fully_written, response_begun };
 
-// The server component, as an exchange sees it.
-class ResponseSender {
-public:
-    virtual ~ResponseSender() = default;
-    virtual void send_response(const ClientStream&, std::string_view body, bool client_copy_holds) = 0;
-    virtual void send_rejection(const ClientStream&, Duration come_back_in) = 0;
-    virtual void send_failure(const ClientStream&) = 0;
+/// What the router knows of an attempt. The states follow each other in this order.
+enum class AttemptState {
+    in_flight,
+    ended,    ///< its result is still to be reported to the router
+    reported  ///< the router knows its result
 };
 
-// How far a send came. Only what never came whole to a cache is known not to have run.
-enum class TransmitProgress { not_connected, not_written, partially_written, fully_written, response_begun };
-
 struct Attempt {
     CacheId cache;
-    std::optional<AttemptPlan> plan;  // none: asks only for what the cache holds
+    std::optional<AttemptPlan> plan;
     TimePoint decided_at;
+    AttemptState state = AttemptState::in_flight;
     TransmitProgress progress = TransmitProgress::not_connected;
-    std::uint64_t connection = 0;            // the connection that carries it
-    bool retried_on_new_connection = false;  // its connection broke before it was out, and it has got another
-    bool ended = false;
-    bool router_notified = false;  // the Router knows that it has ended
+    std::uint64_t connection = 0;            ///< that carries it; 0: none yet
+    bool retried_on_new_connection = false;  ///< its first connection broke before it was fully written
 
-    bool has_fill_source() const { return plan && plan->source != plan->cache; }
+    [[nodiscard]] bool ended() const { return state != AttemptState::in_flight; }
+    /// Whether a miss is filled from another endpoint.
+    [[nodiscard]] bool has_fill_source() const { return plan && plan->source != plan->cache; }
 };
 
-// How a send ended.
+/// How an attempt ended at its cache.
 struct AttemptEnd {
     Outcome outcome = Outcome::completed;
     CacheStatus cache_status = CacheStatus::none;
-    Duration fill_wait{};
-    bool not_modified = false;
-    std::string_view body{};
+    Duration fill_wait{};       ///< how long the cache waited for the fill's first byte
+    bool not_modified = false;  ///< the client's copy is still valid
+    std::string_view body{};    ///< valid during the call that it is passed to
 };
 
+/// Shared between the dispatcher and the connections that carry its attempts.
 class ActiveRequest : public std::enable_shared_from_this<ActiveRequest> {
 public:
-    ActiveRequest(ResponseSender& clients, ClientStream caller, ClientRequest asked);
-
-    RequestId id() const { return client_request_.request.id; }
-    const ClientRequestId& client_request_id() const { return client_request_.client_request_id; }
-    const ClientStream& client_stream() const { return client_stream_; }
-    const ClientRequest& client_request() const { return client_request_; }
-    TimePoint deadline() const { return client_request_.request.deadline; }
-
-    Attempt& attempt(std::size_t n) { return attempts_[n]; }
-    const Attempt& attempt(std::size_t n) const { return attempts_[n]; }
-    std::size_t attempt_count() const { return attempts_.size(); }
-    std::size_t add_attempt(Attempt send);
-    // Whether one of its sends has been given to that connection.
-    bool has_used_connection(std::uint64_t link) const;
-
-    // The one final answer; false if there has been one.
-    bool respond(const AttemptEnd& end);
-    bool reject(Duration come_back_in);
-    bool fail();
-    void on_client_closed() { answered_ = true; }
-    // It is to be over sooner.
-    void shorten_deadline(TimePoint t) {
-        client_request_.request.deadline = std::min(client_request_.request.deadline, t);
+    /// @param response_sender must outlive the request.
+    ActiveRequest(ResponseSender& response_sender, ClientStream stream, ClientRequest client_request);
+
+    [[nodiscard]] RequestId id() const { return client_request_.request.id; }
+    [[nodiscard]] const ClientRequestId& client_request_id() const {
+        return client_request_.client_request_id;
     }
+    [[nodiscard]] const ClientStream& client_stream() const { return client_stream_; }
+    [[nodiscard]] const ClientRequest& client_request() const { return client_request_; }
+    [[nodiscard]] TimePoint deadline() const { return client_request_.request.deadline; }
+    /// Later deadlines are ignored.
+    void shorten_deadline(TimePoint deadline);
+
+    [[nodiscard]] Attempt& attempt(std::size_t index) { return attempts_[index]; }
+    [[nodiscard]] const Attempt& attempt(std::size_t index) const { return attempts_[index]; }
+    [[nodiscard]] std::size_t attempt_count() const { return attempts_.size(); }
+    /// Returns its index.
+    std::size_t add_attempt(Attempt attempt);
+    /// Whether the connection has carried one of the attempts.
+    [[nodiscard]] bool has_used_connection(std::uint64_t connection) const;
+
+    // The final response. Each returns false, and sends nothing, if there has been one or the client is gone.
+    [[nodiscard]] bool respond(const AttemptEnd& end);
+    [[nodiscard]] bool reject(Duration retry_after);
+    [[nodiscard]] bool fail();
+    void on_client_closed() { answered_ = true; }
 
-    // A cache that is to give a send up, or to find its connection closed, may read that later than another
-    // one reads the next send: until then the two would be out at once.
-    void delay_reuse_until(TimePoint t) { reuse_delayed_until_ = std::max(reuse_delayed_until_, t); }
-    TimePoint reuse_delayed_until() const { return reuse_delayed_until_; }
+    /// Failure: a cache reads a cancellation later than another one reads the next attempt, and both run the
+    /// request at once. So the next attempt waits until the cancellation has arrived.
+    void delay_reuse_until(TimePoint time);
+    [[nodiscard]] TimePoint reuse_delayed_until() const { return reuse_delayed_until_; }
 
-    bool answered() const { return answered_; }
-    bool finished() const;
-    // Whether a send has ended of which the Router has not been told yet.
-    bool has_unreported_result() const;
+    /// Whether the client has its final response or is gone.
+    [[nodiscard]] bool answered() const { return answered_; }
+    /// Whether it is answered and every attempt is reported: nothing more happens to it.
+    [[nodiscard]] bool finished() const;
+    /// Whether an attempt has ended whose result is still to be reported to the router.
+    [[nodiscard]] bool has_unreported_result() const;
 
 private:
+    // Whether the caller is to send the final response.
+    [[nodiscard]] bool take_response();
+
     ResponseSender& response_sender_;
     ClientStream client_stream_;
     ClientRequest client_request_;
--- a/src/request/duplicate_request_filter.cpp
+++ b/src/request/duplicate_request_filter.cpp
@@ -1,37 +1,37 @@
 #include "request/duplicate_request_filter.hpp"
 
 #include <functional>
-#include <utility>
 
 namespace irismux {
 
-DuplicateRequestFilter::Key DuplicateRequestFilter::key_of(const RequestFingerprint& words) {
+DuplicateRequestFilter::Key DuplicateRequestFilter::key_of(const RequestFingerprint& fingerprint) {
     constexpr char separator = '\0';
-    const std::string all =
-        words.kind + separator + words.object + separator + words.object_part + separator + words.body;
-    return {words.id, std::hash<std::string>{}(all)};
+    const std::string rest = fingerprint.kind + separator + fingerprint.object + separator +
+                             fingerprint.object_part + separator + fingerprint.body;
+    return {fingerprint.id, std::hash<std::string>{}(rest)};
 }
 
-bool DuplicateRequestFilter::accept(const RequestFingerprint& words, RequestId lookup, TimePoint until,
+bool DuplicateRequestFilter::accept(const RequestFingerprint& fingerprint, RequestId request, TimePoint until,
                                     TimePoint now) {
     erase_expired(now);
-    const Key key = key_of(words);
-    if (!entries_.try_emplace(key, Entry{lookup, until}).second) return false;
-    by_request_[lookup] = key;
-    expiries_.emplace(until, lookup);
+    const Key key = key_of(fingerprint);
+    const bool is_new = entries_.try_emplace(key, Entry{request, until}).second;
+    if (!is_new) return false;
+    by_request_[request] = key;
+    by_expiry_.emplace(until, request);
     return true;
 }
 
-void DuplicateRequestFilter::forget_request(RequestId lookup) {
-    const auto known = by_request_.find(lookup);
-    if (known != by_request_.end()) erase(entries_.find(known->second));
+void DuplicateRequestFilter::forget_request(RequestId request) {
+    const auto key = by_request_.find(request);
+    if (key != by_request_.end()) erase(entries_.find(key->second));
 }
 
-void DuplicateRequestFilter::erase(std::map<Key, Entry>::iterator entry) {
-    const auto [first, last] = expiries_.equal_range(entry->second.until);
-    for (auto end = first; end != last; ++end) {
-        if (end->second != entry->second.request) continue;
-        expiries_.erase(end);
+void DuplicateRequestFilter::erase(Entries::iterator entry) {
+    const auto [first, last] = by_expiry_.equal_range(entry->second.until);
+    for (auto expiry = first; expiry != last; ++expiry) {
+        if (expiry->second != entry->second.request) continue;
+        by_expiry_.erase(expiry);
         break;
     }
     by_request_.erase(entry->second.request);
@@ -39,8 +39,8 @@
 }
 
 void DuplicateRequestFilter::erase_expired(TimePoint now) {
-    while (!expiries_.empty() && (expiries_.begin()->first <= now || entries_.size() >= max_entries))
-        erase(entries_.find(by_request_.at(expiries_.begin()->second)));
+    while (!by_expiry_.empty() && (by_expiry_.begin()->first <= now || entries_.size() >= max_entries))
+        erase(entries_.find(by_request_.at(by_expiry_.begin()->second)));
 }
 
 }  // namespace irismux
--- a/src/request/duplicate_request_filter.hpp
+++ b/src/request/duplicate_request_filter.hpp
@@ -1,6 +1,4 @@
-// Requests by all that their clients said of them: those that are open, and side-effecting ones for a while
-// longer. A request that comes again in the very same words has been sent twice, and is not run beside
-// itself, or again; one that shares no more than the id is another request. Without I/O.
+// Refuses a request that comes twice, by all that its client says of it. Without I/O.
 #pragma once
 
 #include <cstddef>
@@ -13,7 +11,7 @@
 
 namespace irismux {
 
-// What makes two requests the same one.
+/// What makes two requests the same one. Requests that share the id alone are different ones.
 struct RequestFingerprint {
     ClientRequestId id;
     std::string kind, object, object_part, body;
@@ -21,32 +19,35 @@
 
 class DuplicateRequestFilter {
 public:
-    // More are not remembered: those that end first are forgotten.
+    /// Beyond this the requests that are remembered for the shortest time are forgotten.
     static constexpr std::size_t max_entries = 16'384;
 
-    // False: it was taken before, and is to be remembered until a time that has yet to come.
-    bool accept(const RequestFingerprint& words, RequestId lookup, TimePoint until, TimePoint now);
-    // The same words may come again: the lookup has been answered, or has had no effect.
-    void forget_request(RequestId lookup);
-    std::size_t size() const { return entries_.size(); }
+    /// Whether no equal request is remembered. If so it is remembered until `until`, as `request`.
+    [[nodiscard]] bool accept(const RequestFingerprint& fingerprint, RequestId request, TimePoint until,
+                              TimePoint now);
+    /// An equal request may come from now on. Ignored if the request is not remembered.
+    void forget_request(RequestId request);
+    [[nodiscard]] std::size_t size() const { return entries_.size(); }
 
 private:
     struct Key {
         ClientRequestId id;
-        std::uint64_t digest = 0;  // of all else
+        std::uint64_t digest = 0;  // of the rest of the fingerprint
         auto operator<=>(const Key&) const = default;
     };
     struct Entry {
         RequestId request;
         TimePoint until;
     };
-    static Key key_of(const RequestFingerprint& words);
-    void erase(std::map<Key, Entry>::iterator entry);
+    using Entries = std::map<Key, Entry>;
+
+    static Key key_of(const RequestFingerprint& fingerprint);
+    void erase(Entries::iterator entry);
     void erase_expired(TimePoint now);
 
-    std::map<Key, Entry> entries_;
+    Entries entries_;
     std::map<RequestId, Key> by_request_;
-    std::multimap<TimePoint, RequestId> expiries_;
+    std::multimap<TimePoint, RequestId> by_expiry_;
 };
 
 }  // namespace irismux
