--- a/src/codec/buffer.hpp
+++ b/src/codec/buffer.hpp
@@ -1,4 +1,5 @@
-// Bytes of one connection: grows as it needs, is compacted in place, gives memory back when it runs empty.
+// The bytes of one connection: grows as needed, is compacted in place, and gives memory back when it runs
+// empty.
 #pragma once
 
 #include <algorithm>
@@ -11,50 +12,55 @@
 
 class Buffer {
 public:
-    std::string_view view() const { return {store_.get() + head_, tail_ - head_}; }
-    bool empty() const { return head_ == tail_; }
-    std::size_t size() const { return tail_ - head_; }
+    /// Valid until the next call that is not const.
+    [[nodiscard]] std::string_view view() const { return {store_.get() + begin_, end_ - begin_}; }
+    [[nodiscard]] bool empty() const { return begin_ == end_; }
+    [[nodiscard]] std::size_t size() const { return end_ - begin_; }
 
-    // Room for so many more bytes behind what is held.
-    char* prepare(std::size_t n) {
-        if (capacity_ - tail_ >= n) return store_.get() + tail_;
-        if (head_ > 0 && capacity_ - size() >= n) {
-            std::memmove(store_.get(), store_.get() + head_, size());
+    /// Room for at least `bytes` more behind the present ones. What is written there counts after commit().
+    [[nodiscard]] char* prepare(std::size_t bytes) {
+        if (capacity_ - end_ >= bytes) return store_.get() + end_;
+        if (begin_ > 0 && capacity_ - size() >= bytes) {
+            std::memmove(store_.get(), store_.get() + begin_, size());
         } else {
-            const std::size_t more = std::max(size() + n, capacity_ * 2);
-            auto grown = std::make_unique_for_overwrite<char[]>(more);
-            if (!empty()) std::memcpy(grown.get(), store_.get() + head_, size());
+            const std::size_t new_capacity = std::max(size() + bytes, capacity_ * 2);
+            auto grown = std::make_unique_for_overwrite<char[]>(new_capacity);
+            if (!empty()) std::memcpy(grown.get(), store_.get() + begin_, size());
             store_ = std::move(grown);
-            capacity_ = more;
+            capacity_ = new_capacity;
         }
-        tail_ = size();
-        head_ = 0;
-        return store_.get() + tail_;
+        end_ = size();
+        begin_ = 0;
+        return store_.get() + end_;
     }
-    std::size_t free_room() const { return capacity_ - tail_; }
-    void commit(std::size_t n) { tail_ += n; }
+    /// Bytes that fit behind the present ones without growing.
+    [[nodiscard]] std::size_t free_room() const { return capacity_ - end_; }
+    void commit(std::size_t bytes) { end_ += bytes; }
 
     void append(std::string_view bytes) {
         if (bytes.empty()) return;
         std::memcpy(prepare(bytes.size()), bytes.data(), bytes.size());
         commit(bytes.size());
     }
-    // Takes back the last bytes appended.
-    void consume(std::size_t n) { tail_ -= n; }
-    void consumed(std::size_t n) {
-        head_ += n;
-        if (head_ != tail_) return;
-        head_ = tail_ = 0;
-        if (capacity_ <= capacity) return;
-        // Hundreds of connections would each keep the largest message that they ever carried.
+    /// Removes the last bytes.
+    void remove_suffix(std::size_t bytes) { end_ -= bytes; }
+    /// Removes the first bytes.
+    void consumed(std::size_t bytes) {
+        begin_ += bytes;
+        if (begin_ != end_) return;
+        begin_ = end_ = 0;
+        if (capacity_ <= max_kept_capacity) return;
+        // Guards the memory: hundreds of connections would each keep the largest message that they carried.
         store_.reset();
         capacity_ = 0;
     }
 
 private:
-    static constexpr std::size_t capacity = 16 * 1024;
+    static constexpr std::size_t max_kept_capacity = 16'384;
     std::unique_ptr<char[]> store_;
-    std::size_t capacity_ = 0, head_ = 0, tail_ = 0;
+    std::size_t capacity_ = 0;
+    std::size_t begin_ = 0;
+    std::size_t end_ = 0;
 };
 
 }  // namespace irismux
--- a/src/codec/fastcgi.hpp
+++ b/src/codec/fastcgi.hpp
@@ -1,4 +1,6 @@
-// FastCGI 1.0: records and name-value pairs, as pure functions of bytes.
+// FastCGI 1.0: records and name-value pairs. Pure functions of bytes.
+//
+// Source: FastCGI Specification 1.0, sections 3 to 5.
 #pragma once
 
 #include <cstddef>
@@ -26,42 +28,44 @@
     get_values_result = 10,
     unknown_type = 11
 };
-enum class Ending : std::uint8_t {
+/// Why a request ends, in END_REQUEST.
+enum class ProtocolStatus : std::uint8_t {
     request_complete = 0,
     cant_mpx_conn = 1,
     overloaded = 2,
     unknown_role = 3
 };
 
-constexpr std::uint16_t responder = 1;
-constexpr std::uint8_t keep_conn = 1;
+constexpr std::uint16_t responder = 1;  ///< the role of requests that are served here
+constexpr std::uint8_t keep_conn = 1;   ///< flag: the connection stays open behind the request
 
 struct Record {
     Type type{};
-    std::uint16_t request = 0;
-    std::string_view content;
+    std::uint16_t request = 0;  ///< 0: management of the connection
+    std::string_view content;   ///< a view into the parsed bytes
 };
 
-// The first record of the bytes; `used` counts its padding too.
-ParseStatus parse_record(std::string_view bytes, Record& record, std::size_t& used);
-// The length of the content of a record that is not whole yet, as far as its head tells; and whose it is.
-std::size_t announced(std::string_view bytes, Record& record);
+/// The first record of `bytes`; `used` counts its padding too.
+[[nodiscard]] ParseStatus parse_record(std::string_view bytes, Record& record, std::size_t& used);
+/// The content length of a record that is not complete yet, and in `record.request` whose it is. 0: its
+/// header has not come either.
+[[nodiscard]] std::size_t announced_content_length(std::string_view bytes, Record& record);
 
 struct Begin {
     std::uint16_t role = 0;
-    bool keep = false;
+    bool keep = false;  ///< keep_conn was set
 };
-ParseStatus parse_begin(std::string_view content, Begin& begin);
+[[nodiscard]] ParseStatus parse_begin(std::string_view content, Begin& begin);
 
 using Pairs = std::vector<std::pair<std::string_view, std::string_view>>;
-// All pairs of a whole stream.
-ParseStatus parse_pairs(std::string_view bytes, Pairs& pairs);
+/// All pairs of a complete stream, as views into `bytes`.
+[[nodiscard]] ParseStatus parse_pairs(std::string_view bytes, Pairs& pairs);
 
 void write_record(Buffer& out, Type type, std::uint16_t request, std::string_view content);
-// As many records as the bytes need; none for no bytes.
+/// As many records as the bytes need; none for no bytes.
 void write_stream(Buffer& out, Type type, std::uint16_t request, std::string_view bytes);
 void write_begin(Buffer& out, std::uint16_t request, Begin begin);
-void write_end(Buffer& out, std::uint16_t request, Ending ending);
+void write_end(Buffer& out, std::uint16_t request, ProtocolStatus status);
 void write_unknown(Buffer& out, std::uint8_t type);
 void write_pair(std::string& out, std::string_view name, std::string_view value);
 
--- a/src/codec/http.cpp
+++ b/src/codec/http.cpp
@@ -2,15 +2,21 @@
 
 #include <algorithm>
 #include <cctype>
-#include <charconv>
+#include <optional>
+
+#include "codec/parse_number.hpp"
 
 namespace irismux::http {
 namespace {
 
-constexpr std::size_t most_head = 16 * 1024;
-constexpr std::size_t most_body = 1 << 20;
+// Of a response's head, of the line before a chunk, and of all trailers.
+constexpr std::size_t max_head_bytes = 16'384;
+constexpr std::string_view line_end = "\r\n";
+// "HTTP/1.1 200"
+constexpr std::size_t status_position = 9;
+constexpr std::size_t status_digits = 3;
 
-bool same(std::string_view a, std::string_view b) {
+bool equal_ignoring_case(std::string_view a, std::string_view b) {
     return std::equal(a.begin(), a.end(), b.begin(), b.end(),
                       [](unsigned char x, unsigned char y) { return std::tolower(x) == std::tolower(y); });
 }
@@ -21,147 +27,97 @@
     return s;
 }
 
-bool number(std::string_view s, int base, std::size_t& n) {
-    const auto [p, error] = std::from_chars(s.data(), s.data() + s.size(), n, base);
-    return error == std::errc{} && p == s.data() + s.size();
-}
-
-// The line before a chunk's data: its length and extensions, which are left out.
-bool chunk_size(std::string_view line, std::size_t& n) {
-    return number(trimmed(line.substr(0, line.find(';'))), 16, n);
+// The line before a chunk's data: its length in hexadecimal, and extensions, which do not count.
+std::optional<std::size_t> parse_chunk_size(std::string_view line) {
+    return parse_number<std::size_t>(trimmed(line.substr(0, line.find(';'))), 16);
 }
 
-// Chunks up to the last one and the empty line behind the trailers.
-ParseStatus parse_chunks(std::string_view s, std::string& body, std::size_t& used) {
-    const std::size_t all = s.size();
-    for (std::string_view chunk;;) {
-        std::size_t n = 0;
-        if (const ParseStatus p = parse_chunk(s, chunk, n); p != ParseStatus::complete) return p;
-        s.remove_prefix(n);
-        if (chunk.empty()) break;
-        if (body.size() + chunk.size() > most_body) return ParseStatus::invalid;
-        body.append(chunk);
+// One line of a response's head. False: it is not valid.
+bool parse_field(std::string_view line, Head& head) {
+    const std::size_t colon = line.find(':');
+    if (colon == std::string_view::npos) return false;
+    const std::string_view name = line.substr(0, colon);
+    const std::string_view value = trimmed(line.substr(colon + 1));
+    if (equal_ignoring_case(name, "content-length")) {
+        const auto length = parse_number<std::size_t>(value);
+        if (!length) return false;
+        head.length = *length;
+        head.sized = true;
     }
-    for (;;) {
-        const std::size_t end = s.find("\r\n");
-        if (end == std::string_view::npos)
-            return s.size() > most_head ? ParseStatus::invalid : ParseStatus::incomplete;
-        s.remove_prefix(end + 2);
-        if (end == 0) break;
-    }
-    used = all - s.size();
-    return ParseStatus::complete;
+    if (equal_ignoring_case(name, "transfer-encoding")) head.chunked = equal_ignoring_case(value, "chunked");
+    if (equal_ignoring_case(name, "connection")) head.close = equal_ignoring_case(value, "close");
+    return true;
 }
 
 }  // namespace
 
-ParseStatus parse_head(std::string_view bytes, Head& parsed, std::size_t& used) {
-    parsed = Head{};
+ParseStatus parse_head(std::string_view bytes, Head& head, std::size_t& used) {
+    head = Head{};
     const std::size_t head_end = bytes.find("\r\n\r\n");
-    if (head_end == std::string_view::npos || head_end > most_head)
-        return bytes.size() > most_head ? ParseStatus::invalid : ParseStatus::incomplete;
-    std::string_view head = bytes.substr(0, head_end + 2);
-    const std::string_view first = head.substr(0, head.find("\r\n"));
-    std::size_t status = 0;
-    if (first.size() < 12 || first.substr(0, 7) != "HTTP/1." || !number(first.substr(9, 3), 10, status))
+    if (head_end == std::string_view::npos || head_end > max_head_bytes)
+        return bytes.size() > max_head_bytes ? ParseStatus::invalid : ParseStatus::incomplete;
+    std::string_view lines = bytes.substr(0, head_end + line_end.size());
+    const std::string_view status_line = lines.substr(0, lines.find(line_end));
+    if (status_line.size() < status_position + status_digits || !status_line.starts_with("HTTP/1."))
         return ParseStatus::invalid;
-    parsed.status = static_cast<int>(status);
-    head.remove_prefix(first.size() + 2);
-    while (!head.empty()) {
-        const std::string_view line = head.substr(0, head.find("\r\n"));
-        head.remove_prefix(line.size() + 2);
-        const std::size_t colon = line.find(':');
-        if (colon == std::string_view::npos) return ParseStatus::invalid;
-        const std::string_view name = line.substr(0, colon), value = trimmed(line.substr(colon + 1));
-        if (same(name, "content-length")) {
-            if (!number(value, 10, parsed.length)) return ParseStatus::invalid;
-            parsed.sized = true;
-        }
-        if (same(name, "transfer-encoding")) parsed.chunked = same(value, "chunked");
-        if (same(name, "connection")) parsed.close = same(value, "close");
-    }
-    used = head_end + 4;
-    return ParseStatus::complete;
-}
-
-ParseStatus parse_chunk(std::string_view s, std::string_view& chunk, std::size_t& used) {
-    const std::size_t end = s.find("\r\n");
-    if (end == std::string_view::npos)
-        return s.size() > most_head ? ParseStatus::invalid : ParseStatus::incomplete;
-    std::size_t n = 0;
-    if (!chunk_size(s.substr(0, end), n) || n > most_body) return ParseStatus::invalid;
-    if (n == 0) {
-        chunk = {};
-        used = end + 2;
-        return ParseStatus::complete;
+    const auto status = parse_number<std::size_t>(status_line.substr(status_position, status_digits));
+    if (!status) return ParseStatus::invalid;
+    head.status = static_cast<int>(*status);
+    lines.remove_prefix(status_line.size() + line_end.size());
+    while (!lines.empty()) {
+        const std::string_view line = lines.substr(0, lines.find(line_end));
+        lines.remove_prefix(line.size() + line_end.size());
+        if (!parse_field(line, head)) return ParseStatus::invalid;
     }
-    if (s.size() < end + 2 + n + 2) return ParseStatus::incomplete;
-    if (s.substr(end + 2 + n, 2) != "\r\n") return ParseStatus::invalid;
-    chunk = s.substr(end + 2, n);
-    used = end + 2 + n + 2;
-    return ParseStatus::complete;
-}
-
-ParseStatus parse_response(std::string_view bytes, Response& answer, std::size_t& used) {
-    answer = Response{};
-    Head head;
-    std::size_t head_size = 0;
-    if (const ParseStatus p = parse_head(bytes, head, head_size); p != ParseStatus::complete) return p;
-    answer.status = head.status;
-    answer.close = head.close;
-    const std::string_view rest = bytes.substr(head_size);
-    if (head.chunked) {
-        const ParseStatus p = parse_chunks(rest, answer.body, used);
-        used += head_size;
-        return p;
-    }
-    // A body that ends with the connection can't be told from one that breaks off.
-    if (!head.sized || head.length > most_body) return ParseStatus::invalid;
-    if (rest.size() < head.length) return ParseStatus::incomplete;
-    answer.body = rest.substr(0, head.length);
-    used = head_size + head.length;
+    used = head_end + 2 * line_end.size();
     return ParseStatus::complete;
 }
 
 BodyReader::BodyReader(const Head& head)
     : chunked_(head.chunked),
       expecting_(head.chunked ? Expecting::chunk_size : Expecting::data),
-      left_(head.chunked ? 0 : head.length) {}
+      missing_bytes_(head.chunked ? 0 : head.length) {}
 
 ParseStatus BodyReader::next(std::string_view bytes, std::string_view& piece, std::size_t& used) {
     piece = {};
     used = 0;
     if (expecting_ == Expecting::nothing) return ParseStatus::complete;
     if (expecting_ != Expecting::data) return next_line(bytes, used);
-    piece = bytes.substr(0, left_);
+    piece = bytes.substr(0, missing_bytes_);
     used = piece.size();
-    left_ -= used;
-    if (left_ > 0) return ParseStatus::incomplete;
+    missing_bytes_ -= used;
+    if (missing_bytes_ > 0) return ParseStatus::incomplete;
     expecting_ = chunked_ ? Expecting::chunk_end : Expecting::nothing;
     return chunked_ ? ParseStatus::incomplete : ParseStatus::complete;
 }
 
-// The lines of the framing in chunks: a chunk's size, the empty one behind its data, and the trailers.
+// The lines between the data: a chunk's size, the empty line behind its data, and the trailers.
 ParseStatus BodyReader::next_line(std::string_view bytes, std::size_t& used) {
-    const std::size_t end = bytes.find("\r\n");
+    const std::size_t end = bytes.find(line_end);
     if (end == std::string_view::npos)
-        return bytes.size() > most_head ? ParseStatus::invalid : ParseStatus::incomplete;
+        return bytes.size() > max_head_bytes ? ParseStatus::invalid : ParseStatus::incomplete;
     const std::string_view line = bytes.substr(0, end);
-    used = end + 2;
+    used = end + line_end.size();
     switch (expecting_) {
         case Expecting::chunk_end:
             if (!line.empty()) return ParseStatus::invalid;
             expecting_ = Expecting::chunk_size;
             return ParseStatus::incomplete;
-        case Expecting::chunk_size:
-            if (!chunk_size(line, left_)) return ParseStatus::invalid;
-            expecting_ = left_ == 0 ? Expecting::trailer : Expecting::data;
+        case Expecting::chunk_size: {
+            const auto size = parse_chunk_size(line);
+            if (!size) return ParseStatus::invalid;
+            missing_bytes_ = *size;
+            expecting_ = *size == 0 ? Expecting::trailer : Expecting::data;
             return ParseStatus::incomplete;
+        }
         default:
-            break;
+            return next_trailer(line, used);
     }
-    trailer_size_ += used;
-    if (trailer_size_ > most_head) return ParseStatus::invalid;
+}
+
+ParseStatus BodyReader::next_trailer(std::string_view line, std::size_t used) {
+    trailer_bytes_ += used;
+    if (trailer_bytes_ > max_head_bytes) return ParseStatus::invalid;
     if (!line.empty()) return ParseStatus::incomplete;
     expecting_ = Expecting::nothing;
     return ParseStatus::complete;
--- a/src/codec/parse_status.hpp
+++ b/src/codec/parse_status.hpp
@@ -1,8 +1,12 @@
-// What every parser says of the bytes that it was shown.
+// The result of every parser.
 #pragma once
 
 namespace irismux {
 
-enum class ParseStatus { incomplete, complete, invalid };
+enum class ParseStatus {
+    incomplete,  ///< more bytes are needed
+    complete,
+    invalid  ///< no more bytes can make it valid
+};
 
 }  // namespace irismux
--- a/src/codec/resp.cpp
+++ b/src/codec/resp.cpp
@@ -1,90 +1,108 @@
 #include "codec/resp.hpp"
 
-#include <charconv>
+#include <algorithm>
+
+#include "codec/parse_number.hpp"
 
 namespace irismux::resp {
 namespace {
 
-// An array of ours has few words, of which one may be a body of the protocol (240,000 bytes at most) and the
-// others are short; a longer claim is no message, and nothing is set aside for it.
-constexpr long most_words = 8;
-constexpr long most_bytes = 240'000;
-constexpr std::size_t most_besides = 4'096;
-constexpr std::size_t longest_head = 24;
+// Guards the memory against lengths that no message has: a message has few arguments, of which one may be a
+// body and the others are short.
+constexpr long max_arguments = 8;
+constexpr long max_body_bytes = 240'000;
+constexpr std::size_t max_other_bytes = 4'096;  // of the other arguments together
+constexpr std::size_t max_length_line_bytes = 24;
+constexpr std::string_view line_end = "\r\n";
+constexpr long null_string = -1;
 
-// A line "<mark><number>\r\n".
-ParseStatus take_number(std::string_view& s, char mark, long most, long& n) {
-    if (s.empty()) return ParseStatus::incomplete;
-    if (s[0] != mark) return ParseStatus::invalid;
-    const std::size_t end = s.find("\r\n");
+// A line "<mark><number>\r\n" at the front of `bytes`, which is removed from them.
+ParseStatus take_number(std::string_view& bytes, char mark, long max, long& number) {
+    if (bytes.empty()) return ParseStatus::incomplete;
+    if (bytes[0] != mark) return ParseStatus::invalid;
+    const std::size_t end = bytes.find(line_end);
     if (end == std::string_view::npos)
-        return s.size() > longest_head ? ParseStatus::invalid : ParseStatus::incomplete;
-    const auto [p, error] = std::from_chars(s.data() + 1, s.data() + end, n);
-    if (error != std::errc{} || p != s.data() + end || n < -1 || n > most) return ParseStatus::invalid;
-    s.remove_prefix(end + 2);
+        return bytes.size() > max_length_line_bytes ? ParseStatus::invalid : ParseStatus::incomplete;
+    const auto parsed = parse_number<long>(bytes.substr(1, end - 1));
+    if (!parsed || *parsed < null_string || *parsed > max) return ParseStatus::invalid;
+    number = *parsed;
+    bytes.remove_prefix(end + line_end.size());
+    return ParseStatus::complete;
+}
+
+// A string of `length` bytes and the line end behind it, which are removed from `bytes`.
+ParseStatus take_string(std::string_view& bytes, std::size_t length, std::string_view& string) {
+    if (bytes.size() >= length + 1 && bytes[length] != '\r') return ParseStatus::invalid;
+    if (bytes.size() < length + line_end.size()) return ParseStatus::incomplete;
+    if (bytes[length + 1] != '\n') return ParseStatus::invalid;
+    string = bytes.substr(0, length);
+    bytes.remove_prefix(length + line_end.size());
     return ParseStatus::complete;
 }
 
+// The first field of the list, which is removed from it.
+std::string_view take_field(std::string_view& fields) {
+    const std::size_t end = std::min(fields.find(','), fields.size());
+    const std::string_view first = fields.substr(0, end);
+    fields.remove_prefix(std::min(end + 1, fields.size()));
+    return first;
+}
+
 }  // namespace
 
-ParseStatus parse_array(std::string_view bytes, Arguments& words, std::size_t& used) {
-    words.clear();
-    std::string_view s = bytes;
-    std::size_t all = 0;
+ParseStatus parse_array(std::string_view bytes, Arguments& arguments, std::size_t& used) {
+    arguments.clear();
+    std::string_view rest = bytes;
+    std::size_t total = 0;
     long count = 0;
-    if (const ParseStatus p = take_number(s, '*', most_words, count); p != ParseStatus::complete) return p;
-    for (long i = 0; i < count; ++i) {
-        long n = 0;
-        if (const ParseStatus p = take_number(s, '$', most_bytes, n); p != ParseStatus::complete) return p;
-        if (n < 0) {
-            words.emplace_back();
-            continue;
+    ParseStatus status = take_number(rest, '*', max_arguments, count);
+    for (long i = 0; i < count && status == ParseStatus::complete; ++i) {
+        long length = 0;
+        status = take_number(rest, '$', max_body_bytes, length);
+        if (status != ParseStatus::complete) return status;
+        std::string_view argument;
+        if (length != null_string) {
+            total += static_cast<std::size_t>(length);
+            if (total > max_body_bytes + max_other_bytes) return ParseStatus::invalid;
+            status = take_string(rest, static_cast<std::size_t>(length), argument);
+            if (status != ParseStatus::complete) return status;
         }
-        const auto length = static_cast<std::size_t>(n);
-        all += length;
-        if (all > most_bytes + most_besides) return ParseStatus::invalid;
-        if (s.size() >= length + 1 && s[length] != '\r') return ParseStatus::invalid;
-        if (s.size() < length + 2) return ParseStatus::incomplete;
-        if (s[length + 1] != '\n') return ParseStatus::invalid;
-        words.push_back(s.substr(0, length));
-        s.remove_prefix(length + 2);
+        arguments.push_back(argument);
     }
-    used = bytes.size() - s.size();
-    return ParseStatus::complete;
+    if (status == ParseStatus::complete) used = bytes.size() - rest.size();
+    return status;
 }
 
-void write_array(Buffer& out, std::initializer_list<std::string_view> words) {
-    const auto head = [&](std::string_view mark, std::size_t n) {
+void write_array(Buffer& out, std::initializer_list<std::string_view> arguments) {
+    const auto write_number = [&out](std::string_view mark, std::size_t number) {
         out.append(mark);
-        out.append(std::to_string(n));
-        out.append("\r\n");
+        out.append(std::to_string(number));
+        out.append(line_end);
     };
-    head("*", words.size());
-    for (const std::string_view w : words) {
-        head("$", w.size());
-        out.append(w);
-        out.append("\r\n");
+    write_number("*", arguments.size());
+    for (const std::string_view argument : arguments) {
+        write_number("$", argument.size());
+        out.append(argument);
+        out.append(line_end);
     }
 }
 
 bool well_formed(std::string_view fields) {
     if (fields == "-") return true;
     while (!fields.empty()) {
-        const std::size_t end = std::min(fields.find(','), fields.size());
-        const std::size_t is = fields.substr(0, end).find('=');
-        if (is == std::string_view::npos || is == 0 || is + 1 == end) return false;
-        fields.remove_prefix(std::min(end + 1, fields.size()));
+        const std::string_view first = take_field(fields);
+        const std::size_t equals = first.find('=');
+        if (equals == std::string_view::npos || equals == 0 || equals + 1 == first.size()) return false;
     }
     return true;
 }
 
 std::string_view field(std::string_view fields, std::string_view name) {
     while (!fields.empty()) {
-        const std::size_t end = std::min(fields.find(','), fields.size());
-        const std::string_view one = fields.substr(0, end);
-        const std::size_t is = one.find('=');
-        if (is != std::string_view::npos && one.substr(0, is) == name) return one.substr(is + 1);
-        fields.remove_prefix(std::min(end + 1, fields.size()));
+        const std::string_view first = take_field(fields);
+        const std::size_t equals = first.find('=');
+        if (equals != std::string_view::npos && first.substr(0, equals) == name)
+            return first.substr(equals + 1);
     }
     return {};
 }
@@ -94,8 +112,6 @@
     fields.append(name).append("=").append(value);
 }
 
-std::string_view or_none(const std::string& fields) {
-    return fields.empty() ? std::string_view("-") : std::string_view(fields);
-}
+std::string_view or_none(std::string_view fields) { return fields.empty() ? std::string_view("-") : fields; }
 
 }  // namespace irismux::resp
--- a/src/codec/resp.hpp
+++ b/src/codec/resp.hpp
@@ -1,4 +1,4 @@
-// RESP: arrays of bulk strings, as pure functions of bytes.
+// RESP: arrays of bulk strings, and the lists of fields in them. Pure functions of bytes.
 #pragma once
 
 #include <cstddef>
@@ -14,14 +14,19 @@
 
 using Arguments = std::vector<std::string_view>;
 
-// The first array of the bytes. A null string reads as an empty one.
-ParseStatus parse_array(std::string_view bytes, Arguments& words, std::size_t& used);
-void write_array(Buffer& out, std::initializer_list<std::string_view> words);
+/// The first array of `bytes`, as views; a null string reads as an empty one. Invalid: also an array that is
+/// longer than any message of caches. Incomplete: `arguments` holds those that have come whole.
+[[nodiscard]] ParseStatus parse_array(std::string_view bytes, Arguments& arguments, std::size_t& used);
+void write_array(Buffer& out, std::initializer_list<std::string_view> arguments);
 
-// FIELDS, as in "name=value,name=value" or "-".
-bool well_formed(std::string_view fields);
-std::string_view field(std::string_view fields, std::string_view name);
+// Lists of fields: "name=value,name=value", or "-" for none.
+
+[[nodiscard]] bool well_formed(std::string_view fields);
+/// The value of a field; empty: there is none.
+[[nodiscard]] std::string_view field(std::string_view fields, std::string_view name);
+/// Appends a field.
 void put_field(std::string& fields, std::string_view name, std::string_view value);
-std::string_view or_none(const std::string& fields);
+/// "-" if there are none.
+[[nodiscard]] std::string_view or_none(std::string_view fields);
 
 }  // namespace irismux::resp
--- a/src/net/cache_connection.cpp
+++ b/src/net/cache_connection.cpp
@@ -285,7 +285,7 @@
 void CacheConnection::take_back_last_written() {
     const WriteRange range = std::move(unwritten_.back());
     unwritten_.pop_back();
-    output_.consume(range.end - range.begin);
+    output_.remove_suffix(range.end - range.begin);
     CarriedAttempt* const carried = find_in_flight(range);
     if (!carried) return;
     carried->attempt().progress = TransmitProgress::not_connected;
--- a/src/net/fastcgi_connection.cpp
+++ b/src/net/fastcgi_connection.cpp
@@ -124,7 +124,7 @@
         const ParseStatus status = fastcgi::parse_record(input_.view(), record, used);
         // No request needs such a record, so the rest of it is not waited for.
         if (status == ParseStatus::incomplete &&
-            fastcgi::announced(input_.view(), record) > client_protocol::max_body_bytes)
+            fastcgi::announced_content_length(input_.view(), record) > client_protocol::max_body_bytes)
             return refuse_and_discard_input(record.request, RequestError::record_too_long);
         if (status == ParseStatus::incomplete) return;
         if (status == ParseStatus::invalid) return close_for_protocol_error("not_fastcgi");
@@ -165,9 +165,9 @@
         open_requests_.contains(record.request))
         return close_for_protocol_error("invalid_begin_request");
     if (begin.role != fastcgi::responder)
-        return end_request(record.request, fastcgi::Ending::unknown_role, begin.keep);
+        return end_request(record.request, fastcgi::ProtocolStatus::unknown_role, begin.keep);
     if (open_requests_.size() >= client_protocol::max_open_requests)
-        return end_request(record.request, fastcgi::Ending::overloaded, begin.keep);
+        return end_request(record.request, fastcgi::ProtocolStatus::overloaded, begin.keep);
     IncomingRequest& request = open_requests_[record.request];
     request.sequence = ++begun_requests_;
     request.keep_connection = begin.keep;
@@ -184,7 +184,7 @@
                    {{"connection", number_}, {"fastcgi_request", request_id}});
     erase_request(it);
     if (dispatched) context_.request_handler.on_client_closed(stream);
-    end_request(request_id, fastcgi::Ending::request_complete, keep_connection);
+    end_request(request_id, fastcgi::ProtocolStatus::request_complete, keep_connection);
 }
 
 void FastCgiConnection::on_parameters(const fastcgi::Record& record, IncomingRequest& request) {
@@ -280,7 +280,7 @@
         fastcgi::write_stream(output_, Type::std_out, request_id, body);
     }
     fastcgi::write_record(output_, Type::std_out, request_id, {});
-    end_request(request_id, fastcgi::Ending::request_complete, keep_connection);
+    end_request(request_id, fastcgi::ProtocolStatus::request_complete, keep_connection);
     pause_if_responses_pile_up();
 }
 
@@ -303,8 +303,9 @@
     schedule_write();
 }
 
-void FastCgiConnection::end_request(std::uint16_t request_id, fastcgi::Ending ending, bool keep_connection) {
-    fastcgi::write_end(output_, request_id, ending);
+void FastCgiConnection::end_request(std::uint16_t request_id, fastcgi::ProtocolStatus status,
+                                    bool keep_connection) {
+    fastcgi::write_end(output_, request_id, status);
     if (!keep_connection) begin_closing();
     schedule_write();
 }
--- a/src/net/fastcgi_connection.hpp
+++ b/src/net/fastcgi_connection.hpp
@@ -110,7 +110,7 @@
     void refuse(std::uint16_t request_id, client_protocol::RequestError error,
                 const ClientRequestId& id = {});
     void refuse_and_discard_input(std::uint16_t request_id, client_protocol::RequestError error);
-    void end_request(std::uint16_t request_id, fastcgi::Ending ending, bool keep_connection);
+    void end_request(std::uint16_t request_id, fastcgi::ProtocolStatus status, bool keep_connection);
     void erase_request(OpenRequests::iterator request);
     void abandon_requests();
 
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,4 +1,4 @@
-// The parsers are fed whole, byte by byte and mutated bytes; the writers are read back.
+// Codecs: parsers are fed whole, cut and changed messages, and what the writers write is read back.
 #include <rapidcheck.h>
 
 #include "codec/fastcgi.hpp"
@@ -16,8 +16,8 @@
     return *rc::gen::container<std::string>(n, rc::gen::arbitrary<char>());
 }
 
-// A parser must ask for more at each true prefix, and must neither crash nor read past the end of mutated
-// bytes (the sanitizers watch).
+// A parser needs more bytes at each prefix of a message, and neither crashes nor reads past the end of
+// changed bytes (sanitizers check that).
 template <class Parse>
 void feed(std::string whole, Parse parse) {
     std::size_t used = 0;
@@ -36,7 +36,9 @@
     if (parse(mutated, used) == ParseStatus::complete) RC_ASSERT(used <= mutated.size());
 }
 
-TEST(Buffer, GivesBackWhatWasPutIn) {
+// Given random appends and removals at both ends, when each is done, then the buffer holds what a string
+// would.
+TEST(Buffer, HoldsWhatWasAppendedAndNotRemoved) {
     rc::check([] {
         Buffer b;
         std::string model;
@@ -49,8 +51,13 @@
             } else {
                 const auto n = *rc::gen::inRange<std::size_t>(0, model.size() + 1);
                 const bool front = *rc::gen::arbitrary<bool>();
-                front ? b.consumed(n) : b.consume(n);
-                front ? model.erase(0, n) : model.erase(model.size() - n);
+                if (front) {
+                    b.consumed(n);
+                    model.erase(0, n);
+                } else {
+                    b.remove_suffix(n);
+                    model.erase(model.size() - n);
+                }
             }
             RC_ASSERT(b.view() == model);
         }
@@ -74,7 +81,7 @@
     });
 }
 
-TEST(FastCgi, StreamsOfAnyLengthComeInWholeRecords) {
+TEST(FastCgi, StreamsOfAnyLengthAreWrittenInWholeRecords) {
     for (const std::size_t n : {0u, 1u, 65'535u, 65'536u, 240'000u}) {
         std::string body(n, 'x');
         for (std::size_t i = 0; i < n; ++i) body[i] = static_cast<char>(i * 31 % 251);
@@ -109,7 +116,7 @@
             RC_ASSERT(got[i].second == pairs[i].second);
         }
         if (all.empty()) return;
-        // A stream that breaks off in a pair is bad, wherever.
+        // A stream that breaks off within a pair is invalid.
         got.clear();
         const std::string cut(all, 0, all.size() - 1);
         const bool last_empty = pairs.back().first.empty() && pairs.back().second.empty();
@@ -131,7 +138,7 @@
     });
 }
 
-TEST(Resp, LengthsThatNoMessageHasAreBadAtOnce) {
+TEST(Resp, LengthsThatNoMessageHasAreInvalidAtOnce) {
     resp::Arguments words;
     std::size_t used = 0;
     for (const char* s : {"*2000000000\r\n", "*1\r\n$240001\r\n", "*9\r\n", "*-5\r\n", "*1\r\n$x\r\n",
@@ -152,7 +159,24 @@
     EXPECT_EQ(resp::or_none(""), "-");
 }
 
-TEST(Http, AnswersWithALengthOrInChunks) {
+// A whole response, read as the program reads one: its head, then its body piece by piece.
+ParseStatus read_response(std::string_view bytes, http::Head& head, std::string& body, std::size_t& used) {
+    body.clear();
+    if (const ParseStatus status = http::parse_head(bytes, head, used); status != ParseStatus::complete)
+        return status;
+    if (!head.framed()) return ParseStatus::invalid;
+    http::BodyReader reader(head);
+    for (;;) {
+        std::string_view piece;
+        std::size_t n = 0;
+        const ParseStatus status = reader.next(bytes.substr(used), piece, n);
+        body.append(piece);
+        used += n;
+        if (status != ParseStatus::incomplete || n == 0) return status;
+    }
+}
+
+TEST(Http, ResponsesWithALengthOrInChunksAreRead) {
     rc::check([] {
         const std::string body = any_bytes(300);
         std::string said = "HTTP/1.1 200 OK\r\n";
@@ -170,12 +194,13 @@
         } else {
             said += "content-length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
         }
-        http::Response a;
-        feed(said, [&](std::string_view s, std::size_t& used) { return http::parse_response(s, a, used); });
+        std::string read;
+        http::Head head;
+        feed(said, [&](std::string_view s, std::size_t& used) { return read_response(s, head, read, used); });
         std::size_t used = 0;
-        RC_ASSERT(http::parse_response(said, a, used) == ParseStatus::complete);
-        RC_ASSERT(a.status == 200);
-        RC_ASSERT(a.body == body);
+        RC_ASSERT(read_response(said, head, read, used) == ParseStatus::complete);
+        RC_ASSERT(head.status == 200);
+        RC_ASSERT(read == body);
     });
 }
 
--- a/tests/wire_names_test.cpp
+++ b/tests/wire_names_test.cpp
@@ -135,7 +135,7 @@
     add("fastcgi begin", [](Buffer& out) { fastcgi::write_begin(out, 1, {fastcgi::responder, true}); });
     add("fastcgi params", [&](Buffer& out) { fastcgi::write_record(out, fastcgi::Type::params, 1, pair); });
     add("fastcgi stdin", [](Buffer& out) { fastcgi::write_stream(out, fastcgi::Type::std_in, 1, "body"); });
-    add("fastcgi end", [](Buffer& out) { fastcgi::write_end(out, 1, fastcgi::Ending::overloaded); });
+    add("fastcgi end", [](Buffer& out) { fastcgi::write_end(out, 1, fastcgi::ProtocolStatus::overloaded); });
     add("fastcgi unknown", [](Buffer& out) { fastcgi::write_unknown(out, 99); });
     add("resp array", [](Buffer& out) { resp::write_array(out, {"PULL", "id", "sort=pages", ""}); });
     add("http get",
