--- a/src/net/event_time_estimator.cpp
+++ b/src/net/event_time_estimator.cpp
@@ -6,55 +6,59 @@
 namespace irismux {
 namespace {
 
-// Of what is read at two ends of a connection.
+// Of times that were read at the two ends of a connection.
 constexpr Duration tolerance = Duration::micros(50'000);
 // Two clocks drift apart by less than one part in so many of the time that passes.
-constexpr std::int64_t drift_part = 1'000;
-// Before anything was seen of the writers' clock the own one is believed within so much.
-constexpr Duration unproven = Duration::micros(2'000'000);
+constexpr std::int64_t drift_divisor = 1'000;
+// Before anything was seen of the writers' clock this one is believed for so long.
+constexpr Duration max_unproven_age = Duration::micros(2'000'000);
 
 }  // namespace
 
 void EventTimeEstimator::begin_history(TimePoint known_at, TimePoint newest) {
-    history_ = true;
+    period_ = Period::history;
     now_ = known_at;
     earliest_ = {};
-    if (newest != TimePoint{} && !ahead_) learn(newest);
+    if (newest != TimePoint{} && !lead_) learn_lead(newest);
 }
 
 void EventTimeEstimator::begin_news(TimePoint now, TimePoint earliest) {
-    history_ = false;
+    period_ = Period::news;
     now_ = now;
     earliest_ = earliest;
 }
 
-Duration EventTimeEstimator::least_ahead() const {
-    return *ahead_ - Duration::micros((now_ - ahead_seen_).micros() / drift_part);
+Duration EventTimeEstimator::min_lead() const {
+    return *lead_ - Duration::micros((now_ - lead_seen_at_).micros() / drift_divisor);
 }
 
-void EventTimeEstimator::learn(TimePoint stamp) {
-    const Duration at_least = stamp - now_;
-    if (ahead_ && at_least <= least_ahead()) return;
-    ahead_ = at_least;
-    ahead_seen_ = now_;
+void EventTimeEstimator::learn_lead(TimePoint stamp) {
+    const Duration lead = stamp - now_;
+    if (lead_ && lead <= min_lead()) return;
+    lead_ = lead;
+    lead_seen_at_ = now_;
 }
 
-// As late as it can have been.
-TimePoint EventTimeEstimator::dated(TimePoint stamp) const {
-    const TimePoint at = stamp - least_ahead();
-    return std::clamp(history_ ? std::max(at, stamp) : at, earliest_, now_);
+TimePoint EventTimeEstimator::latest_time(TimePoint stamp) const {
+    const TimePoint by_lead = stamp - min_lead();
+    const TimePoint at = period_ == Period::history ? std::max(by_lead, stamp) : by_lead;
+    return std::clamp(at, earliest_, now_);
 }
 
 TimePoint EventTimeEstimator::purge(TimePoint stamp) {
-    const bool stepped_back = ahead_ && !history_ && stamp - least_ahead() < earliest_ - tolerance;
-    if (stepped_back) ahead_.reset();
-    learn(stamp);
-    return dated(stamp);
+    const bool stepped_back = lead_ && period_ == Period::news && stamp - min_lead() < earliest_ - tolerance;
+    if (stepped_back) lead_.reset();
+    learn_lead(stamp);
+    return latest_time(stamp);
+}
+
+TimePoint EventTimeEstimator::start_in_history(TimePoint stamp) const {
+    return lead_ ? latest_time(stamp) : now_;
 }
 
 TimePoint EventTimeEstimator::start_in_news(TimePoint stamp) const {
-    if (!ahead_ && now_ - earliest_ > unproven) return now_;
-    const TimePoint at = ahead_ ? stamp - least_ahead() : stamp;
+    if (!lead_ && now_ - earliest_ > max_unproven_age) return now_;
+    const TimePoint at = lead_ ? stamp - min_lead() : stamp;
     const bool fits = at >= earliest_ - tolerance && at <= now_ + tolerance;
     return fits ? std::clamp(at, earliest_, now_) : now_;
 }
@@ -64,7 +68,7 @@
     const auto known = starts_.find(cache);
     if (known != starts_.end() && known->second.stamp == stamp) return known->second.at;
     if (starts_.size() >= max_starts) forget_older_half();
-    const TimePoint at = !history_ ? start_in_news(stamp) : ahead_ ? dated(stamp) : now_;
+    const TimePoint at = period_ == Period::history ? start_in_history(stamp) : start_in_news(stamp);
     starts_[cache] = {stamp, at};
     return at;
 }
--- a/src/net/in_flight_request_ids.hpp
+++ b/src/net/in_flight_request_ids.hpp
@@ -1,6 +1,6 @@
-// Which request ids a connection has carried for which lookup. Ids are chosen by clients and may repeat, and
-// an answer names nothing else: an id that was carried for one lookup is not carried for another one while an
-// answer to the first may still come. Without I/O.
+// Which client request ids a connection has carried for which request. Clients choose ids and may use them
+// again, and a response names nothing else: an id is not carried for another request while a response to the
+// first may still come. Without I/O.
 #pragma once
 
 #include <cstddef>
@@ -13,24 +13,28 @@
 
 class InFlightRequestIds {
 public:
-    // More are not remembered: the half that ends first is forgotten. What may happen then: an answer that is
-    // later than so many further sends of the connection is taken for that of another lookup of the same id.
-    static constexpr std::size_t max_entries = 4096;
+    /// At this size the half that expires first is forgotten. A response that is later than so many attempts
+    /// of the connection could then be taken for one to another request of its id.
+    static constexpr std::size_t max_entries = 4'096;
 
-    void add(const ClientRequestId& name, RequestId lookup, TimePoint until, TimePoint now);
-    // Whether an answer under that name may be meant for another lookup.
-    bool used_by_another(const ClientRequestId& name, RequestId lookup, TimePoint now) const;
-    std::size_t size() const { return entries_.size(); }
+    /// The id is carried for `request`; responses may come until `until`. Replaces what was known of the id.
+    void add(const ClientRequestId& id, RequestId request, TimePoint until, TimePoint now);
+    /// Whether a response that bears the id may be meant for another request.
+    [[nodiscard]] bool used_by_another(const ClientRequestId& id, RequestId request, TimePoint now) const;
+    [[nodiscard]] std::size_t size() const { return entries_.size(); }
 
 private:
-    void erase_expired(TimePoint now);
-
+    static constexpr std::size_t min_erase_threshold = 64;
     struct Entry {
         RequestId request;
         TimePoint until;
     };
+
+    void erase_expired(TimePoint now);
+    void erase_half();
+
     std::map<ClientRequestId, Entry> entries_;
-    std::size_t erase_threshold_ = 64;  // rises with what is worth keeping: looking through all takes time
+    std::size_t erase_threshold_ = min_erase_threshold;  // rises with what stays, as a search takes time
 };
 
 }  // namespace irismux
