--- a/src/codec/notice_reader.cpp
+++ b/src/codec/notice_reader.cpp
@@ -1,6 +1,7 @@
 #include "codec/notice_reader.hpp"
 
 #include <algorithm>
+#include <exception>
 #include <utility>
 
 #include "base/reading.hpp"
@@ -8,22 +9,57 @@
 namespace irismux {
 namespace {
 
+constexpr const char* revision_key = "rev";
+constexpr const char* notices_key = "notices";
 constexpr std::string_view blanks = " \t\r\n";
 
 bool is_blank(std::string_view text) { return text.find_first_not_of(blanks) == std::string_view::npos; }
 
 }  // namespace
 
+std::string_view to_string(EventError::Kind kind) {
+    switch (kind) {
+        case EventError::Kind::too_large:
+            return "too_large";
+        case EventError::Kind::not_json:
+            return "not_json";
+        case EventError::Kind::not_an_object:
+            return "not_an_object";
+        case EventError::Kind::invalid_field:
+            return "invalid_field";
+        case EventError::Kind::not_applicable:
+            return "not_applicable";
+    }
+    return "unknown";
+}
+
+std::string_view to_string(AnswerError error) {
+    switch (error) {
+        case AnswerError::not_json:
+            return "not_json";
+        case AnswerError::notices_not_a_list:
+            return "notices_not_a_list";
+        case AnswerError::revision_not_a_number:
+            return "revision_not_a_number";
+        case AnswerError::too_many_unnumbered_events:
+            return "too_many_unnumbered_events";
+    }
+    return "unknown";
+}
+
 Notice notice_of(json content, std::int64_t answer_revision) {
     Notice notice;
     notice.revision = answer_revision;
     try {
-        if (!content.is_object()) bad("an event that is not an object");
-        notice.numbered = content.contains("rev");
-        notice.revision = get_or(content, "rev", answer_revision);
+        if (content.is_object()) {
+            notice.numbered = content.contains(revision_key);
+            notice.revision = get_or(content, revision_key, answer_revision);
+        } else {
+            notice.error = EventError{EventError::Kind::not_an_object, {}};
+        }
     } catch (const std::exception& e) {
         notice.numbered = false;
-        notice.error = e.what();
+        notice.error = EventError{EventError::Kind::invalid_field, e.what()};
     }
     notice.content = std::move(content);
     return notice;
@@ -31,12 +67,12 @@
 
 void NoticeReader::feed(std::string_view piece) {
     piece_.assign(piece);
-    at_ = 0;
+    position_ = 0;
 }
 
 std::optional<Notice> NoticeReader::next() {
     std::optional<Notice> notice;
-    while (!notice && error_.empty()) {
+    while (!notice && !error_) {
         if (!waiting_.empty() && revision_) {
             notice = std::move(waiting_.front());
             waiting_.pop_front();
@@ -48,135 +84,143 @@
     return notice;
 }
 
-// Reads on to the next terminator; false: there is nothing more to be read for now.
+// Reads up to the next terminator. False: the piece has been read.
 bool NoticeReader::step(std::optional<Notice>& notice) {
-    if (at_ == piece_.size()) return false;
-    switch (place_) {
-        case Place::key:
-            step_key();
+    if (position_ == piece_.size()) return false;
+    switch (expecting_) {
+        case Expecting::key:
+            read_key();
             break;
-        case Place::value:
-            step_value();
+        case Expecting::value:
+            read_value();
             break;
-        case Place::element:
-            step_element(notice);
+        case Expecting::element:
+            read_element(notice);
+            break;
+        case Expecting::object:
+        case Expecting::end_of_object:
+        case Expecting::nothing:
+            read_punctuation();
             break;
-        default:
-            step_between();
     }
     return true;
 }
 
-void NoticeReader::step_key() {
+void NoticeReader::read_key() {
     if (!collect(":}")) return;
     const std::string text = take_text();
     if (terminator_ == '}') {
-        if (!first_ || !is_blank(text)) return fail("not JSON");
-        place_ = Place::end;
+        if (!first_ || !is_blank(text)) error_ = AnswerError::not_json;
+        expecting_ = Expecting::nothing;
         return;
     }
     const json key = json::parse(text, nullptr, false);
-    if (!key.is_string()) return fail("not JSON");
+    if (!key.is_string()) {
+        error_ = AnswerError::not_json;
+        return;
+    }
     key_ = key.get<std::string>();
     first_ = false;
-    place_ = Place::value;
+    expecting_ = Expecting::value;
 }
 
-void NoticeReader::step_value() {
-    if (key_ == "notices") {
-        const auto c = take_after_blanks();
+void NoticeReader::read_value() {
+    if (key_ == notices_key) {
+        const auto c = next_after_blanks();
         if (!c) return;
-        if (*c != '[') return fail("field 'notices' is not a list");
+        if (*c != '[') error_ = AnswerError::notices_not_a_list;
         first_ = true;
-        place_ = Place::element;
+        expecting_ = Expecting::element;
         return;
     }
     if (!collect(",}")) return;
     const std::string text = take_text();
-    place_ = terminator_ == ',' ? Place::key : Place::end;
-    if (key_ != "rev") return;
+    expecting_ = terminator_ == ',' ? Expecting::key : Expecting::nothing;
+    if (key_ != revision_key) return;
     const json value = json::parse(text, nullptr, false);
-    if (!value.is_number()) return fail("field 'rev' is not a number");
-    revision_ = value.get<std::int64_t>();
+    if (value.is_number())
+        revision_ = value.get<std::int64_t>();
+    else
+        error_ = AnswerError::revision_not_a_number;
 }
 
-void NoticeReader::step_element(std::optional<Notice>& notice) {
+void NoticeReader::read_element(std::optional<Notice>& notice) {
     if (!collect(",]")) return;
     const bool too_large = too_large_;
     const std::string text = take_text();
-    if (terminator_ == ']') place_ = Place::after_list;
-    const bool only = std::exchange(first_, false) && terminator_ == ']';
-    if (only && is_blank(text) && !too_large) return;
-    Notice read = read_element(text, too_large);
-    // Guards the order: behind one that waits for the answer's number all others wait, too.
-    if (revision_ || (waiting_.empty() && (read.numbered || !read.error.empty()))) {
+    if (terminator_ == ']') expecting_ = Expecting::end_of_object;
+    const bool only = first_ && terminator_ == ']';
+    first_ = false;
+    if (only && is_blank(text) && !too_large) return;  // an empty list
+    Notice read = parse_element(text, too_large);
+    // Guards the order: behind an event that waits for the answer's revision all others wait too.
+    if (revision_ || (waiting_.empty() && (read.numbered || read.error))) {
         notice = std::move(read);
         return;
     }
     waiting_bytes_ += text.size() + sizeof(Notice);
     waiting_.push_back(std::move(read));
-    if (waiting_bytes_ > max_waiting_bytes) fail("too many events without a number of their own");
+    if (waiting_bytes_ > max_waiting_bytes) error_ = AnswerError::too_many_unnumbered_events;
 }
 
-Notice NoticeReader::read_element(const std::string& text, bool too_large) const {
+Notice NoticeReader::parse_element(const std::string& text, bool too_large) const {
     Notice notice;
     if (too_large) {
-        notice.error = "an event that is too large";
+        notice.error = EventError{EventError::Kind::too_large, {}};
         return notice;
     }
     json content = json::parse(text.data(), text.data() + text.size(), nullptr, false);
     if (content.is_discarded()) {
-        notice.error = "an event that is not JSON";
+        notice.error = EventError{EventError::Kind::not_json, {}};
         return notice;
     }
     return notice_of(std::move(content), revision_.value_or(0));
 }
 
-// Before the answer's object, behind its list, and behind it all.
-void NoticeReader::step_between() {
-    const auto c = take_after_blanks();
+// Before the answer's object, behind its list, and behind all of it.
+void NoticeReader::read_punctuation() {
+    const auto c = next_after_blanks();
     if (!c) return;
-    if (place_ == Place::start && *c == '{') {
-        place_ = Place::key;
-    } else if (place_ == Place::after_list && *c == ',') {
-        place_ = Place::key;
-    } else if (place_ == Place::after_list && *c == '}') {
-        place_ = Place::end;
-    } else {
-        fail("not JSON");
-    }
+    const bool opens = expecting_ == Expecting::object && *c == '{';
+    const bool goes_on = expecting_ == Expecting::end_of_object && *c == ',';
+    const bool closes = expecting_ == Expecting::end_of_object && *c == '}';
+    if (opens || goes_on)
+        expecting_ = Expecting::key;
+    else if (closes)
+        expecting_ = Expecting::nothing;
+    else
+        error_ = AnswerError::not_json;
 }
 
-std::optional<char> NoticeReader::take_after_blanks() {
-    at_ = std::min(piece_.find_first_not_of(blanks, at_), piece_.size());
-    if (at_ == piece_.size()) return std::nullopt;
-    return piece_[at_++];
+std::optional<char> NoticeReader::next_after_blanks() {
+    position_ = std::min(piece_.find_first_not_of(blanks, position_), piece_.size());
+    if (position_ == piece_.size()) return std::nullopt;
+    return piece_[position_++];
 }
 
-// Collects the text up to a terminator that stands outside of strings and brackets; false: it goes on in the
-// next piece.
+// Collects the text up to a terminator outside of strings and brackets. False: it goes on in the next piece.
 bool NoticeReader::collect(std::string_view terminators) {
-    const std::size_t from = at_;
-    for (; at_ < piece_.size(); ++at_) {
-        const char c = piece_[at_];
+    const std::size_t begin = position_;
+    for (; position_ < piece_.size(); ++position_) {
+        const char c = piece_[position_];
         if (in_string_) {
             in_string_ = escaped_ || c != '"';
             escaped_ = !escaped_ && c == '\\';
         } else if (depth_ == 0 && terminators.find(c) != std::string_view::npos) {
-            keep(std::string_view(piece_).substr(from, at_ - from));
+            append_text(std::string_view(piece_).substr(begin, position_ - begin));
             terminator_ = c;
-            ++at_;
+            ++position_;
             return true;
         } else {
             in_string_ = c == '"';
-            scan_bracket(c);
+            count_bracket(c);
         }
     }
-    keep(std::string_view(piece_).substr(from));
+    append_text(std::string_view(piece_).substr(begin));
     return false;
 }
 
-void NoticeReader::scan_bracket(char c) {
+void NoticeReader::count_bracket(char c) {
     if (c == '{' || c == '[') {
         ++depth_;
         too_large_ = too_large_ || depth_ > max_depth;
@@ -185,8 +229,8 @@
     }
 }
 
-// Guards the memory: what is too large is read through and not kept.
-void NoticeReader::keep(std::string_view bytes) {
+// Guards the memory: an event that is too large is read through and not kept.
+void NoticeReader::append_text(std::string_view bytes) {
     too_large_ = too_large_ || text_.size() + bytes.size() > max_notice_bytes;
     if (too_large_)
         text_.clear();
--- a/src/codec/notice_reader.hpp
+++ b/src/codec/notice_reader.hpp
@@ -1,8 +1,8 @@
-// The notices of one answer of the notice board, {"rev": LAST, "notices": [...]}, read as its bytes arrive:
-// in pieces of any size and in bounded memory, each notice as soon as it is whole. Without I/O.
+// Reads one answer of the notice board, {"rev": LAST, "notices": [...]}, as its bytes arrive: in pieces of
+// any size and in bounded memory, each event as soon as it is whole. Without I/O.
 //
-// A small scanner cuts the list into the texts of its notices; nlohmann-json parses each. So what came whole
-// counts also where the answer breaks off behind it, and one notice that is no JSON spoils no other.
+// A scanner cuts the list into the texts of its events and nlohmann-json parses each. So events count that
+// came whole before a break, and one that is not JSON does not affect the others.
 #pragma once
 
 #include <cstddef>
@@ -15,67 +15,96 @@
 
 namespace irismux {
 
-// One event of the board.
+/// Why one event can't be read.
+struct EventError {
+    enum class Kind {
+        too_large,  ///< or too deep; see NoticeReader
+        not_json,
+        not_an_object,
+        invalid_field,
+        not_applicable  ///< its observer refused it
+    };
+    Kind kind;
+    std::string detail;
+    bool operator==(const EventError&) const = default;
+};
+/// For logs, in snake_case.
+[[nodiscard]] std::string_view to_string(EventError::Kind kind);
+
+/// One event of the board.
+// NOLINTNEXTLINE(bugprone-exception-escape): json's move constructor is noexcept; the check looks inside it.
 struct Notice {
-    std::int64_t revision = 0;  // its own number, or that of the answer
-    bool numbered = false;      // it has one of its own
+    std::int64_t revision = 0;  ///< its own, or that of the answer
+    bool numbered = false;      ///< it has one of its own
     nlohmann::json content;
-    std::string error;  // why it can't be read; empty: it can
+    std::optional<EventError> error;  ///< set: `content` does not count
 };
 
-// A notice as it stands in a list that was parsed elsewhere.
-Notice notice_of(nlohmann::json content, std::int64_t answer_revision);
+/// An event as it stands in a list that was parsed elsewhere.
+[[nodiscard]] Notice notice_of(nlohmann::json content, std::int64_t answer_revision);
+
+/// Why the rest of an answer can't be read.
+enum class AnswerError {
+    not_json,
+    notices_not_a_list,
+    revision_not_a_number,
+    too_many_unnumbered_events  ///< see NoticeReader::max_waiting_bytes
+};
+/// For logs, in snake_case.
+[[nodiscard]] std::string_view to_string(AnswerError error);
 
 class NoticeReader {
 public:
-    // A longer one is not kept: it is told as one that can't be read. Enough for a list of some 5,000 caches.
-    static constexpr std::size_t max_notice_bytes = 1 << 20;
-    static constexpr int max_depth = 32;  // brackets within brackets
-    // Notices without a number of their own wait for the answer's, in so many bytes.
+    /// A longer event is read through and reported as too large. Enough for a list of some 5,000 caches.
+    static constexpr std::size_t max_notice_bytes = 1'048'576;
+    static constexpr int max_depth = 32;  ///< of nested brackets
+    /// Events without a revision of their own wait for the answer's, in so many bytes.
     static constexpr std::size_t max_waiting_bytes = max_notice_bytes;
 
-    // The next bytes, once next() has returned nothing.
+    /// The next bytes of the answer. To be called only once next() has returned none.
     void feed(std::string_view piece);
-    // The next notice; none: more bytes are needed, or the answer is whole, or it can't be read.
-    std::optional<Notice> next();
+    /// The next event; none: more bytes are needed, or the answer is complete, or it can't be read.
+    [[nodiscard]] std::optional<Notice> next();
 
-    bool complete() const { return place_ == Place::end && error_.empty(); }
-    // Why the rest of the answer can't be read; empty: it can.
-    const std::string& error() const { return error_; }
-    std::optional<std::int64_t> revision() const { return revision_; }  // the answer's, once it has come
+    [[nodiscard]] bool complete() const { return expecting_ == Expecting::nothing && !error_; }
+    [[nodiscard]] std::optional<AnswerError> error() const { return error_; }
+    /// The answer's; none: it has not come yet.
+    [[nodiscard]] std::optional<std::int64_t> revision() const { return revision_; }
 
 private:
-    enum class Place { start, key, value, element, after_list, end };
+    enum class Expecting { object, key, value, element, end_of_object, nothing };
 
     bool step(std::optional<Notice>& notice);
-    void step_key();
-    void step_value();
-    void step_element(std::optional<Notice>& notice);
-    void step_between();
-    bool collect(std::string_view terminators);
-    void keep(std::string_view bytes);
-    void scan_bracket(char c);
-    std::optional<char> take_after_blanks();
-    std::string take_text();
-    void fail(const char* why) { error_ = why; }
-    Notice read_element(const std::string& text, bool too_large) const;
+    void read_key();
+    void read_value();
+    void read_element(std::optional<Notice>& notice);
+    void read_punctuation();
+    [[nodiscard]] Notice parse_element(const std::string& text, bool too_large) const;
+
+    [[nodiscard]] bool collect(std::string_view terminators);
+    void append_text(std::string_view bytes);
+    void count_bracket(char c);
+    [[nodiscard]] std::optional<char> next_after_blanks();
+    [[nodiscard]] std::string take_text();
 
     std::string piece_;
-    std::size_t at_ = 0;  // in the piece
-    Place place_ = Place::start;
+    std::size_t position_ = 0;  // in the piece
+    Expecting expecting_ = Expecting::object;
     std::string key_;
     bool first_ = true;  // of the keys, or of the list
 
-    // The text at hand, up to its terminator.
+    // The text of one key, value or element, up to its terminator.
     std::string text_;
     int depth_ = 0;
-    bool in_string_ = false, escaped_ = false, too_large_ = false;
+    bool in_string_ = false;
+    bool escaped_ = false;
+    bool too_large_ = false;
     char terminator_ = 0;
 
     std::optional<std::int64_t> revision_;
-    std::deque<Notice> waiting_;  // for the answer's number, in order
+    std::deque<Notice> waiting_;  // for the answer's revision, in order
     std::size_t waiting_bytes_ = 0;
-    std::string error_;
+    std::optional<AnswerError> error_;
 };
 
 }  // namespace irismux
--- a/tests/notices_test.cpp
+++ b/tests/notices_test.cpp
@@ -1,5 +1,5 @@
-// The reader of an answer's notices and the framing round them: whatever the pieces, the same notices in the
-// same order; bounded; and what came before something unreadable counts.
+// The reader of the notice board's answers and the framing around them: the same events in the same order
+// whatever the pieces, in bounded memory, and events before something unreadable count.
 #include "codec/notice_reader.hpp"
 
 #include <gtest/gtest.h>
@@ -58,28 +58,28 @@
     return answer;
 }
 
-struct Read {
+struct Result {
     std::vector<Notice> notices;
-    bool whole = false;
-    std::string error;
+    bool complete = false;
+    std::optional<AnswerError> error;
     std::optional<std::int64_t> revision;
 };
 
-void read_all(NoticeReader& reader, Read& read) {
+void read_all(NoticeReader& reader, Result& read) {
     while (auto notice = reader.next()) read.notices.push_back(std::move(*notice));
 }
 
-Read finish(NoticeReader& reader, Read read) {
-    read.whole = reader.complete();
+Result finish(NoticeReader& reader, Result read) {
+    read.complete = reader.complete();
     read.error = reader.error();
     read.revision = reader.revision();
     return read;
 }
 
-Read read_in_pieces(const std::string& body, const std::function<std::size_t()>& piece_size) {
+Result read_in_pieces(const std::string& body, const std::function<std::size_t()>& piece_size) {
     NoticeReader reader;
-    Read read;
-    for (std::size_t at = 0; at < body.size() && reader.error().empty();) {
+    Result read;
+    for (std::size_t at = 0; at < body.size() && !reader.error();) {
         const std::string piece = body.substr(at, piece_size());
         at += piece.size();
         reader.feed(piece);
@@ -88,22 +88,25 @@
     return finish(reader, std::move(read));
 }
 
-Read read_whole(const std::string& body) {
+Result read_whole(const std::string& body) {
     return read_in_pieces(body, [&] { return body.size(); });
 }
 
-void expect_same(const Read& read, const Answer& answer) {
-    EXPECT_TRUE(read.whole) << read.error;
+void expect_same(const Result& read, const Answer& answer) {
+    EXPECT_TRUE(read.complete);
+    EXPECT_EQ(read.error, std::nullopt);
     EXPECT_EQ(read.revision, answer.revision);
     ASSERT_EQ(read.notices.size(), answer.events.size());
     for (std::size_t n = 0; n < answer.events.size(); ++n) {
-        EXPECT_EQ(read.notices[n].error, "");
+        EXPECT_EQ(read.notices[n].error, std::nullopt);
         EXPECT_EQ(read.notices[n].content, answer.events[n]);
         EXPECT_EQ(read.notices[n].revision, static_cast<std::int64_t>(n) + 1);
     }
 }
 
-TEST(Notices, AreTheSameInPiecesOfAnySize) {
+// Given random answers, when each is fed whole, byte by byte and in pieces of random sizes, then the same
+// events come in the same order.
+TEST(NoticeReader, ReadsTheSameEventsFromPiecesOfAnySize) {
     for (unsigned seed = 1; seed <= 60; ++seed) {
         Random random(seed);
         const Answer answer =
@@ -116,8 +119,9 @@
     }
 }
 
-// Chunks that end anywhere, also within strings and escapes, and pieces that end within the framing.
-TEST(Notices, AreTheSameInChunksOfAnySize) {
+// Given random answers in HTTP chunks that end anywhere, also within strings and escapes, when pieces of the
+// framed bytes are fed, then the same events come.
+TEST(NoticeReader, ReadsTheSameEventsFromChunksOfAnySize) {
     for (unsigned seed = 1; seed <= 60; ++seed) {
         Random random(seed);
         const Answer answer =
@@ -135,7 +139,7 @@
         head.chunked = true;
         http::BodyReader body(head);
         NoticeReader reader;
-        Read read;
+        Result read;
         bool ended = false;
         std::string arrived;
         for (std::size_t at = 0; at < framed.size();) {
@@ -158,7 +162,8 @@
     }
 }
 
-TEST(Notices, BodyWithALengthEndsThere) {
+// Given a body longer than any that is held whole, when it is read in pieces, then it ends at its length.
+TEST(HttpBodyReader, EndsABodyAtItsLength) {
     http::Head head;
     head.sized = true;
     head.length = (std::size_t{1} << 21) + 1;  // above what is ever held whole
@@ -176,45 +181,53 @@
     EXPECT_EQ(seen, head.length);
 }
 
-TEST(Notices, OneThatIsNotJsonSpoilsNoOther) {
-    const Read read = read_whole(
+// Given an answer with events that can't be read among others, when it is read, then each of those bears its
+// own error and the others are read.
+TEST(NoticeReader, ReportsAnUnreadableEventAndReadsTheOthers) {
+    const Result read = read_whole(
         R"({"rev":5,"notices":[{"rev":1,"flush":{}},{"rev":2,"flush":},7,{"rev":"x"},{"rev":5,"flush":{}}]})");
     ASSERT_EQ(read.notices.size(), 5u);
-    EXPECT_TRUE(read.whole);
-    EXPECT_EQ(read.notices[0].error, "");
-    EXPECT_EQ(read.notices[1].error, "an event that is not JSON");
-    EXPECT_EQ(read.notices[2].error, "an event that is not an object");
-    EXPECT_EQ(read.notices[3].error, "field 'rev' is not a number");
-    EXPECT_EQ(read.notices[4].error, "");
+    EXPECT_TRUE(read.complete);
+    using Kind = EventError::Kind;
+    EXPECT_EQ(read.notices[0].error, std::nullopt);
+    EXPECT_EQ(read.notices[1].error, (EventError{Kind::not_json, ""}));
+    EXPECT_EQ(read.notices[2].error, (EventError{Kind::not_an_object, ""}));
+    EXPECT_EQ(read.notices[3].error, (EventError{Kind::invalid_field, "field 'rev' is not a number"}));
+    EXPECT_EQ(read.notices[4].error, std::nullopt);
     EXPECT_EQ(read.notices[4].revision, 5);
 }
 
-TEST(Notices, WhatCameBeforeABreakCounts) {
+// Given an answer that breaks off in its third event, when it is read, then the first two have come.
+TEST(NoticeReader, ReadsTheEventsBeforeABreak) {
     const std::string body = R"({"rev":3,"notices":[{"rev":1},{"rev":2},{"re)";
-    const Read read = read_whole(body);
+    const Result read = read_whole(body);
     ASSERT_EQ(read.notices.size(), 2u);
-    EXPECT_FALSE(read.whole);
-    EXPECT_EQ(read.error, "");
+    EXPECT_FALSE(read.complete);
+    EXPECT_EQ(read.error, std::nullopt);
 }
 
-TEST(Notices, AnswersThatAreNoneAreRefused) {
+// Given bytes that are no answer, or none yet, when they are read, then the reader reports an error or goes
+// on waiting, and never says that the answer is complete.
+TEST(NoticeReader, RefusesAnswersOfAnotherForm) {
     for (const char* body : {"[]", "7", "{\"rev\":1,}", "{7:1}", "{\"rev\":1,\"notices\":{}}",
                              "{\"rev\":1} x", "{\"rev\":\"1\",\"notices\":[]}", "{\"notices\":[] 7}"}) {
-        const Read read = read_whole(body);
-        EXPECT_FALSE(read.error.empty()) << body;
-        EXPECT_FALSE(read.whole) << body;
+        const Result read = read_whole(body);
+        EXPECT_TRUE(read.error) << body;
+        EXPECT_FALSE(read.complete) << body;
     }
     for (const char* body : {"", "{", "{]", "{\"rev\":1", "{\"rev\":1,\"notices\":[}"})
-        EXPECT_FALSE(read_whole(body).whole) << body;
-    EXPECT_FALSE(read_whole(std::string(3, '\0')).error.empty());
-    EXPECT_FALSE(read_whole("{\"notices\":" + std::string(1, '\0') + "[]}").error.empty());
+        EXPECT_FALSE(read_whole(body).complete) << body;
+    EXPECT_EQ(read_whole(std::string(3, '\0')).error, AnswerError::not_json);
+    EXPECT_EQ(read_whole("{\"notices\":" + std::string(1, '\0') + "[]}").error,
+              AnswerError::notices_not_a_list);
 }
 
-// Those without a number of their own have the answer's, wherever that stands; the order stays.
-TEST(Notices, WithoutANumberHaveTheAnswers) {
+// Given events without a revision, when the answer's stands before or behind them, then they bear it and the
+// order stays.
+TEST(NoticeReader, GivesUnnumberedEventsTheAnswersRevision) {
     for (const char* body : {R"({"rev":9,"notices":[{"a":1},{"rev":8},{"a":2}]})",
                              R"({"notices":[{"a":1},{"rev":8},{"a":2}],"rev":9})"}) {
-        const Read read = read_in_pieces(body, [] { return std::size_t{1}; });
+        const Result read = read_in_pieces(body, [] { return std::size_t{1}; });
         ASSERT_EQ(read.notices.size(), 3u) << body;
         EXPECT_EQ(read.notices[0].revision, 9);
         EXPECT_FALSE(read.notices[0].numbered);
@@ -224,36 +237,41 @@
     }
 }
 
-TEST(Notices, WaitForTheAnswersNumberInBoundedMemory) {
+// Given an answer whose events and which itself have no revision, when it goes on, then the reader reports an
+// error before it holds more than its bound.
+TEST(NoticeReader, BoundsTheEventsThatWaitForARevision) {
     NoticeReader reader;
     reader.feed("{\"notices\":[");
+    EXPECT_FALSE(reader.next());
     std::size_t fed = 0;
-    while (reader.error().empty() && fed < 100'000'000) {
+    while (!reader.error() && fed < 100'000'000) {
         const std::string some = "{\"a\":1},{\"a\":2},";
         reader.feed(some);
         fed += some.size();
         EXPECT_FALSE(reader.next());
     }
+    EXPECT_EQ(reader.error(), AnswerError::too_many_unnumbered_events);
     EXPECT_LT(fed, NoticeReader::max_waiting_bytes);
 }
 
-// One that is too large or too deep is read through without being kept; those behind it count.
-TEST(Notices, TooLargeOrTooDeepAreLeftOut) {
+// Given an event that is too large or too deep, when the answer is read, then that one bears an error and
+// those behind it are read.
+TEST(NoticeReader, SkipsAnEventThatIsTooLargeOrTooDeep) {
     for (const std::string& bad :
          {"{\"rev\":2,\"x\":\"" + std::string(3 * NoticeReader::max_notice_bytes, 'x') + "\"}",
           std::string(100'000, '[') + std::string(100'000, ']')}) {
-        const Read read = read_in_pieces("{\"rev\":3,\"notices\":[{\"rev\":1}," + bad + ",{\"rev\":3}]}",
-                                         [] { return std::size_t{4096}; });
+        const Result read = read_in_pieces("{\"rev\":3,\"notices\":[{\"rev\":1}," + bad + ",{\"rev\":3}]}",
+                                           [] { return std::size_t{4096}; });
         ASSERT_EQ(read.notices.size(), 3u);
-        EXPECT_TRUE(read.whole);
-        EXPECT_EQ(read.notices[1].error, "an event that is too large");
+        EXPECT_TRUE(read.complete);
+        EXPECT_EQ(read.notices[1].error, (EventError{EventError::Kind::too_large, ""}));
         EXPECT_EQ(read.notices[2].revision, 3);
     }
 }
 
-// Bytes changed at random: the reader comes to an end of what it was fed, and what stood before the first
-// change is told.
-TEST(Notices, SpoiltBytesEndInAnOutcome) {
+// Given answers with some bytes changed, when they are read, then the reader comes to the end of the bytes
+// and the events before the first change are read.
+TEST(NoticeReader, ReadsTheEventsBeforeChangedBytes) {
     for (unsigned seed = 1; seed <= 400; ++seed) {
         Random random(seed);
         const Answer answer = answer_of(random, 20, true);
@@ -262,8 +280,8 @@
         for (std::size_t n = draw(random, 1, 5); n > 0; --n)
             body[draw(random, std::min(from, body.size() - 1), body.size() - 1)] =
                 static_cast<char>(draw(random, 0, 255));
-        const Read whole = read_whole(answer.body.substr(0, std::min(from, body.size())));
-        const Read read = read_in_pieces(body, [&] { return draw(random, 1, 64); });
+        const Result whole = read_whole(answer.body.substr(0, std::min(from, body.size())));
+        const Result read = read_in_pieces(body, [&] { return draw(random, 1, 64); });
         ASSERT_GE(read.notices.size(), whole.notices.size()) << seed;
         for (std::size_t n = 0; n < whole.notices.size(); ++n)
             EXPECT_EQ(read.notices[n].content, answer.events[n]) << seed;
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -126,7 +126,7 @@
     ScriptedCache& cache = *solo.cache_serving(id_of(1));
     cache.answer(cache.received[0]);
     EXPECT_TRUE(solo.exited_cleanly());
-    EXPECT_FALSE(solo.logged("notice board: now at"));
+    EXPECT_FALSE(solo.logged("notice_board_changed"));
     EXPECT_EQ(a->responses.size(), 1u);
     EXPECT_TRUE(a->has_response(1, "Status: 200"));
 }
--- a/tests/wire_names_test.cpp
+++ b/tests/wire_names_test.cpp
@@ -287,7 +287,7 @@
     for (const char c : board_events) {
         reader.feed(std::string_view(&c, 1));
         while (const auto notice = reader.next()) {
-            EXPECT_EQ(notice->error, "");
+            EXPECT_EQ(notice->error, std::nullopt);
             numbers.push_back(notice->revision);
         }
     }
