--- a/tests/cache_connection_pool_test.cpp
+++ b/tests/cache_connection_pool_test.cpp
@@ -1,4 +1,4 @@
-// The client side alone: connections to caches that end, stall or spoil what they say.
+// CacheConnectionPool before caches that close, stall, or send what is not a response.
 #include <deque>
 
 #include "base/log.hpp"
@@ -13,148 +13,153 @@
 using stand_ins::Acceptor;
 using stand_ins::StandInConnection;
 
-// The client side alone, before caches that answer as told.
-struct CachesDay final : AttemptObserver, ResponseSender {
+// A pool before two caches, e1 and e2, that respond as a test wants.
+struct PoolScenario final : AttemptObserver, ResponseSender {
     EventLoop loop;
-    Deployment d = deployment();
-    EndpointTable roster{d.purge_retention};
-    std::unique_ptr<CacheConnectionPool> caches;
-    std::vector<std::shared_ptr<StandInConnection>> wires;
-    std::map<std::string, std::unique_ptr<Acceptor>> accepts;  // by cache
-    std::vector<std::string> pulled, done;                     // ids in order
+    Deployment settings = deployment();
+    EndpointTable endpoints{settings.purge_retention};
+    std::unique_ptr<CacheConnectionPool> pool;
+    std::vector<std::shared_ptr<StandInConnection>> connections;
+    std::map<std::string, std::unique_ptr<Acceptor>> listeners;  // by cache
+    std::vector<std::string> received, ended;                    // client request ids, in order
     std::map<std::string, Outcome> outcomes;
-    std::map<std::string, Duration> took;
-    std::deque<std::shared_ptr<ActiveRequest>> lookups;
-    bool lingers = false, hears = true;  // its ends are no resets; it reads
-    int looks = 0;                       // of looks, those that arrived
-    bool quiet = false;                  // nothing is to be told now
-    std::function<void(StandInConnection&, const std::string&)> then;
-    std::function<bool(Poco::Net::StreamSocket&)> accepted = [](auto&) { return true; };
+    std::map<std::string, Duration> elapsed;
+    std::deque<std::shared_ptr<ActiveRequest>> requests;
+    bool caches_close_gracefully = false;  // else by a reset
+    bool caches_read = true;
+    int health_checks_received = 0;
+    bool expect_no_result = false;  // at present
+    std::function<void(StandInConnection&, const std::string& id)> on_attempt;
+    std::function<bool(Poco::Net::StreamSocket&)> on_accepted = [](auto&) { return true; };
 
-    explicit CachesDay(std::size_t links, int backlog = 64) {
+    explicit PoolScenario(std::size_t max_connections, int backlog = 64) {
         log::show(log::Level::error);
-        then = [this](StandInConnection& w, const std::string& id) { say(w, id, "NONE", "-", ""); };
-        std::vector<std::pair<EndpointUpdate, std::string>> lines;
+        on_attempt = [this](StandInConnection& cache, const std::string& id) {
+            respond(cache, id, "NONE", "-", "");
+        };
+        std::vector<EndpointRecord> records;
         for (const char* id : {"e1", "e2"}) {
-            accepts[id] = std::make_unique<Acceptor>(
-                loop, [this](Poco::Net::StreamSocket s) { take(std::move(s)); }, backlog);
-            lines.emplace_back(listing(id, edge_machine), accepts[id]->address());
+            listeners[id] = std::make_unique<Acceptor>(
+                loop, [this](Poco::Net::StreamSocket socket) { add_connection(std::move(socket)); }, backlog);
+            records.emplace_back(listing(id, edge_machine), listeners[id]->address());
         }
-        roster.apply(lines, true);
-        caches = std::make_unique<CacheConnectionPool>(
-            loop, roster, *this, d,
-            CacheConnectionLimits{links, 10, Duration::seconds(0.2), Duration::seconds(5), d.timer_resolution,
-                                  Duration::seconds(0.2)});
+        endpoints.apply(records, true);
+        pool = std::make_unique<CacheConnectionPool>(
+            loop, endpoints, *this, settings,
+            CacheConnectionLimits{max_connections, 10, Duration::seconds(0.2), Duration::seconds(5),
+                                  settings.timer_resolution, Duration::seconds(0.2)});
     }
-    ~CachesDay() override {
-        caches->close_all();
-        for (const auto& w : wires) w->close();
+    ~PoolScenario() override {
+        pool->close_all();
+        for (const auto& connection : connections) connection->close();
     }
-    void take(Poco::Net::StreamSocket s) {
-        if (!lingers) s.setLinger(true, 0);
-        if (!accepted(s)) return;
-        wires.push_back(std::make_shared<StandInConnection>(loop, std::move(s)));
-        wires.back()->got = [this, raw = wires.back().get()](Buffer& in) {
-            resp::Arguments w;
+    void add_connection(Poco::Net::StreamSocket socket) {
+        if (!caches_close_gracefully) socket.setLinger(true, 0);
+        if (!on_accepted(socket)) return;
+        connections.push_back(std::make_shared<StandInConnection>(loop, std::move(socket)));
+        connections.back()->got = [this, raw = connections.back().get()](Buffer& in) {
+            resp::Arguments arguments;
             std::size_t used = 0;
             while (raw->state() == ConnectionState::open &&
-                   resp::parse_array(in.view(), w, used) == ParseStatus::complete) {
-                const std::string word(w[0]), id(w[1]);
+                   resp::parse_array(in.view(), arguments, used) == ParseStatus::complete) {
+                const std::string command(arguments[0]), id(arguments[1]);
                 in.consumed(used);
-                looks += word == "ECHO";
-                if (word != "PULL") continue;
-                pulled.push_back(id);
-                then(*raw, id);
+                health_checks_received += command == "ECHO";
+                if (command != "PULL") continue;
+                received.push_back(id);
+                on_attempt(*raw, id);
             }
         };
-        if (!hears) wires.back()->hear_little();
-        wires.back()->start();
-        if (!hears) wires.back()->start_reading(false);
+        if (!caches_read) connections.back()->hear_little();
+        connections.back()->start();
+        if (!caches_read) connections.back()->start_reading(false);
     }
-    void say(StandInConnection& w, const std::string& id, const char* word, const char* fields,
-             const std::string& body) {
-        resp::write_array(w.out(), {id, word, fields, body});
-        w.write();
+    void respond(StandInConnection& cache, const std::string& id, const char* result, const char* fields,
+                 const std::string& body) {
+        resp::write_array(cache.out(), {id, result, fields, body});
+        cache.write();
     }
-    void ask(const std::string& id, const std::string& cache = "e1", std::string body = {}) {
-        ClientRequest a;
-        a.body = std::move(body);
-        a.request = arrival(id, "a1", loop.now() + Duration::seconds(1));
-        a.client_request_id = ClientRequestId{id};
-        a.client_etag = "k1";
-        lookups.push_back(std::make_shared<ActiveRequest>(*this, ClientStream{}, std::move(a)));
-        Attempt s;
-        s.cache = CacheId{cache};
-        s.decided_at = loop.now();
-        lookups.back()->add_attempt(std::move(s));
-        caches->start_attempt(*lookups.back(), 0);
+    void start(const std::string& id, const std::string& cache = "e1", std::string body = {}) {
+        ClientRequest client_request;
+        client_request.body = std::move(body);
+        client_request.request = arrival(id, "a1", loop.now() + Duration::seconds(1));
+        client_request.client_request_id = ClientRequestId{id};
+        client_request.client_etag = "k1";
+        requests.push_back(std::make_shared<ActiveRequest>(*this, ClientStream{}, std::move(client_request)));
+        Attempt attempt;
+        attempt.cache = CacheId{cache};
+        attempt.decided_at = loop.now();
+        requests.back()->add_attempt(std::move(attempt));
+        pool->start_attempt(*requests.back(), 0);
     }
     void run(double seconds) {
         loop.schedule_at(loop.now() + Duration::seconds(seconds), [this] { loop.stop(); });
         loop.run();
     }
-    // Once that is so, the next; after the last the loop ends. Ten seconds at most.
+    // An action for when a condition holds; the next step follows. After the last the loop ends, at the
+    // latest after ten seconds.
     struct Step {
-        std::function<bool()> so;
-        std::function<void()> then;
+        std::function<bool()> condition;
+        std::function<void()> action;
     };
-    void play(std::vector<Step> given) {
+    void run_steps(std::vector<Step> given) {
         steps = std::move(given);
         std::reverse(steps.begin(), steps.end());
-        look();
+        check_steps();
         run(10);
         EXPECT_TRUE(steps.empty()) << steps.size() << " steps were not reached";
     }
-    void look() {
-        while (!steps.empty() && steps.back().so()) {
-            const auto next = steps.back().then;
+    void check_steps() {
+        while (!steps.empty() && steps.back().condition()) {
+            const auto action = steps.back().action;
             steps.pop_back();
-            next();
+            action();
         }
         if (steps.empty()) return loop.stop();
-        loop.schedule_at(loop.now() + Duration::micros(500), [this] { look(); });
+        loop.schedule_at(loop.now() + Duration::micros(500), [this] { check_steps(); });
     }
     std::vector<Step> steps;
-    void on_attempt_ended(ActiveRequest& x, std::size_t n, const AttemptEnd& e) override {
-        EXPECT_FALSE(quiet) << x.client_request_id().raw();
-        outcomes[x.client_request_id().raw()] = e.outcome;
-        took[x.client_request_id().raw()] = loop.now() - x.attempt(n).decided_at;
-        done.push_back(x.client_request_id().raw());
+    void on_attempt_ended(ActiveRequest& request, std::size_t n, const AttemptEnd& end) override {
+        const std::string& id = request.client_request_id().raw();
+        EXPECT_FALSE(expect_no_result) << id;
+        outcomes[id] = end.outcome;
+        elapsed[id] = loop.now() - request.attempt(n).decided_at;
+        ended.push_back(id);
     }
     void on_health_check_result(const HealthCheckResult&) override {}
-    bool may_begin_attempt(ActiveRequest& x, std::size_t) override {
-        return !refused.contains(x.client_request_id().raw());
+    bool may_begin_attempt(ActiveRequest& request, std::size_t) override {
+        return !refused_ids.contains(request.client_request_id().raw());
     }
-    void on_request_id_in_use(ActiveRequest& x, std::size_t) override {
-        names_in_use.push_back(x.client_request_id().raw());
+    void on_request_id_in_use(ActiveRequest& request, std::size_t) override {
+        ids_in_use.push_back(request.client_request_id().raw());
     }
-    std::vector<std::string> names_in_use;
-    std::set<std::string> refused;  // whose sends may not begin any more
+    std::vector<std::string> ids_in_use;
+    std::set<std::string> refused_ids;  // whose attempts may not begin
     void send_response(const ClientStream&, std::string_view, bool) override {}
     void send_rejection(const ClientStream&, Duration) override {}
     void send_failure(const ClientStream&) override {}
 };
 
-// A cache that resets its connection just before sends go out: they go out on another, and the gateway does
-// not write to the first one for ever.
-TEST(Caches, AFailedWriteEndsTheConnectionOnce) {
-    CachesDay day(1);
-    day.ask("b1");
-    day.loop.schedule_at(day.loop.now() + Duration::seconds(0.2), [&] {
-        day.wires.at(0)->close();
-        day.ask("b2");
-        day.ask("b3");
+// Given an idle connection, when the cache resets it just before attempts go out, then they go out on
+// another, and the first is not written to without end.
+TEST(CacheConnectionPool, MovesAttemptsOffAConnectionThatIsReset) {
+    PoolScenario scenario(1);
+    scenario.start("b1");
+    scenario.loop.schedule_at(scenario.loop.now() + Duration::seconds(0.2), [&] {
+        scenario.connections.at(0)->close();
+        scenario.start("b2");
+        scenario.start("b3");
     });
-    day.run(0.6);
-    EXPECT_EQ(day.pulled, (std::vector<std::string>{"b1", "b2", "b3"}));
-    for (const char* id : {"b1", "b2", "b3"}) EXPECT_EQ(day.outcomes.at(id), Outcome::cache_miss) << id;
+    scenario.run(0.6);
+    EXPECT_EQ(scenario.received, (std::vector<std::string>{"b1", "b2", "b3"}));
+    for (const char* id : {"b1", "b2", "b3"}) EXPECT_EQ(scenario.outcomes.at(id), Outcome::cache_miss) << id;
 }
 
-// What can't be an answer, or stops short, ends its connection: nothing of it counts, and what else waited
-// there is told to have been broken off, soon.
-TEST(Caches, NothingOfASpoiltAnswerCounts) {
+// Given two attempts on one connection, when the cache sends bytes that are no response or stop short, then
+// nothing of them counts, and both attempts soon end as broken off.
+TEST(CacheConnectionPool, ClosesAConnectionAfterAnInvalidResponse) {
     const std::string head = "*4\r\n$2\r\nb2\r\n$3\r\nHIT\r\n", mark = "$16\r\ntag=k1,minted=99\r\n";
-    const std::vector<std::string> spoilt = {
+    const std::vector<std::string> invalid = {
         "noise and no line",
         "*4\r\n$2\r\nb2\r\n$3\r\nHIT\r\n$3000000000\r\n",
         head + mark + "$3000000000\r\nabc",
@@ -168,155 +173,162 @@
         "*4\r\n$2\r\nb2\r\n$5\r\nVALID\r\n$16\r\ntag=k2,minted=99\r\n$0\r\n\r\n",
         "*4\r\n$2\r\nb2\r\n$5\r\nVALID\r\n" + mark + "$1\r\na\r\n",
         head + mark + "$9\r\nabc"};
-    for (const std::string& bytes : spoilt) {
-        CachesDay day(1);
-        day.then = [&](StandInConnection& w, const std::string& id) {
-            if (id == "b1") return;  // waits
-            w.out().append(bytes);
-            w.write();
+    for (const std::string& bytes : invalid) {
+        PoolScenario scenario(1);
+        scenario.on_attempt = [&](StandInConnection& cache, const std::string& id) {
+            if (id == "b1") return;  // no response
+            cache.out().append(bytes);
+            cache.write();
         };
-        day.ask("b1");
-        day.ask("b2");
-        day.run(0.35);
-        ASSERT_EQ(day.outcomes.size(), 2u) << bytes;
-        EXPECT_EQ(day.outcomes.at("b1"), Outcome::connection_reset) << bytes;
-        EXPECT_EQ(day.outcomes.at("b2"), Outcome::connection_reset) << bytes;
+        scenario.start("b1");
+        scenario.start("b2");
+        scenario.run(0.35);
+        ASSERT_EQ(scenario.outcomes.size(), 2u) << bytes;
+        EXPECT_EQ(scenario.outcomes.at("b1"), Outcome::connection_reset) << bytes;
+        EXPECT_EQ(scenario.outcomes.at("b2"), Outcome::connection_reset) << bytes;
     }
 }
 
-// More than belongs to an answer harms nobody.
-TEST(Caches, SecondCopiesAndUnknownIdsAreLeftOut) {
-    CachesDay day(1);
-    day.then = [&](StandInConnection& w, const std::string& id) {
-        day.say(w, "ffff", "HIT", "tag=k1,minted=99", "of nobody");
-        for (int i = 0; i < 2; ++i) day.say(w, id, "VALID", "tag=k1,minted=99,n=cached", "");
+// Given three attempts, when the cache responds to each twice and to an id that was never sent, then each
+// attempt ends once.
+TEST(CacheConnectionPool, IgnoresDuplicateResponsesAndUnknownIds) {
+    PoolScenario scenario(1);
+    scenario.on_attempt = [&](StandInConnection& cache, const std::string& id) {
+        scenario.respond(cache, "ffff", "HIT", "tag=k1,minted=99", "of nobody");
+        for (int i = 0; i < 2; ++i) scenario.respond(cache, id, "VALID", "tag=k1,minted=99,n=cached", "");
     };
-    for (const char* id : {"b1", "b2", "b3"}) day.ask(id);
-    day.run(0.2);
-    EXPECT_EQ(day.done, (std::vector<std::string>{"b1", "b2", "b3"}));
-    for (const auto& [id, o] : day.outcomes) EXPECT_EQ(o, Outcome::completed) << id;
+    for (const char* id : {"b1", "b2", "b3"}) scenario.start(id);
+    scenario.run(0.2);
+    EXPECT_EQ(scenario.ended, (std::vector<std::string>{"b1", "b2", "b3"}));
+    for (const auto& [id, o] : scenario.outcomes) EXPECT_EQ(o, Outcome::completed) << id;
 }
 
-// A cache that takes connections and resets each lives; one that refuses them is told as that; and a send
-// for which we have no connection to spare waits for one, and is told of no cache.
-TEST(Caches, WhatIsToldIsWhatWasSeen) {
-    CachesDay day(1);
+// Given one connection for two caches, when one cache accepts and resets, then refuses, then the attempt ends
+// as overloaded or broken off, then as refused; an attempt for which no connection is left waits for one and
+// says nothing of its cache.
+TEST(CacheConnectionPool, ReportsResetRefusedAndShortageAsWhatTheyAre) {
+    PoolScenario scenario(1);
     bool resetting = true;
-    day.accepted = [&](Poco::Net::StreamSocket& s) {
+    scenario.on_accepted = [&](Poco::Net::StreamSocket& s) {
         if (resetting) s.close();
         return !resetting;
     };
-    day.ask("b1");
-    day.loop.schedule_at(day.loop.now() + Duration::seconds(0.1), [&] {
-        // Which of the two is seen depends on whether the send had gone out whole before the reset came.
-        EXPECT_TRUE(day.outcomes.at("b1") == Outcome::overloaded ||
-                    day.outcomes.at("b1") == Outcome::connection_reset);
+    scenario.start("b1");
+    scenario.loop.schedule_at(scenario.loop.now() + Duration::seconds(0.1), [&] {
+        // Which of the two depends on whether the attempt was written whole before the reset came.
+        EXPECT_TRUE(scenario.outcomes.at("b1") == Outcome::overloaded ||
+                    scenario.outcomes.at("b1") == Outcome::connection_reset);
         resetting = false;
-        day.then = [&](StandInConnection& w, const std::string& id) {
-            day.loop.schedule_at(day.loop.now() + Duration::seconds(0.15),
-                                 [&day, &w, id] { day.say(w, id, "NONE", "-", ""); });
+        scenario.on_attempt = [&](StandInConnection& cache, const std::string& id) {
+            scenario.loop.schedule_at(scenario.loop.now() + Duration::seconds(0.15), [&scenario, &cache, id] {
+                scenario.respond(cache, id, "NONE", "-", "");
+            });
         };
-        day.ask("b2", "e1");
-        day.ask("b3", "e2");  // the one connection is at work
+        scenario.start("b2", "e1");
+        scenario.start("b3", "e2");  // the one connection is in use
     });
-    day.loop.schedule_at(day.loop.now() + Duration::seconds(0.8), [&] {
-        EXPECT_EQ(day.outcomes.at("b2"), Outcome::cache_miss);
-        EXPECT_EQ(day.outcomes.at("b3"), Outcome::cache_miss);
-        EXPECT_GT(day.took.at("b3"), Duration::seconds(0.15));
-        day.accepts.at("e1").reset();
-        for (const auto& w : day.wires) w->close();
-        day.ask("b4", "e1");
+    scenario.loop.schedule_at(scenario.loop.now() + Duration::seconds(0.8), [&] {
+        EXPECT_EQ(scenario.outcomes.at("b2"), Outcome::cache_miss);
+        EXPECT_EQ(scenario.outcomes.at("b3"), Outcome::cache_miss);
+        EXPECT_GT(scenario.elapsed.at("b3"), Duration::seconds(0.15));
+        scenario.listeners.at("e1").reset();
+        for (const auto& connection : scenario.connections) connection->close();
+        scenario.start("b4", "e1");
     });
-    day.run(1.0);
-    EXPECT_EQ(day.outcomes.at("b4"), Outcome::connection_refused);
+    scenario.run(1.0);
+    EXPECT_EQ(scenario.outcomes.at("b4"), Outcome::connection_refused);
 }
 
-// While no new connection to a cache comes up, what waits for one goes out with the first answer on another.
-TEST(Caches, AnAnswerElsewhereTakesAlongWhatWaitsToConnect) {
-    CachesDay day(8, 0);
-    std::vector<Poco::Net::StreamSocket> in_the_way(3);
-    day.then = [&](StandInConnection& w, const std::string& id) {
-        day.loop.schedule_at(day.loop.now() + Duration::seconds(0.05),
-                             [&day, &w, id] { day.say(w, id, "NONE", "-", ""); });
+// Given a cache that responds on one connection, when a new one to it does not come up, then the attempt that
+// waits for it goes out after the next response.
+TEST(CacheConnectionPool, MovesQueuedAttemptsToAConnectionThatResponds) {
+    PoolScenario scenario(8, 0);
+    std::vector<Poco::Net::StreamSocket> backlog(3);
+    scenario.on_attempt = [&](StandInConnection& cache, const std::string& id) {
+        scenario.loop.schedule_at(scenario.loop.now() + Duration::seconds(0.05),
+                                  [&scenario, &cache, id] { scenario.respond(cache, id, "NONE", "-", ""); });
     };
-    day.ask("b1");
-    day.loop.schedule_at(day.loop.now() + Duration::seconds(0.02), [&] {
-        day.accepts.at("e1")->stop();
-        for (auto& s : in_the_way) s.connectNB(Poco::Net::SocketAddress(day.accepts.at("e1")->address()));
-        day.ask("b2");
+    scenario.start("b1");
+    scenario.loop.schedule_at(scenario.loop.now() + Duration::seconds(0.02), [&] {
+        scenario.listeners.at("e1")->stop();
+        for (auto& s : backlog) s.connectNB(Poco::Net::SocketAddress(scenario.listeners.at("e1")->address()));
+        scenario.start("b2");
     });
-    day.run(0.18);  // sooner than a connection is given up
-    EXPECT_EQ(day.pulled, (std::vector<std::string>{"b1", "b2"}));
-    EXPECT_EQ(day.done, (std::vector<std::string>{"b1", "b2"}));
+    scenario.run(0.18);  // before the connect timeout
+    EXPECT_EQ(scenario.received, (std::vector<std::string>{"b1", "b2"}));
+    EXPECT_EQ(scenario.ended, (std::vector<std::string>{"b1", "b2"}));
 }
 
-// A cache ends a resting connection in the moment in which a lookup is to go there: it goes on another, and
-// is not told as broken off. Guarded by Link::ended_unheard in CacheLink::on_room.
-TEST(Caches, NothingIsWrittenToAConnectionThatHasJustEnded) {
-    CachesDay day(4);
-    day.lingers = true;
-    day.ask("b1");
-    day.play({{[&] { return day.done.size() == 1; },
-               [&] {
-                   day.wires.at(0)->close();  // its end is here, and in this turn nobody has read it
-                   day.ask("b2");
-               }},
-              {[&] { return day.done.size() == 2; }, [] {}}});
-    EXPECT_EQ(day.pulled, (std::vector<std::string>{"b1", "b2"}));
-    EXPECT_EQ(day.outcomes.at("b2"), Outcome::cache_miss);
+// Given an idle connection, when the cache closes it in the moment in which an attempt is to go there, then
+// the attempt goes out on another and does not end as broken off. Guarded by CacheConnection::on_write_ready.
+TEST(CacheConnectionPool, DoesNotWriteToAConnectionThatWasJustClosed) {
+    PoolScenario scenario(4);
+    scenario.caches_close_gracefully = true;
+    scenario.start("b1");
+    scenario.run_steps(
+        {{[&] { return scenario.ended.size() == 1; },
+          [&] {
+              scenario.connections.at(0)->close();  // has arrived, and has not been read in this iteration
+              scenario.start("b2");
+          }},
+         {[&] { return scenario.ended.size() == 2; }, [] {}}});
+    EXPECT_EQ(scenario.received, (std::vector<std::string>{"b1", "b2"}));
+    EXPECT_EQ(scenario.outcomes.at("b2"), Outcome::cache_miss);
 }
 
-// Too large for the system to take whole while the cache does not read: its client leaves, and neither the
-// rest of it nor what waits behind it for room arrives. Guarded by Caches::withdraw.
-TEST(Caches, WhatIsOutInPartOrWaitsForRoomEndsWithItsClient) {
-    CachesDay day(1);
-    day.hears = false;
-    day.ask("b1", "e1", std::string(16 << 20, 'w'));
-    const auto leave = [&](std::size_t n) {
-        day.lookups.at(n)->on_client_closed();
-        // Whoever is told of an end may let go of the exchange: not from within.
-        day.quiet = true;
-        day.caches->withdraw_unstarted_attempts(*day.lookups.at(n));
-        day.quiet = false;
+// Given an attempt too large for the socket and one behind it, when their clients close while the cache does
+// not read, then neither arrives. Guarded by CacheConnectionPool::withdraw_unstarted_attempts.
+TEST(CacheConnectionPool, WithdrawsAttemptsThatAreNotWrittenWhole) {
+    PoolScenario scenario(1);
+    scenario.caches_read = false;
+    scenario.start("b1", "e1", std::string(16 << 20, 'w'));
+    const auto close_client = [&](std::size_t n) {
+        scenario.requests.at(n)->on_client_closed();
+        // No result from within: whoever gets one may release the request.
+        scenario.expect_no_result = true;
+        scenario.pool->withdraw_unstarted_attempts(*scenario.requests.at(n));
+        scenario.expect_no_result = false;
     };
-    day.play({{[&] { return day.lookups.at(0)->attempt(0).progress == TransmitProgress::partially_written; },
-               [&] {
-                   day.ask("b2");
-                   EXPECT_EQ(day.lookups.at(1)->attempt(0).progress, TransmitProgress::not_connected);
-                   leave(1);
-                   leave(0);
-                   day.hears = true;
-                   for (const auto& w : day.wires) w->start_reading(true);
-                   day.ask("b3");
-               }},
-              {[&] { return day.outcomes.contains("b3"); }, [] {}}});
-    EXPECT_EQ(day.pulled, std::vector<std::string>{"b3"});
+    scenario.run_steps(
+        {{[&] { return scenario.requests.at(0)->attempt(0).progress == TransmitProgress::partially_written; },
+          [&] {
+              scenario.start("b2");
+              EXPECT_EQ(scenario.requests.at(1)->attempt(0).progress, TransmitProgress::not_connected);
+              close_client(1);
+              close_client(0);
+              scenario.caches_read = true;
+              for (const auto& connection : scenario.connections) connection->start_reading(true);
+              scenario.start("b3");
+          }},
+         {[&] { return scenario.outcomes.contains("b3"); }, [] {}}});
+    EXPECT_EQ(scenario.received, std::vector<std::string>{"b3"});
 }
 
-// A look waits for its connection, and by then its term may be over: it is judged again. Guarded by
-// CacheLink::on_open.
-TEST(Caches, ALookIsJudgedWhenItsConnectionIsUp) {
+// Given a health check that waits for its connection, when the connection comes up, then the check is sent
+// only if it is still wanted. Guarded by CacheConnection::on_open.
+TEST(CacheConnectionPool, AsksAgainBeforeADeferredHealthCheck) {
     for (const bool still : {true, false}) {
-        CachesDay day(4);
+        PoolScenario scenario(4);
         bool may = true;
-        day.caches->start_health_check(CacheId{"e1"}, [&] { return may; });
+        scenario.pool->start_health_check(CacheId{"e1"}, [&] { return may; });
         may = still;
-        day.ask("b1");  // on the same connection, behind it
-        day.play({{[&] { return day.done.size() == 1; }, [] {}}});
-        EXPECT_EQ(day.looks, still ? 1 : 0);
-        EXPECT_EQ(day.wires.size(), 1u);
+        scenario.start("b1");  // on the same connection, behind it
+        scenario.run_steps({{[&] { return scenario.ended.size() == 1; }, [] {}}});
+        EXPECT_EQ(scenario.health_checks_received, still ? 1 : 0);
+        EXPECT_EQ(scenario.connections.size(), 1u);
     }
 }
 
-// What may not begin any more when its connection comes up is told as never run, and the next one goes.
-TEST(Caches, EachSendIsJudgedAtItsFirstByte) {
-    CachesDay day(1);
-    day.ask("b1");
-    day.ask("b2");
-    day.refused.insert("b1");
-    day.play({{[&] { return day.done.size() == 2; }, [] {}}});
-    EXPECT_EQ(day.pulled, std::vector<std::string>{"b2"});
-    EXPECT_EQ(day.outcomes.at("b1"), Outcome::overloaded);
+// Given two queued attempts, when the first may not begin any more, then it ends as overloaded and the second
+// goes out.
+TEST(CacheConnectionPool, AsksBeforeTheFirstByteOfEachAttempt) {
+    PoolScenario scenario(1);
+    scenario.start("b1");
+    scenario.start("b2");
+    scenario.refused_ids.insert("b1");
+    scenario.run_steps({{[&] { return scenario.ended.size() == 2; }, [] {}}});
+    EXPECT_EQ(scenario.received, std::vector<std::string>{"b2"});
+    EXPECT_EQ(scenario.outcomes.at("b1"), Outcome::overloaded);
 }
 
 }  // namespace
--- a/tests/failing_calls_test.cpp
+++ b/tests/failing_calls_test.cpp
@@ -1,5 +1,5 @@
-// System calls that fail for a moment, with errors that Linux documents: the program comes up, serves, and
-// loses nothing.
+// System calls that fail for a moment, with errors that Linux documents: the program starts, serves, and
+// loses no request.
 #include "single_process_fixture.hpp"
 #include "testing/shims.hpp"
 
@@ -14,7 +14,7 @@
 
 const stand_ins::ShimLibraries libraries{IRISMUX_SKEWED_CLOCK, IRISMUX_FAILING_CALLS};
 
-stand_ins::SingleProcess::Options under(const Shims& shims, std::size_t caches = 2) {
+stand_ins::SingleProcess::Options with(const Shims& shims, std::size_t caches = 2) {
     stand_ins::SingleProcess::Options shape = answering(solo_shape(caches, {.deadline = 2}));
     shape.environment = shims.environment();
     return shape;
@@ -26,15 +26,15 @@
     std::uint32_t nth;
 };
 
-class FailsOnce : public ::testing::TestWithParam<Once> {};
+class CallFailsOnce : public ::testing::TestWithParam<Once> {};
 
-// Each of the first calls of a kind fails once, in turn.
-TEST_P(FailsOnce, TheProgramComesUpAndServes) {
+// Given one of the first calls of a kind that fails once, when the program starts, then it serves a request.
+TEST_P(CallFailsOnce, TheProgramStartsAndServes) {
     Shims shims(libraries);
     CallFaults faults;
     faults.nth[static_cast<std::size_t>(GetParam().call)] = GetParam().nth;
     shims.set_calls(faults);
-    SingleProcess solo(under(shims));
+    SingleProcess solo(with(shims));
     const auto client = solo.connect_client();
     client->send(1, {.id = id_of(1), .patience_ms = 2000});
     EXPECT_TRUE(solo.until([&] { return client->has_response(1); }));
@@ -63,26 +63,26 @@
     return all;
 }
 
-INSTANTIATE_TEST_SUITE_P(Calls, FailsOnce, ::testing::ValuesIn(first_calls()), [](const auto& test) {
+INSTANTIATE_TEST_SUITE_P(Calls, CallFailsOnce, ::testing::ValuesIn(first_calls()), [](const auto& test) {
     return std::string(test.param.name) + std::to_string(test.param.nth);
 });
 
-class FailsOften : public ::testing::TestWithParam<unsigned> {};
+class CallsFailOften : public ::testing::TestWithParam<unsigned> {};
 
-// One call in ten fails, of all kinds, from the start on; clients and caches behave. Each lookup gets one
-// answer, and nearly all are served.
-TEST_P(FailsOften, EachLookupIsAnsweredOnce) {
+// Given one call in ten that fails, of all kinds, from the start on, when clients and caches behave, then
+// each request gets one response and nearly all are served.
+TEST_P(CallsFailOften, EachRequestGetsOneResponse) {
     Shims shims(libraries);
     CallFaults faults;
     faults.seed = GetParam();
     for (std::uint32_t& one_in : faults.one_in) one_in = 10;
-    faults.one_in[static_cast<std::size_t>(Call::write)] = 0;  // the log tells the test that it serves
+    faults.one_in[static_cast<std::size_t>(Call::write)] = 0;  // the test reads in the log that it serves
     shims.set_calls(faults);
-    SingleProcess solo(under(shims));
-    constexpr int connections = 4, lookups = 60;
+    SingleProcess solo(with(shims));
+    constexpr int connections = 4, requests = 60;
     std::vector<std::shared_ptr<FastCgiClient>> clients;
     for (int c = 0; c < connections; ++c) clients.push_back(solo.connect_client());
-    for (int n = 0; n < lookups; ++n) {
+    for (int n = 0; n < requests; ++n) {
         for (int c = 0; c < connections; ++c)
             clients[static_cast<std::size_t>(c)]->send(
                 static_cast<std::uint16_t>(n + 1),
@@ -92,23 +92,23 @@
     solo.until(
         [&] {
             return std::all_of(clients.begin(), clients.end(),
-                               [](const auto& c) { return c->responses.size() >= lookups; });
+                               [](const auto& c) { return c->responses.size() >= requests; });
         },
         Duration::seconds(4));
     ASSERT_TRUE(solo.process->running());
     int served = 0;
     for (const auto& client : clients) {
-        EXPECT_EQ(client->responses.size(), static_cast<std::size_t>(lookups)) << solo.log_tail();
+        EXPECT_EQ(client->responses.size(), static_cast<std::size_t>(requests)) << solo.log_tail();
         EXPECT_FALSE(client->ended);
-        for (int n = 0; n < lookups; ++n) {
+        for (int n = 0; n < requests; ++n) {
             EXPECT_TRUE(client->has_response(static_cast<std::uint16_t>(n + 1)));
             served += client->has_response(static_cast<std::uint16_t>(n + 1), "Status: 200");
         }
     }
-    EXPECT_GT(served, connections * lookups * 9 / 10);
+    EXPECT_GT(served, connections * requests * 9 / 10);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, FailsOften, ::testing::Range(1u, 7u));
+INSTANTIATE_TEST_SUITE_P(Seeds, CallsFailOften, ::testing::Range(1u, 7u));
 
 }  // namespace
 }  // namespace irismux::testing
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -609,11 +609,11 @@
 // SIGTERM ends it with 0.
 TEST(Program, RereadsItsFileAndLeaves) {
     EventLoop loop;
-    BoardStandIn one(loop), other(loop);
+    NoticeBoardStandIn one(loop), other(loop);
     const std::filesystem::path file =
         std::filesystem::temp_directory_path() / ("irismux-" + std::to_string(getpid()) + ".json");
     const auto write = [&](const std::string& text) { std::ofstream(file) << text; };
-    const auto configuration = [&](const BoardStandIn& board) {
+    const auto configuration = [&](const NoticeBoardStandIn& board) {
         std::string listen;
         {
             Poco::Net::ServerSocket free(Poco::Net::SocketAddress("127.0.0.1:0"));
@@ -623,7 +623,7 @@
         return json{{"name", "n"},
                     {"listen", listen},
                     {"seed", "1"},
-                    {"board", board.accepts.address()},
+                    {"board", board.listener.address()},
                     {"limits", {{"sockets", 256}, {"memory_mb", 32}}},
                     {"known", {{"rev", 5}, {"notices", json::array()}}},
                     {"settings",
@@ -643,7 +643,7 @@
     ASSERT_EQ(posix_spawn(&pid, args[0], nullptr, nullptr, args, env), 0);
     int status = -1;
     bool moved = false;
-    one.then = [&](StandInConnection&) {
+    one.on_poll = [&](StandInConnection&) {
         write("{\"name\":");
         kill(pid, SIGHUP);
         loop.schedule_at(loop.now() + Duration::seconds(0.3), [&] {
@@ -651,7 +651,7 @@
             kill(pid, SIGHUP);
         });
     };
-    other.then = [&](StandInConnection&) {
+    other.on_poll = [&](StandInConnection&) {
         moved = true;
         kill(pid, SIGTERM);
     };
@@ -669,9 +669,9 @@
     std::filesystem::remove(file);
     EXPECT_TRUE(moved);
     EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0) << status;
-    EXPECT_EQ(other.asked, (std::vector<std::string>{"5"}));
+    EXPECT_EQ(other.polled_from, (std::vector<std::string>{"5"}));
     for (auto* b : {&one, &other})
-        for (const auto& w : b->wires) w->close();
+        for (const auto& w : b->connections) w->close();
 }
 
 TEST(Gateway, KeepsTheRulesWhenCachesAndBoardFail) {
--- a/tests/long_notice_answer_test.cpp
+++ b/tests/long_notice_answer_test.cpp
@@ -1,5 +1,5 @@
-// Answers of the notice board that are long, come in pieces, are cut or hold what can't be read: all that is
-// owed is told in order, and how often the board is asked is bounded.
+// Answers of the notice board that are long, come in pieces, break off or hold what can't be read: all events
+// take effect in order, and the number of polls is bounded.
 #include <cstdio>
 #include <functional>
 #include <random>
@@ -13,18 +13,18 @@
 namespace irismux::testing {
 namespace {
 
-// What an observer was told, in order: the name of the purged object, or of a list's caches.
-struct PurgeLedger final : NoticeObserver {
-    std::vector<std::string> purged;
-    std::function<void()> then = [] {};
-    void on_endpoint_notice(const std::vector<EndpointRecord>& lines, bool complete) override {
-        for (const auto& [listing, address] : lines)
-            purged.push_back((complete ? "whole: " : "") + listing.cache.raw());
+// Records what took effect, in order: purged objects and listed caches.
+struct EventRecorder final : NoticeObserver {
+    std::vector<std::string> events;
+    std::function<void()> on_purge = [] {};
+    void on_endpoint_notice(const std::vector<EndpointRecord>& endpoints, bool complete) override {
+        for (const auto& [update, address] : endpoints)
+            events.push_back((complete ? "complete list: " : "") + update.cache.raw());
     }
     void on_purge_notice(const PurgeNotice& purge) override {
         const std::optional<ObjectName>& object = purge.object;
-        purged.push_back(object->raw());
-        then();
+        events.push_back(object->raw());
+        on_purge();
     }
 };
 
@@ -51,105 +51,109 @@
     return body + "]}";
 }
 
-// A board that owes purges 1 to `owed`, and a watch on it; ends once all are told or after 5 s.
-struct OwingBoard {
-    explicit OwingBoard(int purges) : owed(purges) {
-        stand_in.then = [this](StandInConnection& wire) {
-            const int after = std::atoi(stand_in.asked.back().c_str());
-            if (after >= owed) return loop.stop();
-            answer(wire, after);
+// A board with purges 1 to `last_revision` and a client of it; ends once all have taken effect, or after 5 s.
+struct BacklogScenario {
+    explicit BacklogScenario(int purges) : last_revision(purges) {
+        board.on_poll = [this](StandInConnection& connection) {
+            const int after = std::atoi(board.polled_from.back().c_str());
+            if (after >= last_revision) return loop.stop();
+            answer(connection, after);
         };
     }
-    ~OwingBoard() {
-        for (const auto& wire : stand_in.wires) wire->close();
+    ~BacklogScenario() {
+        for (const auto& connection : board.connections) connection->close();
     }
 
-    int owed;
+    int last_revision;
     EventLoop loop;
-    PurgeLedger ledger;
-    BoardStandIn stand_in{loop};
-    NoticeClient board{loop, ledger, stand_in.accepts.address(), Duration::micros(100'000)};
-    std::function<void(StandInConnection&, int after)> answer = [this](StandInConnection& wire, int after) {
-        stand_in.say(wire, answer_of(after, owed));
+    EventRecorder recorder;
+    NoticeBoardStandIn board{loop};
+    NoticeClient client{loop, recorder, board.listener.address(), Duration::micros(100'000)};
+    std::function<void(StandInConnection&, int after)> answer = [this](StandInConnection& connection,
+                                                                       int after) {
+        board.respond(connection, answer_of(after, last_revision));
     };
 
-    // An alarm each millisecond: how late the latest came is about the longest turn.
+    // A timer each millisecond: how late the latest ran is about the longest iteration.
     void tick() {
         loop.schedule_at(loop.now() + Duration::micros(1'000), [this] { tick(); });
     }
-    void print_longest_turn() const {
-        std::printf("alarms came up to %lld us late\n",
+    void print_longest_iteration() const {
+        std::printf("timers ran up to %lld us late\n",
                     static_cast<long long>(loop.max_timer_delay().micros()));
     }
     void run() { run_for(Duration::seconds(5)); }
-    void run_for(Duration most) {
+    void run_for(Duration max_time) {
         log::show(log::Level::error);
-        board.poll();
-        loop.schedule_at(loop.now() + most, [this] { loop.stop(); });
+        client.poll();
+        loop.schedule_at(loop.now() + max_time, [this] { loop.stop(); });
         loop.run();
     }
 };
 
-// Two hours of three purges a second, in one answer above 1 MiB.
-TEST(LongAnswer, OfTwoHoursOfPurgesIsTold) {
-    OwingBoard day(21'600);
-    ASSERT_GT(answer_of(0, day.owed).size(), std::size_t{1} << 20);
-    day.tick();
-    day.run();
-    day.print_longest_turn();
-    EXPECT_EQ(day.ledger.purged, objects_up_to(day.owed));
-    EXPECT_EQ(day.stand_in.asked.size(), 2u);
+// Given two hours of three purges a second in one answer above 1 MiB, when it is polled, then all take effect
+// by one poll.
+TEST(LongNoticeAnswer, OfTwoHoursOfPurgesTakesEffect) {
+    BacklogScenario scenario(21'600);
+    ASSERT_GT(answer_of(0, scenario.last_revision).size(), std::size_t{1} << 20);
+    scenario.tick();
+    scenario.run();
+    scenario.print_longest_iteration();
+    EXPECT_EQ(scenario.recorder.events, objects_up_to(scenario.last_revision));
+    EXPECT_EQ(scenario.board.polled_from.size(), 2u);
 }
 
-// An answer that breaks off after a tenth: what came whole counts, and the next poll asks for the rest.
-TEST(LongAnswer, CutInTheMiddleMakesProgress) {
-    OwingBoard day(2'000);
-    day.answer = [&](StandInConnection& wire, int after) {
-        const std::string body = answer_of(after, day.owed);
-        const std::size_t part = day.stand_in.asked.size() < 8 ? body.size() / 10 : body.size();
-        wire.out().append("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
-                          body.substr(0, part));
-        wire.write();
+// Given answers that break off after a tenth, when they are polled, then the events before the break take
+// effect and each poll asks for the rest.
+TEST(LongNoticeAnswer, ThatBreaksOffMakesProgress) {
+    BacklogScenario scenario(2'000);
+    scenario.answer = [&](StandInConnection& connection, int after) {
+        const std::string body = answer_of(after, scenario.last_revision);
+        const std::size_t part = scenario.board.polled_from.size() < 8 ? body.size() / 10 : body.size();
+        connection.out().append("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) +
+                                "\r\n\r\n" + body.substr(0, part));
+        connection.write();
         if (part < body.size())
-            day.loop.schedule_at(day.loop.now() + Duration::seconds(0.02), [&] { wire.close(); });
+            scenario.loop.schedule_at(scenario.loop.now() + Duration::seconds(0.02),
+                                      [&] { connection.close(); });
     };
-    day.run();
-    EXPECT_EQ(day.ledger.purged, objects_up_to(day.owed));
-    EXPECT_EQ(day.stand_in.asked.size(), 9u);
-    EXPECT_TRUE(std::is_sorted(day.stand_in.asked.begin(), day.stand_in.asked.end(),
+    scenario.run();
+    EXPECT_EQ(scenario.recorder.events, objects_up_to(scenario.last_revision));
+    EXPECT_EQ(scenario.board.polled_from.size(), 9u);
+    EXPECT_TRUE(std::is_sorted(scenario.board.polled_from.begin(), scenario.board.polled_from.end(),
                                [](const auto& a, const auto& b) { return std::stoi(a) < std::stoi(b); }));
-    EXPECT_GT(std::stoi(day.stand_in.asked[1]), 150);
+    EXPECT_GT(std::stoi(scenario.board.polled_from[1]), 150);
 }
 
-// However much is owed, a turn of the loop works on it for two milliseconds and one event; here each event
-// takes 0.2 ms. Guarded by BoardLink::begin_batch.
-TEST(LongAnswer, TakesAFewMillisecondsOfATurn) {
-    OwingBoard day(1'000);
+// Given events that take 0.2 ms each, when a long answer is read, then an iteration of the loop works on it
+// for two milliseconds and one event. Guarded by NoticeConnection::begin_batch.
+TEST(LongNoticeAnswer, TakesAFewMillisecondsOfAnIteration) {
+    BacklogScenario scenario(1'000);
     const Duration work = Duration::micros(200);
-    std::size_t seen = 0, most_in_a_turn = 0;
-    std::function<void()> each_turn = [&] {
-        const std::size_t told = day.ledger.purged.size();
-        most_in_a_turn = std::max(most_in_a_turn, told - std::exchange(seen, told));
-        day.loop.run_next_iteration(each_turn);
+    std::size_t seen = 0, max_in_an_iteration = 0;
+    std::function<void()> each_iteration = [&] {
+        const std::size_t so_far = scenario.recorder.events.size();
+        max_in_an_iteration = std::max(max_in_an_iteration, so_far - std::exchange(seen, so_far));
+        scenario.loop.run_next_iteration(each_iteration);
     };
-    day.ledger.then = [&] {
-        for (const TimePoint from = day.loop.now(); day.loop.now() < from + work;) continue;
+    scenario.recorder.on_purge = [&] {
+        for (const TimePoint from = scenario.loop.now(); scenario.loop.now() < from + work;) continue;
     };
-    each_turn();
-    day.tick();
-    day.run();
-    EXPECT_EQ(day.ledger.purged, objects_up_to(day.owed));
-    EXPECT_LE(most_in_a_turn, 11u);
-    std::printf("events in a turn: %zu at most\n", most_in_a_turn);
-    day.print_longest_turn();
+    each_iteration();
+    scenario.tick();
+    scenario.run();
+    EXPECT_EQ(scenario.recorder.events, objects_up_to(scenario.last_revision));
+    EXPECT_LE(max_in_an_iteration, 11u);
+    std::printf("events in an iteration: %zu at most\n", max_in_an_iteration);
+    scenario.print_longest_iteration();
 }
 
-// A body of 14 MB, in chunks whose ends fall anywhere.
-TEST(LongAnswer, FarLongerThanAnyBoundIsTold) {
-    OwingBoard day(200'000);
+// Given a body of 14 MB in chunks that end anywhere, when it is polled, then all events take effect.
+TEST(LongNoticeAnswer, FarLongerThanAnyBoundTakesEffect) {
+    BacklogScenario scenario(200'000);
     std::ranlux24_base random(7);
-    day.answer = [&](StandInConnection& wire, int after) {
-        const std::string body = answer_of(after, day.owed);
+    scenario.answer = [&](StandInConnection& connection, int after) {
+        const std::string body = answer_of(after, scenario.last_revision);
         std::string framed = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         for (std::size_t at = 0; at < body.size();) {
             const std::string chunk = body.substr(at, 1 + random() % 200'000);
@@ -158,131 +162,136 @@
             framed += size + chunk + "\r\n";
             at += chunk.size();
         }
-        wire.out().append(framed + "0\r\n\r\n");
-        wire.write();
+        connection.out().append(framed + "0\r\n\r\n");
+        connection.write();
     };
-    day.run();
-    EXPECT_EQ(day.ledger.purged, objects_up_to(day.owed));
-    EXPECT_EQ(day.stand_in.asked.size(), 2u);
+    scenario.run();
+    EXPECT_EQ(scenario.recorder.events, objects_up_to(scenario.last_revision));
+    EXPECT_EQ(scenario.board.polled_from.size(), 2u);
 }
 
-// Pieces that arrive one by one, of one byte to some KB.
-TEST(LongAnswer, InPiecesThatArriveOneByOneIsTold) {
-    OwingBoard day(1'500);
+// Given an answer whose pieces arrive one by one, of one byte to some KB, then all events take effect.
+TEST(LongNoticeAnswer, InSmallPiecesTakesEffect) {
+    BacklogScenario scenario(1'500);
     std::ranlux24_base random(11);
     std::string left;
-    std::function<void(StandInConnection&)> go_on = [&](StandInConnection& wire) {
+    std::function<void(StandInConnection&)> go_on = [&](StandInConnection& connection) {
         const std::size_t size =
             std::min<std::size_t>(left.size(), random() % 2 == 0 ? 1 + random() % 9 : 1 + random() % 6000);
-        wire.out().append(std::string_view(left).substr(0, size));
-        wire.write();
+        connection.out().append(std::string_view(left).substr(0, size));
+        connection.write();
         left.erase(0, size);
-        if (!left.empty()) day.loop.schedule_at(day.loop.now() + Duration::micros(500), [&] { go_on(wire); });
+        if (!left.empty())
+            scenario.loop.schedule_at(scenario.loop.now() + Duration::micros(500),
+                                      [&] { go_on(connection); });
     };
-    day.answer = [&](StandInConnection& wire, int after) {
-        const std::string body = answer_of(after, day.owed);
+    scenario.answer = [&](StandInConnection& connection, int after) {
+        const std::string body = answer_of(after, scenario.last_revision);
         left = "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
-        go_on(wire);
+        go_on(connection);
     };
-    day.run();
-    EXPECT_EQ(day.ledger.purged, objects_up_to(day.owed));
-    EXPECT_EQ(day.stand_in.asked.size(), 2u);
+    scenario.run();
+    EXPECT_EQ(scenario.recorder.events, objects_up_to(scenario.last_revision));
+    EXPECT_EQ(scenario.board.polled_from.size(), 2u);
 }
 
-// What can't be read, in the middle of a long answer: asked for once more, then left out; the others count.
-TEST(LongAnswer, WithWhatIsNoJsonInTheMiddleIsToldButForThat) {
+// Given an event that can't be read in the middle of a long answer, when it has been asked for once more,
+// then it is skipped and all others take effect.
+TEST(LongNoticeAnswer, SkipsAnUnreadableEventInTheMiddle) {
     for (const std::string& bad : {std::string("{\"rev\":700,\"flush\":}"), std::string("#"),
                                    "{\"rev\":700,\"x\":\"" + std::string(2'000'000, 'x') + "\"}"}) {
-        OwingBoard day(1'400);
-        day.answer = [&](StandInConnection& wire, int after) {
-            std::string body = answer_of(after, day.owed);
+        BacklogScenario scenario(1'400);
+        scenario.answer = [&](StandInConnection& connection, int after) {
+            std::string body = answer_of(after, scenario.last_revision);
             if (const std::size_t at = body.find(purge_of(700)); at != std::string::npos)
                 body.replace(at, purge_of(700).size(), bad);
-            day.stand_in.say(wire, body);
+            scenario.board.respond(connection, body);
         };
-        day.run();
-        std::vector<std::string> all = objects_up_to(day.owed);
+        scenario.run();
+        std::vector<std::string> all = objects_up_to(scenario.last_revision);
         all.erase(all.begin() + 699);
-        EXPECT_EQ(day.ledger.purged, all);
-        EXPECT_EQ(day.stand_in.asked, (std::vector<std::string>{"0", "699", "1400"}));
+        EXPECT_EQ(scenario.recorder.events, all);
+        EXPECT_EQ(scenario.board.polled_from, (std::vector<std::string>{"0", "699", "1400"}));
     }
 }
 
-// JSON whose end can't be found: what came before it counts, and the board is asked at the pace of a failure.
-TEST(LongAnswer, WhoseRestCannotBeReadIsNotAskedWithoutPause) {
-    OwingBoard day(1'400);
-    day.answer = [&](StandInConnection& wire, int after) {
-        if (day.stand_in.asked.size() == 8) return day.loop.stop();
-        std::string body = answer_of(after, day.owed);
+// Given JSON whose end can't be found, when it is polled, then the events before it take effect and the board
+// is polled after the retry delay.
+TEST(LongNoticeAnswer, WhoseRestCannotBeReadIsPolledAfterTheRetryDelay) {
+    BacklogScenario scenario(1'400);
+    scenario.answer = [&](StandInConnection& connection, int after) {
+        if (scenario.board.polled_from.size() == 8) return scenario.loop.stop();
+        std::string body = answer_of(after, scenario.last_revision);
         if (const std::size_t at = body.find(purge_of(700)); at != std::string::npos)
             body.replace(at, 1, "{{");
-        day.stand_in.say(wire, body);
+        scenario.board.respond(connection, body);
     };
-    const TimePoint from = day.loop.now();
-    day.run();
-    EXPECT_EQ(day.ledger.purged, objects_up_to(699));
+    const TimePoint from = scenario.loop.now();
+    scenario.run();
+    EXPECT_EQ(scenario.recorder.events, objects_up_to(699));
     // The first and the next one at once, as both follow one that brought something or was the first to fail.
-    EXPECT_GE(day.loop.now() - from, Duration::micros(100'000) * 5);
+    EXPECT_GE(scenario.loop.now() - from, Duration::micros(100'000) * 5);
 }
 
-// A board that sends a little now and then, and nothing whole: the answer ends at its bound, not at the
-// board's leisure.
-TEST(LongAnswer, ThatDoesNotComeToAnEndIsBrokenOff) {
-    OwingBoard day(3);
-    std::function<void(StandInConnection&)> blanks = [&](StandInConnection& wire) {
-        if (wire.state() != ConnectionState::open) return;
-        wire.out().append(" ");
-        wire.write();
-        day.loop.schedule_at(day.loop.now() + Duration::seconds(0.05), [&] { blanks(wire); });
+// Given a board that sends a little now and then and never all, when the time of an answer is over, then it
+// is broken off and the next poll asks for the rest.
+TEST(LongNoticeAnswer, ThatDoesNotEndIsBrokenOff) {
+    BacklogScenario scenario(3);
+    std::function<void(StandInConnection&)> blanks = [&](StandInConnection& connection) {
+        if (connection.state() != ConnectionState::open) return;
+        connection.out().append(" ");
+        connection.write();
+        scenario.loop.schedule_at(scenario.loop.now() + Duration::seconds(0.05), [&] { blanks(connection); });
     };
     TimePoint first, second;
-    day.answer = [&](StandInConnection& wire, int after) {
-        if (day.stand_in.asked.size() == 2) {
-            second = day.loop.now();
-            return day.stand_in.say(wire, answer_of(after, day.owed));
+    scenario.answer = [&](StandInConnection& connection, int after) {
+        if (scenario.board.polled_from.size() == 2) {
+            second = scenario.loop.now();
+            return scenario.board.respond(connection, answer_of(after, scenario.last_revision));
         }
-        first = day.loop.now();
-        wire.out().append("HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n{\"notices\":[" + purge_of(1) +
-                          ",");
-        blanks(wire);
+        first = scenario.loop.now();
+        connection.out().append("HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n{\"notices\":[" +
+                                purge_of(1) + ",");
+        blanks(connection);
     };
-    day.run_for(Duration::seconds(8));
-    EXPECT_EQ(day.ledger.purged, objects_up_to(3));
-    EXPECT_EQ(day.stand_in.asked, (std::vector<std::string>{"0", "1", "3"}));
+    scenario.run_for(Duration::seconds(8));
+    EXPECT_EQ(scenario.recorder.events, objects_up_to(3));
+    EXPECT_EQ(scenario.board.polled_from, (std::vector<std::string>{"0", "1", "3"}));
     EXPECT_GE(second - first, Duration::seconds(4.9));
     EXPECT_LT(second - first, Duration::seconds(6));
 }
 
-// A move in the middle of an answer: the new board is asked behind the last event that took effect.
-TEST(LongAnswer, IsGoneOnWithElsewhereAfterAMove) {
-    OwingBoard day(2'000);
-    BoardStandIn next(day.loop);
-    day.answer = [&](StandInConnection& wire, int after) {
-        const std::string body = answer_of(after, day.owed);
-        wire.out().append("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
-                          body.substr(0, body.find(purge_of(501)) + 10));
-        wire.write();
+// Given a move in the middle of an answer, when the new board is polled, then for what is behind the last
+// event in force.
+TEST(LongNoticeAnswer, GoesOnAtTheNewBoardAfterAMove) {
+    BacklogScenario scenario(2'000);
+    NoticeBoardStandIn next(scenario.loop);
+    scenario.answer = [&](StandInConnection& connection, int after) {
+        const std::string body = answer_of(after, scenario.last_revision);
+        connection.out().append("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) +
+                                "\r\n\r\n" + body.substr(0, body.find(purge_of(501)) + 10));
+        connection.write();
     };
-    day.ledger.then = [&] {
-        if (day.ledger.purged.size() == 500)
-            day.loop.schedule_now([&] { day.board.set_address(next.accepts.address()); });
+    scenario.recorder.on_purge = [&] {
+        if (scenario.recorder.events.size() == 500)
+            scenario.loop.schedule_now([&] { scenario.client.set_address(next.listener.address()); });
     };
-    next.then = [&](StandInConnection& wire) {
-        const int after = std::atoi(next.asked.back().c_str());
-        if (after >= day.owed) return day.loop.stop();
-        next.say(wire, answer_of(after, day.owed));
+    next.on_poll = [&](StandInConnection& connection) {
+        const int after = std::atoi(next.polled_from.back().c_str());
+        if (after >= scenario.last_revision) return scenario.loop.stop();
+        next.respond(connection, answer_of(after, scenario.last_revision));
     };
-    day.run();
-    EXPECT_EQ(day.ledger.purged, objects_up_to(day.owed));
-    EXPECT_EQ(next.asked, (std::vector<std::string>{"500", "2000"}));
-    for (const auto& wire : next.wires) wire->close();
+    scenario.run();
+    EXPECT_EQ(scenario.recorder.events, objects_up_to(scenario.last_revision));
+    EXPECT_EQ(next.polled_from, (std::vector<std::string>{"500", "2000"}));
+    for (const auto& connection : next.connections) connection->close();
 }
 
-// Lists and purges keep their order, a whole list among them.
-TEST(LongAnswer, KeepsTheOrderOfListsAndPurges) {
-    OwingBoard day(900);
-    day.answer = [&](StandInConnection& wire, int after) {
-        std::string body = answer_of(after, day.owed);
+// Given lists, one of them complete, among purges, when they are polled, then all take effect in order.
+TEST(LongNoticeAnswer, KeepsTheOrderOfListsAndPurges) {
+    BacklogScenario scenario(900);
+    scenario.answer = [&](StandInConnection& connection, int after) {
+        std::string body = answer_of(after, scenario.last_revision);
         for (const int n : {1, 300, 600}) {
             const std::string list = "{\"rev\":" + std::to_string(n) +
                                      ",\"pool\":{\"version\":1,\"full\":" + (n == 600 ? "true" : "false") +
@@ -290,35 +299,35 @@
                                      "\",\"state\":\"Ready\"}]}}";
             body.replace(body.find(purge_of(n)), purge_of(n).size(), list);
         }
-        day.stand_in.say(wire, body);
+        scenario.board.respond(connection, body);
     };
-    day.run();
-    std::vector<std::string> all = objects_up_to(day.owed);
+    scenario.run();
+    std::vector<std::string> all = objects_up_to(scenario.last_revision);
     all[0] = "s1";
     all[299] = "s300";
-    all[599] = "whole: s600";
-    EXPECT_EQ(day.ledger.purged, all);
+    all[599] = "complete list: s600";
+    EXPECT_EQ(scenario.recorder.events, all);
 }
 
-// Guards against a loop that is woken in each of its turns by a poll that the board holds: the program took a
-// whole core at rest. One purge has come, so that the connection has read an answer before.
-TEST(LongAnswer, OnceReadLeavesTheLoopAtRestWhileTheNextPollIsHeld) {
+// Given one answer that has been read, when the board holds the next poll, then the loop is not woken in each
+// iteration: the program would take a whole core while idle. Guarded by NoticeConnection::end_batch.
+TEST(LongNoticeAnswer, DoesNotWakeTheLoopWhileThePollIsHeld) {
     log::show(log::Level::error);
     EventLoop loop;
-    PurgeLedger ledger;
-    BoardStandIn stand_in(loop);
-    NoticeClient board(loop, ledger, stand_in.accepts.address(), Duration::seconds(0.3));
-    std::uint64_t turns_before = 0;
-    stand_in.then = [&](StandInConnection& wire) {
-        if (stand_in.asked.size() == 1) return stand_in.say(wire, answer_of(0, 1));
-        turns_before = loop.iterations();
+    EventRecorder recorder;
+    NoticeBoardStandIn board(loop);
+    NoticeClient client(loop, recorder, board.listener.address(), Duration::seconds(0.3));
+    std::uint64_t iterations_before = 0;
+    board.on_poll = [&](StandInConnection& connection) {
+        if (board.polled_from.size() == 1) return board.respond(connection, answer_of(0, 1));
+        iterations_before = loop.iterations();
         loop.schedule_at(loop.now() + Duration::seconds(0.5), [&] { loop.stop(); });
     };
-    board.poll();
+    client.poll();
     loop.run();
-    EXPECT_EQ(ledger.purged, objects_up_to(1));
-    EXPECT_EQ(stand_in.asked.size(), 2u);
-    EXPECT_LT(loop.iterations() - turns_before, 100u);
+    EXPECT_EQ(recorder.events, objects_up_to(1));
+    EXPECT_EQ(board.polled_from.size(), 2u);
+    EXPECT_LT(loop.iterations() - iterations_before, 100u);
 }
 
 }  // namespace
--- a/tests/notice_board_stand_in.hpp
+++ b/tests/notice_board_stand_in.hpp
@@ -1,3 +1,4 @@
+// A notice board that records its polls and answers as a test wants.
 #pragma once
 
 #include <functional>
@@ -12,29 +13,28 @@
 using stand_ins::Acceptor;
 using stand_ins::StandInConnection;
 
-// A notice board that notes what it is asked.
-struct BoardStandIn {
-    explicit BoardStandIn(EventLoop& l) : loop(l) {}
+struct NoticeBoardStandIn {
+    explicit NoticeBoardStandIn(EventLoop& l) : loop(l) {}
     EventLoop& loop;
-    std::vector<std::string> asked;                                            // the numbers watched from
-    std::function<void(StandInConnection&)> then = [](StandInConnection&) {};  // what each poll meets
-    std::vector<std::shared_ptr<StandInConnection>> wires;
-    Acceptor accepts{loop, [this](Poco::Net::StreamSocket s) {
-                         wires.push_back(std::make_shared<StandInConnection>(loop, std::move(s)));
-                         wires.back()->got = [this, raw = wires.back().get()](Buffer& in) {
-                             const std::string said(in.view());
-                             if (said.find("\r\n\r\n") == std::string::npos) return;
-                             in.consumed(said.size());
-                             const std::size_t from = said.find("watch=") + 6;
-                             asked.push_back(said.substr(from, said.find('&') - from));
-                             then(*raw);
-                         };
-                         wires.back()->start();
-                     }};
-    void say(StandInConnection& w, const std::string& body) {
-        w.out().append("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
-                       body);
-        w.write();
+    std::vector<std::string> polled_from;  // the revisions that polls named
+    std::function<void(StandInConnection&)> on_poll = [](StandInConnection&) {};
+    std::vector<std::shared_ptr<StandInConnection>> connections;
+    Acceptor listener{loop, [this](Poco::Net::StreamSocket s) {
+                          connections.push_back(std::make_shared<StandInConnection>(loop, std::move(s)));
+                          connections.back()->got = [this, raw = connections.back().get()](Buffer& in) {
+                              const std::string request(in.view());
+                              if (request.find("\r\n\r\n") == std::string::npos) return;
+                              in.consumed(request.size());
+                              const std::size_t from = request.find("watch=") + 6;
+                              polled_from.push_back(request.substr(from, request.find('&') - from));
+                              on_poll(*raw);
+                          };
+                          connections.back()->start();
+                      }};
+    void respond(StandInConnection& connection, const std::string& body) {
+        connection.out().append("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) +
+                                "\r\n\r\n" + body);
+        connection.write();
     }
 };
 
--- a/tests/wall_clock_test.cpp
+++ b/tests/wall_clock_test.cpp
@@ -1,5 +1,5 @@
-// A wall clock that is wrong from the start of the process on, or stepped while it runs: what the notice
-// board tells by an open poll is as old as it is, for purges and for starts of caches.
+// A wall clock that is wrong from the start of the process, or stepped while it runs: purges and starts of
+// caches that an open poll brings are dated right.
 #include <chrono>
 #include <csignal>
 
@@ -15,8 +15,8 @@
 
 const stand_ins::ShimLibraries libraries{IRISMUX_SKEWED_CLOCK, IRISMUX_FAILING_CALLS};
 constexpr std::int64_t hour_us = 3'600'000'000;
-// Of its even share, what a cold cache may get at most in the seconds after its start.
-constexpr double cold_share = 0.5;
+// Of its even share, what a cache may get at most in the seconds after its start.
+constexpr double max_slow_start_share = 0.5;
 
 enum class Stepped { before_start, while_running };
 struct Case {
@@ -37,7 +37,7 @@
         if (GetParam().when == Stepped::before_start) step();
         shape.environment = shims.environment();
         solo = std::make_unique<SingleProcess>(answering(shape));
-        // The poll under way is one that the board holds open.
+        // The board holds the poll that is under way.
         ASSERT_TRUE(solo->until([&] { return solo->notice_board->waiting_from() == 1; }));
         if (GetParam().when == Stepped::while_running) step();
     }
@@ -46,15 +46,15 @@
         skew.wall_ahead_us = GetParam().wall_ahead_us;
         shims.set_clock(skew);
     }
-    // Asks for so many objects, one in each few milliseconds; true: each was answered.
-    bool ask(int lookups) {
+    // Requests so many objects, one in each few milliseconds. True: each got a response.
+    [[nodiscard]] bool request(int objects) {
         const auto client = solo->connect_client();
-        for (int n = 0; n < lookups; ++n) {
+        for (int n = 0; n < objects; ++n) {
             client->send(static_cast<std::uint16_t>(n + 1), {.id = id_of(next_), .object = id_of(next_)});
             ++next_;
             solo->until([] { return false; }, Duration::micros(4'000));
         }
-        return solo->until([&] { return client->responses.size() == static_cast<std::size_t>(lookups); });
+        return solo->until([&] { return client->responses.size() == static_cast<std::size_t>(objects); });
     }
 
     Shims shims{libraries};
@@ -64,22 +64,24 @@
     int next_ = 1000;
 };
 
-// Rule 5: no send after the purge was told may take a copy from before it. Guarded by EventTimes.
-TEST_P(WallClock, APurgeToldByAnOpenPollBindsAtOnce) {
+// Rule 5. Given an open poll, when it brings a purge, then no attempt after it may be served a copy from
+// before. Guarded by EventTimeEstimator.
+TEST_P(WallClock, APurgeByAnOpenPollBindsAtOnce) {
     start(solo_shape(2));
-    const TimePoint told = solo->loop.now();
+    const TimePoint posted_at = solo->loop.now();
     solo->notice_board->post({{"flush", {{"collection", 1}, {"ms", unix_now_ms()}}}});
     ASSERT_TRUE(solo->until([&] { return solo->notice_board->waiting_from() == 2; }));
-    ASSERT_TRUE(ask(100));
+    ASSERT_TRUE(request(100));
     for (const auto& cache : solo->caches)
-        for (const auto& pull : cache->received) {
-            const std::string fresh(resp::field(pull.fields, "fresh"));
-            ASSERT_FALSE(fresh.empty()) << "any copy would do";
-            EXPECT_LE(std::stoll(fresh), (pull.at - told).micros() / 1000 + 1);
+        for (const auto& attempt : cache->received) {
+            const std::string fresh(resp::field(attempt.fields, "fresh"));
+            ASSERT_FALSE(fresh.empty()) << "any copy may be served";
+            EXPECT_LE(std::stoll(fresh), (attempt.at - posted_at).micros() / 1000 + 1);
         }
 }
 
-// It binds for as long as it should and not for the hour by which the clock is off.
+// Given a purge, when its retention is over, then attempts carry no bound, though the clock is off by an
+// hour.
 TEST_P(WallClock, APurgeIsForgottenInItsTime) {
     stand_ins::SingleProcess::Options shape = solo_shape(2);
     shape.change = [change = shape.change](json& c) {
@@ -90,13 +92,13 @@
     solo->notice_board->post({{"flush", {{"collection", 1}, {"ms", unix_now_ms()}}}});
     ASSERT_TRUE(solo->until([&] { return solo->notice_board->waiting_from() == 2; }));
     solo->until([] { return false; }, Duration::seconds(0.6));
-    ASSERT_TRUE(ask(10));
+    ASSERT_TRUE(request(10));
     for (const auto& cache : solo->caches)
-        for (const auto& pull : cache->received) EXPECT_EQ(resp::field(pull.fields, "fresh"), "");
+        for (const auto& attempt : cache->received) EXPECT_EQ(resp::field(attempt.fields, "fresh"), "");
 }
 
-// Rule 4: a cache that starts while the process runs gets a small share at first.
-TEST_P(WallClock, ACacheThatStartsNowIsWarmedSlowly) {
+// Rule 4. Given a running process, when a cache starts, then it gets a small share of the requests at first.
+TEST_P(WallClock, ACacheThatStartsNowGetsASlowStart) {
     start(solo_shape(2));
     stand_ins::ScriptedCache fresh(solo->loop, "e3");
     fresh.then = [&fresh](const stand_ins::ScriptedCache::ReceivedAttempt& p) { fresh.answer(p); };
@@ -104,16 +106,15 @@
     line["started_ms"] = unix_now_ms();
     solo->notice_board->post({{"pool", {{"version", 2}, {"full", false}, {"servers", {line}}}}});
     ASSERT_TRUE(solo->until([&] { return solo->notice_board->waiting_from() == 2; }));
-    constexpr int lookups = 400;
-    ASSERT_TRUE(ask(lookups));
-    // A third of the lookups are its own by their names.
-    EXPECT_LT(fresh.received.size(), static_cast<std::size_t>(lookups / 3 * cold_share));
+    constexpr int requests = 400;
+    ASSERT_TRUE(request(requests));
+    // A third of the requests are its own by their objects.
+    EXPECT_LT(fresh.received.size(), static_cast<std::size_t>(requests / 3 * max_slow_start_share));
 }
 
-// A signal that comes while the loop waits, just as the clock is stepped back: the wait goes on for what was
-// left of it, and not for the hour besides. Nothing else wakes the loop: the board is silent and the cache
-// hangs.
-TEST(WallClockStep, WithASignalDoesNotHoldUpTheLoop) {
+// Given a loop that waits for a cache that hangs while the board sends nothing, when a signal comes just as
+// the clock is stepped back, then the wait ends in time and not an hour later.
+TEST(WallClockStep, WithASignalDoesNotProlongTheWait) {
     Shims shims(libraries);
     stand_ins::SingleProcess::Options shape = solo_shape(1);
     shape.environment = shims.environment();
@@ -123,7 +124,7 @@
     for (std::uint16_t n = 1; n <= 5; ++n) {
         client->send(n, {.id = id_of(n), .patience_ms = 400});
         ASSERT_TRUE(solo.until([&] { return solo.attempts_received(id_of(n)) > 0; }));
-        const TimePoint asked = solo.loop.now();
+        const TimePoint requested_at = solo.loop.now();
         for (int step = 1; step <= 4; ++step) {
             solo.until([] { return false; }, Duration::micros(20'000));
             stand_ins::ClockSkew skew;
@@ -132,7 +133,7 @@
             solo.process->signal(SIGHUP);
         }
         ASSERT_TRUE(solo.until([&] { return client->has_response(n); }, Duration::seconds(3)));
-        EXPECT_LT((solo.loop.now() - asked).seconds(), 0.6);
+        EXPECT_LT((solo.loop.now() - requested_at).seconds(), 0.6);
     }
 }
 
