--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -1,4 +1,4 @@
-#include "cli/fleet.hpp"
+#include "cli/fleet_commands.hpp"
 
 #include <chrono>
 #include <iostream>
@@ -31,7 +31,7 @@
         const auto read = etcd::read_range(status, body, settings.prefix);
         if (const auto* problem = std::get_if<etcd::Error>(&read)) return *problem;
         const registry::Page& page = std::get<etcd::Range>(read).page;
-        if (at == registry::Revision{}) at = page.origin.revision;
+        if (at == registry::Revision{}) at = page.header.revision;
         for (const auto& r : page.records) all[key_at(r.key.raw())] = r.value;
         if (!page.more || page.records.empty()) return all;
         after = page.records.back().key;
@@ -139,7 +139,7 @@
                 if (const auto who = parse_release(*aside))
                     std::cout << " left to others by " << who->name.raw() << " start "
                               << who->incarnation.raw();
-            if (const auto cache = watched_cache_of(name))
+            if (const auto cache = health_check_cache(name))
                 if (const Text seen = text_of(all, health_record_key(*cache)))
                     if (const auto f = parse_health_record(*seen))
                         std::cout << (f->healthy ? " answered " : " silent ") << f->streak
--- a/src/codec/notice_reader.cpp
+++ b/src/codec/notice_reader.cpp
@@ -4,7 +4,7 @@
 #include <exception>
 #include <utility>
 
-#include "base/reading.hpp"
+#include "base/json_reader.hpp"
 
 namespace irismux {
 namespace {
--- a/src/fleet/agent.hpp
+++ b/src/fleet/agent.hpp
@@ -1,127 +1,86 @@
-// One gateway as a member of its fleet: it joins, sends heartbeats, evicts members that send none, claims,
-// hands over and gives up duties, and writes on behalf of the fleet. It combines Membership, Lease, Fence and
-// Duties. No I/O and no clock: each call brings the instant of the gateway's own steady clock.
-//
-// One transaction is under way at a time. A missing answer is neither success nor failure: the transaction
-// may have landed, may land later, or never. Each compares enough for a late one to do no harm, and the next
-// read shows what became of it.
-//
-// Guarantees (premises in docs/fleet.md; may_act() must be asked at the very instant of acting):
-//   1  at no instant may two members act on one duty
-//   2  a fenced write lands only while its writer owns the duty, in the registry's own order
-//   3  no fencing token of a duty is given to two owners, also across restores of the registry
-//
-// Source files: agent.cpp (events, one transaction at a time), agent_join.cpp, agent_heartbeat.cpp (with
-// evictions), agent_duties.cpp, agent_writes.cpp (with publications), agent_debug.cpp.
+/// One gateway as a member of its fleet: it joins, sends heartbeats, evicts members that send none, claims,
+/// hands over and gives up duties, and writes on behalf of the fleet. It combines Membership, Lease, Fence
+/// and Duties. No I/O and no clock: each call brings the instant of the gateway's own steady clock.
+///
+/// One transaction is under way at a time. A missing answer is neither success nor failure: the transaction
+/// may have landed, may land later, or never. Each compares enough for a late one to do no harm, and the next
+/// read shows what became of it.
+///
+/// Guarantees (premises in docs/fleet.md; may_act() must be asked at the very instant of acting):
+///   1  at no instant may two members act on one duty
+///   2  a fenced write lands only while its writer owns the duty, in the registry's own order
+///   3  no fencing token of a duty is given to two owners, also across restores of the registry
+///
+/// Source files: agent.cpp (events, one transaction at a time), agent_join.cpp, agent_heartbeat.cpp (with
+/// evictions), agent_leases.cpp, agent_writes.cpp (with publications), agent_debug.cpp.
 #pragma once
 
 #include <deque>
 #include <random>
 #include <set>
 #include <string>
-#include <string_view>
 #include <utility>
 #include <vector>
 
+#include "fleet/agent_callbacks.hpp"
 #include "fleet/digest.hpp"
 #include "fleet/duties.hpp"
 #include "fleet/fence.hpp"
+#include "fleet/member_identity.hpp"
 #include "fleet/membership.hpp"
 #include "fleet/transaction.hpp"
 
 namespace irismux::fleet {
 
-// What an Agent needs of its carrier. Results are never delivered from within a call.
-class RegistryPort {
-public:
-    virtual ~RegistryPort() = default;
-    // Replaces the transaction before, whose result must not be delivered any more.
-    virtual void submit(const Transaction&) = 0;
-    // Calls on_wake() at that instant; replaces the instant before.
-    virtual void schedule_wake(TimePoint at) = 0;
-};
-
-// Who is told about an Agent's leases and writes.
-class AgentObserver {
-public:
-    virtual ~AgentObserver() = default;
-    virtual void on_lease_state(const DutyName&, LeaseState, FencingToken) = 0;
-    virtual void on_write_outcome(const DutyName&, const Key&, WriteOutcome) = 0;
-    // One line for the log.
-    virtual void on_warning(std::string_view plain_line) = 0;
-    // A heartbeat has landed: when it was sent, its number, and what its transaction showed.
-    virtual void on_heartbeat_result(TimePoint, HeartbeatNumber, const std::vector<Entry>&) {}
-    // An answer is of a lower revision than one before: the registry was restored.
-    virtual void on_registry_restored() {}
-};
-
-// What tells a member apart from all others.
-struct MemberIdentity {
-    MemberName name;
-    InstanceId instance_id;
-    std::string version;           // of the program
-    Incarnation last_incarnation;  // the highest known of that name; zero: none
-    Duration reply_timeout = Duration::micros(1'000'000);
-    bool randomized = true;  // heartbeats go out, and are read, at random; false in exhaustive models
-    // Of a site's member: a heartbeat goes out so soon after a change of what it claims, and the first join
-    // enters the name in the site's roster. Zero: of no site.
-    Duration acknowledge_interval = {};
-};
-
-// What each heartbeat of a site's member reads besides, and whether they go out as often as acknowledgements.
-struct HeartbeatReads {
-    std::set<MemberName> heartbeats;
-    std::vector<Key> records;
-    bool frequent = false;
-    bool operator==(const HeartbeatReads&) const = default;
-};
-
-// For how long at most a duty has no owner after its owner has stopped, if the registry answers within
-// `answer` and `places` live members stand before the first that can claim. Holds for fleets whose heartbeats
-// are all read each round; in larger ones each round in which the stopped owner's is not read adds a round.
+/// For how long at most a duty has no owner after its owner has stopped, if the registry answers within
+/// `answer` and `places` live members stand before the first that can claim. Holds for fleets whose
+/// heartbeats are all read each round; in larger ones each round in which the stopped owner's is not read
+/// adds a round.
 Duration longest_without_owner(const SharedConfig& shared_config, Duration answer, std::size_t places);
 
 class Agent {
 public:
-    Agent(RegistryPort& registry, AgentObserver& observer, const SharedConfig& shared_config,
+    Agent(AgentTransport& registry, AgentObserver& observer, const SharedConfig& shared_config,
           MemberIdentity identity, std::uint64_t seed);
-    // A copy of the state with other ports, for exhaustive exploration.
-    Agent(const Agent& other, RegistryPort& registry, AgentObserver& observer);
+    /// A copy of the state with other ports, for exhaustive exploration.
+    Agent(const Agent& other, AgentTransport& registry, AgentObserver& observer);
 
     void start(TimePoint now);
-    // Stops acting at once, then removes this member's records.
+    /// Stops acting at once, then removes this member's records.
     void leave(TimePoint now);
-    // The duties that this member may own; one that is not named any more is given up. The records of duties
-    // that are new here must be delivered again through on_records().
+    /// The duties that this member may own; one that is not named any more is given up. The records of duties
+    /// that are new here must be delivered again through on_records().
     void set_duties(TimePoint now, const std::set<DutyName>& names);
-    // The caches that this gateway passes over; published at most once a round.
+    /// The caches that this gateway passes over; published at most once a round.
     void set_ejected_caches(TimePoint now, std::set<CacheId> caches);
 
-    // Watched records as of a revision; they may lag behind transactions. `full_list`: they are all there
-    // are. Keys of unknown sorts are ignored.
-    // What this gateway has in force, for its heartbeats.
+    /// Watched records as of a revision; they may lag behind transactions. `full_list`: they are all there
+    /// are. Keys of unknown sorts are ignored.
+    /// What this gateway has in force, for its heartbeats.
     void set_applied_revisions(TimePoint now, const std::optional<AppliedRevisions>& claim);
     void set_heartbeat_reads(TimePoint now, HeartbeatReads reads);
     void on_records(TimePoint now, registry::Revision at, const std::vector<Entry>& records, bool full_list);
-    // `held`: the comparison succeeded and all is written. `shown`: see Transaction.
+    /// `held`: the comparison succeeded and all is written. `shown`: see Transaction.
     void on_transaction_result(TimePoint now, registry::Revision at, bool held,
                                const std::vector<Entry>& shown);
-    // The transaction may have landed, may still land, or never.
-    void on_no_answer(TimePoint now);
+    /// The transaction may have landed, may still land, or never.
+    void on_transaction_timeout(TimePoint now);
     void on_wake(TimePoint now);
 
-    // Whether this member owns the duty at that instant.
+    /// Whether this member owns the duty at that instant.
     bool may_act(TimePoint now, const DutyName&) const;
-    // As may_act(), and the lease runs for long enough to begin something new.
+    /// As may_act(), and the lease runs for long enough to begin something new.
     bool may_begin_work(TimePoint now, const DutyName&) const;
-    // The token of the duty's newest known record; zero: none.
+    /// The token of the duty's newest known record; zero: none.
     FencingToken token_of(const DutyName&) const;
-    // Whether an order that another member gives as that holder is to be obeyed.
-    bool accepts(const DutyName& duty, const LeaseHolder& holder) { return fence_.accepts(duty, holder); }
-    // Writes if the duty is still owned when the write lands; the observer is told the outcome. False: the
-    // duty is not owned, or too many writes wait.
+    /// Whether an order that another member gives as that holder is to be obeyed.
+    bool accepts_order_of(const DutyName& duty, const LeaseHolder& holder) {
+        return fence_.accepts(duty, holder);
+    }
+    /// Writes if the duty is still owned when the write lands; the observer is told the outcome. False: the
+    /// duty is not owned, or too many writes wait.
     bool write_fenced(TimePoint now, const DutyName&, const Key&, const std::string& value);
-    // As above; the outcome names `key`.
+    /// As above; the outcome names `key`.
     bool write_fenced(TimePoint now, const DutyName&, const Key& key, FencedWrite write_request);
 
     const Membership& membership() const { return membership_; }
@@ -130,11 +89,11 @@
     Incarnation incarnation() const { return incarnation_; }
     const std::set<CacheId>& ejected_caches() const { return ejected_caches_; }
     Instance self() const { return {identity_.name, incarnation_}; }
-    // The record below which no removed duty may be claimed, as known.
-    const Text& floor() const { return token_floor_; }
-    // Whether that very instance is a member, as far as is known. One whose record can't be parsed counts.
+    /// The record below which no removed duty may be claimed, as known.
+    const Text& token_floor() const { return token_floor_; }
+    /// Whether that very instance is a member, as far as is known. One whose record can't be parsed counts.
     bool is_member(const Instance&) const;
-    // The whole state as text, instants relative to `now`: equal texts, equal behaviour.
+    /// The whole state as text, instants relative to `now`: equal texts, equal behaviour.
     std::string debug_state(TimePoint now) const;
 
 private:
@@ -166,10 +125,10 @@
     void submit_next(TimePoint now);
     void schedule_next(TimePoint now);
     void submit(TimePoint now, Purpose purpose, Transaction transaction);
-    void back_off(TimePoint now);
+    void schedule_retry(TimePoint now);
     double random_fraction();  // from 0 to 1
     void on_full_list(TimePoint now, const std::vector<Entry>& records);
-    void learn(TimePoint now, registry::Revision at, const std::vector<Entry>& shown);
+    void apply_records(TimePoint now, registry::Revision at, const std::vector<Entry>& shown);
 
     // agent_join.cpp
     void read_own_records(TimePoint now);
@@ -181,8 +140,8 @@
     bool in_site() const { return identity_.acknowledge_interval > Duration{}; }
     void acknowledge_soon(TimePoint now);
     void submit_leave(TimePoint now);
-    void drop_membership(TimePoint now, std::string_view why);
-    void warn_once(const std::string& line);
+    void drop_membership(TimePoint now, MembershipEnd reason);
+    void refuse_to_join(JoinRefusal reason, std::string registry_config = {});
     MemberRecord own_record() const;
 
     // agent_heartbeat.cpp
@@ -196,7 +155,7 @@
     bool reads_all_heartbeats() const;
     bool next_eviction(TimePoint now);
 
-    // agent_duties.cpp
+    // agent_leases.cpp
     void on_duty_record(const DutyName&, const Duties::Duty&);
     void on_lower_token(const DutyName&, FencingToken shown, FencingToken seen);
     void update_leases(TimePoint now);
@@ -206,7 +165,7 @@
     void give_up_duty(TimePoint now, const DutyName&, Duties::Duty&);
     LeaseConditions lease_conditions(TimePoint now, const DutyName&, const Duties::Duty&) const;
     bool owned_here(const Duties::Duty&) const;
-    bool holds_lease(TimePoint now, const Duties::Duty&) const;
+    bool record_grants_lease(TimePoint now, const Duties::Duty&) const;
     bool unowned(const Duties::Duty&) const;
     FencingToken next_token(const DutyName&, const Duties::Duty&) const;
     FencingToken highest_refused_by_others(const DutyName&) const;
@@ -220,11 +179,11 @@
     void finish_write(WriteOutcome outcome);
 
     // agent_debug.cpp
-    std::string debug_peers(TimePoint now) const;
+    std::string debug_members(TimePoint now) const;
     std::string debug_duties(TimePoint now) const;
     std::string debug_age(TimePoint now, TimePoint since) const;
 
-    RegistryPort* registry_;
+    AgentTransport* registry_;
     AgentObserver* observer_;
     SharedConfig shared_config_;
     MemberIdentity identity_;
@@ -244,30 +203,30 @@
     Purpose purpose_ = Purpose::none;
     Transaction transaction_;  // the one under way
     HeartbeatNumber heartbeat_in_transaction_;
-    TimePoint answer_due_;   // of the one under way
-    TimePoint next_submit_;  // nothing is submitted before
-    TimePoint next_heartbeat_;
-    TimePoint next_give_up_;  // no duty is handed back before
-    int unanswered_ = 0;      // transactions in a row
+    TimePoint reply_deadline_;  // of the one under way
+    TimePoint next_submit_at_;  // nothing is submitted before
+    TimePoint next_heartbeat_at_;
+    TimePoint next_give_up_at_;     // no duty is handed back before
+    int consecutive_timeouts_ = 0;  // transactions in a row
 
     // Records written by transactions without an answer; read with the next heartbeat.
-    std::set<Key> unsettled_keys_;
+    std::set<Key> keys_of_unknown_outcome_;
 
-    bool join_unanswered_ = false;  // a join went out, and its result is not known
+    bool join_outcome_unknown_ = false;  // a join went out, and its result is not known
     // Member record and heartbeat of another instance that holds our name, and since when they are unchanged.
     std::optional<std::pair<Text, Text>> name_holder_;
-    TimePoint name_holder_since_;
-    std::string last_warning_;  // on why we are not in
+    TimePoint name_holder_unchanged_since_;
+    std::optional<JoinRefused> last_refusal_;  // reported once
     std::deque<PendingWrite> pending_writes_;
     Text token_floor_;
-    registry::Revision token_floor_at_;
+    registry::Revision token_floor_revision_;
     std::set<CacheId> ejected_caches_;
-    TimePoint next_publication_;
+    TimePoint next_publication_at_;
     std::optional<AppliedRevisions> applied_revisions_;
-    HeartbeatReads reads_;
-    registry::Revision newest_;
-    TimePoint heartbeat_sent_,
-        next_peer_reads_;  // the newest; the next that reads others' for the membership
+    HeartbeatReads heartbeat_reads_;
+    registry::Revision newest_revision_;
+    TimePoint heartbeat_sent_at_,
+        next_member_reads_at_;  // the newest; the next that reads others' for the membership
 };
 
 }  // namespace irismux::fleet
--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -15,10 +15,10 @@
 #include <utility>
 
 #include "base/flight_recorder.hpp"
+#include "base/json_reader.hpp"
 #include "base/log.hpp"
-#include "base/reading.hpp"
-#include "cli/fleet.hpp"
-#include "cli/registry.hpp"
+#include "cli/fleet_commands.hpp"
+#include "cli/registry_commands.hpp"
 #include "gateway/gateway.hpp"
 
 namespace {
@@ -194,7 +194,7 @@
         host.serve();
         look_for_signals(*loop, host, files, signals);
         loop->run();
-        if (host.start_failure()) return wrong(*host.start_failure());
+        if (host.start_failure()) return wrong(host.start_failure()->text());
     } catch (const Poco::Exception& e) {
         return wrong(e.displayText());
     } catch (const std::exception& e) {
--- a/testing/single_process.cpp
+++ b/testing/single_process.cpp
@@ -22,9 +22,9 @@
     const std::string at = address_.empty() ? "127.0.0.1:0" : address_;
     acceptor_ = std::make_unique<Acceptor>(
         loop_,
-        [this](Poco::Net::StreamSocket s) {
+        [this](const Poco::Net::StreamSocket& s) {
             peers.insert(s.peerAddress().toString());
-            auto w = std::make_shared<StandInConnection>(loop_, std::move(s));
+            auto w = std::make_shared<StandInConnection>(loop_, s);
             w->got = [this, raw = std::weak_ptr<StandInConnection>(w)](Buffer& in) {
                 if (const auto wire = raw.lock()) on_data(wire, in);
             };
@@ -75,7 +75,7 @@
 // --- clients ---------------------------------------------------------------------------------------------
 
 FastCgiClient::FastCgiClient(EventLoop& loop, const std::string& gateway)
-    : wire(std::make_shared<StandInConnection>(loop)), loop_(loop) {
+    : wire(std::make_shared<StandInConnection>(loop)) {
     wire->got = [this](Buffer& in) { on_data(in); };
     wire->ended = [this] { ended = true; };
     wire->start(gateway);
@@ -163,7 +163,7 @@
     process = std::make_unique<Process>(Process::Start{{shape.program}, environment, "", log});
     for (const auto& c : caches)
         if (shape.answers) c->then = [&c = *c](const ScriptedCache::ReceivedAttempt& p) { c.answer(p); };
-    if (!until([&] { return logged("serves on"); }))
+    if (!until([&] { return logged("listening gateway="); }))
         throw std::runtime_error("the gateway does not serve, " +
                                  std::string(process->running() ? "and runs" : "its process has ended") +
                                  ":\n" + log_tail());
--- a/tests/cache_connection_pool_test.cpp
+++ b/tests/cache_connection_pool_test.cpp
@@ -41,7 +41,7 @@
         for (const char* id : {"e1", "e2"}) {
             listeners[id] = std::make_unique<Acceptor>(
                 loop, [this](Poco::Net::StreamSocket socket) { add_connection(std::move(socket)); }, backlog);
-            records.emplace_back(listing(id, edge_machine), listeners[id]->address());
+            records.emplace_back(endpoint_update(id, edge_machine), listeners[id]->address());
         }
         endpoints.apply(records, true);
         pool = std::make_unique<CacheConnectionPool>(
@@ -82,7 +82,7 @@
     void start(const std::string& id, const std::string& cache = "e1", std::string body = {}) {
         ClientRequest client_request;
         client_request.body = std::move(body);
-        client_request.request = arrival(id, "a1", loop.now() + Duration::seconds(1));
+        client_request.request = request_for(id, "a1", loop.now() + Duration::seconds(1));
         client_request.client_request_id = ClientRequestId{id};
         client_request.client_etag = "k1";
         requests.push_back(std::make_shared<ActiveRequest>(*this, ClientStream{}, std::move(client_request)));
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 
 #include "fleet/garbage_collector.hpp"
-#include "fleet/health_watch.hpp"
+#include "fleet/health_monitor.hpp"
 #include "testing/fleet_simulation.hpp"
 #include "testing/transaction_ledger.hpp"
 
@@ -73,18 +73,19 @@
 }
 
 TEST(Fleet, TheTableOfATenure) {
-    const LeaseConditions mine{.named = true, .in_term = true},
-        near{.named = true, .in_term = true, .near_end = true}, lapsed{.named = true},
-        wanted{.in_term = true, .wanted = true}, none{.in_term = true}, out{.wanted = true};
+    const LeaseConditions mine{.record_names_us = true, .in_term = true},
+        near{.record_names_us = true, .in_term = true, .near_term_end = true},
+        lapsed{.record_names_us = true}, wanted{.in_term = true, .should_claim = true}, none{.in_term = true},
+        out{.should_claim = true};
     const std::vector<std::pair<LeaseConditions, LeaseState>> steps = {
         {none, LeaseState::idle},     {out, LeaseState::idle},      {wanted, LeaseState::seeking},
-        {mine, LeaseState::owning},   {near, LeaseState::released}, {mine, LeaseState::owning},
-        {near, LeaseState::released}, {lapsed, LeaseState::lost},   {lapsed, LeaseState::lost},
+        {mine, LeaseState::owning},   {near, LeaseState::expiring}, {mine, LeaseState::owning},
+        {near, LeaseState::expiring}, {lapsed, LeaseState::lost},   {lapsed, LeaseState::lost},
         {mine, LeaseState::owning},   {wanted, LeaseState::lost},   {wanted, LeaseState::seeking},
         {none, LeaseState::idle},     {mine, LeaseState::owning},   {none, LeaseState::lost},
         {none, LeaseState::idle}};
     Lease t;
-    for (std::size_t n = 0; n < steps.size(); ++n) EXPECT_EQ(t.enter(steps[n].first), steps[n].second) << n;
+    for (std::size_t n = 0; n < steps.size(); ++n) EXPECT_EQ(t.update(steps[n].first), steps[n].second) << n;
 }
 
 TEST(Fleet, OneMembersLossMovesItsOwnDutiesAndNoOthers) {
@@ -125,13 +126,13 @@
 }
 
 // One gateway at a registry that answers at once, in steps of a tenth of a round.
-class Alone : public ::testing::Test, public RegistryPort, public AgentObserver {
+class Alone : public ::testing::Test, public AgentTransport, public AgentObserver {
 protected:
     stand_ins::TransactionLedger ledger;
     TimePoint now = TimePoint::at_seconds(1);
     std::optional<Transaction> out;
     std::vector<Transaction> said;
-    std::vector<std::string> remarks;
+    std::vector<FleetEvent> events;
     std::function<void(WriteOutcome)> worked = [](WriteOutcome) {};
     std::unique_ptr<Agent> agent;
 
@@ -156,9 +157,8 @@
             agent->on_wake(now);
         }
     }
-    bool remarked(const std::string& part) const {
-        return std::any_of(remarks.begin(), remarks.end(),
-                           [&](const std::string& r) { return r.find(part) != std::string::npos; });
+    bool reported(const FleetEvent& event) const {
+        return std::find(events.begin(), events.end(), event) != events.end();
     }
     void submit(const Transaction& d) override {
         out = d;
@@ -167,7 +167,7 @@
     void schedule_wake(TimePoint) override {}
     void on_lease_state(const DutyName&, LeaseState, FencingToken) override {}
     void on_write_outcome(const DutyName&, const Key&, WriteOutcome done) override { worked(done); }
-    void on_warning(std::string_view line) override { remarks.emplace_back(line); }
+    void on_event(const FleetEvent& event) override { events.push_back(event); }
 };
 
 TEST_F(Alone, AnotherInstallationsRegistryIsLeftAlone) {
@@ -176,8 +176,9 @@
     start("m", shared_config());
     run(ms * 30'000);
     EXPECT_EQ(ledger.records(), before);
-    EXPECT_EQ(remarks.size(), 1u);
-    EXPECT_TRUE(remarked("other articles"));
+    EXPECT_EQ(events.size(), 1u);
+    EXPECT_TRUE(reported(JoinRefused{JoinRefusal::shared_config_differs, MemberName{"m"},
+                                     serialize(SharedConfig{"other", ms * 4000, 0.05})}));
     EXPECT_FALSE(agent->may_act(now, DutyName{"d"}));
 }
 
@@ -191,7 +192,7 @@
             serialize(HeartbeatRecord{Incarnation{4}, InstanceId{"other"}, HeartbeatNumber{++beats}}));
     });
     EXPECT_FALSE(agent->membership().joined());
-    EXPECT_TRUE(remarked("held by another living gateway"));
+    EXPECT_TRUE(reported(JoinRefused{JoinRefusal::name_in_use, MemberName{"m"}, ""}));
     run(ms * 20'000);
     EXPECT_TRUE(agent->may_act(now, DutyName{"d"}));
     EXPECT_GT(agent->incarnation(), Incarnation{4});
@@ -204,17 +205,17 @@
     run(ms * 30'000);
     EXPECT_TRUE(agent->membership().joined());
     EXPECT_FALSE(agent->may_act(now, DutyName{"d"}));
-    EXPECT_TRUE(remarked("can't be read"));
+    EXPECT_TRUE(reported(DutyRecordUnreadable{DutyName{"d"}}));
     EXPECT_EQ(ledger.records().at(Key{"duty/d"}), "{\"format\":9}");
     EXPECT_EQ(parse_duty(ledger.records().at(Key{"duty/newer"}))->owner, MemberName{"gone"});
 }
 
 TEST_F(Alone, ARegistryThatHasGoneBackIsRefusedUntilTheEpochHasJumped) {
     start("m", shared_config());
-    agent->accepts(DutyName{"d"}, {FencingToken{40}, MemberName{"x"}, Incarnation{1}});
+    agent->accepts_order_of(DutyName{"d"}, {FencingToken{40}, MemberName{"x"}, Incarnation{1}});
     put("duty/d", serialize(DutyRecord{FencingToken{7}, MemberName{"y"}, Incarnation{1}}));
     run(ms * 2'000);
-    EXPECT_TRUE(remarked("has gone back"));
+    EXPECT_TRUE(reported(FencingTokenRegressed{DutyName{"d"}, FencingToken{7}, FencingToken{40}}));
     EXPECT_EQ(parse_member(ledger.records().at(Key{"member/m"}))->refused_tokens.at(DutyName{"d"}),
               FencingToken{40});
     run(ms * 30'000);
@@ -253,7 +254,7 @@
 // A duty that is not wanted any more is given up, swept after two waits, and claimed above its floor when it
 // is wanted again; a watch that lags shows it as ours, and is not heeded.
 TEST_F(Alone, WhatIsNotWantedIsGivenUpAndSweptAndItsEpochsDoNotComeAgain) {
-    const DutyName w = health_watch_duty(CacheId{"c"});
+    const DutyName w = health_check_duty(CacheId{"c"});
     start("m", shared_config());
     agent->set_duties(now, {garbage_collection_duty(), w});
     run(ms * 20'000);
@@ -279,7 +280,7 @@
         RecordMirror record_mirror;
         record_mirror.apply(ledger.all(), true);
         if (!gone && !ledger.records().contains(health_record_key(CacheId{"c"}))) gone = now;
-        if (auto write_request = sweep.next(now, record_mirror, *agent))
+        if (auto write_request = sweep.next_write(now, record_mirror, *agent))
             if (!agent->write_fenced(now, garbage_collection_duty(), collection_progress_key(),
                                      std::move(*write_request)))
                 sweep.on_written(now, WriteOutcome::refused);
@@ -324,47 +325,47 @@
 TEST_F(Watching, ItBeginsWithTheSecondMarkAndEndsWithTheLast) {
     start("m", shared_config());
     health_watch.on_ejection_changed(c, true);
-    EXPECT_TRUE(health_watch.monitored(*agent).empty());
+    EXPECT_TRUE(health_watch.update_monitored(*agent).empty());
     others_mark("x", true);
-    EXPECT_EQ(health_watch.monitored(*agent), std::set<CacheId>{c});
+    EXPECT_EQ(health_watch.update_monitored(*agent), std::set<CacheId>{c});
     health_watch.on_ejection_changed(c, false);
-    EXPECT_EQ(health_watch.monitored(*agent), std::set<CacheId>{c});
+    EXPECT_EQ(health_watch.update_monitored(*agent), std::set<CacheId>{c});
     others_mark("x", false);
-    EXPECT_TRUE(health_watch.monitored(*agent).empty());
+    EXPECT_TRUE(health_watch.update_monitored(*agent).empty());
 }
 
 TEST_F(Watching, ItsOwnerLooksAtAPaceAndWritesUnderItsEpochWhatItSaw) {
     start("m", shared_config());
     health_watch.on_ejection_changed(c, true);
-    agent->set_duties(now, {health_watch_duty(c)});
+    agent->set_duties(now, {health_check_duty(c)});
     int step = 0;
     const auto finding = [&] { return parse_health_record(ledger.records().at(health_record_key(c))); };
     run(ms * 20'000, [&] {
         others_mark("x", true);
-        health_watch.monitored(*agent);
-        health_watch.tick(now, *agent);
+        health_watch.update_monitored(*agent);
+        health_watch.run_due_checks(now, *agent);
         if (++step % 2) health_watch.on_health_check_done(now, CacheId{"unknown"}, true, *agent);
     });
-    ASSERT_TRUE(agent->may_act(now, health_watch_duty(c)));
+    ASSERT_TRUE(agent->may_act(now, health_check_duty(c)));
     for (std::size_t n = 1; n < looks.size(); ++n) EXPECT_GE(looks[n] - looks[n - 1], ms * 500);
     // Never answered.
     EXPECT_FALSE(finding()->healthy);
     EXPECT_GT(finding()->streak, 5);
-    EXPECT_EQ(finding()->token, agent->token_of(health_watch_duty(c)));
+    EXPECT_EQ(finding()->token, agent->token_of(health_check_duty(c)));
     const std::size_t before = looks.size();
     run(ms * 3'000, [&] {
         others_mark("x", true);
-        health_watch.tick(now, *agent);
+        health_watch.run_due_checks(now, *agent);
         if (looks.size() > before) health_watch.on_health_check_done(now, c, true, *agent);
     });
     EXPECT_TRUE(finding()->healthy);
     EXPECT_GE(finding()->streak, 2);
     // One that was asked for within the term, and would go out after a stop that outlasted it.
-    health_watch.tick(now + ms * 500, *agent);
+    health_watch.run_due_checks(now + ms * 500, *agent);
     EXPECT_TRUE(health_watch.may_check(now + ms * 500, c, *agent));
     EXPECT_FALSE(health_watch.may_check(now + ms * 5'000, c, *agent));
     const std::size_t told = trials.size();
-    health_watch.not_permitted(now, c, *agent);
+    health_watch.on_check_not_permitted(now, c, *agent);
     EXPECT_EQ(trials.size(), told + 1);
 }
 
