--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -57,7 +57,7 @@
                                                                   {"debug", log::Level::debug}};
     for (const auto& [name, level] : levels) {
         if (setting != name) continue;
-        log::show(level);
+        log::set_level(level);
         return true;
     }
     return false;
