--- a/tests/router_slow_start_test.cpp
+++ b/tests/router_slow_start_test.cpp
@@ -76,7 +76,7 @@
         p.started_at = all.back()->now;
         all.back()->update_endpoints({p});
     }
-    std::vector<double> sent;  // sending time sent of it, by half seconds
+    std::vector<double> sent;  // transfer time sent to it, by half seconds
     int made = 0;
     for (int step = 0; step < 60; ++step) {
         sent.push_back(0);
@@ -170,7 +170,7 @@
     std::vector<std::unique_ptr<RouterHarness>> all;
     for (int g = 0; g < d.gateways; ++g)
         all.push_back(std::make_unique<RouterHarness>(d, static_cast<std::uint64_t>(g) * 7919 + 1));
-    std::vector<double> sent;  // sending time sent of it, by tenths of a second
+    std::vector<double> sent;  // transfer time sent to it, by tenths of a second
     int made = 0;
     for (int step = 0; step < 80; ++step) {
         sent.push_back(0);
