--- a/src/fleet/agent.cpp
+++ b/src/fleet/agent.cpp
@@ -7,32 +7,33 @@
 namespace irismux::fleet {
 namespace {
 
-// Part of a round over which first requests are spread at random.
-constexpr double start_spread = 0.25;
-// The pause after a missing answer doubles with each in a row, up to a round.
-constexpr int most_doublings = 4;
+constexpr double start_spread_intervals = 0.25;
+// The pause after a missing answer doubles with each in a row, up to a heartbeat interval.
+constexpr int max_retry_doublings = 4;
 
 }  // namespace
 
-// The owner's last heartbeat is read a round late at worst, and found unchanged for the wait a round late
-// again; then follow an eviction, a claim, and the sleeps before either is found due.
-Duration longest_without_owner(const SharedConfig& shared_config, Duration answer, std::size_t places) {
+// At worst the owner's last heartbeat is read one interval late, and found unchanged for the eviction timeout
+// one interval late again; then follow an eviction, a claim, and the sleeps before either is found due.
+Duration longest_without_owner(const SharedConfig& shared_config, Duration reply_time,
+                               std::size_t ranks_ahead) {
     const Membership membership(shared_config, MemberName{});
-    const double rounds = 2 + claim_delay_per_rank * static_cast<double>(places) + 2 * longest_sleep;
-    return membership.eviction_timeout() + membership.heartbeat_interval() * rounds + answer * 4;
+    const double intervals =
+        2 + claim_delay_intervals_per_rank * static_cast<double>(ranks_ahead) + 2 * max_sleep_intervals;
+    return membership.eviction_timeout() + membership.heartbeat_interval() * intervals + reply_time * 4;
 }
 
-Agent::Agent(AgentTransport& registry, AgentObserver& observer, const SharedConfig& shared_config,
+Agent::Agent(AgentTransport& transport, AgentObserver& observer, const SharedConfig& shared_config,
              MemberIdentity identity, std::uint64_t seed)
-    : registry_(&registry),
+    : transport_(&transport),
       observer_(&observer),
       shared_config_(shared_config),
       identity_(std::move(identity)),
       random_(static_cast<std::uint_fast32_t>(seed ^ (seed >> 32))),
       membership_(shared_config, identity_.name) {}
 
-Agent::Agent(const Agent& other, AgentTransport& registry, AgentObserver& observer) : Agent(other) {
-    registry_ = &registry;
+Agent::Agent(const Agent& other, AgentTransport& transport, AgentObserver& observer) : Agent(other) {
+    transport_ = &transport;
     observer_ = &observer;
 }
 
@@ -42,7 +43,8 @@
 void Agent::start(TimePoint now) {
     started_ = true;
     if (identity_.randomized)
-        next_submit_at_ = now + membership_.heartbeat_interval() * (start_spread * random_fraction());
+        next_submit_at_ =
+            now + membership_.heartbeat_interval() * (start_spread_intervals * random_fraction());
     advance(now);
 }
 
@@ -56,7 +58,7 @@
     std::vector<DutyName> finished;
     for (auto& [name, duty] : duties_.all()) {
         if (duty.wanted) continue;
-        // From here on nothing is done under its token; the record is given up when its turn comes.
+        // From here on nothing is done under its token; the record is given up later.
         if (owned_here(duty)) duty.given_up = std::max(duty.given_up, duty.record->token);
         if (duty.lease.state() != LeaseState::idle)
             observer_->on_lease_state(name, LeaseState::idle, FencingToken{});
@@ -73,9 +75,9 @@
     advance(now);
 }
 
-void Agent::set_applied_revisions(TimePoint now, const std::optional<AppliedRevisions>& claim) {
-    if (claim == applied_revisions_) return;
-    applied_revisions_ = claim;
+void Agent::set_applied_revisions(TimePoint now, const std::optional<AppliedRevisions>& revisions) {
+    if (revisions == applied_revisions_) return;
+    applied_revisions_ = revisions;
     acknowledge_soon(now);
     advance(now);
 }
@@ -87,7 +89,7 @@
     advance(now);
 }
 
-// Changes within the pause go out together.
+// Changes within the interval are sent together.
 void Agent::acknowledge_soon(TimePoint now) {
     if (in_site())
         next_heartbeat_at_ =
@@ -101,29 +103,30 @@
     advance(now);
 }
 
-void Agent::on_transaction_result(TimePoint now, registry::Revision at, bool held,
-                                  const std::vector<Entry>& shown) {
+void Agent::on_transaction_result(TimePoint now, registry::Revision at, bool succeeded,
+                                  const std::vector<Entry>& records) {
     const Purpose purpose = std::exchange(purpose_, Purpose::none);
     if (purpose == Purpose::none) return;
     consecutive_timeouts_ = 0;
     if (at < newest_revision_) observer_->on_registry_restored();
     newest_revision_ = at;
-    if (purpose == Purpose::write) finish_write(held ? WriteOutcome::written : WriteOutcome::refused);
+    if (purpose == Purpose::write) finish_write(succeeded ? WriteOutcome::written : WriteOutcome::refused);
     if (purpose == Purpose::join) join_outcome_unknown_ = false;
-    // Before any duty is judged: a heartbeat that has landed decides for how long we are in.
-    if (held && (purpose == Purpose::join || purpose == Purpose::heartbeat)) on_heartbeat_landed(now);
-    if (held && purpose != Purpose::read_own_records) apply_records(now, at, transaction_.writes);
-    apply_records(now, at, shown);
-    if (held && purpose == Purpose::heartbeat)
-        observer_->on_heartbeat_result(heartbeat_sent_at_, heartbeat_in_transaction_, shown);
-    if (!held) check_own_heartbeat(now, shown);
-    if (purpose == Purpose::read_own_records) on_own_records(now, at, shown);
-    if (purpose == Purpose::publish && held) record_text_ = transaction_.writes.front().second;
+    // Before any duty: a heartbeat that has landed extends the term.
+    if (succeeded && (purpose == Purpose::join || purpose == Purpose::heartbeat)) on_heartbeat_landed(now);
+    if (succeeded && purpose != Purpose::read_own_records) apply_records(now, at, transaction_.writes);
+    apply_records(now, at, records);
+    if (succeeded && purpose == Purpose::heartbeat)
+        observer_->on_heartbeat_result(heartbeat_sent_at_, heartbeat_in_transaction_, records);
+    if (!succeeded) check_own_heartbeat(now, records);
+    if (purpose == Purpose::read_own_records) on_own_records(now, at, records);
+    if (purpose == Purpose::publish && succeeded) record_text_ = transaction_.writes.front().second;
     if (purpose == Purpose::leave) drop_membership(now, MembershipEnd::left);
-    // The cause may not be visible from here, such as a record in a newer form: not repeated at once.
+    // The cause may be invisible here, such as a record in a newer form: not repeated at once.
     const bool may_fail_again =
         purpose == Purpose::claim || purpose == Purpose::evict || purpose == Purpose::publish;
-    if (!held && may_fail_again) next_submit_at_ = now + membership_.heartbeat_interval() * retry_pause;
+    if (!succeeded && may_fail_again)
+        next_submit_at_ = now + membership_.heartbeat_interval() * retry_pause_intervals;
     advance(now);
 }
 
@@ -132,8 +135,7 @@
     if (purpose == Purpose::none) return;
     if (purpose == Purpose::write) finish_write(WriteOutcome::unknown);
     for (const auto& [key, value] : transaction_.writes)
-        if (keys_of_unknown_outcome_.size() < most_overdue_heartbeats_read &&
-            (duty_of(key) || member_of(key)))
+        if (keys_of_unknown_outcome_.size() < max_overdue_heartbeats_read && (duty_of(key) || member_of(key)))
             keys_of_unknown_outcome_.insert(key);
     schedule_retry(now);
     if (purpose == Purpose::heartbeat) next_heartbeat_at_ = next_submit_at_;
@@ -145,7 +147,7 @@
     advance(now);
 }
 
-// --- what records show
+// --- records
 
 void Agent::on_full_list(TimePoint now, const std::vector<Entry>& records) {
     std::set<MemberName> members;
@@ -162,9 +164,9 @@
     if (!floor_listed) token_floor_.reset();
 }
 
-void Agent::apply_records(TimePoint now, registry::Revision at, const std::vector<Entry>& shown) {
-    const bool hold = reads_all_heartbeats();
-    for (const auto& [key, text] : shown) {
+void Agent::apply_records(TimePoint now, registry::Revision at, const std::vector<Entry>& records) {
+    const bool keep_observing = reads_all_heartbeats();
+    for (const auto& [key, text] : records) {
         if (const auto name = member_of(key)) membership_.on_member_record(now, at, *name, text);
         if (const auto name = duty_of(key))
             if (duties_.on_record(at, *name, text)) on_duty_record(*name, duties_.all().at(*name));
@@ -176,8 +178,9 @@
             token_floor_revision_ = at;
         }
     }
-    for (const auto& [key, text] : shown)
-        if (const auto name = heartbeat_owner(key)) membership_.on_heartbeat(now, *name, text, hold);
+    for (const auto& [key, text] : records)
+        if (const auto name = heartbeat_owner(key))
+            membership_.on_heartbeat(now, *name, text, keep_observing);
 }
 
 // --- one transaction at a time
@@ -197,12 +200,20 @@
     } else if (now >= next_heartbeat_at_) {
         send_heartbeat(now);
     } else if (membership_.in_term(now)) {
-        next_write(now) || next_duty(now) || next_eviction(now) || next_publication(now);
+        submit_next_of_term(now);
     }
 }
 
+// The first that is due; each returns whether it has submitted a transaction.
+void Agent::submit_next_of_term(TimePoint now) {
+    if (next_write(now)) return;
+    if (next_duty(now)) return;
+    if (next_eviction(now)) return;
+    next_publication(now);
+}
+
 void Agent::schedule_next(TimePoint now) {
-    TimePoint at = now + membership_.heartbeat_interval() * longest_sleep;
+    TimePoint at = now + membership_.heartbeat_interval() * max_sleep_intervals;
     if (purpose_ != Purpose::none)
         at = std::min(at, reply_deadline_);
     else
@@ -210,20 +221,21 @@
                       std::max(next_submit_at_, membership_.joined() ? next_heartbeat_at_ : next_submit_at_));
     if (membership_.in_term(now)) at = std::min(at, membership_.term_end());
     if (membership_.in_grace_period(now)) at = std::min(at, membership_.grace_period_end());
-    registry_->schedule_wake(std::max(at, now + Duration::micros(1)));
+    transport_->schedule_wake(std::max(at, now + Duration::micros(1)));
 }
 
 void Agent::submit(TimePoint now, Purpose purpose, Transaction transaction) {
     purpose_ = purpose;
     transaction_ = std::move(transaction);
     reply_deadline_ = now + identity_.reply_timeout;
-    registry_->submit(transaction_);
+    transport_->submit(transaction_);
 }
 
 void Agent::schedule_retry(TimePoint now) {
-    const double doubled = 1 << std::min(consecutive_timeouts_++, most_doublings);
+    const double doubled = 1 << std::min(consecutive_timeouts_++, max_retry_doublings);
     const double drawn = identity_.randomized ? random_fraction() : 1.0;
-    next_submit_at_ = now + membership_.heartbeat_interval() * (retry_pause * doubled * (0.5 + drawn / 2));
+    next_submit_at_ =
+        now + membership_.heartbeat_interval() * (retry_pause_intervals * doubled * (0.5 + drawn / 2));
 }
 
 double Agent::random_fraction() {
--- a/src/fleet/agent.hpp
+++ b/src/fleet/agent.hpp
@@ -1,16 +1,25 @@
-/// One gateway as a member of its fleet: it joins, sends heartbeats, evicts members that send none, claims,
-/// hands over and gives up duties, and writes on behalf of the fleet. It combines Membership, Lease, Fence
-/// and Duties. No I/O and no clock: each call brings the instant of the gateway's own steady clock.
+/// One gateway as a member of its fleet: it joins, sends heartbeats, evicts members that send none, claims
+/// and gives up duties, and writes on behalf of the fleet. It combines Membership, Lease, Fence and Duties.
+/// No I/O and no clock: each call passes the time of the gateway's steady clock (boot_time()).
 ///
-/// One transaction is under way at a time. A missing answer is neither success nor failure: the transaction
-/// may have landed, may land later, or never. Each compares enough for a late one to do no harm, and the next
-/// read shows what became of it.
+/// Who may write what, and what stops a former owner:
+///   member/ME, beat/ME   only the member itself; an eviction removes them if the heartbeat has not changed
+///   duty/NAME            a member that claims the duty; the transaction compares the record, its own newest
+///                        heartbeat and that the former owner's membership is gone
+///   any fenced write     the duty's owner; the transaction compares its newest heartbeat and the duty's
+///   record
+///                        as it was claimed, so the write of an evicted or replaced owner fails in the
+///                        registry
 ///
-/// Guarantees (premises in docs/fleet.md; may_act() must be asked at the very instant of acting):
-///   1  at no instant may two members act on one duty
+/// Guarantees; docs/fleet.md has the premises. may_act() must be called right before acting.
+///   1  at no time may two members act on one duty
 ///   2  a fenced write lands only while its writer owns the duty, in the registry's own order
 ///   3  no fencing token of a duty is given to two owners, also across restores of the registry
 ///
+/// One transaction is under way at a time. A missing answer is neither success nor failure: the transaction
+/// may have landed, may land later, or never. Each compares enough for a late one to do no harm, and the next
+/// read shows its outcome.
+///
 /// Source files: agent.cpp (events, one transaction at a time), agent_join.cpp, agent_heartbeat.cpp (with
 /// evictions), agent_leases.cpp, agent_writes.cpp (with publications), agent_debug.cpp.
 #pragma once
@@ -32,18 +41,20 @@
 
 namespace irismux::fleet {
 
-/// For how long at most a duty has no owner after its owner has stopped, if the registry answers within
-/// `answer` and `places` live members stand before the first that can claim. Holds for fleets whose
-/// heartbeats are all read each round; in larger ones each round in which the stopped owner's is not read
-/// adds a round.
-Duration longest_without_owner(const SharedConfig& shared_config, Duration answer, std::size_t places);
+/// The longest time for which a duty has no owner after its owner has stopped, if the registry answers within
+/// `reply_time` and `ranks_ahead` live members come before the first that can claim it. Holds for fleets
+/// whose heartbeats are all read in each interval; in larger ones each interval in which the stopped owner's
+/// is not read adds one.
+[[nodiscard]] Duration longest_without_owner(const SharedConfig& shared_config, Duration reply_time,
+                                             std::size_t ranks_ahead);
 
 class Agent {
 public:
-    Agent(AgentTransport& registry, AgentObserver& observer, const SharedConfig& shared_config,
+    /// The transport and the observer must outlive it.
+    Agent(AgentTransport& transport, AgentObserver& observer, const SharedConfig& shared_config,
           MemberIdentity identity, std::uint64_t seed);
-    /// A copy of the state with other ports, for exhaustive exploration.
-    Agent(const Agent& other, AgentTransport& registry, AgentObserver& observer);
+    /// A copy of the state with other callbacks, for exhaustive exploration.
+    Agent(const Agent& other, AgentTransport& transport, AgentObserver& observer);
 
     void start(TimePoint now);
     /// Stops acting at once, then removes this member's records.
@@ -51,53 +62,53 @@
     /// The duties that this member may own; one that is not named any more is given up. The records of duties
     /// that are new here must be delivered again through on_records().
     void set_duties(TimePoint now, const std::set<DutyName>& names);
-    /// The caches that this gateway passes over; published at most once a round.
+    /// The caches that this gateway has ejected; published at most once a heartbeat interval.
     void set_ejected_caches(TimePoint now, std::set<CacheId> caches);
-
-    /// Watched records as of a revision; they may lag behind transactions. `full_list`: they are all there
-    /// are. Keys of unknown sorts are ignored.
-    /// What this gateway has in force, for its heartbeats.
-    void set_applied_revisions(TimePoint now, const std::optional<AppliedRevisions>& claim);
+    /// What this gateway has applied, for its heartbeats.
+    void set_applied_revisions(TimePoint now, const std::optional<AppliedRevisions>& revisions);
     void set_heartbeat_reads(TimePoint now, HeartbeatReads reads);
+
+    /// Watched records as of a revision; they may lag behind transactions. `full_list`: there are no others.
+    /// Unknown kinds of keys are ignored.
     void on_records(TimePoint now, registry::Revision at, const std::vector<Entry>& records, bool full_list);
-    /// `held`: the comparison succeeded and all is written. `shown`: see Transaction.
-    void on_transaction_result(TimePoint now, registry::Revision at, bool held,
-                               const std::vector<Entry>& shown);
-    /// The transaction may have landed, may still land, or never.
+    /// `succeeded`: the comparison succeeded and all is written. `records`: see Transaction.
+    void on_transaction_result(TimePoint now, registry::Revision at, bool succeeded,
+                               const std::vector<Entry>& records);
+    /// There is no answer: the transaction may have landed, may still land, or never.
     void on_transaction_timeout(TimePoint now);
     void on_wake(TimePoint now);
 
-    /// Whether this member owns the duty at that instant.
-    bool may_act(TimePoint now, const DutyName&) const;
+    /// Whether this member owns the duty at that time.
+    [[nodiscard]] bool may_act(TimePoint now, const DutyName&) const;
     /// As may_act(), and the lease runs for long enough to begin something new.
-    bool may_begin_work(TimePoint now, const DutyName&) const;
+    [[nodiscard]] bool may_begin_work(TimePoint now, const DutyName&) const;
     /// The token of the duty's newest known record; zero: none.
-    FencingToken token_of(const DutyName&) const;
+    [[nodiscard]] FencingToken token_of(const DutyName&) const;
     /// Whether an order that another member gives as that holder is to be obeyed.
-    bool accepts_order_of(const DutyName& duty, const LeaseHolder& holder) {
+    [[nodiscard]] bool accepts_order_of(const DutyName& duty, const LeaseHolder& holder) {
         return fence_.accepts(duty, holder);
     }
-    /// Writes if the duty is still owned when the write lands; the observer is told the outcome. False: the
-    /// duty is not owned, or too many writes wait.
+    /// Queues a write that lands only if the duty is still owned then; the observer is told the outcome.
+    /// False: the duty is not owned, or 64 writes wait already.
     bool write_fenced(TimePoint now, const DutyName&, const Key&, const std::string& value);
     /// As above; the outcome names `key`.
     bool write_fenced(TimePoint now, const DutyName&, const Key& key, FencedWrite write_request);
 
-    const Membership& membership() const { return membership_; }
-    const Duties& duties() const { return duties_; }
-    Fence& fence() { return fence_; }
-    Incarnation incarnation() const { return incarnation_; }
-    const std::set<CacheId>& ejected_caches() const { return ejected_caches_; }
-    Instance self() const { return {identity_.name, incarnation_}; }
-    /// The record below which no removed duty may be claimed, as known.
-    const Text& token_floor() const { return token_floor_; }
+    [[nodiscard]] const Membership& membership() const { return membership_; }
+    [[nodiscard]] const Duties& duties() const { return duties_; }
+    [[nodiscard]] Fence& fence() { return fence_; }
+    [[nodiscard]] Incarnation incarnation() const { return incarnation_; }
+    [[nodiscard]] const std::set<CacheId>& ejected_caches() const { return ejected_caches_; }
+    [[nodiscard]] Instance self() const { return {identity_.name, incarnation_}; }
+    /// The record that holds the highest token of all removed duties, as last known.
+    [[nodiscard]] const Text& token_floor() const { return token_floor_; }
     /// Whether that very instance is a member, as far as is known. One whose record can't be parsed counts.
-    bool is_member(const Instance&) const;
-    /// The whole state as text, instants relative to `now`: equal texts, equal behaviour.
-    std::string debug_state(TimePoint now) const;
+    [[nodiscard]] bool is_member(const Instance&) const;
+    /// The whole state as text, times relative to `now`: equal texts, equal behaviour.
+    [[nodiscard]] std::string debug_state(TimePoint now) const;
 
 private:
-    // Only for the copy with other ports.
+    // Only for the copy with other callbacks.
     Agent(const Agent&) = default;
 
     // What the transaction under way is for.
@@ -123,16 +134,17 @@
     // agent.cpp
     void advance(TimePoint now);
     void submit_next(TimePoint now);
+    void submit_next_of_term(TimePoint now);
     void schedule_next(TimePoint now);
     void submit(TimePoint now, Purpose purpose, Transaction transaction);
     void schedule_retry(TimePoint now);
     double random_fraction();  // from 0 to 1
     void on_full_list(TimePoint now, const std::vector<Entry>& records);
-    void apply_records(TimePoint now, registry::Revision at, const std::vector<Entry>& shown);
+    void apply_records(TimePoint now, registry::Revision at, const std::vector<Entry>& records);
 
     // agent_join.cpp
     void read_own_records(TimePoint now);
-    void on_own_records(TimePoint now, registry::Revision at, const std::vector<Entry>& shown);
+    void on_own_records(TimePoint now, registry::Revision at, const std::vector<Entry>& records);
     void on_own_instance_found(TimePoint now, Incarnation incarnation, const Text& member,
                                const Text& heartbeat, const Text& roster);
     void wait_for_name(TimePoint now, const Text& member, const Text& heartbeat, const Text& roster);
@@ -147,7 +159,7 @@
     // agent_heartbeat.cpp
     void send_heartbeat(TimePoint now);
     void on_heartbeat_landed(TimePoint now);
-    void check_own_heartbeat(TimePoint now, const std::vector<Entry>& shown);
+    void check_own_heartbeat(TimePoint now, const std::vector<Entry>& records);
     HeartbeatRecord next_heartbeat_record();
     std::vector<Key> keys_to_read(TimePoint now);
     std::vector<Key> heartbeats_to_read(TimePoint now);
@@ -169,8 +181,8 @@
     bool unowned(const Duties::Duty&) const;
     FencingToken next_token(const DutyName&, const Duties::Duty&) const;
     FencingToken highest_refused_by_others(const DutyName&) const;
-    // Live members that come before this one in the duty's order; `settled`: only those that have been in for
-    // long enough to be handed a duty.
+    // Live members that come before this one in the duty's order; `settled`: only those that have been
+    // members for long enough to be handed a duty.
     std::size_t rank(TimePoint now, const DutyName&, const Duties::Duty&, bool settled) const;
 
     // agent_writes.cpp
@@ -183,7 +195,7 @@
     std::string debug_duties(TimePoint now) const;
     std::string debug_age(TimePoint now, TimePoint since) const;
 
-    AgentTransport* registry_;
+    AgentTransport* transport_;
     AgentObserver* observer_;
     SharedConfig shared_config_;
     MemberIdentity identity_;
@@ -206,14 +218,14 @@
     TimePoint reply_deadline_;  // of the one under way
     TimePoint next_submit_at_;  // nothing is submitted before
     TimePoint next_heartbeat_at_;
-    TimePoint next_give_up_at_;     // no duty is handed back before
+    TimePoint next_give_up_at_;     // no duty is handed over before
     int consecutive_timeouts_ = 0;  // transactions in a row
 
     // Records written by transactions without an answer; read with the next heartbeat.
     std::set<Key> keys_of_unknown_outcome_;
 
     bool join_outcome_unknown_ = false;  // a join went out, and its result is not known
-    // Member record and heartbeat of another instance that holds our name, and since when they are unchanged.
+    // Member record and heartbeat of another instance that has our name, and since when they are unchanged.
     std::optional<std::pair<Text, Text>> name_holder_;
     TimePoint name_holder_unchanged_since_;
     std::optional<JoinRefused> last_refusal_;  // reported once
@@ -225,8 +237,8 @@
     std::optional<AppliedRevisions> applied_revisions_;
     HeartbeatReads heartbeat_reads_;
     registry::Revision newest_revision_;
-    TimePoint heartbeat_sent_at_,
-        next_member_reads_at_;  // the newest; the next that reads others' for the membership
+    TimePoint heartbeat_sent_at_;     // the newest
+    TimePoint next_member_reads_at_;  // the next heartbeat that reads those of others for the membership
 };
 
 }  // namespace irismux::fleet
--- a/src/fleet/agent_debug.cpp
+++ b/src/fleet/agent_debug.cpp
@@ -7,7 +7,7 @@
 namespace irismux::fleet {
 namespace {
 
-constexpr double most_waits_told = 3;
+constexpr double max_shown_eviction_timeouts = 3;
 
 // Past instants are all alike.
 std::string until(TimePoint now, TimePoint at) {
@@ -17,17 +17,18 @@
 }  // namespace
 
 std::string Agent::debug_age(TimePoint now, TimePoint since) const {
-    return std::to_string(std::min(now - since, membership_.eviction_timeout() * most_waits_told).micros()) +
+    return std::to_string(
+               std::min(now - since, membership_.eviction_timeout() * max_shown_eviction_timeouts).micros()) +
            ' ';
 }
 
 std::string Agent::debug_members(TimePoint now) const {
     std::string all;
-    for (const auto& [name, peer] : membership_.members()) {
-        all += '\n' + name.raw() + ' ' + peer.text + debug_age(now, peer.first_seen);
-        if (!peer.observed) continue;
-        all += peer.heartbeat_text.value_or("-") + ' ';
-        all += debug_age(now, peer.unchanged_since) + debug_age(now, peer.last_seen);
+    for (const auto& [name, member] : membership_.members()) {
+        all += '\n' + name.raw() + ' ' + member.text + debug_age(now, member.first_seen);
+        if (!member.observed) continue;
+        all += member.heartbeat_text.value_or("-") + ' ';
+        all += debug_age(now, member.unchanged_since) + debug_age(now, member.last_seen);
     }
     return all;
 }
--- a/src/fleet/agent_heartbeat.cpp
+++ b/src/fleet/agent_heartbeat.cpp
@@ -7,7 +7,7 @@
 namespace irismux::fleet {
 namespace {
 
-// Part of a round by which heartbeats are brought forward at random.
+// Heartbeats are sent earlier by up to this share of their interval, at random.
 constexpr double heartbeat_spread = 0.2;
 
 }  // namespace
@@ -27,7 +27,7 @@
            {{own_heartbeat()}, {{heartbeat_key(identity_.name), heartbeat}}, std::move(reads)});
 }
 
-// Heartbeats that go out early, to acknowledge, read others' only where the site's digest needs them.
+// A heartbeat that is sent early, to acknowledge, reads others' only if the site's digest needs them.
 std::vector<Key> Agent::keys_to_read(TimePoint now) {
     std::set<Key> keys(heartbeat_reads_.records.begin(), heartbeat_reads_.records.end());
     for (const MemberName& name : heartbeat_reads_.heartbeats)
@@ -53,10 +53,11 @@
 
 // A transaction failed. If it shows another heartbeat under our name, a later one of ours has landed without
 // an answer, or we are not a member any more.
-void Agent::check_own_heartbeat(TimePoint now, const std::vector<Entry>& shown) {
+void Agent::check_own_heartbeat(TimePoint now, const std::vector<Entry>& records) {
     const Key own = heartbeat_key(identity_.name);
-    const auto it = std::find_if(shown.begin(), shown.end(), [&](const Entry& e) { return e.first == own; });
-    if (!membership_.joined() || it == shown.end() || it->second == heartbeat_text_) return;
+    const auto it =
+        std::find_if(records.begin(), records.end(), [&](const Entry& e) { return e.first == own; });
+    if (!membership_.joined() || it == records.end() || it->second == heartbeat_text_) return;
     const Text& text = it->second;
     const auto record = text ? parse_heartbeat(*text) : std::nullopt;
     const bool ours =
@@ -69,20 +70,21 @@
 }
 
 bool Agent::reads_all_heartbeats() const {
-    return membership_.members().size() <= heartbeats_read_at_random + most_overdue_heartbeats_read;
+    return membership_.members().size() <= heartbeats_read_at_random + max_overdue_heartbeats_read;
 }
 
 std::vector<Key> Agent::heartbeats_to_read(TimePoint now) {
-    const auto& peers = membership_.members();
+    const auto& members = membership_.members();
     std::set<Key> keys;
-    for (const auto& [name, peer] : peers) {
-        const bool overdue = peer.observed && now - peer.unchanged_since > membership_.heartbeat_interval();
-        if (reads_all_heartbeats() || (overdue && keys.size() < most_overdue_heartbeats_read))
+    for (const auto& [name, member] : members) {
+        const bool overdue =
+            member.observed && now - member.unchanged_since > membership_.heartbeat_interval();
+        if (reads_all_heartbeats() || (overdue && keys.size() < max_overdue_heartbeats_read))
             keys.insert(heartbeat_key(name));
     }
-    for (std::size_t n = 0; n < heartbeats_read_at_random && keys.size() < peers.size(); ++n) {
-        auto it = peers.begin();
-        std::advance(it, static_cast<std::ptrdiff_t>(random_() % peers.size()));
+    for (std::size_t n = 0; n < heartbeats_read_at_random && keys.size() < members.size(); ++n) {
+        auto it = members.begin();
+        std::advance(it, static_cast<std::ptrdiff_t>(random_() % members.size()));
         keys.insert(heartbeat_key(it->first));
     }
     return {keys.begin(), keys.end()};
@@ -91,13 +93,13 @@
 // Compares the very heartbeat that was found unchanged: one that has landed since makes the eviction fail.
 bool Agent::next_eviction(TimePoint now) {
     if (membership_.in_grace_period(now)) return false;
-    for (const auto& [name, peer] : membership_.members()) {
-        if (!membership_.evictable(peer)) continue;
-        const Key member = member_key(name);
-        const Key heartbeat = heartbeat_key(name);
+    for (const auto& [name, member] : membership_.members()) {
+        if (!membership_.evictable(member)) continue;
+        const Key record_key = member_key(name);
+        const Key last_heartbeat_key = heartbeat_key(name);
         submit(now, Purpose::evict,
-               {{own_heartbeat(), {member, peer.text}, {heartbeat, peer.heartbeat_text}},
-                {{member, std::nullopt}, {heartbeat, std::nullopt}},
+               {{own_heartbeat(), {record_key, member.text}, {last_heartbeat_key, member.heartbeat_text}},
+                {{record_key, std::nullopt}, {last_heartbeat_key, std::nullopt}},
                 {}});
         return true;
     }
--- a/src/fleet/agent_join.cpp
+++ b/src/fleet/agent_join.cpp
@@ -9,10 +9,11 @@
 // Longest part of another fleet's shared configuration that a log line repeats.
 constexpr std::size_t max_quoted_bytes = 200;
 
-const Text& value_of(const std::vector<Entry>& shown, const Key& key) {
+const Text& value_of(const std::vector<Entry>& records, const Key& key) {
     static const Text none;
-    const auto it = std::find_if(shown.begin(), shown.end(), [&](const Entry& e) { return e.first == key; });
-    return it == shown.end() ? none : it->second;
+    const auto it =
+        std::find_if(records.begin(), records.end(), [&](const Entry& e) { return e.first == key; });
+    return it == records.end() ? none : it->second;
 }
 
 }  // namespace
@@ -23,20 +24,20 @@
     submit(now, Purpose::read_own_records, {{}, {}, std::move(keys)});
 }
 
-void Agent::on_own_records(TimePoint now, registry::Revision at, const std::vector<Entry>& shown) {
+void Agent::on_own_records(TimePoint now, registry::Revision at, const std::vector<Entry>& records) {
     // All earlier incarnations of that name are below the registry's revision, also those without a record.
     identity_.last_incarnation = std::max(identity_.last_incarnation, Incarnation{at.raw()});
     next_submit_at_ = now + membership_.heartbeat_interval();
     const std::string own_config = serialize(shared_config_);
-    const Text& config = value_of(shown, shared_config_key());
-    const Text& member = value_of(shown, member_key(identity_.name));
-    const Text& heartbeat = value_of(shown, heartbeat_key(identity_.name));
+    const Text& config = value_of(records, shared_config_key());
+    const Text& member = value_of(records, member_key(identity_.name));
+    const Text& heartbeat = value_of(records, heartbeat_key(identity_.name));
     if (!config)
         return submit(now, Purpose::found_fleet,
                       {{{shared_config_key(), std::nullopt}}, {{shared_config_key(), own_config}}, {}});
     if (*config != own_config)
         return refuse_to_join(JoinRefusal::shared_config_differs, config->substr(0, max_quoted_bytes));
-    const Text& roster = value_of(shown, roster_key());
+    const Text& roster = value_of(records, roster_key());
     if (roster && !parse_site_roster(*roster)) return refuse_to_join(JoinRefusal::roster_unreadable);
     if (!member && !heartbeat) return join(now, member, heartbeat, roster);
     const auto record = member ? parse_member(*member) : std::nullopt;
@@ -59,8 +60,8 @@
     membership_.on_heartbeat_confirmed(now, record->number);
 }
 
-// Another instance holds the name: our former process, which is dead, or another gateway. Only waiting for
-// its next heartbeat tells which.
+// Another instance has the name: our former process, which is dead, or another gateway. Only its next
+// heartbeat, or none for the eviction timeout, shows which.
 void Agent::wait_for_name(TimePoint now, const Text& member, const Text& heartbeat, const Text& roster) {
     const std::pair<Text, Text> holder{member, heartbeat};
     if (name_holder_ == holder) {
@@ -88,8 +89,7 @@
         {{shared_config_key(), serialize(shared_config_)}, {own, member}, {own_heartbeat, heartbeat}},
         {},
         {}};
-    // Guards against a digest that knows nothing of a member: its name is in the roster from the first join
-    // on.
+    // Guards against a digest without a member that serves: its name is in the roster from the first join on.
     const SiteRoster known = roster ? parse_site_roster(*roster).value_or(SiteRoster{}) : SiteRoster{};
     if (const auto next = in_site() ? add_to_roster(known, identity_.name) : std::nullopt) {
         transaction.compares.emplace_back(roster_key(), roster);
--- a/src/fleet/agent_leases.cpp
+++ b/src/fleet/agent_leases.cpp
@@ -1,4 +1,4 @@
-// Who owns which duty: claims, hand-backs, and the leases that follow from the records.
+// Who owns which duty: claims, handovers, and the leases that follow from the records.
 #include <algorithm>
 
 #include "fleet/agent.hpp"
@@ -36,13 +36,13 @@
            duty.record->incarnation == incarnation_;
 }
 
-// The record names this instance, and nothing forbids to rely on it.
+// The record names this instance, and is known to be current.
 bool Agent::record_grants_lease(TimePoint now, const Duties::Duty& duty) const {
     return owned_here(duty) && duty.wanted && duty.record->token > duty.given_up &&
            !membership_.in_grace_period(now);
 }
 
-// It has never been owned, was given up, or its owner is no member any more.
+// It was never owned, was given up, or its owner is no member any more.
 bool Agent::unowned(const Duties::Duty& duty) const {
     if (!duty.known || (duty.text && !duty.record)) return false;
     if (!duty.record || duty.record->owner.raw().empty()) return true;
@@ -53,8 +53,8 @@
 std::size_t Agent::rank(TimePoint now, const DutyName& name, const Duties::Duty& duty, bool settled) const {
     const bool released_by_us = duty.released_instance && *duty.released_instance == self();
     std::size_t ahead = 0;
-    for (const auto& [other, peer] : membership_.members()) {
-        if (membership_.suspected(peer) || (settled && !membership_.settled(now, peer))) continue;
+    for (const auto& [other, member] : membership_.members()) {
+        if (membership_.suspected(member) || (settled && !membership_.settled(now, member))) continue;
         if (duty.released_instance && duty.released_instance->name == other &&
             is_member(*duty.released_instance))
             continue;
@@ -65,8 +65,8 @@
 
 FencingToken Agent::highest_refused_by_others(const DutyName& name) const {
     FencingToken highest;
-    for (const auto& [other, peer] : membership_.members())
-        if (const auto it = peer.member.refused_tokens.find(name); it != peer.member.refused_tokens.end())
+    for (const auto& [other, member] : membership_.members())
+        if (const auto it = member.member.refused_tokens.find(name); it != member.member.refused_tokens.end())
             highest = std::max(highest, it->second);
     return highest;
 }
@@ -93,7 +93,7 @@
     return conditions;
 }
 
-// --- what records show
+// --- records
 
 void Agent::on_duty_record(const DutyName& name, const Duties::Duty& duty) {
     if (duty.text && !duty.record) return observer_->on_event(DutyRecordUnreadable{name});
@@ -125,7 +125,7 @@
     }
 }
 
-// --- claims and hand-backs
+// --- claims and handovers
 
 bool Agent::next_duty(TimePoint now) {
     if (membership_.in_grace_period(now)) return false;
@@ -145,26 +145,35 @@
 }
 
 bool Agent::advance_duty(TimePoint now, const DutyName& name, Duties::Duty& duty) {
-    if (!duty.wanted) return give_up_duty(now, name, duty), true;
+    if (!duty.wanted) {
+        give_up_duty(now, name, duty);
+        return true;
+    }
     if (unowned(duty)) {
         const auto before_us = static_cast<double>(rank(now, name, duty, false));
-        const Duration delay = membership_.heartbeat_interval() * (claim_delay_per_rank * before_us);
+        const Duration delay =
+            membership_.heartbeat_interval() * (claim_delay_intervals_per_rank * before_us);
         if (now - *duty.unowned_since < delay) return false;
-        return claim_duty(now, name, duty), true;
+        claim_duty(now, name, duty);
+        return true;
     }
     if (!owned_here(duty)) return false;
     // A token that others refuse is replaced by one above all that they have seen.
-    if (highest_refused_by_others(name) > duty.record->token) return claim_duty(now, name, duty), true;
-    // It goes back to the first in the order once that member has settled; one duty a round.
+    if (highest_refused_by_others(name) > duty.record->token) {
+        claim_duty(now, name, duty);
+        return true;
+    }
+    // It is handed to the first in the order once that member has settled; one duty a heartbeat interval.
     if (now < next_give_up_at_ || rank(now, name, duty, true) == 0) return false;
-    return give_up_duty(now, name, duty), true;
+    give_up_duty(now, name, duty);
+    return true;
 }
 
 void Agent::claim_duty(TimePoint now, const DutyName& name, const Duties::Duty& duty) {
     const Key key = duty_key(name);
     const DutyRecord claim{next_token(name, duty), identity_.name, incarnation_};
     Transaction transaction{{own_heartbeat(), {key, duty.text}}, {{key, serialize(claim)}}, {}};
-    // The registry itself must know that the former owner is gone.
+    // The registry itself must confirm that the former owner is no member any more.
     if (duty.record && !duty.record->owner.raw().empty() && duty.record->owner != identity_.name) {
         const auto it = membership_.members().find(duty.record->owner);
         const Text member = it == membership_.members().end() ? Text{} : Text{it->second.text};
--- a/src/fleet/agent_writes.cpp
+++ b/src/fleet/agent_writes.cpp
@@ -7,18 +7,19 @@
 namespace irismux::fleet {
 namespace {
 
-constexpr std::size_t most_pending_writes = 64;
-// A publication is delivered to all members: one a round in a fleet of up to so many, fewer in larger ones.
-constexpr std::size_t members_per_publication_round = 64;
+constexpr std::size_t max_pending_writes = 64;
+// A publication is delivered to all members: one an interval in a fleet of up to so many, fewer in larger
+// ones.
+constexpr std::size_t members_per_publication_interval = 64;
 
 }  // namespace
 
 bool Agent::next_publication(TimePoint now) {
     const std::string wanted = serialize(own_record());
     if (record_text_ == wanted || now < next_publication_at_) return false;
-    const double rounds = static_cast<double>(membership_.members().size()) /
-                          static_cast<double>(members_per_publication_round);
-    next_publication_at_ = now + membership_.heartbeat_interval() * std::max(1.0, rounds);
+    const double intervals = static_cast<double>(membership_.members().size()) /
+                             static_cast<double>(members_per_publication_interval);
+    next_publication_at_ = now + membership_.heartbeat_interval() * std::max(1.0, intervals);
     const Key own = member_key(identity_.name);
     submit(now, Purpose::publish, {{own_heartbeat(), {own, record_text_}}, {{own, wanted}}, {}});
     return true;
@@ -29,7 +30,7 @@
 }
 
 bool Agent::write_fenced(TimePoint now, const DutyName& duty, const Key& key, FencedWrite write_request) {
-    if (!may_begin_work(now, duty) || pending_writes_.size() >= most_pending_writes) return false;
+    if (!may_begin_work(now, duty) || pending_writes_.size() >= max_pending_writes) return false;
     pending_writes_.push_back({duty, key, std::move(write_request)});
     advance(now);
     return true;
--- a/src/fleet/applied_revisions.cpp
+++ b/src/fleet/applied_revisions.cpp
@@ -9,7 +9,7 @@
 
 using nlohmann::json;
 
-constexpr const char* claim_field = "in_force";
+constexpr const char* revisions_field = "in_force";
 
 json object_of(std::string_view bytes) {
     json o = json::parse(bytes, nullptr, false);
@@ -38,22 +38,21 @@
 std::optional<Generation> parse_generation(std::string_view bytes) { return generation_of(object_of(bytes)); }
 
 std::string with_applied_revisions(const std::string& heartbeat,
-                                   const std::optional<AppliedRevisions>& claim) {
-    if (!claim) return heartbeat;
+                                   const std::optional<AppliedRevisions>& revisions) {
+    if (!revisions) return heartbeat;
     json all = object_of(heartbeat);
-    json& o = all[claim_field];
-    o = {{"generation", claim->generation.number},
-         {"id", claim->generation.id},
-         {"event", claim->event.raw()},
-         {"configuration", claim->configuration.raw()}};
-    if (claim->history_lost) o["worn"] = true;
+    json& o = all[revisions_field];
+    o = {{"generation", revisions->generation.number},
+         {"id", revisions->generation.id},
+         {"event", revisions->event.raw()},
+         {"configuration", revisions->configuration.raw()}};
+    if (revisions->history_lost) o["worn"] = true;
     return all.dump();
 }
 
-// What is there and can't be read is no claim.
 std::optional<AppliedRevisions> parse_applied_revisions(std::string_view heartbeat) {
     const json all = object_of(heartbeat);
-    const auto it = all.find(claim_field);
+    const auto it = all.find(revisions_field);
     if (it == all.end() || !it->is_object()) return std::nullopt;
     const auto generation = generation_of(*it);
     const auto event = count(*it, "event"), configuration = count(*it, "configuration");
@@ -63,9 +62,9 @@
 }
 
 std::optional<Generation> next_generation(const std::optional<Generation>& shown, const Generation& known,
-                                          bool worn, const std::string& new_id) {
-    const bool stands = shown && (shown->number > known.number || *shown == known);
-    if (stands && !worn) return std::nullopt;
+                                          bool history_lost, const std::string& new_id) {
+    const bool may_stay = shown && (shown->number > known.number || *shown == known);
+    if (may_stay && !history_lost) return std::nullopt;
     return Generation{std::max(shown ? shown->number : 0, known.number) + 1, new_id};
 }
 
@@ -76,7 +75,7 @@
     event_ = {};
 }
 
-// Where it was seen to go back, only the next generation gives its numbers a meaning again.
+// After history was lost, numbers count again only in the next generation, so a read would show nothing.
 bool AppliedRevisionTracker::needs_full_history() const {
     if (full_history_poll_in_flight_ && generation_at_full_history_start_ == generation_) return false;
     return !has_full_history_ || (generation_.number > 0 && !event_known_in_generation_ && !history_lost_);
@@ -90,17 +89,16 @@
     generation_at_full_history_start_ = generation_;
 }
 
-// Guards against an answer to a poll from before the generation was shown: it may be of the board's former
-// history.
+// Guards against an answer to a poll from before the generation was known: it may be of the board's former
+// history, and events of the new one would be reported that were never applied.
 void AppliedRevisionTracker::on_poll_completed(EventNumber newest, EventNumber asked_from) {
     if (!std::exchange(poll_in_flight_, false)) return;
-    const bool whole = std::exchange(full_history_poll_in_flight_, false);
-    const bool whole_in_generation = whole && generation_at_full_history_start_ == generation_;
-    has_full_history_ |= whole;
+    const bool full_history = std::exchange(full_history_poll_in_flight_, false);
+    const bool full_history_in_generation = full_history && generation_at_full_history_start_ == generation_;
+    has_full_history_ |= full_history;
     if (generation_at_poll_start_ != generation_) return;
     if (newest < std::max(event_, asked_from)) return on_history_lost();
-    if (!event_known_in_generation_ && !whole_in_generation) return;
-    // Where it has been seen to go back, numbers count again only in the next generation.
+    if (!event_known_in_generation_ && !full_history_in_generation) return;
     if (history_lost_) return;
     event_known_in_generation_ = true;
     event_ = newest;
--- a/src/fleet/digest.cpp
+++ b/src/fleet/digest.cpp
@@ -9,11 +9,11 @@
 
 using nlohmann::json;
 
-// Looks come once a quarter of a term, and it takes three of them until two heartbeats in a row have been
-// seen to come; one more may be lost.
-constexpr double unseen_of_term = 1.25;
-// As the Agent's: heartbeats at rest, and its look between them for what has become due.
-constexpr double round_of_term = 0.25, look_round_of_round = 0.25;
+// Snapshots come once a quarter of a term. It takes three until two heartbeats in a row have been seen as
+// new; one more may be lost.
+constexpr double max_unseen_share_of_term = 1.25;
+// As the Agent's: its heartbeat interval, and its longest sleep between looking for what is due.
+constexpr double heartbeat_interval_share_of_term = 0.25, agent_sleep_share_of_interval = 0.25;
 
 std::optional<std::int64_t> count(const json& o, const char* key) {
     const auto it = o.find(key);
@@ -31,8 +31,8 @@
     return it != o.end() && it->is_boolean() && it->get<bool>();
 }
 
-// What changes with each look is left out: whether there is news is judged by the rest.
-json content(const Digest& d) {
+// Without what changes with each snapshot: a digest is news only if the content has changed.
+json content_of(const Digest& d) {
     json o = {{"owner", d.owner.raw()},
               {"owner_id", d.owner_id},
               {"generation", d.generation.number},
@@ -53,9 +53,9 @@
     return o;
 }
 
-// Calls `take` with each entry of a list whose first part is text and whose others are numbers.
-template <class Take>
-bool each(const json& o, const char* key, std::size_t numbers, std::size_t most, Take take) {
+// Calls `visit` with each entry of a list whose first part is text and whose others are numbers.
+template <class Visit>
+bool for_each_entry(const json& o, const char* key, std::size_t numbers, std::size_t most, Visit visit) {
     const auto it = o.find(key);
     if (it == o.end()) return true;
     if (!it->is_array() || it->size() > most) return false;
@@ -63,32 +63,55 @@
         if (!entry.is_array() || entry.size() != numbers + 1 || !entry[0].is_string()) return false;
         for (std::size_t n = 1; n <= numbers; ++n)
             if (!entry[n].is_number_integer()) return false;
-        take(entry);
+        visit(entry);
     }
     return true;
 }
 
+// The lowest revisions of the live members, and those below the site's highest event or configuration, the
+// lowest first.
+void add_lagging(Digest& digest, std::vector<Digest::LaggingMember> live) {
+    if (live.empty()) return;
+    std::sort(live.begin(), live.end(), [](const auto& a, const auto& b) {
+        return std::tie(a.event, a.configuration, a.member) < std::tie(b.event, b.configuration, b.member);
+    });
+    ConfigurationNumber highest_configuration;
+    digest.lowest = live.front().event;
+    digest.lowest_configuration = live.front().configuration;
+    for (const auto& member : live) {
+        digest.lowest_configuration = std::min(digest.lowest_configuration, member.configuration);
+        highest_configuration = std::max(highest_configuration, member.configuration);
+    }
+    for (const auto& member : live) {
+        if (member.event == digest.highest && member.configuration == highest_configuration) continue;
+        ++digest.lagging_count;
+        if (digest.lagging.size() < max_named_members) digest.lagging.push_back(member);
+    }
+}
+
 }  // namespace
 
 Key roster_key() { return Key{"roster"}; }
 Key digest_key() { return Key{"digest"}; }
 DutyName digest_duty() { return DutyName{"digest"}; }
-Duration max_unseen_time(Duration term) { return term * unseen_of_term; }
+Duration max_unseen_time(Duration term) { return term * max_unseen_share_of_term; }
 Duration max_staleness(Duration term) { return term; }
 
 Duration max_counted_time(Duration term, double drift) {
     return (max_unseen_time(term) + max_staleness(term)) * ((1 + drift) / (1 - drift));
 }
 
-// Its heartbeat, behind a transaction that may be out; the owner's look, at its usual pace if it had seen
-// nobody behind; the digest, at its pace and behind another transaction; the reading, which may just have
-// been missed.
-Duration max_report_delay(Duration term, double drift, Duration acknowledge_every, Duration answer,
-                          Duration read_every) {
-    const Duration heartbeat = acknowledge_every + answer * 2;
-    const Duration look = term * round_of_term + answer * 2;
-    const Duration digest = acknowledge_every + term * (round_of_term * look_round_of_round) + answer * 2;
-    return (heartbeat + look + digest + read_every) * (1 + drift) + answer * 2;
+// In this order: the gateway's heartbeat behind a transaction under way; the owner's next snapshot, at the
+// usual interval if it knew of no lagging member; the digest, at its own interval behind another transaction;
+// the reader's next read.
+Duration max_report_delay(Duration term, double drift, Duration acknowledge_interval, Duration reply_time,
+                          Duration read_interval) {
+    const Duration heartbeat = acknowledge_interval + reply_time * 2;
+    const Duration snapshot = term * heartbeat_interval_share_of_term + reply_time * 2;
+    const Duration digest = acknowledge_interval +
+                            term * (heartbeat_interval_share_of_term * agent_sleep_share_of_interval) +
+                            reply_time * 2;
+    return (heartbeat + snapshot + digest + read_interval) * (1 + drift) + reply_time * 2;
 }
 
 std::string serialize(const SiteRoster& r) {
@@ -124,7 +147,7 @@
 }
 
 std::string serialize(const Digest& d) {
-    json o = content(d);
+    json o = content_of(d);
     o["as_of"] = d.as_of_heartbeat;
     o["as_of_ms"] = d.as_of_unix_ms;
     return o.dump();
@@ -156,17 +179,18 @@
     d.absent_count = static_cast<std::size_t>(*absent);
     d.lagging_count = static_cast<std::size_t>(*behind);
     const bool lists_read =
-        each(o, "absent", 1, max_named_members,
-             [&](const json& e) {
-                 d.absent.push_back({MemberName{e[0].get<std::string>()}, e[1].get<std::int64_t>()});
-             }) &&
-        each(o, "behind", 2, max_named_members,
-             [&](const json& e) {
-                 d.lagging.push_back({MemberName{e[0].get<std::string>()},
-                                      EventNumber{e[1].get<std::int64_t>()},
-                                      ConfigurationNumber{e[2].get<std::int64_t>()}});
-             }) &&
-        each(o, "marks", 1, max_reported_caches, [&](const json& e) {
+        for_each_entry(
+            o, "absent", 1, max_named_members,
+            [&](const json& e) {
+                d.absent.push_back({MemberName{e[0].get<std::string>()}, e[1].get<std::int64_t>()});
+            }) &&
+        for_each_entry(o, "behind", 2, max_named_members,
+                       [&](const json& e) {
+                           d.lagging.push_back({MemberName{e[0].get<std::string>()},
+                                                EventNumber{e[1].get<std::int64_t>()},
+                                                ConfigurationNumber{e[2].get<std::int64_t>()}});
+                       }) &&
+        for_each_entry(o, "marks", 1, max_reported_caches, [&](const json& e) {
             d.ejected_caches.emplace_back(CacheId{e[0].get<std::string>()}, e[1].get<std::size_t>());
         });
     // Lists that are shorter than their counts are cut; longer ones can't be.
@@ -177,127 +201,119 @@
 
 // --- what is known of the members' processes -------------------------------------------------------------
 
-// Guards against a registry that has gone back: an older heartbeat that comes after a newer one shows nothing
-// of its sender.
+// Guards against a restored registry, which shows old heartbeats again: the member would count as live though
+// its process has ended. A heartbeat below one seen before of the same process is no evidence.
 void DigestBuilder::record_heartbeat(const MemberName& name, const std::optional<std::string>& text_shown,
-                                     TimePoint asked) {
+                                     TimePoint requested_at) {
     const auto heartbeat = text_shown ? parse_heartbeat(*text_shown) : std::nullopt;
     const auto known = evidence_.find(name);
     const bool first = known == evidence_.end();
     Evidence next{text_shown.value_or(""),
                   heartbeat ? heartbeat->instance_id.raw() : "",
                   heartbeat ? heartbeat->number.raw() : 0,
-                  asked,
+                  requested_at,
                   {},
                   {}};
     if (!first) {
-        const Evidence& former = known->second;
-        const bool same_text = former.text == next.text;
+        const Evidence& previous = known->second;
+        const bool same_text = previous.text == next.text;
         const bool follows =
-            heartbeat && next.instance_id == former.instance_id && next.number > former.number;
-        next.text_not_shown_at = same_text ? former.text_not_shown_at : std::optional(former.last_shown_at);
-        next.previous_text_not_shown_at = same_text ? former.previous_text_not_shown_at
-                                          : follows ? former.text_not_shown_at
+            heartbeat && next.instance_id == previous.instance_id && next.number > previous.number;
+        next.text_not_shown_at =
+            same_text ? previous.text_not_shown_at : std::optional(previous.last_shown_at);
+        next.previous_text_not_shown_at = same_text ? previous.previous_text_not_shown_at
+                                          : follows ? previous.text_not_shown_at
                                                     : std::nullopt;
     }
     evidence_[name] = std::move(next);
 }
 
-// The sender of the heartbeat shown ran after the one before had landed, and that had not when
-// `before_previous` was asked.
-bool DigestBuilder::is_live(const MemberName& name, TimePoint answered) const {
+// The sender of the heartbeat ran after the one before it had landed, and that one had not landed yet when
+// the snapshot of `previous_text_not_shown_at` was requested.
+bool DigestBuilder::is_live(const MemberName& name, TimePoint received_at) const {
     const auto it = evidence_.find(name);
     if (it == evidence_.end() || it->second.instance_id.empty() || !it->second.previous_text_not_shown_at)
         return false;
-    return answered - *it->second.previous_text_not_shown_at <= max_unseen_time(settings_.term);
+    return received_at - *it->second.previous_text_not_shown_at <= max_unseen_time(settings_.term);
 }
 
-Digest DigestBuilder::merge(const FleetSnapshot& look, const std::optional<AppliedRevisions>& own) const {
-    Digest d;
-    d.owner = settings_.self;
-    d.owner_id = settings_.own_id;
-    d.as_of_heartbeat = look.heartbeat_number;
-    d.as_of_unix_ms = look.unix_ms;
-    d.generation = shown_generation_.value_or(Generation{});
-    d.known_count = roster_.names.size();
-    d.roster_incomplete = roster_.incomplete || !roster_readable_ || !roster_.names.contains(settings_.self);
-    std::vector<Digest::LaggingMember> live_ones;
+Digest DigestBuilder::merge(const FleetSnapshot& snapshot, const std::optional<AppliedRevisions>& own) const {
+    Digest digest;
+    digest.owner = settings_.self;
+    digest.owner_id = settings_.own_id;
+    digest.as_of_heartbeat = snapshot.heartbeat_number;
+    digest.as_of_unix_ms = snapshot.unix_ms;
+    digest.generation = shown_generation_.value_or(Generation{});
+    digest.known_count = roster_.names.size();
+    digest.roster_incomplete =
+        roster_.incomplete || !roster_readable_ || !roster_.names.contains(settings_.self);
+    std::vector<Digest::LaggingMember> live;
     for (const MemberName& name : roster_.names) {
-        const bool self = name == settings_.self;
-        const auto it = evidence_.find(name);
-        const auto claim = self                    ? own
-                           : it == evidence_.end() ? std::nullopt
-                                                   : parse_applied_revisions(it->second.text);
-        const bool counts = claim && claim->generation == d.generation;
-        if (claim && claim->generation == d.generation) {
-            d.highest = std::max(d.highest, claim->event);
-            d.history_lost |= claim->history_lost;
-        }
-        if (!self && !is_live(name, look.received_at)) {
-            ++d.absent_count;
-            const auto since = absent_since_.find(name);
-            if (d.absent.size() < max_named_members)
-                d.absent.push_back({name, since == absent_since_.end() ? look.unix_ms : since->second});
-            continue;
+        const auto revisions = name == settings_.self ? own : reported_revisions(name);
+        const bool counts = revisions && revisions->generation == digest.generation;
+        if (counts) {
+            digest.highest = std::max(digest.highest, revisions->event);
+            digest.history_lost |= revisions->history_lost;
         }
-        ++d.live_count;
-        live_ones.push_back({name, counts ? claim->event : EventNumber{},
-                             counts ? claim->configuration : ConfigurationNumber{}});
-    }
-    std::sort(live_ones.begin(), live_ones.end(), [](const auto& a, const auto& b) {
-        return std::tie(a.event, a.configuration, a.member) < std::tie(b.event, b.configuration, b.member);
-    });
-    if (live_ones.empty()) return d;
-    ConfigurationNumber highest_configuration;
-    d.lowest = live_ones.front().event;
-    d.lowest_configuration = live_ones.front().configuration;
-    for (const auto& m : live_ones) {
-        d.lowest_configuration = std::min(d.lowest_configuration, m.configuration);
-        highest_configuration = std::max(highest_configuration, m.configuration);
-    }
-    for (const auto& m : live_ones) {
-        if (m.event == d.highest && m.configuration == highest_configuration) continue;
-        ++d.lagging_count;
-        if (d.lagging.size() < max_named_members) d.lagging.push_back(m);
+        if (name != settings_.self && !is_live(name, snapshot.received_at))
+            add_absent(digest, name, snapshot.unix_ms);
+        else
+            live.push_back({name, counts ? revisions->event : EventNumber{},
+                            counts ? revisions->configuration : ConfigurationNumber{}});
     }
-    return d;
+    digest.live_count = live.size();
+    add_lagging(digest, std::move(live));
+    return digest;
+}
+
+std::optional<AppliedRevisions> DigestBuilder::reported_revisions(const MemberName& name) const {
+    const auto it = evidence_.find(name);
+    return it == evidence_.end() ? std::nullopt : parse_applied_revisions(it->second.text);
+}
+
+void DigestBuilder::add_absent(Digest& digest, const MemberName& name, std::int64_t now_unix_ms) const {
+    ++digest.absent_count;
+    if (digest.absent.size() >= max_named_members) return;
+    const auto since = absent_since_.find(name);
+    digest.absent.push_back({name, since == absent_since_.end() ? now_unix_ms : since->second});
 }
 
-// Guards against a registry that has gone back: who has taken a higher generation, or another under the same
-// number, takes the one shown for none.
+// Guards against a restored registry, which shows an old generation again: its numbers would count for those
+// of the newest one. Members that know a higher one, or another id under the same number, show that.
 void DigestBuilder::record_generations(const std::optional<AppliedRevisions>& own) {
     generation_ids_conflict_ = false;
-    const auto take = [&](const Generation& g) {
+    const auto record_generation = [&](const Generation& g) {
         if (shown_generation_ && g.number == shown_generation_->number && g != *shown_generation_)
             generation_ids_conflict_ = true;
         if (g.number > known_generation_.number) known_generation_ = g;
     };
-    if (shown_generation_) take(*shown_generation_);
-    if (own) take(own->generation);
-    for (const auto& [name, e] : evidence_)
-        if (const auto claim = parse_applied_revisions(e.text)) take(claim->generation);
+    if (shown_generation_) record_generation(*shown_generation_);
+    if (own) record_generation(own->generation);
+    for (const auto& [name, evidence] : evidence_)
+        if (const auto revisions = parse_applied_revisions(evidence.text))
+            record_generation(revisions->generation);
 }
 
-void DigestBuilder::on_snapshot(const FleetSnapshot& look, const std::optional<AppliedRevisions>& own,
-                                const std::map<CacheId, std::size_t>& marks) {
-    const auto roster = look.roster ? parse_site_roster(*look.roster) : std::nullopt;
+void DigestBuilder::on_snapshot(const FleetSnapshot& snapshot, const std::optional<AppliedRevisions>& own,
+                                const std::map<CacheId, std::size_t>& ejections) {
+    const auto roster = snapshot.roster ? parse_site_roster(*snapshot.roster) : std::nullopt;
     roster_readable_ = roster.has_value();
     if (roster) roster_ = *roster;
     std::erase_if(evidence_, [&](const auto& e) { return !roster_.names.contains(e.first); });
-    for (const auto& [name, text_shown] : look.heartbeats)
-        if (roster_.names.contains(name)) record_heartbeat(name, text_shown, look.requested_at);
-    shown_generation_ = look.generation ? parse_generation(*look.generation) : std::nullopt;
+    for (const auto& [name, text_shown] : snapshot.heartbeats)
+        if (roster_.names.contains(name)) record_heartbeat(name, text_shown, snapshot.requested_at);
+    shown_generation_ = snapshot.generation ? parse_generation(*snapshot.generation) : std::nullopt;
     record_generations(own);
-    // Since when somebody has been absent goes from owner to owner.
-    if (const auto former = look.former_digest ? parse_digest(*look.former_digest) : std::nullopt)
-        for (const auto& a : former->absent) absent_since_.try_emplace(a.member, a.since_ms);
-    Digest d = merge(look, own);
+    // Since when members are absent is passed on from owner to owner.
+    if (const auto previous = snapshot.former_digest ? parse_digest(*snapshot.former_digest) : std::nullopt)
+        for (const auto& a : previous->absent) absent_since_.try_emplace(a.member, a.since_ms);
+    Digest d = merge(snapshot, own);
     for (const auto& a : d.absent) absent_since_.try_emplace(a.member, a.since_ms);
     std::erase_if(absent_since_, [&](const auto& since) {
         return !roster_.names.contains(since.first) || since.first == settings_.self ||
-               is_live(since.first, look.received_at);
+               is_live(since.first, snapshot.received_at);
     });
-    for (const auto& [cache, members] : marks) d.ejected_caches.emplace_back(cache, members);
+    for (const auto& [cache, members] : ejections) d.ejected_caches.emplace_back(cache, members);
     std::stable_sort(d.ejected_caches.begin(), d.ejected_caches.end(),
                      [](const auto& a, const auto& b) { return a.second > b.second; });
     if (d.ejected_caches.size() > max_reported_caches) d.ejected_caches.resize(max_reported_caches);
@@ -306,12 +322,12 @@
 
 std::optional<std::string> DigestBuilder::next_digest(TimePoint now) {
     if (!digest_) return std::nullopt;
-    const std::string is = content(*digest_).dump();
-    const Duration since = now - written_at_;
-    if (ever_written_ && since < (is == written_content_ ? settings_.refresh : settings_.pace))
+    const std::string content = content_of(*digest_).dump();
+    const Duration age = now - written_at_;
+    if (ever_written_ && age < (content == written_content_ ? settings_.refresh : settings_.pace))
         return std::nullopt;
     ever_written_ = true;
-    written_content_ = is;
+    written_content_ = content;
     written_at_ = now;
     return serialize(*digest_);
 }
--- a/src/fleet/duties.cpp
+++ b/src/fleet/duties.cpp
@@ -17,19 +17,19 @@
 }  // namespace
 
 bool Duties::set_names(const std::set<DutyName>& names) {
-    for (auto& [name, d] : all_) d.wanted = names.contains(name);
-    bool whole = true;
+    for (auto& [name, duty] : all_) duty.wanted = names.contains(name);
+    bool all_followed = true;
     for (const DutyName& name : names) {
         const bool room = all_.size() + given_up_.size() < max_duties;
-        whole = whole && (room || all_.contains(name));
+        all_followed = all_followed && (room || all_.contains(name));
         if (!room) continue;
-        const auto [it, fresh] = all_.try_emplace(name);
-        if (const auto former = given_up_.find(name); fresh && former != given_up_.end()) {
+        const auto [it, inserted] = all_.try_emplace(name);
+        if (const auto former = given_up_.find(name); inserted && former != given_up_.end()) {
             it->second.given_up = former->second;
             given_up_.erase(former);
         }
     }
-    return whole;
+    return all_followed;
 }
 
 void Duties::remove(const DutyName& name) {
@@ -42,18 +42,18 @@
 bool Duties::on_record(registry::Revision at, const DutyName& name, const std::optional<std::string>& text) {
     const auto it = all_.find(name);
     if (it == all_.end() || at < it->second.revision) return false;
-    Duty& d = it->second;
-    d.revision = at;
-    if (d.known && d.text == text) return false;
-    d.known = true;
-    d.text = text;
-    d.record = text ? parse_duty(*text) : std::nullopt;
+    Duty& duty = it->second;
+    duty.revision = at;
+    if (duty.known && duty.text == text) return false;
+    duty.known = true;
+    duty.text = text;
+    duty.record = text ? parse_duty(*text) : std::nullopt;
     return true;
 }
 
 void Duties::on_full_list(const std::set<DutyName>& listed) {
-    for (auto& [name, d] : all_) {
-        d.revision = {};
+    for (auto& [name, duty] : all_) {
+        duty.revision = {};
         if (!listed.contains(name)) on_record({}, name, std::nullopt);
     }
 }
@@ -65,8 +65,9 @@
 
 std::size_t Duties::rank(const DutyName& duty, const MemberName& self,
                          const std::vector<MemberName>& others) {
-    return static_cast<std::size_t>(std::count_if(
-        others.begin(), others.end(), [&](const MemberName& m) { return ranks_before(duty, m, self); }));
+    return static_cast<std::size_t>(std::count_if(others.begin(), others.end(), [&](const MemberName& other) {
+        return ranks_before(duty, other, self);
+    }));
 }
 
 }  // namespace irismux::fleet
--- a/src/fleet/duties.hpp
+++ b/src/fleet/duties.hpp
@@ -1,4 +1,4 @@
-/// The duties of a fleet and the order of its members for each: rendezvous hashing (highest random weight),
+/// The duties of a fleet as one member knows them, and the order of the members for each: rendezvous hashing,
 /// so that the loss of one member moves only that member's duties. No I/O.
 #pragma once
 
@@ -25,14 +25,14 @@
         registry::Revision revision;                ///< of that record
         bool known = false;                         ///< a record, or that there is none, has been shown
         bool wanted = true;                         ///< false: it is removed as soon as it has been given up
-        std::optional<Instance> released_instance;  ///< an operator wants this instance to leave it to others
+        std::optional<Instance> released_instance;  ///< an operator asked this instance to leave it to others
         std::optional<TimePoint> unowned_since;     ///< none: it is owned, as far as is known
         FencingToken given_up;  ///< records that name us with a token up to this are ignored
         Lease lease;            ///< of this member
     };
 
-    /// The duties that are wanted; records of any others are ignored. False: there are too many, and some are
-    /// not taken up.
+    /// The duties that are wanted; records of any others are ignored. False: there are more than max_duties,
+    /// and some are not followed.
     bool set_names(const std::set<DutyName>& names);
     /// The token given up is remembered, since a late record may still name us.
     void remove(const DutyName&);
@@ -40,8 +40,8 @@
     void forget_given_up() { given_up_.clear(); }
     std::map<DutyName, Duty>& all() { return all_; }
     const std::map<DutyName, Duty>& all() const { return all_; }
-    /// A record as of that revision; older ones than known are ignored. True: the duty is wanted, and the
-    /// record was news.
+    /// A record as of that revision; older ones than known are ignored. True: the duty is followed, and its
+    /// record has changed or is known for the first time.
     bool on_record(registry::Revision at, const DutyName&, const std::optional<std::string>& text);
     /// All records follow, of a possibly lower revision; duties that are not listed have no record.
     void on_full_list(const std::set<DutyName>& listed);
--- a/src/fleet/fleet_status.cpp
+++ b/src/fleet/fleet_status.cpp
@@ -31,7 +31,7 @@
     }
 }
 
-// The heartbeat that the digest is as of landed after a reading was asked that still showed one below it.
+// The heartbeat that the digest is as of landed after a reading was requested that still showed a lower one.
 bool FleetStatus::fresh(TimePoint now, const SiteName& site) const {
     const auto digest = digests_.find(site);
     const auto shown = heartbeat_readings_.find(site);
@@ -48,49 +48,54 @@
     return all;
 }
 
-void FleetStatus::judge_site(TimePoint now, const Query& question, const SiteName& site, const Digest& d,
+void FleetStatus::judge_site(TimePoint now, const Query& query, const SiteName& site, const Digest& digest,
                              std::vector<Missing>& missing) const {
-    if (!fresh(now, site)) return missing.push_back({MissingReason::site_silent, site, {}, d.as_of_unix_ms});
-    if (!generation_ || d.generation != *generation_ || d.history_lost)
-        return missing.push_back({MissingReason::other_generation, site, {}, d.as_of_unix_ms});
+    if (!fresh(now, site))
+        return missing.push_back({MissingReason::site_silent, site, {}, digest.as_of_unix_ms});
+    if (!generation_ || digest.generation != *generation_ || digest.history_lost)
+        return missing.push_back({MissingReason::other_generation, site, {}, digest.as_of_unix_ms});
     const auto expected = inventory_.find(site);
-    if (expected == inventory_.end() || d.known_count < expected->second)
+    if (expected == inventory_.end() || digest.known_count < expected->second)
         missing.push_back({MissingReason::too_few, site, {}, 0});
-    if (d.roster_incomplete || d.absent_count > d.absent.size())
+    if (digest.roster_incomplete || digest.absent_count > digest.absent.size())
         missing.push_back({MissingReason::too_many, site, {}, 0});
-    for (const auto& a : d.absent) missing.push_back({MissingReason::absent, site, a.member, a.since_ms});
-    if (d.lowest >= question.event && d.lowest_configuration >= question.configuration) return;
+    for (const auto& member : digest.absent)
+        missing.push_back({MissingReason::absent, site, member.member, member.since_ms});
+    if (digest.lowest >= query.event && digest.lowest_configuration >= query.configuration) return;
     bool named = false;
-    for (const auto& b : d.lagging)
-        if (b.event < question.event || b.configuration < question.configuration) {
-            missing.push_back({MissingReason::behind, site, b.member, 0});
+    for (const auto& lagging : digest.lagging)
+        if (lagging.event < query.event || lagging.configuration < query.configuration) {
+            missing.push_back({MissingReason::behind, site, lagging.member, 0});
             named = true;
         }
-    // All of the site stand below it alike, or those below it found no room.
-    if (!named || d.lagging_count > d.lagging.size()) missing.push_back({MissingReason::behind, site, {}, 0});
+    // All of the site are equally behind, or not all of those behind are named in the digest.
+    if (!named || digest.lagging_count > digest.lagging.size())
+        missing.push_back({MissingReason::behind, site, {}, 0});
 }
 
-FleetStatus::Verdict FleetStatus::judge(TimePoint now, const Query& question) const {
-    Verdict v;
-    if (inventory_.empty()) v.missing.push_back({MissingReason::no_inventory, {}, {}, 0});
-    // Guards against numbers from before the board was restored: what it has, it has no less of than was
-    // claimed when it was asked.
-    if (question.event > EventNumber{} &&
-        (!newest_event_ || *newest_event_ < question.event || *newest_event_ < highest_claimed_event()))
-        v.missing.push_back({MissingReason::board_unknown, {}, {}, 0});
+FleetStatus::Verdict FleetStatus::judge(TimePoint now, const Query& query) const {
+    Verdict verdict;
+    if (inventory_.empty()) verdict.missing.push_back({MissingReason::no_inventory, {}, {}, 0});
+    // Guards against a restored notice board: members still report numbers of its former history, which would
+    // count as applied. Its newest event is then below what they report.
+    if (query.event > EventNumber{} &&
+        (!newest_event_ || *newest_event_ < query.event || *newest_event_ < highest_claimed_event()))
+        verdict.missing.push_back({MissingReason::board_unknown, {}, {}, 0});
     for (const MemberName& name : legacy_members_)
-        v.missing.push_back({MissingReason::old_form, {}, name, 0});
+        verdict.missing.push_back({MissingReason::old_form, {}, name, 0});
     for (const auto& [site, count] : inventory_)
         if (count > 0 && !digests_.contains(site))
-            v.missing.push_back({MissingReason::never_reported, site, {}, 0});
+            verdict.missing.push_back({MissingReason::never_reported, site, {}, 0});
     for (const SiteName& site : unreadable_)
-        v.missing.push_back({MissingReason::never_reported, site, {}, 0});
-    for (const auto& [site, digest] : digests_) judge_site(now, question, site, digest, v.missing);
-    const bool all_cut_off = std::all_of(v.missing.begin(), v.missing.end(), [](const Missing& m) {
-        return m.reason == MissingReason::absent || m.reason == MissingReason::site_silent;
-    });
-    v.reach = v.missing.empty() ? Reach::everywhere : all_cut_off ? Reach::all_but : Reach::not_yet;
-    return v;
+        verdict.missing.push_back({MissingReason::never_reported, site, {}, 0});
+    for (const auto& [site, digest] : digests_) judge_site(now, query, site, digest, verdict.missing);
+    const bool all_cut_off =
+        std::all_of(verdict.missing.begin(), verdict.missing.end(), [](const Missing& m) {
+            return m.reason == MissingReason::absent || m.reason == MissingReason::site_silent;
+        });
+    verdict.reach = all_cut_off ? Reach::all_but : Reach::not_yet;
+    if (verdict.missing.empty()) verdict.reach = Reach::everywhere;
+    return verdict;
 }
 
 }  // namespace irismux::fleet
--- a/src/fleet/fleet_status.hpp
+++ b/src/fleet/fleet_status.hpp
@@ -1,15 +1,15 @@
-/// Answers, for whoever asks: is event N in force everywhere, at all gateways but these, or not yet? From the
-/// digests of all sites, the inventory of sites, and the board's newest number. No I/O, no clock.
+/// Answers whether an event or a configuration is in force everywhere, at all gateways but some that are
+/// named, or not yet: from the digests of all sites, the inventory of sites, and the notice board's newest
+/// event. No I/O, no clock.
 ///
-/// A digest counts only while it is fresh: the reader has itself seen its owner's heartbeat stand below the
-/// one that the digest is as of, no longer ago than `longest_stale`. So it takes several reads until anything
-/// can be said, and neither a stopped owner nor a message that was long under way can pass an old digest off
-/// as new.
+/// A digest counts only while it is fresh: the reader has itself seen the owner's heartbeat below the one
+/// that the digest is as of, no longer ago than max_staleness(). So several reads are needed before anything
+/// can be answered, and neither a stopped owner nor a late message can make an old digest count as new.
 ///
-/// Guarantee: at the instant at which judge() says `everywhere`, no gateway acts without the event. Premises:
-/// those of Acknowledgement and DigestKeeper; the inventory names every site with the number of its gateways;
-/// no clock's rate is off by more than `drift`; a process that has not yet been told by the board does not
-/// act for `longest_counted` after its start; one process a name.
+/// Guarantee: when judge() returns `everywhere`, no gateway acts without the event. Premises: those of
+/// AppliedRevisionTracker and DigestBuilder; the inventory names every site with the number of its gateways;
+/// no clock's rate is off by more than `drift`; a process that the notice board has not answered yet does not
+/// serve for max_counted_time() after its start; one process a name.
 #pragma once
 
 #include <deque>
@@ -25,18 +25,22 @@
 
 class FleetStatus {
 public:
-    enum class Reach { everywhere, all_but, not_yet };
+    enum class Reach {
+        everywhere,
+        all_but,  ///< only absent members and silent sites are missing, and all of them are named
+        not_yet,
+    };
     enum class MissingReason {
-        absent,            ///< a member that no heartbeat shows to run: cut off, dead or left
-        site_silent,       ///< nothing fresh from that site
-        behind,            ///< live, and without the event
+        absent,            ///< a member whose heartbeats do not show that it runs: cut off, dead or left
+        site_silent,       ///< the site has no fresh digest
+        behind,            ///< live, and has not applied it
         never_reported,    ///< an expected site without a digest
-        too_few,           ///< fewer names than the inventory has
-        too_many,          ///< more than a digest or a roster can name
-        other_generation,  ///< the site's numbers are of another history of the board
-        old_form,          ///< a gateway that says nothing of what it has in force
-        no_inventory,      ///< nothing is known of what should be there
-        board_unknown,     ///< the board's newest number is not known, or is lower than what is claimed
+        too_few,           ///< fewer names than in the inventory
+        too_many,          ///< more members than a digest or a roster can name
+        other_generation,  ///< the site's numbers are of another generation of the notice board
+        old_form,          ///< a gateway outside of all sites, which reports no revisions
+        no_inventory,      ///< the settings name no sites
+        board_unknown,     ///< the notice board's newest number is unknown, or lower than a reported one
     };
     struct Missing {
         MissingReason reason;
@@ -54,31 +58,31 @@
         EventNumber event;                  ///< zero: not asked
         ConfigurationNumber configuration;  ///< zero: not asked
     };
-    /// What one reading of the registry showed, all at one revision.
+    /// The records of one read of the registry, all at one revision.
     struct RegistryReading {
         TimePoint requested_at;
         std::optional<std::string> generation;
         std::map<SiteName, std::string> digests;
-        std::map<SiteName, std::string> owner_heartbeats;  ///< of those that owners() named
+        std::map<SiteName, std::string> owner_heartbeats;  ///< of those that owners() returned
         std::set<MemberName> old_form;                     ///< members outside of all sites
     };
 
-    /// The inventory: each site with the number of its gateways, at least.
+    /// The inventory: each site with the least number of its gateways.
     FleetStatus(Duration term, std::map<SiteName, std::size_t> inventory)
         : term_(term), inventory_(std::move(inventory)) {}
 
     /// Whose heartbeats the next reading must show.
     std::map<SiteName, MemberName> owners() const;
     void on_reading(const RegistryReading&);
-    /// What the board answered to a question that was asked after the last reading.
+    /// The notice board's newest event, requested after the last reading.
     void on_newest_event(EventNumber newest) { newest_event_ = newest; }
 
-    Verdict judge(TimePoint now, const Query&) const;
-    bool fresh(TimePoint now, const SiteName&) const;
+    [[nodiscard]] Verdict judge(TimePoint now, const Query&) const;
+    [[nodiscard]] bool fresh(TimePoint now, const SiteName&) const;
     const std::map<SiteName, Digest>& digests() const { return digests_; }
 
 private:
-    static constexpr std::size_t max_readings = 256;  // remembered of a site; beyond, the oldest goes
+    static constexpr std::size_t max_readings = 256;  // of a site; beyond, the oldest is dropped
 
     struct HeartbeatReading {
         TimePoint asked;
@@ -93,8 +97,7 @@
     std::optional<Generation> generation_;
     std::map<SiteName, Digest> digests_;
     std::set<SiteName> unreadable_;
-    std::map<SiteName, std::deque<HeartbeatReading>>
-        heartbeat_readings_;  // heartbeats of owners, by the reading that showed them
+    std::map<SiteName, std::deque<HeartbeatReading>> heartbeat_readings_;  // of the digests' owners
     std::set<MemberName> legacy_members_;
     std::optional<EventNumber> newest_event_;
 };
--- a/src/fleet/garbage_collector.cpp
+++ b/src/fleet/garbage_collector.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-// A comparison that holds only while that instance is no member; none: it is one, as far as is known.
-std::optional<Entry> absence_of(const Instance& who, const RecordMirror& record_mirror, const Agent& agent) {
-    if (agent.is_member(who)) return std::nullopt;
-    const Key member = member_key(who.name);
+// A comparison that succeeds only while that instance is no member; none: it is one, as far as is known.
+std::optional<Entry> absence_of(const Instance& instance, const RecordMirror& record_mirror,
+                                const Agent& agent) {
+    if (agent.is_member(instance)) return std::nullopt;
+    const Key member = member_key(instance.name);
     return Entry{member, record_mirror.at(member)};
 }
 
@@ -74,9 +75,9 @@
                                                         const Agent& agent) {
     if (write_under_way_ || now < next_pass_at_) return std::nullopt;
     const Text former = record_mirror.at(collection_progress_key());
-    CollectionProgress place =
+    CollectionProgress progress =
         former ? parse_collection_progress(*former).value_or(CollectionProgress{}) : CollectionProgress{};
-    // A new owner continues the pass that it finds; what the one before removed is not there any more.
+    // A new owner continues the pass that it finds in the registry.
     if (!scanned_) scan(now, record_mirror, agent);
     std::optional<FencedWrite> write_request;
     Key at;
@@ -84,21 +85,21 @@
         at = *ready_removals_.begin();
         ready_removals_.erase(ready_removals_.begin());
         const Text text = record_mirror.at(at);
-        if (text && at.raw() > place.last_key) write_request = removal(at, *text, record_mirror, agent);
+        if (text && at.raw() > progress.last_key) write_request = removal(at, *text, record_mirror, agent);
     }
     write_ends_pass_ = !write_request;
     if (!write_request) write_request.emplace();
-    place.removed_records += !write_ends_pass_;
-    place.pass += write_ends_pass_;
-    place.last_key = write_ends_pass_ ? "" : at.raw();
-    place.token = agent.token_of(garbage_collection_duty());
-    place.owner = agent.self();
-    write_request->writes.emplace_back(collection_progress_key(), serialize(place));
+    progress.removed_records += !write_ends_pass_;
+    progress.pass += write_ends_pass_;
+    progress.last_key = write_ends_pass_ ? "" : at.raw();
+    progress.token = agent.token_of(garbage_collection_duty());
+    progress.owner = agent.self();
+    write_request->writes.emplace_back(collection_progress_key(), serialize(progress));
     write_under_way_ = true;
     return write_request;
 }
 
-// What was refused or may not have landed is tried again in the next pass, from the records as they are then.
+// A write that was refused, or may not have landed, is tried again in the next pass from the records of then.
 void GarbageCollector::on_written(TimePoint now, WriteOutcome) {
     write_under_way_ = false;
     if (!write_ends_pass_) return;
--- a/src/fleet/garbage_collector.hpp
+++ b/src/fleet/garbage_collector.hpp
@@ -1,11 +1,11 @@
 /// Removes records that dead members left behind. It is a duty of the fleet, so one member at a time does it.
 /// No I/O.
 ///
-///   duty/watch/...  of an unowned health watch that this member does not want; its token goes into the floor
-///   aside/...       a release that names an instance which is gone
-///   seen/...        a probe result of a health watch without a record
+///   duty/watch/...  of an unowned health check that this member does not want; its token goes into the floor
+///   aside/...       a release that names an instance which is no member any more
+///   seen/...        a health check's result whose duty has no record
 ///
-/// A record is removed only after it has stood unchanged as garbage for a minimum age by this owner's clock.
+/// A record is removed only after it has been garbage, unchanged, for a minimum age by this owner's clock.
 /// Each removal is one transaction together with the position reached in the pass, so that the next owner
 /// continues behind it. Records of other duties stay: their names are few.
 #pragma once
@@ -24,15 +24,16 @@
 
 class GarbageCollector {
 public:
-    /// A pass begins `every` after the end of the one before, by this owner's clock.
-    GarbageCollector(Duration every, Duration minimum_age) : interval_(every), minimum_age_(minimum_age) {}
+    /// A pass begins `interval` after the end of the one before, by this owner's clock.
+    GarbageCollector(Duration interval, Duration minimum_age)
+        : interval_(interval), minimum_age_(minimum_age) {}
 
     /// The next write, if one is due. One is under way at a time.
     std::optional<FencedWrite> next_write(TimePoint now, const RecordMirror& record_mirror,
                                           const Agent& agent);
     /// The outcome of that write.
     void on_written(TimePoint now, WriteOutcome outcome);
-    /// When next() has something to do again, if nothing is under way.
+    /// When next_write() is to be called again, if no write is under way.
     TimePoint next_pass_at() const { return next_pass_at_; }
 
 private:
@@ -51,7 +52,7 @@
 
     Duration interval_, minimum_age_;
     bool write_under_way_ = false;
-    bool write_ends_pass_ = false;  // that write
+    bool write_ends_pass_ = false;
     TimePoint next_pass_at_;
     std::set<Key> ready_removals_;         // to be removed in this pass
     bool scanned_ = false;                 // in this pass
--- a/src/fleet/lease.hpp
+++ b/src/fleet/lease.hpp
@@ -1,12 +1,5 @@
-/// The lease of one duty as one member sees its own: whether it owns the duty, and for how long yet. No I/O.
-///
-///   idle      another member owns the duty, or is to have it
-///   seeking   this member should own it, and a claim is due or under way
-///   owning    the record names this member, and its term runs
-///   resting   as owning, but too near the end of the term to begin anything
-///   lost      it was owned, and the term has ended or the record names another: nothing may be done
-///
-/// `enter` is the one function that changes the state; docs/fleet.md has the table.
+/// The lease of one duty as one member sees its own. Lease::update() is the one function that changes its
+/// state; docs/fleet.md has the table. No I/O.
 #pragma once
 
 #include <string_view>
@@ -15,11 +8,17 @@
 
 namespace irismux::fleet {
 
-enum class LeaseState { idle, seeking, owning, expiring, lost };
+enum class LeaseState {
+    idle,      ///< another member owns the duty, or is to have it
+    seeking,   ///< this member should own it: a claim is due or under way
+    owning,    ///< the record names this member, and its term runs
+    expiring,  ///< as owning, but too near the end of the term to begin anything
+    lost,      ///< it was owned, and the term has ended or the record names another: nothing may be done
+};
 /// As the log names it.
 std::string_view to_string(LeaseState);
 
-/// What decides the state, all at one instant of the member's own clock.
+/// What decides the state, all at one time of the member's own clock.
 struct LeaseConditions {
     bool record_names_us = false;  ///< the newest record known names this very instance
     bool in_term = false;          ///< a heartbeat has landed so recently that this member may act
@@ -29,8 +28,9 @@
 
 class Lease {
 public:
-    LeaseState state() const { return state_; }
-    LeaseState update(const LeaseConditions& lease_conditions);
+    [[nodiscard]] LeaseState state() const { return state_; }
+    /// Returns the new state.
+    LeaseState update(const LeaseConditions& conditions);
 
 private:
     LeaseState state_ = LeaseState::idle;
--- a/src/fleet/membership.hpp
+++ b/src/fleet/membership.hpp
@@ -1,12 +1,11 @@
-/// Who is alive, as one member sees it: its own term, and the heartbeats of the others. No I/O. The instants
-/// are of this member's own steady clock, which must also count the time during which the machine is
-/// suspended.
+/// Who is alive, as one member sees it: its own term, and the heartbeats of the others. No I/O. Times are of
+/// this member's steady clock, which must also count the time during which the machine is suspended.
 ///
 /// Guarantee: while in_term() holds at a member, no other evicts it. Premises: no clock's rate is off by more
-/// than `drift`; a heartbeat is confirmed only once the registry holds it, and counts from the instant at
-/// which it was sent; an eviction is a transaction that compares the very heartbeat that was found unchanged.
+/// than `drift`; a heartbeat is confirmed only once the registry has it, and counts from the time at which it
+/// was sent; an eviction is a transaction that compares the very heartbeat that was found unchanged.
 ///
-///   own term: until sent + term * (1 - drift)       wait for others: from first seen, term * (1 + drift)
+///   own term: sent + term * (1 - drift)       eviction timeout: first shown + term * (1 + drift)
 #pragma once
 
 #include <map>
@@ -20,9 +19,13 @@
 
 namespace irismux::fleet {
 
-/// A member as another sees it. `suspected`: its heartbeat is overdue; `back`: it was gone and has joined
-/// anew.
-enum class MemberStatus { joined, suspected, removed, rejoined };
+/// A member as another sees it.
+enum class MemberStatus {
+    joined,
+    suspected,  ///< its heartbeat is overdue
+    removed,
+    rejoined,  ///< it was removed, has joined anew and is not settled yet
+};
 
 class Membership {
 public:
@@ -30,9 +33,9 @@
 
     // --- this member's own term
     void on_heartbeat_sent(TimePoint now, HeartbeatNumber heartbeat);
-    /// The registry holds that heartbeat. If the term had lapsed before it was sent, the new one begins with
-    /// listening: for a wait nothing is owned, so that terms which a registry's former state granted have
-    /// ended.
+    /// The registry has that heartbeat. If the term had ended before it was sent, the new one begins with a
+    /// grace period of one eviction timeout in which nothing is owned: until then all terms that the
+    /// registry's former state granted have ended.
     void on_heartbeat_confirmed(TimePoint now, HeartbeatNumber heartbeat);
     void on_removed() { joined_ = false; }
     bool joined() const { return joined_; }
@@ -44,22 +47,23 @@
     HeartbeatNumber last_confirmed() const { return last_confirmed_; }
 
     // --- the others
-    /// A member's record as of that revision; no text: there is none. Older ones than known are ignored.
-    /// True: it was news.
+    /// A member's record as of that revision; no text: there is none. Older revisions than known are ignored.
+    /// True: the member is new, has another instance, or is removed.
     bool on_member_record(TimePoint now, registry::Revision at, const MemberName&,
                           const std::optional<std::string>& text);
-    /// All records follow, of a possibly lower revision; who is not listed is gone.
+    /// All records follow, of a possibly lower revision; members that are not listed are removed.
     void on_full_list(TimePoint now, const std::set<MemberName>& listed);
-    /// A heartbeat as the registry showed it. The same one again lets the wait go on; a new one starts it
-    /// again or, unless `hold`, ends it until that member is observed anew.
-    void on_heartbeat(TimePoint now, const MemberName&, const std::optional<std::string>& text, bool hold);
-    /// The registry was restored: heartbeats observed before say nothing.
+    /// A heartbeat as the registry shows it. The same one again counts towards the eviction timeout; a new
+    /// one restarts it or, unless `keep_observing`, ends it until that member is observed anew.
+    void on_heartbeat(TimePoint now, const MemberName&, const std::optional<std::string>& text,
+                      bool keep_observing);
+    /// The registry was restored: heartbeats observed before do not count.
     void restart_observations();
 
     /// Another member.
     struct Member {
         std::string text;       ///< of its record
-        bool readable = true;   ///< false: a newer form; it is alive, and what it owns is left to it
+        bool readable = true;   ///< false: a newer form; the member counts, and keeps what it owns
         MemberRecord member;    ///< its record
         TimePoint first_seen;   ///< first seen with this incarnation
         bool returned = false;  ///< it was a member before
@@ -71,14 +75,14 @@
     };
     const std::map<MemberName, Member>& members() const { return members_; }
     MemberStatus status_of(TimePoint now, const MemberName&) const;
-    /// Its heartbeat was shown unchanged for the whole wait.
-    bool evictable(const Member& peer) const {
-        return peer.observed && peer.last_seen - peer.unchanged_since >= eviction_timeout_;
+    /// Its heartbeat was unchanged for the whole eviction timeout.
+    bool evictable(const Member& member) const {
+        return member.observed && member.last_seen - member.unchanged_since >= eviction_timeout_;
     }
-    bool suspected(const Member& peer) const;
+    bool suspected(const Member& member) const;
     /// It has been a member for long enough to be handed a duty.
-    bool settled(TimePoint now, const Member& peer) const {
-        return now - peer.first_seen >= eviction_timeout_ + eviction_timeout_;
+    bool settled(TimePoint now, const Member& member) const {
+        return now - member.first_seen >= eviction_timeout_ + eviction_timeout_;
     }
 
     /// The time between two heartbeats.
@@ -98,7 +102,8 @@
     HeartbeatNumber last_confirmed_;
     TimePoint term_end_, grace_period_end_;
     std::map<MemberName, Member> members_;
-    std::map<MemberName, registry::Revision> removed_;  // 1,024 at most, then all are forgotten
+    std::map<MemberName, registry::Revision>
+        removed_;  // with the revision; max_members at most, then all are forgotten
 };
 
 }  // namespace irismux::fleet
--- a/src/fleet/records.cpp
+++ b/src/fleet/records.cpp
@@ -7,18 +7,21 @@
 
 using nlohmann::json;
 
-constexpr std::string_view members = "member/", beats = "beat/", duties = "duty/", asides = "aside/",
-                           findings = "seen/";
-constexpr std::string_view watches = "watch/";  // of duties
+constexpr std::string_view member_part = "member/";
+constexpr std::string_view heartbeat_part = "beat/";
+constexpr std::string_view duty_part = "duty/";
+constexpr std::string_view release_part = "aside/";
+constexpr std::string_view health_record_part = "seen/";
+constexpr std::string_view health_check_duty_part = "watch/";  // of a duty's name
 
 template <class Name>
-std::optional<Name> behind(const Key& key, std::string_view part) {
+std::optional<Name> name_after(std::string_view part, const Key& key) {
     const std::string& all = key.raw();
     if (all.size() <= part.size() || all.compare(0, part.size(), part) != 0) return std::nullopt;
     return Name{all.substr(part.size())};
 }
 
-// A number at least one; none else.
+// A number of at least one; none: the field is missing or something else.
 std::optional<std::int64_t> number(const json& o, const char* key) {
     const auto it = o.find(key);
     if (it == o.end() || !it->is_number_integer() || *it < 1) return std::nullopt;
@@ -31,11 +34,11 @@
     return it->get<std::string>();
 }
 
-std::int64_t number_or_none(const json& o, const char* key) { return number(o, key).value_or(0); }
+std::int64_t number_or_zero(const json& o, const char* key) { return number(o, key).value_or(0); }
 
-void put(json& o, const Instance& who) {
-    o["owner"] = who.name.raw();
-    o["start"] = who.incarnation.raw();
+void add_instance(json& o, const Instance& instance) {
+    o["owner"] = instance.name.raw();
+    o["start"] = instance.incarnation.raw();
 }
 
 std::optional<Instance> instance(const json& o) {
@@ -53,25 +56,33 @@
 }  // namespace
 
 Key shared_config_key() { return Key{"about"}; }
-Key member_key(const MemberName& m) { return Key{std::string(members) + m.raw()}; }
-Key heartbeat_key(const MemberName& m) { return Key{std::string(beats) + m.raw()}; }
-Key duty_key(const DutyName& d) { return Key{std::string(duties) + d.raw()}; }
+Key member_key(const MemberName& m) { return Key{std::string(member_part) + m.raw()}; }
+Key heartbeat_key(const MemberName& m) { return Key{std::string(heartbeat_part) + m.raw()}; }
+Key duty_key(const DutyName& d) { return Key{std::string(duty_part) + d.raw()}; }
 Key floor_key() { return Key{"floor"}; }
 Key collection_progress_key() { return Key{"swept"}; }
-Key release_key(const DutyName& d) { return Key{std::string(asides) + d.raw()}; }
-Key health_record_key(const CacheId& c) { return Key{std::string(findings) + c.raw()}; }
-std::optional<DutyName> released_duty_of(const Key& key) { return behind<DutyName>(key, asides); }
-std::optional<CacheId> health_record_cache(const Key& key) { return behind<CacheId>(key, findings); }
-DutyName health_check_duty(const CacheId& c) { return DutyName{std::string(watches) + c.raw()}; }
+Key release_key(const DutyName& d) { return Key{std::string(release_part) + d.raw()}; }
+Key health_record_key(const CacheId& c) { return Key{std::string(health_record_part) + c.raw()}; }
+std::optional<DutyName> released_duty_of(const Key& key) { return name_after<DutyName>(release_part, key); }
+std::optional<CacheId> health_record_cache(const Key& key) {
+    return name_after<CacheId>(health_record_part, key);
+}
+DutyName health_check_duty(const CacheId& c) {
+    return DutyName{std::string(health_check_duty_part) + c.raw()};
+}
 std::optional<CacheId> health_check_cache(const DutyName& d) {
-    return behind<CacheId>(Key{d.raw()}, watches);
+    return name_after<CacheId>(health_check_duty_part, Key{d.raw()});
 }
-std::optional<MemberName> member_of(const Key& key) { return behind<MemberName>(key, members); }
-std::optional<MemberName> heartbeat_owner(const Key& key) { return behind<MemberName>(key, beats); }
-std::optional<DutyName> duty_of(const Key& key) { return behind<DutyName>(key, duties); }
+std::optional<MemberName> member_of(const Key& key) { return name_after<MemberName>(member_part, key); }
+std::optional<MemberName> heartbeat_owner(const Key& key) {
+    return name_after<MemberName>(heartbeat_part, key);
+}
+std::optional<DutyName> duty_of(const Key& key) { return name_after<DutyName>(duty_part, key); }
 
-std::string serialize(const SharedConfig& a) {
-    return json{{"installation", a.installation}, {"term_us", a.term.micros()}, {"drift", a.drift}}.dump();
+std::string serialize(const SharedConfig& config) {
+    return json{
+        {"installation", config.installation}, {"term_us", config.term.micros()}, {"drift", config.drift}}
+        .dump();
 }
 
 std::string serialize(const MemberRecord& m) {
@@ -92,22 +103,22 @@
     return o.dump();
 }
 
-std::string serialize(const Instance& who) {
+std::string serialize(const Instance& instance) {
     json o;
-    put(o, who);
+    add_instance(o, instance);
     return o.dump();
 }
 
 std::string serialize(const HealthRecord& f) {
     json o = {{"epoch", f.token.raw()}, {"well", f.healthy}, {"looks", f.streak}};
-    put(o, f.owner);
+    add_instance(o, f.owner);
     return o.dump();
 }
 
 std::string serialize(const CollectionProgress& s) {
     json o = {
         {"epoch", s.token.raw()}, {"pass", s.pass}, {"taken", s.removed_records}, {"behind", s.last_key}};
-    put(o, s.owner);
+    add_instance(o, s.owner);
     return o.dump();
 }
 
@@ -154,7 +165,7 @@
     const auto by = instance(o);
     const auto well = o.find("well");
     if (!token || !by || well == o.end() || !well->is_boolean()) return std::nullopt;
-    return HealthRecord{FencingToken{*token}, *by, well->get<bool>(), number_or_none(o, "looks")};
+    return HealthRecord{FencingToken{*token}, *by, well->get<bool>(), number_or_zero(o, "looks")};
 }
 
 std::optional<CollectionProgress> parse_collection_progress(std::string_view bytes) {
@@ -162,12 +173,12 @@
     const auto token = number(o, "epoch");
     const auto by = instance(o);
     if (!token || !by) return std::nullopt;
-    return CollectionProgress{FencingToken{*token}, *by, number_or_none(o, "pass"),
-                              number_or_none(o, "taken"), text(o, "behind").value_or("")};
+    return CollectionProgress{FencingToken{*token}, *by, number_or_zero(o, "pass"),
+                              number_or_zero(o, "taken"), text(o, "behind").value_or("")};
 }
 
 FencingToken parse_floor(std::string_view bytes) {
-    return FencingToken{number_or_none(object_of(bytes), "epoch")};
+    return FencingToken{number_or_zero(object_of(bytes), "epoch")};
 }
 
 }  // namespace irismux::fleet
--- a/src/fleet/records.hpp
+++ b/src/fleet/records.hpp
@@ -3,13 +3,13 @@
 ///   about          the shared configuration; a member whose own differs stays out
 ///   member/NAME    the living instance of that name: written at its join, removed when it leaves or is
 ///   evicted,
-///                  and rewritten only to publish refused tokens and marked caches
+///                  and rewritten only to publish refused tokens and ejected caches
 ///   beat/NAME      its last heartbeat; no two heartbeats ever written are equal
 ///   duty/NAME      the owner of a duty and its fencing token; an empty owner: the duty was given up
 ///   floor          the highest token of any removed duty record; a duty without a record starts above it
 ///   aside/DUTY     an operator's release: that instance is to leave the duty to others
 ///   swept          the progress of the garbage collector
-///   seen/CACHE     the last probe result of the health watch over that cache
+///   seen/CACHE     the result of the last health check of that cache
 ///
 /// Values are JSON objects; a value that can't be parsed is treated as absent. Pure functions of bytes.
 #pragma once
@@ -44,7 +44,7 @@
 struct SharedConfig {
     std::string installation;
     Duration term =
-        Duration::micros(12'000'000);  ///< a heartbeat lets its sender act for so long, less the drift
+        Duration::micros(12'000'000);  ///< for so long, less the drift, a heartbeat lets its sender act
     double drift = 0.01;               ///< largest error of a clock's rate, either way; at most 0.5
     bool operator==(const SharedConfig&) const = default;
 };
@@ -60,7 +60,7 @@
     std::string version;  ///< of the program
     std::map<DutyName, FencingToken>
         refused_tokens;                     ///< tokens seen that are above that of the duty's record
-    std::set<CacheId> ejected_caches = {};  ///< caches that it passes over because they do not answer
+    std::set<CacheId> ejected_caches = {};  ///< caches that it does not use because they do not answer
 };
 
 /// A member's last heartbeat.
@@ -84,12 +84,12 @@
     bool operator==(const Instance&) const = default;
 };
 
-/// The outcome of a health watch's last probes, written by the owner of its duty.
+/// The outcome of the last health checks of a cache, written by the owner of its duty.
 struct HealthRecord {
     FencingToken token;
     Instance owner;
-    bool healthy = false;     ///< the last probe was answered
-    std::int64_t streak = 0;  ///< consecutive probes with that outcome
+    bool healthy = false;     ///< the last check was answered
+    std::int64_t streak = 0;  ///< consecutive checks with that outcome
 };
 
 /// How far the garbage collector has come, for the next owner of its duty to continue.
@@ -119,7 +119,7 @@
 std::optional<DutyName> released_duty_of(const Key&);
 std::optional<CacheId> health_record_cache(const Key&);
 
-/// The health watch over a cache is a duty of its own.
+/// The health checks of one cache are a duty of their own.
 DutyName health_check_duty(const CacheId&);
 std::optional<CacheId> health_check_cache(const DutyName&);
 
--- a/src/fleet/site_reporter.hpp
+++ b/src/fleet/site_reporter.hpp
@@ -1,7 +1,5 @@
-/// One member's part in its site's word on what is in force: what its heartbeats claim, and, while it owns
-/// the site's duty `digest`, the digest. Between the board, the Agent and its transactions; no I/O, no clock.
-///
-/// Call go_on() after each event that this or the Agent is told.
+/// One member's part in its site's digest: the applied revisions that its heartbeats report and, while it
+/// owns the site's duty `digest`, the digest itself. No I/O, no clock.
 #pragma once
 
 #include <string>
@@ -10,6 +8,7 @@
 
 namespace irismux::fleet {
 
+/// advance() must be called after each call that changes it or the Agent.
 class SiteReporter {
 public:
     struct Settings {
@@ -18,18 +17,18 @@
         Duration term, acknowledge_interval;
         double drift = 0;
     };
-    /// `began`: when the process did.
-    SiteReporter(Settings settings, TimePoint began);
+    /// `process_start`: by the agent's clock.
+    SiteReporter(Settings settings, TimePoint process_start);
 
-    /// The board's polls are told here, configurations too.
+    /// To be told of the notice board's polls and of configurations.
     AppliedRevisionTracker& applied() { return applied_; }
     const AppliedRevisionTracker& applied() const { return applied_; }
-    /// Until then lookups must not be taken: a former process under this name may be counted as having in
-    /// force what this one does not have yet.
+    /// Until then requests must not be taken: digests may still count a former process under this name as
+    /// having applied what this one has not.
     bool may_serve(TimePoint now) const { return applied_.has_full_history() || now >= serving_allowed_at_; }
     TimePoint serving_allowed_at() const { return serving_allowed_at_; }
 
-    /// As AgentObserver is told.
+    /// As AgentObserver::on_heartbeat_result().
     void on_heartbeat(TimePoint now, std::int64_t unix_ms, TimePoint sent, HeartbeatNumber number,
                       const std::vector<Entry>& shown, const Agent& agent);
     void on_written(const Key& key);
@@ -43,8 +42,9 @@
     AppliedRevisionTracker applied_;
     DigestBuilder digest_builder_;
     std::optional<std::string> shown_generation_text_;
-    std::int64_t proposed_generations_ = 0;  // proposed by this process
-    bool digest_write_pending_ = false, generation_write_pending_ = false;
+    std::int64_t proposed_generations_ = 0;  // by this process
+    bool digest_write_pending_ = false;
+    bool generation_write_pending_ = false;
 };
 
 }  // namespace irismux::fleet
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -212,7 +212,7 @@
 
 TEST_F(Alone, ARegistryThatHasGoneBackIsRefusedUntilTheEpochHasJumped) {
     start("m", shared_config());
-    agent->accepts_order_of(DutyName{"d"}, {FencingToken{40}, MemberName{"x"}, Incarnation{1}});
+    EXPECT_TRUE(agent->accepts_order_of(DutyName{"d"}, {FencingToken{40}, MemberName{"x"}, Incarnation{1}}));
     put("duty/d", serialize(DutyRecord{FencingToken{7}, MemberName{"y"}, Incarnation{1}}));
     run(ms * 2'000);
     EXPECT_TRUE(reported(FencingTokenRegressed{DutyName{"d"}, FencingToken{7}, FencingToken{40}}));
