--- a/src/fleet/digest.cpp
+++ b/src/fleet/digest.cpp
@@ -89,6 +89,24 @@
     }
 }
 
+// False: a list is malformed. A list that is missing is empty.
+bool parse_lists(const json& o, Digest& digest) {
+    const auto append_absent = [&](const json& entry) {
+        digest.absent.push_back({MemberName{entry[0].get<std::string>()}, entry[1].get<std::int64_t>()});
+    };
+    const auto append_lagging = [&](const json& entry) {
+        digest.lagging.push_back({MemberName{entry[0].get<std::string>()},
+                                  EventNumber{entry[1].get<std::int64_t>()},
+                                  ConfigurationNumber{entry[2].get<std::int64_t>()}});
+    };
+    const auto append_ejected = [&](const json& entry) {
+        digest.ejected_caches.emplace_back(CacheId{entry[0].get<std::string>()}, entry[1].get<std::size_t>());
+    };
+    return for_each_entry(o, "absent", 1, max_named_members, append_absent) &&
+           for_each_entry(o, "behind", 2, max_named_members, append_lagging) &&
+           for_each_entry(o, "marks", 1, max_reported_caches, append_ejected);
+}
+
 }  // namespace
 
 Key roster_key() { return Key{"roster"}; }
@@ -178,23 +196,8 @@
     d.lowest_configuration = ConfigurationNumber{*configuration};
     d.absent_count = static_cast<std::size_t>(*absent);
     d.lagging_count = static_cast<std::size_t>(*behind);
-    const bool lists_read =
-        for_each_entry(
-            o, "absent", 1, max_named_members,
-            [&](const json& e) {
-                d.absent.push_back({MemberName{e[0].get<std::string>()}, e[1].get<std::int64_t>()});
-            }) &&
-        for_each_entry(o, "behind", 2, max_named_members,
-                       [&](const json& e) {
-                           d.lagging.push_back({MemberName{e[0].get<std::string>()},
-                                                EventNumber{e[1].get<std::int64_t>()},
-                                                ConfigurationNumber{e[2].get<std::int64_t>()}});
-                       }) &&
-        for_each_entry(o, "marks", 1, max_reported_caches, [&](const json& e) {
-            d.ejected_caches.emplace_back(CacheId{e[0].get<std::string>()}, e[1].get<std::size_t>());
-        });
-    // Lists that are shorter than their counts are cut; longer ones can't be.
-    if (!lists_read || d.absent.size() > d.absent_count || d.lagging.size() > d.lagging_count)
+    // A list may be shorter than its count, since only so many are named, but not longer.
+    if (!parse_lists(o, d) || d.absent.size() > d.absent_count || d.lagging.size() > d.lagging_count)
         return std::nullopt;
     return d;
 }
--- a/src/fleet/health_monitor.cpp
+++ b/src/fleet/health_monitor.cpp
@@ -89,7 +89,8 @@
 // The result is written under the lease as it is now, not as it was when the check was sent.
 void HealthMonitor::on_health_check_done(TimePoint now, const CacheId& cache, bool healthy, Agent& agent) {
     const auto it = checks_.find(cache);
-    if (it == checks_.end() || !std::exchange(it->second.under_way, false)) return;
+    if (it == checks_.end() || !it->second.under_way) return;
+    it->second.under_way = false;
     const DutyName duty = health_check_duty(cache);
     HealthRecord& last = it->second.last;
     last.streak = last.healthy == healthy ? std::min(last.streak + 1, max_streak) : 1;
--- a/src/fleet/settings.hpp
+++ b/src/fleet/settings.hpp
@@ -11,19 +11,22 @@
 
 struct Settings {
     SharedConfig shared_config;
-    MemberName name;                                               ///< of this gateway as a member
-    registry::Settings registry;                                   ///< with the fleet's own prefix
-    Duration health_check_interval = Duration::micros(2'000'000);  ///< between probes of one cache
-    Duration collection_interval =
-        Duration::micros(60'000'000);  ///< between two passes of the garbage collector
-    std::string token_store_folder;    ///< folder of the store of tokens seen; empty: they are not kept
-    /// Of a site: its members know only one another, and say what they have in force. Empty: of the whole
-    /// fleet.
+    MemberName name;              ///< of this gateway as a member
+    registry::Settings registry;  ///< with the fleet's own prefix
+    /// Between two health checks of one cache.
+    Duration health_check_interval = Duration::micros(2'000'000);
+    /// Between the end of a garbage collector's pass and the next one.
+    Duration collection_interval = Duration::micros(60'000'000);
+    /// Of the tokens seen; empty: they are not kept over a restart.
+    std::string token_store_folder;
+    /// A site's members know only one another, and report what they have applied. Empty: of the whole fleet.
     SiteName site = {};
-    Duration acknowledge_interval =
-        Duration::micros(500'000);                   ///< pace of acknowledgements and digests under way
-    ConfigurationNumber configuration = {};          ///< as its author numbers it; zero: not said
-    std::map<SiteName, std::size_t> inventory = {};  ///< each site with its number of gateways; for who asks
+    /// The least time between two acknowledgements, and between two digests.
+    Duration acknowledge_interval = Duration::micros(500'000);
+    /// As its author numbers it; zero: not numbered.
+    ConfigurationNumber configuration = {};
+    /// Each site with the number of its gateways; for `irismux fleet in-force`.
+    std::map<SiteName, std::size_t> inventory = {};
     bool operator==(const Settings&) const = default;
 };
 
--- a/src/fleet/site_reporter.cpp
+++ b/src/fleet/site_reporter.cpp
@@ -49,16 +49,16 @@
 
 void SiteReporter::advance(TimePoint now, Agent& agent) {
     const bool owner = agent.may_begin_work(now, digest_duty());
-    HeartbeatReads snapshot;
-    snapshot.records = {generation_key()};
+    HeartbeatReads reads;
+    reads.records = {generation_key()};
     if (owner) {
-        snapshot.records.insert(snapshot.records.end(), {roster_key(), digest_key()});
-        snapshot.heartbeats = digest_builder_.member_names();
-        snapshot.frequent = digest_builder_.has_lagging_members();
+        reads.records.insert(reads.records.end(), {roster_key(), digest_key()});
+        reads.heartbeats = digest_builder_.member_names();
+        reads.frequent = digest_builder_.has_lagging_members();
     } else {
         digest_builder_.reset();
     }
-    agent.set_heartbeat_reads(now, std::move(snapshot));
+    agent.set_heartbeat_reads(now, std::move(reads));
     agent.set_applied_revisions(now, applied_.applied_revisions());
     if (owner) write_due(now, agent);
 }
--- a/src/fleet/transaction_client.cpp
+++ b/src/fleet/transaction_client.cpp
@@ -69,7 +69,9 @@
 void TransactionClient::on_request_failed(const registry::RequestFailure&) {
     connection_.close();
     use_next_member();
-    if (std::exchange(pending_, std::nullopt)) observer_.on_transaction_lost();
+    if (!pending_) return;
+    pending_.reset();
+    observer_.on_transaction_lost();
 }
 
 }  // namespace irismux::fleet
--- a/tests/fleet_digest_test.cpp
+++ b/tests/fleet_digest_test.cpp
@@ -1,5 +1,5 @@
-// What is in force where: what a member may say of itself, how a site's digest is folded, and what a reader
-// may conclude. Parts by themselves; whole fleets are in fleet_in_force_test.cpp.
+// Applied revisions of one member, the digest of a site, and the answer of a reader. Whole installations are
+// in fleet_in_force_test.cpp.
 #include <gtest/gtest.h>
 
 #include "fleet/fleet_status.hpp"
@@ -10,28 +10,28 @@
 namespace {
 
 const Duration ms = Duration::micros(1000);
-const Duration term = ms * 4000, round_length = ms * 1000;
+const Duration term = ms * 4000, heartbeat_interval = ms * 1000;
 const Generation first{1, "g1"}, second{2, "g2"};
 
 EventNumber event(std::int64_t n) { return EventNumber{n}; }
 
-// --- what a member may say of itself ---------------------------------------------------------------------
+// --- applied revisions of one member ---------------------------------------------------------------------
 
-// The board has answered a poll that named the last event that came, or none.
-void told(AppliedRevisionTracker& a, std::int64_t newest, std::int64_t asked_from = 0) {
+// The board has answered a poll; `asked_from`: the last event that it named, or none.
+void poll_completed(AppliedRevisionTracker& a, std::int64_t newest, std::int64_t asked_from = 0) {
     a.on_poll_completed(event(newest), event(asked_from));
 }
 
-// Told everything by the board in that generation.
-AppliedRevisionTracker told(const Generation& g, std::int64_t newest) {
+// A process that has read the full history in that generation.
+AppliedRevisionTracker poll_completed(const Generation& g, std::int64_t newest) {
     AppliedRevisionTracker a;
     a.on_generation(g);
     a.on_poll_started(true);
-    told(a, newest);
+    poll_completed(a, newest);
     return a;
 }
 
-TEST(Acknowledgement, ClaimsNothingBeforeTheGenerationIsKnownAndTheBoardHasToldAll) {
+TEST(AppliedRevisionTracking, ReportsNothingBeforeTheGenerationIsKnownAndTheFullHistoryIsApplied) {
     AppliedRevisionTracker a;
     EXPECT_FALSE(a.applied_revisions());
     EXPECT_TRUE(a.needs_full_history());
@@ -39,61 +39,65 @@
     EXPECT_FALSE(a.needs_full_history());
     a.on_generation(first);
     // Asked before the generation was shown: it may be of the board's former history.
-    told(a, 9);
+    poll_completed(a, 9);
     EXPECT_EQ(a.applied_revisions()->event, event(0));
     EXPECT_TRUE(a.has_full_history());
     EXPECT_TRUE(a.needs_full_history());
     // Only what is new since it started: events between are not known.
     a.on_poll_started(false);
-    told(a, 12);
+    poll_completed(a, 12);
     EXPECT_EQ(a.applied_revisions()->event, event(0));
     a.on_poll_started(true);
-    told(a, 13);
+    poll_completed(a, 13);
     EXPECT_EQ(a.applied_revisions()->event, event(13));
     EXPECT_FALSE(a.needs_full_history());
     a.on_poll_started(false);
-    told(a, 14);
+    poll_completed(a, 14);
     EXPECT_EQ(a.applied_revisions()->event, event(14));
 }
 
-TEST(Acknowledgement, AFailedPollTellsNothing) {
-    AppliedRevisionTracker a = told(first, 5);
+TEST(AppliedRevisionTracking, AFailedPollChangesNothing) {
+    AppliedRevisionTracker a = poll_completed(first, 5);
     a.on_poll_started(false);
     a.on_poll_failed();
-    told(a, 8);
+    poll_completed(a, 8);
     EXPECT_EQ(a.applied_revisions()->event, event(5));
 }
 
-TEST(Acknowledgement, ABoardThatWentBackCountsAgainOnlyInTheNextGeneration) {
-    AppliedRevisionTracker a = told(first, 100);
+// Given: a process that has applied event 100. When: the board answers with 85, and its numbers come as
+// far again. Then: no event is reported until the next generation, and then only after a full read.
+TEST(AppliedRevisionTracking, AfterTheBoardIsRestoredEventsCountAgainOnlyInTheNextGeneration) {
+    AppliedRevisionTracker a = poll_completed(first, 100);
     a.on_poll_started(false);
-    told(a, 85);
+    poll_completed(a, 85);
     EXPECT_TRUE(a.applied_revisions()->history_lost);
     EXPECT_EQ(a.applied_revisions()->event, event(0));
     EXPECT_FALSE(a.needs_full_history());
     // Its numbers come as far again: they are others.
     a.on_poll_started(false);
-    told(a, 120);
+    poll_completed(a, 120);
     EXPECT_EQ(a.applied_revisions()->event, event(0));
     a.on_generation(second);
     EXPECT_FALSE(a.applied_revisions()->history_lost);
     EXPECT_EQ(a.applied_revisions()->event, event(0));
     EXPECT_TRUE(a.needs_full_history());
     a.on_poll_started(true);
-    told(a, 121);
+    poll_completed(a, 121);
     EXPECT_EQ(a.applied_revisions(), (AppliedRevisions{second, event(121), {}, false}));
 }
 
-TEST(Acknowledgement, AnAnswerToAPollFromBeforeTheGenerationIsNotOfIt) {
-    AppliedRevisionTracker a = told(first, 100);
+TEST(AppliedRevisionTracking, AnAnswerToAPollFromBeforeTheGenerationDoesNotCountInIt) {
+    AppliedRevisionTracker a = poll_completed(first, 100);
     a.on_poll_started(true);
     a.on_generation(second);
-    told(a, 101);
+    poll_completed(a, 101);
     EXPECT_EQ(a.applied_revisions()->event, event(0));
 }
 
-// A long answer is broken off: the next poll goes on behind what has come, and is still the same telling.
-TEST(Acknowledgement, ATellingFromTheStartMayTakeSeveralPolls) {
+// Given: a read of the full history whose first poll breaks off. When: the next poll goes on behind it; or
+// the board is restored, or a new generation begins in between. Then: the first counts as one read; the
+// others do not.
+TEST(AppliedRevisionTracking, AReadOfTheFullHistoryMayTakeSeveralPolls) {
     AppliedRevisionTracker a;
     a.on_generation(first);
     a.on_poll_started(a.needs_full_history());
@@ -101,7 +105,7 @@
     EXPECT_FALSE(a.needs_full_history());
     EXPECT_FALSE(a.has_full_history());
     a.on_poll_started(false);
-    told(a, 30, 20);
+    poll_completed(a, 30, 20);
     EXPECT_TRUE(a.has_full_history());
     EXPECT_EQ(a.applied_revisions()->event, event(30));
     // Restored in between: its numbers are below what has come.
@@ -110,7 +114,7 @@
     b.on_poll_started(true);
     b.on_poll_failed();
     b.on_poll_started(false);
-    told(b, 18, 20);
+    poll_completed(b, 18, 20);
     EXPECT_TRUE(b.applied_revisions()->history_lost);
     // A new generation in between: it begins anew.
     AppliedRevisionTracker c;
@@ -120,26 +124,26 @@
     c.on_generation(second);
     EXPECT_TRUE(c.needs_full_history());
     c.on_poll_started(false);
-    told(c, 30, 20);
+    poll_completed(c, 30, 20);
     EXPECT_EQ(c.applied_revisions()->event, event(0));
 }
 
-TEST(Acknowledgement, AnEventThatCouldNotBeReadIsNotInForceNorAnyAfterIt) {
-    AppliedRevisionTracker a = told(first, 5);
+TEST(AppliedRevisionTracking, AnEventThatCouldNotBeParsedIsNotReportedNorAnyAfterIt) {
+    AppliedRevisionTracker a = poll_completed(first, 5);
     a.on_notice_skipped();
     a.on_poll_started(false);
-    told(a, 9, 5);
+    poll_completed(a, 9, 5);
     EXPECT_EQ(a.applied_revisions()->event, event(0));
 }
 
-TEST(Acknowledgement, ALowerGenerationOrAnotherOfTheSameNumberIsNotTaken) {
-    AppliedRevisionTracker a = told(second, 7);
+TEST(AppliedRevisionTracking, ALowerGenerationOrAnotherOfTheSameNumberIsIgnored) {
+    AppliedRevisionTracker a = poll_completed(second, 7);
     a.on_generation(first);
     a.on_generation({2, "other"});
     EXPECT_EQ(a.applied_revisions(), (AppliedRevisions{second, event(7), {}, false}));
 }
 
-TEST(Acknowledgement, TheNextGenerationIsAboveAllThatIsKnown) {
+TEST(AppliedRevisionTracking, TheNextGenerationIsAboveAllThatIsKnown) {
     EXPECT_FALSE(next_generation(first, first, false, "n"));
     EXPECT_FALSE(next_generation(second, first, false, "n"));
     EXPECT_EQ(next_generation(std::nullopt, {}, false, "n"), (Generation{1, "n"}));
@@ -148,7 +152,7 @@
     EXPECT_EQ(next_generation(Generation{2, "other"}, second, false, "n"), (Generation{3, "n"}));
 }
 
-TEST(Acknowledgement, AHeartbeatWithAClaimIsReadByFormerVersionsAndOneWithoutIsNoClaim) {
+TEST(AppliedRevisionTracking, AHeartbeatWithRevisionsIsParsedByFormerVersions) {
     const std::string plain = serialize(HeartbeatRecord{Incarnation{3}, InstanceId{"k"}, HeartbeatNumber{9}});
     const AppliedRevisions claim{first, event(12), ConfigurationNumber{4}, true};
     const std::string with = with_applied_revisions(plain, claim);
@@ -166,10 +170,10 @@
 
 // --- the digest ------------------------------------------------------------------------------------------
 
-// A site whose heartbeats the test writes; looks come once a round.
-class Site : public ::testing::Test {
+// A site whose heartbeats the test writes; one snapshot a heartbeat interval.
+class SiteDigest : public ::testing::Test {
 protected:
-    DigestBuilder keeper{{MemberName{"m0"}, "k0", term, ms * 250, round_length}};
+    DigestBuilder builder{{MemberName{"m0"}, "k0", term, ms * 250, heartbeat_interval}};
     TimePoint now = TimePoint::at_seconds(100);
     std::int64_t number = 0;
     SiteRoster roster;
@@ -196,153 +200,159 @@
         if (!m.generation) return plain;
         return with_applied_revisions(plain, AppliedRevisions{*m.generation, event(m.event), {}, false});
     }
-    const Digest& look(Duration took = ms * 20) {
-        FleetSnapshot l;
-        l.requested_at = now;
-        l.received_at = now + took;
-        l.heartbeat_number = ++number;
-        l.unix_ms = now.seconds() > 0 ? static_cast<std::int64_t>(now.seconds() * 1000) : 0;
-        l.roster = serialize(roster);
-        l.former_digest = former;
-        l.generation = generation;
-        for (auto& [name, m] : members) l.heartbeats[name] = text(m);
-        keeper.on_snapshot(l, AppliedRevisions{first, event(own_event), {}, false}, {});
-        now = now + std::max(round_length, took);
-        return *keeper.digest();
+    const Digest& take_snapshot(Duration took = ms * 20) {
+        FleetSnapshot snapshot;
+        snapshot.requested_at = now;
+        snapshot.received_at = now + took;
+        snapshot.heartbeat_number = ++number;
+        snapshot.unix_ms = now.seconds() > 0 ? static_cast<std::int64_t>(now.seconds() * 1000) : 0;
+        snapshot.roster = serialize(roster);
+        snapshot.former_digest = former;
+        snapshot.generation = generation;
+        for (auto& [name, m] : members) snapshot.heartbeats[name] = text(m);
+        builder.on_snapshot(snapshot, AppliedRevisions{first, event(own_event), {}, false}, {});
+        now = now + std::max(heartbeat_interval, took);
+        return *builder.digest();
     }
-    const Digest& looks(int n) {
-        for (int k = 1; k < n; ++k) look();
-        return look();
+    const Digest& take_snapshots(int n) {
+        for (int k = 1; k < n; ++k) take_snapshot();
+        return take_snapshot();
     }
 };
 
-TEST_F(Site, TheLowestOfAllLiveMembersIsWhatTheSiteHasInForce) {
+TEST_F(SiteDigest, TheLowestEventOfAllLiveMembersIsThatOfTheSite) {
     join("m1", 10);
     join("m2", 8);
     own_event = 9;
-    const Digest& d = looks(5);
+    const Digest& d = take_snapshots(5);
     EXPECT_EQ(d.live_count, 3u);
     EXPECT_EQ(d.lowest, event(8));
     EXPECT_EQ(d.highest, event(10));
     ASSERT_EQ(d.lagging.size(), 2u);
     EXPECT_EQ(d.lagging[0].member, MemberName{"m2"});
-    EXPECT_TRUE(keeper.has_lagging_members());
+    EXPECT_TRUE(builder.has_lagging_members());
 }
 
 // One heartbeat may have been sent by a process that has long ended, and have come late.
-TEST_F(Site, AMemberCountsOnceTwoOfItsHeartbeatsHaveBeenSeenToCome) {
+TEST_F(SiteDigest, AMemberCountsOnceTwoNewHeartbeatsOfItWereSeen) {
     join("m1", 10);
-    EXPECT_EQ(look().live_count, 1u);
-    EXPECT_EQ(look().live_count, 1u);
-    EXPECT_EQ(look().live_count, 2u);
+    EXPECT_EQ(take_snapshot().live_count, 1u);
+    EXPECT_EQ(take_snapshot().live_count, 1u);
+    EXPECT_EQ(take_snapshot().live_count, 2u);
 }
 
-TEST_F(Site, AMemberWhoseHeartbeatStandsStillIsAbsentSinceWhenItWasSeen) {
+// Given: a live member. When: its process sends no more heartbeats. Then: it is absent, with the time
+// since when, which stays the same.
+TEST_F(SiteDigest, AMemberWithoutNewHeartbeatsIsAbsentSinceThen) {
     join("m1", 10);
-    looks(5);
+    take_snapshots(5);
     members[MemberName{"m1"}].runs = false;
-    const Digest& d = looks(7);
+    const Digest& d = take_snapshots(7);
     EXPECT_EQ(d.live_count, 1u);
     ASSERT_EQ(d.absent.size(), 1u);
     EXPECT_EQ(d.absent[0].member, MemberName{"m1"});
     const std::int64_t since = d.absent[0].since_ms;
-    EXPECT_EQ(looks(10).absent[0].since_ms, since);
-    EXPECT_EQ(looks(1).highest, event(10));  // what it last claimed is still a number of the board
+    EXPECT_EQ(take_snapshots(10).absent[0].since_ms, since);
+    EXPECT_EQ(take_snapshots(1).highest, event(10));  // what it last claimed is still a number of the board
 }
 
-TEST_F(Site, AnOwnerThatWasStoppedCountsNobodyByWhatItSawBefore) {
+// Given: an owner that knows a live member. When: its next snapshot takes twice a term. Then: the member
+// does not count.
+TEST_F(SiteDigest, AnOwnerThatWasStoppedCountsNoMemberByOldSnapshots) {
     join("m1", 10);
-    looks(5);
-    EXPECT_EQ(look(term * 2).live_count, 1u);
+    take_snapshots(5);
+    EXPECT_EQ(take_snapshot(term * 2).live_count, 1u);
 }
 
-TEST_F(Site, AHeartbeatThatARestoredRegistryShowsAgainIsNoSignOfLife) {
+// Given: a member whose process has ended. When: a restored registry shows one of its earlier heartbeats.
+// Then: it is not live.
+TEST_F(SiteDigest, AHeartbeatOfARestoredRegistryDoesNotCount) {
     join("m1", 10);
-    looks(5);
+    take_snapshots(5);
     members[MemberName{"m1"}].runs = false;
     members[MemberName{"m1"}].heartbeat = 2;
-    EXPECT_EQ(look().live_count, 1u);
+    EXPECT_EQ(take_snapshot().live_count, 1u);
 }
 
-TEST_F(Site, ANewProcessUnderTheNameCountsOnlyByItsOwnHeartbeats) {
+TEST_F(SiteDigest, ANewProcessUnderTheNameCountsOnlyByItsOwnHeartbeats) {
     join("m1", 10);
-    looks(5);
+    take_snapshots(5);
     members[MemberName{"m1"}] = {true, 50, 3, "another", first};
-    EXPECT_EQ(look().live_count, 1u);
-    EXPECT_EQ(looks(3).lowest, event(0));
-    EXPECT_EQ(keeper.digest()->live_count, 2u);
+    EXPECT_EQ(take_snapshot().live_count, 1u);
+    EXPECT_EQ(take_snapshots(3).lowest, event(0));
+    EXPECT_EQ(builder.digest()->live_count, 2u);
 }
 
-TEST_F(Site, AMemberThatSaysNothingOfItHasNothingInForce) {
+TEST_F(SiteDigest, AMemberThatReportsNoRevisionsIsLagging) {
     join("m1", 10);
     members[MemberName{"m1"}].generation.reset();
     own_event = 10;
-    const Digest& d = looks(5);
+    const Digest& d = take_snapshots(5);
     EXPECT_EQ(d.live_count, 2u);
     EXPECT_EQ(d.lowest, event(0));
     EXPECT_EQ(d.lagging[0].member, MemberName{"m1"});
 }
 
-TEST_F(Site, AClaimInAnotherGenerationIsNone) {
+TEST_F(SiteDigest, RevisionsOfAnotherGenerationDoNotCount) {
     join("m1", 10);
     own_event = 10;
-    looks(5);
+    take_snapshots(5);
     members[MemberName{"m1"}].generation = Generation{1, "another"};
-    EXPECT_EQ(look().lowest, event(0));
-    EXPECT_EQ(keeper.next_generation("n"), (Generation{2, "n"}));
+    EXPECT_EQ(take_snapshot().lowest, event(0));
+    EXPECT_EQ(builder.next_generation("n"), (Generation{2, "n"}));
     members[MemberName{"m1"}].generation = Generation{4, "higher"};
-    look();
-    EXPECT_EQ(keeper.next_generation("n"), (Generation{5, "n"}));
+    take_snapshot();
+    EXPECT_EQ(builder.next_generation("n"), (Generation{5, "n"}));
 }
 
-TEST_F(Site, WhoIsInTheRosterAndWasNeverSeenIsAbsent) {
+TEST_F(SiteDigest, AMemberOfTheRosterThatWasNeverSeenIsAbsent) {
     roster.names.insert(MemberName{"m9"});
-    const Digest& d = looks(5);
+    const Digest& d = take_snapshots(5);
     EXPECT_EQ(d.known_count, 2u);
     ASSERT_EQ(d.absent.size(), 1u);
 }
 
-TEST_F(Site, ASuccessorKeepsSinceWhenSomebodyIsAbsent) {
+TEST_F(SiteDigest, ASuccessorKeepsTheTimeSinceWhenAMemberIsAbsent) {
     roster.names.insert(MemberName{"m9"});
     Digest before;
     before.absent = {{MemberName{"m9"}, 77}};
     before.absent_count = 1;
     former = serialize(before);
-    EXPECT_EQ(looks(3).absent[0].since_ms, 77);
+    EXPECT_EQ(take_snapshots(3).absent[0].since_ms, 77);
 }
 
-TEST_F(Site, MoreThanADigestCanNameAreCounted) {
+TEST_F(SiteDigest, MoreThanADigestCanNameAreCounted) {
     for (int n = 1; n <= 40; ++n) join("x" + std::to_string(n), n);
     own_event = 40;
-    const Digest& d = looks(5);
+    const Digest& d = take_snapshots(5);
     EXPECT_EQ(d.live_count, 41u);
     EXPECT_EQ(d.lagging_count, 39u);
     EXPECT_EQ(d.lagging.size(), max_named_members);
     EXPECT_EQ(d.lagging[0].event, event(1));
     for (auto& [name, m] : members) m.runs = false;
-    const Digest& still = looks(8);
+    const Digest& still = take_snapshots(8);
     EXPECT_EQ(still.absent_count, 40u);
     EXPECT_EQ(still.absent.size(), max_named_members);
     EXPECT_LE(serialize(still).size(), 4096u);
 }
 
-TEST_F(Site, ADigestIsWrittenOnChangeAtItsPaceAndElseToStayFresh) {
+TEST_F(SiteDigest, ADigestIsWrittenOnChangeAndElseOnceARefreshInterval) {
     join("m1", 10);
-    looks(5);
-    EXPECT_TRUE(keeper.next_digest(now));
-    EXPECT_FALSE(keeper.next_digest(now + ms * 900));
-    EXPECT_TRUE(keeper.next_digest(now + ms * 1000));
+    take_snapshots(5);
+    EXPECT_TRUE(builder.next_digest(now));
+    EXPECT_FALSE(builder.next_digest(now + ms * 900));
+    EXPECT_TRUE(builder.next_digest(now + ms * 1000));
     now = now + ms * 1000;
     members[MemberName{"m1"}].event = 11;
     const TimePoint changed = now;
-    look();
-    EXPECT_FALSE(keeper.next_digest(changed + ms * 249));
-    EXPECT_TRUE(keeper.next_digest(changed + ms * 250));
+    take_snapshot();
+    EXPECT_FALSE(builder.next_digest(changed + ms * 249));
+    EXPECT_TRUE(builder.next_digest(changed + ms * 250));
 }
 
-TEST_F(Site, ARecordThatCannotBeReadIsNone) {
+TEST_F(SiteDigest, ADigestThatCannotBeParsedIsAbsent) {
     join("m1", 10);
-    const std::string good = serialize(looks(5));
+    const std::string good = serialize(take_snapshots(5));
     ASSERT_TRUE(parse_digest(good));
     EXPECT_EQ(serialize(*parse_digest(good)), good);
     for (std::size_t n = 0; n < good.size(); ++n) EXPECT_FALSE(parse_digest(good.substr(0, n))) << n;
@@ -350,7 +360,7 @@
         EXPECT_FALSE(parse_site_roster(bad));
 }
 
-TEST(Roster, HasRoomForSoManyAndSaysWhenThereIsNoMore) {
+TEST(SiteRosterLimit, IsMarkedIncompleteWhenItIsFull) {
     SiteRoster r;
     for (std::size_t n = 0; n < max_roster_names; ++n) r = *add_to_roster(r, MemberName{std::to_string(n)});
     EXPECT_FALSE(add_to_roster(r, MemberName{"0"}));
@@ -362,12 +372,12 @@
     EXPECT_FALSE(add_to_roster(*over, MemberName{"another"}));
 }
 
-// --- what a reader may conclude --------------------------------------------------------------------------
+// --- the answer of a reader --------------------------------------------------------------------------
 
-class Reader : public ::testing::Test {
+class FleetStatusReader : public ::testing::Test {
 protected:
     using Reach = FleetStatus::Reach;
-    using Why = FleetStatus::MissingReason;
+    using Reason = FleetStatus::MissingReason;
     std::map<SiteName, std::size_t> inventory{{SiteName{"a"}, 2}, {SiteName{"b"}, 1}};
     std::optional<FleetStatus> status;
     TimePoint now = TimePoint::at_seconds(100);
@@ -412,14 +422,14 @@
         read();
         return status->judge(now, {event(n), {}});
     }
-    std::vector<Why> whys(const FleetStatus::Verdict& v) {
-        std::vector<Why> all;
+    std::vector<Reason> reasons_of(const FleetStatus::Verdict& v) {
+        std::vector<Reason> all;
         for (const auto& m : v.missing) all.push_back(m.reason);
         return all;
     }
 };
 
-TEST_F(Reader, SaysEverywhereOnceEachSiteHasBeenSeenToSpeak) {
+TEST_F(FleetStatusReader, AnswersEverywhereOnceEachSiteHasAFreshDigest) {
     read();
     EXPECT_EQ(status->judge(now, {event(10), {}}).reach, Reach::all_but);
     read();
@@ -429,16 +439,16 @@
     EXPECT_EQ(v.reach, Reach::not_yet);
 }
 
-TEST_F(Reader, ADigestWhoseOwnerStandsStillIsNotFresh) {
+TEST_F(FleetStatusReader, ADigestWhoseOwnerSendsNoHeartbeatsIsNotFresh) {
     ASSERT_EQ(verdict().reach, Reach::everywhere);
     for (int n = 0; n < 45; ++n) read(false);
     const auto v = status->judge(now, {event(10), {}});
     EXPECT_EQ(v.reach, Reach::all_but);
-    EXPECT_EQ(whys(v), (std::vector{Why::site_silent, Why::site_silent}));
+    EXPECT_EQ(reasons_of(v), (std::vector{Reason::site_silent, Reason::site_silent}));
 }
 
 // Its heartbeat had landed long before; the digest itself was under way for long.
-TEST_F(Reader, ADigestThatComesLateIsNotFresh) {
+TEST_F(FleetStatusReader, ADigestThatComesLateIsNotFresh) {
     ASSERT_EQ(verdict().reach, Reach::everywhere);
     for (auto& [name, d] : sites) ++d.as_of_heartbeat;
     FleetStatus::RegistryReading r;
@@ -459,16 +469,16 @@
     EXPECT_EQ(status->judge(now, {event(10), {}}).reach, Reach::all_but);
 }
 
-TEST_F(Reader, NamesTheMembersThatAreAbsent) {
+TEST_F(FleetStatusReader, NamesTheMembersThatAreAbsent) {
     sites[SiteName{"a"}].absent = {{MemberName{"a1"}, 55}};
     sites[SiteName{"a"}].absent_count = 1;
     const auto v = verdict();
     EXPECT_EQ(v.reach, Reach::all_but);
     EXPECT_EQ(v.missing,
-              (std::vector<FleetStatus::Missing>{{Why::absent, SiteName{"a"}, MemberName{"a1"}, 55}}));
+              (std::vector<FleetStatus::Missing>{{Reason::absent, SiteName{"a"}, MemberName{"a1"}, 55}}));
 }
 
-TEST_F(Reader, NeverSaysAllButTheseWhereTheListIsCut) {
+TEST_F(FleetStatusReader, NeverAnswersAllButIfAListIsCut) {
     sites[SiteName{"a"}].absent = {{MemberName{"a1"}, 55}};
     sites[SiteName{"a"}].absent_count = 2;
     EXPECT_EQ(verdict().reach, Reach::not_yet);
@@ -477,7 +487,7 @@
     EXPECT_EQ(verdict().reach, Reach::not_yet);
 }
 
-TEST_F(Reader, NamesTheLiveThatLackIt) {
+TEST_F(FleetStatusReader, NamesTheLiveMembersThatLackTheEvent) {
     Digest& a = sites[SiteName{"a"}];
     a.lowest = event(8);
     a.lagging = {{MemberName{"a1"}, event(8), {}}};
@@ -488,56 +498,56 @@
     EXPECT_EQ(verdict(8).reach, Reach::everywhere);
 }
 
-TEST_F(Reader, AMissingOrEmptyOrNewSiteIsNotYet) {
+TEST_F(FleetStatusReader, AMissingOrEmptyOrNewSiteIsNotYet) {
     sites.erase(SiteName{"b"});
-    EXPECT_EQ(whys(verdict()), std::vector{Why::never_reported});
+    EXPECT_EQ(reasons_of(verdict()), std::vector{Reason::never_reported});
     sites[SiteName{"b"}] = site("b0", 1);
     sites[SiteName{"c"}] = site("c0", 1);  // not in the inventory
-    EXPECT_EQ(whys(verdict()), std::vector{Why::too_few});
+    EXPECT_EQ(reasons_of(verdict()), std::vector{Reason::too_few});
     sites.erase(SiteName{"c"});
     sites[SiteName{"a"}].known_count = 1;
-    EXPECT_EQ(whys(verdict()), std::vector{Why::too_few});
+    EXPECT_EQ(reasons_of(verdict()), std::vector{Reason::too_few});
     status.emplace(term, std::map<SiteName, std::size_t>{});
     sites.clear();
-    EXPECT_EQ(whys(verdict()), std::vector{Why::no_inventory});
+    EXPECT_EQ(reasons_of(verdict()), std::vector{Reason::no_inventory});
     // A site that is to be empty, and is.
     sites[SiteName{"a"}] = site("a0", 2);
     status.emplace(term, std::map<SiteName, std::size_t>{{SiteName{"a"}, 2}, {SiteName{"e"}, 0}});
     EXPECT_EQ(verdict().reach, Reach::everywhere);
 }
 
-TEST_F(Reader, AGatewayInTheOldFormIsNotYet) {
+TEST_F(FleetStatusReader, AGatewayOutsideOfAllSitesIsNotYet) {
     old_form.insert(MemberName{"o"});
     const auto v = verdict();
     EXPECT_EQ(v.reach, Reach::not_yet);
     EXPECT_EQ(v.missing[0].member, MemberName{"o"});
 }
 
-TEST_F(Reader, ANumberOfAnotherGenerationIsNotYet) {
+TEST_F(FleetStatusReader, AnEventOfAnotherGenerationIsNotYet) {
     sites[SiteName{"b"}].generation = second;
-    EXPECT_EQ(whys(verdict()), std::vector{Why::other_generation});
+    EXPECT_EQ(reasons_of(verdict()), std::vector{Reason::other_generation});
     sites[SiteName{"b"}].generation = first;
     sites[SiteName{"b"}].history_lost = true;
-    EXPECT_EQ(whys(verdict()), std::vector{Why::other_generation});
+    EXPECT_EQ(reasons_of(verdict()), std::vector{Reason::other_generation});
     sites[SiteName{"b"}].history_lost = false;
     generation.reset();
     EXPECT_EQ(verdict().reach, Reach::not_yet);
 }
 
 // Nobody has noticed yet that the board was restored.
-TEST_F(Reader, ABoardBelowWhatIsClaimedIsNotYet) {
+TEST_F(FleetStatusReader, ABoardBelowAReportedEventIsNotYet) {
     board = event(9);
-    EXPECT_EQ(whys(verdict(8)), std::vector{Why::board_unknown});
+    EXPECT_EQ(reasons_of(verdict(8)), std::vector{Reason::board_unknown});
     board = event(10);
     EXPECT_EQ(verdict(8).reach, Reach::everywhere);
     read();
     FleetStatus::RegistryReading r;
     r.requested_at = now;
     status->on_reading(r);  // what the board said before is no answer to what was read after
-    EXPECT_EQ(whys(status->judge(now, {event(8), {}})).front(), Why::board_unknown);
+    EXPECT_EQ(reasons_of(status->judge(now, {event(8), {}})).front(), Reason::board_unknown);
 }
 
-TEST_F(Reader, AConfigurationIsAskedForAsAnEventIs) {
+TEST_F(FleetStatusReader, AConfigurationIsAskedForAsAnEventIs) {
     for (auto& [name, d] : sites) d.lowest_configuration = ConfigurationNumber{4};
     verdict();
     EXPECT_EQ(status->judge(now, {{}, ConfigurationNumber{4}}).reach, Reach::everywhere);
--- a/tests/fleet_in_force_test.cpp
+++ b/tests/fleet_in_force_test.cpp
@@ -1,5 +1,4 @@
-// What is said to be in force everywhere is so, whatever happens: all sites of an installation in virtual
-// time.
+// An answer `everywhere` is true whatever happens: all sites of an installation in virtual time.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -17,7 +16,7 @@
 SharedConfig shared_config(double drift = 0.05) { return {"test", ms * 4000, drift}; }
 using Reach = FleetStatus::Reach;
 
-TEST(InForce, ACalmInstallationSaysEverywhereWithinTheStatedTime) {
+TEST(SimulatedSites, WithoutFaultsEverywhereIsAnsweredWithinTheStatedTime) {
     SiteSimulation w(1, {.sites = {3, 5, 1}}, shared_config());
     w.start_all();
     w.run(ms * 25'000);
@@ -29,7 +28,7 @@
     EXPECT_LE(w.longest_until_said, max_report_delay(ms * 4000, 0.05, ms * 250, ms * 50, ms * 300));
 }
 
-SiteSimulation::FaultRates all_troubles() {
+SiteSimulation::FaultRates all_faults() {
     return {.lose = 0.05,
             .late = 0.05,
             .repeat = 0.05,
@@ -41,8 +40,8 @@
             .board_back = 0.02};
 }
 
-// Comes true by itself for what is the newest event now, and soon.
-void says_everywhere(SiteSimulation& w, Duration within) {
+// The newest event is answered to be everywhere within that time.
+void expect_everywhere(SiteSimulation& w, Duration within) {
     const TimePoint by = w.now() + within;
     const std::int64_t event = w.newest();
     while (w.said_of(event).reach != Reach::everywhere && w.now() < by) w.run(ms * 500);
@@ -57,28 +56,27 @@
 }
 const Duration settled = ms * 40'000;
 
-void play(std::uint32_t seed, const SiteSimulation::Shape& shape,
-          const SiteSimulation::FaultRates& troubles) {
+void play(std::uint32_t seed, const SiteSimulation::Shape& shape, const SiteSimulation::FaultRates& faults) {
     SCOPED_TRACE(seed);
     SiteSimulation w(seed, shape, shared_config(shape.drift));
     w.start_all();
-    for (int stretch = 0; stretch < 4; ++stretch) {
-        w.run(ms * 30'000, troubles);
+    for (int part = 0; part < 4; ++part) {
+        w.run(ms * 30'000, faults);
         ASSERT_EQ(w.broken, std::vector<std::string>{}) << w.picture();
         w.run(ms * 500);
         for (std::size_t n = 0; n < w.members(); ++n) w.revive(n);
         w.run(ms * 20'000);
-        says_everywhere(w, ms * 60'000);
+        expect_everywhere(w, ms * 60'000);
         ASSERT_EQ(w.broken, std::vector<std::string>{}) << w.picture();
     }
 }
 
 // More of them by the environment.
-TEST(InForce, ManySeedsOfAllTroubles) {
+TEST(SimulatedSites, ManySeedsOfAllFaultsAnswerNothingUntrue) {
     const char* asked = std::getenv("IRISMUX_SEEDS");
     const std::uint32_t last = asked == nullptr ? 20 : static_cast<std::uint32_t>(std::atoi(asked));
     for (std::uint32_t seed = 1; seed <= last; ++seed) {
-        play(seed, {.sites = {2 + seed % 4, 3, 1}, .drift = seed % 2 == 0 ? 0.2 : 0.05}, all_troubles());
+        play(seed, {.sites = {2 + seed % 4, 3, 1}, .drift = seed % 2 == 0 ? 0.2 : 0.05}, all_faults());
         if (::testing::Test::HasFailure()) return;
     }
 }
@@ -92,7 +90,9 @@
     }
 };
 
-TEST(InForce, TheDigestsOwnerStoppedAndWokenLate) {
+// Given: a site at rest. When: the digest's owner, which lacks the newest events as another member does,
+// is stopped and resumed. Then: everywhere is not answered until all have applied them.
+TEST(SimulatedSites, ADigestOwnerThatIsStoppedAndResumedAnswersNothingUntrue) {
     for (std::uint32_t seed = 1; seed <= 20; ++seed) {
         SCOPED_TRACE(seed);
         AtRest w(seed, {.sites = {3, 1, 2}});
@@ -111,13 +111,15 @@
             EXPECT_NE(w.said().verdict.reach, Reach::everywhere);
             w.revive(owner);
             w.revive(w.member(0, 0));
-            says_everywhere(w, settled);
+            expect_everywhere(w, settled);
         }
         EXPECT_EQ(w.broken, std::vector<std::string>{});
     }
 }
 
-TEST(InForce, TheDigestsOwnerCutOffBothWaysOrOne) {
+// Given: a site at rest. When: the link of the digest's owner to the registry is cut, one way or both.
+// Then: the answer is all but that member, by name.
+TEST(SimulatedSites, ADigestOwnerThatIsCutOffIsNamed) {
     enum { out, in, both };
     for (const int ways : {out, in, both})
         for (std::uint32_t seed = 1; seed <= 10; ++seed) {
@@ -134,14 +136,15 @@
             EXPECT_EQ(w.said().verdict.missing[0].member.raw(), "m" + std::to_string(owner));
             EXPECT_GT(w.said().verdict.missing[0].since_ms, 1'000'000);
             w.revive(owner);
-            says_everywhere(w, settled);
+            expect_everywhere(w, settled);
             EXPECT_EQ(w.broken, std::vector<std::string>{});
         }
 }
 
-// A site is cut off from the registry and the board while an event is under way; its gateways are restarted
-// meanwhile, with what they knew long before, and come back so.
-TEST(InForce, ASiteCutOffItsGatewaysRestartedAndBackWithOldState) {
+// Given: a site that is cut off from the registry and the board while an event is under way. When: its
+// gateways are restarted with old state, and return. Then: everywhere is not answered until they have
+// applied the event.
+TEST(SimulatedSites, ASiteThatReturnsWithOldStateDoesNotCount) {
     for (std::uint32_t seed = 1; seed <= 20; ++seed) {
         SCOPED_TRACE(seed);
         AtRest w(seed, {.sites = {3, 3}, .publish_every = ms * 300});
@@ -169,13 +172,14 @@
         w.run(ms * 20'000);
         EXPECT_EQ(reach_at_rest(w), Reach::not_yet);
         site([&](std::size_t m) { w.revive(m); });
-        says_everywhere(w, settled);
+        expect_everywhere(w, settled);
         EXPECT_EQ(w.broken, std::vector<std::string>{});
     }
 }
 
-// It has claimed an event, dies, and is back at once with what it knew before, at any instant of a round.
-TEST(InForce, AMemberThatDiesAfterItsWordAndIsBackWithOldState) {
+// Given: a member that has reported an event. When: it dies and is restarted at once with older state, at
+// any time of an interval. Then: everywhere is not answered any more once its report has expired.
+TEST(SimulatedSites, AMemberThatReturnsWithOldStateAfterItsReportDoesNotCount) {
     for (std::uint32_t seed = 1; seed <= 40; ++seed) {
         SCOPED_TRACE(seed);
         AtRest w(seed, {.sites = {2 + seed % 3, 1}, .publish_every = ms * 100'000});
@@ -191,13 +195,14 @@
         EXPECT_NE(w.said().verdict.reach, Reach::everywhere) << w.picture();
         EXPECT_FALSE(w.in_force_everywhere());
         w.revive(victim);
-        says_everywhere(w, settled);
+        expect_everywhere(w, settled);
         EXPECT_EQ(w.broken, std::vector<std::string>{});
     }
 }
 
-// It leaves as it should, and a process comes back under its name that can't join.
-TEST(InForce, WhoHasLeftIsNamedUntilItIsBackOrForgotten) {
+// Given: a member that has left. When: a process under its name starts that can't join. Then: it is named
+// until an operator removes it from the roster or it joins.
+TEST(SimulatedSites, AMemberThatLeftIsNamedUntilItReturnsOrIsForgotten) {
     AtRest w(3, {.sites = {3, 2}});
     const std::size_t gone = w.member(0, 1);
     w.leave(gone);
@@ -216,30 +221,35 @@
     // Fewer than the inventory has: until that is lowered it could be one that has not joined yet.
     EXPECT_EQ(reach_at_rest(w), Reach::not_yet);
     w.revive(gone);
-    says_everywhere(w, settled);
+    expect_everywhere(w, settled);
     EXPECT_EQ(w.broken, std::vector<std::string>{});
 }
 
-TEST(InForce, ABoardThatIsRestoredBeginsANewGeneration) {
+// Given: a gateway that misses the board's last events. When: the board is restored and other events take
+// their numbers. Then: everywhere is not answered until that gateway has read the board anew.
+TEST(SimulatedSites, ARestoredBoardBeginsANewGeneration) {
     for (const bool announced : {true, false})
         for (std::uint32_t seed = 1; seed <= 20; ++seed) {
             SCOPED_TRACE(seed);
             AtRest w(seed, {.sites = {3, 2}, .publish_every = ms * 200});
             // One has not been told of the board's last events, and of none of those that take their numbers.
-            const std::size_t deaf = w.member(0, seed % 3);
-            w.cut_board(deaf, true);
+            const std::size_t cut_off_gateway = w.member(0, seed % 3);
+            w.cut_board(cut_off_gateway, true);
             w.run(ms * 4'000);
             w.board_back(announced ? 3 : 100, announced);
             w.run(ms * 30'000);
             EXPECT_EQ(reach_at_rest(w), Reach::not_yet);
             EXPECT_FALSE(w.in_force_everywhere());
-            w.cut_board(deaf, false);
-            says_everywhere(w, settled);
+            w.cut_board(cut_off_gateway, false);
+            expect_everywhere(w, settled);
             EXPECT_EQ(w.broken, std::vector<std::string>{});
         }
 }
 
-TEST(InForce, ARegistryThatIsRestoredSaysNothingThatIsNoLongerSo) {
+// Given: a member that was restarted with old state and is cut off, and a restored board. When: the
+// registry is restored to before that. Then: everywhere is not answered until the member has applied the
+// newest event.
+TEST(SimulatedSites, ARestoredRegistryAnswersNothingUntrue) {
     for (std::uint32_t seed = 1; seed <= 20; ++seed) {
         SCOPED_TRACE(seed);
         AtRest w(seed, {.sites = {3, 2}, .publish_every = ms * 300});
@@ -256,14 +266,14 @@
         w.run(ms * 20'000);
         EXPECT_NE(reach_at_rest(w), Reach::everywhere);
         w.revive(victim);
-        says_everywhere(w, settled);
+        expect_everywhere(w, settled);
         EXPECT_EQ(w.broken, std::vector<std::string>{});
     }
 }
 
-TEST(InForce, ASiteOfOneAnEmptyOneAndOneInTheOldForm) {
+TEST(SimulatedSites, SitesOfOneOrNoMemberAndGatewaysOutsideOfSites) {
     AtRest one(1, {.sites = {1, 3}});
-    says_everywhere(one, settled);
+    expect_everywhere(one, settled);
     one.kill(0);
     one.run(ms * 15'000);
     // Nobody of that site is left to say so: the whole site is named.
@@ -272,7 +282,7 @@
     EXPECT_EQ(one.said().verdict.missing[0].reason, FleetStatus::MissingReason::site_silent);
 
     AtRest empty(2, {.sites = {2}, .inventory = {{"planned", 0}}});
-    says_everywhere(empty, settled);
+    expect_everywhere(empty, settled);
     AtRest missing(3, {.sites = {2}, .inventory = {{"planned", 4}}});
     EXPECT_EQ(reach_at_rest(missing), Reach::not_yet);
     AtRest fewer(4, {.sites = {2}, .inventory = {{"s0", 3}}});
@@ -283,15 +293,17 @@
     old.leave(2);
     old.run(ms * 1'000);
     old.kill(2);
-    says_everywhere(old, settled);
+    expect_everywhere(old, settled);
     for (const SiteSimulation* w :
          {static_cast<SiteSimulation*>(&one), static_cast<SiteSimulation*>(&empty),
           static_cast<SiteSimulation*>(&missing), static_cast<SiteSimulation*>(&old)})
         EXPECT_EQ(w->broken, std::vector<std::string>{});
 }
 
-// Its gateways go on, some are restarted, and events go on elsewhere.
-TEST(InForce, ARegionGoneForAnHour) {
+// Given: four sites. When: two are cut off from the registry and the board for an hour while events go on
+// and some of their gateways are restarted. Then: the two sites are named all the while, and everywhere is
+// answered after the return.
+TEST(SimulatedSites, ARegionCutOffForAnHourIsNamedAndReturns) {
     AtRest w(6, {.sites = {2, 3, 2, 3}, .publish_every = ms * 5'000});
     const auto region = [&](auto what) {
         for (const std::size_t site : {0u, 1u})
@@ -312,21 +324,21 @@
         }
     }
     region([&](std::size_t m) { w.revive(m); });
-    says_everywhere(w, settled);
+    expect_everywhere(w, settled);
     EXPECT_EQ(w.broken, std::vector<std::string>{});
 }
 
-TEST(InForce, AllGatewaysOfManySitesRestartedAtOnce) {
+TEST(SimulatedSites, ARestartOfAllGatewaysDeliversOnlyWithinEachSite) {
     SiteSimulation w(7, {.sites = std::vector<std::size_t>(38, 15), .readers = true}, shared_config());
     w.start_all();
     w.run(ms * 30'000);
-    says_everywhere(w, settled);
+    expect_everywhere(w, settled);
     for (std::size_t n = 0; n < w.members(); ++n) w.kill(n);
     w.run(ms * 300);
     const std::uint64_t before = w.deliveries;
     for (std::size_t n = 0; n < w.members(); ++n) w.start(n, n % 5);
     w.run(ms * 20'000);
-    says_everywhere(w, settled);
+    expect_everywhere(w, settled);
     // Nobody is told of other sites: all that goes out grows with the sites' sizes, not the installation's.
     EXPECT_LE(w.deliveries - before, 570u * 15 * 12);
     EXPECT_EQ(w.broken, std::vector<std::string>{});
--- a/tests/fleet_process_test.cpp
+++ b/tests/fleet_process_test.cpp
@@ -25,7 +25,7 @@
     return shape;
 }
 
-class Fleet : public ::testing::Test {
+class FleetOfProcesses : public ::testing::Test {
 protected:
     fs::path root = fs::temp_directory_path() / ("irismux_arena." + std::to_string(::getpid()));
     stand_ins::ProcessFleet::Options shape = of_program();
@@ -74,7 +74,9 @@
     }
 };
 
-TEST_F(Fleet, OneOwnsTheSweepingAndAKilledOneIsFollowed) {
+// Given: an owner of the garbage collection. When: it is killed, and started again. Then: another one owns
+// it, and hands it back to the first in the order under a higher token and number of its join.
+TEST_F(FleetOfProcesses, AKilledOwnerIsReplacedAndGetsItsDutyBack) {
     begin();
     const std::size_t first = *a->owner(sweep);
     const Incarnation former = a->member(first)->incarnation;
@@ -87,9 +89,13 @@
 
 // An owner stopped at each point in turn: as its n-th piece to the registry, or from there, is on its way.
 // That piece is kept back until a successor has written, and goes on when the process does.
-class StoppedAt : public Fleet, public ::testing::WithParamInterface<std::pair<stand_ins::Direction, int>> {};
+class OwnerStoppedAtAMessage : public FleetOfProcesses,
+                               public ::testing::WithParamInterface<std::pair<stand_ins::Direction, int>> {};
 
-TEST_P(StoppedAt, AnOwnerThatWakesUpLateWritesNothing) {
+// Given: an owner that is stopped as its n-th message to or from the registry is on its way; that message
+// is delayed. When: a successor has written, the message arrives and the process is resumed. Then: nothing
+// of the former owner is written.
+TEST_P(OwnerStoppedAtAMessage, WritesNothingAfterItIsResumed) {
     begin();
     const std::size_t first = *a->owner(sweep);
     const Incarnation former = a->member(first)->incarnation;
@@ -121,7 +127,7 @@
     EXPECT_EQ(a->accepted(sweep, first, former), before);
 }
 
-INSTANTIATE_TEST_SUITE_P(EachPoint, StoppedAt,
+INSTANTIATE_TEST_SUITE_P(EachPoint, OwnerStoppedAtAMessage,
                          ::testing::Values(std::pair{stand_ins::Direction::to_server, 1},
                                            std::pair{stand_ins::Direction::to_server, 2},
                                            std::pair{stand_ins::Direction::to_server, 3},
@@ -131,8 +137,9 @@
                                            std::pair{stand_ins::Direction::to_client, 3},
                                            std::pair{stand_ins::Direction::to_client, 4}));
 
-// The answer to a transaction is lost that was done: neither two owners, nor nobody.
-TEST_F(Fleet, TheAnswerToTheWinningClaimIsLost) {
+// Given: an owner that is killed. When: the answer to the claim that lands is lost, twice. Then: the duty
+// has one owner.
+TEST_F(FleetOfProcesses, ALostAnswerToTheWinningClaimLeavesOneOwner) {
     begin();
     const std::size_t first = *a->owner(sweep);
     int lost = 0;
@@ -149,8 +156,9 @@
     EXPECT_TRUE(a->until([&] { return lost > 1 && a->owner(sweep) == first && working(); }));
 }
 
-// The claimant dies as its claim lands; then whoever follows, too.
-TEST_F(Fleet, ASuccessorDiesAsItTakesOver) {
+// Given: an owner that is killed. When: the next two claimants are killed as their claims land. Then: a
+// third one owns the duty.
+TEST_F(FleetOfProcesses, ASuccessorKilledAsItsClaimLandsIsReplaced) {
     shape.gateways = 4;
     begin();
     std::size_t last = *a->owner(sweep);
@@ -175,9 +183,12 @@
 }
 
 // Cut off from the registry while its clients and caches are not: it acts no more, and serves on.
-class CutOff : public Fleet, public ::testing::WithParamInterface<std::pair<bool, bool>> {};
+class OwnerCutOffFromTheRegistry : public FleetOfProcesses,
+                                   public ::testing::WithParamInterface<std::pair<bool, bool>> {};
 
-TEST_P(CutOff, AnOwnerCutOffRestsAndServesOn) {
+// Given: an owner with clients. When: its link to the registry is cut, one way or both, and its others are
+// not. Then: another owns the duty, the former owner writes nothing, and all its clients are served.
+TEST_P(OwnerCutOffFromTheRegistry, StopsActingAndServesOn) {
     begin();
     const std::size_t first = *a->owner(sweep);
     const Incarnation former = a->member(first)->incarnation;
@@ -194,12 +205,13 @@
     a->all_answered();
 }
 
-INSTANTIATE_TEST_SUITE_P(Ways, CutOff,
+INSTANTIATE_TEST_SUITE_P(Ways, OwnerCutOffFromTheRegistry,
                          ::testing::Values(std::pair{true, true}, std::pair{true, false},
                                            std::pair{false, true}));
 
-// Gone for longer than every term, for all: nobody acts, all serve; on return bounded requests, one owner.
-TEST_F(Fleet, TheRegistryGoneForLongerThanEveryTerm) {
+// Given: gateways with clients. When: the registry is away for longer than every term, and returns. Then:
+// all clients are served, the registry gets a bounded number of requests, and the duty has an owner.
+TEST_F(FleetOfProcesses, ARegistryAwayForLongerThanEveryTermCostsNoRequest) {
     begin();
     for (std::size_t n = 0; n < a->gateways.size(); ++n) a->serve(n);
     for (std::size_t m = 0; m < shape.members; ++m) a->registry.down(m);
@@ -222,7 +234,7 @@
     for (const auto& g : a->gateways) EXPECT_EQ(g.clients->rejected + g.clients->failed, 0u) << g.name;
 }
 
-TEST_F(Fleet, AllKilledAtOnceAndStartedTogether) {
+TEST_F(FleetOfProcesses, AllKilledAndStartedTogetherHaveOneOwner) {
     shape.gateways = 5;
     begin();
     for (int times = 0; times < 2; ++times) {
@@ -236,8 +248,9 @@
     EXPECT_LE(a->ownership_changes.size(), 3u * 4u);
 }
 
-// Seven in ten killed at once, then started one after the other: one owner, and no duty to and fro.
-TEST_F(Fleet, MostKilledAtOnceAndStartedOneByOne) {
+// Given: six gateways. When: four are killed at once, the owner among them, and started one after the
+// other. Then: the duty has one owner, and changes it at most once for each.
+TEST_F(FleetOfProcesses, MostKilledAndStartedOneByOneHaveOneOwner) {
     shape.gateways = 6;
     begin();
     for (std::size_t n = 0; n < 4; ++n) a->kill((*a->owner(sweep) + n) % 6);
@@ -256,8 +269,9 @@
               1u + 2u * 4u);  // at most a hand-back, in two steps, for each that came
 }
 
-// Cut off from the caches, and not from the registry: who looks on behalf of all sees what nobody else does.
-TEST_F(Fleet, AnOwnerCutOffFromTheCachesHarmsNobodyElse) {
+// Given: three gateways, two of which are cut off from a cache. When: one of these owns the cache's health
+// checks. Then: the third one goes on using the cache without an error.
+TEST_F(FleetOfProcesses, AnOwnerCutOffFromACacheHarmsNoOtherGateway) {
     shape.caches = 3;
     begin();
     const std::size_t first = first_of("watch/c1"), second = (first + 1) % 3, third = (first + 2) % 3;
@@ -276,8 +290,10 @@
     a->all_answered();
 }
 
-// Records of a newer version, and such as can't be read: left alone, and in nobody's way.
-TEST_F(Fleet, RecordsThatNobodyHereKnowsAreLeftAlone) {
+// Given: records of a newer version and unreadable ones. When: the owner of the garbage collection is
+// killed and its successor makes a pass. Then: they are unchanged, but for a health check's result without
+// its duty.
+TEST_F(FleetOfProcesses, UnknownAndUnreadableRecordsStay) {
     begin();
     const std::string at = std::string(stand_ins::ProcessFleet::prefix) + "roll/";
     const std::vector<std::pair<std::string, std::string>> odd = {
@@ -297,9 +313,11 @@
 }
 
 // Back to a backup: epochs come again. Whoever has seen the higher one refuses, and the owner takes a higher.
-class WentBack : public Fleet, public ::testing::WithParamInterface<bool> {};
+class RestoredRegistry : public FleetOfProcesses, public ::testing::WithParamInterface<bool> {};
 
-TEST_P(WentBack, NoEpochIsGivenToTwoAndAnOperatorReadsOfIt) {
+// Given: an owner that was killed and replaced. When: the registry is restored to before that. Then: the
+// duty is owned under a token above all that were seen, and the log has the event.
+TEST_P(RestoredRegistry, GivesNoTokenToTwoOwnersAndIsLogged) {
     begin();
     const std::size_t first = *a->owner(sweep);
     const registry::Revision backup = a->registry.model.newest();
@@ -321,10 +339,11 @@
     EXPECT_TRUE(read);
 }
 
-INSTANTIATE_TEST_SUITE_P(ClusterIds, WentBack, ::testing::Values(false, true));
+INSTANTIATE_TEST_SUITE_P(ClusterIds, RestoredRegistry, ::testing::Values(false, true));
 
-// Members of the registry that lag show old owners; nothing is renewed or confirmed by them.
-TEST_F(Fleet, MembersOfTheRegistryLag) {
+// Given: all members of the registry but one lag by 40 revisions. When: an owner is stopped, replaced and
+// resumed. Then: it writes nothing until it has joined anew.
+TEST_F(FleetOfProcesses, LaggingRegistryMembersRenewNoLease) {
     begin();
     const std::size_t first = *a->owner(sweep);
     for (std::size_t m = 0; m + 1 < shape.members; ++m) a->registry.faults(m).lag = 40;
@@ -337,8 +356,9 @@
     EXPECT_EQ(a->accepted(sweep, first, former), before);
 }
 
-// Slow to bytes a second, resets in the middle of messages, one member that takes in and never answers.
-TEST_F(Fleet, SlowLinksResetsAndAMemberThatHangs) {
+// Given: slow links that are reset in the middle of messages, and a registry member that never answers.
+// When: an owner is killed. Then: another one owns the duty.
+TEST_F(FleetOfProcesses, SlowLinksResetsAndAHangingRegistryMemberDelayNoTakeover) {
     begin();
     const std::size_t first = *a->owner(sweep);
     a->registry.faults(0).mute = true;
@@ -353,9 +373,9 @@
     EXPECT_TRUE(a->until([&] { return another_works(first); }));
 }
 
-// Clocks that are off by as much as is allowed, either way, and all links cut: the slow one acts for longest,
-// the fast ones wait least.
-TEST_F(Fleet, ClocksAtTheBoundOfTheirDrift) {
+// Given: clocks that are off by as much as is allowed, the owner's slow and the others' fast. When: the
+// owner is cut off from the registry. Then: a successor checks the cache, and never both at one time.
+TEST_F(FleetOfProcesses, ClocksAtTheLimitOfTheirDriftNeverHaveTwoOwners) {
     shape.drift = 0.25;
     shape.clock = IRISMUX_SKEWED_CLOCK;
     shape.health_check_interval = ms * 50;
@@ -382,9 +402,9 @@
     a->all_answered();
 }
 
-// The owner's machine slept for an hour: its term is over at the instant it wakes, whatever it was about to
-// do.
-TEST_F(Fleet, AMachineThatSleptForAnHour) {
+// Given: an owner whose machine is suspended for an hour. When: it is resumed. Then: its lease is lost at
+// once, and it writes nothing for a term.
+TEST_F(FleetOfProcesses, AMachineSuspendedForAnHourLosesItsLeaseAtOnce) {
     shape.clock = IRISMUX_SKEWED_CLOCK;
     begin();
     const std::size_t first = *a->owner(sweep);
@@ -404,7 +424,7 @@
     }
 }
 
-TEST_F(Fleet, AnOperatorReadsWhoOwnsWhatAndHasADutyLeftToOthers) {
+TEST_F(FleetOfProcesses, AnOperatorListsOwnersAndReleasesADuty) {
     begin();
     const std::size_t first = *a->owner(sweep);
     const auto run = [&](const std::vector<std::string>& words) {
@@ -431,7 +451,10 @@
 
 // --- the watch over a cache ------------------------------------------------------------------------------
 
-TEST_F(Fleet, OneLooksAtACacheThatSeveralHoldMarkedAndASuccessorGoesOn) {
+// Given: a dead cache that all gateways have ejected. When: the owner of its health checks is stopped, and
+// the cache returns. Then: a successor continues the checks, the cache is readmitted, and the records of
+// its checks are removed.
+TEST_F(FleetOfProcesses, OneGatewayChecksACacheThatSeveralEjectedAndASuccessorContinues) {
     shape.caches = 3;
     begin();
     for (std::size_t n = 0; n < a->gateways.size(); ++n) a->serve(n);
@@ -468,7 +491,7 @@
 }
 
 // Where probes are not permitted the owner's own lookups are the look.
-TEST_F(Fleet, WithoutProbesTheOwnersLookupsLook) {
+TEST_F(FleetOfProcesses, WithoutProbesTheOwnersRecoveryProbeIsTheCheck) {
     shape.caches = 3;
     shape.probes = false;
     begin();
@@ -492,7 +515,9 @@
 
 // --- who may be in ---------------------------------------------------------------------------------------
 
-TEST_F(Fleet, TwoUnderOneNameAndAnotherInstallationStayOutAndSaySo) {
+// Given: a fleet. When: a gateway starts under another's name, and one of another installation. Then:
+// neither joins, and the log of each has the reason.
+TEST_F(FleetOfProcesses, ANameInUseAndAnotherInstallationStayOutAndAreLogged) {
     begin();
     const std::size_t owner = *a->owner(sweep), n = (owner + 1) % 3, m = (n + 1) % 3;
     const std::string taken_name = a->gateways[owner].name;
@@ -520,7 +545,7 @@
 }
 
 // SIGHUP with a table that has gone, and one that has come back: the same process leaves, and joins anew.
-TEST_F(Fleet, ATableThatGoesAndComesBackInService) {
+TEST_F(FleetOfProcesses, AReloadWithoutAndWithTheTableLeavesAndJoinsAnew) {
     shape.stores_tokens = true;
     begin();
     const std::size_t first = *a->owner(sweep);
@@ -546,8 +571,9 @@
     EXPECT_TRUE(a->until([&] { return works(first, Incarnation{again.raw() + 1}); }));
 }
 
-// Epochs that were seen are refused by a member that was started anew meanwhile, too, where it keeps them.
-TEST_F(Fleet, WhatWasSeenIsRefusedAfterARestart) {
+// Given: gateways that store the tokens seen. When: all are killed, the registry is restored to a lower
+// token, and they start. Then: the duty is owned under a token above all that were seen.
+TEST_F(FleetOfProcesses, TokensSeenBeforeARestartAreRefusedAfterIt) {
     shape.stores_tokens = true;
     begin();
     const std::size_t first = *a->owner(sweep);
@@ -567,7 +593,7 @@
 }
 
 // The table counts only where the command line names the file.
-TEST_F(Fleet, TheEnvironmentAloneJoinsNoFleet) {
+TEST_F(FleetOfProcesses, TheTableCountsOnlyWithPartsOnTheCommandLine) {
     begin();
     auto& g = a->gateways[0];
     const Incarnation former = a->member(0)->incarnation;
--- a/tests/fleet_sites_test.cpp
+++ b/tests/fleet_sites_test.cpp
@@ -26,7 +26,7 @@
 
 std::string site_of(std::size_t n) { return n < 2 ? "a" : "b"; }
 
-class Sites : public ::testing::Test {
+class SitesOfProcesses : public ::testing::Test {
 protected:
     fs::path root = fs::temp_directory_path() / ("irismux_sites." + std::to_string(::getpid()));
     std::unique_ptr<stand_ins::ProcessFleet> a;
@@ -126,7 +126,7 @@
     }
 };
 
-TEST_F(Sites, SaysEverywhereOnceItIsAndNamesWhoLacksIt) {
+TEST_F(SitesOfProcesses, AnswersEverywhereOnceItIsAndNamesTheMemberThatLacksIt) {
     ASSERT_EQ(in_force(1, 30), everywhere) << said;
     EXPECT_EQ(run({"in-force", "--configuration", "7", "--wait", "20"}), everywhere) << said;
     EXPECT_TRUE(comes_to(not_yet, "", {"in-force", "--configuration", "8"})) << said;
@@ -139,7 +139,9 @@
     for (std::size_t n = 0; n < 3; ++n) EXPECT_TRUE(has(n, event)) << n;
 }
 
-TEST_F(Sites, TheDigestsOwnerStoppedAndWokenLate) {
+// Given: a purge that the digest's owner does not receive. When: the owner is stopped and resumed. Then:
+// everywhere is not answered until it has applied the purge.
+TEST_F(SitesOfProcesses, ADigestOwnerThatIsStoppedAndResumedAnswersNothingUntrue) {
     ASSERT_EQ(in_force(1, 30), everywhere) << said;
     const std::size_t first = owner();
     deaf(first, true);
@@ -153,9 +155,12 @@
     EXPECT_EQ(in_force(event, 30), everywhere) << said;
 }
 
-class CutOff : public Sites, public ::testing::WithParamInterface<std::pair<bool, bool>> {};
+class DigestOwnerCutOff : public SitesOfProcesses,
+                          public ::testing::WithParamInterface<std::pair<bool, bool>> {};
 
-TEST_P(CutOff, TheDigestsOwnerIsNamedAndNothingIsSaidOfItThatIsNotSo) {
+// Given: a purge that the digest's owner does not receive. When: its link to the registry is cut, one way
+// or both. Then: the answer names it, and is not everywhere until it has applied the purge.
+TEST_P(DigestOwnerCutOff, IsNamedAndNothingUntrueIsAnswered) {
     ASSERT_EQ(in_force(1, 30), everywhere) << said;
     const std::size_t first = owner();
     deaf(first, true);
@@ -173,11 +178,13 @@
     EXPECT_EQ(in_force(event, 30), everywhere) << said;
 }
 
-INSTANTIATE_TEST_SUITE_P(Ways, CutOff,
+INSTANTIATE_TEST_SUITE_P(Ways, DigestOwnerCutOff,
                          ::testing::Values(std::pair{true, true}, std::pair{true, false},
                                            std::pair{false, true}));
 
-TEST_F(Sites, ASiteCutOffWhileAnEventIsUnderWayAndBackWithOldState) {
+// Given: a site cut off while a purge is under way. When: its gateway is restarted with old state, and
+// returns. Then: everywhere is not answered until it has applied the purge.
+TEST_F(SitesOfProcesses, ASiteThatReturnsWithOldStateDoesNotCount) {
     ASSERT_EQ(in_force(1, 30), everywhere) << said;
     deaf(2, true);
     a->cut_registry(2, true, true);
@@ -192,9 +199,9 @@
     EXPECT_EQ(in_force(event, 30), everywhere) << said;
 }
 
-// It has said that an event is in force, dies, and is back at once without it: while its word may still be
-// counted it takes no lookups.
-TEST_F(Sites, AMemberThatDiesAfterItsWordTakesNoLookupsWithOldState) {
+// Given: a member that has reported a purge. When: it dies and is restarted at once without it. Then: it
+// takes no requests while its former report may still count.
+TEST_F(SitesOfProcesses, AMemberThatDiesAfterItsReportTakesNoRequestsWithOldState) {
     const std::int64_t event = purge();
     ASSERT_EQ(in_force(event, 30), everywhere) << said;
     deaf(1, true);
@@ -211,7 +218,7 @@
     EXPECT_EQ(in_force(event, 30), everywhere) << said;
 }
 
-TEST_F(Sites, WhoIsForgottenIsNotWaitedForAndAGenerationBeginsAnew) {
+TEST_F(SitesOfProcesses, AForgottenMemberIsNotWaitedForAndAGenerationBeginsAnew) {
     ASSERT_EQ(in_force(1, 30), everywhere) << said;
     EXPECT_EQ(run({"forget", "a", "g2"}), 1) << said;  // it lives
     a->kill(1);
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,5 +1,5 @@
-// One owner at a time: the parts by themselves, whole fleets in virtual time, and every interleaving of a
-// few.
+// One owner a duty: fences, leases, single members, transactions that land late, and whole fleets in virtual
+// time.
 #include <gtest/gtest.h>
 
 #include "fleet/garbage_collector.hpp"
@@ -19,7 +19,9 @@
 
 // --- the parts by themselves -----------------------------------------------------------------------------
 
-TEST(Fleet, AFenceRefusesLowerEpochsAlsoAfterARestart) {
+// Given: a fence that has accepted tokens 4 and 5 of a duty. When: lower tokens, other owners and damaged
+// stored states come, also after a restart. Then: none is accepted.
+TEST(Fleet, AFenceRefusesLowerTokensAlsoAfterARestart) {
     const DutyName d{"d"};
     const LeaseHolder a{FencingToken{4}, MemberName{"a"}, Incarnation{1}},
         b{FencingToken{5}, MemberName{"b"}, Incarnation{2}};
@@ -34,11 +36,11 @@
     EXPECT_TRUE(again.restore(f.serialize()));
     EXPECT_FALSE(again.accepts(d, a));
     EXPECT_EQ(again.conflicting_token(d, a), FencingToken{5});
-    // What was kept is believed whole or not at all, and never lowers what is known.
-    const std::string kept = f.serialize();
-    for (std::size_t n = 0; n < kept.size(); ++n) {
-        EXPECT_FALSE(Fence().restore(kept.substr(0, n))) << n;
-        std::string torn = kept;
+    // A damaged stored state is refused as a whole, and never lowers a known token.
+    const std::string stored = f.serialize();
+    for (std::size_t n = 0; n < stored.size(); ++n) {
+        EXPECT_FALSE(Fence().restore(stored.substr(0, n))) << n;
+        std::string torn = stored;
         torn[n] = '\x01';
         Fence g;
         g.accepts(d, {FencingToken{9}, MemberName{"b"}, Incarnation{2}});
@@ -50,9 +52,9 @@
     EXPECT_FALSE(f.accepts(d, a));
 }
 
-// What has been swept is forgotten, and still no order under its epochs is heeded until the registry shows
-// it.
-TEST(Fleet, AFenceForgetsWhatWasSweptAndHeedsNoneOfItsEpochs) {
+// Given: a duty with token 7 whose record was removed. When: orders under 7 and lower come. Then: they are
+// refused until the registry shows the duty again.
+TEST(Fleet, AFenceForgetsARemovedDutyAndAcceptsNoneOfItsTokens) {
     const DutyName d{"d"}, other{"o"};
     const auto by = [](std::int64_t e) {
         return LeaseHolder{FencingToken{e}, MemberName{"a"}, Incarnation{1}};
@@ -72,7 +74,7 @@
     }
 }
 
-TEST(Fleet, TheTableOfATenure) {
+TEST(Fleet, ALeaseTakesTheStatesOfItsTable) {
     const LeaseConditions mine{.record_names_us = true, .in_term = true},
         near{.record_names_us = true, .in_term = true, .near_term_end = true},
         lapsed{.record_names_us = true}, wanted{.in_term = true, .should_claim = true}, none{.in_term = true},
@@ -88,7 +90,7 @@
     for (std::size_t n = 0; n < steps.size(); ++n) EXPECT_EQ(t.update(steps[n].first), steps[n].second) << n;
 }
 
-TEST(Fleet, OneMembersLossMovesItsOwnDutiesAndNoOthers) {
+TEST(Fleet, TheLossOfAMemberMovesOnlyItsOwnDuties) {
     std::vector<MemberName> members;
     for (int n = 0; n < 10; ++n) members.emplace_back("gateway-" + std::to_string(n));
     const auto first = [](const DutyName& d, std::vector<MemberName> all) {
@@ -110,7 +112,7 @@
     for (const MemberName& m : members) EXPECT_NEAR(share[m], 100, 40) << m.raw();
 }
 
-TEST(Fleet, RecordsThatCannotBeReadAreNone) {
+TEST(Fleet, RecordsThatCannotBeParsedAreAbsent) {
     for (const char* bad :
          {"", "{", "[]", "{}", R"({"start":0,"mark":"x"})", R"({"start":"1","mark":"x"})", R"({"start":1})",
           R"({"epoch":-1,"owner":""})", R"({"epoch":1,"owner":"m"})", R"({"epoch":1,"owner":3,"start":1})"}) {
@@ -126,14 +128,14 @@
 }
 
 // One gateway at a registry that answers at once, in steps of a tenth of a round.
-class Alone : public ::testing::Test, public AgentTransport, public AgentObserver {
+class SingleMember : public ::testing::Test, public AgentTransport, public AgentObserver {
 protected:
     stand_ins::TransactionLedger ledger;
     TimePoint now = TimePoint::at_seconds(1);
     std::optional<Transaction> out;
-    std::vector<Transaction> said;
+    std::vector<Transaction> submitted;
     std::vector<FleetEvent> events;
-    std::function<void(WriteOutcome)> worked = [](WriteOutcome) {};
+    std::function<void(WriteOutcome)> on_outcome = [](WriteOutcome) {};
     std::unique_ptr<Agent> agent;
 
     void start(const std::string& name, const SharedConfig& a, const std::string& mark = "k") {
@@ -162,15 +164,17 @@
     }
     void submit(const Transaction& d) override {
         out = d;
-        said.push_back(d);
+        submitted.push_back(d);
     }
     void schedule_wake(TimePoint) override {}
     void on_lease_state(const DutyName&, LeaseState, FencingToken) override {}
-    void on_write_outcome(const DutyName&, const Key&, WriteOutcome done) override { worked(done); }
+    void on_write_outcome(const DutyName&, const Key&, WriteOutcome done) override { on_outcome(done); }
     void on_event(const FleetEvent& event) override { events.push_back(event); }
 };
 
-TEST_F(Alone, AnotherInstallationsRegistryIsLeftAlone) {
+// Given: a registry with the shared configuration of another installation. When: a member starts. Then: it
+// writes nothing, owns nothing and reports why, once.
+TEST_F(SingleMember, ARegistryOfAnotherInstallationIsNotWritten) {
     put("about", serialize(SharedConfig{"other", ms * 4000, 0.05}));
     const auto before = ledger.records();
     start("m", shared_config());
@@ -182,7 +186,9 @@
     EXPECT_FALSE(agent->may_act(now, DutyName{"d"}));
 }
 
-TEST_F(Alone, ANameThatALivingGatewayHoldsIsRefusedInPlainWordsAndTakenOnceItHasGone) {
+// Given: another living gateway with the same name. When: a member starts. Then: it stays out and reports
+// that, until the other sends no heartbeats any more.
+TEST_F(SingleMember, ANameInUseIsReportedAndTakenOnceItsHolderIsGone) {
     put("about", serialize(shared_config()));
     put("member/m", serialize(MemberRecord{Incarnation{4}, InstanceId{"other"}, "1", {}}));
     std::int64_t beats = 1;
@@ -198,7 +204,9 @@
     EXPECT_GT(agent->incarnation(), Incarnation{4});
 }
 
-TEST_F(Alone, ADutyWhoseRecordCannotBeReadIsLeftAloneAndOnesNobodyKnowsStay) {
+// Given: a duty's record in a newer form, and one of an unknown duty. When: a member starts. Then: it
+// reports the first, and writes neither.
+TEST_F(SingleMember, AnUnreadableDutyRecordIsNotClaimedAndUnknownDutiesStay) {
     put("duty/d", "{\"format\":9}");
     put("duty/newer", serialize(DutyRecord{FencingToken{3}, MemberName{"gone"}, Incarnation{1}}));
     start("m", shared_config());
@@ -210,7 +218,9 @@
     EXPECT_EQ(parse_duty(ledger.records().at(Key{"duty/newer"}))->owner, MemberName{"gone"});
 }
 
-TEST_F(Alone, ARegistryThatHasGoneBackIsRefusedUntilTheEpochHasJumped) {
+// Given: a member that has seen token 40 of a duty. When: a restored registry shows token 7. Then: it
+// reports and publishes 40, and the duty is claimed under 41.
+TEST_F(SingleMember, ATokenBelowASeenOneIsRefusedUntilTheOwnerTakesAHigherOne) {
     start("m", shared_config());
     EXPECT_TRUE(agent->accepts_order_of(DutyName{"d"}, {FencingToken{40}, MemberName{"x"}, Incarnation{1}}));
     put("duty/d", serialize(DutyRecord{FencingToken{7}, MemberName{"y"}, Incarnation{1}}));
@@ -223,24 +233,25 @@
     EXPECT_EQ(agent->token_of(DutyName{"d"}), FencingToken{41});
 }
 
-// It may live: as long as it gives signs its duties are left to it; then it is evicted as anybody.
-TEST_F(Alone, AnOwnerWhoseRecordIsInANewerFormKeepsItsDutyWhileItLives) {
+// Given: an owner whose member record can't be parsed here. When: it sends heartbeats, and then none.
+// Then: it keeps its duty while it sends them, and is evicted as any other afterwards.
+TEST_F(SingleMember, AnOwnerWithARecordInANewerFormKeepsItsDutyWhileItSendsHeartbeats) {
     put("member/x", "{\"format\":9}");
     put("duty/d", serialize(DutyRecord{FencingToken{3}, MemberName{"x"}, Incarnation{1}}));
     start("m", shared_config());
-    int sign = 0;
+    int heartbeat = 0;
     run(ms * 30'000, [&] {
-        put("beat/x", "newer " + std::to_string(++sign));
+        put("beat/x", "newer " + std::to_string(++heartbeat));
         EXPECT_FALSE(agent->may_act(now, DutyName{"d"}));
     });
-    EXPECT_LT(said.size(), 400u);  // one a step of the clock at most, and one a sixteenth of a round
+    EXPECT_LT(submitted.size(), 400u);  // one a step of the clock at most, and one a sixteenth of a round
     run(ms * 12'000);
     EXPECT_TRUE(agent->may_act(now, DutyName{"d"}));
     EXPECT_EQ(agent->token_of(DutyName{"d"}), FencingToken{4});
     EXPECT_FALSE(ledger.records().contains(Key{"member/x"}));
 }
 
-TEST_F(Alone, WhoHasLeftActsNoMoreAndLeavesNoRecord) {
+TEST_F(SingleMember, AMemberThatLeftDoesNotActAndHasNoRecords) {
     start("m", shared_config());
     run(ms * 20'000);
     ASSERT_TRUE(agent->may_act(now, DutyName{"d"}));
@@ -251,9 +262,10 @@
     EXPECT_FALSE(ledger.records().contains(Key{"beat/m"}));
 }
 
-// A duty that is not wanted any more is given up, swept after two waits, and claimed above its floor when it
-// is wanted again; a watch that lags shows it as ours, and is not heeded.
-TEST_F(Alone, WhatIsNotWantedIsGivenUpAndSweptAndItsEpochsDoNotComeAgain) {
+// Given: a member that owns the health checks of a cache. When: they are not wanted any more, and later
+// are again; a lagging watch shows the former record meanwhile. Then: the duty is given up, removed after
+// two eviction timeouts, and claimed above its former token.
+TEST_F(SingleMember, AnUnwantedDutyIsGivenUpAndRemovedAndItsTokensDoNotComeAgain) {
     const DutyName w = health_check_duty(CacheId{"c"});
     start("m", shared_config());
     agent->set_duties(now, {garbage_collection_duty(), w});
@@ -272,18 +284,18 @@
     EXPECT_FALSE(agent->may_act(now, w));
     agent->set_duties(now, {garbage_collection_duty()});
 
-    GarbageCollector sweep(ms * 1000, agent->membership().eviction_timeout() * 2);
-    worked = [&](WriteOutcome done) { sweep.on_written(now, done); };
+    GarbageCollector collector(ms * 1000, agent->membership().eviction_timeout() * 2);
+    on_outcome = [&](WriteOutcome done) { collector.on_written(now, done); };
     std::optional<TimePoint> gone;
     const TimePoint from = now;
     run(ms * 30'000, [&] {
         RecordMirror record_mirror;
         record_mirror.apply(ledger.all(), true);
         if (!gone && !ledger.records().contains(health_record_key(CacheId{"c"}))) gone = now;
-        if (auto write_request = sweep.next_write(now, record_mirror, *agent))
+        if (auto write_request = collector.next_write(now, record_mirror, *agent))
             if (!agent->write_fenced(now, garbage_collection_duty(), collection_progress_key(),
                                      std::move(*write_request)))
-                sweep.on_written(now, WriteOutcome::refused);
+                collector.on_written(now, WriteOutcome::refused);
     });
     ASSERT_TRUE(gone);
     EXPECT_GE(*gone - from, agent->membership().eviction_timeout() * 2);
@@ -292,7 +304,7 @@
     EXPECT_GE(parse_floor(ledger.records().at(floor_key())), before);
     EXPECT_EQ(parse_collection_progress(ledger.records().at(collection_progress_key()))->removed_records, 3);
     // Nobody who claims it remembers: only the registry does.
-    worked = [](WriteOutcome) {};
+    on_outcome = [](WriteOutcome) {};
     start("n", shared_config());
     agent->set_duties(now, {garbage_collection_duty(), w});
     run(ms * 20'000);
@@ -300,111 +312,113 @@
     EXPECT_GT(agent->token_of(w), before);
 }
 
-// --- the watch over a cache ------------------------------------------------------------------------------
+// --- health checks of a cache ------------------------------------------------------------------------------
 
-class Watching : public Alone, public HealthCheckCallbacks {
+class HealthMonitoring : public SingleMember, public HealthCheckCallbacks {
 protected:
     const CacheId c{"c"};
-    HealthMonitor health_watch{*this, ms * 500, ms * 1000};
-    std::vector<TimePoint> looks;
-    std::vector<std::pair<TimePoint, TimePoint>> trials;  // when it was told, and from when on
+    HealthMonitor health_monitor{*this, ms * 500, ms * 1000};
+    std::vector<TimePoint> checks;
+    std::vector<std::pair<TimePoint, TimePoint>> postponements;  // when it was called, and with which time
 
-    void start_health_check(const CacheId&) override { looks.push_back(now); }
-    void postpone_recovery_probe(const CacheId&, TimePoint at) override { trials.emplace_back(now, at); }
-    void others_mark(const std::string& name, bool is) {
+    void start_health_check(const CacheId&) override { checks.push_back(now); }
+    void postpone_recovery_probe(const CacheId&, TimePoint at) override {
+        postponements.emplace_back(now, at);
+    }
+    void set_ejected_by_other(const std::string& name, bool is) {
         MemberRecord m{Incarnation{1}, InstanceId{name}, "1", {}};
         if (is) m.ejected_caches.insert(c);
         put("member/" + name, serialize(m));
         put("beat/" + name,
-            serialize(HeartbeatRecord{Incarnation{1}, InstanceId{name}, HeartbeatNumber{++signs}}));
+            serialize(HeartbeatRecord{Incarnation{1}, InstanceId{name}, HeartbeatNumber{++heartbeats_sent}}));
         agent->on_records(now, ledger.revision(), ledger.all(), true);
     }
-    std::int64_t signs = 0;
+    std::int64_t heartbeats_sent = 0;
 };
 
-TEST_F(Watching, ItBeginsWithTheSecondMarkAndEndsWithTheLast) {
+TEST_F(HealthMonitoring, ACacheIsMonitoredFromTheSecondEjectionToTheLast) {
     start("m", shared_config());
-    health_watch.on_ejection_changed(c, true);
-    EXPECT_TRUE(health_watch.update_monitored(*agent).empty());
-    others_mark("x", true);
-    EXPECT_EQ(health_watch.update_monitored(*agent), std::set<CacheId>{c});
-    health_watch.on_ejection_changed(c, false);
-    EXPECT_EQ(health_watch.update_monitored(*agent), std::set<CacheId>{c});
-    others_mark("x", false);
-    EXPECT_TRUE(health_watch.update_monitored(*agent).empty());
+    health_monitor.on_ejection_changed(c, true);
+    EXPECT_TRUE(health_monitor.update_monitored(*agent).empty());
+    set_ejected_by_other("x", true);
+    EXPECT_EQ(health_monitor.update_monitored(*agent), std::set<CacheId>{c});
+    health_monitor.on_ejection_changed(c, false);
+    EXPECT_EQ(health_monitor.update_monitored(*agent), std::set<CacheId>{c});
+    set_ejected_by_other("x", false);
+    EXPECT_TRUE(health_monitor.update_monitored(*agent).empty());
 }
 
-TEST_F(Watching, ItsOwnerLooksAtAPaceAndWritesUnderItsEpochWhatItSaw) {
+TEST_F(HealthMonitoring, TheOwnerChecksAtItsIntervalAndWritesTheResultUnderItsToken) {
     start("m", shared_config());
-    health_watch.on_ejection_changed(c, true);
+    health_monitor.on_ejection_changed(c, true);
     agent->set_duties(now, {health_check_duty(c)});
     int step = 0;
     const auto finding = [&] { return parse_health_record(ledger.records().at(health_record_key(c))); };
     run(ms * 20'000, [&] {
-        others_mark("x", true);
-        health_watch.update_monitored(*agent);
-        health_watch.run_due_checks(now, *agent);
-        if (++step % 2) health_watch.on_health_check_done(now, CacheId{"unknown"}, true, *agent);
+        set_ejected_by_other("x", true);
+        health_monitor.update_monitored(*agent);
+        health_monitor.run_due_checks(now, *agent);
+        if (++step % 2) health_monitor.on_health_check_done(now, CacheId{"unknown"}, true, *agent);
     });
     ASSERT_TRUE(agent->may_act(now, health_check_duty(c)));
-    for (std::size_t n = 1; n < looks.size(); ++n) EXPECT_GE(looks[n] - looks[n - 1], ms * 500);
+    for (std::size_t n = 1; n < checks.size(); ++n) EXPECT_GE(checks[n] - checks[n - 1], ms * 500);
     // Never answered.
     EXPECT_FALSE(finding()->healthy);
     EXPECT_GT(finding()->streak, 5);
     EXPECT_EQ(finding()->token, agent->token_of(health_check_duty(c)));
-    const std::size_t before = looks.size();
+    const std::size_t before = checks.size();
     run(ms * 3'000, [&] {
-        others_mark("x", true);
-        health_watch.run_due_checks(now, *agent);
-        if (looks.size() > before) health_watch.on_health_check_done(now, c, true, *agent);
+        set_ejected_by_other("x", true);
+        health_monitor.run_due_checks(now, *agent);
+        if (checks.size() > before) health_monitor.on_health_check_done(now, c, true, *agent);
     });
     EXPECT_TRUE(finding()->healthy);
     EXPECT_GE(finding()->streak, 2);
     // One that was asked for within the term, and would go out after a stop that outlasted it.
-    health_watch.run_due_checks(now + ms * 500, *agent);
-    EXPECT_TRUE(health_watch.may_check(now + ms * 500, c, *agent));
-    EXPECT_FALSE(health_watch.may_check(now + ms * 5'000, c, *agent));
-    const std::size_t told = trials.size();
-    health_watch.on_check_not_permitted(now, c, *agent);
-    EXPECT_EQ(trials.size(), told + 1);
+    health_monitor.run_due_checks(now + ms * 500, *agent);
+    EXPECT_TRUE(health_monitor.may_check(now + ms * 500, c, *agent));
+    EXPECT_FALSE(health_monitor.may_check(now + ms * 5'000, c, *agent));
+    const std::size_t count_before = postponements.size();
+    health_monitor.on_check_not_permitted(now, c, *agent);
+    EXPECT_EQ(postponements.size(), count_before + 1);
 }
 
-TEST_F(Watching, ASilentCachePutsTrialsOffAndAWellOneBringsThemForwardOneAfterTheOther) {
+TEST_F(HealthMonitoring, AResultPostponesRecoveryProbesOrBringsThemForwardOneAfterTheOther) {
     start("m", shared_config());
-    health_watch.on_probe_result(now, c, {FencingToken{1}, {MemberName{"x"}, Incarnation{1}}, false, 1},
-                                 *agent);
-    EXPECT_TRUE(trials.empty()) << "it is not marked here";
-    health_watch.on_ejection_changed(c, true);
-    health_watch.on_probe_result(now, c, {FencingToken{1}, {MemberName{"x"}, Incarnation{1}}, false, 1},
-                                 *agent);
-    ASSERT_EQ(trials.size(), 1u);
-    EXPECT_EQ(trials[0].second - trials[0].first, ms * 1250);
-    for (std::int64_t looked = 1; looked < 5; ++looked) {
-        health_watch.on_probe_result(
-            now, c, {FencingToken{1}, {MemberName{"x"}, Incarnation{1}}, true, looked}, *agent);
-        EXPECT_EQ(trials.size(), looked < 2 ? 1u : 2u) << "at the second answer, and once";
+    health_monitor.on_probe_result(now, c, {FencingToken{1}, {MemberName{"x"}, Incarnation{1}}, false, 1},
+                                   *agent);
+    EXPECT_TRUE(postponements.empty()) << "it is not marked here";
+    health_monitor.on_ejection_changed(c, true);
+    health_monitor.on_probe_result(now, c, {FencingToken{1}, {MemberName{"x"}, Incarnation{1}}, false, 1},
+                                   *agent);
+    ASSERT_EQ(postponements.size(), 1u);
+    EXPECT_EQ(postponements[0].second - postponements[0].first, ms * 1250);
+    for (std::int64_t streak = 1; streak < 5; ++streak) {
+        health_monitor.on_probe_result(
+            now, c, {FencingToken{1}, {MemberName{"x"}, Incarnation{1}}, true, streak}, *agent);
+        EXPECT_EQ(postponements.size(), streak < 2 ? 1u : 2u) << "at the second answer, and once";
     }
-    ASSERT_EQ(trials.size(), 2u);
-    EXPECT_LE(trials[1].second - now, ms * 500);
+    ASSERT_EQ(postponements.size(), 2u);
+    EXPECT_LE(postponements[1].second - now, ms * 500);
     // Of three that mark it each has an instant of its own.
     std::set<Duration> instants;
     for (const char* name : {"a", "b", "m"}) {
         start(name, shared_config());
-        health_watch.on_ejection_changed(c, false);
-        health_watch.on_ejection_changed(c, true);
+        health_monitor.on_ejection_changed(c, false);
+        health_monitor.on_ejection_changed(c, true);
         for (const char* other : {"a", "b", "m"})
-            if (std::string(other) != name) others_mark(other, true);
+            if (std::string(other) != name) set_ejected_by_other(other, true);
         put("member/" + std::string(name), "");
-        health_watch.on_probe_result(now, c, {FencingToken{1}, {MemberName{"x"}, Incarnation{1}}, true, 2},
-                                     *agent);
-        instants.insert(trials.back().second - now);
+        health_monitor.on_probe_result(now, c, {FencingToken{1}, {MemberName{"x"}, Incarnation{1}}, true, 2},
+                                       *agent);
+        instants.insert(postponements.back().second - now);
     }
     EXPECT_EQ(instants.size(), 3u);
 }
 
 // Transactions land late: what they compare has changed meanwhile, by a heartbeat, an owner who is back, or a
 // registry that has gone back to before our own last sign. None may be done.
-class Late : public Alone {
+class LateTransaction : public SingleMember {
 protected:
     const std::string sign = serialize(HeartbeatRecord{Incarnation{4}, InstanceId{"x"}, HeartbeatNumber{1}});
     const std::string member = serialize(MemberRecord{Incarnation{4}, InstanceId{"x"}, "1", {}});
@@ -420,13 +434,14 @@
     }
     // The last transaction that wrote that key.
     Transaction last(const std::string& key) const {
-        const auto it = std::find_if(said.rbegin(), said.rend(), [&](const Transaction& d) {
+        const auto it = std::find_if(submitted.rbegin(), submitted.rend(), [&](const Transaction& d) {
             return !d.writes.empty() && d.writes.back().first == Key{key};
         });
-        EXPECT_NE(it, said.rend());
-        return it == said.rend() ? Transaction{} : *it;
+        EXPECT_NE(it, submitted.rend());
+        return it == submitted.rend() ? Transaction{} : *it;
     }
-    // All that it goes by is as it was, but for the one record; and as it was, it would be done.
+    // Whether it lands when one of the records that it compares has changed; without that change it must
+    // land.
     bool lands(const Transaction& transaction, const std::string& but, const std::string& now_is) {
         stand_ins::TransactionLedger then;
         for (const auto& [key, value] : transaction.compares)
@@ -438,7 +453,7 @@
     }
 };
 
-TEST_F(Late, AnEvictionTakesNobodyWhoHasGivenASignSince) {
+TEST_F(LateTransaction, AnEvictionFailsIfTheMemberHasSentAHeartbeatSince) {
     const Transaction evict = caught("beat/x");
     EXPECT_FALSE(lands(evict, "beat/x",
                        serialize(HeartbeatRecord{Incarnation{4}, InstanceId{"x"}, HeartbeatNumber{2}})));
@@ -448,7 +463,7 @@
                        serialize(HeartbeatRecord{Incarnation{1}, InstanceId{"k"}, HeartbeatNumber{1}})));
 }
 
-TEST_F(Late, AClaimTakesNothingFromAnOwnerWhoIsAMemberNorFromAnotherClaimant) {
+TEST_F(LateTransaction, AClaimFailsIfTheOwnerIsAMemberOrAnotherHasClaimed) {
     const Transaction claim = caught("duty/d");
     EXPECT_FALSE(lands(claim, "member/x", member));
     EXPECT_FALSE(
@@ -457,7 +472,7 @@
                        serialize(HeartbeatRecord{Incarnation{1}, InstanceId{"k"}, HeartbeatNumber{1}})));
 }
 
-TEST_F(Late, AWorkIsNotWrittenOnceTheDutyOrTheMembershipHasGone) {
+TEST_F(LateTransaction, AFencedWriteFailsOnceTheDutyOrTheMembershipIsLost) {
     caught("duty/d");
     run(ms * 1'000);
     ASSERT_TRUE(agent->write_fenced(now, DutyName{"d"}, Key{"work/1"}, "w"));
@@ -471,7 +486,7 @@
 
 // --- whole fleets ----------------------------------------------------------------------------------------
 
-TEST(FleetWorld, CalmFleetsGetOneOwnerADutyAndKeepIt) {
+TEST(SimulatedFleet, WithoutFaultsEachDutyGetsOneOwnerAndKeepsIt) {
     FleetSimulation w(1, {.members = 5, .duties = 7, .drift = 0.05}, shared_config());
     w.start_all();
     w.run(ms * 25'000, {});
@@ -486,7 +501,7 @@
     EXPECT_EQ(w.refused, 0u);
 }
 
-FleetSimulation::FaultRates all_troubles() {
+FleetSimulation::FaultRates all_faults() {
     return {.lose = 0.05,
             .late = 0.05,
             .repeat = 0.05,
@@ -497,14 +512,14 @@
 }
 
 // Whatever happens, never two owners and no late write; and once it is calm, one owner a duty that stays.
-void play(std::uint32_t seed, std::size_t members, const FleetSimulation::FaultRates& troubles) {
+void play(std::uint32_t seed, std::size_t members, const FleetSimulation::FaultRates& faults) {
     SCOPED_TRACE(seed);
     // Half of them with clocks so far off that a term without its allowance shows.
     const double drift = seed % 2 == 0 ? 0.25 : 0.05;
     FleetSimulation w(seed, {.members = members, .duties = 3, .drift = drift}, shared_config(drift));
     w.start_all();
-    for (int stretch = 0; stretch < 4; ++stretch) {
-        w.run(ms * 30'000, troubles);
+    for (int part = 0; part < 4; ++part) {
+        w.run(ms * 30'000, faults);
         w.run(ms * 500, {});
         for (std::size_t n = 0; n < members; ++n) w.revive(n);
         w.run(ms * 60'000, {});
@@ -518,9 +533,9 @@
     }
 }
 
-TEST(FleetWorld, ManySeedsOfAllTroubles) {
+TEST(SimulatedFleet, ManySeedsOfAllFaultsNeverHaveTwoOwners) {
     for (std::uint32_t seed = 1; seed <= 60; ++seed) {
-        play(seed, 2 + seed % 4, all_troubles());
+        play(seed, 2 + seed % 4, all_faults());
         if (::testing::Test::HasFailure()) return;
     }
 }
@@ -538,7 +553,9 @@
 };
 Duration without(std::size_t members) { return longest_without_owner(shared_config(), ms * 300, members); }
 
-TEST(FleetWorld, AnOwnerThatSleepsPastItsTermIsReplacedAndHarmlessWhenItWakes) {
+// Given: a fleet at rest. When: the owner of a duty is stopped for longer than its term, and resumed.
+// Then: another owns the duty within the stated time, and the former owner writes nothing.
+TEST(SimulatedFleet, AnOwnerStoppedPastItsTermIsReplacedAndHarmlessWhenResumed) {
     for (std::uint32_t seed = 1; seed <= 20; ++seed) {
         AtRest w(seed, 3, 2);
         w.stop(w.first);
@@ -554,7 +571,9 @@
     }
 }
 
-TEST(FleetWorld, LossesOfOwnersAndLinksStayWithinTheStatedTime) {
+// Given: a fleet at rest. When: an owner is killed, or its link to the registry is cut one way or both.
+// Then: its duties, and no others, have new owners within the stated time, and go back once it returns.
+TEST(SimulatedFleet, ALostOwnerIsReplacedWithinTheStatedTime) {
     enum { killed, cut_out, cut_in, cut_both };
     for (const int fault : {killed, cut_out, cut_in, cut_both})
         for (std::uint32_t seed = 1; seed <= 10; ++seed) {
@@ -574,7 +593,9 @@
         }
 }
 
-TEST(FleetWorld, TheRegistryGoneForLongerThanEveryTermAndBackWithoutAStampede) {
+// Given: a fleet of 30. When: the registry is away for longer than every term, and returns. Then: no duty
+// has an owner meanwhile, each has one afterwards, and the requests stay bounded.
+TEST(SimulatedFleet, ARegistryAwayForLongerThanEveryTermReturnsWithoutALoadPeak) {
     AtRest w(3, 30, 6);
     w.run(ms * 5'000, {});
     const std::size_t at_rest = w.max_transactions_within(ms * 100);
@@ -589,7 +610,9 @@
     EXPECT_EQ(w.broken, std::vector<std::string>{});
 }
 
-TEST(FleetWorld, AllKilledAtOnceSevenInTenKilledAndAStartEachSecond) {
+// Given: a fleet of 30. When: all are killed and started, then seven in ten are killed and started one a
+// second. Then: each duty has an owner, which changes at most twice a duty.
+TEST(SimulatedFleet, DutiesHaveOwnersAfterAllOrMostMembersAreKilledAndRestarted) {
     AtRest w(4, 30, 6);
     const auto owned = [&] {
         std::size_t n = 0;
@@ -619,7 +642,9 @@
     EXPECT_EQ(w.broken, std::vector<std::string>{});
 }
 
-TEST(FleetWorld, ARegistryThatGoesBackHasNeverTwoOwners) {
+// Given: an owner that was killed and replaced. When: the registry is restored to a time at which the
+// killed one owned the duty. Then: never two own it, and one does in the end.
+TEST(SimulatedFleet, ARestoredRegistryNeverHasTwoOwners) {
     for (std::uint32_t seed = 1; seed <= 20; ++seed) {
         AtRest w(seed, 4, 2);
         w.kill(w.first);
