--- a/src/routing/attempt_monitor.hpp
+++ b/src/routing/attempt_monitor.hpp
@@ -10,7 +10,7 @@
 #include "routing/outlier_detector.hpp"
 #include "routing/pending_request.hpp"
 
-namespace irismux {
+namespace irismux::routing {
 
 /// What AttemptMonitor reports to; all must outlive it.
 struct AttemptMonitorOutputs {
@@ -40,11 +40,11 @@
     void eject_unresponsive_endpoints(PendingRequests& requests, TimePoint now) const;
     void cancel_attempts_at(const EndpointState& endpoint, PendingRequests& requests) const;
 
-    AttemptMonitorOutputs out_;
+    AttemptMonitorOutputs outputs_;
     bool can_cancel_;
     Duration interval_;
     bool timer_is_set_ = false;
     LateAttemptQueue late_attempts_;
 };
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/src/routing/fill_source.hpp
+++ b/src/routing/fill_source.hpp
@@ -9,7 +9,7 @@
 #include "routing/random_fraction.hpp"
 #include "routing/slow_start.hpp"
 
-namespace irismux {
+namespace irismux::routing {
 
 /// What FillSource asks; all must outlive it.
 struct FillSourceInputs {
@@ -59,11 +59,11 @@
                      EndpointState& source, TimePoint now) const;
     void record_origin_wait(const AttemptResult& result, TimePoint now);
 
-    FillSourceInputs in_;
+    FillSourceInputs inputs_;
     bool has_parents_;
     Duration longest_latency_objective_;
     AdaptiveLimit fetch_limit_;            // of fetches from the origin, by caches and by parents
     double mean_origin_wait_seconds_ = 0;  // of fetches behind parents and of our own; 0: none yet
 };
 
-}  // namespace irismux
+}  // namespace irismux::routing
--- a/tests/fatal_signal_test.cpp
+++ b/tests/fatal_signal_test.cpp
@@ -19,8 +19,8 @@
     ASSERT_TRUE(gateway.until([&] { return !gateway.process->running(); }));
     EXPECT_FALSE(gateway.process->left());
     EXPECT_TRUE(gateway.logged("fatal: signal " + std::to_string(GetParam()))) << gateway.log_tail();
-    EXPECT_TRUE(gateway.logged("us before: taken 1 1")) << gateway.log_tail();
-    EXPECT_TRUE(gateway.logged("us before: answered 1 1")) << gateway.log_tail();
+    EXPECT_TRUE(gateway.logged("us before: request_admitted 1 1")) << gateway.log_tail();
+    EXPECT_TRUE(gateway.logged("us before: request_answered 1 1")) << gateway.log_tail();
 }
 
 INSTANTIATE_TEST_SUITE_P(Signals, FatalSignal, ::testing::Values(SIGSEGV, SIGABRT, SIGBUS));
--- a/tests/random_seed_sweep.cpp
+++ b/tests/random_seed_sweep.cpp
@@ -27,14 +27,14 @@
         metadata.id = metadata.description =
             narrow ? "every step keeps the rules" : "every step keeps the rules, wider draws";
         const auto result = checkTestable(
-            narrow ? irismux::testing::narrow_lives : irismux::testing::wide_lives, metadata, params);
+            narrow ? irismux::testing::narrow_scenarios : irismux::testing::wide_scenarios, metadata, params);
         ++tried;
-        FailureResult broken;
-        if (!result.match(broken)) continue;
+        FailureResult violation;
+        if (!result.match(violation)) continue;
         ++failed;
         std::printf(
             "seed %ld: %s\n  RC_PARAMS=\"seed=%ld max_success=%ld\" irismux_tests --gtest_filter=Random.%s\n",
-            seed, broken.description.substr(broken.description.rfind('\n') + 1).c_str(), seed, runs,
+            seed, violation.description.substr(violation.description.rfind('\n') + 1).c_str(), seed, runs,
             narrow ? "EveryStepKeepsTheRules" : "EveryStepKeepsTheRulesWhateverTheListSaysOfStarts");
     }
     std::printf("%ld seeds tried, %ld failed\n", tried, failed);
