--- a/src/registry/registry_client.cpp
+++ b/src/registry/registry_client.cpp
@@ -107,7 +107,7 @@
     }
 }
 
-// Whatever it holds, a full read in pages that fit has it, too.
+// A full read in pages that fit has the same changes.
 void RegistryClient::on_message_too_long() { watch_.on_compacted(event_loop_.now()); }
 
 // Guards against the same long reply again and again: a page is requested anew with half the records, and a
--- a/src/registry/registry_log.cpp
+++ b/src/registry/registry_log.cpp
@@ -16,7 +16,7 @@
 std::string_view event_name(WatchWarningKind kind) {
     constexpr std::string_view names[] = {"registry_request_failed",       "registry_rolled_back",
                                           "registry_history_diverged",     "registry_list_too_long",
-                                          "registry_change_too_long",      "registry_list_doubtful",
+                                          "registry_change_too_large",     "registry_list_doubtful",
                                           "registry_doubtful_list_applied"};
     return names[static_cast<std::size_t>(kind)];
 }
--- a/src/registry/rollback_detector.hpp
+++ b/src/registry/rollback_detector.hpp
@@ -14,7 +14,7 @@
 class RollbackDetector {
 public:
     enum class Verdict {
-        member_lags,  ///< others have not been asked yet
+        member_lags,  ///< other members may be current
         most_lag,     ///< most members, but not for long enough: wait until confirmation_time()
         rolled_back,  ///< first time
         still_rolled_back
--- a/src/registry/settings.hpp
+++ b/src/registry/settings.hpp
@@ -14,7 +14,7 @@
     std::string prefix;           ///< of all keys; the rest of a key is the record's id
     std::string user, password;   ///< empty: no authentication
     std::size_t page_size = 500;  ///< records per page of a full read
-    std::string snapshot_folder;  ///< of the store that keeps the list for the next start; empty: none
+    std::string snapshot_folder;  ///< of the store of EndpointSnapshot; empty: none
     Duration snapshot_max_age = Duration::micros(3'600'000'000);  ///< an older snapshot is not used
     PollPolicy poll_policy;
     bool operator==(const Settings&) const = default;
--- a/src/registry/watch.cpp
+++ b/src/registry/watch.cpp
@@ -139,7 +139,7 @@
     back_off(now, PauseLimit::cap);
 }
 
-// --- which replies to believe ----------------------------------------------------------------------------
+// --- which replies to accept -----------------------------------------------------------------------------
 
 bool Watch::is_older(const ReplyHeader& header) const {
     const bool both_known = !cluster_.raw().empty() && !header.cluster.raw().empty();
--- a/src/registry/watch.hpp
+++ b/src/registry/watch.hpp
@@ -1,4 +1,4 @@
-// Follows the records of a registry: full reads, watches, retries, and which replies to believe. No I/O; the
+// Follows the records of a registry: full reads, watches, retries, and which replies to accept. No I/O; the
 // time comes with each call, randomness from the seed.
 //
 // SyncState lists the states, Watch::enter is the one function that moves between them, and docs/registry.md
--- a/src/registry/watch_callbacks.hpp
+++ b/src/registry/watch_callbacks.hpp
@@ -46,7 +46,7 @@
     virtual void schedule_wake(TimePoint at) = 0;
 };
 
-/// Conditions that an operator should know of. The view in force stays what it was unless stated.
+/// Conditions for the log. The view in force does not change unless stated.
 enum class WatchWarningKind {
     request_failed,            ///< the first failure in a row; `failure` has the reason
     registry_rolled_back,      ///< most members are older than the view, or another cluster: full read
