--- a/src/fleet/token_store.cpp
+++ b/src/fleet/token_store.cpp
@@ -39,14 +39,13 @@
     auto written = store_->write(tokens_name, tokens);
     if (std::holds_alternative<Store::Written>(written) && incarnation > Incarnation{})
         written = store_->write(incarnation_name, std::to_string(incarnation.raw()));
-    const auto* error = std::get_if<StoreError>(&written);
-    if (!error) {
-        write_error_reported_ = false;
-        saved_state_ = state;
-        return std::nullopt;
+    if (const auto* error = std::get_if<StoreError>(&written)) {
+        if (std::exchange(write_error_reported_, true)) return std::nullopt;
+        return *error;
     }
-    if (std::exchange(write_error_reported_, true)) return std::nullopt;
-    return *error;
+    write_error_reported_ = false;
+    saved_state_ = state;
+    return std::nullopt;
 }
 
 }  // namespace irismux::fleet
