--- a/bench/capacity_page.cpp
+++ b/bench/capacity_page.cpp
@@ -312,7 +312,8 @@
     if (!by_site)
         lacks("Control (" + v.name + "): the word that a purge or a configuration is in force everywhere");
     return text + "\nWho knows that it is in force *everywhere*: " +
-           (by_site ? "the digests of all sites, `src/fleet/applied_revisions.cpp`" : "nobody (mechanism: none)") +
+           (by_site ? "the digests of all sites, `src/fleet/applied_revisions.cpp`"
+                    : "nobody (mechanism: none)") +
            ".\n";
 }
 
--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -169,7 +169,7 @@
     CLI::App app_{"irismux, a lookup router for caches that fill from parent caches and an origin",
                   "irismux"};
     std::string parts_, cache_, record_, duty_, site_, member_;
-    cli::InForceQuestion in_force_;
+    cli::InForceQuery in_force_;
     std::function<int()> command_ = [this] { return serve(parts_); };
 };
 
--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -48,7 +48,7 @@
 [[nodiscard]] bool set_log_level(std::string_view setting) {
     constexpr std::string_view json_suffix = ":json";
     if (setting.size() > json_suffix.size() && setting.ends_with(json_suffix)) {
-        log::form(log::Form::json);
+        log::set_format(log::Format::json);
         setting.remove_suffix(json_suffix.size());
     }
     constexpr std::pair<std::string_view, log::Level> levels[] = {{"error", log::Level::error},
@@ -154,7 +154,7 @@
 void run_gateway(const ConfigurationFiles& files, const Parts& parts, ProcessSignals& signals,
                  std::optional<ListenFailure>& start_failure) {
     Configuration configuration = retry_transient([&] { return read_configuration(files.configuration); });
-    log::by(configuration.name);
+    log::set_process_name(configuration.name);
     if (const char* address = std::getenv("NODE_LISTEN")) configuration.listen = address;
     std::optional<EventLoop> loop;
     create_event_loop(loop);
