--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -3,6 +3,7 @@
 
 #include <functional>
 #include <iostream>
+#include <optional>
 #include <string>
 #include <variant>
 
@@ -22,22 +23,24 @@
     "IRISMUX_PARTS  path of the parts (TOML), where --parts does not name it\n"
     "IRISMUX_LOG    error, warning, info (the default) or debug; with \":json\" behind it, lines of JSON\n";
 
-// Runs the command with the registry of a file of parts.
-template <class Command>
-int with_registry(const std::string& path, Command command) {
+// Runs the command with one part of a parts file. `table` is its name there.
+template <class Settings, class Command>
+int with_part(const std::string& path, std::optional<Settings> Parts::*part, const std::string& table,
+              Command command) {
     const auto parts = read_parts(path);
     if (const auto* error = std::get_if<PartsError>(&parts)) return exit_with_error(error->text());
-    const auto& settings = std::get<Parts>(parts).registry;
-    return settings ? command(*settings) : exit_with_error(path + " has no [registry]");
+    const std::optional<Settings>& settings = std::get<Parts>(parts).*part;
+    return settings ? command(*settings) : exit_with_error(path + " has no [" + table + "]");
+}
+
+template <class Command>
+int with_registry(const std::string& path, Command command) {
+    return with_part(path, &Parts::registry, "registry", command);
 }
 
-// Runs the command with the whole fleet of a file of parts.
 template <class Command>
 int with_fleet(const std::string& path, Command command) {
-    const auto parts = read_parts(path);
-    if (const auto* error = std::get_if<PartsError>(&parts)) return exit_with_error(error->text());
-    const auto& settings = std::get<Parts>(parts).fleet;
-    return settings ? command(*settings) : exit_with_error(path + " has no [fleet]");
+    return with_part(path, &Parts::fleet, "fleet", command);
 }
 
 // Runs the command with the site that the file names, or with the whole fleet if it names none.
--- a/tests/client_gone_test.cpp
+++ b/tests/client_gone_test.cpp
@@ -1,5 +1,5 @@
-// Crossings of a client that leaves: whatever waits then does not begin any more. The far ends' ledgers say
-// so.
+// A client closes its connection, or aborts its request, while its attempt waits: the attempt does not begin.
+// The scripted caches count what has arrived.
 #include "single_process_fixture.hpp"
 
 namespace irismux::testing {
@@ -9,36 +9,40 @@
 using stand_ins::ScriptedCache;
 using stand_ins::SingleProcess;
 
-enum class Goes { closes, aborts };
+enum class ClientEnd { closes, aborts };
 
-class ClientGone : public ::testing::TestWithParam<Goes> {
+class ClientGone : public ::testing::TestWithParam<ClientEnd> {
 protected:
-    static void leave(FastCgiClient& a, std::uint16_t request) {
-        GetParam() == Goes::closes ? a.close() : a.abort(request);
+    static void end(FastCgiClient& client, std::uint16_t request) {
+        if (GetParam() == ClientEnd::closes)
+            client.close();
+        else
+            client.abort(request);
     }
 };
 
-// No connection to the only cache comes up until the client has left. Guarded by Caches::withdraw, and behind
-// it by Router::may_begin.
-TEST_P(ClientGone, AFirstSendThatWaitsForAConnectionDoesNotBegin) {
+// Given a first attempt that waits, since no connection to the only cache comes up. When its client is gone,
+// and connections come up. Then the attempt does not arrive
+// (CacheConnectionPool::withdraw_unstarted_attempts, and behind it Router::may_begin_attempt).
+TEST_P(ClientGone, AFirstAttemptThatWaitsForAConnectionDoesNotBegin) {
     SingleProcess solo(solo_shape(1, {}, 0));
     solo.caches[0]->hold_connections();
     const auto one = solo.connect_client(), other = solo.connect_client();
     one->send(1, {.id = id_of(1)});
     ASSERT_TRUE(solo.until([&] { return solo.pending_connections(*solo.caches[0]) == 1; }));
-    leave(*one, 1);
+    end(*one, 1);
     ASSERT_TRUE(solo.until([&] { return solo.logged("client_closed client_request_id=" + id_of(1)); }));
     solo.caches[0]->resume_accepting();
-    // Every connection that the gateway has begun to that cache comes up, then one more lookup passes.
+    // Every connection that the gateway has begun to that cache comes up, then one more request passes.
     ASSERT_TRUE(solo.until([&] { return solo.pending_connections(*solo.caches[0]) == 0; }));
     other->send(1, {.id = id_of(2)});
     ASSERT_TRUE(solo.until([&] { return solo.attempts_received(id_of(2)) == 1; }));
     EXPECT_EQ(solo.attempts_received(id_of(1)), 0u);
 }
 
-// The cache that has the lookup ends its connection, and no other comes up until the client has left: nothing
-// of a further send begins.
-TEST_P(ClientGone, AFurtherSendThatWaitsDoesNotBegin) {
+// Given a request whose first attempt has been reset by its cache, and a retry that waits for a connection.
+// When its client is gone, and connections come up. Then the retry does not arrive.
+TEST_P(ClientGone, ARetryThatWaitsDoesNotBegin) {
     SingleProcess solo(solo_shape(1, {}, 0));
     ScriptedCache& cache = *solo.caches[0];
     const auto one = solo.connect_client(), other = solo.connect_client();
@@ -47,7 +51,7 @@
     cache.hold_connections();
     cache.received[0].wire->reset();
     ASSERT_TRUE(solo.until([&] { return solo.pending_connections(cache) == 1; }));
-    leave(*one, 1);
+    end(*one, 1);
     ASSERT_TRUE(solo.until([&] { return solo.logged("client_closed client_request_id=" + id_of(1)); }));
     cache.resume_accepting();
     ASSERT_TRUE(solo.until([&] { return solo.pending_connections(cache) == 0; }));
@@ -56,17 +60,17 @@
     EXPECT_EQ(solo.attempts_received(id_of(1)), 1u);
 }
 
-// Over a megabyte of answers lies unread before a client that has one more lookup at work, and leaves: it is
-// heard of all the same, and the lookup, whose cache breaks off, is not sent again. Guarded by
-// FrontLink::look_ahead.
-TEST_P(ClientGone, IsHeardOfWhileItsAnswersLieUnread) {
+// Given a client with over a megabyte of responses unread and one more request in flight. When it is gone.
+// Then the gateway notices, and when the cache resets the attempt it is not retried
+// (FastCgiConnection::scan_paused_input).
+TEST_P(ClientGone, IsNoticedWhileResponsesAreUnread) {
     SingleProcess solo(solo_shape(1));
     ScriptedCache& cache = *solo.caches[0];
     const auto one = solo.connect_client();
     one->send(1, {.id = id_of(1)});
     ASSERT_TRUE(solo.until([&] { return cache.find_received(id_of(1)) == 1; }));
     one->wire->start_reading(false);
-    // More than is let lie before a connection is not read on, less than what cuts it off.
+    // More than makes the gateway stop reading the connection, less than makes it close it.
     constexpr int large = 20;
     for (int n = 2; n < 2 + large; ++n) one->send(static_cast<std::uint16_t>(n), {.id = id_of(n)});
     ASSERT_TRUE(solo.until([&] { return cache.received.size() == 1 + large; }));
@@ -74,7 +78,7 @@
         cache.answer(cache.received[n], "HIT", std::string(240'000, 'b'));
     ASSERT_TRUE(solo.until(
         [&] { return solo.logged("fastcgi_request=" + std::to_string(1 + large) + " bytes=240000"); }));
-    leave(*one, 1);
+    end(*one, 1);
     ASSERT_TRUE(solo.until([&] { return solo.logged("client_closed client_request_id=" + id_of(1)); },
                            Duration::seconds(2)));
     cache.received[0].wire->reset();
@@ -85,7 +89,7 @@
     EXPECT_EQ(solo.attempts_received(id_of(1)), 1u);
 }
 
-INSTANTIATE_TEST_SUITE_P(Both, ClientGone, ::testing::Values(Goes::closes, Goes::aborts));
+INSTANTIATE_TEST_SUITE_P(ClosesOrAborts, ClientGone, ::testing::Values(ClientEnd::closes, ClientEnd::aborts));
 
 }  // namespace
 }  // namespace irismux::testing
--- a/tests/event_order_test.cpp
+++ b/tests/event_order_test.cpp
@@ -1,4 +1,5 @@
-// Crossings of closes, windows and full tables with what is asked meanwhile.
+// Requests that come while connections are closed for others, retries that wait while what they depend on
+// changes, and descriptors that run short.
 #include <csignal>
 
 #include "single_process_fixture.hpp"
@@ -10,11 +11,11 @@
 using stand_ins::ScriptedCache;
 using stand_ins::SingleProcess;
 
-// Connections that rest carry a request each, unread yet, when one more comes and one has to go for it: none
-// of them is the one. Guarded by FrontLink::idle (bytes that lie unread); the gateway stands still meanwhile,
-// so that in one turn it finds the new one before most of the others.
-TEST(IdleClose, ARequestThatHasComeIsAnswered) {
-    // As many as there can be before one has to go: a sixteenth of half the descriptors is kept free.
+// Given as many idle connections as there may be, each with a request that is unread since the gateway is
+// stopped. When one more connection comes, for which one has to be closed, and the gateway goes on. Then all
+// requests are answered: none of these connections is idle (FastCgiConnection::idle).
+TEST(IdleClose, AnswersRequestsThatAreUnread) {
+    // A sixteenth of the clients' half of the descriptors is kept free.
     constexpr int descriptors = 64, links = descriptors / 2, resting = links - links / 16;
     SingleProcess solo(answering(solo_shape(2, {.descriptors = descriptors})));
     std::vector<std::shared_ptr<FastCgiClient>> rest;
@@ -38,7 +39,7 @@
     solo.process->signal(SIGCONT);
     ASSERT_TRUE(all(2));
     for (const auto& a : rest) EXPECT_TRUE(a->has_response(2));
-    // Nor is it the new one, for not having asked yet (Front::keep_some_free, before it is taken in).
+    // Nor is the new one closed for having sent nothing yet (FastCgiServer::keep_connections_free).
     one_more.say(rest[0]->request(1, {.id = id_of(300)}));
     EXPECT_TRUE(solo.until([&] {
         return one_more.look() != Raw::Now::open || one_more.heard.find("Status: 200") != std::string::npos;
@@ -46,9 +47,9 @@
     EXPECT_NE(one_more.heard.find("Status: 200"), std::string::npos);
 }
 
-// What is too large is answered, and the answer arrives though the client goes on sending. Guarded by
-// Link::linger in FrontLink::drop.
-TEST(IdleClose, AnAnswerOutlivesTheRestOfWhatWasTooLarge) {
+// Given a client that sends a request that is too large, and goes on sending. When the gateway refuses it and
+// closes the connection. Then the refusal arrives, and no reset (Connection::linger).
+TEST(IdleClose, ARefusalArrivesWhileTheClientGoesOnSending) {
     SingleProcess solo(solo_shape(1));
     const auto writes = solo.connect_client();
     Raw client(solo.listen);
@@ -62,9 +63,10 @@
     EXPECT_EQ(solo.attempts_received(id_of(1)), 0u);
 }
 
-// A deduplicated lookup whose first send may have run: its window runs out while the next waits for a
-// connection. Guarded by Router::may_begin.
-TEST(Retry, OfADeduplicatedLookupDoesNotBeginBehindItsWindow) {
+// Given a deduplicated request whose first attempt may have run, and a retry that waits for a connection.
+// When the time in which caches drop duplicates has passed. Then the retry does not begin
+// (Router::may_begin_attempt).
+TEST(Retry, OfADeduplicatedRequestDoesNotBeginAfterItsWindow) {
     SingleProcess solo(solo_shape(1, {.window = 0.5}, 0));
     ScriptedCache& cache = *solo.caches[0];
     const auto a = solo.connect_client();
@@ -81,9 +83,9 @@
     EXPECT_TRUE(a->has_response(1, "Status: 50"));
 }
 
-// Its client's key goes on with every send, or nobody would know the repeat; one that would not stay within
-// its field is refused.
-TEST(Retry, OfADeduplicatedLookupCarriesItsKey) {
+// Given a deduplicated request whose first attempt is reset. When it is retried. Then both attempts carry the
+// client's idempotency key. A key that would not stay within its field is refused.
+TEST(Retry, OfADeduplicatedRequestCarriesItsKey) {
     SingleProcess solo(solo_shape(2, {.window = 5}));
     for (const auto& c : solo.caches)
         c->then = [&](const ScriptedCache::ReceivedAttempt& p) {
@@ -104,8 +106,9 @@
     EXPECT_EQ(seen, 2u);
 }
 
-// A drain is told while a send waits for its connection: the send goes elsewhere.
-TEST(Retry, OfWhatWaitsWhenItsCacheDrainsGoesElsewhere) {
+// Given an attempt that waits for a connection. When its cache begins to drain. Then the attempt goes to
+// another cache.
+TEST(Retry, OfAnAttemptWhoseCacheDrainsGoesElsewhere) {
     SingleProcess solo(solo_shape(2, {}, 0));
     const auto a = solo.connect_client();
     a->send(1, {.id = id_of(1)});
@@ -129,8 +132,9 @@
     EXPECT_EQ(home.find_received(id_of(2)), 0u);
 }
 
-// Clients that say nothing hold every descriptor they can while the notice board is down: when it is back,
-// what it has to tell comes through. Guarded by the front's part of the descriptors.
+// Given silent clients that take every descriptor they can while the notice board is down. When the board is
+// back. Then the gateway polls it after one retry delay: clients have a part of the descriptors of their own
+// (client_limits).
 TEST(Descriptors, OneIsLeftForTheNoticeBoard) {
     auto shape = solo_shape(1, {.connect = 0.4, .descriptors = 64});
     shape.change = [change = shape.change](json& c) {
@@ -150,9 +154,9 @@
     stand_ins::Acceptor back(
         solo.loop, [&](Poco::Net::StreamSocket) { ++polls; }, 64,
         solo.configured["board"].get<std::string>());
-    const TimePoint from = solo.loop.now();
+    const TimePoint back_at = solo.loop.now();
     EXPECT_TRUE(solo.until([&] { return polls > 0; }, Duration::seconds(2)));
-    EXPECT_LT((solo.loop.now() - from).seconds(), 0.4 + 0.5);
+    EXPECT_LT((solo.loop.now() - back_at).seconds(), 0.4 + 0.5);
 }
 
 }  // namespace
--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -1,4 +1,4 @@
-// The file of parts: read whole, or refused with one line that names file, line and remedy.
+// The parts file: read whole, or refused with one line that names the file, the line and what would be right.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -20,7 +20,7 @@
     "retry_cap = \"1min\"\n"
     "page = 100\n";
 
-std::string line_for(const std::string& text) {
+std::string error_of(const std::string& text) {
     const auto read = read_parts_text(text, "p.toml");
     const auto* error = std::get_if<PartsError>(&read);
     return error ? error->text() : "";
@@ -32,7 +32,7 @@
     return text;
 }
 
-TEST(Parts, AGoodFileBecomesTheFiguresUsed) {
+TEST(Parts, AGoodFileIsReadWithItsValues) {
     const auto read = read_parts_text(good, "p.toml");
     const auto* parts = std::get_if<Parts>(&read);
     ASSERT_TRUE(parts && parts->registry) << std::get<PartsError>(read).text();
@@ -46,7 +46,7 @@
     EXPECT_FALSE(std::get<Parts>(none).registry) << "what is not named is off";
 }
 
-TEST(Parts, EachMistakeIsOneLineThatNamesItsPlaceAndARemedy) {
+TEST(Parts, EachMistakeIsNamedWithItsLineAndWhatWouldBeRight) {
     const std::vector<std::pair<std::string, std::string>> mistakes = {
         {with("quiet", "quite"),
          "p.toml:4: unknown key 'quite' in [registry]; the nearest known one is 'quiet'"},
@@ -71,8 +71,8 @@
         {good + "password_file = \"/nowhere/at/all\"\n",
          "p.toml:8: the first line of /nowhere/at/all can't be read or is empty"},
     };
-    for (const auto& [text, line] : mistakes) EXPECT_EQ(line_for(text), line);
-    EXPECT_EQ(line_for("[registry\n").substr(0, 9), "p.toml:1:");
+    for (const auto& [text, line] : mistakes) EXPECT_EQ(error_of(text), line);
+    EXPECT_EQ(error_of("[registry\n").substr(0, 9), "p.toml:1:");
     const std::string empty = ::testing::TempDir() + "irismux_empty_parts.toml";
     std::ofstream(empty).flush();
     EXPECT_TRUE(std::holds_alternative<Parts>(read_parts(empty))) << "names no part, and can be read";
@@ -80,7 +80,7 @@
     EXPECT_EQ(std::get<PartsError>(read_parts("/nowhere/p.toml")).text(), "cannot read /nowhere/p.toml");
 }
 
-TEST(Parts, AFleetNeedsAPlaceOfItsOwnAndTermsThatHoldTogether) {
+TEST(Parts, AFleetNeedsAPrefixOfItsOwnAndTimesThatFit) {
     const std::string fleet = "[fleet]\ninstallation = \"north\"\nprefix = \"/fleet/\"\n";
     const auto of = [&](const std::string& text) {
         const auto read = read_parts_text(text, "p.toml");
@@ -108,16 +108,16 @@
         {good + "keep_in = \"/k\"\n" + fleet + "keep_in = \"/k\"\n",
          "p.toml:12: 'keep_in' must be a folder of its own, not that of [registry]"},
     };
-    for (const auto& [text, line] : mistakes) EXPECT_EQ(line_for(text), line);
+    for (const auto& [text, line] : mistakes) EXPECT_EQ(error_of(text), line);
 }
 
-TEST(Parts, AnyBytesEndInPartsOrInOneLine) {
-    std::mt19937 chance(11);
+TEST(Parts, AnyBytesGivePartsOrAnErrorOfOneLine) {
+    std::mt19937 random(11);
     for (int n = 0; n < 5'000; ++n) {
-        std::string odd = good.substr(0, n % 2 ? good.size() : chance() % good.size());
-        for (auto k = chance() % 5; k > 0 && !odd.empty(); --k)
-            odd[chance() % odd.size()] = static_cast<char>(chance());
-        const std::string line = line_for(odd);
+        std::string odd = good.substr(0, n % 2 ? good.size() : random() % good.size());
+        for (auto k = random() % 5; k > 0 && !odd.empty(); --k)
+            odd[random() % odd.size()] = static_cast<char>(random());
+        const std::string line = error_of(odd);
         EXPECT_EQ(line.find('\n'), std::string::npos) << line;
         EXPECT_TRUE(line.empty() || line.substr(0, 7) == "p.toml:") << line;
     }
--- a/tests/repeated_id_test.cpp
+++ b/tests/repeated_id_test.cpp
@@ -1,5 +1,5 @@
 // Clients that use a request id again, while it is open and after its end, on one connection and on several:
-// each request gets one final answer, and a served one the bytes of the object that it named.
+// each request gets one final response, and one that is served the bytes of the object that it named.
 #include <array>
 #include <random>
 
@@ -173,7 +173,8 @@
     }
 };
 
-// Refused at once, and the first one is served.
+// Given an open request. When another one comes with its id on the same connection. Then it is refused at
+// once, the first one is served, and after that the id is free.
 TEST(RepeatedId, OnOneConnectionIsRefusedWhileTheFirstIsOpen) {
     Named n;
     n.one->send(1, {.id = id_of(7), .object = object_of(1)});
@@ -183,7 +184,6 @@
     EXPECT_TRUE(n.one->has_response(2, "Status: 409"));
     n.answer(0);
     ASSERT_TRUE(n.solo.until([&] { return n.one->has_response(1, "Status: 200"); }));
-    // After its end the name is free again.
     n.one->send(1, {.id = id_of(7), .object = object_of(3)});
     ASSERT_TRUE(n.pulled(2));
     n.answer(1);
@@ -191,8 +191,8 @@
     EXPECT_EQ(n.one->responses.back().body, bytes_of(object_of(3)));
 }
 
-// Another client's request of the same name takes another connection to the cache, where answers can't be
-// mistaken.
+// Given an open request. When another client's request has its id. Then it goes out on another connection to
+// the cache, where its response cannot be taken for the first one's.
 TEST(RepeatedId, OnTwoConnectionsEachIsServedItsOwn) {
     Named n;
     n.one->send(1, {.id = id_of(7), .object = object_of(1)});
@@ -207,9 +207,9 @@
     EXPECT_EQ(n.other->responses[0].body, bytes_of(object_of(2)));
 }
 
-// A copy of the very same request while that is open is not sent beside it; once that is answered it is
-// served.
-TEST(RepeatedId, ACopyIsNotSentBesideTheFirst) {
+// Given an open request. When an equal request comes on another connection. Then it is refused; once the
+// first one is answered, an equal one is served (DuplicateRequestFilter).
+TEST(RepeatedId, AnEqualRequestIsRefusedWhileTheFirstIsOpen) {
     Named n;
     const FastCgiClient::Request question{.id = id_of(7), .object = object_of(1)};
     n.one->send(1, question);
@@ -224,8 +224,9 @@
     EXPECT_TRUE(n.solo.until([&] { return n.other->has_response(2, "Status: 200"); }));
 }
 
-// A client whose connection is gone sends its request again on another one: that is served.
-TEST(RepeatedId, ACopyBehindAConnectionThatEndedIsServed) {
+// Given a request whose client's connection is gone. When the client sends it again on another one. Then it
+// is served.
+TEST(RepeatedId, AnEqualRequestIsServedOnceTheFirstClientIsGone) {
     Named n;
     const FastCgiClient::Request question{.id = id_of(7), .object = object_of(1)};
     n.one->send(1, question);
@@ -238,7 +239,8 @@
     EXPECT_TRUE(n.solo.until([&] { return n.other->has_response(1, "Status: 200"); }));
 }
 
-// One more than the connections that may carry it: it is refused without having run, and may be tried again.
+// Given as many open requests with one id as there may be connections to the cache. When one more comes. Then
+// it is refused without having run.
 TEST(RepeatedId, BeyondItsConnectionsIsRefused) {
     Named n;
     const auto third = n.solo.connect_client();
@@ -252,9 +254,9 @@
     EXPECT_EQ(n.cache.received.size(), 2u);
 }
 
-// The very same words are the same request, sent twice: it runs once. Other words under its id are another
-// one.
-TEST(RepeatedId, ASideEffectSentTwiceRunsOnce) {
+// Given a request with an effect. When an equal one comes, before and after its response. Then it is refused.
+// One with its id and another body is another request, and runs.
+TEST(RepeatedId, ARequestWithAnEffectRunsOnce) {
     Named n;
     const FastCgiClient::Request bid{.id = id_of(7), .object = object_of(1), .kind = "bids", .body = "ten"};
     n.one->send(1, bid);
@@ -271,9 +273,9 @@
     EXPECT_EQ(n.cache.received[1].body, "eleven");
 }
 
-// A cache that comes back under its id elsewhere: nothing goes out on what still leads to the earlier
-// address.
-TEST(CacheId, ThatMovesIsSentToWhereItIs) {
+// Given a connection to a cache. When the cache is listed with another address. Then the next attempt goes to
+// that address.
+TEST(MovedCache, GetsNewAttemptsAtItsNewAddress) {
     Named n;
     n.one->send(1, {.id = id_of(1), .object = object_of(1)});
     ASSERT_TRUE(n.pulled(1));
@@ -290,8 +292,9 @@
     EXPECT_EQ(n.cache.received.size(), 1u);
 }
 
-// The same with a send that waits for its connection to the earlier address: it goes out at the new one.
-TEST(CacheId, ThatMovesIsSentToWhereItIsByWhatWaits) {
+// Given an attempt that waits for a connection to a cache. When the cache is listed with another address.
+// Then the attempt goes to that address.
+TEST(MovedCache, GetsWaitingAttemptsAtItsNewAddress) {
     SingleProcess solo(solo_shape(1, {.deadline = 3}, 0));
     ScriptedCache& cache = *solo.caches[0];
     const auto client = solo.connect_client();
--- a/tests/request_identity_test.cpp
+++ b/tests/request_identity_test.cpp
@@ -1,5 +1,5 @@
-// Names that others choose, in the cores: what a connection remembers of them, which effects are known, when
-// events happened, and a Router under identities that are never given twice.
+// Ids and times that others choose, without I/O: ids in flight on a connection, equal requests, when notices
+// happened, and a router under ids that are never given twice.
 #include <random>
 
 #include "net/event_time_estimator.hpp"
@@ -14,7 +14,7 @@
 TimePoint after(double seconds) { return start + Duration::seconds(seconds); }
 ClientRequestId name(int n) { return ClientRequestId{std::to_string(n)}; }
 
-TEST(CarriedNames, BelongToOneLookupUntilTheirTime) {
+TEST(InFlightRequestIds, BelongToOneRequestUntilTheirTime) {
     InFlightRequestIds names;
     names.add(name(1), RequestId{1}, after(2), start);
     EXPECT_FALSE(names.used_by_another(name(1), RequestId{1}, after(1)));
@@ -23,8 +23,9 @@
     EXPECT_FALSE(names.used_by_another(name(1), RequestId{2}, after(2)));
 }
 
-// A connection that carries a flood: what is over is forgotten, and at the bound what ends first.
-TEST(CarriedNames, AreBounded) {
+// Given a connection that carries a flood of ids. Then those that are over are dropped, and at the limit
+// those that end first.
+TEST(InFlightRequestIds, AreBounded) {
     InFlightRequestIds names;
     std::uint64_t lookup = 0;
     for (int n = 0; n < 3 * static_cast<int>(InFlightRequestIds::max_entries); ++n) {
@@ -38,16 +39,17 @@
     EXPECT_LE(names.size(), InFlightRequestIds::max_entries);
 }
 
-RequestFingerprint words_of(int id, const std::string& body) {
+RequestFingerprint fingerprint_of(int id, const std::string& body) {
     return {ClientRequestId{std::to_string(id)}, "bids", "object", "0", body};
 }
 
-// Against a plain list: the same words are known until their time, and any other word makes another request.
-TEST(RequestLog, KnowsWordsAsAPlainListDoes) {
+// Compared with a plain list: an equal request is refused until the first one's time, and any difference
+// makes another request.
+TEST(DuplicateRequestFilter, RefusesWhatAPlainListHolds) {
     std::mt19937 random(7);
-    DuplicateRequestFilter log;
+    DuplicateRequestFilter filter;
     struct Known {
-        std::string words;
+        std::string fingerprint;
         RequestId lookup;
         TimePoint until;
     };
@@ -58,27 +60,28 @@
         std::erase_if(known, [&](const Known& k) { return k.until <= now; });
         if (!known.empty() && random() % 10 == 0) {
             const Known gone = known[random() % known.size()];
-            log.forget_request(gone.lookup);
+            filter.forget_request(gone.lookup);
             std::erase_if(known, [&](const Known& k) { return k.lookup == gone.lookup; });
         }
         const int id = static_cast<int>(random() % 4);
         const std::string body(random() % 3, 'b');
-        const std::string words = std::to_string(id) + '/' + body;
-        const bool expected =
-            std::none_of(known.begin(), known.end(), [&](const Known& k) { return k.words == words; });
+        const std::string fingerprint = std::to_string(id) + '/' + body;
+        const bool expected = std::none_of(known.begin(), known.end(),
+                                           [&](const Known& k) { return k.fingerprint == fingerprint; });
         const TimePoint until = now + Duration::micros(1 + static_cast<std::int64_t>(random() % 20'000));
-        ASSERT_EQ(log.accept(words_of(id, body), RequestId{n}, until, now), expected) << n;
-        if (expected) known.push_back({words, RequestId{n}, until});
-        ASSERT_EQ(log.size(), known.size());
+        ASSERT_EQ(filter.accept(fingerprint_of(id, body), RequestId{n}, until, now), expected) << n;
+        if (expected) known.push_back({fingerprint, RequestId{n}, until});
+        ASSERT_EQ(filter.size(), known.size());
     }
 }
 
-TEST(RequestLog, IsBounded) {
-    DuplicateRequestFilter log;
+TEST(DuplicateRequestFilter, IsBounded) {
+    DuplicateRequestFilter filter;
     for (std::size_t n = 0; n < 2 * DuplicateRequestFilter::max_entries; ++n) {
         const double until = 10 + static_cast<double>(n) * 1e-3;
-        ASSERT_TRUE(log.accept(words_of(static_cast<int>(n), ""), RequestId{n + 1}, after(until), start));
-        ASSERT_LE(log.size(), DuplicateRequestFilter::max_entries);
+        ASSERT_TRUE(
+            filter.accept(fingerprint_of(static_cast<int>(n), ""), RequestId{n + 1}, after(until), start));
+        ASSERT_LE(filter.size(), DuplicateRequestFilter::max_entries);
     }
 }
 
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -1,4 +1,4 @@
-// Crossings of SIGTERM with what is at work, half read, accepted or resting.
+// SIGTERM while requests are in flight, half received, not accepted yet, or come on idle connections.
 #include <csignal>
 #include <memory>
 
@@ -11,39 +11,41 @@
 using stand_ins::ScriptedCache;
 using stand_ins::SingleProcess;
 
-// Of the protocol: SIGKILL comes no sooner than three seconds and this after SIGTERM.
-constexpr double work_after = 0.7, killed_after = 3 + work_after;
+// From the platform's protocol: requests may come for so long after SIGTERM, and SIGKILL comes no sooner than
+// 3 s after that.
+constexpr double acceptance_period_s = 0.7, sigkill_after_s = 3 + acceptance_period_s;
 
-// Hung caches, clients that would wait longer than the platform: each is answered by effect before SIGKILL
-// can come, and the program ends by itself. Guarded by Host::leave and Router::on_leaving.
-TEST(Leave, AnswersBeforeItCanBeKilled) {
+// Given two requests at caches that do not respond, whose deadlines lie behind the earliest SIGKILL. When
+// SIGTERM comes. Then both are answered before SIGKILL can come, the one without effect as refused, the one
+// with an effect as failed, and the process ends by itself (Shutdown::begin, Router::on_drain).
+TEST(Shutdown, AnswersBeforeItCanBeKilled) {
     SingleProcess solo(solo_shape(2));
     const auto a = solo.connect_client();
     a->send(1, {.id = id_of(1), .patience_ms = 5000});
     a->send(2, {.id = id_of(2), .kind = "bids", .body = "b", .patience_ms = 5000});
     ASSERT_TRUE(solo.until(
         [&] { return solo.attempts_received(id_of(1)) > 0 && solo.attempts_received(id_of(2)) > 0; }));
-    const TimePoint told = solo.loop.now();
+    const TimePoint terminated_at = solo.loop.now();
     solo.process->signal(SIGTERM);
     EXPECT_TRUE(solo.exited_cleanly());
-    EXPECT_LT((solo.loop.now() - told).seconds(), killed_after);
+    EXPECT_LT((solo.loop.now() - terminated_at).seconds(), sigkill_after_s);
     EXPECT_TRUE(a->has_response(1, "Status: 503"));
     EXPECT_TRUE(a->has_response(2, "Status: 502"));
 }
 
-// What the system holds for the gateway at the moment of its end has been taken: the gateway stands still
-// from right after SIGTERM until that moment has passed.
-class StandsStill : public ::testing::Test {
+// Given a gateway that is stopped (SIGSTOP) right after SIGTERM, so that whatever comes meanwhile waits in
+// the system. When it goes on after the time to accept requests has passed. Then all of that is answered.
+class ShutdownAfterStandstill : public ::testing::Test {
 protected:
     SingleProcess solo{answering(solo_shape(2))};
-    std::shared_ptr<FastCgiClient> resting = solo.connect_client();
-    void end_in(const std::function<void()>& meanwhile) {
-        resting->send(1, {.id = id_of(1)});
-        ASSERT_TRUE(solo.until([&] { return resting->has_response(1); }));
+    std::shared_ptr<FastCgiClient> idle = solo.connect_client();
+    void shut_down_during(const std::function<void()>& meanwhile) {
+        idle->send(1, {.id = id_of(1)});
+        ASSERT_TRUE(solo.until([&] { return idle->has_response(1); }));
         solo.process->signal(SIGTERM);
         ASSERT_TRUE(solo.until([&] { return solo.logged("shutdown_started"); }));
         solo.process->signal(SIGSTOP);
-        const TimePoint due = solo.loop.now() + Duration::seconds(work_after);
+        const TimePoint due = solo.loop.now() + Duration::seconds(acceptance_period_s);
         meanwhile();
         ASSERT_TRUE(solo.until([&] { return solo.loop.now() > due; }));
         solo.process->signal(SIGCONT);
@@ -51,50 +53,48 @@
     }
 };
 
-// Guarded by Front::drained (bytes that lie unread).
-TEST_F(StandsStill, AnswersWhatLiesUnread) {
-    end_in([&] { resting->send(2, {.id = id_of(2)}); });
-    EXPECT_TRUE(resting->has_response(2, "Status: 200"));
+// A request that lies unread on an open connection (FastCgiServer::drained).
+TEST_F(ShutdownAfterStandstill, AnswersARequestThatIsUnread) {
+    shut_down_during([&] { idle->send(2, {.id = id_of(2)}); });
+    EXPECT_TRUE(idle->has_response(2, "Status: 200"));
 }
 
-// The first that is accepted says nothing, so that nothing seems to be owed while others still wait. Guarded
-// by Front::stop_listening, which takes them in.
-TEST_F(StandsStill, AnswersWhoeverWaitsToBeAccepted) {
+// Two connections that are not accepted yet. The first one sends nothing, so that all is answered while the
+// second one still waits (FastCgiServer::stop_listening accepts it).
+TEST_F(ShutdownAfterStandstill, AnswersConnectionsThatWaitToBeAccepted) {
     std::unique_ptr<Raw> silent, asks;
-    end_in([&] {
+    shut_down_during([&] {
         silent = std::make_unique<Raw>(solo.listen);
         asks = std::make_unique<Raw>(solo.listen);
-        asks->say(resting->request(1, {.id = id_of(3)}));
+        asks->say(idle->request(1, {.id = id_of(3)}));
     });
     EXPECT_EQ(asks->look(), Raw::Now::ended);
     EXPECT_NE(asks->heard.find("Status: 200"), std::string::npos);
 }
 
-// A connection that the gateway has ended is not heard any more: a question that crosses the end is not sent
-// on. Guarded by Link::linger, which discards it; that no reset takes the answer before it,
-// IdleClose.AnAnswerOutlivesTheRestOfWhatWasTooLarge shows.
-TEST(Leave, EndsConnectionsInPeace) {
+// Given two connections that the shutdown has closed. When a request comes on one of them. Then it is not
+// sent to a cache (Connection::linger discards it), and the response before it arrives without a reset.
+TEST(Shutdown, DiscardsRequestsOnClosedConnections) {
     SingleProcess solo(answering(solo_shape(2)));
     const auto writes = solo.connect_client();
-    Raw resting(solo.listen), waiting(solo.listen);
-    for (Raw* r : {&resting, &waiting}) r->say(writes->request(1, {.id = id_of(r == &resting ? 1 : 2)}));
+    Raw first(solo.listen), second(solo.listen);
+    for (Raw* r : {&first, &second}) r->say(writes->request(1, {.id = id_of(r == &first ? 1 : 2)}));
     ASSERT_TRUE(
         solo.until([&] { return solo.attempts_received(id_of(1)) + solo.attempts_received(id_of(2)) == 2; }));
     solo.process->signal(SIGTERM);
-    // Its end is seen: the question goes out now, and only then is anything read.
     ASSERT_TRUE(solo.until([&] { return solo.logged("shutdown_closing_connections"); }));
-    resting.say(writes->request(2, {.id = id_of(3)}));
-    resting.say(std::string(20'000, 'x'));
+    first.say(writes->request(2, {.id = id_of(3)}));
+    first.say(std::string(20'000, 'x'));
     EXPECT_TRUE(solo.exited_cleanly());
     EXPECT_EQ(solo.attempts_received(id_of(3)), 0u);
-    for (Raw* r : {&resting, &waiting}) {
+    for (Raw* r : {&first, &second}) {
         EXPECT_EQ(r->look(), Raw::Now::ended);
         EXPECT_NE(r->heard.find("Status: 200"), std::string::npos);
     }
 }
 
-// Half of a request is here when SIGTERM comes, the rest after it.
-TEST(Leave, AnswersARequestThatWasHalfRead) {
+// Given half of a request. When SIGTERM comes, and then the other half. Then it is answered.
+TEST(Shutdown, AnswersARequestThatWasHalfReceived) {
     SingleProcess solo(answering(solo_shape(2)));
     const auto a = solo.connect_client();
     const std::string bytes = a->request(1, {.id = id_of(1)});
@@ -108,8 +108,9 @@
     EXPECT_TRUE(solo.exited_cleanly());
 }
 
-// Signals that come while it leaves change nothing: one answer, one end.
-TEST(Leave, ASecondSignalChangesNothing) {
+// Given a shutdown that waits for one request. When SIGHUP, with another notice board in the configuration,
+// and a second SIGTERM come. Then the configuration is not read, and the request gets its one response.
+TEST(Shutdown, IgnoresFurtherSignals) {
     SingleProcess solo(solo_shape(2));
     const auto a = solo.connect_client();
     a->send(1, {.id = id_of(1), .patience_ms = 2000});
