--- a/sim/simulator_codec.cpp
+++ b/sim/simulator_codec.cpp
@@ -43,7 +43,7 @@
     update.machine_type = MachineType{get_or<std::string>(message, "type", "")};
     update.cell = CellId{get_or<std::int64_t>(message, "group", 0)};
     update.weight = get_or(message, "nominal", 1.0);
-    update.status = word(get<std::string>(message, "mode"), "mode", endpoint_statuses);
+    update.status = parse_enum(get<std::string>(message, "mode"), "mode", endpoint_statuses);
     update.started_at = TimePoint::at_seconds(get_or(message, "startedAtS", 0.0));
     return update;
 }
@@ -64,10 +64,10 @@
     result.request = request;
     result.attempt = AttemptIndex{get_or<std::size_t>(message, "trial", 0)};
     result.cache = CacheId{get<std::string>(message, "cache")};
-    result.outcome = word(get<std::string>(message, "verdict"), "verdict", outcomes);
+    result.outcome = parse_enum(get<std::string>(message, "verdict"), "verdict", outcomes);
     result.cache_status = cache_status_of(get_or(message, "remark", 0));
-    result.elapsed = span_of(message, "timeTakenS");
-    result.fill_wait = span_of(message, "fillWaitS");
+    result.elapsed = get_duration(message, "timeTakenS");
+    result.fill_wait = get_duration(message, "fillWaitS");
     result.request_finished = get_or(message, "last", false);
     return result;
 }
--- a/sim/simulator_host.cpp
+++ b/sim/simulator_host.cpp
@@ -59,7 +59,7 @@
 class SimulatedGateway {
 public:
     SimulatedGateway(TimePoint now, const json& message) {
-        DeploymentSettings settings = read_deployment(need(message, "setup"));
+        DeploymentSettings settings = read_deployment(require(message, "setup"));
         kind_indexes_ = std::move(settings.kind_indexes);
         router_.emplace(writer_, settings.deployment, get<std::uint64_t>(message, "seed"), now);
     }
@@ -69,7 +69,7 @@
     void on_request(TimePoint now, const json& message) {
         const std::string kind = get<std::string>(message, "kind");
         const auto index = kind_indexes_.find(kind);
-        if (index == kind_indexes_.end()) bad("unknown kind '" + kind + "'");
+        if (index == kind_indexes_.end()) throw_parse_error("unknown kind '" + kind + "'");
         Request request = read_request(message);
         request.kind = index->second;
         request.id = writer_.names.add(get<std::string>(message, "xid"));
@@ -104,7 +104,7 @@
         std::optional<ObjectName> object;
         if (const auto name = get_or<std::string>(message, "contentId", ""); !name.empty())
             object = ObjectName{name};
-        router_->on_purge(now, span_of(message, "ageS"),
+        router_->on_purge(now, get_duration(message, "ageS"),
                           PurgeGroupId{get_or<std::int64_t>(message, "setNo", 0)}, object);
     }
 
@@ -113,10 +113,10 @@
         const std::string kind = get<std::string>(message, "how");
         if (kind == "lost") return router_->on_endpoint_updates_lost(now);
         if (kind != "incr" && kind != "total" && kind != "warm_copy")
-            bad("unknown kind of list '" + kind + "'");
+            throw_parse_error("unknown kind of list '" + kind + "'");
         const auto number = get_or<std::int64_t>(message, "ref", 0);
         const auto list = lists.find(number);
-        if (list == lists.end()) bad("unknown list number " + std::to_string(number));
+        if (list == lists.end()) throw_parse_error("unknown list number " + std::to_string(number));
         router_->on_endpoint_updates(now, list->second, kind != "incr");
     }
 
@@ -136,9 +136,9 @@
     [[nodiscard]] json reply_to(const json& batch) {
         const TimePoint now = TimePoint::at_seconds(get<double>(batch, "clockS"));
         json replies = json::array();
-        for (const json& entry : list_of(batch, "gateways")) {
+        for (const json& entry : get_array(batch, "gateways")) {
             const std::string name = get<std::string>(entry, "gatewayId");
-            for (const json& message : list_of(entry, "items")) receive(now, name, message);
+            for (const json& message : get_array(entry, "items")) receive(now, name, message);
             const auto gateway = gateways_.find(name);
             if (gateway == gateways_.end()) continue;
             json messages = gateway->second->take_messages();
@@ -162,7 +162,8 @@
 
     SimulatedGateway& gateway_for(const std::string& type, const std::string& name) {
         const auto gateway = gateways_.find(name);
-        if (gateway == gateways_.end()) bad("'" + type + "' for '" + name + "', which is not running");
+        if (gateway == gateways_.end())
+            throw_parse_error("'" + type + "' for '" + name + "', which is not running");
         return *gateway->second;
     }
 
@@ -180,12 +181,12 @@
         else if (type == "ClientGone")
             gateway.on_client_closed(now, message);
         else if (!is_ignored(type))
-            bad("unknown message '" + type + "'");
+            throw_parse_error("unknown message '" + type + "'");
     }
 
     void read_endpoint_list(const json& message) {
         std::vector<EndpointUpdate> updates;
-        for (const json& element : list_of(message, "elements"))
+        for (const json& element : get_array(message, "elements"))
             updates.push_back(read_endpoint_update(element));
         endpoint_lists_[get_or<std::int64_t>(message, "ref", 0)] = std::move(updates);
     }
--- a/src/endpoint/endpoint_record.cpp
+++ b/src/endpoint/endpoint_record.cpp
@@ -27,7 +27,7 @@
     update.machine_type = MachineType{get_or<std::string>(record, "kind", "")};
     update.cell = CellId{get_or<std::int64_t>(record, "cell", 0)};
     update.weight = get_or(record, "weight", 1.0);
-    update.status = word(get<std::string>(record, "state"), "state", statuses);
+    update.status = parse_enum(get<std::string>(record, "state"), "state", statuses);
     update.started_at = time_from_unix_ms(get_or<std::int64_t>(record, "started_ms", 0));
     return {update, get_or<std::string>(record, "addr", "")};
 }
--- a/src/gateway/deployment_reader.cpp
+++ b/src/gateway/deployment_reader.cpp
@@ -34,8 +34,8 @@
     explicit Settings(const json& settings)
         : all(settings),
           specifics(settings.contains("specifics") ? settings.at("specifics") : none),
-          limits(need(settings, "ceilings")),
-          safety(need(settings, "safety")) {}
+          limits(require(settings, "ceilings")),
+          safety(require(settings, "safety")) {}
 
     const json none = json::object();
     const json& all;
@@ -47,7 +47,7 @@
 void read_locations(const Settings& settings, Deployment& deployment) {
     deployment.gateways = get_or(settings.all, "balancers", 1);
     deployment.location = LocationId{get_or<std::string>(settings.all, "zone", "")};
-    const json& locations = list_of(settings.all, "dcs");
+    const json& locations = get_array(settings.all, "dcs");
     deployment.locations = 0;
     for (std::size_t n = 0; n < locations.size(); ++n) {
         const int gateways = element_or(settings.specifics, "zoneBalancers", n, 0);
@@ -63,9 +63,9 @@
 ObjectKind read_kind(const Settings& settings, const json& lane, std::size_t index) {
     const json& specifics = settings.specifics;
     ObjectKind kind;
-    kind.effect = word(get<std::string>(lane, "effect"), "effect", effects);
-    kind.dedup_scope = word(get_or<std::string>(lane, "group", "all"), "group", dedup_scopes);
-    kind.dedup_window = span_of(lane, "windowS");
+    kind.effect = parse_enum(get<std::string>(lane, "effect"), "effect", effects);
+    kind.dedup_scope = parse_enum(get_or<std::string>(lane, "group", "all"), "group", dedup_scopes);
+    kind.dedup_window = get_duration(lane, "windowS");
     kind.latency_objective = Duration::seconds(get<double>(lane, "aimS"));
     kind.latency_objective_stretch = get_or(lane, "aimStretch", 0.0);
     kind.deadline = Duration::seconds(get<double>(lane, "hardLimitS"));
@@ -79,7 +79,7 @@
 }
 
 void read_kinds(const Settings& settings, DeploymentSettings& result) {
-    const json& lanes = list_of(settings.all, "lanes");
+    const json& lanes = get_array(settings.all, "lanes");
     for (std::size_t n = 0; n < lanes.size(); ++n) {
         result.deployment.kinds.push_back(read_kind(settings, lanes[n], n));
         result.kind_indexes.emplace(get<std::string>(lanes[n], "name"), ObjectKindIndex{n});
@@ -93,7 +93,7 @@
 }
 
 void read_machine_types(const Settings& settings, Deployment& deployment) {
-    const json& names = list_of(settings.all, "kinds");
+    const json& names = get_array(settings.all, "kinds");
     deployment.parent_machine =
         machine_type_at(names, get_or<std::int64_t>(settings.specifics, "secondTierKind", -1));
     deployment.origin_machine =
@@ -110,31 +110,32 @@
     capabilities.direct_attempts = get_or(specifics, "passThroughOk", false);
     capabilities.coalescing = get_or(specifics, "canJoin", false);
     capabilities.siblings =
-        word(get_or<std::string>(specifics, "neighbours", "off"), "neighbours", sibling_scopes);
+        parse_enum(get_or<std::string>(specifics, "neighbours", "off"), "neighbours", sibling_scopes);
     capabilities.cache_status =
-        word(get_or<std::string>(specifics, "says", "off"), "says", cache_status_reportings);
+        parse_enum(get_or<std::string>(specifics, "says", "off"), "says", cache_status_reportings);
     capabilities.max_attempts = get_or(limits, "attemptsCap", 1);
-    capabilities.max_retry_after = span_of(limits, "maxRetryAfterS");
+    capabilities.max_retry_after = get_duration(limits, "maxRetryAfterS");
 }
 
 void read_overload_protection(const Settings& settings, Deployment& deployment) {
     const json& safety = settings.safety;
     const json& specifics = settings.specifics;
-    deployment.edge_slow_start = {get_or(safety, "coldFrom", 1.0), span_of(safety, "coldS"),
+    deployment.edge_slow_start = {get_or(safety, "coldFrom", 1.0), get_duration(safety, "coldS"),
                                   get_or(safety, "fallMultiple", 1.0)};
-    deployment.parent_slow_start = {get_or(specifics, "parentFloor", 1.0), span_of(specifics, "upperColdS"),
+    deployment.parent_slow_start = {get_or(specifics, "parentFloor", 1.0),
+                                    get_duration(specifics, "upperColdS"),
                                     get_or(specifics, "parentBreaksAt", 1.0)};
     deployment.origin_stops_when_overloaded = get_or(specifics, "rootFallMultiple", 0.0) > 0;
-    deployment.overload_window = span_of(safety, "fallS");
+    deployment.overload_window = get_duration(safety, "fallS");
 }
 
 void read_times_and_limits(const Settings& settings, Deployment& deployment) {
     const json& limits = settings.limits;
-    deployment.drain_grace_period = span_of(settings.safety, "drainGraceS");
-    deployment.purge_grace_period = span_of(settings.specifics, "purgeGraceS");
-    deployment.purge_retention = span_of(settings.specifics, "purgeDoneS");
-    deployment.timer_resolution = span_of(settings.all, "tickS");
-    deployment.connections = {span_of(limits, "connectTimeoutS"), span_of(limits, "connIdleS"),
+    deployment.drain_grace_period = get_duration(settings.safety, "drainGraceS");
+    deployment.purge_grace_period = get_duration(settings.specifics, "purgeGraceS");
+    deployment.purge_retention = get_duration(settings.specifics, "purgeDoneS");
+    deployment.timer_resolution = get_duration(settings.all, "tickS");
+    deployment.connections = {get_duration(limits, "connectTimeoutS"), get_duration(limits, "connIdleS"),
                               std::max(1, get_or(limits, "streamsPerConn", 1))};
     deployment.max_pending_requests = get_or(limits, "maxOpen", 0);
     deployment.transfer_rate_kb_per_s = get_or(settings.specifics, "oneFlowKbPerS", 0.0);
--- a/src/gateway/fleet_participation.cpp
+++ b/src/gateway/fleet_participation.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "base/log.hpp"
+#include "fleet/fleet_event.hpp"
 
 namespace irismux {
 
@@ -112,18 +112,6 @@
     dispatcher_.postpone_recovery_probe(cache, not_before);
 }
 
-void FleetParticipation::on_duty_state(const fleet::DutyName& duty, fleet::LeaseState state,
-                                       fleet::FencingToken token) {
-    const bool lost = state == fleet::LeaseState::lost;
-    log::event(lost ? log::Level::warning : log::Level::info, "duty_lease_changed",
-               {{"duty", duty.raw()}, {"state", fleet::to_string(state)}, {"fencing_token", token.raw()}});
-}
-
-void FleetParticipation::on_fleet_message(std::string_view message, bool is_warning) {
-    if (is_warning)
-        log::event(log::Level::warning, "fleet_warning", {{"reason", message}});
-    else
-        log::event(log::Level::info, "fleet_recovered", {{"reason", message}});
-}
+void FleetParticipation::on_fleet_event(const fleet::FleetEvent& event) { fleet::write_to_log(event); }
 
 }  // namespace irismux
--- a/src/gateway/fleet_participation.hpp
+++ b/src/gateway/fleet_participation.hpp
@@ -61,9 +61,7 @@
     // fleet::GatewayCallbacks
     bool start_health_check(const CacheId& cache) override;
     void postpone_recovery_probe(const CacheId& cache, TimePoint not_before) override;
-    void on_duty_state(const fleet::DutyName& duty, fleet::LeaseState state,
-                       fleet::FencingToken token) override;
-    void on_fleet_message(std::string_view message, bool is_warning) override;
+    void on_fleet_event(const fleet::FleetEvent& event) override;
 
     // Which endpoints this gateway may check: edge caches of its location, and parents and the origin where
     // it may send requests to them.
