--- a/src/net/cache_connection.cpp
+++ b/src/net/cache_connection.cpp
@@ -196,8 +196,8 @@
     cancelled.request->delay_reuse_until(loop_.now() + context_.limits.reuse_delay);
 }
 
-// Attempts are written only when their first byte can go out, and are judged by what is known then. What the
-// socket does not take is queued again, but for the one that it has taken a part of.
+// Attempts are written only when their first byte can go out, and are checked against what is known then.
+// What the socket does not take is queued again, but for the one that it has taken a part of.
 void CacheConnection::on_write_ready() {
     // Guards attempts against an idle connection that the cache has just closed: what was never written to it
     // can go elsewhere, what was written may have run.
--- a/src/net/fastcgi_connection.cpp
+++ b/src/net/fastcgi_connection.cpp
@@ -14,7 +14,7 @@
 constexpr Duration client_idle_timeout = Duration::micros(4'000'000);
 // An idle connection that the client should have closed by then is closed here.
 const Duration server_idle_timeout = client_idle_timeout * 1.25;
-// A request that is still incomplete would hold memory and a descriptor for good.
+// A request that is still incomplete then is refused: it would use memory and a descriptor for good.
 const Duration incomplete_request_timeout = client_idle_timeout * 0.5;
 
 // One connection may use one part in so many of the memory for requests.
@@ -295,7 +295,7 @@
     respond(request_id, client_protocol::error_head(error), {});
 }
 
-// More than a request may be is on its way: it is not kept.
+// More input than a request may have is to come: none of it is stored.
 void FastCgiConnection::refuse_and_discard_input(std::uint16_t request_id, RequestError error) {
     begin_closing();
     input_mode_ = InputMode::discarding;
--- a/src/net/fastcgi_server.cpp
+++ b/src/net/fastcgi_server.cpp
@@ -176,7 +176,8 @@
                               [this] { check_idle_connections(); });
 }
 
-// Guards against clients that connect and send nothing: they would keep out those that send requests.
+// Guards against clients that connect and send nothing: no connection would be left for those that send
+// requests.
 FastCgiServer::ConnectionPtr FastCgiServer::find_longest_idle() const {
     ConnectionPtr longest;
     for (const auto& [number, connection] : connections_) {
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,6 +1,7 @@
 // Codecs: parsers are fed whole, cut and changed messages, and what the writers write is read back.
 #include <rapidcheck.h>
 
+#include "codec/client_protocol.hpp"
 #include "codec/fastcgi.hpp"
 #include "codec/http.hpp"
 #include "codec/resp.hpp"
@@ -204,5 +205,41 @@
     });
 }
 
+// Given each reason for which a client's request is refused, then the client gets its status and no body, to
+// the byte.
+TEST(ClientProtocol, RefusalsHaveTheirStatus) {
+    using client_protocol::RequestError;
+    const std::pair<RequestError, std::string> heads[] = {
+        {RequestError::record_too_long, "Status: 413 Content Too Large\r\n\r\n"},
+        {RequestError::parameters_too_long, "Status: 431 Request Header Fields Too Large\r\n\r\n"},
+        {RequestError::body_too_long, "Status: 413 Content Too Large\r\n\r\n"},
+        {RequestError::incomplete_in_time, "Status: 408 Request Timeout\r\n\r\n"},
+        {RequestError::request_memory_full, "Status: 503 Service Unavailable\r\n\r\n"},
+        {RequestError::unreadable_parameters, "Status: 400 Bad Request\r\n\r\n"},
+        {RequestError::unknown_path, "Status: 404 Not Found\r\n\r\n"},
+        {RequestError::unknown_kind, "Status: 404 Not Found\r\n\r\n"},
+        {RequestError::invalid_field, "Status: 400 Bad Request\r\n\r\n"},
+        {RequestError::id_in_use, "Status: 409 Conflict\r\n\r\n"},
+        {RequestError::duplicate_request, "Status: 409 Conflict\r\n\r\n"},
+    };
+    for (const auto& [error, head] : heads) {
+        EXPECT_EQ(client_protocol::error_head(error), head);
+        EXPECT_EQ(head.substr(8, 3), std::to_string(client_protocol::status_code(error)));
+    }
+}
+
+// Given responses of each other kind, then their heads are as the protocol has them; a time to come again is
+// rounded up to milliseconds.
+TEST(ClientProtocol, ResponsesHaveTheirHeads) {
+    using namespace client_protocol;
+    EXPECT_EQ(response_head(17), "Status: 200 OK\r\nContent-Length: 17\r\n\r\n");
+    EXPECT_EQ(not_modified_head(), "Status: 200 OK\r\nX-Keep: 1\r\n\r\n");
+    EXPECT_EQ(healthy_head(), "Status: 200 OK\r\n\r\n");
+    EXPECT_EQ(failure_head(), "Status: 502 Bad Gateway\r\n\r\n");
+    EXPECT_EQ(rejection_head(Duration{}), "Status: 503 Service Unavailable\r\n\r\n");
+    EXPECT_EQ(rejection_head(Duration::micros(1'001)),
+              "Status: 503 Service Unavailable\r\nRetry-After-Ms: 2\r\n\r\n");
+}
+
 }  // namespace
 }  // namespace irismux::testing
