--- a/src/codec/notice_events.cpp
+++ b/src/codec/notice_events.cpp
@@ -32,7 +32,7 @@
 NoticeEvent parse_endpoints(const json& content) {
     EndpointEvent event;
     try {
-        for (const json& record : list_of(content, endpoint_list_key))
+        for (const json& record : get_array(content, endpoint_list_key))
             event.endpoints.push_back(parse_endpoint_record(record));
         event.complete = get_or(content, complete_key, false);
     } catch (const std::exception& e) {
@@ -50,7 +50,7 @@
             if (const auto purge = event.find(purge_key); purge != event.end())
                 raise(purge_, get<std::int64_t>(*purge, purged_at_key));
             if (const auto endpoints = event.find(endpoints_key); endpoints != event.end())
-                for (const json& record : list_of(*endpoints, endpoint_list_key))
+                for (const json& record : get_array(*endpoints, endpoint_list_key))
                     raise(start_, get_or<std::int64_t>(record, started_at_key, 0));
         } catch (const std::exception&) {
             return;
@@ -84,7 +84,7 @@
     KnownNotices result;
     result.revision = get<std::int64_t>(known, revision_key);
     NewestStamps stamps;
-    for (const json& event : list_of(known, notices_key)) {
+    for (const json& event : get_array(known, notices_key)) {
         stamps.add(event);
         result.notices.push_back(notice_of(event, result.revision));
     }
--- a/src/gateway/request_dispatcher.hpp
+++ b/src/gateway/request_dispatcher.hpp
@@ -66,12 +66,13 @@
     void fail(const RequestId& id) override;
     void set_timer(TimerId timer, TimePoint due) override;
     void subscribe_to_endpoints() override {}  // updates come from the start
-    void on_ejection_changed(const CacheId& cache, bool ejected) override;
+    void on_endpoint_ejected(const CacheId& cache, EjectionReason reason) override;
+    void on_endpoint_readmitted(const CacheId& cache) override;
 
     struct PendingRequest {
         std::shared_ptr<ActiveRequest> active;  // shared with the connections that carry its attempts
-        EventLoop::Timer deadline_timer;
-        std::map<std::size_t, EventLoop::Timer> attempt_timers;  // by attempt, of those in flight
+        ScopedTimer deadline_timer;
+        std::map<std::size_t, ScopedTimer> attempt_timers;  // by attempt, of those in flight
     };
     // Null if the request is over.
     PendingRequest* find(const RequestId& id);
@@ -81,7 +82,6 @@
 
     void begin_attempt(const RequestId& id, Attempt attempt);
     void on_attempt_timeout(const RequestId& id, std::size_t attempt);
-    void cancel_attempt_timer(const RequestId& id, std::size_t attempt);
     // Leaves the request in place, for callers that go on with it.
     void end_attempt(ActiveRequest& request, std::size_t attempt, const AttemptEnd& end);
     void end_all_attempts(ActiveRequest& request, Outcome outcome);
--- a/tests/cache_connection_pool_test.cpp
+++ b/tests/cache_connection_pool_test.cpp
@@ -33,7 +33,7 @@
     std::function<bool(Poco::Net::StreamSocket&)> on_accepted = [](auto&) { return true; };
 
     explicit PoolScenario(std::size_t max_connections, int backlog = 64) {
-        log::show(log::Level::error);
+        log::set_level(log::Level::error);
         on_attempt = [this](StandInConnection& cache, const std::string& id) {
             respond(cache, id, "NONE", "-", "");
         };
--- a/tests/long_notice_answer_test.cpp
+++ b/tests/long_notice_answer_test.cpp
@@ -84,7 +84,7 @@
     }
     void run() { run_for(Duration::seconds(5)); }
     void run_for(Duration max_time) {
-        log::show(log::Level::error);
+        log::set_level(log::Level::error);
         client.poll();
         loop.schedule_at(loop.now() + max_time, [this] { loop.stop(); });
         loop.run();
@@ -312,7 +312,7 @@
 // Given one answer that has been read, when the board holds the next poll, then the loop is not woken in each
 // iteration: the program would take a whole core while idle. Guarded by NoticeConnection::end_batch.
 TEST(LongNoticeAnswer, DoesNotWakeTheLoopWhileThePollIsHeld) {
-    log::show(log::Level::error);
+    log::set_level(log::Level::error);
     EventLoop loop;
     EventRecorder recorder;
     NoticeBoardStandIn board(loop);
--- a/tests/notice_client_test.cpp
+++ b/tests/notice_client_test.cpp
@@ -24,7 +24,7 @@
 // polled again, then at once; the unreadable event is asked for once more and skipped, and the revisions go
 // on.
 TEST(NoticeClient, LosesNoEventByABreakAnUnreadableEventOrAMove) {
-    log::show(log::Level::error);
+    log::set_level(log::Level::error);
     EventLoop loop;
     PurgeRecorder recorder;
     NoticeBoardStandIn one(loop), other(loop);
@@ -74,7 +74,7 @@
     NoticeClient client{loop, recorder, one.listener.address(), retry_delay};
     // Returns how long it took.
     Duration run() {
-        log::show(log::Level::error);
+        log::set_level(log::Level::error);
         const TimePoint from = loop.now();
         client.poll();
         loop.schedule_at(from + Duration::seconds(5), [this] { loop.stop(); });
