--- a/src/fleet/fleet_client.cpp
+++ b/src/fleet/fleet_client.cpp
@@ -168,7 +168,9 @@
 }
 
 void FleetClient::on_watch_warning(const registry::WatchWarning& warning) {
-    on_event(RegistryWatchWarning{warning.kind, warning.failure ? warning.failure->detail : ""});
+    if (!warning.failure) return on_event(RegistryWatchWarning{warning.kind, {}, {}});
+    on_event(RegistryWatchWarning{warning.kind, std::string(registry::to_string(warning.failure->reason)),
+                                  warning.failure->detail});
 }
 
 // --- duties
--- a/src/fleet/fleet_event.cpp
+++ b/src/fleet/fleet_event.cpp
@@ -82,8 +82,9 @@
 }
 
 void write(const RegistryWatchWarning& event) {
-    log::event(Level::warning, "fleet_registry_watch_warning",
-               {{"reason", registry::event_name(event.kind)}, {"detail", event.detail}});
+    log::event(
+        Level::warning, "fleet_registry_watch_warning",
+        {{"reason", registry::event_name(event.kind)}, {"failure", event.failure}, {"detail", event.detail}});
 }
 
 void write(const TokenStoreFailed& event) {
--- a/src/fleet/fleet_event.hpp
+++ b/src/fleet/fleet_event.hpp
@@ -77,7 +77,8 @@
 /// What the watch over the fleet's records reports of its own.
 struct RegistryWatchWarning {
     registry::WatchWarningKind kind = registry::WatchWarningKind::request_failed;
-    std::string detail;  ///< of a failed request; may be empty
+    std::string failure;  ///< the RequestFailureReason by name; empty: not a failed request
+    std::string detail;   ///< of a failed request; may be empty
     bool operator==(const RegistryWatchWarning&) const = default;
 };
 
