--- a/tests/fleet_event_test.cpp
+++ b/tests/fleet_event_test.cpp
@@ -34,8 +34,11 @@
     EXPECT_EQ(logged(DutyRecordUnreadable{duty}), "warning: fleet_duty_record_unreadable duty=sweep\n");
     EXPECT_EQ(logged(DutyLimitExceeded{4096}), "warning: fleet_duty_limit_exceeded limit=4096\n");
     EXPECT_EQ(logged(RegistryConnectionChanged{false}), "warning: fleet_registry_disconnected\n");
-    EXPECT_EQ(logged(RegistryWatchWarning{registry::WatchWarningKind::history_diverged, ""}),
-              "warning: fleet_registry_watch_warning reason=registry_history_diverged detail=\n");
+    EXPECT_EQ(logged(RegistryWatchWarning{registry::WatchWarningKind::history_diverged, "", ""}),
+              "warning: fleet_registry_watch_warning reason=registry_history_diverged failure= detail=\n");
+    EXPECT_EQ(logged(RegistryWatchWarning{registry::WatchWarningKind::request_failed, "connection_lost", ""}),
+              "warning: fleet_registry_watch_warning reason=registry_request_failed failure=connection_lost "
+              "detail=\n");
     EXPECT_EQ(logged(TokenStoreFailed{TokenStoreOperation::write, "write_failed", "/store: full"}),
               "warning: fleet_token_store_failed operation=write reason=write_failed detail=/store: full\n");
 }
