--- a/example/stub_cache.cpp
+++ b/example/stub_cache.cpp
@@ -70,9 +70,12 @@
                                        .count());
                 const std::string fields =
                     "tag=t1,minted=" + minted + (held ? ",n=cached" : ",n=fetched,lag=5");
+                std::string body = "object " + object;
+                body += " by " + name;
+                body += ", " + how;
+                body += '\n';
                 if (held || !via.empty())
-                    resp::write_array(
-                        out, {w[1], "HIT", fields, "object " + object + " by " + name + ", " + how + "\n"});
+                    resp::write_array(out, {w[1], "HIT", fields, body});
                 else
                     resp::write_array(out, {w[1], "NONE", "-", ""});
                 if (!via.empty() && !resp::field(w[2], "tier").empty()) store.kept.insert(object);
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -16,6 +16,7 @@
 
 std::vector<Point> points_of(double (*curve)(double)) {
     std::vector<Point> points;
+    points.reserve(sizes.size());
     for (const double n : sizes) points.push_back({n, curve(n)});
     return points;
 }
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -39,6 +39,7 @@
 
 // Given random appends and removals at both ends, when each is done, then the buffer holds what a string
 // would.
+// NOLINTNEXTLINE(readability-function-size): the property macros expand to nested statements
 TEST(Buffer, HoldsWhatWasAppendedAndNotRemoved) {
     rc::check([] {
         Buffer b;
--- a/tests/failing_calls_test.cpp
+++ b/tests/failing_calls_test.cpp
@@ -81,6 +81,7 @@
     SingleProcess solo(with(shims));
     constexpr int connections = 4, requests = 60;
     std::vector<std::shared_ptr<FastCgiClient>> clients;
+    clients.reserve(connections);
     for (int c = 0; c < connections; ++c) clients.push_back(solo.connect_client());
     for (int n = 0; n < requests; ++n) {
         for (int c = 0; c < connections; ++c)
