--- a/bench/capacity_page.cpp
+++ b/bench/capacity_page.cpp
@@ -395,9 +395,12 @@
             };
             std::string one;
             if (time)
-                for (const std::string& what : whats)
-                    one += (one.empty() ? "" : ", ") + what + " at the last gateway after " +
-                           value("gateway.last_s." + event + '.' + what);
+                for (const std::string& what : whats) {
+                    std::string series = "gateway.last_s." + event;
+                    series.append(1, '.').append(what);
+                    if (!one.empty()) one += ", ";
+                    one.append(what).append(" at the last gateway after ").append(value(series));
+                }
             else
                 one = value("gateway.worst_kb_per_s." + event) + " a gateway, " +
                       value("machine.worst_kb_per_s." + event) + " at the busiest control machine";
--- a/bench/control_results.cpp
+++ b/bench/control_results.cpp
@@ -105,6 +105,7 @@
             for (const json& e : run.at("events")) gatherer.add_event(e);
         }
         std::vector<ControlVariant> all;
+        all.reserve(by_name.size());
         for (auto& [name, v] : by_name) all.push_back(std::move(v));
         // The program as it comes first.
         std::stable_sort(all.begin(), all.end(),
--- a/bench/registry_staleness.cpp
+++ b/bench/registry_staleness.cpp
@@ -203,7 +203,7 @@
 
 }  // namespace
 
-int main(int argc, char** argv) {
+int main(int argc, char** argv) try {
     if (argc < 2) {
         std::cerr << "usage: registry_staleness PROGRAM [DRAINS] [CASE...]\n";
         return 2;
@@ -219,4 +219,7 @@
     for (const std::string& name : cases)
         all = Case(argv[1], name, argc > 2 ? std::atoi(argv[2]) : 200).play() && all;
     return all ? 0 : 1;
+} catch (const std::exception& e) {
+    std::fputs(e.what(), stderr);
+    return 1;
 }
--- a/src/fleet/agent.hpp
+++ b/src/fleet/agent.hpp
@@ -7,9 +7,7 @@
 ///   duty/NAME            a member that claims the duty; the transaction compares the record, its own newest
 ///                        heartbeat and that the former owner's membership is gone
 ///   any fenced write     the duty's owner; the transaction compares its newest heartbeat and the duty's
-///   record
-///                        as it was claimed, so the write of an evicted or replaced owner fails in the
-///                        registry
+///                        record as it was claimed: the write of an evicted or replaced owner fails
 ///
 /// Guarantees; docs/fleet.md has the premises. may_act() must be called right before acting.
 ///   1  at no time may two members act on one duty
--- a/src/fleet/records.hpp
+++ b/src/fleet/records.hpp
@@ -1,8 +1,7 @@
 /// The records that a fleet keeps in its registry, all under one prefix:
 ///
 ///   about          the shared configuration; a member whose own differs stays out
-///   member/NAME    the living instance of that name: written at its join, removed when it leaves or is
-///   evicted,
+///   member/NAME    the living instance of that name: written at its join, removed at its leave or eviction,
 ///                  and rewritten only to publish refused tokens and ejected caches
 ///   beat/NAME      its last heartbeat; no two heartbeats ever written are equal
 ///   duty/NAME      the owner of a duty and its fencing token; an empty owner: the duty was given up
@@ -43,24 +42,27 @@
 /// Settings that must be equal at all members, since the safety of each rests on the others' keeping them.
 struct SharedConfig {
     std::string installation;
-    Duration term =
-        Duration::micros(12'000'000);  ///< for so long, less the drift, a heartbeat lets its sender act
-    double drift = 0.01;               ///< largest error of a clock's rate, either way; at most 0.5
+    /// For so long, less the drift, a heartbeat lets its sender act.
+    Duration term = Duration::micros(12'000'000);
+    /// Largest error of a clock's rate, either way; at most 0.5.
+    double drift = 0.01;
     bool operator==(const SharedConfig&) const = default;
 };
 
-constexpr std::size_t max_published_refusals =
-    16;  ///< in a member's record; further ones, by duty's name, wait
-constexpr std::size_t max_published_ejections = 64;  ///< in a member's record; further ones are not published
+/// In a member's record; further ones, by duty's name, wait.
+constexpr std::size_t max_published_refusals = 16;
+/// In a member's record; further ones are not published.
+constexpr std::size_t max_published_ejections = 64;
 
 /// One living member.
 struct MemberRecord {
     Incarnation incarnation;
     InstanceId instance_id;
     std::string version;  ///< of the program
-    std::map<DutyName, FencingToken>
-        refused_tokens;                     ///< tokens seen that are above that of the duty's record
-    std::set<CacheId> ejected_caches = {};  ///< caches that it does not use because they do not answer
+    /// Tokens seen that are above that of the duty's record.
+    std::map<DutyName, FencingToken> refused_tokens;
+    /// Caches that it does not use because they do not answer.
+    std::set<CacheId> ejected_caches = {};
 };
 
 /// A member's last heartbeat.
--- a/src/gateway/request_log.cpp
+++ b/src/gateway/request_log.cpp
@@ -67,6 +67,7 @@
                 {"cache_status", name_of(cache_statuses, result.cache_status)},
                 {"progress", name_of(progress_names, attempt.progress)},
                 {"cache_connection", attempt.connection},
+                {"fill_wait_ms", result.fill_wait.micros() / us_per_ms},
                 {"duration_ms", result.elapsed.micros() / us_per_ms}});
 }
 
--- a/src/net/event_time_estimator.hpp
+++ b/src/net/event_time_estimator.hpp
@@ -3,14 +3,12 @@
 // start, and that of whoever wrote the event.
 //
 // - No event is received before it has happened. So each purge shows by how much, at least, its writer's
-// clock
-//   is ahead of this one, and the most that was seen of that dates all others: as late as they can have
+//   clock is ahead of this one. The most that was seen of that dates all others: as late as they can have
 //   happened, which is what a bound on copies needs.
 // - News, received by a poll, are no older than the poll before. A time that contradicts that shows that its
 //   writer's clock has been stepped, and what was seen of it does not count any more.
 // - History, received as a whole, may be of any age; there an event is no older than this clock makes it.
-// - Starts bear the clocks of caches. One that does not fit between the two polls counts as of now, so that
-// the
+// - Starts bear the clocks of caches. One that does not fit between the two polls counts as of now, so the
 //   cache gets a slow start.
 //
 // Without I/O.
--- a/src/routing/outlier_detector.hpp
+++ b/src/routing/outlier_detector.hpp
@@ -2,7 +2,9 @@
 //
 // An endpoint is ejected for refused connections, for errors that stand out among its peers, and for silence
 // while its peers respond. The backoff doubles with each ejection in a row; when it ends, one idempotent
-// request is the recovery probe. What all endpoints of a role show has a common cause, and ejects none.
+// request is the recovery probe. Errors and
+// silence count only against peers, since what all show has a common cause; a refused connection ejects at
+// once.
 #pragma once
 
 #include "irismux/deployment.hpp"
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -34,7 +34,7 @@
 }
 
 struct Day {
-    explicit Day(std::uint32_t seed) : chance(seed), seed_(seed) {}
+    explicit Day(std::uint32_t seed) : chance(seed), day_seed(seed) {}
 
     struct RequestState {
         std::size_t kind = 0;
@@ -47,7 +47,7 @@
 
     EventLoop loop;
     std::ranlux24_base chance;
-    std::uint32_t seed_;
+    std::uint32_t day_seed;
     std::vector<std::string> broken;
     std::map<std::string, RequestState> asked;
     std::map<std::string, std::unique_ptr<Acceptor>> caches;  // edges by id
@@ -278,7 +278,7 @@
         Client& c = *clients[n % clients.size()];
         const auto request = static_cast<std::uint16_t>(1 + n);
         char id[17], object[17];
-        std::snprintf(id, sizeof id, "%08x%08x", seed_, static_cast<unsigned>(n));
+        std::snprintf(id, sizeof id, "%08x%08x", day_seed, static_cast<unsigned>(n));
         std::snprintf(object, sizeof object, "%016x", static_cast<unsigned>(0xa0 + n % 23));
         const double timeout = 0.3 + draw() * 0.5;
         RequestState& a = asked[id];
@@ -371,7 +371,7 @@
         config.descriptors = 1024;
         config.memory = 192u << 20;
         config.known = {{"rev", 1}, {"notices", events}};
-        config.seed = seed_;
+        config.seed = day_seed;
         Deployment& d = config.settings.deployment;
         d = deployment();
         d.kinds.resize(2);
