--- a/bench/capacity_page.cpp
+++ b/bench/capacity_page.cpp
@@ -71,6 +71,8 @@
     std::string machines_table(const ControlVariant& v);
     std::string roles_section() const;
     std::string failures_section() const;
+    std::string measured_in_event(const std::string& event, const std::vector<std::string>& whats,
+                                  bool times) const;
     std::string premises_section() const;
 
     void need(const std::string& what, const std::optional<double>& value, double budget) {
@@ -378,6 +380,31 @@
     return text;
 }
 
+// What was measured in an event, of every variant: times of the last gateway, or rates.
+std::string Page::measured_in_event(const std::string& event, const std::vector<std::string>& whats,
+                                    bool times) const {
+    std::string all;
+    for (const ControlVariant& v : control_) {
+        const auto value = [&](const std::string& series) {
+            return estimate(&v.results, series, t_.fleet.gateways).shown_value();
+        };
+        std::string one;
+        if (times)
+            for (const std::string& what : whats) {
+                std::string series = "gateway.last_s." + event;
+                series.append(1, '.').append(what);
+                if (!one.empty()) one += ", ";
+                one.append(what).append(" at the last gateway after ").append(value(series));
+            }
+        else
+            one = value("gateway.worst_kb_per_s." + event) + " a gateway, " +
+                  value("machine.worst_kb_per_s." + event) + " at the busiest control machine";
+        if (!all.empty()) all += "; ";
+        all.append(v.name).append(": ").append(one);
+    }
+    return all.empty() ? std::string(not_measured) : all;
+}
+
 std::string Page::failures_section() const {
     const double n = t_.fleet.gateways;
     const auto share = [](double part, double of) { return shown(part / of * 100) + "%"; };
@@ -386,27 +413,8 @@
     };
     std::string text = "\n## Failures\n\n" + head({"failure", "load", "time to recover",
                                                    "stale meanwhile, and by how much", "basis"});
-    // What was measured in an event, of every variant.
-    const auto measured = [&](const std::string& event, const std::vector<std::string>& whats, bool time) {
-        std::string all;
-        for (const ControlVariant& v : control_) {
-            const auto value = [&](const std::string& series) {
-                return estimate(&v.results, series, n).shown_value();
-            };
-            std::string one;
-            if (time)
-                for (const std::string& what : whats) {
-                    std::string series = "gateway.last_s." + event;
-                    series.append(1, '.').append(what);
-                    if (!one.empty()) one += ", ";
-                    one.append(what).append(" at the last gateway after ").append(value(series));
-                }
-            else
-                one = value("gateway.worst_kb_per_s." + event) + " a gateway, " +
-                      value("machine.worst_kb_per_s." + event) + " at the busiest control machine";
-            all += (all.empty() ? "" : "; ") + v.name + ": " + one;
-        }
-        return all.empty() ? std::string(not_measured) : all;
+    const auto measured = [this](const std::string& event, const std::vector<std::string>& whats, bool time) {
+        return measured_in_event(event, whats, time);
     };
     const double day_s = 86'400;
     text += cells(
