--- a/src/request/active_request.cpp
+++ b/src/request/active_request.cpp
@@ -23,26 +23,26 @@
                        [&](const Attempt& attempt) { return attempt.connection == connection; });
 }
 
-bool ActiveRequest::take_response() {
+bool ActiveRequest::claim_final_response() {
     if (answered_) return false;
     answered_ = true;
     return true;
 }
 
 bool ActiveRequest::respond(const AttemptEnd& end) {
-    if (!take_response()) return false;
+    if (!claim_final_response()) return false;
     response_sender_.send_response(client_stream_, end.body, end.not_modified);
     return true;
 }
 
 bool ActiveRequest::reject(Duration retry_after) {
-    if (!take_response()) return false;
+    if (!claim_final_response()) return false;
     response_sender_.send_rejection(client_stream_, retry_after);
     return true;
 }
 
 bool ActiveRequest::fail() {
-    if (!take_response()) return false;
+    if (!claim_final_response()) return false;
     response_sender_.send_failure(client_stream_);
     return true;
 }
--- a/src/request/active_request.hpp
+++ b/src/request/active_request.hpp
@@ -92,7 +92,7 @@
 
 private:
     // Whether the caller is to send the final response.
-    [[nodiscard]] bool take_response();
+    [[nodiscard]] bool claim_final_response();
 
     ResponseSender& response_sender_;
     ClientStream client_stream_;
--- a/src/request/duplicate_request_filter.cpp
+++ b/src/request/duplicate_request_filter.cpp
@@ -15,7 +15,7 @@
                                     TimePoint now) {
     erase_expired(now);
     const Key key = key_of(fingerprint);
-    const bool is_new = entries_.try_emplace(key, Entry{request, until}).second;
+    const bool is_new = entries_.try_emplace(key, RememberedRequest{request, until}).second;
     if (!is_new) return false;
     by_request_[request] = key;
     by_expiry_.emplace(until, request);
--- a/src/request/duplicate_request_filter.hpp
+++ b/src/request/duplicate_request_filter.hpp
@@ -35,11 +35,11 @@
         std::uint64_t digest = 0;  // of the rest of the fingerprint
         auto operator<=>(const Key&) const = default;
     };
-    struct Entry {
+    struct RememberedRequest {
         RequestId request;
         TimePoint until;
     };
-    using Entries = std::map<Key, Entry>;
+    using Entries = std::map<Key, RememberedRequest>;
 
     static Key key_of(const RequestFingerprint& fingerprint);
     void erase(Entries::iterator entry);
--- a/src/routing/attempt_monitor.cpp
+++ b/src/routing/attempt_monitor.cpp
@@ -11,8 +11,8 @@
 
 }  // namespace
 
-AttemptMonitor::AttemptMonitor(const Deployment& deployment, const AttemptMonitorOutputs& outputs)
-    : outputs_(outputs), can_cancel_(deployment.capabilities.cancellation) {
+AttemptMonitor::AttemptMonitor(const Deployment& deployment, const AttemptMonitorDependencies& dependencies)
+    : dependencies_(dependencies), can_cancel_(deployment.capabilities.cancellation) {
     Duration shortest = longest_objective_counted;
     for (const ObjectKind& kind : deployment.kinds) shortest = std::min(shortest, kind.latency_objective);
     interval_ = std::max(shortest * interval_share_of_objective, deployment.timer_resolution);
@@ -31,14 +31,14 @@
 void AttemptMonitor::on_timer(PendingRequests& requests, TimePoint now) {
     timer_is_set_ = false;
     count_late_attempts(requests, now);
-    outputs_.congestion.recount_late_attempts(now);
+    dependencies_.congestion.recount_late_attempts(now);
     eject_unresponsive_endpoints(requests, now);
     if (!requests.empty()) set_timer(now);
 }
 
 void AttemptMonitor::set_timer(TimePoint now) {
     timer_is_set_ = true;
-    outputs_.callbacks.set_timer(timer, now + interval_);
+    dependencies_.callbacks.set_timer(timer_id, now + interval_);
 }
 
 void AttemptMonitor::count_late_attempts(PendingRequests& requests, TimePoint now) {
@@ -46,19 +46,21 @@
         PendingRequest& request = requests.at(entry->request);
         if (request.finished) continue;
         Attempt& attempt = request.attempts[entry->attempt.raw()];
-        EndpointState& cache = outputs_.endpoints.at(attempt.cache);
+        EndpointState& cache = dependencies_.endpoints.at(attempt.cache);
         Congestion::count_as_late(attempt, cache);
-        outputs_.outliers.on_late_attempt(cache, attempt, now);
+        dependencies_.outliers.on_late_attempt(cache, attempt, now);
         if (attempt.has_source() && !OutlierDetector::loses_attempts(cache, now))
-            outputs_.fill_source.on_late_attempt(outputs_.endpoints.at(attempt.source), now);
+            dependencies_.fill_source_selection.on_late_attempt(dependencies_.endpoints.at(attempt.source),
+                                                                now);
     }
 }
 
 void AttemptMonitor::eject_unresponsive_endpoints(PendingRequests& requests, TimePoint now) const {
     for (const EndpointRole role : {EndpointRole::edge, EndpointRole::parent})
-        for (EndpointState* endpoint : outputs_.endpoints.active(role)) {
-            if (endpoint->health.ejected() || !outputs_.outliers.is_unresponsive(*endpoint, now)) continue;
-            outputs_.outliers.eject(*endpoint, EjectionReason::unresponsive, now);
+        for (EndpointState* endpoint : dependencies_.endpoints.active(role)) {
+            if (endpoint->health.ejected() || !dependencies_.outliers.is_unresponsive(*endpoint, now))
+                continue;
+            dependencies_.outliers.eject(*endpoint, EjectionReason::unresponsive, now);
             cancel_attempts_at(*endpoint, requests);
         }
 }
@@ -74,7 +76,7 @@
             if (attempt.state != AttemptState::in_flight || !waits_for_it) continue;
             attempt.state = AttemptState::cancelled;
             request.avoided.push_back(endpoint.id);
-            outputs_.callbacks.cancel_attempt(id, AttemptIndex{index});
+            dependencies_.callbacks.cancel_attempt(id, AttemptIndex{index});
         }
     }
 }
--- a/src/routing/attempt_monitor.hpp
+++ b/src/routing/attempt_monitor.hpp
@@ -13,19 +13,19 @@
 namespace irismux::routing {
 
 /// What AttemptMonitor reports to; all must outlive it.
-struct AttemptMonitorOutputs {
+struct AttemptMonitorDependencies {
     EndpointSet& endpoints;
     Congestion& congestion;
     const OutlierDetector& outliers;
-    const FillSource& fill_source;
+    const FillSourceSelection& fill_source_selection;
     RouterCallbacks& callbacks;
 };
 
 class AttemptMonitor {
 public:
-    static inline const TimerId timer{0};
+    static inline const TimerId timer_id{0};
 
-    AttemptMonitor(const Deployment& deployment, const AttemptMonitorOutputs& outputs);
+    AttemptMonitor(const Deployment& deployment, const AttemptMonitorDependencies& dependencies);
 
     /// Request going down: the attempt has been started.
     void on_attempt_started(const RequestId& request, AttemptIndex index, const Attempt& attempt,
@@ -40,7 +40,7 @@
     void eject_unresponsive_endpoints(PendingRequests& requests, TimePoint now) const;
     void cancel_attempts_at(const EndpointState& endpoint, PendingRequests& requests) const;
 
-    AttemptMonitorOutputs outputs_;
+    AttemptMonitorDependencies dependencies_;
     bool can_cancel_;
     Duration interval_;
     bool timer_is_set_ = false;
--- a/src/routing/congestion.cpp
+++ b/src/routing/congestion.cpp
@@ -46,7 +46,7 @@
 }
 
 void Congestion::on_attempt_ended(Attempt& attempt, EndpointState& cache, EndpointState* source) {
-    no_longer_late(attempt, cache);
+    stop_counting_as_late(attempt, cache);
     if (attempt.is_known_fill) --known_fills_;
     --cache.load.in_flight;
     if (source) --source->load.in_flight;
@@ -57,7 +57,7 @@
     ++cache.load.late;
 }
 
-void Congestion::no_longer_late(Attempt& attempt, EndpointState& cache) {
+void Congestion::stop_counting_as_late(Attempt& attempt, EndpointState& cache) {
     if (attempt.counted_as_late) --cache.load.late;
     attempt.counted_as_late = false;
 }
--- a/src/routing/congestion.hpp
+++ b/src/routing/congestion.hpp
@@ -25,7 +25,7 @@
     /// An attempt has passed its latency limit.
     static void count_as_late(Attempt& attempt, EndpointState& cache);
     /// It has ended, or its request has.
-    static void no_longer_late(Attempt& attempt, EndpointState& cache);
+    static void stop_counting_as_late(Attempt& attempt, EndpointState& cache);
     /// Sums the late attempts at caches that respond and don't lose attempts: others tell nothing of fills.
     void recount_late_attempts(TimePoint now);
 
--- a/src/routing/edge_selection.cpp
+++ b/src/routing/edge_selection.cpp
@@ -36,7 +36,7 @@
         if (load >= congestion_.shedding_load(transfer_seconds)) return false;
         selected = found.least_loaded;
     }
-    if (!selected) selected = found.next_to_return;
+    if (!selected) selected = found.next_to_probe;
     if (!selected) return false;
     request.plan.cache = selected->id;
     if (OutlierDetector::recovery_probe_is_due(*selected, now)) {
@@ -54,9 +54,9 @@
         if (!IdempotencyPolicy::may_use_cell(request, cache->cell)) continue;
         if (!slow_start_.has_budget(*cache, mean_seconds, now)) continue;
         if (!outliers_.may_choose(*cache, request, now)) {
-            const EndpointState* best = found.next_to_return;
+            const EndpointState* best = found.next_to_probe;
             if (!best || cache->health.next_probe_at < best->health.next_probe_at)
-                found.next_to_return = cache;
+                found.next_to_probe = cache;
             continue;
         }
         const double load = congestion_.load(*cache, now);
--- a/src/routing/edge_selection.hpp
+++ b/src/routing/edge_selection.hpp
@@ -26,7 +26,7 @@
     struct Candidates {
         EndpointState* below_spill_load = nullptr;  // first in the object's order
         EndpointState* least_loaded = nullptr;      // of those above the spill load
-        EndpointState* next_to_return = nullptr;    // of those that may not be chosen
+        EndpointState* next_to_probe = nullptr;     // of those that may not be chosen
     };
     [[nodiscard]] Candidates candidates(const PendingRequest& request, double spill_load,
                                         TimePoint now) const;
--- a/src/routing/endpoint_set.cpp
+++ b/src/routing/endpoint_set.cpp
@@ -72,7 +72,7 @@
 EndpointRole EndpointSet::role_of(const EndpointUpdate& update) const {
     if (origin_machine_ && update.machine_type == *origin_machine_) return EndpointRole::origin;
     if (parent_machine_ && update.machine_type == *parent_machine_) return EndpointRole::parent;
-    return update.location == location_ ? EndpointRole::edge : EndpointRole::elsewhere;
+    return update.location == location_ ? EndpointRole::edge : EndpointRole::other_location;
 }
 
 const SlowStart& EndpointSet::slow_start_of(EndpointRole role) const {
--- a/src/routing/endpoint_state.hpp
+++ b/src/routing/endpoint_state.hpp
@@ -14,10 +14,10 @@
 namespace irismux::routing {
 
 enum class EndpointRole {
-    edge,      ///< a cache of this gateway's location
-    parent,    ///< a parent cache, of any location
-    origin,    ///< the origin
-    elsewhere  ///< a cache of another location; never used
+    edge,           ///< a cache of this gateway's location
+    parent,         ///< a parent cache, of any location
+    origin,         ///< the origin
+    other_location  ///< a cache of another location; never used
 };
 
 enum class EjectionState {
@@ -53,15 +53,16 @@
 
 /// Kept by SlowStartPolicy.
 struct EndpointWarmUp {
-    static constexpr std::size_t sent_window_parts = 8;
+    static constexpr std::size_t sent_time_window_parts = 8;
 
     std::optional<TimePoint> warming_up_since;
-    TimePoint learnt_at;                  ///< when the router learnt of the start
-    bool refused_while_idle = false;      ///< it has stopped; the next response comes from a new process
-    double budget = 0;                    ///< seconds of transfer time that may be sent to it
-    TimePoint accrued_until;              ///< the budget is computed up to then
-    double required_share = 1;            ///< of a request's transfer time that the budget must hold
-    WindowedSum<sent_window_parts> sent;  ///< seconds of transfer time, over the overload window
+    TimePoint start_detected_at;      ///< when the router learnt of the start
+    bool refused_while_idle = false;  ///< it has stopped; the next response comes from a new process
+    double budget = 0;                ///< seconds of transfer time that may be sent to it
+    TimePoint accrued_until;          ///< the budget is computed up to then
+    double required_share = 1;        ///< of a request's transfer time that the budget must hold
+    WindowedSum<sent_time_window_parts>
+        sent_transfer_time;  ///< seconds of transfer time, over the overload window
 };
 
 struct EndpointState {
@@ -70,7 +71,7 @@
     std::uint64_t rendezvous_score = 0;  ///< for the object ranked last
 
     // As the endpoint list has it.
-    EndpointRole role = EndpointRole::elsewhere;
+    EndpointRole role = EndpointRole::other_location;
     CellId cell;
     double weight = 1;
     EndpointStatus status = EndpointStatus::removed;
@@ -80,7 +81,8 @@
     EndpointHealth health;
     EndpointLoad load;
     EndpointWarmUp warm_up;
-    AdaptiveLimit fill_limit;  ///< of fills with this source; cut by late and failed ones (FillSource)
+    AdaptiveLimit
+        fill_limit;  ///< of fills with this source; cut by late and failed ones (FillSourceSelection)
 
     [[nodiscard]] bool active() const { return status == EndpointStatus::active; }
 };
--- a/src/routing/fill_source.cpp
+++ b/src/routing/fill_source.cpp
@@ -19,8 +19,9 @@
 
 }  // namespace
 
-FillSource::FillSource(const Deployment& deployment, const FillSourceInputs& inputs)
-    : inputs_(inputs),
+FillSourceSelection::FillSourceSelection(const Deployment& deployment,
+                                         const FillSourceDependencies& dependencies)
+    : dependencies_(dependencies),
       has_parents_(deployment.parent_machine.has_value()),
       longest_latency_objective_(longest_latency_objective(deployment)),
       fetch_limit_(deployment.origin_stops_when_overloaded ? stopping_origin_doubling_time
@@ -28,25 +29,25 @@
 
 // --- request going down ---
 
-bool FillSource::select(PendingRequest& request, const EndpointState& cache, TimePoint now) {
+bool FillSourceSelection::select(PendingRequest& request, const EndpointState& cache, TimePoint now) {
     if (request.plan.source != CacheId{}) return true;  // a direct attempt
     const ObjectName& object = request.request.object;
-    const Endpoints origins = inputs_.endpoints.ranked(object, EndpointRole::origin);
+    const Endpoints origins = dependencies_.endpoints.ranked(object, EndpointRole::origin);
     EndpointState* origin = origins.empty() ? nullptr : origins.front();
     if (request.kind->uncacheable && origin) {
         request.plan.source = origin->id;
         return true;
     }
-    const double transfer_seconds = inputs_.statistics.transfer_seconds(request.request);
-    const Endpoints parents = inputs_.endpoints.ranked(object, EndpointRole::parent);
-    if (ask_cache_first(request, cache, parents, transfer_seconds, now)) {
+    const double transfer_seconds = dependencies_.statistics.transfer_seconds(request.request);
+    const Endpoints parents = dependencies_.endpoints.ranked(object, EndpointRole::parent);
+    if (should_try_cache_only(request, cache, parents, transfer_seconds, now)) {
         plan_cache_only(request, MissHandling::fill_next_time, now);
         request.plan.timeout = lost_attempt_timeout(request, cache, now);
         return true;
     }
     EndpointState* parent = parent_with_budget(request, parents, transfer_seconds, now);
     if (!parent || parent != parents.front()) request.allow_stale = true;  // from the next attempt on
-    const bool exhausted = inputs_.congestion.fills_exhausted(transfer_seconds);
+    const bool exhausted = dependencies_.congestion.fills_exhausted(transfer_seconds);
     if (origin_takes_parents_fill(parent, origin, exhausted, transfer_seconds, now)) {
         request.plan.source = origin->id;
         return true;
@@ -63,63 +64,69 @@
 
 // While fills are congested, and where a budget would be charged, only what is known to be a miss is worth a
 // fill. A warming cache is asked only once, since its own budget is charged for each attempt.
-bool FillSource::ask_cache_first(const PendingRequest& request, const EndpointState& cache,
-                                 const Endpoints& parents, double transfer_seconds, TimePoint now) const {
+bool FillSourceSelection::should_try_cache_only(const PendingRequest& request, const EndpointState& cache,
+                                                const Endpoints& parents, double transfer_seconds,
+                                                TimePoint now) const {
     if (request.known_miss) return false;
-    if (inputs_.congestion.fills_congested(transfer_seconds)) return true;
+    if (dependencies_.congestion.fills_congested(transfer_seconds)) return true;
     if (cache.warm_up.warming_up_since) return false;
     const auto usable = std::find_if(parents.begin(), parents.end(), [&](const EndpointState* parent) {
-        return inputs_.outliers.may_choose(*parent, request, now);
+        return dependencies_.outliers.may_choose(*parent, request, now);
     });
     const bool fill_is_budgeted = usable == parents.end() || (*usable)->warm_up.warming_up_since;
     return fill_is_budgeted || OutlierDetector::loses_attempts(cache, now);
 }
 
-EndpointState* FillSource::parent_with_budget(const PendingRequest& request, const Endpoints& parents,
-                                              double transfer_seconds, TimePoint now) const {
+EndpointState* FillSourceSelection::parent_with_budget(const PendingRequest& request,
+                                                       const Endpoints& parents, double transfer_seconds,
+                                                       TimePoint now) const {
     const auto found = std::find_if(parents.begin(), parents.end(), [&](EndpointState* parent) {
-        return inputs_.outliers.may_choose(*parent, request, now) &&
-               inputs_.slow_start.has_budget(*parent, transfer_seconds, now);
+        return dependencies_.outliers.may_choose(*parent, request, now) &&
+               dependencies_.slow_start.has_budget(*parent, transfer_seconds, now);
     });
     return found == parents.end() ? nullptr : *found;
 }
 
 // The origin takes what parents can't fill in time, within its budget and while its own fills are in time.
-bool FillSource::origin_takes_parents_fill(const EndpointState* parent, EndpointState* origin,
-                                           bool fills_exhausted, double transfer_seconds,
-                                           TimePoint now) const {
-    const bool wanted = fills_exhausted || (parent && inputs_.random.next() > parent->fill_limit.share(now));
+bool FillSourceSelection::origin_takes_parents_fill(const EndpointState* parent, EndpointState* origin,
+                                                    bool fills_exhausted, double transfer_seconds,
+                                                    TimePoint now) const {
+    const bool wanted =
+        fills_exhausted || (parent && dependencies_.random.next() > parent->fill_limit.share(now));
     if (!wanted || !origin || !has_parents_) return false;
     const double share = origin->fill_limit.share(now) * fetch_limit_.share(now);
-    return inputs_.random.next() < share && inputs_.slow_start.has_budget(*origin, transfer_seconds, now);
+    return dependencies_.random.next() < share &&
+           dependencies_.slow_start.has_budget(*origin, transfer_seconds, now);
 }
 
 // No parent is up, or none has budget left.
-bool FillSource::origin_replaces_parents(const PendingRequest& request, EndpointState* origin,
-                                         double transfer_seconds, TimePoint now) const {
+bool FillSourceSelection::origin_replaces_parents(const PendingRequest& request, EndpointState* origin,
+                                                  double transfer_seconds, TimePoint now) const {
     if (!origin || request.avoids(origin->id)) return false;
-    return !has_parents_ || inputs_.slow_start.has_budget(*origin, transfer_seconds, now);
+    return !has_parents_ || dependencies_.slow_start.has_budget(*origin, transfer_seconds, now);
 }
 
-void FillSource::plan_cache_only(PendingRequest& request, MissHandling on_miss, TimePoint now) const {
+void FillSourceSelection::plan_cache_only(PendingRequest& request, MissHandling on_miss,
+                                          TimePoint now) const {
     request.on_miss = on_miss;
     request.plan.source = request.plan.cache;
     request.plan.only_if_cached = true;
-    request.plan.max_age = inputs_.freshness.max_age(request, true, now);
+    request.plan.max_age = dependencies_.freshness.max_age(request, true, now);
 }
 
 // The attempt is soon repeated there, since the cache has the object. Zero: until the request's deadline.
-Duration FillSource::lost_attempt_timeout(const PendingRequest& request, const EndpointState& cache,
-                                          TimePoint now) const {
-    const bool transfer_time_known = inputs_.statistics.shortest_transfer_seconds(request.request.object) > 0;
+Duration FillSourceSelection::lost_attempt_timeout(const PendingRequest& request, const EndpointState& cache,
+                                                   TimePoint now) const {
+    const bool transfer_time_known =
+        dependencies_.statistics.shortest_transfer_seconds(request.request.object) > 0;
     if (!transfer_time_known || !OutlierDetector::loses_attempts(cache, now)) return Duration{};
-    const double transfer_seconds = inputs_.statistics.transfer_seconds(request.request);
+    const double transfer_seconds = dependencies_.statistics.transfer_seconds(request.request);
     return Duration::seconds(transfer_seconds * lost_after_transfer_times *
-                             std::max(1.0, inputs_.congestion.load(cache, now))) +
+                             std::max(1.0, dependencies_.congestion.load(cache, now))) +
            request.kind->latency_objective * lost_after_objective_share;
 }
 
-void FillSource::plan_fill(PendingRequest& request, EndpointState& source, TimePoint now) const {
+void FillSourceSelection::plan_fill(PendingRequest& request, EndpointState& source, TimePoint now) const {
     request.plan.source = source.id;
     if (source.health.ejected()) {
         OutlierDetector::begin_recovery_probe(source);
@@ -127,17 +134,17 @@
     }
     // Guards a slow origin: fetches hold places at caches and parents, and push it over.
     const double fetch_share = fetch_limit_.share(now);
-    if (fetch_share >= 1 || inputs_.random.next() <= fetch_share) return;
+    if (fetch_share >= 1 || dependencies_.random.next() <= fetch_share) return;
     if (source.role == EndpointRole::origin) return plan_cache_only(request, MissHandling::reject, now);
     request.on_miss = MissHandling::reject;
     request.plan.only_if_cached = true;  // also for the parent
-    request.plan.max_age = inputs_.freshness.max_age(request, true, now);
+    request.plan.max_age = dependencies_.freshness.max_age(request, true, now);
 }
 
 // --- result coming up ---
 
-void FillSource::on_result(PendingRequest& request, const Attempt& attempt, const AttemptResult& result,
-                           EndpointState* source, TimePoint now) {
+void FillSourceSelection::on_result(PendingRequest& request, const Attempt& attempt,
+                                    const AttemptResult& result, EndpointState* source, TimePoint now) {
     if (request.on_miss == MissHandling::fill_next_time && result.outcome == Outcome::cache_miss)
         request.known_miss = true;
     if (!source) return;
@@ -152,12 +159,13 @@
     if (source_failed && result.outcome != Outcome::completed) request.avoided.push_back(attempt.source);
 }
 
-void FillSource::on_late_attempt(EndpointState& source, TimePoint now) const {
+void FillSourceSelection::on_late_attempt(EndpointState& source, TimePoint now) const {
     // While fetches are limited, the origin is slow and not the source.
     source.fill_limit.record(fetch_limit_.share(now) >= 1, now);
 }
 
-void FillSource::record_fetch(const AttemptResult& result, const EndpointState& source, TimePoint now) {
+void FillSourceSelection::record_fetch(const AttemptResult& result, const EndpointState& source,
+                                       TimePoint now) {
     const bool origin_was_source = source.role == EndpointRole::origin;
     if (result.cache_status == CacheStatus::via_origin)
         fetch_limit_.record(result.fill_wait > longest_latency_objective_, now);
@@ -166,8 +174,9 @@
         fetch_limit_.record(true, now);
 }
 
-void FillSource::record_fill(const PendingRequest& request, const Attempt& attempt,
-                             const AttemptResult& result, EndpointState& source, TimePoint now) const {
+void FillSourceSelection::record_fill(const PendingRequest& request, const Attempt& attempt,
+                                      const AttemptResult& result, EndpointState& source,
+                                      TimePoint now) const {
     if (served_from_copy(result.cache_status)) return;
     if (result.outcome == Outcome::completed) {
         // The time that the origin behind a parent took is not the parent's.
@@ -182,12 +191,12 @@
 }
 
 // Guards a slow origin: it would be pushed over before fills are late.
-void FillSource::record_origin_wait(const AttemptResult& result, TimePoint now) {
+void FillSourceSelection::record_origin_wait(const AttemptResult& result, TimePoint now) {
     if (result.cache_status != CacheStatus::via_origin) return;
     const double wait = result.fill_wait.seconds();
     const bool has_mean = mean_origin_wait_seconds_ > 0;
     if (has_mean && wait > mean_origin_wait_seconds_ * unusual_wait_multiple)
-        for (EndpointState* origin : inputs_.endpoints.active(EndpointRole::origin))
+        for (EndpointState* origin : dependencies_.endpoints.active(EndpointRole::origin))
             origin->fill_limit.record(true, now);
     mean_origin_wait_seconds_ += (wait - mean_origin_wait_seconds_) / (has_mean ? mean_over_fetches : 1);
 }
--- a/src/routing/fill_source.hpp
+++ b/src/routing/fill_source.hpp
@@ -11,8 +11,8 @@
 
 namespace irismux::routing {
 
-/// What FillSource asks; all must outlive it.
-struct FillSourceInputs {
+/// What FillSourceSelection asks; all must outlive it.
+struct FillSourceDependencies {
     const EndpointSet& endpoints;
     const ObjectStatistics& statistics;
     const Congestion& congestion;
@@ -22,9 +22,9 @@
     RandomFraction& random;
 };
 
-class FillSource {
+class FillSourceSelection {
 public:
-    FillSource(const Deployment& deployment, const FillSourceInputs& inputs);
+    FillSourceSelection(const Deployment& deployment, const FillSourceDependencies& dependencies);
 
     /// Request going down: sets the plan's source for the cache that has been selected.
     /// @return false: a known miss can't be filled now.
@@ -40,9 +40,9 @@
 private:
     using Endpoints = std::vector<EndpointState*>;
 
-    [[nodiscard]] bool ask_cache_first(const PendingRequest& request, const EndpointState& cache,
-                                       const Endpoints& parents, double transfer_seconds,
-                                       TimePoint now) const;
+    [[nodiscard]] bool should_try_cache_only(const PendingRequest& request, const EndpointState& cache,
+                                             const Endpoints& parents, double transfer_seconds,
+                                             TimePoint now) const;
     [[nodiscard]] EndpointState* parent_with_budget(const PendingRequest& request, const Endpoints& parents,
                                                     double transfer_seconds, TimePoint now) const;
     [[nodiscard]] bool origin_takes_parents_fill(const EndpointState* parent, EndpointState* origin,
@@ -59,7 +59,7 @@
                      EndpointState& source, TimePoint now) const;
     void record_origin_wait(const AttemptResult& result, TimePoint now);
 
-    FillSourceInputs inputs_;
+    FillSourceDependencies dependencies_;
     bool has_parents_;
     Duration longest_latency_objective_;
     AdaptiveLimit fetch_limit_;            // of fetches from the origin, by caches and by parents
--- a/src/routing/late_attempts.hpp
+++ b/src/routing/late_attempts.hpp
@@ -13,24 +13,24 @@
 
 class LateAttemptQueue {
 public:
-    struct Entry {
+    struct WatchedAttempt {
         TimePoint late_after;
         RequestId request;
         AttemptIndex attempt;
-        auto operator<=>(const Entry&) const = default;
+        auto operator<=>(const WatchedAttempt&) const = default;
     };
 
-    void add(const Entry& entry) { entries_.insert(entry); }
+    void add(const WatchedAttempt& attempt) { attempts_.insert(attempt); }
     /// An attempt that has ended; nothing if it was late.
-    void erase(const Entry& entry) { entries_.erase(entry); }
+    void erase(const WatchedAttempt& attempt) { attempts_.erase(attempt); }
     /// Takes out the next attempt that is past its limit; none: no more.
-    std::optional<Entry> pop_late(TimePoint now) {
-        if (entries_.empty() || entries_.begin()->late_after >= now) return std::nullopt;
-        return entries_.extract(entries_.begin()).value();
+    std::optional<WatchedAttempt> pop_late(TimePoint now) {
+        if (attempts_.empty() || attempts_.begin()->late_after >= now) return std::nullopt;
+        return attempts_.extract(attempts_.begin()).value();
     }
 
 private:
-    std::set<Entry> entries_;
+    std::set<WatchedAttempt> attempts_;
 };
 
 }  // namespace irismux::routing
--- a/src/routing/object_statistics.cpp
+++ b/src/routing/object_statistics.cpp
@@ -24,12 +24,12 @@
 
 bool ObjectStatistics::record_request(const ObjectName& object, TimePoint now) {
     if (now - generation_began_at_ > generation_) {
-        previous_ = std::exchange(present_, {});
+        previous_ = std::exchange(current_, {});
         generation_began_at_ = now;
     }
     const auto before = previous_.find(object);
     const bool was_in_previous = before != previous_.end();
-    const bool inserted = present_.try_emplace(object, was_in_previous ? before->second : 0).second;
+    const bool inserted = current_.try_emplace(object, was_in_previous ? before->second : 0).second;
     return !inserted || was_in_previous;
 }
 
@@ -43,7 +43,7 @@
     const double elapsed = result.elapsed.seconds();
     const bool hit = result.cache_status == CacheStatus::hit;
     if (hit || result.cache_status == CacheStatus::filled) {
-        double& shortest = present_[request.request.object];
+        double& shortest = current_[request.request.object];
         shortest = shortest > 0 ? std::min(shortest, elapsed) : elapsed;
     }
     const bool sized = size_is_known(request.request);
@@ -60,8 +60,8 @@
 }
 
 double ObjectStatistics::shortest_transfer_seconds(const ObjectName& object) const {
-    const auto entry = present_.find(object);
-    return entry == present_.end() ? 0 : entry->second;
+    const auto entry = current_.find(object);
+    return entry == current_.end() ? 0 : entry->second;
 }
 
 double ObjectStatistics::known_transfer_seconds(const Request& request, const Attempt& attempt) const {
--- a/src/routing/object_statistics.hpp
+++ b/src/routing/object_statistics.hpp
@@ -42,7 +42,7 @@
     std::vector<double> mean_of_kind_;
     double mean_ = 0;
     // Objects of two generations, with their shortest transfer; 0: none yet.
-    std::map<ObjectName, double> present_, previous_;
+    std::map<ObjectName, double> current_, previous_;
     TimePoint generation_began_at_;
     Duration generation_;
 };
--- a/src/routing/outlier_detector.cpp
+++ b/src/routing/outlier_detector.cpp
@@ -10,12 +10,12 @@
 
 constexpr Duration first_backoff = Duration::micros(2'000'000);
 constexpr Duration longest_backoff = Duration::micros(30'000'000);
-constexpr int most_backoff_doublings = 8;
+constexpr int max_backoff_doublings = 8;
 // A silence of this many usual gaps would show once in e^14 times if responses were independent.
 constexpr double unresponsive_after_gaps = 14;
 // Gaps and lost attempts are averaged over about this many responses, errors over this many results.
-constexpr double gap_memory_responses = 16;
-constexpr double error_memory_results = 10;
+constexpr double gap_averaging_responses = 16;
+constexpr double error_averaging_results = 10;
 // About two errors in ten results, on top of this multiple of the peers' mean.
 constexpr double ejection_error_share = 0.17;
 constexpr double ejection_multiple_of_peers = 1.5;
@@ -46,7 +46,7 @@
     if (health.ejection == EjectionState::ejected && now < health.next_probe_at) return;
     if (!health.ejected()) callbacks_.on_endpoint_ejected(endpoint.id, reason);
     health.ejection = EjectionState::ejected;
-    const int doublings = std::min(health.consecutive_ejections, most_backoff_doublings);
+    const int doublings = std::min(health.consecutive_ejections, max_backoff_doublings);
     health.backoff_ends_at = now + std::min(first_backoff * std::pow(2.0, doublings), longest_backoff);
     health.next_probe_at = health.backoff_ends_at;
     ++health.consecutive_ejections;
@@ -96,7 +96,7 @@
     EndpointHealth& health = endpoint.health;
     const Duration gap = now - silent_since(endpoint);
     health.mean_response_gap =
-        health.mean_response_gap + (gap - health.mean_response_gap) * (1 / gap_memory_responses);
+        health.mean_response_gap + (gap - health.mean_response_gap) * (1 / gap_averaging_responses);
     health.last_seen = now;
 }
 
@@ -123,15 +123,15 @@
 
 void OutlierDetector::record_success(EndpointState& endpoint) {
     EndpointHealth& health = endpoint.health;
-    health.error_share += (0.0 - health.error_share) / error_memory_results;
-    if (health.error_share < ejection_error_share / error_memory_results) health.consecutive_ejections = 0;
+    health.error_share += (0.0 - health.error_share) / error_averaging_results;
+    if (health.error_share < ejection_error_share / error_averaging_results) health.consecutive_ejections = 0;
 }
 
 // Guards against an endpoint that fails fast and so seems the least loaded. It must stand out: errors that
 // all show have a common cause.
 void OutlierDetector::record_error(EndpointState& endpoint, TimePoint now) const {
     EndpointHealth& health = endpoint.health;
-    health.error_share += (1.0 - health.error_share) / error_memory_results;
+    health.error_share += (1.0 - health.error_share) / error_averaging_results;
     if (health.error_share < ejection_error_share) return;
     const double peers = mean_error_share_of_peers(endpoint);
     if (health.error_share > ejection_error_share + ejection_multiple_of_peers * peers)
@@ -168,7 +168,7 @@
     double& lost_share = cache.health.lost_share;
     if (answered)
         lost_share =
-            std::max(0.0, lost_share - (lost_share + (counted_as_lost ? 1 : 0)) / gap_memory_responses);
+            std::max(0.0, lost_share - (lost_share + (counted_as_lost ? 1 : 0)) / gap_averaging_responses);
     else if (result.outcome == Outcome::deadline_exceeded && !counted_as_lost &&
              cache.health.last_seen > attempt.started_at)
         record_lost_attempt(cache, now);
@@ -179,7 +179,7 @@
 void OutlierDetector::record_lost_attempt(EndpointState& cache, TimePoint now) const {
     if ((cache.load.in_flight - cache.load.late) * gateways_here_ > links_.endpoint(cache)) return;
     double& lost_share = cache.health.lost_share;
-    lost_share += (1 - lost_share) / gap_memory_responses;
+    lost_share += (1 - lost_share) / gap_averaging_responses;
     if (lost_share <= lost_share_limit) return;
     const std::vector<EndpointState*>& edges = endpoints_.active(EndpointRole::edge);
     const bool stands_out = std::any_of(edges.begin(), edges.end(), [&](const EndpointState* peer) {
--- a/src/routing/pending_request.hpp
+++ b/src/routing/pending_request.hpp
@@ -23,7 +23,7 @@
     CacheId source;                       ///< the cache itself: no fill
     CellId cell;                          ///< of the cache, which may be erased before the next attempt
     TimePoint started_at;                 ///< when it was decided
-    TimePoint last_judged_at;             ///< when it was last checked against slow start
+    TimePoint slow_start_checked_at;      ///< when it was last checked against slow start
     std::optional<TimePoint> late_after;  ///< past its latency limit from then on; none: not watched
     AttemptState state = AttemptState::in_flight;
     bool may_have_run = false;
--- a/src/routing/purge_table.cpp
+++ b/src/routing/purge_table.cpp
@@ -27,7 +27,7 @@
 
 std::optional<TimePoint> PurgeTable::newest(const ObjectName& object, PurgeGroupId group,
                                             TimePoint now) const {
-    std::optional<TimePoint> at = everything_;
+    std::optional<TimePoint> at = purge_of_everything_;
     const auto take_newer = [&](TimePoint purge) { at = std::max(at.value_or(purge), purge); };
     if (const auto o = objects_.find(hash_of(object)); o != objects_.end()) take_newer(o->second);
     if (const auto g = groups_.find(group.raw()); g != groups_.end()) take_newer(g->second);
@@ -52,7 +52,7 @@
     const auto middle = times.begin() + static_cast<std::ptrdiff_t>(times.size() / 2);
     std::nth_element(times.begin(), middle, times.end());
     const TimePoint newest_merged = *middle;
-    everything_ = std::max(everything_.value_or(newest_merged), newest_merged);
+    purge_of_everything_ = std::max(purge_of_everything_.value_or(newest_merged), newest_merged);
     std::erase_if(purges, [&](const auto& purge) { return purge.second <= newest_merged; });
 }
 
--- a/src/routing/purge_table.hpp
+++ b/src/routing/purge_table.hpp
@@ -36,7 +36,7 @@
 
     Duration retention_;
     TimePoint next_erase_at_;
-    std::optional<TimePoint> everything_;
+    std::optional<TimePoint> purge_of_everything_;
     // By the hash of a name: names of equal hash are bound by each other's purges, which costs refills.
     std::unordered_map<std::size_t, TimePoint> objects_;
     std::unordered_map<std::int64_t, TimePoint> groups_;
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -52,7 +52,8 @@
     [[nodiscard]] bool plan_attempt(PendingRequest& request, TimePoint now);
     void start_attempt(PendingRequest& request, TimePoint now);
     [[nodiscard]] Attempt planned_attempt(const PendingRequest& request, TimePoint now);
-    void take_result(PendingRequest& request, Attempt& attempt, const AttemptResult& result, TimePoint now);
+    void process_result(PendingRequest& request, Attempt& attempt, const AttemptResult& result,
+                        TimePoint now);
     void reject_or_fail(PendingRequest& request);
     void erase_if_finished(const RequestId& id);
 
@@ -74,7 +75,7 @@
     IdempotencyPolicy idempotency_;
     RetryPolicy retries_;
     EdgeSelection edge_selection_;
-    FillSource fill_source_;
+    FillSourceSelection fill_source_selection_;
     AttemptMonitor monitor_;
 
     PendingRequests pending_requests_;
@@ -95,17 +96,17 @@
       idempotency_(deployment_),
       retries_(deployment_, random_),
       edge_selection_(deployment_, endpoints_, statistics_, congestion_, slow_start_, outliers_),
-      fill_source_(deployment_, {.endpoints = endpoints_,
-                                 .statistics = statistics_,
-                                 .congestion = congestion_,
-                                 .slow_start = slow_start_,
-                                 .outliers = outliers_,
-                                 .freshness = freshness_,
-                                 .random = random_}),
+      fill_source_selection_(deployment_, {.endpoints = endpoints_,
+                                           .statistics = statistics_,
+                                           .congestion = congestion_,
+                                           .slow_start = slow_start_,
+                                           .outliers = outliers_,
+                                           .freshness = freshness_,
+                                           .random = random_}),
       monitor_(deployment_, {.endpoints = endpoints_,
                              .congestion = congestion_,
                              .outliers = outliers_,
-                             .fill_source = fill_source_,
+                             .fill_source_selection = fill_source_selection_,
                              .callbacks = callbacks_}) {
     if (deployment_.subscribe_to_endpoints) callbacks_.subscribe_to_endpoints();
 }
@@ -128,7 +129,7 @@
     if (!idempotency_.may_attempt(request, nullptr, now)) return false;
     freshness_.begin_plan(request, now);
     if (!edge_selection_.select(request, now)) return false;
-    return fill_source_.select(request, endpoints_.at(request.plan.cache), now);
+    return fill_source_selection_.select(request, endpoints_.at(request.plan.cache), now);
 }
 
 void Router::Core::start_attempt(PendingRequest& request, TimePoint now) {
@@ -153,7 +154,7 @@
     attempt.source = request.plan.source;
     attempt.cell = endpoints_.at(attempt.cache).cell;
     attempt.started_at = now;
-    attempt.last_judged_at = now;
+    attempt.slow_start_checked_at = now;
     attempt.probes_cache = request.probes_cache;
     attempt.probes_source = request.probes_source;
     attempt.transfer_seconds = statistics_.transfer_seconds(request.request);
@@ -168,8 +169,8 @@
 // The reverse order. Lost attempts are judged by what was in flight, so before the counters change; health by
 // what is in flight now, so after. Edge selection reads the health that this result leaves, and the retry
 // policy, asked by the caller, what all others have noted on the request.
-void Router::Core::take_result(PendingRequest& request, Attempt& attempt, const AttemptResult& result,
-                               TimePoint now) {
+void Router::Core::process_result(PendingRequest& request, Attempt& attempt, const AttemptResult& result,
+                                  TimePoint now) {
     EndpointState& cache = endpoints_.at(attempt.cache);
     EndpointState* source = source_of(attempt);
     attempt.state = AttemptState::ended;
@@ -180,7 +181,7 @@
     congestion_.on_cache_result(cache, request, attempt, result, now);
     statistics_.record_result(request, attempt, result);
 
-    fill_source_.on_result(request, attempt, result, source, now);
+    fill_source_selection_.on_result(request, attempt, result, source, now);
     if (source) outliers_.on_source_result(*source, attempt, result, now);
 
     const bool late = result.elapsed > latency_limit(*request.kind, attempt.transfer_seconds);
@@ -214,7 +215,7 @@
     PendingRequest& request = entry->second;
     const std::size_t index = result.attempt.raw();
     if (index >= request.attempts.size() || !request.attempts[index].in_flight()) return;
-    take_result(request, request.attempts[index], result, now);
+    process_result(request, request.attempts[index], result, now);
     switch (retries_.next_step(request, result)) {
         case NextStep::none:
             break;
@@ -248,7 +249,7 @@
     if (!slow_start_.recheck(endpoints_.at(attempt.cache), attempt, now)) return false;
     if (EndpointState* source = source_of(attempt); source && !slow_start_.recheck(*source, attempt, now))
         return false;
-    attempt.last_judged_at = now;
+    attempt.slow_start_checked_at = now;
     return true;
 }
 
@@ -272,7 +273,7 @@
     const auto entry = pending_requests_.find(id);
     if (entry == pending_requests_.end() || !entry->second.finished) return;
     for (Attempt& attempt : entry->second.attempts)
-        if (attempt.in_flight()) Congestion::no_longer_late(attempt, endpoints_.at(attempt.cache));
+        if (attempt.in_flight()) Congestion::stop_counting_as_late(attempt, endpoints_.at(attempt.cache));
     if (!entry->second.has_attempt_in_flight()) pending_requests_.erase(entry);
 }
 
@@ -306,7 +307,7 @@
 
 void Router::Core::on_timer(TimerId timer, TimePoint now) {
     if (timer == resubscribe_timer) return callbacks_.subscribe_to_endpoints();
-    if (timer == AttemptMonitor::timer) monitor_.on_timer(pending_requests_, now);
+    if (timer == AttemptMonitor::timer_id) monitor_.on_timer(pending_requests_, now);
 }
 
 // --- the interface ---
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -14,9 +14,9 @@
 constexpr double burst_share_of_window = 0.15;
 // A saved request is kept while all gateways together have saved no more than this share of what fits between
 // the rate and the overload multiple.
-constexpr double spare_share = 0.7;
+constexpr double headroom_share = 0.7;
 // What an endpoint is sent in an overload window, as a multiple of what its rate gives.
-constexpr double most_sent_per_window = 1.3;
+constexpr double max_sent_per_window = 1.3;
 
 double rate_multiple(const SlowStart& settings) {
     return std::min(rate_per_capacity, settings.overload_multiple * rate_share_of_overload);
@@ -51,7 +51,7 @@
     warm_up.required_share = random_.next();
     warm_up.budget = 0;
     warm_up.accrued_until = now;
-    warm_up.learnt_at = now;
+    warm_up.start_detected_at = now;
 }
 
 bool SlowStartPolicy::has_budget(EndpointState& endpoint, double transfer_seconds, TimePoint now) const {
@@ -66,49 +66,51 @@
     EndpointWarmUp& warm_up = endpoint.warm_up;
     const SlowStart& settings = settings_of(endpoint);
     const TimePoint since = *warm_up.warming_up_since;
-    const double full = even_share_of_capacity(endpoint);
+    const double full_capacity = even_share_of_capacity(endpoint);
     const double multiple = rate_multiple(settings);
-    const double rate = rate_at(now, since, full, settings);
-    const double spare = rate * overload_window_.seconds() *
-                         std::max(0.0, settings.overload_multiple / multiple - 1) * spare_share;
-    const double window = rate * overload_window_.seconds();
-    const double most = std::max(window * burst_share_of_window, transfer_seconds);
+    const double rate = rate_at(now, since, full_capacity, settings);
+    const double headroom = rate * overload_window_.seconds() *
+                            std::max(0.0, settings.overload_multiple / multiple - 1) * headroom_share;
+    const double budget_per_window = rate * overload_window_.seconds();
+    const double max_budget = std::max(budget_per_window * burst_share_of_window, transfer_seconds);
     const double elapsed = (now - warm_up.accrued_until).seconds();
 
     // The rate has risen evenly from what it was.
-    warm_up.budget += (rate_at(warm_up.accrued_until, since, full, settings) - rate) / 2 * elapsed;
+    warm_up.budget += (rate_at(warm_up.accrued_until, since, full_capacity, settings) - rate) / 2 * elapsed;
     warm_up.budget += rate * elapsed;
     warm_up.accrued_until = now;
     // Guards a warming endpoint against gateways that have all been idle: each would have saved a request and
     // send it at once. A saved request that was not sent in its time is lost.
-    const double over = warm_up.budget - transfer_seconds * warm_up.required_share - spare;
-    if (spare < transfer_seconds && over > 0)
-        warm_up.budget -= std::ceil(over / transfer_seconds) * transfer_seconds;
-    warm_up.budget = std::min(most, warm_up.budget);
+    const double excess = warm_up.budget - transfer_seconds * warm_up.required_share - headroom;
+    if (headroom < transfer_seconds && excess > 0)
+        warm_up.budget -= std::ceil(excess / transfer_seconds) * transfer_seconds;
+    warm_up.budget = std::min(max_budget, warm_up.budget);
     // What was sent before the router learnt of the start counts, and so do objects larger than they seemed.
-    if (warm_up.sent.since(since, now, overload_window_) > window * most_sent_per_window) return false;
+    if (warm_up.sent_transfer_time.since(since, now, overload_window_) >
+        budget_per_window * max_sent_per_window)
+        return false;
     return warm_up.budget >= transfer_seconds * warm_up.required_share;
 }
 
 bool SlowStartPolicy::origin_has_budget(EndpointState& origin, double transfer_seconds, TimePoint now) const {
     EndpointWarmUp& warm_up = origin.warm_up;
     const double rate = even_share_of_capacity(origin);
-    const double window = rate * overload_window_.seconds();
-    const double most = std::max(window * burst_share_of_window, transfer_seconds);
+    const double budget_per_window = rate * overload_window_.seconds();
+    const double max_budget = std::max(budget_per_window * burst_share_of_window, transfer_seconds);
     warm_up.budget += rate * (now - warm_up.accrued_until).seconds();
     warm_up.accrued_until = now;
-    warm_up.budget = std::min(most, warm_up.budget);
+    warm_up.budget = std::min(max_budget, warm_up.budget);
     return warm_up.budget >= transfer_seconds * warm_up.required_share;
 }
 
 void SlowStartPolicy::charge(EndpointState& endpoint, double transfer_seconds, TimePoint now) const {
-    endpoint.warm_up.sent.add(transfer_seconds, now, overload_window_);
+    endpoint.warm_up.sent_transfer_time.add(transfer_seconds, now, overload_window_);
     const bool in_place_of_parents = endpoint.role == EndpointRole::origin && has_parents_;
     if (endpoint.warm_up.warming_up_since || in_place_of_parents) endpoint.warm_up.budget -= transfer_seconds;
 }
 
 bool SlowStartPolicy::recheck(EndpointState& endpoint, const Attempt& attempt, TimePoint now) const {
-    if (endpoint.warm_up.learnt_at <= attempt.last_judged_at) return true;
+    if (endpoint.warm_up.start_detected_at <= attempt.slow_start_checked_at) return true;
     if (!has_budget(endpoint, attempt.transfer_seconds, now)) return false;
     endpoint.warm_up.budget -= attempt.transfer_seconds;
     return true;
--- a/tests/routing/routing_test_support.hpp
+++ b/tests/routing/routing_test_support.hpp
@@ -41,7 +41,7 @@
     attempt.cache = CacheId{cache};
     attempt.source = attempt.cache;
     attempt.started_at = started_at;
-    attempt.last_judged_at = started_at;
+    attempt.slow_start_checked_at = started_at;
     return attempt;
 }
 
--- a/tests/routing/slow_start_test.cpp
+++ b/tests/routing/slow_start_test.cpp
@@ -98,7 +98,7 @@
     now_ = now_ + one_second;
     slow_start_.begin(cache_, now_, now_);
     EXPECT_FALSE(slow_start_.recheck(cache_, attempt, now_));
-    attempt.last_judged_at = now_;
+    attempt.slow_start_checked_at = now_;
     EXPECT_TRUE(slow_start_.recheck(cache_, attempt, now_));
 }
 
