--- a/include/irismux/deployment.hpp
+++ b/include/irismux/deployment.hpp
@@ -1,5 +1,5 @@
-// What a gateway is told once, when it starts. Nothing here decides anything. Fields marked "not used by
-// decisions" are read so that a configuration is checked whole.
+// The configuration that a gateway receives once, when it starts. This file contains no decisions. Fields
+// marked "not used by decisions" are read only so that the whole configuration is validated.
 #pragma once
 
 #include <optional>
@@ -10,87 +10,89 @@
 
 namespace irismux {
 
-/// What repeating a request does.
+/// Effect of executing a request more than once.
 enum class Effect {
-    idempotent,     ///< nothing more
-    deduplicated,   ///< nothing more, while its idempotency key is remembered (ObjectKind::dedup_window)
-    non_idempotent  ///< the effect happens again
+    idempotent,     ///< repetition has no further effect
+    deduplicated,   ///< no further effect while the idempotency key is kept (ObjectKind::dedup_window)
+    non_idempotent  ///< each execution takes effect
 };
-/// Who remembers idempotency keys together.
+/// The set of caches that share their idempotency keys.
 enum class DedupScope { all, location, cell };
-/// Which caches may serve as each other's fill source. Not used by decisions.
+/// Which caches may be each other's fill source. Not used by decisions.
 enum class Siblings { none, location, any };
 /// For which responses caches report a CacheStatus.
 enum class CacheStatusReporting { none, hits, all };
 
 struct ObjectKind {
     Effect effect = Effect::idempotent;
-    DedupScope dedup_scope = DedupScope::all;  ///< of deduplicated kinds
-    Duration dedup_window;                     ///< of deduplicated kinds: for how long a key is remembered
-    Duration latency_objective;                ///< a response later than this is worth less
-    double latency_objective_stretch = 0;      ///< multiple of the transfer time that is added to it
-    Duration deadline;                         ///< for all attempts of a client together
-    double utility = 1;                        ///< of a response in time; not used by decisions
-    double late_utility_share = 0;             ///< of `utility`, once late; not used by decisions
-    Duration fresh_for;                        ///< age at which a copy becomes stale; zero: never
-    Duration stale_if_error_for;     ///< for how long a stale copy may still stand in for a failed source
+    DedupScope dedup_scope = DedupScope::all;  ///< only for deduplicated kinds
+    Duration dedup_window;                     ///< how long a key is kept; only for deduplicated kinds
+    Duration latency_objective;                ///< a later response has less utility
+    /// Multiple of the object's transfer time that is added to `latency_objective`.
+    double latency_objective_stretch = 0;
+    Duration deadline;              ///< for all attempts of a client together
+    double utility = 1;             ///< utility of a response in time; not used by decisions
+    double late_utility_share = 0;  ///< share of `utility` of a late response; not used by decisions
+    Duration fresh_for;             ///< age at which a copy becomes stale; zero: never
+    /// How long after `fresh_for` a stale copy may still be served if the source has failed.
+    Duration stale_if_error_for;
     double stale_utility_share = 1;  ///< not used by decisions
-    bool uncacheable = false;        ///< runs at the origin
+    bool uncacheable = false;        ///< requests of this kind run at the origin
 };
 
-/// What the protocols of the deployment offer.
+/// Features that the protocols of the deployment support.
 struct Capabilities {
-    bool cancellation = false;  ///< attempts can be taken back
+    bool cancellation = false;  ///< attempts can be cancelled
     bool probes = false;        ///< health checks can be sent
-    bool retry_after = false;   ///< clients heed a time to come again
-    bool hedged_requests =
-        false;  ///< several attempts of one request may be in flight; not used by decisions
-    bool direct_attempts = false;  ///< attempts may go straight to parents and to the origin
-    bool coalescing = false;       ///< an attempt may wait for a fill under way
+    bool retry_after = false;   ///< clients honour a retry-after time
+    /// Several attempts of one request may be in flight at once. Not used by decisions.
+    bool hedged_requests = false;
+    bool direct_attempts = false;  ///< attempts may bypass the caches and go to parents and to the origin
+    bool coalescing = false;       ///< an attempt may wait for a fill in progress
     Siblings siblings = Siblings::none;
     CacheStatusReporting cache_status = CacheStatusReporting::none;
-    int max_attempts = 1;      ///< of one request
-    Duration max_retry_after;  ///< longest time that clients heed
+    int max_attempts = 1;      ///< for each request
+    Duration max_retry_after;  ///< longest retry-after time that clients honour
 };
 
-/// How the capacity of a restarted endpoint grows.
+/// How the capacity of an endpoint grows after a restart.
 struct SlowStart {
-    double initial_capacity_share = 1;  ///< of full capacity, at the start
-    Duration window;                    ///< the share rises evenly to 1 in this time, at the slowest
-    double overload_multiple = 1;       ///< load above this multiple of the present capacity stops it
+    double initial_capacity_share = 1;  ///< share of the full capacity at the start
+    Duration window;                    ///< longest time for the share to rise linearly to 1
+    double overload_multiple = 1;  ///< load above this multiple of the current capacity stops the endpoint
 };
 
 /// Limits of connections to caches. Not used by decisions.
 struct ConnectionSettings {
-    Duration connect_timeout;  ///< a connection that is not up by then counts as refused
-    Duration idle_timeout;     ///< an idle connection is closed after this
-    int max_streams = 1;       ///< attempts that one connection carries at once
+    Duration connect_timeout;  ///< a connection not established within this time counts as refused
+    Duration idle_timeout;     ///< an idle connection is closed after this time
+    int max_streams = 1;       ///< concurrent attempts on one connection
 };
 
 struct Deployment {
     int gateways = 1;
-    int gateways_in_location = 1;  ///< in this gateway's location
-    int locations = 1;             ///< with gateways
-    LocationId location;           ///< this gateway's
+    int gateways_in_location = 1;  ///< number of gateways in this gateway's location
+    int locations = 1;             ///< number of locations that have gateways
+    LocationId location;           ///< location of this gateway
     std::vector<ObjectKind> kinds;
     std::optional<MachineType> parent_machine;
     std::optional<MachineType> origin_machine;
     Capabilities capabilities;
-    bool subscribe_to_endpoints = false;  ///< the endpoint list comes on request only
-    bool weights_known = false;           ///< EndpointUpdate::weight is meaningful
+    bool subscribe_to_endpoints = false;  ///< the endpoint list is sent only to subscribers
+    bool weights_known = false;           ///< EndpointUpdate::weight is valid
     SlowStart edge_slow_start;
     SlowStart parent_slow_start;
-    bool origin_stops_when_overloaded = false;  ///< it answers nothing for a while then
-    Duration overload_window;                   ///< over which the load of an endpoint is summed
+    bool origin_stops_when_overloaded = false;  ///< an overloaded origin stops responding for a while
+    Duration overload_window;                   ///< period over which the load of an endpoint is summed
     Duration drain_grace_period;                ///< not used by decisions
     Duration purge_grace_period;                ///< not used by decisions
-    Duration purge_retention;                   ///< a purge has reached every copy after this
-    Duration timer_resolution;                  ///< timers and reports may be late by this
+    Duration purge_retention;                   ///< time after which a purge has reached every copy
+    Duration timer_resolution;                  ///< maximum delay of timers and of reports
     ConnectionSettings connections;
-    int max_pending_requests = 0;                ///< at once; 0: unlimited
-    double transfer_rate_kb_per_s = 0;           ///< highest rate of one transfer; 0: unknown
-    double location_link_capacity_kb_per_s = 0;  ///< of the link into this location; 0: unknown
-    double total_link_capacity_kb_per_s = 0;     ///< of the links into all locations; 0: unknown
+    int max_pending_requests = 0;                ///< limit of concurrent requests; 0: unlimited
+    double transfer_rate_kb_per_s = 0;           ///< maximum rate of one transfer; 0: unknown
+    double location_link_capacity_kb_per_s = 0;  ///< capacity of the link into this location; 0: unknown
+    double total_link_capacity_kb_per_s = 0;  ///< total capacity of the links into all locations; 0: unknown
 };
 
 }  // namespace irismux
--- a/include/irismux/endpoint.hpp
+++ b/include/irismux/endpoint.hpp
@@ -6,32 +6,33 @@
 
 namespace irismux {
 
-/// What service discovery says of an endpoint.
+/// Status of an endpoint as service discovery reports it.
 enum class EndpointStatus {
     active,    ///< takes new requests
-    draining,  ///< finishes what it has and takes nothing new
+    draining,  ///< finishes its current requests and accepts no new ones
     removed    ///< no longer part of the deployment
 };
 
-/// Why an endpoint is ejected: passed over until a recovery probe succeeds.
+/// Why an endpoint is ejected. An ejected endpoint is not selected until a recovery probe succeeds.
 enum class EjectionReason {
-    connection_refused,  ///< no connection came up
-    errors,              ///< errors that stand out among its peers
-    unresponsive,        ///< silent for far longer than usual while peers respond
-    deadline_exceeded,   ///< an attempt ran out of time, and nothing was received since it began
+    connection_refused,  ///< no connection could be established
+    errors,              ///< its error rate is an outlier among its peers
+    unresponsive,        ///< no response for far longer than usual while peers respond
+    deadline_exceeded,   ///< an attempt timed out, and the endpoint has not responded since its start
     source_unreachable   ///< caches could not reach it as their fill source
 };
 
-/// One entry of the endpoint list, as service discovery announces it.
+/// One entry of the endpoint list from service discovery.
 struct EndpointUpdate {
     CacheId cache;
     LocationId location;
-    MachineType machine_type;  ///< tells parents and the origin from edge caches
-    CellId cell;               ///< endpoints of one cell drop each other's duplicates
-    double weight = 1;         ///< transfers at full rate that its link carries at once; meaningful only
-                               ///< with Deployment::weights_known
+    MachineType machine_type;  ///< distinguishes parents and the origin from edge caches
+    CellId cell;               ///< endpoints of one cell detect each other's duplicate requests
+    /// Number of concurrent transfers at full rate that the endpoint's link carries. Valid only if
+    /// Deployment::weights_known is set.
+    double weight = 1;
     EndpointStatus status = EndpointStatus::active;
-    TimePoint started_at;  ///< start of its process; zero: long ago
+    TimePoint started_at;  ///< start time of the endpoint's process; zero: long ago
 };
 
 }  // namespace irismux
--- a/include/irismux/ids.hpp
+++ b/include/irismux/ids.hpp
@@ -1,4 +1,4 @@
-// A type of its own for each kind of id, so that they cannot be confused.
+// Strong id types. Each kind of id is a distinct type, so that the compiler rejects a mix-up.
 #pragma once
 
 #include <compare>
@@ -21,21 +21,21 @@
     Rep raw_{};
 };
 
-/// A request within one process. A number is never given twice, so that a timer or a late response of a
-/// request that is over finds nothing.
+/// Identifies a request within one process. Numbers are never reused, so that a timer or a late response of a
+/// finished request cannot match another request.
 using RequestId = Id<struct RequestTag, std::uint64_t>;
-/// The client's own name for a request. It is data, logged and passed on to caches; nothing is looked up by
-/// it, since clients may use a name again.
+/// The id that the client chose for a request. It is only logged and passed on to caches. It is never used as
+/// a lookup key, since clients may reuse an id.
 using ClientRequestId = Id<struct ClientRequestTag, std::string>;
-/// An edge cache, a parent cache or the origin.
+/// Identifies an edge cache, a parent cache or the origin.
 using CacheId = Id<struct CacheTag, std::string>;
 using ObjectName = Id<struct ObjectTag, std::string>;
 using LocationId = Id<struct LocationTag, std::string>;
-/// A model of machine; edge caches, parents and the origin are of different types.
+/// A machine model. Edge caches, parents and the origin have different machine types.
 using MachineType = Id<struct MachineTypeTag, std::string>;
-/// Objects that are purged together.
+/// A group of objects that are purged together.
 using PurgeGroupId = Id<struct PurgeGroupTag, std::int64_t>;
-/// Caches that drop each other's duplicate requests.
+/// A group of caches that detect each other's duplicate requests.
 using CellId = Id<struct CellTag, std::int64_t>;
 /// Position of an object kind in Deployment::kinds.
 using ObjectKindIndex = Id<struct ObjectKindTag, std::size_t>;
--- a/include/irismux/request.hpp
+++ b/include/irismux/request.hpp
@@ -1,4 +1,4 @@
-// A client's request as the router sees it.
+// The part of a client's request on which the router bases its decisions.
 #pragma once
 
 #include "irismux/ids.hpp"
@@ -7,12 +7,12 @@
 namespace irismux {
 
 struct Request {
-    RequestId id;  ///< given by the gateway; unique within its process
+    RequestId id;  ///< assigned by the gateway; unique within its process
     ObjectKindIndex kind;
     ObjectName object;
     PurgeGroupId purge_group;
-    TimePoint deadline;  ///< the final response must have been given by then
-    double size_kb = 0;  ///< of the object; 0: unknown
+    TimePoint deadline;  ///< latest time for the final response
+    double size_kb = 0;  ///< size of the object; 0: unknown
     bool is_client_retry = false;
     bool is_write = false;
 };
--- a/include/irismux/router_callbacks.hpp
+++ b/include/irismux/router_callbacks.hpp
@@ -1,4 +1,4 @@
-// What the router asks of the process around it.
+// The interface through which the router's decisions are carried out.
 #pragma once
 
 #include "irismux/attempt.hpp"
@@ -8,34 +8,35 @@
 
 namespace irismux {
 
-/// Carries out the router's decisions. A callback must not call the router before the call that it was made
-/// from has returned.
+/// Carries out the router's decisions. A callback must not call back into the router: the router call that
+/// invoked it has to return first.
 class RouterCallbacks {
 public:
     virtual ~RouterCallbacks() = default;
 
-    /// Begins an attempt straight at the origin, without cache options.
-    /// @param timeout zero: until the request's deadline.
+    /// Starts an attempt directly at the origin, without cache options.
+    /// @param timeout zero if only the request's deadline applies
     virtual void start_direct_attempt(const RequestId& request, const CacheId& origin, Duration timeout) = 0;
-    /// Begins an attempt at a cache.
+    /// Starts an attempt at a cache.
     virtual void start_attempt(const RequestId& request, const AttemptPlan& plan) = 0;
-    /// Takes an attempt back. Its result is still reported.
+    /// Cancels an attempt. Its result must still be reported to the router.
     virtual void cancel_attempt(const RequestId& request, AttemptIndex attempt) = 0;
 
-    /// Final response: the request is refused and has had no effect.
-    /// @param retry_after when the client may come again; zero: not said.
+    /// Sends the final response that rejects the request. The request has had no effect, or the client can
+    /// safely repeat it.
+    /// @param retry_after how long the client should wait before it retries; zero if not specified
     virtual void reject(const RequestId& request, Duration retry_after) = 0;
-    /// Final response: the request has failed and may have had an effect.
+    /// Sends the final response that the request has failed. The request may have had an effect.
     virtual void fail(const RequestId& request) = 0;
 
-    /// Has Router::on_timer called with that id at that time. Timers are never cancelled; at most one of
-    /// each id is pending.
+    /// Schedules a call of Router::on_timer with this id at this time. Timers are never cancelled, and at
+    /// most one timer of each id is pending.
     virtual void set_timer(TimerId timer, TimePoint due) = 0;
-    /// Asks service discovery for the endpoint list and its changes.
+    /// Requests the endpoint list and its changes from service discovery.
     virtual void subscribe_to_endpoints() = 0;
-    /// The endpoint is passed over from now on, but for recovery probes.
+    /// Called when an endpoint is ejected. From now on it receives only recovery probes.
     virtual void on_endpoint_ejected(const CacheId& /*cache*/, EjectionReason /*reason*/) {}
-    /// An ejected endpoint is chosen again like any other.
+    /// Called when an ejected endpoint is readmitted to normal selection.
     virtual void on_endpoint_readmitted(const CacheId& /*cache*/) {}
 };
 
--- a/include/irismux/time.hpp
+++ b/include/irismux/time.hpp
@@ -1,7 +1,8 @@
-// Points in time and durations, in whole microseconds. Two types that do not mix by accident.
+// Points in time and durations, in whole microseconds. They are distinct types, which prevents accidental
+// mixing.
 //
-// std::chrono is not used, since products with a fraction round half away from zero here and decisions depend
-// on that.
+// std::chrono is not used, since the product of a duration and a fraction rounds half away from zero here,
+// and decisions depend on that rounding.
 #pragma once
 
 #include <cmath>
@@ -33,7 +34,7 @@
     std::int64_t us_ = 0;
 };
 
-/// A point on a steady clock that is anchored once, at the start of the process, to the Unix clock.
+/// A point in time of a steady clock that is anchored to the Unix clock once, at the start of the process.
 class TimePoint {
 public:
     constexpr TimePoint() = default;
