--- a/src/endpoint/endpoint_record.cpp
+++ b/src/endpoint/endpoint_record.cpp
@@ -15,7 +15,8 @@
 }  // namespace
 
 TimePoint time_from_unix_ms(std::int64_t ms) {
-    // Beyond any clock, and so far from the limits that differences in microseconds do not overflow.
+    // This limit is beyond any clock value, and differences of limited values in microseconds do not
+    // overflow.
     constexpr std::int64_t max_ms = std::numeric_limits<std::int64_t>::max() / 4000;
     return TimePoint{} + Duration::micros(std::clamp(ms, -max_ms, max_ms) * 1000);
 }
--- a/src/endpoint/endpoint_record.hpp
+++ b/src/endpoint/endpoint_record.hpp
@@ -1,6 +1,6 @@
-// One record of the endpoint list, as the notice board and the registry both write it: JSON with "id",
-// "state" (Ready, Terminating, Gone), and optionally "zone", "kind", "cell", "weight", "started_ms" (Unix
-// clock, milliseconds) and "addr".
+// Parses a record of the endpoint list. The notice board and the registry use the same JSON format, with
+// "id", "state" (Ready, Terminating, Gone), and optionally "zone", "kind", "cell", "weight", "started_ms"
+// (Unix clock, milliseconds) and "addr".
 #pragma once
 
 #include <cstdint>
@@ -12,13 +12,14 @@
 
 namespace irismux {
 
-/// An update with the endpoint's address. Empty: the address is as it was.
+/// An endpoint update and the endpoint's address. An empty address means that the address has not changed.
 using EndpointRecord = std::pair<EndpointUpdate, std::string>;
 
-/// Throws std::runtime_error that says which field is missing or wrong.
+/// Parses a record.
+/// @throws std::runtime_error that names the missing or invalid field
 [[nodiscard]] EndpointRecord parse_endpoint_record(const nlohmann::json& record);
 
-/// A point of the Unix clock. Values that are too large to compute with are limited.
+/// Converts a Unix time in milliseconds. Values beyond the supported range are clamped.
 [[nodiscard]] TimePoint time_from_unix_ms(std::int64_t ms);
 
 }  // namespace irismux
--- a/src/endpoint/endpoint_table.cpp
+++ b/src/endpoint/endpoint_table.cpp
@@ -55,9 +55,9 @@
 std::optional<Duration> EndpointTable::max_age_after_purges(const Request& request, TimePoint now) const {
     const std::optional<TimePoint> purged_at = purges_.newest(request.object, request.purge_group, now);
     if (!purged_at) return std::nullopt;
-    // Failure: a purge of this instant, or of a clock that is ahead, gives an age of zero or less, which
-    // means that no limit is set, and a purged copy is served. So the age is never less than the smallest
-    // one.
+    // A purge at the current time, or from a clock that is ahead, gives an age of zero or less. Zero means
+    // that no limit is set, so a purged copy would be served. The age is therefore at least the smallest
+    // positive one.
     constexpr Duration min_max_age = Duration::micros(1);
     return std::max(now - *purged_at, min_max_age);
 }
--- a/src/endpoint/endpoint_table.hpp
+++ b/src/endpoint/endpoint_table.hpp
@@ -1,5 +1,5 @@
-// The endpoint list in force, with each endpoint's connections, and the purges. An attempt is checked against
-// both right before its first byte is written.
+// The current endpoint list with the connections of each endpoint, and the purges in effect. An attempt is
+// checked against both right before its first byte is written.
 #pragma once
 
 #include <cstddef>
@@ -19,37 +19,41 @@
 
 class CacheConnection;
 
-/// One endpoint. It is kept while it is listed or connected.
+/// An endpoint. It is kept while it is listed or has connections.
 struct Endpoint {
-    EndpointUpdate update;  ///< the last one
+    EndpointUpdate update;  ///< the latest update
     std::string address;
     std::vector<std::shared_ptr<CacheConnection>> connections;
 };
 
 class EndpointTable {
 public:
-    /// More purges are merged: they bind at least as strictly as they did.
+    /// Maximum number of purges. Beyond it purges are merged, and the merged purge is at least as strict.
     static constexpr std::size_t max_purges = PurgeTable::max_purges;
 
-    /// @param purge_retention after this time, twice over, a purge binds no request any more.
+    /// @param purge_retention a purge no longer applies to any request after twice this time
     explicit EndpointTable(Duration purge_retention) : purges_(purge_retention) {}
 
-    /// @param complete endpoints that are not named are removed.
+    /// Applies records of the endpoint list.
+    /// @param complete the records are the whole list, so endpoints missing from it are removed
     void apply(const std::vector<EndpointRecord>& records, bool complete);
-    /// Null if there is no such endpoint. Valid until the next call of apply() or erase_if_removed().
+    /// @return null if there is no such endpoint; otherwise valid until the next call of apply() or
+    /// erase_if_removed()
     [[nodiscard]] Endpoint* find(const CacheId& id);
     [[nodiscard]] bool is_active(const CacheId& id) const;
-    /// The callback must not change which endpoints there are.
+    /// Calls the callback for each endpoint. The callback must not add or erase endpoints.
     void for_each(const std::function<void(Endpoint&)>& callback);
-    /// How many endpoints are listed for the location.
+    /// @return number of endpoints listed for the location
     [[nodiscard]] std::size_t count_at(const LocationId& location) const;
-    /// To be called when an endpoint has lost a connection.
+    /// Erases an endpoint that is neither listed nor connected. Must be called when an endpoint has lost a
+    /// connection.
     void erase_if_removed(const CacheId& id);
 
-    /// @param object none: all objects of the group.
+    /// Adds a purge of one object, or of all objects of the group if `object` is not set.
     void add_purge(TimePoint at, PurgeGroupId group, const std::optional<ObjectName>& object, TimePoint now);
     [[nodiscard]] std::size_t purge_count() const { return purges_.size(); }
-    /// The age from which on no copy may be served, more than zero; none if no purge binds the request.
+    /// @return age from which on no copy may be served, greater than zero; std::nullopt if no purge applies
+    /// to the request
     [[nodiscard]] std::optional<Duration> max_age_after_purges(const Request& request, TimePoint now) const;
 
 private:
--- a/src/request/active_request.hpp
+++ b/src/request/active_request.hpp
@@ -1,5 +1,5 @@
-// One request from its admission until it has its final response and all its attempts have ended: the
-// client's side and the attempts, and nothing of either's connections.
+// One request from its admission until its final response is sent and all its attempts have ended. It holds
+// the state of the client side and of the attempts, but not of their connections.
 #pragma once
 
 #include <cstddef>
@@ -14,15 +14,15 @@
 
 namespace irismux {
 
-/// How far an attempt has come on its connection. Only one that was never fully written to a cache is known
-/// not to have run.
+/// How far an attempt has been transmitted on its connection. Only an attempt that was never fully written to
+/// a cache is certain not to have run.
 enum class TransmitProgress { not_connected, not_written, partially_written, fully_written, response_begun };
 
-/// What the router knows of an attempt. The states follow each other in this order.
+/// State of an attempt with respect to the router. The states follow each other in this order.
 enum class AttemptState {
     in_flight,
-    ended,    ///< its result is still to be reported to the router
-    reported  ///< the router knows its result
+    ended,    ///< the result has not been reported to the router yet
+    reported  ///< the result has been reported to the router
 };
 
 struct Attempt {
@@ -31,11 +31,12 @@
     TimePoint decided_at;
     AttemptState state = AttemptState::in_flight;
     TransmitProgress progress = TransmitProgress::not_connected;
-    std::uint64_t connection = 0;            ///< that carries it; 0: none yet
-    bool retried_on_new_connection = false;  ///< its first connection broke before it was fully written
+    std::uint64_t connection = 0;  ///< the connection that carries the attempt; 0: none yet
+    /// The first connection broke before the attempt was fully written.
+    bool retried_on_new_connection = false;
 
     [[nodiscard]] bool ended() const { return state != AttemptState::in_flight; }
-    /// Whether a miss is filled from another endpoint.
+    /// @return true if a miss is filled from another endpoint
     [[nodiscard]] bool has_fill_source() const { return plan && plan->source != plan->cache; }
 };
 
@@ -45,13 +46,13 @@
     CacheStatus cache_status = CacheStatus::none;
     Duration fill_wait{};       ///< how long the cache waited for the fill's first byte
     bool not_modified = false;  ///< the client's copy is still valid
-    std::string_view body{};    ///< valid during the call that it is passed to
+    std::string_view body{};    ///< valid only during the call that receives this struct
 };
 
-/// Shared between the dispatcher and the connections that carry its attempts.
+/// A request that is being processed. The dispatcher and the connections that carry its attempts share it.
 class ActiveRequest : public std::enable_shared_from_this<ActiveRequest> {
 public:
-    /// @param response_sender must outlive the request.
+    /// @param response_sender must outlive the request
     ActiveRequest(ResponseSender& response_sender, ClientStream stream, ClientRequest client_request);
 
     [[nodiscard]] RequestId id() const { return client_request_.request.id; }
@@ -61,37 +62,41 @@
     [[nodiscard]] const ClientStream& client_stream() const { return client_stream_; }
     [[nodiscard]] const ClientRequest& client_request() const { return client_request_; }
     [[nodiscard]] TimePoint deadline() const { return client_request_.request.deadline; }
-    /// Later deadlines are ignored.
+    /// Sets the deadline if it is earlier than the current one.
     void shorten_deadline(TimePoint deadline);
 
     [[nodiscard]] Attempt& attempt(std::size_t index) { return attempts_[index]; }
     [[nodiscard]] const Attempt& attempt(std::size_t index) const { return attempts_[index]; }
     [[nodiscard]] std::size_t attempt_count() const { return attempts_.size(); }
-    /// Returns its index.
+    /// @return index of the attempt
     std::size_t add_attempt(Attempt attempt);
-    /// Whether the connection has carried one of the attempts.
+    /// @return true if the connection has carried one of the attempts
     [[nodiscard]] bool has_used_connection(std::uint64_t connection) const;
 
-    // The final response. Each returns false, and sends nothing, if there has been one or the client is gone.
+    // Each of these sends the final response. They return false and send nothing if a final response has
+    // already been sent or the client has disconnected.
     [[nodiscard]] bool respond(const AttemptEnd& end);
     [[nodiscard]] bool reject(Duration retry_after);
     [[nodiscard]] bool fail();
     void on_client_closed() { answered_ = true; }
 
-    /// Failure: a cache reads a cancellation later than another one reads the next attempt, and both run the
-    /// request at once. So the next attempt waits until the cancellation has arrived.
+    /// Delays the next attempt until a cancellation has arrived. Otherwise one cache could read the
+    /// cancellation later than another cache reads the next attempt, and both would run the request at the
+    /// same time.
     void delay_reuse_until(TimePoint time);
     [[nodiscard]] TimePoint reuse_delayed_until() const { return reuse_delayed_until_; }
 
-    /// Whether the client has its final response or is gone.
+    /// @return true if the final response has been sent or the client has disconnected
     [[nodiscard]] bool answered() const { return answered_; }
-    /// Whether it is answered and every attempt is reported: nothing more happens to it.
+    /// @return true if the request is answered and every attempt is reported, so that nothing more happens to
+    /// it
     [[nodiscard]] bool finished() const;
-    /// Whether an attempt has ended whose result is still to be reported to the router.
+    /// @return true if an attempt has ended whose result has not been reported to the router yet
     [[nodiscard]] bool has_unreported_result() const;
 
 private:
-    // Whether the caller is to send the final response.
+    // Marks the request as answered. Returns true if the caller must send the final response, false if the
+    // request was already answered.
     [[nodiscard]] bool claim_final_response();
 
     ResponseSender& response_sender_;
--- a/src/request/duplicate_request_filter.hpp
+++ b/src/request/duplicate_request_filter.hpp
@@ -1,4 +1,4 @@
-// Refuses a request that comes twice, by all that its client says of it. Without I/O.
+// Detects duplicate requests by comparing everything that identifies a client's request. Performs no I/O.
 #pragma once
 
 #include <cstddef>
@@ -11,7 +11,8 @@
 
 namespace irismux {
 
-/// What makes two requests the same one. Requests that share the id alone are different ones.
+/// Identifies a client's request. Two requests are equal if all fields are equal; an equal id alone is not
+/// sufficient.
 struct RequestFingerprint {
     ClientRequestId id;
     std::string kind, object, object_part, body;
@@ -19,20 +20,21 @@
 
 class DuplicateRequestFilter {
 public:
-    /// Beyond this the requests that are remembered for the shortest time are forgotten.
+    /// Maximum number of remembered requests. Beyond it, the requests that expire first are forgotten.
     static constexpr std::size_t max_entries = 16'384;
 
-    /// Whether no equal request is remembered. If so it is remembered until `until`, as `request`.
+    /// Remembers the request until `until`, unless an equal request is already remembered.
+    /// @return false if an equal request is already remembered
     [[nodiscard]] bool accept(const RequestFingerprint& fingerprint, RequestId request, TimePoint until,
                               TimePoint now);
-    /// An equal request may come from now on. Ignored if the request is not remembered.
+    /// Forgets a request, so that an equal one is accepted again. Ignored if the request is not remembered.
     void forget_request(RequestId request);
     [[nodiscard]] std::size_t size() const { return entries_.size(); }
 
 private:
     struct Key {
         ClientRequestId id;
-        std::uint64_t digest = 0;  // of the rest of the fingerprint
+        std::uint64_t digest = 0;  // hash of the rest of the fingerprint
         auto operator<=>(const Key&) const = default;
     };
     struct RememberedRequest {
--- a/src/routing/adaptive_limit.cpp
+++ b/src/routing/adaptive_limit.cpp
@@ -6,11 +6,12 @@
 namespace irismux::routing {
 namespace {
 
-// While all results are bad the share falls by the factor e in this time.
+// Time in which the share falls by a factor of e while all results are bad.
 constexpr Duration cut_time = Duration::micros(800'000);
-// One bad result stands for no more than this much of the time since the last cut.
+// Maximum time since the last cut that a single bad result accounts for.
 constexpr Duration longest_time_per_cut = Duration::micros(1'000'000);
-// Bounds the time until the share is full again, however long the bad results lasted.
+// Lower bound of the share. It limits the time until the share is full again, however long the bad results
+// lasted.
 constexpr double min_share_after_cut = 0.05;
 
 }  // namespace
--- a/src/routing/adaptive_limit.hpp
+++ b/src/routing/adaptive_limit.hpp
@@ -1,12 +1,13 @@
-// The share of traffic that an endpoint may be given.
+// A limit on the share of traffic that is sent to an endpoint.
 #pragma once
 
 #include "irismux/time.hpp"
 
 namespace irismux::routing {
 
-/// Bad results cut the share; it comes back with time alone, since few results would otherwise keep it low.
-/// Cuts go by the time since the last one, so that gateways with many and with few results follow alike.
+/// Bad results cut the share. The share recovers with time alone, since otherwise an endpoint that gets few
+/// requests would have too few results to recover. The size of a cut depends on the time since the last cut,
+/// so that gateways with many results and gateways with few results reduce their shares equally.
 class AdaptiveLimit {
 public:
     /// The time in which a cut share doubles.
@@ -14,7 +15,7 @@
 
     explicit AdaptiveLimit(Duration doubling_time = default_doubling_time) : doubling_time_(doubling_time) {}
 
-    /// Between 0 and 1.
+    /// @return the allowed share, between 0 and 1
     [[nodiscard]] double share(TimePoint now) const;
     void record(bool bad, TimePoint now);
 
--- a/src/routing/attempt_monitor.cpp
+++ b/src/routing/attempt_monitor.cpp
@@ -5,8 +5,9 @@
 namespace irismux::routing {
 namespace {
 
-// How often it looks, as a share of the shortest latency objective.
+// Interval between two checks, as a share of the shortest latency objective.
 constexpr double interval_share_of_objective = 0.1;
+// Upper bound of the latency objective that determines the interval.
 constexpr Duration longest_objective_counted = Duration::micros(2'000'000);
 
 }  // namespace
@@ -65,7 +66,8 @@
         }
 }
 
-// Takes back what waits for the endpoint, where it may be sent again. The results come as cancelled.
+// Cancels the attempts that wait for the endpoint, if their requests may be sent again. Their results are
+// reported as cancelled.
 void AttemptMonitor::cancel_attempts_at(const EndpointState& endpoint, PendingRequests& requests) const {
     if (!can_cancel_) return;
     for (auto& [id, request] : requests) {
--- a/src/routing/attempt_monitor.hpp
+++ b/src/routing/attempt_monitor.hpp
@@ -1,5 +1,5 @@
-// Looks at attempts in flight now and then: for those past their latency limit, and for endpoints that have
-// fallen silent.
+// Periodically checks the attempts in flight for attempts past their latency limit and for endpoints that
+// have stopped responding.
 #pragma once
 
 #include "irismux/deployment.hpp"
@@ -12,7 +12,7 @@
 
 namespace irismux::routing {
 
-/// What AttemptMonitor reports to; all must outlive it.
+/// The objects that AttemptMonitor reads and updates. All must outlive it.
 struct AttemptMonitorDependencies {
     EndpointSet& endpoints;
     Congestion& congestion;
@@ -27,10 +27,10 @@
 
     AttemptMonitor(const Deployment& deployment, const AttemptMonitorDependencies& dependencies);
 
-    /// Request going down: the attempt has been started.
+    /// Starts to watch an attempt that has been started.
     void on_attempt_started(const RequestId& request, AttemptIndex index, const Attempt& attempt,
                             TimePoint now);
-    /// Result coming up.
+    /// Stops watching an attempt whose result has arrived.
     void on_attempt_ended(const RequestId& request, AttemptIndex index, const Attempt& attempt);
     void on_timer(PendingRequests& requests, TimePoint now);
 
--- a/src/routing/congestion.cpp
+++ b/src/routing/congestion.cpp
@@ -9,20 +9,20 @@
 namespace irismux::routing {
 namespace {
 
-// Limits are for each transfer that fits the link in question.
+// The following limits are multiples of the number of transfers that the link in question carries at once.
 constexpr double congested_late_attempts = 0.2;
 constexpr double exhausted_fills = 1;
 constexpr double spill_transfers = 2;
 constexpr double shedding_transfers = 2;
-// Limits are scaled by how much smaller than the mean a request is, within these bounds.
+// Limits are scaled by the ratio of the mean transfer time to that of the request, within these bounds.
 constexpr double min_size_allowance = 0.65;
 constexpr double max_size_allowance = 4;
 constexpr double min_transfer_seconds = 1e-6;
 constexpr double min_capacity_transfers = 0.1;
-// What hits have shown of a load fades over this many of the longest latency objective.
-constexpr double observed_load_fades_over_objectives = 4;
+// An observed load decays with this time constant, as a multiple of the longest latency objective.
+constexpr double observed_load_decay_objectives = 4;
 
-// Begins a spell without a break if nothing was in flight.
+// Counts an attempt in flight and records the start of a busy period if there was none.
 void add_in_flight(EndpointState& endpoint, TimePoint now) {
     if (endpoint.load.in_flight == 0) endpoint.load.busy_since = now;
     ++endpoint.load.in_flight;
@@ -35,7 +35,7 @@
     : endpoints_(endpoints),
       links_(links),
       statistics_(statistics),
-      gateways_here_(std::max(1, deployment.gateways_in_location)),
+      gateways_in_location_(std::max(1, deployment.gateways_in_location)),
       longest_latency_objective_(longest_latency_objective(deployment)) {}
 
 void Congestion::on_attempt_started(const Attempt& attempt, EndpointState& cache, EndpointState* source,
@@ -71,27 +71,28 @@
 }
 
 bool Congestion::fills_congested(double transfer_seconds) const {
-    return late_attempts_ * gateways_here_ >
+    return late_attempts_ * gateways_in_location_ >
            congested_late_attempts * links_.location_link() * size_allowance(transfer_seconds);
 }
 
 bool Congestion::fills_exhausted(double transfer_seconds) const {
     return fills_congested(transfer_seconds) &&
-           (late_attempts_ + known_fills_) * gateways_here_ >=
+           (late_attempts_ + known_fills_) * gateways_in_location_ >=
                exhausted_fills * links_.location_link() * size_allowance(transfer_seconds);
 }
 
-// The attempts of one gateway tell little of a cache that many share: what its hits show stands for the
-// others.
+// The attempts of this gateway alone say little about a cache that many gateways share. The load observed
+// from the latency of the cache's hits stands for the attempts of the other gateways.
 double Congestion::load(const EndpointState& cache, TimePoint now) const {
-    // Attempts that a cache has lost put no load on it.
+    // Lost attempts put no load on the cache.
     const int lost = OutlierDetector::loses_attempts(cache, now) ? cache.load.late : 0;
-    const double own = (cache.load.in_flight - lost) * gateways_here_ /
-                       std::max(min_capacity_transfers, links_.endpoint(cache));
-    if (cache.load.observed_at == TimePoint{}) return own;
-    const double fade = std::exp(-((now - cache.load.observed_at) /
-                                   (longest_latency_objective_ * observed_load_fades_over_objectives)));
-    return (own + (gateways_here_ - 1) * (1 + (cache.load.observed_load - 1) * fade)) / gateways_here_;
+    const double own_load = (cache.load.in_flight - lost) * gateways_in_location_ /
+                            std::max(min_capacity_transfers, links_.endpoint(cache));
+    if (cache.load.observed_at == TimePoint{}) return own_load;
+    const double decay = std::exp(
+        -((now - cache.load.observed_at) / (longest_latency_objective_ * observed_load_decay_objectives)));
+    return (own_load + (gateways_in_location_ - 1) * (1 + (cache.load.observed_load - 1) * decay)) /
+           gateways_in_location_;
 }
 
 void Congestion::on_cache_result(EndpointState& cache, const PendingRequest& request, const Attempt& attempt,
@@ -107,7 +108,8 @@
     load.observed_at = now;
 }
 
-// While fills are congested, a request that spilled to another cache would only miss there.
+// Uses the higher limit while fills are congested, because a request that spills to another cache would only
+// miss there.
 double Congestion::spill_load(double transfer_seconds) const {
     const double shedding = shedding_load(transfer_seconds);
     return fills_congested(transfer_seconds) ? std::max(spill_transfers, shedding)
@@ -118,7 +120,7 @@
     return shedding_transfers * size_allowance(transfer_seconds);
 }
 
-// Capacity goes to the requests that bring most for each second of link: the small ones.
+// Prefers small requests, which yield the most for each second of link time.
 double Congestion::size_allowance(double transfer_seconds) const {
     return std::clamp(statistics_.mean_transfer_seconds() / std::max(transfer_seconds, min_transfer_seconds),
                       min_size_allowance, max_size_allowance);
--- a/src/routing/congestion.hpp
+++ b/src/routing/congestion.hpp
@@ -1,4 +1,4 @@
-// Overload: of the fills behind this location's caches, and of one cache.
+// Detects overload of the fills behind this location's caches and of single caches.
 #pragma once
 
 #include "irismux/deployment.hpp"
@@ -13,33 +13,36 @@
     Congestion(const Deployment& deployment, const EndpointSet& endpoints, const LinkCapacity& links,
                const ObjectStatistics& statistics);
 
-    /// Request going down: an attempt begins. `source` is null for attempts without a fill.
+    /// Counts an attempt that starts.
+    /// @param source null for attempts without a fill
     void on_attempt_started(const Attempt& attempt, EndpointState& cache, EndpointState* source,
                             TimePoint now);
-    /// Result coming up; `source` as when it began.
+    /// Removes an attempt that has ended from the counts.
+    /// @param source the same as when the attempt started
     void on_attempt_ended(Attempt& attempt, EndpointState& cache, EndpointState* source);
-    /// A hit shows the load of its cache by how much longer it took than the transfer alone. Nothing is
-    /// learnt where the transfer time of the object is unknown.
+    /// Estimates the load of a cache from a hit, by how much longer the hit took than the transfer alone. The
+    /// result is ignored if the transfer time of the object is unknown.
     void on_cache_result(EndpointState& cache, const PendingRequest& request, const Attempt& attempt,
                          const AttemptResult& result, TimePoint now) const;
-    /// An attempt has passed its latency limit.
+    /// Counts an attempt that has passed its latency limit as late.
     static void count_as_late(Attempt& attempt, EndpointState& cache);
-    /// It has ended, or its request has.
+    /// Stops counting an attempt as late after the attempt or its request has ended.
     static void stop_counting_as_late(Attempt& attempt, EndpointState& cache);
-    /// Sums the late attempts at caches that respond and don't lose attempts: others tell nothing of fills.
+    /// Sums the late attempts at caches that respond and don't lose attempts. Late attempts at other caches
+    /// say nothing about fills.
     void recount_late_attempts(TimePoint now);
 
-    /// Fills behind the caches neither end nor fail, from whatever cause: more of them would slow those under
-    /// way, while hits still work. Ask for cached copies first.
+    /// @return true if the fills behind the caches neither complete nor fail, whatever the cause. Further
+    /// fills would slow down those in progress, while hits still work, so a cached copy is requested first.
     [[nodiscard]] bool fills_congested(double transfer_seconds) const;
-    /// Even a known miss should not be filled.
+    /// @return true if even a known miss should not be filled
     [[nodiscard]] bool fills_exhausted(double transfer_seconds) const;
 
-    /// Transfers at a cache, of all gateways, for each that fits its link.
+    /// @return estimated transfers of all gateways at a cache, divided by the number that its link carries
     [[nodiscard]] double load(const EndpointState& cache, TimePoint now) const;
-    /// From this load on a cache is passed over while another has capacity.
+    /// @return load from which on a cache is skipped while another cache has capacity
     [[nodiscard]] double spill_load(double transfer_seconds) const;
-    /// Requests are rejected when even the least loaded cache has this load.
+    /// @return load of the least loaded cache from which on requests are rejected
     [[nodiscard]] double shedding_load(double transfer_seconds) const;
 
 private:
@@ -48,10 +51,10 @@
     const EndpointSet& endpoints_;
     const LinkCapacity& links_;
     const ObjectStatistics& statistics_;
-    int gateways_here_;
+    int gateways_in_location_;
     Duration longest_latency_objective_;
-    int late_attempts_ = 0;  // as counted last
-    int known_fills_ = 0;    // in flight
+    int late_attempts_ = 0;  // result of the last recount_late_attempts()
+    int known_fills_ = 0;    // attempts in flight that fill a known miss
 };
 
 }  // namespace irismux::routing
--- a/src/routing/edge_selection.cpp
+++ b/src/routing/edge_selection.cpp
@@ -7,7 +7,8 @@
 namespace irismux::routing {
 namespace {
 
-// A broken transfer may be the network's fault: the cache that has the object gets this many attempts.
+// Maximum number of attempts at the same cache after a broken transfer. The network may be at fault, and this
+// cache may have the object.
 constexpr std::ptrdiff_t attempts_after_broken_transfer = 2;
 
 }  // namespace
@@ -36,7 +37,7 @@
         if (load >= congestion_.shedding_load(transfer_seconds)) return false;
         selected = found.least_loaded;
     }
-    if (!selected) selected = found.next_to_probe;
+    if (!selected) selected = found.last_resort;
     if (!selected) return false;
     request.plan.cache = selected->id;
     if (OutlierDetector::recovery_probe_is_due(*selected, now)) {
@@ -54,9 +55,8 @@
         if (!IdempotencyPolicy::may_use_cell(request, cache->cell)) continue;
         if (!slow_start_.has_budget(*cache, mean_seconds, now)) continue;
         if (!outliers_.may_choose(*cache, request, now)) {
-            const EndpointState* best = found.next_to_probe;
-            if (!best || cache->health.next_probe_at < best->health.next_probe_at)
-                found.next_to_probe = cache;
+            const EndpointState* best = found.last_resort;
+            if (!best || cache->health.next_probe_at < best->health.next_probe_at) found.last_resort = cache;
             continue;
         }
         const double load = congestion_.load(*cache, now);
@@ -70,7 +70,8 @@
     return found;
 }
 
-// Uncacheable requests skip the caches where that is allowed. Of several origins the last in order is used.
+// Plans a direct attempt for an uncacheable request if the deployment allows direct attempts. If there are
+// several origins, the last in the object's order is used.
 bool EdgeSelection::select_direct(PendingRequest& request) const {
     if (!request.kind->uncacheable || !direct_attempts_) return false;
     const auto origins = endpoints_.ranked(request.request.object, EndpointRole::origin);
@@ -90,9 +91,10 @@
     const bool broken_transfer = result.outcome == Outcome::connection_reset ||
                                  result.outcome == Outcome::errored ||
                                  (result.outcome == Outcome::deadline_exceeded && responds_to_others);
-    const auto attempts_here = std::count_if(request.attempts.begin(), request.attempts.end(),
-                                             [&](const Attempt& a) { return a.cache == attempt.cache; });
-    if (broken_transfer && attempts_here < attempts_after_broken_transfer && !cache.health.ejected()) return;
+    const auto attempts_at_cache = std::count_if(request.attempts.begin(), request.attempts.end(),
+                                                 [&](const Attempt& a) { return a.cache == attempt.cache; });
+    if (broken_transfer && attempts_at_cache < attempts_after_broken_transfer && !cache.health.ejected())
+        return;
     request.avoided.push_back(attempt.cache);
 }
 
--- a/src/routing/edge_selection.hpp
+++ b/src/routing/edge_selection.hpp
@@ -1,4 +1,4 @@
-// Which cache of the location serves a request.
+// Selects the cache of this location that serves a request.
 #pragma once
 
 #include "irismux/deployment.hpp"
@@ -14,19 +14,20 @@
                   const ObjectStatistics& statistics, const Congestion& congestion,
                   const SlowStartPolicy& slow_start, const OutlierDetector& outliers);
 
-    /// Request going down: sets the plan's cache, and for a direct attempt its source. Passes over what
-    /// on_result has put on the request's list of avoided endpoints.
-    /// @return false: no cache may serve it, or all are overloaded.
+    /// Sets the cache of the request's plan, and for a direct attempt also the source. Skips the endpoints
+    /// that on_result has added to the request's list of avoided endpoints.
+    /// @return false if no cache may serve the request or all caches are overloaded
     [[nodiscard]] bool select(PendingRequest& request, TimePoint now) const;
-    /// Result coming up, after the health of the cache has been judged: whether the request avoids it.
+    /// Decides from an attempt's result whether the request avoids the cache from now on. Must be called
+    /// after the health of the cache has been updated.
     static void on_result(PendingRequest& request, const Attempt& attempt, const AttemptResult& result,
                           const EndpointState& cache);
 
 private:
     struct Candidates {
-        EndpointState* below_spill_load = nullptr;  // first in the object's order
-        EndpointState* least_loaded = nullptr;      // of those above the spill load
-        EndpointState* next_to_probe = nullptr;     // of those that may not be chosen
+        EndpointState* below_spill_load = nullptr;  // first cache in the object's order below the spill load
+        EndpointState* least_loaded = nullptr;      // least loaded cache above the spill load
+        EndpointState* last_resort = nullptr;       // earliest next_probe_at of those that may not be chosen
     };
     [[nodiscard]] Candidates candidates(const PendingRequest& request, double spill_load,
                                         TimePoint now) const;
--- a/src/routing/endpoint_set.cpp
+++ b/src/routing/endpoint_set.cpp
@@ -50,8 +50,8 @@
         if (endpoint.role == EndpointRole::parent) parents_.push_back(&endpoint);
         if (endpoint.role == EndpointRole::origin) origins_.push_back(&endpoint);
     }
-    most_edges_ = std::max(most_edges_, active_at_once(EndpointRole::edge, now));
-    most_parents_ = std::max(most_parents_, active_at_once(EndpointRole::parent, now));
+    max_active_edges_ = std::max(max_active_edges_, active_at_once(EndpointRole::edge, now));
+    max_active_parents_ = std::max(max_active_parents_, active_at_once(EndpointRole::parent, now));
 }
 
 EndpointState* EndpointSet::find(const CacheId& id) {
@@ -79,8 +79,8 @@
     return role == EndpointRole::parent ? parent_slow_start_ : edge_slow_start_;
 }
 
-// In a first list that arrives amid a replacement, draining endpoints stand for their successors, which are
-// still warming up.
+// Counts the endpoints of a role that are active in normal operation. If the first list arrives during a
+// replacement, its draining endpoints are counted instead of their successors, which are still warming up.
 std::size_t EndpointSet::active_at_once(EndpointRole role, TimePoint now) const {
     std::size_t active = 0;
     std::size_t before_replacement = 0;
@@ -93,8 +93,9 @@
     return std::max(active, before_replacement);
 }
 
-// Endpoints that come and go must not add up. A list may err, and what a warming endpoint was sent counts
-// when it is back: so not before it would have warmed up.
+// Erases removed endpoints, so that endpoints that come and go do not accumulate. An endpoint is kept until
+// it would have warmed up: a list may omit it by mistake, and the transfer time already sent to a warming
+// endpoint still counts when it returns.
 void EndpointSet::erase_removed(TimePoint now) {
     const Duration longest_window = std::max(edge_slow_start_.window, parent_slow_start_.window);
     std::erase_if(endpoints_, [&](const auto& entry) {
--- a/src/routing/endpoint_set.hpp
+++ b/src/routing/endpoint_set.hpp
@@ -1,4 +1,4 @@
-// All endpoints of the list, by id and by role.
+// The endpoints of the endpoint list, by id and by role.
 #pragma once
 
 #include <cstddef>
@@ -15,25 +15,28 @@
 public:
     explicit EndpointSet(const Deployment& deployment);
 
-    /// Before a complete list: what it does not name is removed.
+    /// Marks all endpoints as removed. Called before a complete list is applied, so that endpoints missing
+    /// from the list stay removed.
     void remove_all();
-    /// @return the endpoint, if the update tells of a process that has started and is still warming up.
+    /// Applies one update of a list.
+    /// @return the endpoint if the update announces a new process that is still warming up, otherwise null
     EndpointState* apply(const EndpointUpdate& update, TimePoint now);
-    /// After the last update of a list.
+    /// Rebuilds the lists of active endpoints. Called after the last update of a list.
     void finish_updates(TimePoint now);
 
-    /// Null: not known.
+    /// @return null if there is no such endpoint
     [[nodiscard]] EndpointState* find(const CacheId& id);
-    /// An endpoint with attempts in flight, which is never erased.
+    /// Returns an endpoint that must exist, such as one with attempts in flight, which is never erased.
     [[nodiscard]] EndpointState& at(const CacheId& id) { return endpoints_.at(id); }
-    /// Those that take new requests.
+    /// @return the endpoints of the role that accept new requests
     [[nodiscard]] const std::vector<EndpointState*>& active(EndpointRole role) const;
-    /// The same in the object's order of preference.
+    /// @return the active endpoints of the role in the object's order of preference
     [[nodiscard]] std::vector<EndpointState*> ranked(const ObjectName& object, EndpointRole role) const;
 
-    /// The largest number of them that were active at once; at least 1.
-    [[nodiscard]] std::size_t most_edges() const { return most_edges_; }
-    [[nodiscard]] std::size_t most_parents() const { return most_parents_; }
+    /// @return the largest number of edge caches that have been active at once, at least 1
+    [[nodiscard]] std::size_t max_active_edges() const { return max_active_edges_; }
+    /// @return the largest number of parents that have been active at once, at least 1
+    [[nodiscard]] std::size_t max_active_parents() const { return max_active_parents_; }
 
 private:
     [[nodiscard]] EndpointRole role_of(const EndpointUpdate& update) const;
@@ -44,11 +47,11 @@
     LocationId location_;
     std::optional<MachineType> parent_machine_, origin_machine_;
     SlowStart edge_slow_start_, parent_slow_start_;
-    Duration initial_response_gap_;  // the longest latency objective
+    Duration initial_response_gap_;  // longest latency objective
 
     std::map<CacheId, EndpointState> endpoints_;
-    std::vector<EndpointState*> edges_, parents_, origins_;  // the active ones
-    std::size_t most_edges_ = 1, most_parents_ = 1;
+    std::vector<EndpointState*> edges_, parents_, origins_;  // active endpoints
+    std::size_t max_active_edges_ = 1, max_active_parents_ = 1;
 };
 
 }  // namespace irismux::routing
--- a/src/routing/fill_source.cpp
+++ b/src/routing/fill_source.cpp
@@ -7,13 +7,15 @@
 namespace irismux::routing {
 namespace {
 
-// An origin that stops when pushed over needs longer to be ready for more.
+// An origin that stops when it is overloaded needs longer to recover, so its fetch limit recovers more
+// slowly.
 constexpr Duration stopping_origin_doubling_time = Duration::micros(6'000'000);
-// A fetch that waits this many times the mean shows an origin under strain.
+// A fetch that waits longer than this multiple of the mean indicates an origin close to overload.
 constexpr double unusual_wait_multiple = 2;
+// Approximate number of fetches in the mean wait.
 constexpr double mean_over_fetches = 256;
-// A cache-only attempt at a cache that loses attempts counts as lost after this multiple of the transfer time
-// under the cache's load, and this share of the latency objective.
+// Timeout of a cache-only attempt at a cache that loses attempts: this multiple of the transfer time under
+// the cache's load, plus this share of the latency objective.
 constexpr double lost_after_transfer_times = 1.2;
 constexpr double lost_after_objective_share = 0.2;
 
@@ -27,7 +29,7 @@
       fetch_limit_(deployment.origin_stops_when_overloaded ? stopping_origin_doubling_time
                                                            : AdaptiveLimit::default_doubling_time) {}
 
-// --- request going down ---
+// --- planning an attempt ---
 
 bool FillSourceSelection::select(PendingRequest& request, const EndpointState& cache, TimePoint now) {
     if (request.plan.source != CacheId{}) return true;  // a direct attempt
@@ -46,7 +48,7 @@
         return true;
     }
     EndpointState* parent = parent_with_budget(request, parents, transfer_seconds, now);
-    if (!parent || parent != parents.front()) request.allow_stale = true;  // from the next attempt on
+    if (!parent || parent != parents.front()) request.allow_stale = true;  // applies from the next attempt on
     const bool exhausted = dependencies_.congestion.fills_exhausted(transfer_seconds);
     if (origin_takes_parents_fill(parent, origin, exhausted, transfer_seconds, now)) {
         request.plan.source = origin->id;
@@ -62,8 +64,9 @@
     return true;
 }
 
-// While fills are congested, and where a budget would be charged, only what is known to be a miss is worth a
-// fill. A warming cache is asked only once, since its own budget is charged for each attempt.
+// While fills are congested, and where a fill would be charged to a budget, only a known miss justifies a
+// fill, so a cache-only attempt comes first. A warming cache gets a single attempt instead, since each
+// attempt is charged to its source_time budget.
 bool FillSourceSelection::should_try_cache_only(const PendingRequest& request, const EndpointState& cache,
                                                 const Endpoints& parents, double transfer_seconds,
                                                 TimePoint now) const {
@@ -87,7 +90,8 @@
     return found == parents.end() ? nullptr : *found;
 }
 
-// The origin takes what parents can't fill in time, within its budget and while its own fills are in time.
+// Sends a fill that parents cannot complete in time to the origin, if the origin has budget and its
+// source_time fills are in time.
 bool FillSourceSelection::origin_takes_parents_fill(const EndpointState* parent, EndpointState* origin,
                                                     bool fills_exhausted, double transfer_seconds,
                                                     TimePoint now) const {
@@ -99,7 +103,7 @@
            dependencies_.slow_start.has_budget(*origin, transfer_seconds, now);
 }
 
-// No parent is up, or none has budget left.
+// Checks whether the origin may fill because no parent is available or none has budget left.
 bool FillSourceSelection::origin_replaces_parents(const PendingRequest& request, EndpointState* origin,
                                                   double transfer_seconds, TimePoint now) const {
     if (!origin || request.avoids(origin->id)) return false;
@@ -114,7 +118,8 @@
     request.plan.max_age = dependencies_.freshness.max_age(request, true, now);
 }
 
-// The attempt is soon repeated there, since the cache has the object. Zero: until the request's deadline.
+// A timeout after which the attempt is treated as lost, so that it is soon repeated at the same cache, which
+// has the object. Zero if only the request's deadline applies.
 Duration FillSourceSelection::lost_attempt_timeout(const PendingRequest& request, const EndpointState& cache,
                                                    TimePoint now) const {
     const bool transfer_time_known =
@@ -132,16 +137,16 @@
         OutlierDetector::begin_recovery_probe(source);
         request.probes_source = true;
     }
-    // Guards a slow origin: fetches hold places at caches and parents, and push it over.
+    // Protects a slow origin from overload. Its fetches also occupy fill slots of caches and parents.
     const double fetch_share = fetch_limit_.share(now);
     if (fetch_share >= 1 || dependencies_.random.next() <= fetch_share) return;
     if (source.role == EndpointRole::origin) return plan_cache_only(request, MissHandling::reject, now);
     request.on_miss = MissHandling::reject;
-    request.plan.only_if_cached = true;  // also for the parent
+    request.plan.only_if_cached = true;  // the parent must not fetch either
     request.plan.max_age = dependencies_.freshness.max_age(request, true, now);
 }
 
-// --- result coming up ---
+// --- processing a result ---
 
 void FillSourceSelection::on_result(PendingRequest& request, const Attempt& attempt,
                                     const AttemptResult& result, EndpointState* source, TimePoint now) {
@@ -160,7 +165,7 @@
 }
 
 void FillSourceSelection::on_late_attempt(EndpointState& source, TimePoint now) const {
-    // While fetches are limited, the origin is slow and not the source.
+    // While fetches are limited, the origin is the cause and not the source.
     source.fill_limit.record(fetch_limit_.share(now) >= 1, now);
 }
 
@@ -179,18 +184,20 @@
                                       TimePoint now) const {
     if (served_from_copy(result.cache_status)) return;
     if (result.outcome == Outcome::completed) {
-        // The time that the origin behind a parent took is not the parent's.
+        // The time that a parent waited for the origin is not attributed to the parent.
         const bool origin_behind_parent =
             source.role == EndpointRole::parent && result.cache_status == CacheStatus::via_origin;
-        const Duration own = origin_behind_parent ? result.elapsed - result.fill_wait : result.elapsed;
-        const bool late = own > latency_limit(*request.kind, attempt.transfer_seconds);
+        const Duration source_time =
+            origin_behind_parent ? result.elapsed - result.fill_wait : result.elapsed;
+        const bool late = source_time > latency_limit(*request.kind, attempt.transfer_seconds);
         source.fill_limit.record(late, now);
     } else if (result.cache_status != CacheStatus::origin_failed && result.outcome != Outcome::cache_miss) {
         source.fill_limit.record(fetch_limit_.share(now) >= 1, now);
     }
 }
 
-// Guards a slow origin: it would be pushed over before fills are late.
+// Detects a slow origin by unusually long waits, because the origin would be overloaded before fills are
+// late.
 void FillSourceSelection::record_origin_wait(const AttemptResult& result, TimePoint now) {
     if (result.cache_status != CacheStatus::via_origin) return;
     const double wait = result.fill_wait.seconds();
--- a/src/routing/fill_source.hpp
+++ b/src/routing/fill_source.hpp
@@ -1,5 +1,5 @@
-// Where a cache fills a miss from: the object's parent, the origin in its place, or nowhere (cache-only
-// attempts).
+// Selects the source from which a cache fills a miss: the object's parent, the origin in its place, or none
+// (a cache-only attempt).
 #pragma once
 
 #include "irismux/deployment.hpp"
@@ -11,7 +11,7 @@
 
 namespace irismux::routing {
 
-/// What FillSourceSelection asks; all must outlive it.
+/// The objects that FillSourceSelection uses. All must outlive it.
 struct FillSourceDependencies {
     const EndpointSet& endpoints;
     const ObjectStatistics& statistics;
@@ -26,15 +26,15 @@
 public:
     FillSourceSelection(const Deployment& deployment, const FillSourceDependencies& dependencies);
 
-    /// Request going down: sets the plan's source for the cache that has been selected.
-    /// @return false: a known miss can't be filled now.
+    /// Sets the fill source of the request's plan for the cache that has been selected.
+    /// @return false if the miss is known and cannot be filled now
     [[nodiscard]] bool select(PendingRequest& request, const EndpointState& cache, TimePoint now);
-    /// Result coming up: what it shows of fills with the source and of fetches from the origin, which select
-    /// reads; and whether the request avoids the source from now on.
-    /// @param source null for attempts without one
+    /// Updates the limits of fills from the source and of fetches from the origin, which select() reads, and
+    /// decides whether the request avoids the source from now on.
+    /// @param source null for attempts without a fill source
     void on_result(PendingRequest& request, const Attempt& attempt, const AttemptResult& result,
                    EndpointState* source, TimePoint now);
-    /// A fill has passed its latency limit; counts as on_result would.
+    /// Records a fill that has passed its latency limit, as on_result() would.
     void on_late_attempt(EndpointState& source, TimePoint now) const;
 
 private:
@@ -62,8 +62,8 @@
     FillSourceDependencies dependencies_;
     bool has_parents_;
     Duration longest_latency_objective_;
-    AdaptiveLimit fetch_limit_;            // of fetches from the origin, by caches and by parents
-    double mean_origin_wait_seconds_ = 0;  // of fetches behind parents and of our own; 0: none yet
+    AdaptiveLimit fetch_limit_;            // limit of fetches from the origin by caches and parents
+    double mean_origin_wait_seconds_ = 0;  // mean over fetches by parents and by caches; 0: none yet
 };
 
 }  // namespace irismux::routing
--- a/src/routing/freshness.cpp
+++ b/src/routing/freshness.cpp
@@ -5,11 +5,11 @@
 namespace irismux::routing {
 namespace {
 
-// Copies of objects that are requested again are evicted after those that are requested once.
+// Storage ranks. Caches evict copies of repeatedly requested objects after copies of objects requested once.
 constexpr int not_kept_rank = 0;
 constexpr int new_object_rank = 2;
 constexpr int repeated_object_rank = 3;
-// Zero would mean that no purge binds.
+// Smallest age limit. Zero would mean that no purge applies.
 constexpr Duration min_max_age = Duration::micros(1);
 
 int storage_rank(const PendingRequest& request) {
@@ -52,7 +52,7 @@
     return allow_stale ? by_kind : Duration{};
 }
 
-// Zero: no purge binds.
+// Returns the oldest age that the purges allow, or zero if no purge applies.
 Duration FreshnessPolicy::max_age_by_purges(const Request& request, TimePoint now) const {
     const std::optional<TimePoint> purged_at = purges_.newest(request.object, request.purge_group, now);
     if (!purged_at) return Duration{};
--- a/src/routing/freshness.hpp
+++ b/src/routing/freshness.hpp
@@ -1,4 +1,5 @@
-// Rule 5: no copy is served that a purge forbids. Also: how old a copy may be otherwise, and how it is kept.
+// Ensures that no purged copy is served (rule 5). Also decides the maximum age of a served copy and the rank
+// at which a copy is stored.
 #pragma once
 
 #include <optional>
@@ -13,16 +14,16 @@
 public:
     explicit FreshnessPolicy(const Deployment& deployment);
 
-    /// Copies older than `age` must not be served.
+    /// Forbids serving copies older than `age`.
     void on_purge(Duration age, PurgeGroupId group, const std::optional<ObjectName>& object, TimePoint now);
 
-    /// Request going down: begins a new plan with how the copy may be served and kept. Stale copies are
-    /// allowed once on_result has seen the source fail.
+    /// Begins a new plan and sets how a copy may be served and stored. Stale copies are allowed once
+    /// on_result() has recorded a failure of the source.
     void begin_plan(PendingRequest& request, TimePoint now) const;
-    /// Result coming up.
+    /// Allows stale copies for the request if the result reports a failure of the source.
     static void on_result(PendingRequest& request, const AttemptResult& result);
 
-    /// The oldest copy that may be served; zero: the kind's fresh_for.
+    /// @return maximum age of a served copy; zero: ObjectKind::fresh_for applies
     [[nodiscard]] Duration max_age(const PendingRequest& request, bool allow_stale, TimePoint now) const;
 
 private:
--- a/src/routing/idempotency.hpp
+++ b/src/routing/idempotency.hpp
@@ -1,5 +1,5 @@
-// Rule 2: no request takes effect twice. What its attempts may have done bounds further attempts, and whether
-// it may be rejected.
+// Ensures that no request takes effect twice (rule 2). The possible effects of earlier attempts determine
+// whether further attempts are allowed and whether the request may be rejected.
 #pragma once
 
 #include "irismux/deployment.hpp"
@@ -13,16 +13,18 @@
     explicit IdempotencyPolicy(const Deployment& deployment)
         : timer_resolution_(deployment.timer_resolution) {}
 
-    /// Request going down, and again at the first byte of an attempt that has waited: whether one more
-    /// attempt may begin beside those that may have run. Uses what record_result has found.
-    /// @param except the attempt that waits; null before it is made.
+    /// Checks whether one more attempt may begin, given the attempts that may have run according to
+    /// record_result(). Called when an attempt is planned, and again before the first byte of an attempt that
+    /// has waited.
+    /// @param except the waiting attempt, which is not counted; null while the attempt is planned
     [[nodiscard]] bool may_attempt(const PendingRequest& request, const Attempt* except, TimePoint now) const;
-    /// Request going down: a key that is known in one cell only keeps the request in that cell.
+    /// Checks whether an attempt may go to the cell. A request whose idempotency key is known to one cell
+    /// only stays in that cell.
     [[nodiscard]] static bool may_use_cell(const PendingRequest& request, CellId cell);
-    /// Whether the client may safely send the request again.
+    /// Checks whether the request may be rejected, so that the client can safely send it again.
     [[nodiscard]] static bool may_reject(const PendingRequest& request);
 
-    /// Result coming up: whether the attempt may have run.
+    /// Records from its result whether the attempt may have run.
     static void record_result(Attempt& attempt, const AttemptResult& result);
 
 private:
--- a/src/routing/late_attempts.hpp
+++ b/src/routing/late_attempts.hpp
@@ -1,4 +1,4 @@
-// Attempts in flight by the time at which they pass their latency limit.
+// A queue of the attempts in flight, ordered by the time at which they pass their latency limit.
 #pragma once
 
 #include <compare>
@@ -21,9 +21,9 @@
     };
 
     void add(const WatchedAttempt& attempt) { attempts_.insert(attempt); }
-    /// An attempt that has ended; nothing if it was late.
+    /// Removes an attempt that has ended. Has no effect if pop_late() has already removed it.
     void erase(const WatchedAttempt& attempt) { attempts_.erase(attempt); }
-    /// Takes out the next attempt that is past its limit; none: no more.
+    /// Removes and returns the next attempt that is past its latency limit, or std::nullopt if there is none.
     std::optional<WatchedAttempt> pop_late(TimePoint now) {
         if (attempts_.empty() || attempts_.begin()->late_after >= now) return std::nullopt;
         return attempts_.extract(attempts_.begin()).value();
--- a/src/routing/latency.hpp
+++ b/src/routing/latency.hpp
@@ -1,4 +1,4 @@
-// Latency limits of requests, from the objectives of their kinds.
+// Computes latency limits of requests from the latency objectives of their kinds.
 #pragma once
 
 #include <algorithm>
@@ -7,13 +7,13 @@
 
 namespace irismux::routing {
 
-/// A response after this long is late.
+/// @return time after which a response is late
 /// @param transfer_seconds transfer time of the object at full rate
 inline Duration latency_limit(const ObjectKind& kind, double transfer_seconds) {
     return kind.latency_objective + Duration::seconds(transfer_seconds * kind.latency_objective_stretch);
 }
 
-/// Zero without kinds.
+/// @return longest latency objective of all kinds; zero if there are no kinds
 inline Duration longest_latency_objective(const Deployment& deployment) {
     Duration longest;
     for (const ObjectKind& kind : deployment.kinds) longest = std::max(longest, kind.latency_objective);
--- a/src/routing/link_capacity.cpp
+++ b/src/routing/link_capacity.cpp
@@ -5,13 +5,16 @@
 namespace irismux::routing {
 namespace {
 
-// The link into a location carries a minority of what its caches send: they serve most from copies.
+// Capacity of all edge links of a location relative to the link into the location. That link carries only a
+// minority of the traffic that the caches send, because they serve most requests from copies.
 constexpr double edge_links_per_location_link = 2;
-// Parents differ in size, so that none is counted on for its even share of all links.
+// Share of its even part of all links that is assumed for a parent. Parents differ in size, so a parent may
+// have less than its even part.
 constexpr double parent_share_of_even = 0.6;
-// Of an endpoint of which nothing is known.
+// Assumed link capacity of an endpoint about which nothing is known.
 constexpr double unknown_capacity_transfers = 4;
-// What all gateways together may ask of the origin in place of parents, of the links into all locations.
+// Share of the links into all locations that all gateways together may request from the origin in place of
+// parents.
 constexpr double origin_share_of_links = 0.5;
 
 }  // namespace
@@ -28,9 +31,10 @@
 double LinkCapacity::endpoint(const EndpointState& endpoint) const {
     if (weights_known_ && endpoint.role != EndpointRole::origin) return endpoint.weight;
     if (endpoint.role == EndpointRole::edge && location_link_ > 0)
-        return location_link_ * edge_links_per_location_link / static_cast<double>(endpoints_.most_edges());
+        return location_link_ * edge_links_per_location_link /
+               static_cast<double>(endpoints_.max_active_edges());
     if (endpoint.role == EndpointRole::parent && all_links_ > 0)
-        return all_links_ * parent_share_of_even / static_cast<double>(endpoints_.most_parents());
+        return all_links_ * parent_share_of_even / static_cast<double>(endpoints_.max_active_parents());
     if (endpoint.role == EndpointRole::origin) {
         const double links = all_links_ > 0 ? all_links_ : location_link() * locations_;
         return links * origin_share_of_links;
--- a/src/routing/link_capacity.hpp
+++ b/src/routing/link_capacity.hpp
@@ -1,5 +1,5 @@
-// How many transfers at full rate the links of endpoints and locations carry at once, as far as the
-// deployment tells or lets derive it.
+// The number of concurrent transfers at full rate that the links of endpoints and locations carry. It is
+// taken or derived from the deployment as far as possible.
 #pragma once
 
 #include "irismux/deployment.hpp"
@@ -11,10 +11,11 @@
 public:
     LinkCapacity(const Deployment& deployment, const EndpointSet& endpoints);
 
-    /// Of an endpoint, in transfers; of the origin: what all gateways together may ask of it in place of
-    /// parents. Links don't grow when other endpoints leave.
+    /// @return link capacity of an endpoint, in transfers. For the origin this is the number of transfers
+    /// that all gateways together may request from it in place of parents. The capacity does not grow when
+    /// other endpoints leave.
     [[nodiscard]] double endpoint(const EndpointState& endpoint) const;
-    /// Of the link into this location, in transfers; at least 1 where it is derived.
+    /// @return capacity of the link into this location, in transfers; at least 1 if it is derived
     [[nodiscard]] double location_link() const;
 
 private:
--- a/src/routing/object_statistics.cpp
+++ b/src/routing/object_statistics.cpp
@@ -6,9 +6,9 @@
 namespace irismux::routing {
 namespace {
 
-// A generation lasts this many of the longest deadline.
+// Length of a generation, as a multiple of the longest deadline.
 constexpr double deadlines_per_generation = 2;
-// Means are over about this many results.
+// Approximate number of results in each mean.
 constexpr double mean_over_results = 256;
 
 }  // namespace
@@ -27,9 +27,9 @@
         previous_ = std::exchange(current_, {});
         generation_began_at_ = now;
     }
-    const auto before = previous_.find(object);
-    const bool was_in_previous = before != previous_.end();
-    const bool inserted = current_.try_emplace(object, was_in_previous ? before->second : 0).second;
+    const auto previous_entry = previous_.find(object);
+    const bool was_in_previous = previous_entry != previous_.end();
+    const bool inserted = current_.try_emplace(object, was_in_previous ? previous_entry->second : 0).second;
     return !inserted || was_in_previous;
 }
 
@@ -52,7 +52,8 @@
     mean += ((sized ? attempt.transfer_seconds : elapsed) - mean) / mean_over_results;
 }
 
-// A hit takes the object's transfer time, and longer only when slowed: so the shortest is learnt.
+// A hit takes at least the object's transfer time, and longer only if it is slowed down. The shortest time is
+// therefore the best estimate.
 double ObjectStatistics::transfer_seconds(const Request& request) const {
     if (size_is_known(request)) return request.size_kb / transfer_rate_kb_per_s_;
     const double shortest = shortest_transfer_seconds(request.object);
--- a/src/routing/object_statistics.hpp
+++ b/src/routing/object_statistics.hpp
@@ -1,4 +1,4 @@
-// Transfer times of objects and kinds, and which objects have been requested of late.
+// Records the transfer times of objects and kinds, and which objects have been requested recently.
 #pragma once
 
 #include <map>
@@ -9,28 +9,30 @@
 
 namespace irismux::routing {
 
-/// Times are seconds at the full rate of one transfer.
+/// Transfer times are in seconds, at the full rate of one transfer.
 class ObjectStatistics {
 public:
     explicit ObjectStatistics(const Deployment& deployment);
 
-    /// @return the object was requested in this generation or the one before.
+    /// @return true if the object was already requested in this generation or the previous one
     bool record_request(const ObjectName& object, TimePoint now);
-    /// The result of an attempt, first part: the mean over requests.
+    /// Updates the mean transfer time over requests when an attempt has ended. Called before record_result().
     void record_attempt(const PendingRequest& request, const Attempt& attempt);
-    /// Second part: what the result shows of its object and kind.
+    /// Updates the transfer times of the object and its kind from the result of an attempt.
     void record_result(const PendingRequest& request, const Attempt& attempt, const AttemptResult& result);
 
-    /// From the object's size, else from its shortest transfer, else the mean of its kind.
+    /// @return transfer time computed from the object's size if known, else its shortest transfer, else the
+    /// mean of its kind
     [[nodiscard]] double transfer_seconds(const Request& request) const;
-    /// The shortest transfer of the object in this generation; 0: none yet.
+    /// @return shortest transfer of the object in this generation; 0: none yet
     [[nodiscard]] double shortest_transfer_seconds(const ObjectName& object) const;
-    /// The object's own: from its size, else its shortest transfer; 0: unknown.
+    /// @return transfer time of the object itself, computed from its size if known, else its shortest
+    /// transfer; 0: unknown
     [[nodiscard]] double known_transfer_seconds(const Request& request, const Attempt& attempt) const;
     [[nodiscard]] double mean_transfer_seconds(ObjectKindIndex kind) const {
         return mean_of_kind_[kind.raw()];
     }
-    /// Over recent requests of cacheable kinds.
+    /// @return mean transfer time over recent requests of cacheable kinds
     [[nodiscard]] double mean_transfer_seconds() const { return mean_; }
 
 private:
@@ -41,7 +43,7 @@
     double transfer_rate_kb_per_s_;
     std::vector<double> mean_of_kind_;
     double mean_ = 0;
-    // Objects of two generations, with their shortest transfer; 0: none yet.
+    // Objects of the current and the previous generation, with their shortest transfer; 0: none yet.
     std::map<ObjectName, double> current_, previous_;
     TimePoint generation_began_at_;
     Duration generation_;
--- a/src/routing/outlier_detector.cpp
+++ b/src/routing/outlier_detector.cpp
@@ -11,20 +11,25 @@
 constexpr Duration first_backoff = Duration::micros(2'000'000);
 constexpr Duration longest_backoff = Duration::micros(30'000'000);
 constexpr int max_backoff_doublings = 8;
-// A silence of this many usual gaps would show once in e^14 times if responses were independent.
+// An endpoint is unresponsive after a silence of this many mean gaps. If responses were independent, such a
+// silence would occur by chance once in e^14 cases.
 constexpr double unresponsive_after_gaps = 14;
-// Gaps and lost attempts are averaged over about this many responses, errors over this many results.
+// Approximate numbers of responses over which gaps and lost attempts are averaged, and of results over which
+// errors are averaged.
 constexpr double gap_averaging_responses = 16;
 constexpr double error_averaging_results = 10;
-// About two errors in ten results, on top of this multiple of the peers' mean.
+// An endpoint is ejected if its error share exceeds the sum of the first value, about two errors in ten
+// results, and the second value times the mean error share of its peers.
 constexpr double ejection_error_share = 0.17;
 constexpr double ejection_multiple_of_peers = 1.5;
-// A share of lost attempts that chance does not explain, if some peer loses less than a third of it.
+// A share of lost attempts above the limit is not explained by chance if some peer has less than a third of
+// that share.
 constexpr double lost_share_limit = 0.085;
 constexpr double lost_multiple_of_peer = 3;
+// How long an endpoint is treated as losing attempts.
 constexpr Duration loses_attempts_for = Duration::micros(2'000'000);
 
-// Since when the endpoint has been silent with attempts in flight.
+// Returns the time since which the endpoint has not responded although attempts were in flight.
 TimePoint silent_since(const EndpointState& endpoint) {
     return std::max(endpoint.health.last_seen, endpoint.load.busy_since);
 }
@@ -36,7 +41,7 @@
     : endpoints_(endpoints),
       links_(links),
       callbacks_(callbacks),
-      gateways_here_(std::max(1, deployment.gateways_in_location)),
+      gateways_in_location_(std::max(1, deployment.gateways_in_location)),
       longest_latency_objective_(longest_latency_objective(deployment)) {}
 
 // --- ejection and recovery probe ---
@@ -83,8 +88,8 @@
     if (endpoint.health.recovery_probe_in_flight()) endpoint.health.ejection = EjectionState::ejected;
 }
 
-// The gateway that checks on behalf of all may be cut off from what this one can reach: it can put off the
-// probe by one backoff at most.
+// The gateway that checks on behalf of all may have lost its connection to an endpoint that this gateway can
+// reach. It can therefore postpone the probe by at most the longest backoff.
 void OutlierDetector::postpone_recovery_probe(EndpointState& endpoint, TimePoint not_before) {
     if (endpoint.health.ejection != EjectionState::ejected) return;
     endpoint.health.next_probe_at = std::min(not_before, endpoint.health.backoff_ends_at + longest_backoff);
@@ -100,7 +105,7 @@
     health.last_seen = now;
 }
 
-// Accrual failure detection: silence is judged against the gaps that this endpoint has shown.
+// Accrual failure detection: compares the silence with the gaps between earlier responses of this endpoint.
 bool OutlierDetector::is_unresponsive(const EndpointState& endpoint, TimePoint now) const {
     if (endpoint.load.in_flight == 0) return false;
     const Duration silence = now - silent_since(endpoint);
@@ -109,8 +114,8 @@
            peer_has_responded_since(endpoint);
 }
 
-// Guards against a slow origin or a full link: no endpoint responds then, and ejecting one only shifts its
-// load to the others.
+// Prevents ejections because of a slow origin or a full link. No endpoint responds in that case, and ejecting
+// one would only shift its load to the others.
 bool OutlierDetector::peer_has_responded_since(const EndpointState& endpoint) const {
     const TimePoint since = silent_since(endpoint);
     const std::vector<EndpointState*>& peers = endpoints_.active(endpoint.role);
@@ -127,14 +132,14 @@
     if (health.error_share < ejection_error_share / error_averaging_results) health.consecutive_ejections = 0;
 }
 
-// Guards against an endpoint that fails fast and so seems the least loaded. It must stand out: errors that
-// all show have a common cause.
+// Ejects an endpoint that fails fast, which would otherwise seem to be the least loaded. Its error share must
+// be an outlier, since errors at all endpoints have a common cause.
 void OutlierDetector::record_error(EndpointState& endpoint, TimePoint now) const {
     EndpointHealth& health = endpoint.health;
     health.error_share += (1.0 - health.error_share) / error_averaging_results;
     if (health.error_share < ejection_error_share) return;
-    const double peers = mean_error_share_of_peers(endpoint);
-    if (health.error_share > ejection_error_share + ejection_multiple_of_peers * peers)
+    const double peer_error_share = mean_error_share_of_peers(endpoint);
+    if (health.error_share > ejection_error_share + ejection_multiple_of_peers * peer_error_share)
         eject(endpoint, EjectionReason::errors, now);
 }
 
@@ -159,7 +164,7 @@
     if (cache.health.last_seen > attempt.started_at && !attempt.has_source()) record_lost_attempt(cache, now);
 }
 
-// A late answer takes back what on_late_attempt has counted.
+// A late response reverts what on_late_attempt() has counted.
 void OutlierDetector::record_lost_or_answered(EndpointState& cache, const Attempt& attempt,
                                               const AttemptResult& result, TimePoint now) const {
     const bool counted_as_lost = attempt.counted_as_late && !attempt.has_source();
@@ -174,10 +179,11 @@
         record_lost_attempt(cache, now);
 }
 
-// Guards against a cache that answers most attempts and so is neither silent nor in error. A cache with more
-// attempts than its link carries may be overloaded; where all lose attempts the cause lies behind them.
+// Detects a cache that responds to most attempts, and therefore is neither silent nor failing, but loses the
+// rest. A cache with more attempts than its link carries is excluded, since it may be overloaded. If all
+// caches lose attempts, the cause lies behind them.
 void OutlierDetector::record_lost_attempt(EndpointState& cache, TimePoint now) const {
-    if ((cache.load.in_flight - cache.load.late) * gateways_here_ > links_.endpoint(cache)) return;
+    if ((cache.load.in_flight - cache.load.late) * gateways_in_location_ > links_.endpoint(cache)) return;
     double& lost_share = cache.health.lost_share;
     lost_share += (1 - lost_share) / gap_averaging_responses;
     if (lost_share <= lost_share_limit) return;
@@ -207,7 +213,8 @@
     } else if (result.outcome == Outcome::connection_refused) {
         eject(cache, EjectionReason::connection_refused, now);
     } else if (result.outcome == Outcome::connection_reset) {
-        // Connections also break while the process lives on; if it has stopped, the next one is refused.
+        // A connection can break while the process keeps running. If the process has stopped, the next
+        // connection is refused.
         record_error(cache, now);
     } else if (result.outcome == Outcome::deadline_exceeded) {
         const bool silent_since_start = cache.health.last_seen <= attempt.started_at;
@@ -219,7 +226,7 @@
 
 void OutlierDetector::on_source_result(EndpointState& source, const Attempt& attempt,
                                        const AttemptResult& result, TimePoint now) const {
-    // Where no cache status is reported, a recovery probe that completes is the only sign there is.
+    // If caches report no cache status, only a completed recovery probe shows that the source works.
     const bool reported = result.cache_status != CacheStatus::none || attempt.probes_source;
     if (result.outcome == Outcome::completed && !served_from_copy(result.cache_status) && reported) {
         record_liveness(source, now);
@@ -236,8 +243,9 @@
     if (attempt.probes_source) end_recovery_probe(source);
 }
 
-// Rejected at once: the cache has no connection to the source. Broken off early: an error. Else the fill ran
-// out of time, which a slow origin or a full link does to the fills of all parents.
+// If the cache rejects the attempt at once, it has no connection to the source. If the fill broke off early,
+// that is an error of the source. Otherwise the fill timed out, which also happens to the fills of all
+// parents if the origin is slow or a link is full.
 void OutlierDetector::on_source_unreachable(EndpointState& source, const Attempt& attempt,
                                             const AttemptResult& result, TimePoint now) const {
     if (result.outcome == Outcome::overloaded) {
--- a/src/routing/outlier_detector.hpp
+++ b/src/routing/outlier_detector.hpp
@@ -1,10 +1,10 @@
-// Which endpoints are passed over because they fail, and when they are tried again.
+// Ejects endpoints that fail and decides when they are probed again.
 //
-// An endpoint is ejected for refused connections, for errors that stand out among its peers, and for silence
-// while its peers respond. The backoff doubles with each ejection in a row; when it ends, one idempotent
-// request is the recovery probe. Errors and
-// silence count only against peers, since what all show has a common cause; a refused connection ejects at
-// once.
+// An endpoint is ejected if it refuses a connection, if its error share is an outlier among its peers, or if
+// it does not respond while its peers do. The backoff doubles with each consecutive ejection. When the
+// backoff ends, one idempotent request is used as the recovery probe. Errors and silence count only in
+// comparison with the peers, since a failure of all endpoints has a common cause. A refused connection ejects
+// the endpoint at once.
 #pragma once
 
 #include "irismux/deployment.hpp"
@@ -19,36 +19,39 @@
     OutlierDetector(const Deployment& deployment, const EndpointSet& endpoints, const LinkCapacity& links,
                     RouterCallbacks& callbacks);
 
-    /// Request going down: whether the endpoint may be chosen for it. An ejected one may for its recovery
-    /// probe, which must be a request that can be sent again.
+    /// Checks whether the endpoint may be chosen for the request. An ejected endpoint may be chosen only for
+    /// its recovery probe, which must be an idempotent request because it may have to be sent again.
     [[nodiscard]] bool may_choose(const EndpointState& endpoint, const PendingRequest& request,
                                   TimePoint now) const;
     [[nodiscard]] static bool recovery_probe_is_due(const EndpointState& endpoint, TimePoint now);
     static void begin_recovery_probe(EndpointState& endpoint);
 
-    /// Result coming up, for the fill source and then for the cache of the attempt.
+    /// Updates the health of the fill source from an attempt's result. Called before on_cache_result().
     void on_source_result(EndpointState& source, const Attempt& attempt, const AttemptResult& result,
                           TimePoint now) const;
-    /// @param late_hit a copy of its own came past the latency limit: like an error, since a cache may grow
-    /// slower and never fail.
+    /// Updates the health of the cache from an attempt's result.
+    /// @param late_hit the cache served its own copy after the latency limit. This counts as an error, since
+    /// a cache may become slow without ever failing.
     void on_cache_result(EndpointState& cache, const Attempt& attempt, const AttemptResult& result,
                          bool late_hit, TimePoint now) const;
-    /// Result coming up, while the attempt still counts as in flight: whether later attempts were answered
-    /// before this one. See on_late_attempt.
+    /// Updates the share of lost attempts from an attempt's result. An attempt is lost if it has no response
+    /// although the cache has responded since its start; see on_late_attempt(). Must be called while the
+    /// attempt still counts as in flight.
     void record_lost_or_answered(EndpointState& cache, const Attempt& attempt, const AttemptResult& result,
                                  TimePoint now) const;
-    /// An attempt has passed its latency limit.
+    /// Counts an attempt that has passed its latency limit as lost if it has no fill and the cache has
+    /// responded since its start.
     void on_late_attempt(EndpointState& cache, const Attempt& attempt, TimePoint now) const;
 
     void eject(EndpointState& endpoint, EjectionReason reason, TimePoint now) const;
     void readmit(EndpointState& endpoint) const;
-    /// What was held against the process before this one is void.
+    /// Clears the ejection state of the endpoint's previous process.
     void on_restart(EndpointState& endpoint) const;
     static void postpone_recovery_probe(EndpointState& endpoint, TimePoint not_before);
 
-    /// Its silence is unusual, and a peer has responded since.
+    /// @return true if the endpoint has been silent for unusually long and a peer has responded in that time
     [[nodiscard]] bool is_unresponsive(const EndpointState& endpoint, TimePoint now) const;
-    /// It answers most attempts and leaves some without an answer.
+    /// @return true if the endpoint responds to most attempts but loses some
     [[nodiscard]] static bool loses_attempts(const EndpointState& endpoint, TimePoint now);
 
 private:
@@ -65,7 +68,7 @@
     const EndpointSet& endpoints_;
     const LinkCapacity& links_;
     RouterCallbacks& callbacks_;
-    int gateways_here_;
+    int gateways_in_location_;
     Duration longest_latency_objective_;
 };
 
--- a/src/routing/pending_request.hpp
+++ b/src/routing/pending_request.hpp
@@ -14,48 +14,49 @@
 
 enum class AttemptState {
     in_flight,
-    cancelled,  ///< the router has taken it back; its result is still to come
+    cancelled,  ///< cancelled by the router; its result has not arrived yet
     ended
 };
 
 struct Attempt {
     CacheId cache;
-    CacheId source;                       ///< the cache itself: no fill
-    CellId cell;                          ///< of the cache, which may be erased before the next attempt
-    TimePoint started_at;                 ///< when it was decided
-    TimePoint slow_start_checked_at;      ///< when it was last checked against slow start
-    std::optional<TimePoint> late_after;  ///< past its latency limit from then on; none: not watched
+    CacheId source;                   ///< fill source; equal to `cache` if there is no fill
+    CellId cell;                      ///< copied from the cache, which may be erased before the next attempt
+    TimePoint started_at;             ///< time at which the router decided on the attempt
+    TimePoint slow_start_checked_at;  ///< time of the last check against slow start
+    std::optional<TimePoint> late_after;  ///< end of the latency limit; not set if the attempt is not watched
     AttemptState state = AttemptState::in_flight;
     bool may_have_run = false;
-    bool counted_as_late = false;  ///< in the load of its cache
+    bool counted_as_late = false;  ///< included in EndpointLoad::late of its cache
     bool is_known_fill = false;    ///< the cache is known to have no copy
-    bool probes_cache = false;     ///< it is the recovery probe of its cache
-    bool probes_source = false;
-    double transfer_seconds = 0;  ///< of the object at full rate
+    bool probes_cache = false;     ///< the attempt is the recovery probe of its cache
+    bool probes_source = false;    ///< the attempt is the recovery probe of its source
+    double transfer_seconds = 0;   ///< transfer time of the object at full rate
 
     [[nodiscard]] bool in_flight() const { return state != AttemptState::ended; }
     [[nodiscard]] bool has_source() const { return source != cache; }
 };
 
-/// What a miss leads to.
+/// How a cache miss of an attempt is handled.
 enum class MissHandling {
     fill,            ///< the cache fills from the source
-    fill_next_time,  ///< a cache-only attempt; a miss is followed by an attempt that may fill
-    reject           ///< a cache-only attempt; a miss ends the request
+    fill_next_time,  ///< the attempt is cache-only; after a miss the next attempt may fill
+    reject           ///< the attempt is cache-only; a miss ends the request
 };
 
-/// At most one attempt is in flight at a time: the next begins after the result of the one before.
+/// A request and its attempts. At most one attempt is in flight at a time: the next one starts after the
+/// result of the previous one.
 struct PendingRequest {
     Request request;
     const ObjectKind* kind = nullptr;
     std::vector<Attempt> attempts;
-    std::vector<CacheId> avoided;     ///< endpoints that have failed this request
-    bool object_is_repeated = false;  ///< the object was requested not long ago
+    std::vector<CacheId> avoided;     ///< endpoints that failed for this request
+    bool object_is_repeated = false;  ///< the object was also requested recently
     bool allow_stale = false;         ///< copies within the stale-if-error window may be served
     bool known_miss = false;          ///< a cache-only attempt found no copy
     bool finished = false;
 
-    // Of the attempt that is being planned, or was planned last.
+    // Plan of the attempt that is being planned or was planned last.
     AttemptPlan plan;
     MissHandling on_miss = MissHandling::fill;
     bool probes_cache = false;
@@ -71,12 +72,14 @@
 
 using PendingRequests = std::map<RequestId, PendingRequest>;
 
-/// The result lays the failure on the fill source or on what is behind it, not on the cache.
+/// @return true if the status attributes the failure to the fill source or the origin behind it, not to the
+/// cache
 [[nodiscard]] inline bool source_at_fault(CacheStatus status) {
     return status >= CacheStatus::source_refused && status != CacheStatus::no_fill_slot;
 }
 
-/// The cache has worked on the attempt. A cache that hangs can still turn attempts away, without a status.
+/// @return true if the cache has processed the attempt. A cache that hangs can still reject attempts, but it
+/// reports no status for them.
 [[nodiscard]] inline bool cache_responded(const AttemptResult& result) {
     switch (result.outcome) {
         case Outcome::completed:
@@ -90,7 +93,7 @@
     }
 }
 
-/// Served without a fill of its own.
+/// @return true if the response was served without a fill for this attempt
 [[nodiscard]] inline bool served_from_copy(CacheStatus status) {
     return status == CacheStatus::hit || status == CacheStatus::stale || status == CacheStatus::coalesced;
 }
--- a/src/routing/purge_table.cpp
+++ b/src/routing/purge_table.cpp
@@ -8,7 +8,7 @@
 namespace irismux {
 namespace {
 
-// Expired purges are erased this often, as a share of their retention.
+// Interval at which expired purges are erased, as a share of their retention.
 constexpr double erase_interval_share = 0.05;
 
 std::size_t hash_of(const ObjectName& object) { return std::hash<std::string>{}(object.raw()); }
@@ -34,14 +34,14 @@
     return at && expired(*at, now) ? std::nullopt : at;
 }
 
-// Guards against many purges in a row: going through all of them at each would take the square of their
-// number.
+// Erases expired purges at intervals. Scanning the table on each addition would take quadratic time when many
+// purges arrive in a row.
 void PurgeTable::erase_expired(TimePoint now) {
     if (now < next_erase_at_) return;
     next_erase_at_ = now + retention_ * erase_interval_share;
-    const auto is_over = [&](const auto& purge) { return expired(purge.second, now); };
-    std::erase_if(objects_, is_over);
-    std::erase_if(groups_, is_over);
+    const auto is_expired = [&](const auto& purge) { return expired(purge.second, now); };
+    std::erase_if(objects_, is_expired);
+    std::erase_if(groups_, is_expired);
 }
 
 template <class Table>
--- a/src/routing/purge_table.hpp
+++ b/src/routing/purge_table.hpp
@@ -1,4 +1,4 @@
-// The purges in force, of objects and of groups.
+// The table of the purges in effect, by object and by group.
 #pragma once
 
 #include <cstddef>
@@ -13,17 +13,19 @@
 
 class PurgeTable {
 public:
-    /// @param reaches_all_copies_after no older copy is left anywhere by then; purges are kept for twice as
-    /// long
+    /// @param reaches_all_copies_after time after which no older copy is left anywhere; purges are kept for
+    /// twice as long
     explicit PurgeTable(Duration reaches_all_copies_after)
         : retention_(reaches_all_copies_after + reaches_all_copies_after) {}
 
-    /// Of more purges than this, of objects or of groups, the older half counts as one purge of everything,
-    /// at the time of its newest: that keeps old copies out (rule 5) and costs refills.
+    /// Maximum number of purges of objects and of purges of groups. Beyond it, the older half is merged into
+    /// one purge of everything at the time of the newest of them. No purged copy is served (rule 5), at the
+    /// cost of additional fills.
     static constexpr std::size_t max_purges = 16'384;
 
     void add(TimePoint at, PurgeGroupId group, const std::optional<ObjectName>& object, TimePoint now);
-    /// The newest purge in force that binds an object of that group.
+    /// @return time of the newest purge that applies to the object of that group, or std::nullopt if there is
+    /// none
     [[nodiscard]] std::optional<TimePoint> newest(const ObjectName& object, PurgeGroupId group,
                                                   TimePoint now) const;
     std::size_t size() const { return objects_.size() + groups_.size(); }
@@ -37,7 +39,8 @@
     Duration retention_;
     TimePoint next_erase_at_;
     std::optional<TimePoint> purge_of_everything_;
-    // By the hash of a name: names of equal hash are bound by each other's purges, which costs refills.
+    // Keyed by the hash of the object name. A purge also applies to other names with the same hash, which
+    // costs additional fills.
     std::unordered_map<std::size_t, TimePoint> objects_;
     std::unordered_map<std::int64_t, TimePoint> groups_;
 };
--- a/src/routing/random_fraction.hpp
+++ b/src/routing/random_fraction.hpp
@@ -6,8 +6,8 @@
 
 namespace irismux::routing {
 
-/// Uniform fractions in [0, 1]. Equal seeds give equal sequences, so the number and order of draws are part
-/// of the router's behaviour.
+/// Generates uniform fractions in [0, 1]. Equal seeds give equal sequences, so the number and order of draws
+/// are part of the router's behaviour.
 class RandomFraction {
 public:
     explicit RandomFraction(std::uint64_t seed)
--- a/src/routing/rendezvous_hash.hpp
+++ b/src/routing/rendezvous_hash.hpp
@@ -1,5 +1,5 @@
-// Highest random weight (rendezvous) hashing: each object has an order of its own over the endpoints. When an
-// endpoint leaves, only its own objects move, each to the next in its order.
+// Highest random weight (rendezvous) hashing. Each object has its own order of preference over the endpoints.
+// When an endpoint leaves, only its own objects move, each to the next endpoint in its order.
 #pragma once
 
 #include <cstdint>
@@ -11,13 +11,13 @@
 
 namespace irismux::routing {
 
-/// FNV-1a over the bytes of a name, finished by MurmurHash3's 64-bit finalizer.
+/// Hashes the bytes of a name with FNV-1a, followed by MurmurHash3's 64-bit finalizer.
 std::uint64_t rendezvous_key(const std::string& name);
 
-/// The weight of an endpoint for an object.
+/// @return weight of an endpoint for an object
 std::uint64_t rendezvous_score(std::uint64_t object_key, std::uint64_t endpoint_key);
 
-/// Sorts endpoints by their weight for the object, highest first; equal weights by id.
+/// Sorts endpoints by their weight for the object, highest first. Endpoints of equal weight are sorted by id.
 std::vector<EndpointState*> rank_by_rendezvous_hash(const ObjectName& object,
                                                     std::vector<EndpointState*> endpoints);
 
--- a/src/routing/retry_policy.hpp
+++ b/src/routing/retry_policy.hpp
@@ -1,4 +1,4 @@
-// Whether a request gets another attempt, and when a rejected client may come again.
+// Decides whether a request gets another attempt and when a rejected client may retry.
 #pragma once
 
 #include "irismux/deployment.hpp"
@@ -9,21 +9,23 @@
 
 enum class NextStep {
     none,        ///< the request is finished
-    try_again,   ///< one more attempt, if the policies further down allow it
-    end_request  ///< reject it, or fail it where that is not safe
+    try_again,   ///< start another attempt if the other policies allow it
+    end_request  ///< reject the request, or fail it if a rejection is not safe
 };
 
 class RetryPolicy {
 public:
     RetryPolicy(const Deployment& deployment, RandomFraction& random);
 
-    /// Request going down, before each attempt: time and attempts are left. The first attempt of each request
-    /// adds to the retry budget, on which next_step draws.
+    /// Checks before each attempt whether the request has time and attempts left. The first attempt of each
+    /// request adds to the retry budget, which next_step() consumes.
     [[nodiscard]] bool may_attempt(const PendingRequest& request, TimePoint now);
-    /// Result coming up. Retries draw on the budget that may_attempt has filled.
+    /// Decides what follows the result of an attempt. Retries are charged to the budget that may_attempt()
+    /// fills.
     [[nodiscard]] NextStep next_step(const PendingRequest& request, const AttemptResult& result);
 
-    /// How long a rejected client should stay away; spread, so that rejected clients don't return together.
+    /// @return how long a rejected client should wait before it retries. The time is random, so that rejected
+    /// clients don't retry at the same moment.
     [[nodiscard]] Duration retry_after();
 
 private:
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -1,5 +1,6 @@
-// The pipeline of policies that each request goes down and each result comes up (include/irismux/router.hpp).
-// No policy is decided here; docs/design.md says which file decides what.
+// The router (include/irismux/router.hpp): calls the policies in order for each request and, in reverse
+// order, for each result. This file makes no policy decisions itself; docs/design.md lists which file decides
+// what.
 #include "irismux/router.hpp"
 
 #include <algorithm>
@@ -27,7 +28,8 @@
 namespace {
 
 const TimerId resubscribe_timer{1};
-// All gateways lose service discovery at once: they subscribe again after this, or up to twice as long.
+// Minimum delay before subscribing again. All gateways lose service discovery at the same time, so the delay
+// is random, up to twice this value.
 constexpr Duration resubscribe_delay = Duration::micros(2'000'000);
 
 }  // namespace
@@ -111,9 +113,9 @@
     if (deployment_.subscribe_to_endpoints) callbacks_.subscribe_to_endpoints();
 }
 
-// --- the pipeline: a request going down ---
+// --- planning and starting attempts ---
 
-// Asks the policies in order, and ends the request where one of them does not allow an attempt.
+// Starts an attempt, or ends the request if one of the policies does not allow an attempt.
 void Router::Core::attempt_or_end(PendingRequest& request, TimePoint now) {
     if (plan_attempt(request, now))
         start_attempt(request, now);
@@ -121,9 +123,9 @@
         reject_or_fail(request);
 }
 
-// Whether an attempt is allowed at all comes first, since choosing endpoints accrues budgets and starts
-// recovery probes. Freshness begins the plan that the others fill in. The source comes after the cache:
-// whether a fill is worth asking for depends on the state of the cache.
+// First checks whether an attempt is allowed at all, since selecting endpoints accrues budgets and starts
+// recovery probes. The freshness policy then begins the plan that the other policies complete. The source is
+// selected after the cache, since the state of the cache determines whether a fill is worthwhile.
 bool Router::Core::plan_attempt(PendingRequest& request, TimePoint now) {
     if (!retries_.may_attempt(request, now)) return false;
     if (!idempotency_.may_attempt(request, nullptr, now)) return false;
@@ -164,11 +166,11 @@
     return attempt;
 }
 
-// --- the pipeline: a result coming up ---
+// --- processing results ---
 
-// The reverse order. Lost attempts are judged by what was in flight, so before the counters change; health by
-// what is in flight now, so after. Edge selection reads the health that this result leaves, and the retry
-// policy, asked by the caller, what all others have noted on the request.
+// Calls the policies in reverse order. Lost attempts are detected before the counters of attempts in flight
+// change, and health is updated afterwards. Edge selection reads the health that this result leaves, and the
+// retry policy, which the caller consults next, reads what all the others have recorded on the request.
 void Router::Core::process_result(PendingRequest& request, Attempt& attempt, const AttemptResult& result,
                                   TimePoint now) {
     EndpointState& cache = endpoints_.at(attempt.cache);
@@ -236,8 +238,8 @@
     erase_if_finished(id);
 }
 
-// Guards an attempt that has waited for a connection: its client may have closed, its idempotency window
-// ended, or an endpoint restarted, against whose slow start it has not been judged.
+// Rechecks an attempt that has waited for a connection. Meanwhile its client may have disconnected, its
+// idempotency window may have ended, or an endpoint may have restarted, so that its slow start applies.
 bool Router::Core::may_begin_attempt(const RequestId& id, AttemptIndex index, TimePoint now) {
     const auto entry = pending_requests_.find(id);
     if (entry == pending_requests_.end()) return false;
@@ -253,7 +255,8 @@
     return true;
 }
 
-// Guards clients against a process that ends before their deadlines: none would get a final response.
+// Shortens the deadlines of all requests, since clients whose deadline is after the end of the process would
+// otherwise get no final response.
 void Router::Core::on_drain(TimePoint deadline) {
     drain_deadline_ = deadline;
     for (auto& [id, pending] : pending_requests_)
@@ -310,7 +313,7 @@
     if (timer == AttemptMonitor::timer_id) monitor_.on_timer(pending_requests_, now);
 }
 
-// --- the interface ---
+// --- the public interface ---
 
 Router::Router(RouterCallbacks& callbacks, const Deployment& deployment, std::uint64_t seed, TimePoint)
     : core_(std::make_unique<Core>(callbacks, deployment, seed)) {}
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -6,23 +6,23 @@
 namespace irismux::routing {
 namespace {
 
-// The budget grows at this multiple of the present capacity, but at most at this share of the overload
-// multiple.
+// The budget grows at this multiple of the current capacity, limited to this share of the overload multiple.
 constexpr double rate_per_capacity = 1.2;
 constexpr double rate_share_of_overload = 0.5;
-// The most that a budget saves up, as a share of what its rate gives in an overload window.
+// Maximum budget that accumulates, as a share of the budget that accrues in an overload window.
 constexpr double burst_share_of_window = 0.15;
-// A saved request is kept while all gateways together have saved no more than this share of what fits between
-// the rate and the overload multiple.
+// Share of the capacity between the budget's rate and the overload multiple that all gateways together may
+// accumulate while they are idle.
 constexpr double headroom_share = 0.7;
-// What an endpoint is sent in an overload window, as a multiple of what its rate gives.
+// Maximum transfer time sent to an endpoint in an overload window, as a multiple of the budget that accrues
+// in it.
 constexpr double max_sent_per_window = 1.3;
 
 double rate_multiple(const SlowStart& settings) {
     return std::min(rate_per_capacity, settings.overload_multiple * rate_share_of_overload);
 }
 
-// Budget per second at a time, in seconds of transfer time.
+// Returns the budget that accrues per second at the given time, in seconds of transfer time.
 double rate_at(TimePoint time, TimePoint since, double full_capacity, const SlowStart& settings) {
     const double age = std::max(0.0, (time - since) / settings.window);
     return full_capacity * rate_multiple(settings) *
@@ -38,12 +38,12 @@
       edge_(deployment.edge_slow_start),
       parent_(deployment.parent_slow_start),
       gateways_(std::max(1, deployment.gateways)),
-      gateways_here_(std::max(1, deployment.gateways_in_location)),
+      gateways_in_location_(std::max(1, deployment.gateways_in_location)),
       has_parents_(deployment.parent_machine.has_value()),
       overload_window_(deployment.overload_window) {}
 
-// All gateways learn of a start at once. Where the share of each is less than a request, a random part of the
-// first request spreads them.
+// All gateways detect a start at the same time. The budget needs to cover only a random share of a request's
+// transfer time, which spreads their first requests if the budget of each gateway is less than a request.
 void SlowStartPolicy::begin(EndpointState& endpoint, TimePoint since, TimePoint now) const {
     EndpointWarmUp& warm_up = endpoint.warm_up;
     warm_up.refused_while_idle = false;
@@ -75,17 +75,19 @@
     const double max_budget = std::max(budget_per_window * burst_share_of_window, transfer_seconds);
     const double elapsed = (now - warm_up.accrued_until).seconds();
 
-    // The rate has risen evenly from what it was.
+    // The rate has risen linearly since the last accrual.
     warm_up.budget += (rate_at(warm_up.accrued_until, since, full_capacity, settings) - rate) / 2 * elapsed;
     warm_up.budget += rate * elapsed;
     warm_up.accrued_until = now;
-    // Guards a warming endpoint against gateways that have all been idle: each would have saved a request and
-    // send it at once. A saved request that was not sent in its time is lost.
+    // Discards accumulated budget above the headroom. Otherwise gateways that have all been idle would each
+    // have the budget for a request and overload a warming endpoint by sending these requests at the same
+    // time.
     const double excess = warm_up.budget - transfer_seconds * warm_up.required_share - headroom;
     if (headroom < transfer_seconds && excess > 0)
         warm_up.budget -= std::ceil(excess / transfer_seconds) * transfer_seconds;
     warm_up.budget = std::min(max_budget, warm_up.budget);
-    // What was sent before the router learnt of the start counts, and so do objects larger than they seemed.
+    // Transfer time sent before the router detected the start counts too, as does that of objects larger than
+    // estimated.
     if (warm_up.sent_transfer_time.since(since, now, overload_window_) >
         budget_per_window * max_sent_per_window)
         return false;
@@ -116,8 +118,9 @@
     return true;
 }
 
-// Guards a rack that restarts at once: its caches respond again before the endpoint list tells of it, and
-// full traffic would push them over. A full connection table also refuses, but then attempts are in flight.
+// Detects a restart before the endpoint list reports it. When a whole rack restarts, its caches respond again
+// before that, and full traffic would overload them. A full connection table also refuses connections, but
+// then attempts are in flight.
 void SlowStartPolicy::on_cache_result(EndpointState& cache, const AttemptResult& result,
                                       TimePoint now) const {
     EndpointWarmUp& warm_up = cache.warm_up;
@@ -132,7 +135,8 @@
 }
 
 double SlowStartPolicy::even_share_of_capacity(const EndpointState& endpoint) const {
-    return links_.endpoint(endpoint) / (endpoint.role == EndpointRole::edge ? gateways_here_ : gateways_);
+    return links_.endpoint(endpoint) /
+           (endpoint.role == EndpointRole::edge ? gateways_in_location_ : gateways_);
 }
 
 }  // namespace irismux::routing
--- a/src/routing/slow_start.hpp
+++ b/src/routing/slow_start.hpp
@@ -1,7 +1,8 @@
-// Rule 4: an endpoint that is warming up is not pushed over.
+// Prevents overload of an endpoint that is warming up (rule 4).
 //
-// Each gateway keeps to its even share of a budget of transfer time, which grows with the slowest warm-up
-// that the settings allow. The origin in place of parents is held to a budget of the same form.
+// Each gateway limits itself to its even share of a budget of transfer time, which grows at the rate of the
+// slowest warm-up that the settings allow. The origin in place of parents is limited by a budget of the same
+// form.
 #pragma once
 
 #include "irismux/deployment.hpp"
@@ -15,20 +16,24 @@
 public:
     SlowStartPolicy(const Deployment& deployment, const LinkCapacity& links, RandomFraction& random);
 
-    /// @param since start of its process
+    /// Begins the slow start of an endpoint.
+    /// @param since start time of the endpoint's process
     void begin(EndpointState& endpoint, TimePoint since, TimePoint now) const;
 
-    /// Request going down: whether the endpoint may be sent this much transfer time. Always true for
-    /// endpoints that have warmed up. Accrues the budget, but does not charge it.
+    /// Checks whether a request with this transfer time may be sent to the endpoint. Always true for edge
+    /// caches and parents that have warmed up. Accrues the budget, but does not charge it.
     [[nodiscard]] bool has_budget(EndpointState& endpoint, double transfer_seconds, TimePoint now) const;
-    /// Request going down: counts what is sent, also to endpoints that are not known to be warming up.
+    /// Counts the transfer time sent to an endpoint, even if the endpoint is not known to be warming up, and
+    /// charges it to the budget if there is one.
     void charge(EndpointState& endpoint, double transfer_seconds, TimePoint now) const;
-    /// First byte of an attempt that has waited: whether it still fits, if the router learnt of the
-    /// endpoint's start after the attempt was judged last. Charges the new budget.
+    /// Rechecks an attempt that has waited, right before its first byte is written. If the router has
+    /// detected a start of the endpoint since the last check, the attempt must fit the new budget and is
+    /// charged to it.
+    /// @return false if the attempt does not fit the new budget
     [[nodiscard]] bool recheck(EndpointState& endpoint, const Attempt& attempt, TimePoint now) const;
 
-    /// Result coming up: notices a stop and the first response of the new process before the endpoint list
-    /// tells of it.
+    /// Detects from attempt results that a cache has stopped, and begins its slow start with the first
+    /// response of the new process, before the endpoint list reports the start.
     void on_cache_result(EndpointState& cache, const AttemptResult& result, TimePoint now) const;
 
 private:
@@ -41,7 +46,7 @@
     const LinkCapacity& links_;
     RandomFraction& random_;
     SlowStart edge_, parent_;
-    int gateways_, gateways_here_;
+    int gateways_, gateways_in_location_;
     bool has_parents_;
     Duration overload_window_;
 };
--- a/src/routing/windowed_sum.hpp
+++ b/src/routing/windowed_sum.hpp
@@ -1,4 +1,4 @@
-// A sum over a moving window, kept in a fixed number of parts of it.
+// A sum over a sliding window, stored as a fixed number of partial sums.
 #pragma once
 
 #include <algorithm>
@@ -19,7 +19,7 @@
         if (p.index != part) p = {part, 0};
         p.amount += amount;
     }
-    /// Since `start`, within the window; a part of the window that began earlier counts whole.
+    /// @return sum since `start` within the window. The part that contains `start` is counted as a whole.
     double since(TimePoint start, TimePoint now, Duration window) const {
         const std::int64_t first = part_of(std::max(start, now - window), window);
         double sum = 0;
--- a/tests/routing/endpoint_set_test.cpp
+++ b/tests/routing/endpoint_set_test.cpp
@@ -74,8 +74,8 @@
     EXPECT_FALSE(endpoints_.find(CacheId{"e1"}));
 }
 
-// Guarded by EndpointSet::most_edges: a link divided by the caches that are left would give each of them the
-// others' part.
+// Guarded by EndpointSet::max_active_edges: a link divided by the caches that are left would give each of
+// them the others' part.
 TEST_F(EndpointSetTest, ACacheCanDoNoMoreWhenItsPeersLeave) {
     deployment_.weights_known = false;
     deployment_.location_link_capacity_kb_per_s = 30 * deployment_.transfer_rate_kb_per_s;
--- a/tests/slow_start_fleet_test.cpp
+++ b/tests/slow_start_fleet_test.cpp
@@ -279,8 +279,8 @@
 };
 
 // Given a restarted cache, when its peers leave, then it gets no more than before. Guarded by
-// EndpointSet::most_edges: a link divided by the caches that are left would give each the others' part. What
-// it prints stands in docs/crossings.md.
+// EndpointSet::max_active_edges: a link divided by the caches that are left would give each the others' part.
+// What it prints stands in docs/crossings.md.
 TEST_P(RestartInALocation, TheCacheGetsNoMoreWhenItsPeersLeave) {
     const auto [gateways, source] = GetParam();
     std::size_t sent = 0, plays = 0;
