--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -6,23 +6,23 @@
 namespace irismux::routing {
 namespace {
 
-// The budget grows at this multiple of the present capacity, but at most at this share of the overload
-// multiple.
+// The budget grows at this multiple of the current capacity, limited to this share of the overload multiple.
 constexpr double rate_per_capacity = 1.2;
 constexpr double rate_share_of_overload = 0.5;
-// The most that a budget saves up, as a share of what its rate gives in an overload window.
+// Maximum budget that accumulates, as a share of the budget that accrues in an overload window.
 constexpr double burst_share_of_window = 0.15;
-// A saved request is kept while all gateways together have saved no more than this share of what fits between
-// the rate and the overload multiple.
-constexpr double spare_share = 0.7;
-// What an endpoint is sent in an overload window, as a multiple of what its rate gives.
-constexpr double most_sent_per_window = 1.3;
+// Share of the capacity between the budget's rate and the overload multiple that all gateways together may
+// accumulate while they are idle.
+constexpr double headroom_share = 0.7;
+// Maximum transfer time sent to an endpoint in an overload window, as a multiple of the budget that accrues
+// in it.
+constexpr double max_sent_per_window = 1.3;
 
 double rate_multiple(const SlowStart& settings) {
     return std::min(rate_per_capacity, settings.overload_multiple * rate_share_of_overload);
 }
 
-// Budget per second at a time, in seconds of transfer time.
+// Returns the budget that accrues per second at the given time, in seconds of transfer time.
 double rate_at(TimePoint time, TimePoint since, double full_capacity, const SlowStart& settings) {
     const double age = std::max(0.0, (time - since) / settings.window);
     return full_capacity * rate_multiple(settings) *
@@ -38,12 +38,12 @@
       edge_(deployment.edge_slow_start),
       parent_(deployment.parent_slow_start),
       gateways_(std::max(1, deployment.gateways)),
-      gateways_here_(std::max(1, deployment.gateways_in_location)),
+      gateways_in_location_(std::max(1, deployment.gateways_in_location)),
       has_parents_(deployment.parent_machine.has_value()),
       overload_window_(deployment.overload_window) {}
 
-// All gateways learn of a start at once. Where the share of each is less than a request, a random part of the
-// first request spreads them.
+// All gateways detect a start at the same time. The budget needs to cover only a random share of a request's
+// transfer time, which spreads their first requests if the budget of each gateway is less than a request.
 void SlowStartPolicy::begin(EndpointState& endpoint, TimePoint since, TimePoint now) const {
     EndpointWarmUp& warm_up = endpoint.warm_up;
     warm_up.refused_while_idle = false;
@@ -51,7 +51,7 @@
     warm_up.required_share = random_.next();
     warm_up.budget = 0;
     warm_up.accrued_until = now;
-    warm_up.learnt_at = now;
+    warm_up.start_detected_at = now;
 }
 
 bool SlowStartPolicy::has_budget(EndpointState& endpoint, double transfer_seconds, TimePoint now) const {
@@ -66,56 +66,61 @@
     EndpointWarmUp& warm_up = endpoint.warm_up;
     const SlowStart& settings = settings_of(endpoint);
     const TimePoint since = *warm_up.warming_up_since;
-    const double full = even_share_of_capacity(endpoint);
+    const double full_capacity = even_share_of_capacity(endpoint);
     const double multiple = rate_multiple(settings);
-    const double rate = rate_at(now, since, full, settings);
-    const double spare = rate * overload_window_.seconds() *
-                         std::max(0.0, settings.overload_multiple / multiple - 1) * spare_share;
-    const double window = rate * overload_window_.seconds();
-    const double most = std::max(window * burst_share_of_window, transfer_seconds);
+    const double rate = rate_at(now, since, full_capacity, settings);
+    const double headroom = rate * overload_window_.seconds() *
+                            std::max(0.0, settings.overload_multiple / multiple - 1) * headroom_share;
+    const double budget_per_window = rate * overload_window_.seconds();
+    const double max_budget = std::max(budget_per_window * burst_share_of_window, transfer_seconds);
     const double elapsed = (now - warm_up.accrued_until).seconds();
 
-    // The rate has risen evenly from what it was.
-    warm_up.budget += (rate_at(warm_up.accrued_until, since, full, settings) - rate) / 2 * elapsed;
+    // The rate has risen linearly since the last accrual.
+    warm_up.budget += (rate_at(warm_up.accrued_until, since, full_capacity, settings) - rate) / 2 * elapsed;
     warm_up.budget += rate * elapsed;
     warm_up.accrued_until = now;
-    // Guards a warming endpoint against gateways that have all been idle: each would have saved a request and
-    // send it at once. A saved request that was not sent in its time is lost.
-    const double over = warm_up.budget - transfer_seconds * warm_up.required_share - spare;
-    if (spare < transfer_seconds && over > 0)
-        warm_up.budget -= std::ceil(over / transfer_seconds) * transfer_seconds;
-    warm_up.budget = std::min(most, warm_up.budget);
-    // What was sent before the router learnt of the start counts, and so do objects larger than they seemed.
-    if (warm_up.sent.since(since, now, overload_window_) > window * most_sent_per_window) return false;
+    // Discards accumulated budget above the headroom. Otherwise gateways that have all been idle would each
+    // have the budget for a request and overload a warming endpoint by sending these requests at the same
+    // time.
+    const double excess = warm_up.budget - transfer_seconds * warm_up.required_share - headroom;
+    if (headroom < transfer_seconds && excess > 0)
+        warm_up.budget -= std::ceil(excess / transfer_seconds) * transfer_seconds;
+    warm_up.budget = std::min(max_budget, warm_up.budget);
+    // Transfer time sent before the router detected the start counts too, as does that of objects larger than
+    // estimated.
+    if (warm_up.sent_transfer_time.since(since, now, overload_window_) >
+        budget_per_window * max_sent_per_window)
+        return false;
     return warm_up.budget >= transfer_seconds * warm_up.required_share;
 }
 
 bool SlowStartPolicy::origin_has_budget(EndpointState& origin, double transfer_seconds, TimePoint now) const {
     EndpointWarmUp& warm_up = origin.warm_up;
     const double rate = even_share_of_capacity(origin);
-    const double window = rate * overload_window_.seconds();
-    const double most = std::max(window * burst_share_of_window, transfer_seconds);
+    const double budget_per_window = rate * overload_window_.seconds();
+    const double max_budget = std::max(budget_per_window * burst_share_of_window, transfer_seconds);
     warm_up.budget += rate * (now - warm_up.accrued_until).seconds();
     warm_up.accrued_until = now;
-    warm_up.budget = std::min(most, warm_up.budget);
+    warm_up.budget = std::min(max_budget, warm_up.budget);
     return warm_up.budget >= transfer_seconds * warm_up.required_share;
 }
 
 void SlowStartPolicy::charge(EndpointState& endpoint, double transfer_seconds, TimePoint now) const {
-    endpoint.warm_up.sent.add(transfer_seconds, now, overload_window_);
+    endpoint.warm_up.sent_transfer_time.add(transfer_seconds, now, overload_window_);
     const bool in_place_of_parents = endpoint.role == EndpointRole::origin && has_parents_;
     if (endpoint.warm_up.warming_up_since || in_place_of_parents) endpoint.warm_up.budget -= transfer_seconds;
 }
 
 bool SlowStartPolicy::recheck(EndpointState& endpoint, const Attempt& attempt, TimePoint now) const {
-    if (endpoint.warm_up.learnt_at <= attempt.last_judged_at) return true;
+    if (endpoint.warm_up.start_detected_at <= attempt.slow_start_checked_at) return true;
     if (!has_budget(endpoint, attempt.transfer_seconds, now)) return false;
     endpoint.warm_up.budget -= attempt.transfer_seconds;
     return true;
 }
 
-// Guards a rack that restarts at once: its caches respond again before the endpoint list tells of it, and
-// full traffic would push them over. A full connection table also refuses, but then attempts are in flight.
+// Detects a restart before the endpoint list reports it. When a whole rack restarts, its caches respond again
+// before that, and full traffic would overload them. A full connection table also refuses connections, but
+// then attempts are in flight.
 void SlowStartPolicy::on_cache_result(EndpointState& cache, const AttemptResult& result,
                                       TimePoint now) const {
     EndpointWarmUp& warm_up = cache.warm_up;
@@ -130,7 +135,8 @@
 }
 
 double SlowStartPolicy::even_share_of_capacity(const EndpointState& endpoint) const {
-    return links_.endpoint(endpoint) / (endpoint.role == EndpointRole::edge ? gateways_here_ : gateways_);
+    return links_.endpoint(endpoint) /
+           (endpoint.role == EndpointRole::edge ? gateways_in_location_ : gateways_);
 }
 
 }  // namespace irismux::routing
