--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -137,7 +137,7 @@
 
 bool admit(Level level, std::string_view kind) {
     static RateLimit limit;
-    if (!shown(level)) return false;
+    if (!is_enabled(level)) return false;
     return level == Level::debug || limit.admit(kind);
 }
 
@@ -153,7 +153,7 @@
 void set_level(Level highest) { logger().set_level(spdlog_level(highest)); }
 void set_format(Format format) { current_format = format; }
 void set_process_name(std::string name) { process_name = std::move(name); }
-bool shown(Level level) { return logger().should_log(spdlog_level(level)); }
+bool is_enabled(Level level) { return logger().should_log(spdlog_level(level)); }
 
 void event(Level level, std::string_view name, std::initializer_list<Field> fields) {
     const std::string line = format_text(name, fields);
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -22,7 +22,7 @@
 /// The process named in JSON records, in the field `by`.
 void set_process_name(std::string name);
 /// Whether records of that level are written.
-[[nodiscard]] bool shown(Level level);
+[[nodiscard]] bool is_enabled(Level level);
 
 struct Field {
     std::string_view name;
--- a/src/gateway/configuration.cpp
+++ b/src/gateway/configuration.cpp
@@ -30,9 +30,9 @@
         if (error != std::errc{} || end != seed.data() + seed.size())
             throw_parse_error("field 'seed' is not a hex number");
         const json& limits = require(all, "limits");
-        config.descriptors = get<std::size_t>(limits, "sockets");
-        config.memory = get<std::size_t>(limits, "memory_mb") << 20;
-        config.known = require(all, "known");
+        config.max_descriptors = get<std::size_t>(limits, "sockets");
+        config.memory_bytes = get<std::size_t>(limits, "memory_mb") << 20;
+        config.initial_notices = require(all, "known");
         config.settings = read_deployment(require(all, "settings"));
         return config;
     } catch (const std::exception& e) {
--- a/src/gateway/configuration.hpp
+++ b/src/gateway/configuration.hpp
@@ -14,9 +14,10 @@
     std::string listen;
     std::string notice_board;
     std::uint64_t seed = 0;
-    std::size_t descriptors = 0;
-    std::size_t memory = 0;                           // bytes
-    nlohmann::json known = nlohmann::json::object();  // the notice board's events up to the start
+    std::size_t max_descriptors = 0;  ///< upper limit of open file descriptors of the process
+    std::size_t memory_bytes = 0;     ///< memory that the process may use
+    /// Notices that the notice board had published when the configuration was written.
+    nlohmann::json initial_notices = nlohmann::json::object();
     DeploymentSettings settings;
 };
 
--- a/src/gateway/deployment_reader.cpp
+++ b/src/gateway/deployment_reader.cpp
@@ -60,17 +60,17 @@
     }
 }
 
-ObjectKind read_kind(const Settings& settings, const json& lane, std::size_t index) {
+ObjectKind read_kind(const Settings& settings, const json& kind_json, std::size_t index) {
     const json& specifics = settings.specifics;
     ObjectKind kind;
-    kind.effect = parse_enum(get<std::string>(lane, "effect"), "effect", effects);
-    kind.dedup_scope = parse_enum(get_or<std::string>(lane, "group", "all"), "group", dedup_scopes);
-    kind.dedup_window = get_duration(lane, "windowS");
-    kind.latency_objective = Duration::seconds(get<double>(lane, "aimS"));
-    kind.latency_objective_stretch = get_or(lane, "aimStretch", 0.0);
-    kind.deadline = Duration::seconds(get<double>(lane, "hardLimitS"));
-    kind.utility = get_or(lane, "credit", 1.0);
-    kind.late_utility_share = get_or(lane, "lateWorth", 0.0);
+    kind.effect = parse_enum(get<std::string>(kind_json, "effect"), "effect", effects);
+    kind.dedup_scope = parse_enum(get_or<std::string>(kind_json, "group", "all"), "group", dedup_scopes);
+    kind.dedup_window = get_duration(kind_json, "windowS");
+    kind.latency_objective = Duration::seconds(get<double>(kind_json, "aimS"));
+    kind.latency_objective_stretch = get_or(kind_json, "aimStretch", 0.0);
+    kind.deadline = Duration::seconds(get<double>(kind_json, "hardLimitS"));
+    kind.utility = get_or(kind_json, "credit", 1.0);
+    kind.late_utility_share = get_or(kind_json, "lateWorth", 0.0);
     kind.fresh_for = Duration::seconds(element_or(specifics, "goodForS", index, 0.0));
     kind.stale_if_error_for = Duration::seconds(element_or(specifics, "staleForS", index, 0.0));
     kind.stale_utility_share = element_or(specifics, "classStaleWorth", index, 1.0);
@@ -79,25 +79,25 @@
 }
 
 void read_kinds(const Settings& settings, DeploymentSettings& result) {
-    const json& lanes = get_array(settings.all, "lanes");
-    for (std::size_t n = 0; n < lanes.size(); ++n) {
-        result.deployment.kinds.push_back(read_kind(settings, lanes[n], n));
-        result.kind_indexes.emplace(get<std::string>(lanes[n], "name"), ObjectKindIndex{n});
+    const json& kinds_json = get_array(settings.all, "lanes");
+    for (std::size_t n = 0; n < kinds_json.size(); ++n) {
+        result.deployment.kinds.push_back(read_kind(settings, kinds_json[n], n));
+        result.kind_indexes.emplace(get<std::string>(kinds_json[n], "name"), ObjectKindIndex{n});
     }
 }
 
 // The machine type at that position of the settings' list; none if the position lies outside of it.
-std::optional<MachineType> machine_type_at(const json& names, std::int64_t position) {
-    if (position < 0 || position >= static_cast<std::int64_t>(names.size())) return std::nullopt;
-    return MachineType{names[static_cast<std::size_t>(position)].get<std::string>()};
+std::optional<MachineType> machine_type_at(const json& machine_types, std::int64_t position) {
+    if (position < 0 || position >= static_cast<std::int64_t>(machine_types.size())) return std::nullopt;
+    return MachineType{machine_types[static_cast<std::size_t>(position)].get<std::string>()};
 }
 
 void read_machine_types(const Settings& settings, Deployment& deployment) {
-    const json& names = get_array(settings.all, "kinds");
+    const json& machine_types = get_array(settings.all, "kinds");
     deployment.parent_machine =
-        machine_type_at(names, get_or<std::int64_t>(settings.specifics, "secondTierKind", -1));
+        machine_type_at(machine_types, get_or<std::int64_t>(settings.specifics, "secondTierKind", -1));
     deployment.origin_machine =
-        machine_type_at(names, get_or<std::int64_t>(settings.specifics, "originKind", -1));
+        machine_type_at(machine_types, get_or<std::int64_t>(settings.specifics, "originKind", -1));
 }
 
 void read_capabilities(const Settings& settings, Capabilities& capabilities) {
--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -94,34 +94,34 @@
     CLI::App* add_group(const char* name, const char* help) {
         CLI::App* const group = app_.add_subcommand(name, help);
         group->require_subcommand(1);
-        group->add_option("--parts", parts_, "file of the parts, TOML")->required();
+        group->add_option("--parts", parts_path_, "file of the parts, TOML")->required();
         return group;
     }
 
     void add_serve() {
-        CLI::App* const command =
-            add(&app_, "serve", "be a gateway (also without any argument)", [this] { return serve(parts_); });
-        command->add_option("--parts", parts_, "file of the parts, TOML");
+        CLI::App* const command = add(&app_, "serve", "be a gateway (also without any argument)",
+                                      [this] { return serve(parts_path_); });
+        command->add_option("--parts", parts_path_, "file of the parts, TOML");
     }
     void add_check() {
         CLI::App* const command = add(&app_, "check", "read a file of parts and say whether it can be used",
-                                      [this] { return check_parts(parts_); });
-        command->add_option("file", parts_)->required();
+                                      [this] { return check_parts(parts_path_); });
+        command->add_option("file", parts_path_)->required();
     }
     void add_registry() {
         CLI::App* const group = add_group("registry", "ask the key-value registry by hand");
         add(group, "dump", "each record of the list, at one revision",
-            [this] { return with_registry(parts_, cli::registry_dump); });
+            [this] { return with_registry(parts_path_, cli::registry_dump); });
         add(group, "watch", "the list, then each change as gateways hear it",
-            [this] { return with_registry(parts_, cli::registry_watch); });
+            [this] { return with_registry(parts_path_, cli::registry_watch); });
         CLI::App* const put = add(group, "put", "write a record", [this] {
-            return with_registry(parts_, [this](const registry::Settings& settings) {
+            return with_registry(parts_path_, [this](const registry::Settings& settings) {
                 return cli::registry_put(settings, record_);
             });
         });
         put->add_option("line", record_, "JSON with an \"id\"")->required();
         CLI::App* const drain = add(group, "drain", "mark a cache as draining", [this] {
-            return with_registry(parts_, [this](const registry::Settings& settings) {
+            return with_registry(parts_path_, [this](const registry::Settings& settings) {
                 return cli::registry_state(settings, cache_, "Terminating");
             });
         });
@@ -129,16 +129,16 @@
     }
     void add_fleet() {
         CLI::App* const group = add_group("fleet", "ask the fleet of gateways by hand");
-        add(group, "members", "who lives", [this] { return with_site(parts_, cli::fleet_members); });
-        add(group, "duties", "who owns what", [this] { return with_site(parts_, cli::fleet_duties); });
+        add(group, "members", "who lives", [this] { return with_site(parts_path_, cli::fleet_members); });
+        add(group, "duties", "who owns what", [this] { return with_site(parts_path_, cli::fleet_duties); });
         CLI::App* const release = add(group, "release", "have its owner leave a duty to others", [this] {
-            return with_site(parts_, [this](const fleet::Settings& settings) {
+            return with_site(parts_path_, [this](const fleet::Settings& settings) {
                 return cli::fleet_release(settings, duty_);
             });
         });
         release->add_option("duty", duty_)->required();
         CLI::App* const restore = add(group, "restore", "take a release back", [this] {
-            return with_site(parts_, [this](const fleet::Settings& settings) {
+            return with_site(parts_path_, [this](const fleet::Settings& settings) {
                 return cli::fleet_restore(settings, duty_);
             });
         });
@@ -146,11 +146,11 @@
         add_in_force(group);
         add_forget(group);
         add(group, "new-generation", "the notice board has been restored: its numbers begin anew",
-            [this] { return with_fleet(parts_, cli::fleet_new_generation); });
+            [this] { return with_fleet(parts_path_, cli::fleet_new_generation); });
     }
     void add_in_force(CLI::App* group) {
         CLI::App* const command = add(group, "in-force", "whether an event is in force everywhere", [this] {
-            return with_fleet(parts_, [this](const fleet::Settings& settings) {
+            return with_fleet(parts_path_, [this](const fleet::Settings& settings) {
                 return cli::fleet_in_force(settings, in_force_);
             });
         });
@@ -161,7 +161,7 @@
     }
     void add_forget(CLI::App* group) {
         CLI::App* const command = add(group, "forget", "a gateway of a site that will not come back", [this] {
-            return with_fleet(parts_, [this](const fleet::Settings& settings) {
+            return with_fleet(parts_path_, [this](const fleet::Settings& settings) {
                 return cli::fleet_forget(settings, site_, member_);
             });
         });
@@ -171,9 +171,9 @@
 
     CLI::App app_{"irismux, a lookup router for caches that fill from parent caches and an origin",
                   "irismux"};
-    std::string parts_, cache_, record_, duty_, site_, member_;
+    std::string parts_path_, cache_, record_, duty_, site_, member_;
     cli::InForceQuery in_force_;
-    std::function<int()> command_ = [this] { return serve(parts_); };
+    std::function<int()> command_ = [this] { return serve(parts_path_); };
 };
 
 }  // namespace
--- a/src/gateway/request_admission.cpp
+++ b/src/gateway/request_admission.cpp
@@ -15,7 +15,7 @@
     for (const ObjectKind& kind : deployment.kinds) effects_.push_back(kind.effect);
 }
 
-bool RequestAdmission::has_effect(ObjectKindIndex kind) const {
+bool RequestAdmission::is_non_idempotent(ObjectKindIndex kind) const {
     return effects_[kind.raw()] == Effect::non_idempotent;
 }
 
@@ -29,7 +29,8 @@
     const RequestFingerprint fingerprint{client_request.client_request_id, client_request.kind_name,
                                          request.object.raw(), client_request.object_part,
                                          client_request.body};
-    const Duration remembered_after_deadline = has_effect(request.kind) ? longest_deadline_ : Duration{};
+    const Duration remembered_after_deadline =
+        is_non_idempotent(request.kind) ? longest_deadline_ : Duration{};
     if (!duplicate_filter_.accept(fingerprint, request.id, request.deadline + remembered_after_deadline, now))
         return RequestHandler::Admission::duplicate;
     open_client_request_ids_[open_id] = request.id;
@@ -41,7 +42,7 @@
         open_client_request_ids_.find({request.client_stream().connection, request.client_request_id()});
     if (open != open_client_request_ids_.end() && open->second == request.id())
         open_client_request_ids_.erase(open);
-    if (without_effect || !has_effect(request.client_request().request.kind))
+    if (without_effect || !is_non_idempotent(request.client_request().request.kind))
         duplicate_filter_.forget_request(request.id());
 }
 
--- a/src/gateway/request_admission.hpp
+++ b/src/gateway/request_admission.hpp
@@ -26,7 +26,7 @@
     void release(const ActiveRequest& request, bool without_effect);
 
 private:
-    bool has_effect(ObjectKindIndex kind) const;
+    bool is_non_idempotent(ObjectKindIndex kind) const;
 
     std::vector<Effect> effects_;  // by ObjectKindIndex
     Duration longest_deadline_;
--- a/src/gateway/request_dispatcher.cpp
+++ b/src/gateway/request_dispatcher.cpp
@@ -49,7 +49,7 @@
 
 RequestHandler::Admission RequestDispatcher::on_client_request(const ClientStream& stream,
                                                                ClientRequest client_request) {
-    const RequestId id{++last_request_};
+    const RequestId id{++last_request_id_};
     client_request.request.id = id;
     const Admission admission = admission_.admit(stream, client_request, event_loop_.now());
     if (admission != Admission::accepted) return admission;
--- a/src/gateway/request_dispatcher.hpp
+++ b/src/gateway/request_dispatcher.hpp
@@ -99,7 +99,7 @@
     RequestAdmission admission_;
     Router router_;
     bool in_router_call_ = false;
-    std::uint64_t last_request_ = 0;
+    std::uint64_t last_request_id_ = 0;
     std::map<RequestId, PendingRequest> pending_requests_;
     std::map<ClientStream, RequestId> by_client_stream_;
     std::optional<TimePoint> drain_deadline_;
--- a/src/gateway/request_log.cpp
+++ b/src/gateway/request_log.cpp
@@ -32,7 +32,7 @@
 
 void admitted(const ClientStream& stream, const ClientRequest& request) {
     flight_recorder::note("request_admitted", request.request.id.raw(), stream.connection);
-    if (!log::shown(log::Level::debug)) return;
+    if (!log::is_enabled(log::Level::debug)) return;
     log::event(log::Level::debug, "request_admitted",
                {{"client_request_id", request.client_request_id.raw()},
                 {"request_id", request.request.id.raw()},
@@ -43,7 +43,7 @@
 }
 
 void client_closed(const ActiveRequest& request, TimePoint now) {
-    if (!log::shown(log::Level::debug)) return;
+    if (!log::is_enabled(log::Level::debug)) return;
     log::event(log::Level::debug, "client_closed",
                {{"client_request_id", request.client_request_id().raw()},
                 {"request_id", request.id().raw()},
@@ -55,7 +55,7 @@
 }
 
 void attempt_ended(const ActiveRequest& request, const AttemptResult& result) {
-    if (!log::shown(log::Level::debug)) return;
+    if (!log::is_enabled(log::Level::debug)) return;
     const Attempt& attempt = request.attempt(result.attempt.raw());
     log::event(log::Level::debug, "attempt_ended",
                {{"client_request_id", request.client_request_id().raw()},
@@ -72,7 +72,7 @@
 }
 
 void rejected(const ActiveRequest& request, Duration retry_after) {
-    if (!log::shown(log::Level::debug)) return;
+    if (!log::is_enabled(log::Level::debug)) return;
     log::event(log::Level::debug, "request_rejected_by_router",
                {{"client_request_id", request.client_request_id().raw()},
                 {"request_id", request.id().raw()},
@@ -80,7 +80,7 @@
 }
 
 void failed(const ActiveRequest& request) {
-    if (!log::shown(log::Level::debug)) return;
+    if (!log::is_enabled(log::Level::debug)) return;
     log::event(
         log::Level::debug, "request_failed",
         {{"client_request_id", request.client_request_id().raw()}, {"request_id", request.id().raw()}});
--- a/src/gateway/resource_limits.cpp
+++ b/src/gateway/resource_limits.cpp
@@ -13,13 +13,13 @@
 constexpr std::size_t internal_descriptors = 24;
 
 std::size_t client_descriptors(const Configuration& configuration) {
-    return configuration.descriptors / client_descriptor_divisor;
+    return configuration.max_descriptors / client_descriptor_divisor;
 }
 
 }  // namespace
 
 FastCgiServerLimits client_limits(const Configuration& configuration) {
-    return {client_descriptors(configuration), configuration.memory / request_memory_divisor,
+    return {client_descriptors(configuration), configuration.memory_bytes / request_memory_divisor,
             configuration.settings.deployment.connections.connect_timeout};
 }
 
@@ -28,7 +28,7 @@
     const ConnectionSettings& connections = deployment.connections;
     const std::size_t reserved = client_descriptors(configuration) + internal_descriptors;
     const std::size_t available =
-        configuration.descriptors > reserved ? configuration.descriptors - reserved : 1;
+        configuration.max_descriptors > reserved ? configuration.max_descriptors - reserved : 1;
     // A cache closes idle connections after the same time: the gateway must be first, or an attempt could be
     // written to a connection that is being closed.
     const Duration idle_timeout =
--- a/src/net/fastcgi_connection.cpp
+++ b/src/net/fastcgi_connection.cpp
@@ -87,7 +87,7 @@
     lifecycle_ = Lifecycle::abandoned;
     const auto abandoned = std::exchange(open_requests_, {});
     context_.request_bytes -= std::exchange(request_bytes_, 0);
-    if (log::shown(log::Level::debug))
+    if (log::is_enabled(log::Level::debug))
         log::event(log::Level::debug, "client_requests_abandoned",
                    {{"connection", number_}, {"open_requests", abandoned.size()}});
     for (const auto& [request_id, request] : abandoned)
@@ -179,7 +179,7 @@
     const bool dispatched = it->second.state == RequestState::dispatched;
     const bool keep_connection = it->second.keep_connection;
     const ClientStream stream{number_, request_id, it->second.sequence};
-    if (log::shown(log::Level::debug))
+    if (log::is_enabled(log::Level::debug))
         log::event(log::Level::debug, "request_aborted",
                    {{"connection", number_}, {"fastcgi_request", request_id}});
     erase_request(it);
@@ -269,7 +269,7 @@
     if (it == open_requests_.end()) return;
     const bool keep_connection = it->second.keep_connection;
     erase_request(it);
-    if (log::shown(log::Level::debug))
+    if (log::is_enabled(log::Level::debug))
         log::event(log::Level::debug, "response_written",
                    {{"connection", number_}, {"fastcgi_request", request_id}, {"bytes", body.size()}});
     using fastcgi::Type;
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -368,9 +368,9 @@
         Configuration config;
         config.name = "n0";
         config.notice_board = board->address();
-        config.descriptors = 1024;
-        config.memory = 192u << 20;
-        config.known = {{"rev", 1}, {"notices", events}};
+        config.max_descriptors = 1024;
+        config.memory_bytes = 192u << 20;
+        config.initial_notices = {{"rev", 1}, {"notices", events}};
         config.seed = day_seed;
         Deployment& d = config.settings.deployment;
         d = deployment();
--- a/tests/wire_names_test.cpp
+++ b/tests/wire_names_test.cpp
@@ -398,9 +398,9 @@
     EXPECT_EQ(c.listen, "127.0.0.1:7100");
     EXPECT_EQ(c.notice_board, "127.0.0.1:7190");
     EXPECT_EQ(c.seed, 0x1fu);
-    EXPECT_EQ(c.descriptors, 1024u);
-    EXPECT_EQ(c.memory, std::size_t{192} << 20);
-    EXPECT_EQ(c.known, (json{{"rev", 1}, {"notices", json::array()}}));
+    EXPECT_EQ(c.max_descriptors, 1024u);
+    EXPECT_EQ(c.memory_bytes, std::size_t{192} << 20);
+    EXPECT_EQ(c.initial_notices, (json{{"rev", 1}, {"notices", json::array()}}));
     EXPECT_EQ(
         c.settings.kind_indexes,
         (std::map<std::string, ObjectKindIndex>{
