--- a/src/base/file.hpp
+++ b/src/base/file.hpp
@@ -6,11 +6,12 @@
 
 namespace irismux {
 
-/// Why a file cannot be read.
+/// The reason why a file cannot be read.
 struct FileError {
-    int error_number = 0;  ///< as in errno
+    int error_number = 0;  ///< value of errno
 
-    /// Whether the same call may succeed soon: interrupted, out of descriptors or memory, a device error.
+    /// Whether the same call may succeed soon, for example after an interrupt, a device error, or a lack of
+    /// descriptors or memory.
     [[nodiscard]] bool is_transient() const;
     [[nodiscard]] std::string message() const;
 };
--- a/src/base/flight_recorder.cpp
+++ b/src/base/flight_recorder.cpp
@@ -19,7 +19,7 @@
 };
 
 std::array<Event, max_events> ring;
-std::size_t event_count = 0;  // so far
+std::size_t event_count = 0;  // includes overwritten events
 
 struct FatalSignal {
     int number;
@@ -38,7 +38,7 @@
     return static_cast<std::int64_t>(now.tv_sec) * 1'000'000 + now.tv_nsec / 1000;
 }
 
-// Builds text in a buffer of fixed size; what does not fit is cut off. Safe in a signal handler.
+// Builds text in a buffer of fixed size; longer text is truncated. Safe in a signal handler.
 class TextBuilder {
 public:
     TextBuilder(char* buffer, std::size_t capacity) : buffer_(buffer), capacity_(capacity) {}
@@ -95,7 +95,8 @@
     for (std::size_t n = first; n < event_count; ++n) print_event(ring[n % max_events], now_us);
 }
 
-// The former action takes effect when this returns: the signal is raised again, or its cause occurs again.
+// Restores the signal's former action, which takes effect when this handler returns: the signal is raised
+// again, or its cause occurs again.
 void on_fatal_signal(int number, siginfo_t* info, void*) {
     char line[160];
     TextBuilder text(line, sizeof line);
@@ -139,7 +140,7 @@
 }
 
 void report_fatal_signals() {
-    // The handler needs a stack of its own: the process's may have overflowed.
+    // The handler needs its own stack, because the stack of the process may have overflowed.
     constexpr std::size_t stack_bytes = std::size_t{64} * 1024;
     static std::array<char, stack_bytes> stack;
     stack_t handler_stack{};
--- a/src/base/flight_recorder.hpp
+++ b/src/base/flight_recorder.hpp
@@ -1,7 +1,8 @@
-// The last events of the process, in a ring of fixed size that a fatal signal prints before the process ends.
+// Records the last events of the process in a ring buffer of fixed size. When a fatal signal ends the
+// process, its handler prints them first.
 //
-// Noting an event takes no lock and allocates nothing; printing uses only calls that are safe in a signal
-// handler. Only one thread may note events.
+// Recording an event takes no lock and allocates no memory; printing uses only async-signal-safe calls. Only
+// one thread may record events.
 #pragma once
 
 #include <cstddef>
@@ -11,15 +12,16 @@
 namespace irismux::flight_recorder {
 
 constexpr std::size_t max_events = 64;
-constexpr std::size_t max_text_bytes = 95;  ///< of an event; the rest is cut off
+/// Maximum length of an event's text; longer text is truncated.
+constexpr std::size_t max_text_bytes = 95;
 
-/// Notes an event by its name, an id and a further number.
+/// Records an event with its name, an id and one more number.
 void note(std::string_view event, std::uint64_t id, std::uint64_t detail = 0);
-/// Notes a log record.
+/// Records the text of a log record.
 void note(std::string_view record);
 
-/// Installs handlers of SIGSEGV, SIGBUS, SIGFPE, SIGILL and SIGABRT, which print the signal and the last
-/// events on standard error. The signal then has the effect that it had before.
+/// Installs handlers for SIGSEGV, SIGBUS, SIGFPE, SIGILL and SIGABRT, which print the signal and the last
+/// events on standard error. After that the signal's previous action is carried out.
 void report_fatal_signals();
 
 }  // namespace irismux::flight_recorder
--- a/src/base/json_reader.hpp
+++ b/src/base/json_reader.hpp
@@ -1,4 +1,4 @@
-// Reads fields of JSON objects. These functions throw ParseError with one line for an operator.
+// Reads fields of JSON objects. These functions throw ParseError with a one-line message for an operator.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -13,7 +13,7 @@
 
 using nlohmann::json;
 
-/// The input is not as it should be.
+/// The input is invalid.
 class ParseError : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
@@ -27,7 +27,7 @@
 
 [[noreturn]] inline void throw_parse_error(const std::string& message) { throw ParseError(message); }
 
-/// The field with that name, which must be there and not null.
+/// Returns the field `key`, which must exist and must not be null.
 inline const json& require(const json& object, const char* key) {
     if (!object.is_object()) throw_parse_error(std::string("expected an object that holds '") + key + "'");
     const auto it = object.find(key);
@@ -35,7 +35,7 @@
     return *it;
 }
 
-/// A boolean, a number or text that must be there.
+/// Returns a required field: a boolean, a number or a string.
 template <class T>
 T get(const json& object, const char* key) {
     const json& value = require(object, key);
@@ -52,26 +52,27 @@
     return value.get<T>();
 }
 
+/// Returns the field, or `fallback` if it is missing or null.
 template <class T>
 T get_or(const json& object, const char* key, T fallback) {
     const auto it = object.find(key);
     return it == object.end() || it->is_null() ? fallback : get<T>(object, key);
 }
 
-/// Seconds; zero if the field is not there.
+/// Returns a duration that is given in seconds; zero if the field is missing or null.
 inline Duration get_duration(const json& object, const char* key) {
     return Duration::seconds(get_or(object, key, 0.0));
 }
 
-/// An array that must be there.
+/// Returns a required array.
 inline const json& get_array(const json& object, const char* key) {
     const json& value = require(object, key);
     if (!value.is_array()) throw_parse_error(std::string("field '") + key + "' is not a list");
     return value;
 }
 
-/// The value with that name in a table.
-/// @param what what the text is, for the error message.
+/// Returns the value that `names` assigns to `text`.
+/// @param what describes the text in the error message.
 template <class T, std::size_t N>
 T parse_enum(const std::string& text, const char* what, const std::pair<const char*, T> (&names)[N]) {
     for (const auto& [name, value] : names)
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -29,7 +29,7 @@
     return levels[static_cast<std::size_t>(level)];
 }
 
-// One sink without a lock or a thread; each record is one write.
+// The logger has one sink, without locks or threads; each record is one write.
 spdlog::logger& logger() {
     static const std::unique_ptr<spdlog::logger> instance = [] {
         auto created =
@@ -57,11 +57,11 @@
         else
             value = field.text;
     }
-    // A field that is not UTF-8 does not cost the record.
+    // Invalid UTF-8 in a field is replaced, so that the record is still written.
     return record.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-// Without the level.
+// The line does not contain the level.
 std::string format_text(std::string_view event, std::initializer_list<Field> fields) {
     std::string line(event);
     for (const Field& field : fields) line.append(" ").append(field.name).append("=").append(field.text);
@@ -80,11 +80,12 @@
 
 // --- limits ----------------------------------------------------------------------------------------------
 
-// Counts the records of the present second, in all and per kind. A fault must neither fill a disk nor block
-// the event loop with writes.
+// Limits the records per second, in total and per kind (the name and the reason of an event), because a fault
+// must neither fill a disk nor block the event loop with writes.
 class RateLimit {
 public:
-    // Whether a record of that kind may be written now. Reports what was suppressed in the last second.
+    // Counts a record of that kind and returns whether it may be written now. Once a second has passed, also
+    // logs how many records were suppressed in it.
     [[nodiscard]] bool admit(std::string_view kind) {
         begin_second();
         Count& count = count_of(kind);
@@ -100,7 +101,7 @@
 private:
     static constexpr int max_records_per_second = 50;
     static constexpr int max_records_of_a_kind_per_second = 10;
-    static constexpr std::size_t max_kinds = 32;  // further ones are counted as "others"
+    static constexpr std::size_t max_kinds = 32;  // further kinds are counted together as "others"
 
     struct Count {
         int written = 0, suppressed = 0;
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -1,9 +1,10 @@
-// The log: events on standard error, by spdlog, as text or JSON.
+// Writes log events to standard error, through spdlog, as text or JSON.
 //
 // An event is a name in snake_case with named fields. Records that belong together have the same id in the
-// same field (`request_id`, `duty`, `cache`), in the logs of all processes. Records of error, warning and
-// info are limited per second, in all and per event, so that a flood of one event does not hide others; those
-// suppressed are counted by event. Each of them, suppressed or not, is also noted in the flight recorder.
+// same field (`request_id`, `duty`, `cache`), in the logs of all processes. Records of the levels error,
+// warning and info are limited per second, in total and per event, so that a flood of one event does not hide
+// others; suppressed records are counted per event. The flight recorder receives every record of these
+// levels, also the suppressed ones.
 #pragma once
 
 #include <concepts>
@@ -16,10 +17,10 @@
 enum class Level { error, warning, info, debug };
 enum class Format { text, json };
 
-/// Records above that level are not written. At the start: info.
+/// Sets the most verbose level that is written. The default is info.
 void set_level(Level highest);
 void set_format(Format format);
-/// The process named in JSON records, in the field `by`.
+/// Sets the process name that JSON records have in the field `by`.
 void set_process_name(std::string name);
 /// Whether records of that level are written.
 [[nodiscard]] bool is_enabled(Level level);
@@ -33,10 +34,12 @@
         : name(field_name), text(std::to_string(value)), is_number(true) {}
 };
 
-/// Writes a record. The limit per second counts events of one name, and of one `reason` if there is one.
+/// Writes an event. The limit per second applies to events of the same name and the same `reason`, if there
+/// is one.
 void event(Level level, std::string_view name, std::initializer_list<Field> fields);
 
-/// Writes a line of prose. The limit per second counts lines with the same text up to the first colon.
+/// Writes a line of free text. The limit per second applies to lines with the same text up to the first
+/// colon.
 void write(Level level, std::string_view text);
 
 }  // namespace irismux::log
--- a/src/gateway/configuration.hpp
+++ b/src/gateway/configuration.hpp
@@ -1,4 +1,4 @@
-// Where and as what a gateway serves: its configuration, read once.
+// The configuration of a gateway: its name, addresses, resource limits and deployment settings.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +21,8 @@
     DeploymentSettings settings;
 };
 
-// Throws std::runtime_error with one plain line; a TransientError where the file may be read before long.
+/// Throws TransientError if the file cannot be read at present but another attempt may succeed soon, and
+/// ParseError in all other cases. The message is one line.
 Configuration read_configuration(const std::string& path);
 
 }  // namespace irismux
--- a/src/gateway/deployment_reader.cpp
+++ b/src/gateway/deployment_reader.cpp
@@ -9,7 +9,7 @@
 namespace irismux {
 namespace {
 
-// The words of the settings, which are fixed, and the terms that they stand for.
+// These tables map the fixed names of the settings to enumerators.
 constexpr std::pair<const char*, Effect> effects[] = {
     {"repeatable", Effect::idempotent}, {"by_key", Effect::deduplicated}, {"once", Effect::non_idempotent}};
 constexpr std::pair<const char*, DedupScope> dedup_scopes[] = {
@@ -21,7 +21,7 @@
     {"hit", CacheStatusReporting::hits},
     {"all", CacheStatusReporting::all}};
 
-// The element of a list, or the default if there is no such list or element.
+// Returns an element of the list `key`, or the default if the list or the element does not exist.
 template <class T>
 T element_or(const json& object, const char* key, std::size_t index, T default_value) {
     const auto list = object.find(key);
@@ -29,7 +29,7 @@
     return (*list)[index].get<T>();
 }
 
-// The settings and the objects in them that are read from more than once.
+// The settings, and those objects in them that more than one function reads.
 struct Settings {
     explicit Settings(const json& settings)
         : all(settings),
@@ -86,7 +86,8 @@
     }
 }
 
-// The machine type at that position of the settings' list; none if the position lies outside of it.
+// Returns the machine type at a position of the settings' list, or std::nullopt if the position is out of
+// range.
 std::optional<MachineType> machine_type_at(const json& machine_types, std::int64_t position) {
     if (position < 0 || position >= static_cast<std::int64_t>(machine_types.size())) return std::nullopt;
     return MachineType{machine_types[static_cast<std::size_t>(position)].get<std::string>()};
--- a/src/gateway/deployment_reader.hpp
+++ b/src/gateway/deployment_reader.hpp
@@ -1,5 +1,5 @@
-// Reads the deployment's settings (JSON), as the gateway's configuration and the simulator both have them.
-// Their words are fixed and appear nowhere else.
+// Reads the deployment's settings (JSON), which the gateway's configuration and the simulator's input have in
+// the same form. The names in the JSON are fixed, and only this reader uses them.
 #pragma once
 
 #include <map>
@@ -12,10 +12,11 @@
 
 struct DeploymentSettings {
     Deployment deployment;
-    std::map<std::string, ObjectKindIndex> kind_indexes;  ///< by the kind's name
+    std::map<std::string, ObjectKindIndex> kind_indexes;  ///< by name of the kind
 };
 
-/// Throws std::runtime_error if a setting is missing, or not as it must be.
+/// Throws ParseError if a setting is missing or invalid, and nlohmann::json::exception if an element of a
+/// list has the wrong type.
 [[nodiscard]] DeploymentSettings read_deployment(const nlohmann::json& settings);
 
 }  // namespace irismux
--- a/src/gateway/endpoint_source.hpp
+++ b/src/gateway/endpoint_source.hpp
@@ -1,4 +1,4 @@
-// Where the endpoint list comes from: the registry if one is configured, else the notice board.
+// Provides the endpoint list: from the registry if one is configured, otherwise from the notice board.
 #pragma once
 
 #include <cstdint>
@@ -14,13 +14,13 @@
 
 namespace irismux {
 
-/// Receives the endpoint list of the source in force.
+/// Receives the endpoint list from the source that is in use.
 class EndpointListObserver {
 public:
     virtual ~EndpointListObserver() = default;
-    /// @param complete the records are the whole list, not only those that changed.
+    /// @param complete true if the records are the whole list, false if they are only the changed ones.
     virtual void on_endpoint_list(const std::vector<EndpointRecord>& records, bool complete) = 0;
-    /// The source is silent. The list known stays in force and ages.
+    /// The connection to the source is lost. The last list stays in use, but it is no longer updated.
     virtual void on_endpoint_source_lost(TimePoint now) = 0;
 };
 
@@ -34,13 +34,12 @@
     void open_registry();
     /// Connects to the registry.
     void start();
-    /// Follows the settings from now on. Without a registry the notice board's list counts from its next
-    /// notice.
+    /// Applies new settings. Without a registry, the notice board's list is used from its next notice on.
     void reload(const std::optional<registry::Settings>& settings);
-    /// The notice board's list. It is ignored while a registry is followed.
+    /// Passes the notice board's list on to the observer. Ignored while a registry is configured.
     void on_endpoint_notice(const std::vector<EndpointRecord>& records, bool complete);
 
-    /// Null without a registry.
+    /// Returns null if no registry is configured.
     [[nodiscard]] const registry::RegistryClient* registry() const { return registry_.get(); }
 
 private:
@@ -55,7 +54,7 @@
     std::uint64_t seed_;
     std::optional<registry::Settings> settings_;
     std::unique_ptr<registry::RegistryClient> registry_;
-    std::optional<StoredEndpointList> stored_list_;  // of registry_
+    std::optional<StoredEndpointList> stored_list_;  // stores the list of registry_
 };
 
 }  // namespace irismux
--- a/src/gateway/fleet_participation.cpp
+++ b/src/gateway/fleet_participation.cpp
@@ -58,7 +58,7 @@
     start();
 }
 
-// --- what the fleet is told --------------------------------------------------------------------------------
+// --- reports to the fleet ----------------------------------------------------------------------------------
 
 void FleetParticipation::on_endpoint_removed(const CacheId& cache) {
     if (client_) client_->on_endpoint_removed(cache);
@@ -92,7 +92,7 @@
     if (client_) client_->on_health_check_done(cache, passed);
 }
 
-// --- what the fleet asks for -------------------------------------------------------------------------------
+// --- calls from the fleet client ---------------------------------------------------------------------------
 
 bool FleetParticipation::HealthCheckScope::contains(const EndpointUpdate& endpoint) const {
     const bool is_local_edge_cache =
--- a/src/gateway/fleet_participation.hpp
+++ b/src/gateway/fleet_participation.hpp
@@ -1,5 +1,5 @@
-// This gateway as a member of the fleet: its client, what it tells the fleet of caches and notices, and the
-// health checks that it may run for others.
+// Makes this gateway a member of the fleet: owns the fleet client, reports endpoint state and the progress of
+// notice polls to the fleet, and runs the health checks that this gateway may run for other members.
 #pragma once
 
 #include <cstdint>
@@ -17,11 +17,11 @@
 
 namespace irismux {
 
-/// Without fleet settings every call does nothing.
+/// Without fleet settings no call has any effect.
 class FleetParticipation final : public EndpointHealthObserver, private fleet::GatewayCallbacks {
 public:
     /// All references must outlive this object. The dispatcher and the pool are not used before start(), so
-    /// that they may be built after it.
+    /// they may be constructed after this object.
     FleetParticipation(EventLoop& loop, EndpointTable& endpoints, RequestDispatcher& dispatcher,
                        CacheConnectionPool& cache_connections, const Configuration& configuration,
                        std::optional<fleet::Settings> settings);
@@ -30,23 +30,24 @@
     void open_client();
     /// Joins the fleet.
     void start();
-    /// Leaves the fleet for good: the process ends.
+    /// Leaves the fleet permanently, because the process is shutting down.
     void leave();
-    /// Follows the settings from now on. A new number of the configuration alone is announced; any other
-    /// change makes this gateway leave and join again.
+    /// Applies new settings. If only the number of the configuration has changed, the gateway announces the
+    /// new number; after any other change it leaves the fleet and joins again.
     void reload(const std::optional<fleet::Settings>& settings);
 
-    /// Whether fleet settings are in force.
+    /// Whether this gateway has fleet settings and thus a fleet client.
     [[nodiscard]] bool is_member() const { return client_ != nullptr; }
-    /// Failure: a new process decides without a notice that the fleet counts as in force here; stale copies
-    /// are served. So a site's member serves no request until the notice board has told all its notices, or
-    /// the process before it no longer counts.
+    /// Failure prevented: a new process routes requests without a notice (a purge, for example) that the
+    /// fleet already counts as in force at this gateway, and stale copies are served. Therefore a gateway
+    /// with a site serves no request until it has read all notices of the notice board, or until the fleet no
+    /// longer counts the gateway's previous process.
     [[nodiscard]] bool may_serve() const { return !client_ || client_->may_serve(); }
-    /// When to ask may_serve() again at the latest, while it is false.
+    /// The latest time at which to call may_serve() again. Call this only while may_serve() returns false.
     [[nodiscard]] TimePoint may_serve_from() const { return client_->serves_from(); }
 
     void on_endpoint_removed(const CacheId& cache);
-    // The progress of the notice board's polls, as NoticeObserver has it.
+    // Events of the polls of the notice board; see NoticeObserver.
     [[nodiscard]] bool wants_full_history() const;
     void on_poll_started(bool from_start);
     void on_poll_completed(std::int64_t newest, std::int64_t polled_from);
@@ -63,8 +64,8 @@
     void postpone_recovery_probe(const CacheId& cache, TimePoint not_before) override;
     void on_fleet_event(const fleet::FleetEvent& event) override;
 
-    // Which endpoints this gateway may check: edge caches of its location, and parents and the origin where
-    // it may send requests to them.
+    // The endpoints that this gateway may check: the edge caches of its location, and also the others, such
+    // as parents and the origin, if it may send requests to parents and the origin directly.
     struct HealthCheckScope {
         bool allowed = false;
         bool parents_and_origin = false;
@@ -83,8 +84,8 @@
     HealthCheckScope health_check_scope_;
     std::optional<fleet::Settings> settings_;
     std::unique_ptr<fleet::FleetClient> client_;
-    std::unique_ptr<fleet::FleetClient>
-        leaving_client_;  // keeps its connection until its last write is through
+    // The former client, kept after a reload so that its last write can complete on its connection.
+    std::unique_ptr<fleet::FleetClient> leaving_client_;
     ScopedTimer leave_timer_;
 };
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -35,7 +35,7 @@
       listener_start_(loop, server_, fleet_, configuration.name, configuration.listen),
       shutdown_(loop, dispatcher_, server_, cache_connections_, fleet_,
                 longest_deadline(configuration.settings.deployment)) {
-    // The notice board's list at the start serves until the registry has delivered its own.
+    // Until the registry has delivered its endpoint list, the gateway uses the one in the initial notices.
     notice_client_.load_known(configuration.initial_notices);
     endpoint_source_.open_registry();
     fleet_.open_client();
@@ -67,7 +67,8 @@
     endpoint_source_.on_endpoint_notice(records, complete);
 }
 
-// The table comes first: the router's attempts are checked against it when they are written.
+// Updates the table before the router, because the router's attempts are checked against the table when they
+// are written.
 void Gateway::on_endpoint_list(const std::vector<EndpointRecord>& records, bool complete) {
     endpoints_.apply(records, complete);
     std::vector<EndpointUpdate> updates;
@@ -86,7 +87,8 @@
     dispatcher_.on_purge(now, age, purge.group, purge.object);
 }
 
-// A member of a site may serve once the notice board has told all.
+// A member of a site may serve once it has read all notices of the notice board, so the listener is tried
+// again.
 void Gateway::on_poll_completed(std::int64_t newest, std::int64_t polled_from) {
     if (!fleet_.is_member()) return;
     fleet_.on_poll_completed(newest, polled_from);
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -1,5 +1,5 @@
-// One gateway: builds the parts, connects them, and starts, reloads and stops them in order. Each rule stands
-// in the part that it belongs to.
+// One gateway: constructs its components, connects them, and starts, reloads and stops them in order. The
+// rules are implemented in the components.
 #pragma once
 
 #include <cstdint>
@@ -26,20 +26,20 @@
     /// @param loop must outlive the gateway.
     Gateway(EventLoop& loop, const Configuration& configuration, const Parts& parts = {});
 
-    /// Connects to the notice board, the registry and the fleet, and opens the listener as soon as it can.
+    /// Connects to the notice board, the registry and the fleet, and opens the listener as soon as possible.
     void serve();
-    /// Why the listener could not be opened, once the loop has been stopped for it.
+    /// The reason why the listener could not be opened, if the event loop was stopped because of that.
     [[nodiscard]] const std::optional<ListenFailure>& start_failure() const {
         return listener_start_.failure();
     }
-    /// Answers what is pending, then stops the loop. A second call does nothing.
+    /// Answers the pending requests, then stops the event loop. A second call does nothing.
     void begin_shutdown();
-    /// The notice board's address, the registry and the fleet follow the new files; all else stays as it was
-    /// at the start. Ignored during the shutdown.
+    /// Applies the new address of the notice board and the new settings of the registry and the fleet. All
+    /// other settings stay as they were at the start. Ignored during a shutdown.
     void reload(const Configuration& configuration, const Parts& parts);
 
     [[nodiscard]] std::size_t pending_request_count() const { return dispatcher_.pending_request_count(); }
-    /// Null without a registry.
+    /// Returns null if no registry is configured.
     [[nodiscard]] const registry::RegistryClient* registry() const { return endpoint_source_.registry(); }
 
 private:
--- a/src/gateway/listener_start.cpp
+++ b/src/gateway/listener_start.cpp
@@ -42,7 +42,8 @@
     retry_timer_ = ScopedTimer(event_loop_, due, [this] { try_now(); });
 }
 
-// The process before this one may still hold the address, or descriptors may be short for a moment.
+// Retries, because the previous process may still hold the address, or descriptors may be exhausted for a
+// moment.
 void ListenerStart::on_listen_failed(const std::string& reason) {
     const TimePoint now = event_loop_.now();
     if (now >= give_up_at_) {
--- a/src/gateway/listener_start.hpp
+++ b/src/gateway/listener_start.hpp
@@ -1,4 +1,4 @@
-// Opens the listener for clients once the fleet permits it, and tries again while that fails for a moment.
+// Opens the listener for clients once the fleet permits it, and retries for a limited time if that fails.
 #pragma once
 
 #include <optional>
@@ -13,7 +13,7 @@
 /// The listener could not be opened in time, so the process ends.
 struct ListenFailure {
     std::string address;
-    std::string reason;  ///< what the system said the last time
+    std::string reason;  ///< the system's error message of the last attempt
 
     [[nodiscard]] std::string text() const { return "cannot listen on " + address + ": " + reason; }
 };
@@ -26,12 +26,14 @@
     ListenerStart(const ListenerStart&) = delete;
     ListenerStart& operator=(const ListenerStart&) = delete;
 
-    /// Begins to try. If no listener can be had for too long, the loop is stopped and failure() says why.
+    /// Starts trying to open the listener. If that fails for too long, stops the event loop and sets
+    /// failure().
     void start();
-    /// Tries now: the fleet may permit it by now.
+    /// Tries to open the listener now, since the fleet may permit it by now.
     void try_now();
-    /// Does not open the listener any more.
+    /// Stops trying to open the listener.
     void give_up();
+    /// The failure that made this object stop the event loop, if there was one.
     [[nodiscard]] const std::optional<ListenFailure>& failure() const { return failure_; }
 
 private:
--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -1,4 +1,4 @@
-// The command line of irismux: which command is meant, with which options.
+// The command line of irismux: defines the commands with their options, and runs the one that is given.
 #include <CLI/CLI.hpp>
 
 #include <functional>
@@ -23,7 +23,7 @@
     "IRISMUX_PARTS  path of the parts (TOML), where --parts does not name it\n"
     "IRISMUX_LOG    error, warning, info (the default) or debug; with \":json\" behind it, lines of JSON\n";
 
-// Runs the command with one part of a parts file. `table` is its name there.
+// Runs the command with the settings of one part in a parts file. `table` is the name of their table.
 template <class Settings, class Command>
 int with_part(const std::string& path, std::optional<Settings> Parts::*part, const std::string& table,
               Command command) {
@@ -43,7 +43,7 @@
     return with_part(path, &Parts::fleet, "fleet", command);
 }
 
-// Runs the command with the site that the file names, or with the whole fleet if it names none.
+// Runs the command for the site that the parts file names, or for the whole fleet if it names none.
 template <class Command>
 int with_site(const std::string& path, Command command) {
     return with_fleet(path, [&](fleet::Settings settings) {
@@ -84,13 +84,13 @@
     }
 
 private:
-    // A subcommand that, if it is given, is the one to run.
+    // Adds a subcommand. If it is given, `command` is run.
     CLI::App* add(CLI::App* parent, const char* name, const char* help, std::function<int()> command) {
         CLI::App* const subcommand = parent->add_subcommand(name, help);
         subcommand->callback([this, command = std::move(command)] { command_ = command; });
         return subcommand;
     }
-    // A group of subcommands, one of which must be given, for the parts named.
+    // Adds a group of subcommands, one of which must be given, that use a parts file.
     CLI::App* add_group(const char* name, const char* help) {
         CLI::App* const group = app_.add_subcommand(name, help);
         group->require_subcommand(1);
--- a/src/gateway/parts.cpp
+++ b/src/gateway/parts.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t max_registry_members = 16;
 constexpr std::int64_t max_page_records = 2'000, max_registry_records = 100'000;
 constexpr std::size_t max_sites = 1024;
-// Above this a double no longer holds every number; JSON readers use doubles.
+// Doubles do not represent all integers above this number, and JSON readers use doubles.
 constexpr std::int64_t max_configuration_number = std::int64_t{1} << 53;
 constexpr double min_clock_drift = 0.0001, max_clock_drift = 0.25;
 constexpr Duration min_reply_timeout = Duration::micros(1'000);
@@ -28,7 +28,7 @@
 constexpr Duration min_snapshot_max_age = Duration::micros(1'000'000);
 constexpr Duration min_term = Duration::micros(400'000);
 
-// Names are not resolved: that would block the one thread.
+// Host names are not accepted, because resolving them would block the only thread.
 bool is_numeric_address(const std::string& address) {
     if (address.find_first_not_of("0123456789abcdefABCDEF.:[]") != std::string::npos) return false;
     try {
@@ -95,7 +95,7 @@
     return fleet::Membership(settings.shared_config, {}).heartbeat_interval();
 }
 
-// Each site with its number of gateways.
+// Reads the number of gateways of each site.
 void read_site_inventory(const PartsSection& section, fleet::Settings& settings) {
     const toml::node* const node = section.find("sites");
     if (!node) return;
@@ -111,7 +111,7 @@
     }
 }
 
-// The gateway's own site, what it acknowledges there, and all sites.
+// Reads the gateway's own site, its settings for acknowledgements there, and the inventory of all sites.
 void read_sites(const PartsSection& section, fleet::Settings& settings) {
     if (section.find("site")) settings.site = fleet::SiteName{section.name_of("site")};
     if (settings.site.raw().find('/') != std::string::npos)
@@ -134,7 +134,7 @@
         section.fail(section.find("name"), "'name' must have no '/'");
 }
 
-// The two sets of records must not mix.
+// The prefix must keep the fleet's records apart from the registry's endpoint records.
 void read_fleet_prefix(const PartsSection& section, const std::optional<registry::Settings>& registry,
                        fleet::Settings& settings) {
     std::string& prefix = settings.registry.prefix;
@@ -169,7 +169,8 @@
     policy.backoff_base = std::min(policy.backoff_base, policy.backoff_cap);
 }
 
-// Two stores in one folder would be one store.
+// The fleet's store and the registry's store must not use the same folder, since both would use the same
+// file.
 void read_token_store(const PartsSection& section, const std::optional<registry::Settings>& registry,
                       fleet::Settings& settings) {
     std::string& folder = settings.token_store_folder;
@@ -208,7 +209,7 @@
     return settings;
 }
 
-// Null if the table is not there.
+// Returns null if the file does not have the table.
 const toml::table* find_table(const PartsSection& file, std::string_view name) {
     const toml::node* const node = file.find(name);
     if (!node) return nullptr;
@@ -241,7 +242,7 @@
     }
 }
 
-// An empty file has no parts.
+// An empty file is valid and enables no part.
 std::variant<Parts, PartsError> read_parts(const std::string& path) {
     const PartsError unreadable{path, 0, "cannot read"};
     std::ifstream file(path);
--- a/src/gateway/parts.hpp
+++ b/src/gateway/parts.hpp
@@ -1,8 +1,9 @@
-// The parts file: what a gateway has besides what its platform gives it. TOML, named at the start; without it
-// every part is off.
+// Reads the parts file (TOML): the settings of the optional parts of a gateway, which the platform's
+// configuration does not have. The path of the file is given at the start; without a file every part is
+// disabled.
 //
-// Durations are text with a unit ("250ms", "2s", "1min"). The file is used whole or not at all: an unknown
-// key, or a value of the wrong type or out of bounds, is an error.
+// Durations are strings with a unit ("250ms", "2s", "1min"). A file with any error is rejected as a whole; an
+// unknown key, or a value that has the wrong type or is out of bounds, is an error.
 #pragma once
 
 #include <cstddef>
@@ -16,24 +17,24 @@
 namespace irismux {
 
 struct Parts {
-    /// Where the endpoint list comes from, in place of the notice board.
+    /// The registry that provides the endpoint list in place of the notice board.
     std::optional<registry::Settings> registry;
-    /// Followed only if the command line names the file.
+    /// Applied only if the command line names the file.
     std::optional<fleet::Settings> fleet;
 };
 
-/// Why a parts file cannot be used.
+/// The reason why a parts file is rejected.
 struct PartsError {
     std::string file;
-    std::size_t line = 0;  ///< 0: the file cannot be read
-    std::string problem;   ///< names the key, and what would be right
+    std::size_t line = 0;  ///< 0 if the file cannot be read
+    std::string problem;   ///< names the key and the values that are allowed
 
-    /// One line for an operator.
+    /// Returns the error as one line for an operator.
     [[nodiscard]] std::string text() const;
 };
 
 [[nodiscard]] std::variant<Parts, PartsError> read_parts(const std::string& path);
-/// As if a file of that name held the text.
+/// Reads `text` as the content of a parts file with the name `file`.
 [[nodiscard]] std::variant<Parts, PartsError> read_parts_text(std::string_view text, const std::string& file);
 
 }  // namespace irismux
--- a/src/gateway/parts_section.cpp
+++ b/src/gateway/parts_section.cpp
@@ -28,7 +28,7 @@
     return row[b.size()];
 }
 
-// A number of at least 0 with one of the units "ms", "s" and "min".
+// Parses a non-negative number that is followed by one of the units "ms", "s" and "min".
 std::optional<Duration> parse_duration(std::string_view text) {
     double value = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
--- a/src/gateway/parts_section.hpp
+++ b/src/gateway/parts_section.hpp
@@ -1,5 +1,4 @@
-// One table of a parts file: reads its values, and says what is wrong with one in terms of file, line and
-// key.
+// Reads the values of one table of a parts file, and reports errors with their file, line and key.
 #pragma once
 
 #include <toml++/toml.h>
@@ -14,21 +13,22 @@
 
 namespace irismux {
 
-/// Every member function that reads throws PartsError if the value is missing or not as it must be. Without a
-/// default the key must be there.
+/// Every member function that reads a value throws PartsError if the value is invalid. Functions without a
+/// default also throw if the key is missing.
 class PartsSection {
 public:
     /// Throws PartsError if the table has a key that is not among `known_keys`.
-    /// @param file, table must outlive the section. @param name empty: the table is the whole file.
+    /// @param file, table must outlive the section.
+    /// @param name of the table; empty if the table is the whole file.
     PartsSection(const std::string& file, std::string name, const toml::table& table,
                  std::initializer_list<std::string_view> known_keys);
 
-    /// Throws the error with the line of the node; null: with the line of the table.
+    /// Throws PartsError with the line of the node, or with the line of the table if the node is null.
     [[noreturn]] void fail(const toml::node* node, const std::string& problem) const;
-    /// The name as it stands in the file, in brackets.
+    /// Returns the name of the table in brackets, as in the file.
     [[nodiscard]] std::string heading() const { return '[' + name_ + ']'; }
 
-    /// Null if the key is not there.
+    /// Returns null if the key is missing.
     [[nodiscard]] const toml::node* find(std::string_view key) const { return table_.get(key); }
     [[nodiscard]] const toml::node& require(std::string_view key) const;
     [[nodiscard]] std::string text(const toml::node& node, std::string_view key) const;
@@ -36,7 +36,7 @@
     [[nodiscard]] Duration duration_or(std::string_view key, Duration default_value, Duration min) const;
     [[nodiscard]] std::size_t count_or(std::string_view key, std::size_t default_value, std::int64_t min,
                                        std::int64_t max) const;
-    /// Text that names something: 1 to 128 visible ASCII characters without spaces.
+    /// Returns a name: a required string of 1 to 128 visible ASCII characters without spaces.
     [[nodiscard]] std::string name_of(std::string_view key) const;
 
 private:
--- a/src/gateway/process_signals.hpp
+++ b/src/gateway/process_signals.hpp
@@ -1,14 +1,15 @@
-// SIGTERM, SIGINT and SIGHUP, taken at a moment of the event loop's choice.
+// Delivers SIGTERM, SIGINT and SIGHUP only at the times that the event loop chooses.
 #pragma once
 
 #include <csignal>
 
 namespace irismux {
 
-/// Blocks the signals while it lives. One object a process.
+/// Blocks the signals during its lifetime. A process has at most one object of this class.
 ///
-/// Failure: POCO 1.11 computes the rest of an interrupted wait from the wall clock; if that is stepped back
-/// an hour, the loop stands still for an hour. So no signal may interrupt the wait.
+/// Failure prevented: POCO 1.11 computes the remaining time of an interrupted wait from the wall clock. If
+/// the wall clock is set back by an hour, the event loop waits for an hour. Therefore no signal may interrupt
+/// the wait.
 class ProcessSignals {
 public:
     ProcessSignals();
@@ -16,7 +17,7 @@
     ProcessSignals(const ProcessSignals&) = delete;
     ProcessSignals& operator=(const ProcessSignals&) = delete;
 
-    /// Handles the signals that have come.
+    /// Unblocks the signals for a moment, so that pending ones are handled.
     void deliver() const;
     /// Whether SIGTERM or SIGINT has been delivered.
     [[nodiscard]] bool shutdown_requested() const;
--- a/src/gateway/request_admission.cpp
+++ b/src/gateway/request_admission.cpp
@@ -19,8 +19,9 @@
     return effects_[kind.raw()] == Effect::non_idempotent;
 }
 
-// A connection has one open request for each client id; on other connections the id is free. The same request
-// again is refused while the first is open, and one with an effect for the longest deadline after its own.
+// A connection has at most one open request per client request id; other connections may use the same id. A
+// repeated request is refused while the first one is open. A repeated non-idempotent request is refused until
+// the longest deadline of any object kind has passed after the first one's own deadline.
 RequestHandler::Admission RequestAdmission::admit(const ClientStream& stream,
                                                   const ClientRequest& client_request, TimePoint now) {
     const std::pair open_id{stream.connection, client_request.client_request_id};
--- a/src/gateway/request_admission.hpp
+++ b/src/gateway/request_admission.hpp
@@ -1,5 +1,5 @@
-// Which client requests are admitted beside those that are open: the rules for ids that are used twice and
-// for requests that are sent twice. docs/architecture.md has the table of cases.
+// Decides whether a client request is admitted while others are open. Holds the rules for ids that are used
+// twice and for requests that are sent twice; docs/architecture.md has the table of cases.
 #pragma once
 
 #include <cstdint>
@@ -18,11 +18,13 @@
 public:
     explicit RequestAdmission(const Deployment& deployment);
 
-    /// Whether the request is run. It is remembered if it is; Request::id must be set.
+    /// Decides whether the request is run, and remembers it if it is accepted. Request::id must be set.
     [[nodiscard]] RequestHandler::Admission admit(const ClientStream& stream, const ClientRequest& request,
                                                   TimePoint now);
-    /// The request has its final response, or its client is gone: its id may be used again on its connection.
-    /// @param without_effect it was rejected without having run, so the same request may come again.
+    /// Must be called once the request has its final response or its client has disconnected. Its client
+    /// request id may then be used again on its connection.
+    /// @param without_effect true if the request was rejected without having run; the same request is then
+    /// accepted again.
     void release(const ActiveRequest& request, bool without_effect);
 
 private:
@@ -30,7 +32,7 @@
 
     std::vector<Effect> effects_;  // by ObjectKindIndex
     Duration longest_deadline_;
-    // Requests without a final response, by the client's connection and id.
+    // Requests without a final response, by client connection and client request id.
     std::map<std::pair<std::uint64_t, ClientRequestId>, RequestId> open_client_request_ids_;
     DuplicateRequestFilter duplicate_filter_;
 };
--- a/src/gateway/request_dispatcher.cpp
+++ b/src/gateway/request_dispatcher.cpp
@@ -7,7 +7,7 @@
 namespace irismux {
 namespace {
 
-// Marks the time of a call of the router, also of one that throws.
+// Sets a flag for the duration of a call to the router, also if the call throws.
 class RouterCallScope {
 public:
     explicit RouterCallScope(bool& in_call) : in_call_(in_call), was_in_call_(std::exchange(in_call, true)) {}
@@ -45,7 +45,7 @@
     return it == pending_requests_.end() ? nullptr : &it->second;
 }
 
-// --- requests: admission, the client, the deadline ---------------------------------------------------------
+// --- requests: admission, disconnected clients, deadlines --------------------------------------------------
 
 RequestHandler::Admission RequestDispatcher::on_client_request(const ClientStream& stream,
                                                                ClientRequest client_request) {
@@ -69,8 +69,9 @@
     return Admission::accepted;
 }
 
-// What is in flight goes on: the router decides whether to cancel it, and its result shows the cache's state.
-// An attempt that waits for a connection, or is to be moved to another one, is taken back and does not begin.
+// Attempts in flight continue: the router decides whether to cancel them, and their results show the state of
+// the cache. Attempts that wait for a connection, or are to be moved to another one, are withdrawn and do not
+// begin.
 void RequestDispatcher::on_client_closed(const ClientStream& stream) {
     const auto it = by_client_stream_.find(stream);
     if (it == by_client_stream_.end()) return;
@@ -81,9 +82,9 @@
     release(request, false);
     call_router(event_loop_.now(), &Router::on_client_closed, id);
     cache_connections_.withdraw_unstarted_attempts(request);
-    for (std::size_t n = 0; n < request.attempt_count(); ++n)
-        if (request.attempt(n).progress == TransmitProgress::not_connected)
-            end_attempt(request, n, {.outcome = Outcome::cancelled});
+    for (std::size_t index = 0; index < request.attempt_count(); ++index)
+        if (request.attempt(index).progress == TransmitProgress::not_connected)
+            end_attempt(request, index, {.outcome = Outcome::cancelled});
     erase_if_finished(id);
 }
 
@@ -91,14 +92,14 @@
     PendingRequest* const pending = find(id);
     if (!pending) return;
     ActiveRequest& request = *pending->active;
-    // The router gets the results of attempts before it learns that the deadline has passed.
+    // The results of attempts are reported to the router before the deadline is handled.
     if (request.has_unreported_result()) {
         event_loop_.schedule_now([this, id] { on_deadline(id); });
         return;
     }
     end_all_attempts(request, Outcome::deadline_exceeded);
-    // Failure: the router waits for something and the client gets no response. It shows as a request without
-    // response at its deadline; here every request that has none is failed.
+    // Failure prevented: the router waits for an event that does not occur, and the client gets no response.
+    // Such a request has no response at its deadline, so every request without one is failed here.
     if (request.fail()) {
         release(request, false);
         request_log::unanswered_at_deadline(request);
@@ -143,13 +144,13 @@
     if (!pending) return;
     ActiveRequest& request = *pending->active;
     const Duration timeout = attempt.plan ? attempt.plan->timeout : Duration{};
-    const std::size_t n = request.add_attempt(std::move(attempt));
-    request_log::attempt_started(id, n);
+    const std::size_t index = request.add_attempt(std::move(attempt));
+    request_log::attempt_started(id, index);
     const TimePoint times_out_at = event_loop_.now() + timeout;
     if (timeout > Duration{} && times_out_at < request.deadline())
-        pending->attempt_timers[n] =
-            ScopedTimer(event_loop_, times_out_at, [this, id, n] { on_attempt_timeout(id, n); });
-    cache_connections_.start_attempt(request, n);
+        pending->attempt_timers[index] =
+            ScopedTimer(event_loop_, times_out_at, [this, id, index] { on_attempt_timeout(id, index); });
+    cache_connections_.start_attempt(request, index);
 }
 
 bool RequestDispatcher::may_begin_attempt(ActiveRequest& request, std::size_t attempt) {
@@ -172,8 +173,8 @@
     erase_if_finished(id);
 }
 
-// Only clients that use an id again shortly after, or several at once, meet this. A first attempt has not
-// run, so the request is rejected without effect.
+// Occurs only if clients reuse an id after a short time or use it for several requests at once. The first
+// attempt of a request has not run in this case, so the request is rejected without effect.
 void RequestDispatcher::on_request_id_in_use(ActiveRequest& request, std::size_t attempt) {
     request_log::id_in_use_at_cache(request, attempt);
     if (attempt > 0) return on_attempt_ended(request, attempt, {.outcome = Outcome::overloaded});
@@ -181,14 +182,14 @@
     on_attempt_ended(request, attempt, {.outcome = Outcome::cancelled});
 }
 
-void RequestDispatcher::end_attempt(ActiveRequest& request, std::size_t n, const AttemptEnd& end) {
-    Attempt& attempt = request.attempt(n);
+void RequestDispatcher::end_attempt(ActiveRequest& request, std::size_t index, const AttemptEnd& end) {
+    Attempt& attempt = request.attempt(index);
     if (attempt.ended()) return;
     attempt.state = AttemptState::ended;
-    if (PendingRequest* const pending = find(request.id())) pending->attempt_timers.erase(n);
+    if (PendingRequest* const pending = find(request.id())) pending->attempt_timers.erase(index);
     if (end.outcome == Outcome::completed && request.respond(end)) release(request, false);
-    const AttemptResult result{request.id(),  AttemptIndex{n},   attempt.cache,
-                               end.outcome,   end.cache_status,  event_loop_.now() - attempt.decided_at,
+    const AttemptResult result{request.id(),  AttemptIndex{index}, attempt.cache,
+                               end.outcome,   end.cache_status,    event_loop_.now() - attempt.decided_at,
                                end.fill_wait, request.answered()};
     request_log::attempt_ended(request, result);
     if (!in_router_call_) return report_to_router(result);
@@ -200,10 +201,10 @@
 }
 
 void RequestDispatcher::end_all_attempts(ActiveRequest& request, Outcome outcome) {
-    for (std::size_t n = 0; n < request.attempt_count(); ++n) {
-        if (request.attempt(n).ended()) continue;
-        cache_connections_.cancel_attempt(request, n);
-        end_attempt(request, n, {.outcome = outcome});
+    for (std::size_t index = 0; index < request.attempt_count(); ++index) {
+        if (request.attempt(index).ended()) continue;
+        cache_connections_.cancel_attempt(request, index);
+        end_attempt(request, index, {.outcome = outcome});
     }
 }
 
@@ -220,7 +221,7 @@
     health_observer_.on_health_check_done(result.cache, result.outcome == Outcome::completed);
 }
 
-// --- what the router decides -------------------------------------------------------------------------------
+// --- RouterCallbacks: decisions of the router --------------------------------------------------------------
 
 void RequestDispatcher::start_direct_attempt(const RequestId& id, const CacheId& origin, Duration timeout) {
     AttemptPlan plan;
@@ -271,7 +272,7 @@
     health_observer_.on_ejection_changed(cache, false);
 }
 
-// --- what the router is told by other parts ----------------------------------------------------------------
+// --- events from other components --------------------------------------------------------------------------
 
 void RequestDispatcher::on_endpoint_updates(const std::vector<EndpointUpdate>& updates, bool complete) {
     call_router(event_loop_.now(), &Router::on_endpoint_updates, updates, complete);
--- a/src/gateway/request_dispatcher.hpp
+++ b/src/gateway/request_dispatcher.hpp
@@ -1,5 +1,5 @@
-// Takes each client request to the router and carries out what the router decides: attempts, their timeouts,
-// the deadline and the final response. All calls of the router are made here.
+// Passes each client request to the router and carries out the router's decisions: attempts, their timeouts,
+// the deadline and the final response. Only this class calls the router.
 #pragma once
 
 #include <cstdint>
@@ -18,34 +18,34 @@
 
 namespace irismux {
 
-/// Receives what the dispatcher learns of the health of caches.
+/// Receives events about the health of caches.
 class EndpointHealthObserver {
 public:
     virtual ~EndpointHealthObserver() = default;
     /// The router has ejected the endpoint, or readmitted it.
     virtual void on_ejection_changed(const CacheId& cache, bool ejected) = 0;
-    /// A health check that the pool was given has ended.
+    /// A health check of the cache connection pool has ended.
     virtual void on_health_check_done(const CacheId& cache, bool passed) = 0;
 };
 
 class RequestDispatcher final : public RequestHandler, public AttemptObserver, private RouterCallbacks {
 public:
     /// All references must outlive the dispatcher. The server and the pool are not used before the first
-    /// request, so that they may be built after it.
+    /// request, so they may be constructed after the dispatcher.
     RequestDispatcher(EventLoop& loop, FastCgiServer& server, CacheConnectionPool& cache_connections,
                       EndpointHealthObserver& health_observer, const Deployment& deployment,
                       std::uint64_t seed);
 
-    // What the router is told by the other parts of the gateway.
+    // Events from other components of the gateway, passed on to the router.
     void on_endpoint_updates(const std::vector<EndpointUpdate>& updates, bool complete);
     void on_endpoint_updates_lost(TimePoint now);
     void on_purge(TimePoint now, Duration age, PurgeGroupId group, const std::optional<ObjectName>& object);
     void postpone_recovery_probe(const CacheId& cache, TimePoint not_before);
 
-    /// From now on every request, also one that comes later, is answered by `deadline`.
+    /// Shortens the deadline of every pending request, and of every later one, to `deadline`.
     void begin_drain(TimePoint deadline);
     [[nodiscard]] std::size_t pending_request_count() const { return pending_requests_.size(); }
-    /// Whether a client still waits for its final response. Attempts may outlive it.
+    /// Whether any client still waits for its final response. Attempts may still be in flight after that.
     [[nodiscard]] bool has_unanswered_request() const;
 
     // RequestHandler
@@ -65,16 +65,16 @@
     void reject(const RequestId& id, Duration retry_after) override;
     void fail(const RequestId& id) override;
     void set_timer(TimerId timer, TimePoint due) override;
-    void subscribe_to_endpoints() override {}  // updates come from the start
+    void subscribe_to_endpoints() override {}  // updates are delivered without a subscription
     void on_endpoint_ejected(const CacheId& cache, EjectionReason reason) override;
     void on_endpoint_readmitted(const CacheId& cache) override;
 
     struct PendingRequest {
         std::shared_ptr<ActiveRequest> active;  // shared with the connections that carry its attempts
         ScopedTimer deadline_timer;
-        std::map<std::size_t, ScopedTimer> attempt_timers;  // by attempt, of those in flight
+        std::map<std::size_t, ScopedTimer> attempt_timers;  // by attempt index, for attempts in flight
     };
-    // Null if the request is over.
+    // Returns null if the request has been erased.
     PendingRequest* find(const RequestId& id);
 
     template <class Event, class... Arguments>
@@ -82,7 +82,7 @@
 
     void begin_attempt(const RequestId& id, Attempt attempt);
     void on_attempt_timeout(const RequestId& id, std::size_t attempt);
-    // Leaves the request in place, for callers that go on with it.
+    // Does not erase the request if it is finished, because callers continue to use it.
     void end_attempt(ActiveRequest& request, std::size_t attempt, const AttemptEnd& end);
     void end_all_attempts(ActiveRequest& request, Outcome outcome);
     void report_to_router(const AttemptResult& result);
--- a/src/gateway/request_log.hpp
+++ b/src/gateway/request_log.hpp
@@ -1,5 +1,5 @@
-// Log events and flight-recorder entries of single requests and attempts. Below `debug` a request that goes
-// well writes nothing.
+// Writes the log events and flight-recorder entries of individual requests and attempts. A successful request
+// is logged only at level `debug`.
 #pragma once
 
 #include "irismux/router.hpp"
@@ -13,14 +13,14 @@
 void attempt_ended(const ActiveRequest& request, const AttemptResult& result);
 void rejected(const ActiveRequest& request, Duration retry_after);
 void failed(const ActiveRequest& request);
-/// Has its final response, or none is needed any more.
+/// The request has its final response, or no longer needs one because its client has disconnected.
 void answered(const ActiveRequest& request);
-/// The router had given no final response at the deadline; the gateway did.
+/// The router had not given a final response by the deadline, so the gateway failed the request.
 void unanswered_at_deadline(const ActiveRequest& request);
-/// Every connection that could carry an attempt carries its id for another request.
+/// Every connection that could carry the attempt already uses the request's id for another request.
 void id_in_use_at_cache(const ActiveRequest& request, std::size_t attempt);
 
-/// The router passes the endpoint over from now on.
+/// The router no longer selects the endpoint until it is readmitted.
 void endpoint_ejected(const CacheId& cache, EjectionReason reason);
 void endpoint_readmitted(const CacheId& cache);
 
--- a/src/gateway/resource_limits.cpp
+++ b/src/gateway/resource_limits.cpp
@@ -5,11 +5,13 @@
 namespace irismux {
 namespace {
 
-// Clients that keep to the protocol hold a third of the descriptors; half leaves room for half as many again.
+// Clients that follow the protocol use a third of the descriptors; a half leaves room for 50% more.
 constexpr std::size_t client_descriptor_divisor = 2;
-// At most this part of the memory for requests of clients, and as much for responses not read yet.
+// Client requests may use at most 1 / request_memory_divisor of the memory, and responses that clients have
+// not read yet may use the same amount.
 constexpr std::size_t request_memory_divisor = 5;
-// For the listener, the notice board, the log, the poll set and the libraries.
+// File descriptors reserved for everything except client and cache connections: the listener, the notice
+// board, the log, the poll set and the libraries.
 constexpr std::size_t internal_descriptors = 24;
 
 std::size_t client_descriptors(const Configuration& configuration) {
@@ -29,8 +31,8 @@
     const std::size_t reserved = client_descriptors(configuration) + internal_descriptors;
     const std::size_t available =
         configuration.max_descriptors > reserved ? configuration.max_descriptors - reserved : 1;
-    // A cache closes idle connections after the same time: the gateway must be first, or an attempt could be
-    // written to a connection that is being closed.
+    // A cache closes idle connections after `connections.idle_timeout` too. The gateway must close them
+    // earlier; otherwise an attempt could be written to a connection that the cache is closing.
     const Duration idle_timeout =
         std::max(connections.idle_timeout - connections.connect_timeout, connections.connect_timeout);
     return {available,
--- a/src/gateway/resource_limits.hpp
+++ b/src/gateway/resource_limits.hpp
@@ -1,4 +1,4 @@
-// How the process's descriptors and memory are shared out between clients, caches and the program itself.
+// Divides the file descriptors and the memory of the process between clients, caches and the program itself.
 #pragma once
 
 #include "gateway/configuration.hpp"
@@ -7,9 +7,9 @@
 
 namespace irismux {
 
-/// The part of the clients' connections and requests.
+/// Returns the limits for client connections and requests.
 [[nodiscard]] FastCgiServerLimits client_limits(const Configuration& configuration);
-/// The part of the connections to caches, with the times that hold on them.
+/// Returns the limits and timeouts for connections to caches.
 [[nodiscard]] CacheConnectionLimits cache_limits(const Configuration& configuration);
 
 }  // namespace irismux
--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -22,16 +22,16 @@
 namespace irismux {
 namespace {
 
-// A step of the start that fails for a moment is tried again for so long, at this interval.
+// Longest time and interval for retrying a step of the start that has failed temporarily.
 constexpr std::chrono::milliseconds max_start_retry_time{8'000}, start_retry_interval{50};
 constexpr Duration signal_check_interval = Duration::micros(50'000);
-// A configuration that cannot be read for a moment is read again so many times, one each signal check.
+// Number of attempts to read a configuration that temporarily cannot be read; one attempt per signal check.
 constexpr int max_reload_attempts = 20;
-// Larger blocks are returned to the system when freed, so that a burst's buffers do not stay with the
-// process.
+// Larger blocks are returned to the system when they are freed, so that the process does not keep the memory
+// of a burst's buffers.
 constexpr int mmap_threshold_bytes = 64 * 1024, trim_threshold_bytes = 128 * 1024;
 
-// Logs what an event handler threw; only that handler ends.
+// Logs exceptions that leave an event handler. They end only that handler, not the event loop.
 class LoggingErrorHandler final : public Poco::ErrorHandler {
 public:
     void exception(const Poco::Exception& e) override { log_exception(e.displayText()); }
@@ -44,7 +44,8 @@
     }
 };
 
-// The value of IRISMUX_LOG: a level, with ":json" after it for records in JSON.
+// Applies the value of IRISMUX_LOG: a level, optionally followed by ":json" for records in JSON. Returns
+// false if the value is invalid.
 [[nodiscard]] bool set_log_level(std::string_view setting) {
     constexpr std::string_view json_suffix = ":json";
     if (setting.size() > json_suffix.size() && setting.ends_with(json_suffix)) {
@@ -65,11 +66,11 @@
 
 struct ConfigurationFiles {
     const char* configuration = nullptr;
-    std::string parts;                     // empty: none
-    bool parts_from_command_line = false;  // not from the environment
+    std::string parts;                     // empty if there is no parts file
+    bool parts_from_command_line = false;  // otherwise the path comes from the environment
 };
 
-// A fleet is joined only if the command line names the file.
+// Reads the parts file. Fleet settings are ignored unless the command line names the file.
 std::variant<Parts, PartsError> read_configured_parts(const ConfigurationFiles& files) {
     if (files.parts.empty()) return Parts{};
     auto read = read_parts(files.parts);
@@ -82,7 +83,7 @@
     return read;
 }
 
-// Carries out a step of the start again while it throws TransientError.
+// Retries a step of the start while it throws TransientError, for at most max_start_retry_time.
 template <class Step>
 auto retry_transient(Step step) {
     const auto give_up_at = std::chrono::steady_clock::now() + max_start_retry_time;
@@ -102,12 +103,12 @@
         try {
             loop.emplace();
         } catch (const Poco::Exception& e) {
-            throw TransientError("no loop can be made: " + e.displayText());
+            throw TransientError("cannot create the event loop: " + e.displayText());
         }
     });
 }
 
-// Passes signals on to the gateway, from a timer of the loop.
+// Checks for signals on a timer of the event loop and passes them on to the gateway.
 class SignalHandling {
 public:
     SignalHandling(EventLoop& loop, Gateway& gateway, const ConfigurationFiles& files,
@@ -124,7 +125,7 @@
     }
 
 private:
-    // A file that cannot be used changes nothing.
+    // If a file cannot be used, the running configuration stays unchanged.
     void try_reload() {
         --reload_attempts_;
         try {
@@ -147,7 +148,7 @@
     Gateway& gateway_;
     const ConfigurationFiles& files_;
     ProcessSignals& signals_;
-    int reload_attempts_ = 0;  // left
+    int reload_attempts_ = 0;  // remaining attempts; 0 if no reload is in progress
     ScopedTimer next_check_;
 };
 
--- a/src/gateway/serve.hpp
+++ b/src/gateway/serve.hpp
@@ -1,4 +1,4 @@
-// `irismux serve`: one gateway in the foreground, until SIGTERM.
+// Implements `irismux serve`, which runs one gateway in the foreground until SIGTERM or SIGINT.
 #pragma once
 
 #include <string>
@@ -6,12 +6,12 @@
 namespace irismux {
 
 /// Reads the environment and the files it names, and runs a gateway.
-/// @param parts_path as --parts names it; empty: as IRISMUX_PARTS does, if it is set.
+/// @param parts_path the value of --parts; if it is empty, IRISMUX_PARTS is used, if set.
 /// @return the exit code: 0 after a shutdown; 2 with one line on standard error if the start failed.
 [[nodiscard]] int serve(std::string parts_path);
 
-/// Prints the line on standard error as irismux's.
-/// @return the exit code of a command that cannot be carried out.
+/// Prints the line on standard error with the prefix "irismux: ".
+/// @return the exit code of a command that has failed.
 int exit_with_error(const std::string& line);
 
 }  // namespace irismux
--- a/src/gateway/shutdown.cpp
+++ b/src/gateway/shutdown.cpp
@@ -7,12 +7,12 @@
 namespace irismux {
 namespace {
 
-// From the platform's protocol: requests may come for so long after SIGTERM, and SIGKILL comes no sooner than
-// that time and the longest deadline after it, of which no more than `max_counted_deadline` counts.
+// By the platform's protocol, requests may arrive for `acceptance_period` after SIGTERM. SIGKILL is sent no
+// earlier than the longest deadline, of which at most `max_counted_deadline` counts, after that period.
 constexpr Duration acceptance_period = Duration::micros(700'000);
 constexpr Duration max_counted_deadline = Duration::micros(3'000'000);
-// This share of the acceptance period is kept for the end: the signal is seen up to 50 ms late, and clients
-// need up to 50 ms to see that their connection is closed.
+// Share of the acceptance period that is reserved for closing connections: the gateway handles the signal up
+// to 50 ms late, and clients need up to 50 ms to detect that their connection is closed.
 constexpr double closing_share = 0.35;
 constexpr Duration check_interval = Duration::micros(10'000);
 
@@ -28,8 +28,9 @@
       fleet_(fleet),
       longest_deadline_(longest_deadline) {}
 
-// Failure: SIGKILL finds requests without a response. It shows as clients whose connection ends before it.
-// Requests that came earlier with a later deadline are shortened too, so all are answered before it can come.
+// Failure prevented: SIGKILL arrives while requests have no response, and clients see their connection end
+// before the response. The deadlines of requests that are already pending are shortened too, so that all
+// requests are answered before SIGKILL can arrive.
 void Shutdown::begin() {
     if (state_ != State::none) return;
     state_ = State::draining;
@@ -56,8 +57,8 @@
 
 bool Shutdown::all_answered() const { return !dispatcher_.has_unanswered_request() && server_.drained(); }
 
-// The listener is closed first, and what it had accepted until then is answered too, before any connection is
-// closed.
+// The listener is closed first. Requests on the connections that it has accepted until then are answered too,
+// before any connection is closed.
 void Shutdown::finish_draining_if_due(TimePoint now) {
     if (now < accepts_until_) return;
     if (all_answered()) server_.stop_listening();
@@ -71,7 +72,7 @@
                {{"connections", server_.connection_count()}});
 }
 
-// Attempts whose clients are gone may still be in flight; nobody waits for their responses.
+// Attempts whose clients have disconnected may still be in flight; their responses are not needed.
 void Shutdown::finish_closing_if_due(TimePoint now) {
     if (server_.connection_count() > 0 && now < stop_at_) return;
     state_ = State::stopped;
--- a/src/gateway/shutdown.hpp
+++ b/src/gateway/shutdown.hpp
@@ -1,9 +1,8 @@
-// The end of the process after SIGTERM: which state it is in, when it goes on to the next, and what it waits
-// for.
+// Shuts the process down after SIGTERM. The states and the conditions of their transitions:
 //
-//   none -> draining     begin(): requests are still admitted and answered, by a deadline
-//   draining -> closing  nothing more can come and all is answered, or the last moment has come
-//   closing -> stopped   every client connection is closed, or the grace for that is over
+//   none -> draining     begin() is called; requests are still admitted, and are answered by a deadline
+//   draining -> closing  no more requests can arrive and all are answered, or the time to close has come
+//   closing -> stopped   all client connections are closed, or the grace period for that has ended
 #pragma once
 
 #include "gateway/fleet_participation.hpp"
@@ -18,11 +17,11 @@
 class Shutdown {
 public:
     /// All references must outlive this object.
-    /// @param longest_deadline of any object kind.
+    /// @param longest_deadline the longest deadline of any object kind.
     Shutdown(EventLoop& loop, RequestDispatcher& dispatcher, FastCgiServer& server,
              CacheConnectionPool& cache_connections, FleetParticipation& fleet, Duration longest_deadline);
 
-    /// Ignored once it has begun. Stops the loop when it is through.
+    /// Begins the shutdown, which stops the event loop when it is complete. Further calls do nothing.
     void begin();
     [[nodiscard]] bool has_begun() const { return state_ != State::none; }
 
@@ -42,10 +41,10 @@
     Duration longest_deadline_;
     State state_ = State::none;
     ScopedTimer check_timer_;
-    TimePoint accepts_until_;    // clients may send requests up to then
-    TimePoint answer_deadline_;  // of every request that is pending or comes while draining
-    TimePoint close_at_;         // connections are closed then, whatever is pending
-    TimePoint stop_at_;          // the loop stops then, whatever is open
+    TimePoint accepts_until_;    // clients may send requests until this time
+    TimePoint answer_deadline_;  // deadline of every request that is pending or arrives while draining
+    TimePoint close_at_;         // client connections are closed, even if requests are pending
+    TimePoint stop_at_;          // the event loop is stopped, even if connections are open
 };
 
 }  // namespace irismux
--- a/src/gateway/stored_endpoint_list.cpp
+++ b/src/gateway/stored_endpoint_list.cpp
@@ -9,11 +9,11 @@
 namespace {
 
 constexpr Duration write_interval = Duration::micros(2'000'000);
-// An unchanged list is written again after this share of the age up to which it may be read.
+// An unchanged list is written again after this share of the maximum age at which it may still be read.
 constexpr double rewrite_after_share_of_max_age = 0.25;
-// Address space of the store's file; only what is used takes memory or disk.
+// Address space that is reserved for the store's file. Only the used part takes memory or disk space.
 constexpr std::size_t max_store_bytes = 64 << 20;
-// The list's name in the store. Other versions of the program use it too.
+// Name of the list in the store. Other versions of the program use the same name.
 constexpr const char* stored_name = "registry list";
 
 }  // namespace
--- a/src/gateway/stored_endpoint_list.hpp
+++ b/src/gateway/stored_endpoint_list.hpp
@@ -1,5 +1,5 @@
-// The registry's endpoint list on disk. After a restart the gateway serves from it until the registry
-// answers.
+// Stores the registry's endpoint list on disk. After a restart the gateway uses the stored list until the
+// registry answers.
 #pragma once
 
 #include <optional>
@@ -14,17 +14,17 @@
 
 namespace irismux {
 
-/// Reads the list once and writes it from time to time. What fails is logged and costs the stored list only.
+/// Reads the list once and writes it periodically. Failures are logged and affect only the stored list.
 class StoredEndpointList {
 public:
-    /// Without a folder in the settings nothing is stored.
-    /// @param watch what is stored; must outlive this object.
+    /// Stores nothing if the settings name no folder.
+    /// @param watch has the list that is stored; must outlive this object.
     StoredEndpointList(EventLoop& loop, const registry::Settings& settings, const LocationId& location,
                        const registry::Watch& watch);
     StoredEndpointList(const StoredEndpointList&) = delete;
     StoredEndpointList& operator=(const StoredEndpointList&) = delete;
 
-    /// The list of an earlier process, if there is one that is complete and not too old.
+    /// Returns the list that an earlier process stored, if it is complete and not too old.
     [[nodiscard]] std::optional<registry::EndpointSnapshot> read() const;
 
 private:
@@ -33,7 +33,7 @@
 
     EventLoop& event_loop_;
     const registry::Watch& watch_;
-    std::string owner_;  // a list of another location or prefix is not read
+    std::string owner_;  // location and prefix; a list with another owner is not read
     Duration max_age_;
     std::optional<Store> store_;
     registry::Revision written_revision_;
