--- a/src/gateway/configuration.hpp
+++ b/src/gateway/configuration.hpp
@@ -16,7 +16,7 @@
     std::uint64_t seed = 0;
     std::size_t max_descriptors = 0;  ///< upper limit of open file descriptors of the process
     std::size_t memory_bytes = 0;     ///< memory that the process may use
-    /// Notices that the notice board had published when the configuration was written.
+    /// Notices that the notice board had published up to the start of the gateway.
     nlohmann::json initial_notices = nlohmann::json::object();
     DeploymentSettings settings;
 };
--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -18,10 +18,10 @@
 using namespace irismux;
 
 constexpr const char* footer =
-    "NODE_CONFIG    path of the configuration (JSON), needed to serve\n"
-    "NODE_LISTEN    address to listen on, in place of the configuration's\n"
-    "IRISMUX_PARTS  path of the parts (TOML), where --parts does not name it\n"
-    "IRISMUX_LOG    error, warning, info (the default) or debug; with \":json\" behind it, lines of JSON\n";
+    "NODE_CONFIG    path of the configuration (JSON), required to serve\n"
+    "NODE_LISTEN    address to listen on, overrides that of the configuration\n"
+    "IRISMUX_PARTS  path of the parts file (TOML), used if --parts is not given\n"
+    "IRISMUX_LOG    error, warning, info (the default) or debug; followed by \":json\" for JSON records\n";
 
 // Runs the command with the settings of one part in a parts file. `table` is the name of their table.
 template <class Settings, class Command>
@@ -55,7 +55,7 @@
 int check_parts(const std::string& path) {
     const auto parts = read_parts(path);
     if (const auto* error = std::get_if<PartsError>(&parts)) return exit_with_error(error->text());
-    std::cout << path << " can be used\n";
+    std::cout << path << " is valid\n";
     return 0;
 }
 
@@ -94,25 +94,26 @@
     CLI::App* add_group(const char* name, const char* help) {
         CLI::App* const group = app_.add_subcommand(name, help);
         group->require_subcommand(1);
-        group->add_option("--parts", parts_path_, "file of the parts, TOML")->required();
+        group->add_option("--parts", parts_path_, "path of the parts file (TOML)")->required();
         return group;
     }
 
     void add_serve() {
-        CLI::App* const command = add(&app_, "serve", "be a gateway (also without any argument)",
+        CLI::App* const command = add(&app_, "serve", "run a gateway (the default without a subcommand)",
                                       [this] { return serve(parts_path_); });
-        command->add_option("--parts", parts_path_, "file of the parts, TOML");
+        command->add_option("--parts", parts_path_, "path of the parts file (TOML)");
     }
     void add_check() {
-        CLI::App* const command = add(&app_, "check", "read a file of parts and say whether it can be used",
+        CLI::App* const command = add(&app_, "check", "check whether a parts file is valid",
                                       [this] { return check_parts(parts_path_); });
         command->add_option("file", parts_path_)->required();
     }
     void add_registry() {
-        CLI::App* const group = add_group("registry", "ask the key-value registry by hand");
-        add(group, "dump", "each record of the list, at one revision",
+        CLI::App* const group =
+            add_group("registry", "show and change the endpoint records in the key-value registry");
+        add(group, "dump", "print all records of the endpoint list, at one revision",
             [this] { return with_registry(parts_path_, cli::registry_dump); });
-        add(group, "watch", "the list, then each change as gateways hear it",
+        add(group, "watch", "print the endpoint list, then each change as gateways receive it",
             [this] { return with_registry(parts_path_, cli::registry_watch); });
         CLI::App* const put = add(group, "put", "write a record", [this] {
             return with_registry(parts_path_, [this](const registry::Settings& settings) {
@@ -128,16 +129,19 @@
         drain->add_option("id", cache_)->required();
     }
     void add_fleet() {
-        CLI::App* const group = add_group("fleet", "ask the fleet of gateways by hand");
-        add(group, "members", "who lives", [this] { return with_site(parts_path_, cli::fleet_members); });
-        add(group, "duties", "who owns what", [this] { return with_site(parts_path_, cli::fleet_duties); });
-        CLI::App* const release = add(group, "release", "have its owner leave a duty to others", [this] {
-            return with_site(parts_path_, [this](const fleet::Settings& settings) {
-                return cli::fleet_release(settings, duty_);
+        CLI::App* const group = add_group("fleet", "show and change the records of the fleet of gateways");
+        add(group, "members", "print the live members",
+            [this] { return with_site(parts_path_, cli::fleet_members); });
+        add(group, "duties", "print the duties and their owners",
+            [this] { return with_site(parts_path_, cli::fleet_duties); });
+        CLI::App* const release =
+            add(group, "release", "make the owner of a duty release it to other members", [this] {
+                return with_site(parts_path_, [this](const fleet::Settings& settings) {
+                    return cli::fleet_release(settings, duty_);
+                });
             });
-        });
         release->add_option("duty", duty_)->required();
-        CLI::App* const restore = add(group, "restore", "take a release back", [this] {
+        CLI::App* const restore = add(group, "restore", "withdraw a release", [this] {
             return with_site(parts_path_, [this](const fleet::Settings& settings) {
                 return cli::fleet_restore(settings, duty_);
             });
@@ -145,31 +149,35 @@
         restore->add_option("duty", duty_)->required();
         add_in_force(group);
         add_forget(group);
-        add(group, "new-generation", "the notice board has been restored: its numbers begin anew",
+        add(group, "new-generation",
+            "start a new generation of event numbers after the notice board has been restored",
             [this] { return with_fleet(parts_path_, cli::fleet_new_generation); });
     }
     void add_in_force(CLI::App* group) {
-        CLI::App* const command = add(group, "in-force", "whether an event is in force everywhere", [this] {
-            return with_fleet(parts_path_, [this](const fleet::Settings& settings) {
-                return cli::fleet_in_force(settings, in_force_);
+        CLI::App* const command = add(
+            group, "in-force", "check whether an event or a configuration is in force everywhere", [this] {
+                return with_fleet(parts_path_, [this](const fleet::Settings& settings) {
+                    return cli::fleet_in_force(settings, in_force_);
+                });
             });
-        });
-        command->add_option("--event", in_force_.event, "its number on the notice board");
-        command->add_option("--configuration", in_force_.configuration, "a configuration's number");
+        command->add_option("--event", in_force_.event, "number of the event on the notice board");
+        command->add_option("--configuration", in_force_.configuration, "number of the configuration");
         command->add_option("--board", in_force_.board, "address of the notice board");
-        command->add_option("--wait", in_force_.wait_s, "seconds until it is everywhere, at most");
+        command->add_option("--wait", in_force_.wait_s,
+                            "longest time to wait until it is in force everywhere, in seconds");
     }
     void add_forget(CLI::App* group) {
-        CLI::App* const command = add(group, "forget", "a gateway of a site that will not come back", [this] {
-            return with_fleet(parts_path_, [this](const fleet::Settings& settings) {
-                return cli::fleet_forget(settings, site_, member_);
+        CLI::App* const command =
+            add(group, "forget", "remove a permanently stopped gateway from its site", [this] {
+                return with_fleet(parts_path_, [this](const fleet::Settings& settings) {
+                    return cli::fleet_forget(settings, site_, member_);
+                });
             });
-        });
         command->add_option("site", site_)->required();
         command->add_option("name", member_)->required();
     }
 
-    CLI::App app_{"irismux, a lookup router for caches that fill from parent caches and an origin",
+    CLI::App app_{"irismux, a request router for caches that fill from parent caches and an origin",
                   "irismux"};
     std::string parts_path_, cache_, record_, duty_, site_, member_;
     cli::InForceQuery in_force_;
--- a/src/gateway/parts.cpp
+++ b/src/gateway/parts.cpp
@@ -50,7 +50,7 @@
         const std::string address = section.text(member, "members");
         if (!is_numeric_address(address))
             section.fail(&member,
-                         "'" + address + "' is not an address and port in figures, as in \"10.0.0.7:2379\"");
+                         "'" + address + "' is not a numeric address with a port, such as \"10.0.0.7:2379\"");
         settings.members.push_back(address);
     }
     settings.poll_policy.members = settings.members.size();
@@ -101,12 +101,13 @@
     if (!node) return;
     const toml::table* const sites = node->as_table();
     if (!sites || sites->size() > max_sites)
-        section.fail(node, "'sites' must name up to " + std::to_string(max_sites) +
-                               " sites, each with its number of gateways");
+        section.fail(node, "'sites' must be a table of up to " + std::to_string(max_sites) +
+                               " sites with the number of gateways of each");
     for (const auto& [name, value] : *sites) {
         const auto gateways = value.value_exact<std::int64_t>();
         if (!gateways || *gateways < 0 || *gateways > static_cast<std::int64_t>(fleet::max_roster_names))
-            section.fail(&value, "a site has 0 to " + std::to_string(fleet::max_roster_names) + " gateways");
+            section.fail(&value,
+                         "a site must have 0 to " + std::to_string(fleet::max_roster_names) + " gateways");
         settings.inventory[fleet::SiteName{std::string(name.str())}] = static_cast<std::size_t>(*gateways);
     }
 }
@@ -115,13 +116,13 @@
 void read_sites(const PartsSection& section, fleet::Settings& settings) {
     if (section.find("site")) settings.site = fleet::SiteName{section.name_of("site")};
     if (settings.site.raw().find('/') != std::string::npos)
-        section.fail(section.find("site"), "'site' must have no '/'");
+        section.fail(section.find("site"), "'site' must not contain '/'");
     const Duration heartbeat = heartbeat_interval(settings);
     settings.acknowledge_interval = section.duration_or(
         "acknowledge_every", std::min(settings.acknowledge_interval, heartbeat), min_acknowledge_interval);
     if (settings.acknowledge_interval > heartbeat)
         section.fail(section.find("acknowledge_every"),
-                     "'acknowledge_every' must be a quarter of 'term' at most");
+                     "'acknowledge_every' must be at most a quarter of 'term'");
     settings.configuration = fleet::ConfigurationNumber{
         static_cast<std::int64_t>(section.count_or("configuration", 0, 1, max_configuration_number))};
     read_site_inventory(section, settings);
@@ -131,7 +132,7 @@
     settings.shared_config.installation = section.name_of("installation");
     if (section.find("name")) settings.name = fleet::MemberName{section.name_of("name")};
     if (settings.name.raw().find('/') != std::string::npos)
-        section.fail(section.find("name"), "'name' must have no '/'");
+        section.fail(section.find("name"), "'name' must not contain '/'");
 }
 
 // The prefix must keep the fleet's records apart from the registry's endpoint records.
@@ -142,7 +143,7 @@
     if (prefix.back() != '/') section.fail(section.find("prefix"), "'prefix' must end with '/'");
     if (registry && (starts_with(prefix, registry->prefix) || starts_with(registry->prefix, prefix)))
         section.fail(section.find("prefix"),
-                     "'prefix' must lie apart from that of [registry], '" + registry->prefix + "'");
+                     "'prefix' must not overlap with the prefix of [registry], '" + registry->prefix + "'");
 }
 
 void read_shared_config(const PartsSection& section, fleet::SharedConfig& shared) {
@@ -151,8 +152,9 @@
     if (!node) return;
     const auto drift = node->value<double>();
     if (!drift || *drift < min_clock_drift || *drift > max_clock_drift)
-        section.fail(node,
-                     "'drift' must be a share from 0.0001 to 0.25: how far the rate of a clock may be off");
+        section.fail(
+            node,
+            "'drift' must be a number from 0.0001 to 0.25: the largest relative error of a clock's rate");
     shared.drift = *drift;
 }
 
@@ -163,7 +165,7 @@
         section.duration_or("answer_in", std::min(policy.reply_timeout, heartbeat), min_reply_timeout);
     if (policy.reply_timeout > heartbeat)
         section.fail(section.find("answer_in"),
-                     "'answer_in' must be a quarter of 'term' at most: signs of life would be late");
+                     "'answer_in' must be at most a quarter of 'term': otherwise heartbeats would be late");
     policy.watch_timeout = section.duration_or("quiet", policy.watch_timeout, min_interval);
     policy.backoff_cap = std::min(policy.backoff_cap, settings.shared_config.term);
     policy.backoff_base = std::min(policy.backoff_base, policy.backoff_cap);
@@ -179,8 +181,7 @@
     if (!registry || folder.empty()) return;
     const std::string& other = registry->snapshot_folder;
     if (starts_with(other, folder) && other.find_first_not_of('/', folder.size()) == std::string::npos)
-        section.fail(section.find("keep_in"),
-                     "'keep_in' must be a folder of its own, not that of [registry]");
+        section.fail(section.find("keep_in"), "'keep_in' must not be the folder of 'keep_in' in [registry]");
 }
 
 fleet::Settings read_fleet(const std::string& file, const toml::table& table,
--- a/src/gateway/parts_section.cpp
+++ b/src/gateway/parts_section.cpp
@@ -75,7 +75,7 @@
 
 std::string PartsSection::text(const toml::node& node, std::string_view key) const {
     const auto value = node.value_exact<std::string>();
-    if (!value) fail(&node, quoted(key) + " must be text in quotes");
+    if (!value) fail(&node, quoted(key) + " must be a string in quotes");
     return *value;
 }
 
@@ -113,7 +113,7 @@
     const bool has_invisible =
         std::any_of(value.begin(), value.end(), [](unsigned char c) { return c <= ' ' || c > '~'; });
     if (value.empty() || value.size() > max_name_length || has_invisible)
-        fail(find(key), quoted(key) + " must be 1 to 128 letters without spaces");
+        fail(find(key), quoted(key) + " must be 1 to 128 visible ASCII characters without spaces");
     return value;
 }
 
--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -177,11 +177,12 @@
 int serve(std::string parts_path) {
     if (const char* level = std::getenv("IRISMUX_LOG"); level && !set_log_level(level))
         return exit_with_error(std::string("IRISMUX_LOG is '") + level +
-                               "', not error, warning, info or debug, with or without :json");
+                               "'; it must be error, warning, info or debug, optionally followed by :json");
     const bool from_command_line = !parts_path.empty();
     if (const char* path = std::getenv("IRISMUX_PARTS"); path && !from_command_line) parts_path = path;
     const ConfigurationFiles files{std::getenv("NODE_CONFIG"), std::move(parts_path), from_command_line};
-    if (!files.configuration) return exit_with_error("NODE_CONFIG does not name a configuration");
+    if (!files.configuration)
+        return exit_with_error("NODE_CONFIG is not set; it must name a configuration file");
     const auto parts = read_configured_parts(files);
     if (const auto* error = std::get_if<PartsError>(&parts)) return exit_with_error(error->text());
     mallopt(M_MMAP_THRESHOLD, mmap_threshold_bytes);
--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -61,9 +61,9 @@
         {with("page = 100", "page = 0"), "p.toml:7: 'page' must be a whole number from 1 to 2000"},
         {with("page = 100", "page = \"100\""), "p.toml:7: 'page' must be a whole number from 1 to 2000"},
         {with("10.0.0.2:2379", "registry.example:2379"),
-         "p.toml:2: 'registry.example:2379' is not an address and port in figures, as in \"10.0.0.7:2379\""},
+         "p.toml:2: 'registry.example:2379' is not a numeric address with a port, such as \"10.0.0.7:2379\""},
         {with("10.0.0.2:2379", "10.0.0.2"),
-         "p.toml:2: '10.0.0.2' is not an address and port in figures, as in \"10.0.0.7:2379\""},
+         "p.toml:2: '10.0.0.2' is not a numeric address with a port, such as \"10.0.0.7:2379\""},
         {with("\"/caches/\"", "\"\""),
          "p.toml:3: 'prefix' must not be empty: the whole registry would be read"},
         {with("prefix", "#prefix"), "p.toml:1: [registry] needs 'prefix'"},
@@ -99,14 +99,15 @@
         {good + "[fleet]\nprefix = \"/f/\"\n", "p.toml:8: [fleet] needs 'installation'"},
         {good + fleet + "term = \"100ms\"\n", "p.toml:11: 'term' must be 400ms or more"},
         {good + fleet + "drift = 0.5\n",
-         "p.toml:11: 'drift' must be a share from 0.0001 to 0.25: how far the rate of a clock may be off"},
+         "p.toml:11: 'drift' must be a number from 0.0001 to 0.25: the largest relative error of a clock's "
+         "rate"},
         {good + fleet + "term = \"2s\"\nanswer_in = \"600ms\"\n",
-         "p.toml:12: 'answer_in' must be a quarter of 'term' at most: signs of life would be late"},
-        {good + fleet + "name = \"a/b\"\n", "p.toml:11: 'name' must have no '/'"},
+         "p.toml:12: 'answer_in' must be at most a quarter of 'term': otherwise heartbeats would be late"},
+        {good + fleet + "name = \"a/b\"\n", "p.toml:11: 'name' must not contain '/'"},
         {good + "[fleet]\ninstallation = \"n\"\nprefix = \"/caches/fleet/\"\n",
-         "p.toml:10: 'prefix' must lie apart from that of [registry], '/caches/'"},
+         "p.toml:10: 'prefix' must not overlap with the prefix of [registry], '/caches/'"},
         {good + "keep_in = \"/k\"\n" + fleet + "keep_in = \"/k\"\n",
-         "p.toml:12: 'keep_in' must be a folder of its own, not that of [registry]"},
+         "p.toml:12: 'keep_in' must not be the folder of 'keep_in' in [registry]"},
     };
     for (const auto& [text, line] : mistakes) EXPECT_EQ(error_of(text), line);
 }
--- a/tests/wire_names_test.cpp
+++ b/tests/wire_names_test.cpp
@@ -111,11 +111,11 @@
         EXPECT_EQ(said.text, "irismux: " + line + '\n');
         EXPECT_EQ(said.status, 2 << 8);
     };
-    expect({}, "NODE_CONFIG does not name a configuration");
+    expect({}, "NODE_CONFIG is not set; it must name a configuration file");
     expect({"NODE_CONFIG=/no/such"}, "cannot read the configuration /no/such: No such file or directory");
     expect({"NODE_CONFIG=/no/such", "IRISMUX_PARTS=/no/parts"}, "cannot read /no/parts");
     expect({"IRISMUX_LOG=loud"},
-           "IRISMUX_LOG is 'loud', not error, warning, info or debug, with or without :json");
+           "IRISMUX_LOG is 'loud'; it must be error, warning, info or debug, optionally followed by :json");
 }
 
 // --- FastCGI, RESP, HTTP: whole messages
