--- a/src/base/json_reader.hpp
+++ b/src/base/json_reader.hpp
@@ -47,7 +47,7 @@
     } else if constexpr (std::is_arithmetic_v<T>) {
         if (!value.is_number()) fail("is not a number");
     } else if (!value.is_string()) {
-        fail("is not text");
+        fail("is not a string");
     }
     return value.get<T>();
 }
