--- a/src/gateway/parts.cpp
+++ b/src/gateway/parts.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t max_registry_members = 16;
 constexpr std::int64_t max_page_records = 2'000, max_registry_records = 100'000;
 constexpr std::size_t max_sites = 1024;
-// Above this a double no longer holds every number; JSON readers use doubles.
+// Doubles do not represent all integers above this number, and JSON readers use doubles.
 constexpr std::int64_t max_configuration_number = std::int64_t{1} << 53;
 constexpr double min_clock_drift = 0.0001, max_clock_drift = 0.25;
 constexpr Duration min_reply_timeout = Duration::micros(1'000);
@@ -28,7 +28,7 @@
 constexpr Duration min_snapshot_max_age = Duration::micros(1'000'000);
 constexpr Duration min_term = Duration::micros(400'000);
 
-// Names are not resolved: that would block the one thread.
+// Host names are not accepted, because resolving them would block the only thread.
 bool is_numeric_address(const std::string& address) {
     if (address.find_first_not_of("0123456789abcdefABCDEF.:[]") != std::string::npos) return false;
     try {
@@ -50,7 +50,7 @@
         const std::string address = section.text(member, "members");
         if (!is_numeric_address(address))
             section.fail(&member,
-                         "'" + address + "' is not an address and port in figures, as in \"10.0.0.7:2379\"");
+                         "'" + address + "' is not a numeric address with a port, such as \"10.0.0.7:2379\"");
         settings.members.push_back(address);
     }
     settings.poll_policy.members = settings.members.size();
@@ -95,33 +95,34 @@
     return fleet::Membership(settings.shared_config, {}).heartbeat_interval();
 }
 
-// Each site with its number of gateways.
+// Reads the number of gateways of each site.
 void read_site_inventory(const PartsSection& section, fleet::Settings& settings) {
     const toml::node* const node = section.find("sites");
     if (!node) return;
     const toml::table* const sites = node->as_table();
     if (!sites || sites->size() > max_sites)
-        section.fail(node, "'sites' must name up to " + std::to_string(max_sites) +
-                               " sites, each with its number of gateways");
+        section.fail(node, "'sites' must be a table of up to " + std::to_string(max_sites) +
+                               " sites with the number of gateways of each");
     for (const auto& [name, value] : *sites) {
         const auto gateways = value.value_exact<std::int64_t>();
         if (!gateways || *gateways < 0 || *gateways > static_cast<std::int64_t>(fleet::max_roster_names))
-            section.fail(&value, "a site has 0 to " + std::to_string(fleet::max_roster_names) + " gateways");
+            section.fail(&value,
+                         "a site must have 0 to " + std::to_string(fleet::max_roster_names) + " gateways");
         settings.inventory[fleet::SiteName{std::string(name.str())}] = static_cast<std::size_t>(*gateways);
     }
 }
 
-// The gateway's own site, what it acknowledges there, and all sites.
+// Reads the gateway's own site, its settings for acknowledgements there, and the inventory of all sites.
 void read_sites(const PartsSection& section, fleet::Settings& settings) {
     if (section.find("site")) settings.site = fleet::SiteName{section.name_of("site")};
     if (settings.site.raw().find('/') != std::string::npos)
-        section.fail(section.find("site"), "'site' must have no '/'");
+        section.fail(section.find("site"), "'site' must not contain '/'");
     const Duration heartbeat = heartbeat_interval(settings);
     settings.acknowledge_interval = section.duration_or(
         "acknowledge_every", std::min(settings.acknowledge_interval, heartbeat), min_acknowledge_interval);
     if (settings.acknowledge_interval > heartbeat)
         section.fail(section.find("acknowledge_every"),
-                     "'acknowledge_every' must be a quarter of 'term' at most");
+                     "'acknowledge_every' must be at most a quarter of 'term'");
     settings.configuration = fleet::ConfigurationNumber{
         static_cast<std::int64_t>(section.count_or("configuration", 0, 1, max_configuration_number))};
     read_site_inventory(section, settings);
@@ -131,10 +132,10 @@
     settings.shared_config.installation = section.name_of("installation");
     if (section.find("name")) settings.name = fleet::MemberName{section.name_of("name")};
     if (settings.name.raw().find('/') != std::string::npos)
-        section.fail(section.find("name"), "'name' must have no '/'");
+        section.fail(section.find("name"), "'name' must not contain '/'");
 }
 
-// The two sets of records must not mix.
+// The prefix must keep the fleet's records apart from the registry's endpoint records.
 void read_fleet_prefix(const PartsSection& section, const std::optional<registry::Settings>& registry,
                        fleet::Settings& settings) {
     std::string& prefix = settings.registry.prefix;
@@ -142,7 +143,7 @@
     if (prefix.back() != '/') section.fail(section.find("prefix"), "'prefix' must end with '/'");
     if (registry && (starts_with(prefix, registry->prefix) || starts_with(registry->prefix, prefix)))
         section.fail(section.find("prefix"),
-                     "'prefix' must lie apart from that of [registry], '" + registry->prefix + "'");
+                     "'prefix' must not overlap with the prefix of [registry], '" + registry->prefix + "'");
 }
 
 void read_shared_config(const PartsSection& section, fleet::SharedConfig& shared) {
@@ -151,8 +152,9 @@
     if (!node) return;
     const auto drift = node->value<double>();
     if (!drift || *drift < min_clock_drift || *drift > max_clock_drift)
-        section.fail(node,
-                     "'drift' must be a share from 0.0001 to 0.25: how far the rate of a clock may be off");
+        section.fail(
+            node,
+            "'drift' must be a number from 0.0001 to 0.25: the largest relative error of a clock's rate");
     shared.drift = *drift;
 }
 
@@ -163,13 +165,14 @@
         section.duration_or("answer_in", std::min(policy.reply_timeout, heartbeat), min_reply_timeout);
     if (policy.reply_timeout > heartbeat)
         section.fail(section.find("answer_in"),
-                     "'answer_in' must be a quarter of 'term' at most: signs of life would be late");
+                     "'answer_in' must be at most a quarter of 'term': otherwise heartbeats would be late");
     policy.watch_timeout = section.duration_or("quiet", policy.watch_timeout, min_interval);
     policy.backoff_cap = std::min(policy.backoff_cap, settings.shared_config.term);
     policy.backoff_base = std::min(policy.backoff_base, policy.backoff_cap);
 }
 
-// Two stores in one folder would be one store.
+// The fleet's store and the registry's store must not use the same folder, since both would use the same
+// file.
 void read_token_store(const PartsSection& section, const std::optional<registry::Settings>& registry,
                       fleet::Settings& settings) {
     std::string& folder = settings.token_store_folder;
@@ -178,8 +181,7 @@
     if (!registry || folder.empty()) return;
     const std::string& other = registry->snapshot_folder;
     if (starts_with(other, folder) && other.find_first_not_of('/', folder.size()) == std::string::npos)
-        section.fail(section.find("keep_in"),
-                     "'keep_in' must be a folder of its own, not that of [registry]");
+        section.fail(section.find("keep_in"), "'keep_in' must not be the folder of 'keep_in' in [registry]");
 }
 
 fleet::Settings read_fleet(const std::string& file, const toml::table& table,
@@ -208,7 +210,7 @@
     return settings;
 }
 
-// Null if the table is not there.
+// Returns null if the file does not have the table.
 const toml::table* find_table(const PartsSection& file, std::string_view name) {
     const toml::node* const node = file.find(name);
     if (!node) return nullptr;
@@ -241,7 +243,7 @@
     }
 }
 
-// An empty file has no parts.
+// An empty file is valid and enables no part.
 std::variant<Parts, PartsError> read_parts(const std::string& path) {
     const PartsError unreadable{path, 0, "cannot read"};
     std::ifstream file(path);
--- a/src/gateway/request_admission.cpp
+++ b/src/gateway/request_admission.cpp
@@ -15,12 +15,13 @@
     for (const ObjectKind& kind : deployment.kinds) effects_.push_back(kind.effect);
 }
 
-bool RequestAdmission::has_effect(ObjectKindIndex kind) const {
+bool RequestAdmission::is_non_idempotent(ObjectKindIndex kind) const {
     return effects_[kind.raw()] == Effect::non_idempotent;
 }
 
-// A connection has one open request for each client id; on other connections the id is free. The same request
-// again is refused while the first is open, and one with an effect for the longest deadline after its own.
+// A connection has at most one open request per client request id; other connections may use the same id. A
+// repeated request is refused while the first one is open. A repeated non-idempotent request is refused until
+// the longest deadline of any object kind has passed after the first one's own deadline.
 RequestHandler::Admission RequestAdmission::admit(const ClientStream& stream,
                                                   const ClientRequest& client_request, TimePoint now) {
     const std::pair open_id{stream.connection, client_request.client_request_id};
@@ -29,7 +30,8 @@
     const RequestFingerprint fingerprint{client_request.client_request_id, client_request.kind_name,
                                          request.object.raw(), client_request.object_part,
                                          client_request.body};
-    const Duration remembered_after_deadline = has_effect(request.kind) ? longest_deadline_ : Duration{};
+    const Duration remembered_after_deadline =
+        is_non_idempotent(request.kind) ? longest_deadline_ : Duration{};
     if (!duplicate_filter_.accept(fingerprint, request.id, request.deadline + remembered_after_deadline, now))
         return RequestHandler::Admission::duplicate;
     open_client_request_ids_[open_id] = request.id;
@@ -41,7 +43,7 @@
         open_client_request_ids_.find({request.client_stream().connection, request.client_request_id()});
     if (open != open_client_request_ids_.end() && open->second == request.id())
         open_client_request_ids_.erase(open);
-    if (without_effect || !has_effect(request.client_request().request.kind))
+    if (without_effect || !is_non_idempotent(request.client_request().request.kind))
         duplicate_filter_.forget_request(request.id());
 }
 
--- a/tests/wire_names_test.cpp
+++ b/tests/wire_names_test.cpp
@@ -111,11 +111,11 @@
         EXPECT_EQ(said.text, "irismux: " + line + '\n');
         EXPECT_EQ(said.status, 2 << 8);
     };
-    expect({}, "NODE_CONFIG does not name a configuration");
+    expect({}, "NODE_CONFIG is not set; it must name a configuration file");
     expect({"NODE_CONFIG=/no/such"}, "cannot read the configuration /no/such: No such file or directory");
     expect({"NODE_CONFIG=/no/such", "IRISMUX_PARTS=/no/parts"}, "cannot read /no/parts");
     expect({"IRISMUX_LOG=loud"},
-           "IRISMUX_LOG is 'loud', not error, warning, info or debug, with or without :json");
+           "IRISMUX_LOG is 'loud'; it must be error, warning, info or debug, optionally followed by :json");
 }
 
 // --- FastCGI, RESP, HTTP: whole messages
@@ -398,9 +398,9 @@
     EXPECT_EQ(c.listen, "127.0.0.1:7100");
     EXPECT_EQ(c.notice_board, "127.0.0.1:7190");
     EXPECT_EQ(c.seed, 0x1fu);
-    EXPECT_EQ(c.descriptors, 1024u);
-    EXPECT_EQ(c.memory, std::size_t{192} << 20);
-    EXPECT_EQ(c.known, (json{{"rev", 1}, {"notices", json::array()}}));
+    EXPECT_EQ(c.max_descriptors, 1024u);
+    EXPECT_EQ(c.memory_bytes, std::size_t{192} << 20);
+    EXPECT_EQ(c.initial_notices, (json{{"rev", 1}, {"notices", json::array()}}));
     EXPECT_EQ(
         c.settings.kind_indexes,
         (std::map<std::string, ObjectKindIndex>{
