--- a/bench/scale/control_channel.cpp
+++ b/bench/scale/control_channel.cpp
@@ -13,7 +13,7 @@
             const std::size_t end = all.find('\n');
             if (end == std::string_view::npos) return;
             const auto message = nlohmann::json::parse(all.substr(0, end), nullptr, false);
-            in.consumed(end + 1);
+            in.consume(end + 1);
             if (!message.is_discarded()) heard(message);
         }
     };
--- a/example/stub_cache.cpp
+++ b/example/stub_cache.cpp
@@ -30,7 +30,7 @@
 
 void send_all(StreamSocket& to, Buffer& out) {
     while (!out.empty())
-        out.consumed(static_cast<std::size_t>(to.sendBytes(out.view().data(), static_cast<int>(out.size()))));
+        out.consume(static_cast<std::size_t>(to.sendBytes(out.view().data(), static_cast<int>(out.size()))));
 }
 
 bool receive(StreamSocket& from, Buffer& in) {
@@ -80,7 +80,7 @@
                     resp::write_array(out, {w[1], "NONE", "-", ""});
                 if (!via.empty() && !resp::field(w[2], "tier").empty()) store.kept.insert(object);
             }
-            in.consumed(used);
+            in.consume(used);
         }
         if (p == ParseStatus::invalid) return;
         send_all(link, out);
@@ -92,7 +92,7 @@
     Buffer in, out;
     while (receive(link, in)) {
         if (in.view().find("\r\n\r\n") == std::string_view::npos) continue;
-        in.consumed(in.size());
+        in.consume(in.size());
         std::this_thread::sleep_for(std::chrono::seconds(1));
         const std::string body = R"({"rev":1,"notices":[]})";
         out.append("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
@@ -173,7 +173,7 @@
     fastcgi::write_pair(params, "HTTP_X_BLOCK", "0");
     fastcgi::write_pair(params, "HTTP_X_FAMILY", "1");
     Buffer out, in;
-    fastcgi::write_begin(out, 1, {fastcgi::responder, false});
+    fastcgi::write_begin_request(out, 1, {fastcgi::responder, false});
     fastcgi::write_stream(out, fastcgi::Type::params, 1, params);
     fastcgi::write_record(out, fastcgi::Type::params, 1, {});
     fastcgi::write_record(out, fastcgi::Type::std_in, 1, {});
@@ -184,7 +184,7 @@
         while (fastcgi::parse_record(in.view(), r, used) == ParseStatus::complete) {
             if (r.type == fastcgi::Type::std_out) std::cout << r.content;
             if (r.type == fastcgi::Type::end_request) return 0;
-            in.consumed(used);
+            in.consume(used);
         }
     return 1;
 }
--- a/src/codec/buffer.hpp
+++ b/src/codec/buffer.hpp
@@ -34,7 +34,7 @@
         return store_.get() + end_;
     }
     /// Bytes that fit behind the present ones without growing.
-    [[nodiscard]] std::size_t free_room() const { return capacity_ - end_; }
+    [[nodiscard]] std::size_t free_capacity() const { return capacity_ - end_; }
     void commit(std::size_t bytes) { end_ += bytes; }
 
     void append(std::string_view bytes) {
@@ -45,7 +45,7 @@
     /// Removes the last bytes.
     void remove_suffix(std::size_t bytes) { end_ -= bytes; }
     /// Removes the first bytes.
-    void consumed(std::size_t bytes) {
+    void consume(std::size_t bytes) {
         begin_ += bytes;
         if (begin_ != end_) return;
         begin_ = end_ = 0;
--- a/src/codec/cache_protocol.cpp
+++ b/src/codec/cache_protocol.cpp
@@ -72,7 +72,7 @@
 std::string attempt_fields(const ClientRequest& request, const AttemptOptions& options) {
     std::string fields;
     const auto put = [&fields](std::string_view name, std::string_view value) {
-        resp::put_field(fields, name, value);
+        resp::append_field(fields, name, value);
     };
     put("sort", request.kind_name);
     put("asset", request.request.object.raw());
--- a/src/codec/client_protocol.cpp
+++ b/src/codec/client_protocol.cpp
@@ -15,13 +15,13 @@
 constexpr std::string_view health_check_path = "/-/healthy";
 constexpr std::size_t max_idempotency_key_bytes = 128;
 
-struct ErrorText {
+struct ErrorDescription {
     int status_code;
     std::string_view status_text;
     std::string_view reason;  // for logs
 };
 
-ErrorText text_of(RequestError error) {
+ErrorDescription describe(RequestError error) {
     switch (error) {
         case RequestError::record_too_long:
             return {413, "Content Too Large", "record_too_long"};
@@ -70,18 +70,18 @@
         std::optional<std::string_view> found;
         for (const auto& [name, value] : pairs_) {
             if (name != wanted) continue;
-            given_twice_ = given_twice_ || found;
+            has_duplicates_ = has_duplicates_ || found;
             found = value;
         }
         return found;
     }
     std::string_view get(std::string_view name) { return find(name).value_or(std::string_view{}); }
     // Whether one of those asked for so far stands there more than once.
-    bool given_twice() const { return given_twice_; }
+    bool has_duplicates() const { return has_duplicates_; }
 
 private:
     const fastcgi::Pairs& pairs_;
-    bool given_twice_ = false;
+    bool has_duplicates_ = false;
 };
 
 // Guards the router and the caches against what a client may send: no field counts before all are checked.
@@ -107,7 +107,7 @@
     const bool length_given = content_length && !content_length->empty();
     if (length_given && parse_number<std::size_t>(*content_length) != body.size()) return std::nullopt;
     if (!kind.is_write && !body.empty()) return std::nullopt;
-    if (parameters.given_twice()) return std::nullopt;
+    if (parameters.has_duplicates()) return std::nullopt;
 
     ClientRequest client_request;
     client_request.object_part = object_part;
@@ -131,8 +131,8 @@
 
 }  // namespace
 
-std::string_view to_string(RequestError error) { return text_of(error).reason; }
-int status_code(RequestError error) { return text_of(error).status_code; }
+std::string_view to_string(RequestError error) { return describe(error).reason; }
+int status_code(RequestError error) { return describe(error).status_code; }
 
 ParsedRequest parse_request(std::string_view parameter_bytes, std::string body, const ServedKinds& kinds,
                             TimePoint now) {
@@ -141,7 +141,7 @@
         return RequestError::unreadable_parameters;
     Parameters parameters(pairs);
     const std::string_view path = parameters.get("SCRIPT_NAME");
-    if (path == health_check_path && !parameters.given_twice()) return HealthCheck{};
+    if (path == health_check_path && !parameters.has_duplicates()) return HealthCheck{};
     if (!path.starts_with(request_path_prefix)) return RequestError::unknown_path;
     const std::string kind_name(path.substr(request_path_prefix.size()));
     const auto kind = kinds.find(kind_name);
@@ -170,12 +170,12 @@
 std::string healthy_head() { return status_line(200, "OK") + "\r\n"; }
 
 std::string error_head(RequestError error) {
-    const ErrorText text = text_of(error);
-    return status_line(text.status_code, text.status_text) + "\r\n";
+    const ErrorDescription description = describe(error);
+    return status_line(description.status_code, description.status_text) + "\r\n";
 }
 
-std::variant<std::string, RequestError> values_reply(std::string_view requested,
-                                                     std::size_t max_connections) {
+std::variant<std::string, RequestError> get_values_reply(std::string_view requested,
+                                                         std::size_t max_connections) {
     fastcgi::Pairs names;
     if (fastcgi::parse_pairs(requested, names) != ParseStatus::complete)
         return RequestError::unreadable_parameters;
--- a/src/codec/client_protocol.hpp
+++ b/src/codec/client_protocol.hpp
@@ -74,7 +74,7 @@
 
 /// The content of the reply to FCGI_GET_VALUES.
 /// @param requested the names that were asked for, as pairs with empty values.
-[[nodiscard]] std::variant<std::string, RequestError> values_reply(std::string_view requested,
-                                                                   std::size_t max_connections);
+[[nodiscard]] std::variant<std::string, RequestError> get_values_reply(std::string_view requested,
+                                                                       std::size_t max_connections);
 
 }  // namespace irismux::client_protocol
--- a/src/codec/fastcgi.cpp
+++ b/src/codec/fastcgi.cpp
@@ -62,7 +62,7 @@
     return uint16_at(bytes, 4);
 }
 
-ParseStatus parse_begin(std::string_view content, Begin& begin) {
+ParseStatus parse_begin_request(std::string_view content, BeginRequest& begin) {
     if (content.size() != 8) return ParseStatus::invalid;
     begin = {uint16_at(content, 0), (byte_at(content, 2) & keep_conn) != 0};
     return ParseStatus::complete;
@@ -97,18 +97,18 @@
         write_record(out, type, request, bytes.substr(0, max_content_bytes));
 }
 
-void write_begin(Buffer& out, std::uint16_t request, Begin begin) {
+void write_begin_request(Buffer& out, std::uint16_t request, BeginRequest begin) {
     const std::array<char, 8> body{
-        low_byte(begin.role >> 8u), low_byte(begin.role), begin.keep ? '\1' : '\0', 0, 0, 0, 0, 0};
+        low_byte(begin.role >> 8u), low_byte(begin.role), begin.keep_connection ? '\1' : '\0', 0, 0, 0, 0, 0};
     write_record(out, Type::begin_request, request, {body.data(), body.size()});
 }
 
-void write_end(Buffer& out, std::uint16_t request, ProtocolStatus status) {
+void write_end_request(Buffer& out, std::uint16_t request, ProtocolStatus status) {
     const std::array<char, 8> body{0, 0, 0, 0, static_cast<char>(status), 0, 0, 0};
     write_record(out, Type::end_request, request, {body.data(), body.size()});
 }
 
-void write_unknown(Buffer& out, std::uint8_t type) {
+void write_unknown_type(Buffer& out, std::uint8_t type) {
     const std::array<char, 8> body{static_cast<char>(type), 0, 0, 0, 0, 0, 0, 0};
     write_record(out, Type::unknown_type, 0, {body.data(), body.size()});
 }
--- a/src/codec/fastcgi.hpp
+++ b/src/codec/fastcgi.hpp
@@ -51,11 +51,11 @@
 /// header has not come either.
 [[nodiscard]] std::size_t announced_content_length(std::string_view bytes, Record& record);
 
-struct Begin {
+struct BeginRequest {
     std::uint16_t role = 0;
-    bool keep = false;  ///< keep_conn was set
+    bool keep_connection = false;  ///< keep_conn was set
 };
-[[nodiscard]] ParseStatus parse_begin(std::string_view content, Begin& begin);
+[[nodiscard]] ParseStatus parse_begin_request(std::string_view content, BeginRequest& begin);
 
 using Pairs = std::vector<std::pair<std::string_view, std::string_view>>;
 /// All pairs of a complete stream, as views into `bytes`.
@@ -64,9 +64,9 @@
 void write_record(Buffer& out, Type type, std::uint16_t request, std::string_view content);
 /// As many records as the bytes need; none for no bytes.
 void write_stream(Buffer& out, Type type, std::uint16_t request, std::string_view bytes);
-void write_begin(Buffer& out, std::uint16_t request, Begin begin);
-void write_end(Buffer& out, std::uint16_t request, ProtocolStatus status);
-void write_unknown(Buffer& out, std::uint8_t type);
+void write_begin_request(Buffer& out, std::uint16_t request, BeginRequest begin);
+void write_end_request(Buffer& out, std::uint16_t request, ProtocolStatus status);
+void write_unknown_type(Buffer& out, std::uint8_t type);
 void write_pair(std::string& out, std::string_view name, std::string_view value);
 
 }  // namespace irismux::fastcgi
--- a/src/codec/http.cpp
+++ b/src/codec/http.cpp
@@ -42,7 +42,7 @@
         const auto length = parse_number<std::size_t>(value);
         if (!length) return false;
         head.length = *length;
-        head.sized = true;
+        head.has_content_length = true;
     }
     if (equal_ignoring_case(name, "transfer-encoding")) head.chunked = equal_ignoring_case(value, "chunked");
     if (equal_ignoring_case(name, "connection")) head.close = equal_ignoring_case(value, "close");
--- a/src/codec/http.hpp
+++ b/src/codec/http.hpp
@@ -16,11 +16,11 @@
 struct Head {
     int status = 0;
     bool chunked = false;
-    bool sized = false;      ///< has a Content-Length
-    std::size_t length = 0;  ///< of the body, if sized
-    bool close = false;      ///< the connection ends behind the response
+    bool has_content_length = false;  ///< has a Content-Length
+    std::size_t length = 0;           ///< of the body, if has_content_length
+    bool close = false;               ///< the connection ends behind the response
     /// Whether the end of the body can be told from a connection that broke.
-    [[nodiscard]] bool framed() const { return chunked || sized; }
+    [[nodiscard]] bool framed() const { return chunked || has_content_length; }
 };
 
 /// Invalid: it is not HTTP/1.x, or longer than 16 KB.
--- a/src/codec/notice_events.cpp
+++ b/src/codec/notice_events.cpp
@@ -22,7 +22,7 @@
 
 PurgeEvent parse_purge(const json& content) {
     PurgeEvent purge;
-    purge.stamp = time_from_unix_ms(get<std::int64_t>(content, purged_at_key));
+    purge.timestamp = time_from_unix_ms(get<std::int64_t>(content, purged_at_key));
     purge.group = PurgeGroupId{get_or<std::int64_t>(content, purge_group_key, 0)};
     if (content.contains(purged_object_key))
         purge.object = ObjectName{get<std::string>(content, purged_object_key)};
@@ -42,7 +42,7 @@
 }
 
 // The newest times that the events bear, by kind.
-class NewestStamps {
+class NewestTimestamps {
 public:
     // Counts what stands before a field that can't be read.
     void add(const json& event) {
@@ -83,12 +83,12 @@
 KnownNotices parse_known_notices(const json& known) {
     KnownNotices result;
     result.revision = get<std::int64_t>(known, revision_key);
-    NewestStamps stamps;
+    NewestTimestamps timestamps;
     for (const json& event : get_array(known, notices_key)) {
-        stamps.add(event);
-        result.notices.push_back(notice_of(event, result.revision));
+        timestamps.add(event);
+        result.notices.push_back(make_notice(event, result.revision));
     }
-    result.newest_stamp = stamps.newest();
+    result.newest_timestamp = timestamps.newest();
     return result;
 }
 
--- a/src/codec/notice_events.hpp
+++ b/src/codec/notice_events.hpp
@@ -20,9 +20,9 @@
     std::vector<EndpointRecord> endpoints;
     bool complete = false;  ///< the whole list: endpoints that are not named are removed
 };
-/// Copies of an object, or of all objects of a group, that were made before `stamp` are purged.
+/// Copies of an object, or of all objects of a group, that were made before `timestamp` are purged.
 struct PurgeEvent {
-    TimePoint stamp;  ///< by the clock of whoever wrote it
+    TimePoint timestamp;  ///< by the clock of whoever wrote it
     PurgeGroupId group;
     std::optional<ObjectName> object;
 };
@@ -42,7 +42,7 @@
     std::vector<Notice> notices;
     /// Of the newest purge, or else of the newest start of a cache; zero: there is none. Events that can't be
     /// read do not count.
-    TimePoint newest_stamp;
+    TimePoint newest_timestamp;
 };
 /// @throws std::runtime_error if `known` is not {"rev": ..., "notices": [...]}.
 [[nodiscard]] KnownNotices parse_known_notices(const nlohmann::json& known);
--- a/src/codec/notice_reader.cpp
+++ b/src/codec/notice_reader.cpp
@@ -11,9 +11,11 @@
 
 constexpr const char* revision_key = "rev";
 constexpr const char* notices_key = "notices";
-constexpr std::string_view blanks = " \t\r\n";
+constexpr std::string_view whitespace = " \t\r\n";
 
-bool is_blank(std::string_view text) { return text.find_first_not_of(blanks) == std::string_view::npos; }
+bool is_whitespace(std::string_view text) {
+    return text.find_first_not_of(whitespace) == std::string_view::npos;
+}
 
 }  // namespace
 
@@ -33,32 +35,32 @@
     return "unknown";
 }
 
-std::string_view to_string(AnswerError error) {
+std::string_view to_string(ResponseError error) {
     switch (error) {
-        case AnswerError::not_json:
+        case ResponseError::not_json:
             return "not_json";
-        case AnswerError::notices_not_a_list:
+        case ResponseError::notices_not_a_list:
             return "notices_not_a_list";
-        case AnswerError::revision_not_a_number:
+        case ResponseError::revision_not_a_number:
             return "revision_not_a_number";
-        case AnswerError::too_many_unnumbered_events:
+        case ResponseError::too_many_unnumbered_events:
             return "too_many_unnumbered_events";
     }
     return "unknown";
 }
 
-Notice notice_of(json content, std::int64_t answer_revision) {
+Notice make_notice(json content, std::int64_t response_revision) {
     Notice notice;
-    notice.revision = answer_revision;
+    notice.revision = response_revision;
     try {
         if (content.is_object()) {
-            notice.numbered = content.contains(revision_key);
-            notice.revision = get_or(content, revision_key, answer_revision);
+            notice.has_revision = content.contains(revision_key);
+            notice.revision = get_or(content, revision_key, response_revision);
         } else {
             notice.error = EventError{EventError::Kind::not_an_object, {}};
         }
     } catch (const std::exception& e) {
-        notice.numbered = false;
+        notice.has_revision = false;
         notice.error = EventError{EventError::Kind::invalid_field, e.what()};
     }
     notice.content = std::move(content);
@@ -76,7 +78,7 @@
         if (!waiting_.empty() && revision_) {
             notice = std::move(waiting_.front());
             waiting_.pop_front();
-            if (!notice->numbered) notice->revision = *revision_;
+            if (!notice->has_revision) notice->revision = *revision_;
         } else if (!step(notice)) {
             break;
         }
@@ -110,13 +112,13 @@
     if (!collect(":}")) return;
     const std::string text = take_text();
     if (terminator_ == '}') {
-        if (!first_ || !is_blank(text)) error_ = AnswerError::not_json;
+        if (!first_ || !is_whitespace(text)) error_ = ResponseError::not_json;
         expecting_ = Expecting::nothing;
         return;
     }
     const json key = json::parse(text, nullptr, false);
     if (!key.is_string()) {
-        error_ = AnswerError::not_json;
+        error_ = ResponseError::not_json;
         return;
     }
     key_ = key.get<std::string>();
@@ -126,9 +128,9 @@
 
 void NoticeReader::read_value() {
     if (key_ == notices_key) {
-        const auto c = next_after_blanks();
+        const auto c = next_non_whitespace();
         if (!c) return;
-        if (*c != '[') error_ = AnswerError::notices_not_a_list;
+        if (*c != '[') error_ = ResponseError::notices_not_a_list;
         first_ = true;
         expecting_ = Expecting::element;
         return;
@@ -141,7 +143,7 @@
     if (value.is_number())
         revision_ = value.get<std::int64_t>();
     else
-        error_ = AnswerError::revision_not_a_number;
+        error_ = ResponseError::revision_not_a_number;
 }
 
 void NoticeReader::read_element(std::optional<Notice>& notice) {
@@ -151,16 +153,16 @@
     if (terminator_ == ']') expecting_ = Expecting::end_of_object;
     const bool only = first_ && terminator_ == ']';
     first_ = false;
-    if (only && is_blank(text) && !too_large) return;  // an empty list
+    if (only && is_whitespace(text) && !too_large) return;  // an empty list
     Notice read = parse_element(text, too_large);
     // Guards the order: behind an event that waits for the answer's revision all others wait too.
-    if (revision_ || (waiting_.empty() && (read.numbered || read.error))) {
+    if (revision_ || (waiting_.empty() && (read.has_revision || read.error))) {
         notice = std::move(read);
         return;
     }
     waiting_bytes_ += text.size() + sizeof(Notice);
     waiting_.push_back(std::move(read));
-    if (waiting_bytes_ > max_waiting_bytes) error_ = AnswerError::too_many_unnumbered_events;
+    if (waiting_bytes_ > max_waiting_bytes) error_ = ResponseError::too_many_unnumbered_events;
 }
 
 Notice NoticeReader::parse_element(const std::string& text, bool too_large) const {
@@ -174,12 +176,12 @@
         notice.error = EventError{EventError::Kind::not_json, {}};
         return notice;
     }
-    return notice_of(std::move(content), revision_.value_or(0));
+    return make_notice(std::move(content), revision_.value_or(0));
 }
 
 // Before the answer's object, behind its list, and behind all of it.
 void NoticeReader::read_punctuation() {
-    const auto c = next_after_blanks();
+    const auto c = next_non_whitespace();
     if (!c) return;
     const bool opens = expecting_ == Expecting::object && *c == '{';
     const bool goes_on = expecting_ == Expecting::end_of_object && *c == ',';
@@ -189,11 +191,11 @@
     else if (closes)
         expecting_ = Expecting::nothing;
     else
-        error_ = AnswerError::not_json;
+        error_ = ResponseError::not_json;
 }
 
-std::optional<char> NoticeReader::next_after_blanks() {
-    position_ = std::min(piece_.find_first_not_of(blanks, position_), piece_.size());
+std::optional<char> NoticeReader::next_non_whitespace() {
+    position_ = std::min(piece_.find_first_not_of(whitespace, position_), piece_.size());
     if (position_ == piece_.size()) return std::nullopt;
     return piece_[position_++];
 }
--- a/src/codec/notice_reader.hpp
+++ b/src/codec/notice_reader.hpp
@@ -35,23 +35,23 @@
 // NOLINTNEXTLINE(bugprone-exception-escape): json's move constructor is noexcept; the check looks inside it.
 struct Notice {
     std::int64_t revision = 0;  ///< its own, or that of the answer
-    bool numbered = false;      ///< it has one of its own
+    bool has_revision = false;  ///< it has one of its own
     nlohmann::json content;
     std::optional<EventError> error;  ///< set: `content` does not count
 };
 
 /// An event as it stands in a list that was parsed elsewhere.
-[[nodiscard]] Notice notice_of(nlohmann::json content, std::int64_t answer_revision);
+[[nodiscard]] Notice make_notice(nlohmann::json content, std::int64_t response_revision);
 
 /// Why the rest of an answer can't be read.
-enum class AnswerError {
+enum class ResponseError {
     not_json,
     notices_not_a_list,
     revision_not_a_number,
     too_many_unnumbered_events  ///< see NoticeReader::max_waiting_bytes
 };
 /// For logs, in snake_case.
-[[nodiscard]] std::string_view to_string(AnswerError error);
+[[nodiscard]] std::string_view to_string(ResponseError error);
 
 class NoticeReader {
 public:
@@ -67,7 +67,7 @@
     [[nodiscard]] std::optional<Notice> next();
 
     [[nodiscard]] bool complete() const { return expecting_ == Expecting::nothing && !error_; }
-    [[nodiscard]] std::optional<AnswerError> error() const { return error_; }
+    [[nodiscard]] std::optional<ResponseError> error() const { return error_; }
     /// The answer's; none: it has not come yet.
     [[nodiscard]] std::optional<std::int64_t> revision() const { return revision_; }
 
@@ -84,7 +84,7 @@
     [[nodiscard]] bool collect(std::string_view terminators);
     void append_text(std::string_view bytes);
     void count_bracket(char c);
-    [[nodiscard]] std::optional<char> next_after_blanks();
+    [[nodiscard]] std::optional<char> next_non_whitespace();
     [[nodiscard]] std::string take_text();
 
     std::string piece_;
@@ -104,7 +104,7 @@
     std::optional<std::int64_t> revision_;
     std::deque<Notice> waiting_;  // for the answer's revision, in order
     std::size_t waiting_bytes_ = 0;
-    std::optional<AnswerError> error_;
+    std::optional<ResponseError> error_;
 };
 
 }  // namespace irismux
--- a/src/codec/resp.cpp
+++ b/src/codec/resp.cpp
@@ -107,11 +107,13 @@
     return {};
 }
 
-void put_field(std::string& fields, std::string_view name, std::string_view value) {
+void append_field(std::string& fields, std::string_view name, std::string_view value) {
     if (!fields.empty()) fields += ',';
     fields.append(name).append("=").append(value);
 }
 
-std::string_view or_none(std::string_view fields) { return fields.empty() ? std::string_view("-") : fields; }
+std::string_view dash_if_empty(std::string_view fields) {
+    return fields.empty() ? std::string_view("-") : fields;
+}
 
 }  // namespace irismux::resp
--- a/src/codec/resp.hpp
+++ b/src/codec/resp.hpp
@@ -25,8 +25,8 @@
 /// The value of a field; empty: there is none.
 [[nodiscard]] std::string_view field(std::string_view fields, std::string_view name);
 /// Appends a field.
-void put_field(std::string& fields, std::string_view name, std::string_view value);
+void append_field(std::string& fields, std::string_view name, std::string_view value);
 /// "-" if there are none.
-[[nodiscard]] std::string_view or_none(std::string_view fields);
+[[nodiscard]] std::string_view dash_if_empty(std::string_view fields);
 
 }  // namespace irismux::resp
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -36,7 +36,7 @@
       shutdown_(loop, dispatcher_, server_, cache_connections_, fleet_,
                 longest_deadline(configuration.settings.deployment)) {
     // The notice board's list at the start serves until the registry has delivered its own.
-    notice_client_.load_known(configuration.known);
+    notice_client_.load_known_events(configuration.known);
     endpoint_source_.open_registry();
     fleet_.open_client();
 }
--- a/src/net/cache_connection.cpp
+++ b/src/net/cache_connection.cpp
@@ -110,7 +110,7 @@
     context_.observer.on_attempt_ended(*carried.request, carried.index, {.outcome = outcome});
 }
 
-void CacheConnection::close_for(std::string_view reason) {
+void CacheConnection::close_on_error(std::string_view reason) {
     log::event(log::Level::warning, "cache_connection_closed",
                {{"reason", reason},
                 {"cache", cache_.raw()},
@@ -136,20 +136,20 @@
 
 // --- which attempts it may carry -------------------------------------------------------------------------
 
-bool CacheConnection::leads_to(const Endpoint& endpoint) const {
+bool CacheConnection::connects_to(const Endpoint& endpoint) const {
     return address_ == endpoint.address && process_started_at_ == endpoint.update.started_at;
 }
 
-bool CacheConnection::leads_to_listed_process() const {
+bool CacheConnection::connects_to_listed_process() const {
     const Endpoint* const endpoint = context_.endpoints.find(cache_);
-    return !endpoint || leads_to(*endpoint);
+    return !endpoint || connects_to(*endpoint);
 }
 
 bool CacheConnection::needed() const {
-    return context_.endpoints.is_active(cache_) && leads_to_listed_process();
+    return context_.endpoints.is_active(cache_) && connects_to_listed_process();
 }
 
-bool CacheConnection::may_confuse(const ActiveRequest& request) const {
+bool CacheConnection::has_id_conflict(const ActiveRequest& request) const {
     return request_ids_.used_by_another(request.client_request_id(), request.id(), loop_.now());
 }
 
@@ -165,7 +165,7 @@
 
 void CacheConnection::move_queued_to(CacheConnection& other) {
     for (CarriedAttempt& carried : std::exchange(queued_, {})) {
-        if (other.may_confuse(*carried.request))
+        if (other.has_id_conflict(*carried.request))
             queued_.push_back(std::move(carried));
         else
             other.enqueue(std::move(carried.request), carried.index);
@@ -173,12 +173,12 @@
 }
 
 void CacheConnection::cancel(const ActiveRequest& request, std::size_t attempt) {
-    const auto is_it = [&](const CarriedAttempt& carried) { return carried.is(request, attempt); };
-    const auto queued = std::find_if(queued_.begin(), queued_.end(), is_it);
+    const auto matches = [&](const CarriedAttempt& carried) { return carried.is(request, attempt); };
+    const auto queued = std::find_if(queued_.begin(), queued_.end(), matches);
     const auto in_flight = in_flight_.find(request.client_request_id());
     if (queued != queued_.end())
         queued_.erase(queued);
-    else if (in_flight != in_flight_.end() && is_it(in_flight->second))
+    else if (in_flight != in_flight_.end() && matches(in_flight->second))
         cancel_in_flight(in_flight);
     start_idle_timer();
 }
@@ -217,7 +217,7 @@
         CarriedAttempt carried = std::move(queued_.front());
         queued_.pop_front();
         // The list may name another address or process by now.
-        if (!leads_to_listed_process())
+        if (!connects_to_listed_process())
             restart_or_end(carried);
         else if (!context_.endpoints_active(carried.attempt()) ||
                  !context_.observer.may_begin_attempt(*carried.request, carried.index))
@@ -303,8 +303,8 @@
     while (state() == ConnectionState::open) {
         const ParseStatus status = cache_protocol::parse_message(input_.view(), message, used);
         if (status == ParseStatus::incomplete) return limit_partial_response();
-        if (status == ParseStatus::invalid || !on_message(message)) return close_for("invalid_response");
-        if (state() == ConnectionState::open) input_.consumed(used);
+        if (status == ParseStatus::invalid || !on_message(message)) return close_on_error("invalid_response");
+        if (state() == ConnectionState::open) input_.consume(used);
     }
 }
 
@@ -314,7 +314,7 @@
     if (input_.empty()) return;
     partial_response_timer_ = ScopedTimer(loop_, loop_.now() + context_.limits.connect_timeout, [this] {
         const auto alive = shared_from_this();
-        if (state() == ConnectionState::open) close_for("incomplete_response");
+        if (state() == ConnectionState::open) close_on_error("incomplete_response");
     });
 }
 
--- a/src/net/cache_connection.hpp
+++ b/src/net/cache_connection.hpp
@@ -80,11 +80,11 @@
     [[nodiscard]] bool write_failed() const { return state() == ConnectionState::open && !writable(); }
     /// Whether it leads to the process that `endpoint` names: a cache may come back elsewhere, or as a new
     /// process, under the same id.
-    [[nodiscard]] bool leads_to(const Endpoint& endpoint) const;
+    [[nodiscard]] bool connects_to(const Endpoint& endpoint) const;
     /// Whether attempts may use it, now or later.
     [[nodiscard]] bool needed() const;
     /// Whether a late response to another request could be taken for one to this request.
-    [[nodiscard]] bool may_confuse(const ActiveRequest& request) const;
+    [[nodiscard]] bool has_id_conflict(const ActiveRequest& request) const;
 
     /// Queues an attempt and keeps its request alive until it has ended.
     void enqueue(std::shared_ptr<ActiveRequest> request, std::size_t attempt);
@@ -120,7 +120,7 @@
         std::uint64_t begin = 0, end = 0;
     };
 
-    [[nodiscard]] bool leads_to_listed_process() const;
+    [[nodiscard]] bool connects_to_listed_process() const;
     void cancel_in_flight(InFlight::iterator it);
     bool write_queued();
     void write_attempt(CarriedAttempt carried);
@@ -135,7 +135,7 @@
     [[nodiscard]] bool on_message(const cache_protocol::Message& message);
     [[nodiscard]] bool on_response(InFlight::iterator it, const cache_protocol::Message& message);
     void on_health_check_reply(const std::string& tag, const cache_protocol::Message& message);
-    void close_for(std::string_view reason);
+    void close_on_error(std::string_view reason);
     void limit_partial_response();
     void start_idle_timer();
 
--- a/src/net/cache_connection_pool.cpp
+++ b/src/net/cache_connection_pool.cpp
@@ -130,8 +130,8 @@
                                                                      const ActiveRequest* request) {
     Candidates candidates;
     for (const ConnectionPtr& connection : endpoint.connections) {
-        if (connection->write_failed() || !connection->leads_to(endpoint)) continue;
-        if (request && connection->may_confuse(*request)) {
+        if (connection->write_failed() || !connection->connects_to(endpoint)) continue;
+        if (request && connection->has_id_conflict(*request)) {
             candidates.id_in_use = true;
             continue;
         }
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -23,7 +23,7 @@
 // Of a lingering connection: a few of the largest requests. One that sends more is closed.
 constexpr std::size_t max_discarded_bytes = 262'144;
 // A call that failed for want of the system's memory is made again after this.
-constexpr Duration memory_pause = Duration::micros(2'000);
+constexpr Duration memory_retry_delay = Duration::micros(2'000);
 constexpr int max_option_attempts = 3;
 
 // POCO 1.11 throws where a non-blocking socket would have to wait, so the system is called directly.
@@ -214,20 +214,20 @@
 
 void Connection::retry_watch_later() {
     if (rewatch_timer_.pending()) return;
-    rewatch_timer_ = ScopedTimer(loop_, loop_.now() + memory_pause, [this] { update_watch(); });
+    rewatch_timer_ = ScopedTimer(loop_, loop_.now() + memory_retry_delay, [this] { update_watch(); });
 }
 
 // Guards against a loop that spins while the system is short of memory: the socket stays readable, and each
 // read fails again.
 void Connection::pause_reading() {
     if (read_pause_.pending()) return;
-    read_pause_ = ScopedTimer(loop_, loop_.now() + memory_pause, [this] { update_watch(); });
+    read_pause_ = ScopedTimer(loop_, loop_.now() + memory_retry_delay, [this] { update_watch(); });
     update_watch();
 }
 
 void Connection::pause_writing() {
     if (write_pause_.pending()) return;
-    write_pause_ = ScopedTimer(loop_, loop_.now() + memory_pause, [this] { update_watch(); });
+    write_pause_ = ScopedTimer(loop_, loop_.now() + memory_retry_delay, [this] { update_watch(); });
 }
 
 // --- events ----------------------------------------------------------------------------------------------
@@ -269,7 +269,7 @@
 // True: the system may hold more input.
 bool Connection::read_some() {
     char* const first = input_.prepare(min_read_bytes);
-    const std::span<char> room(first, input_.free_room());
+    const std::span<char> room(first, input_.free_capacity());
     const Received received = receive(room);
     if (received.status == ReceiveStatus::ended) on_broken();
     if (received.status != ReceiveStatus::received) return false;
@@ -323,7 +323,7 @@
             break;
         }
         if (n < 0) return on_write_failed();
-        output_.consumed(static_cast<std::size_t>(n));
+        output_.consume(static_cast<std::size_t>(n));
         bytes_written_ += static_cast<std::uint64_t>(n);
     }
     watch({.readable = read_state_ != ReadState::pause, .writable = !output_.empty()});
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -11,10 +11,10 @@
 }  // namespace
 
 EventLoop::EventLoop()
-    : anchor_(std::chrono::steady_clock::now()),
-      anchor_unix_us_(std::chrono::duration_cast<std::chrono::microseconds>(
-                          std::chrono::system_clock::now().time_since_epoch())
-                          .count()) {
+    : steady_start_(std::chrono::steady_clock::now()),
+      unix_start_us_(std::chrono::duration_cast<std::chrono::microseconds>(
+                         std::chrono::system_clock::now().time_since_epoch())
+                         .count()) {
     run_due_timers();
 }
 
@@ -26,9 +26,9 @@
 }
 
 TimePoint EventLoop::now() const {
-    const auto passed = std::chrono::steady_clock::now() - anchor_;
+    const auto passed = std::chrono::steady_clock::now() - steady_start_;
     const auto us = std::chrono::duration_cast<std::chrono::microseconds>(passed).count();
-    return TimePoint{} + Duration::micros(anchor_unix_us_ + us);
+    return TimePoint{} + Duration::micros(unix_start_us_ + us);
 }
 
 EventLoop::Timer EventLoop::schedule_at(TimePoint due, std::function<void()> callback) {
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -57,8 +57,8 @@
 private:
     void iterate();
 
-    std::chrono::steady_clock::time_point anchor_;
-    std::int64_t anchor_unix_us_;
+    std::chrono::steady_clock::time_point steady_start_;
+    std::int64_t unix_start_us_;
     std::uint64_t next_timer_ = 0, iterations_ = 0;
     std::vector<std::function<void()>> next_iteration_;
     std::map<Timer, std::function<void()>> timers_;
--- a/src/net/event_time_estimator.cpp
+++ b/src/net/event_time_estimator.cpp
@@ -19,57 +19,58 @@
     period_ = Period::history;
     now_ = known_at;
     earliest_ = {};
-    if (newest != TimePoint{} && !lead_) learn_lead(newest);
+    if (newest != TimePoint{} && !clock_offset_) update_clock_offset(newest);
 }
 
-void EventTimeEstimator::begin_news(TimePoint now, TimePoint earliest) {
-    period_ = Period::news;
+void EventTimeEstimator::begin_live(TimePoint now, TimePoint earliest) {
+    period_ = Period::live;
     now_ = now;
     earliest_ = earliest;
 }
 
-Duration EventTimeEstimator::min_lead() const {
-    return *lead_ - Duration::micros((now_ - lead_seen_at_).micros() / drift_divisor);
+Duration EventTimeEstimator::min_clock_offset() const {
+    return *clock_offset_ - Duration::micros((now_ - clock_offset_seen_at_).micros() / drift_divisor);
 }
 
-void EventTimeEstimator::learn_lead(TimePoint stamp) {
-    const Duration lead = stamp - now_;
-    if (lead_ && lead <= min_lead()) return;
-    lead_ = lead;
-    lead_seen_at_ = now_;
+void EventTimeEstimator::update_clock_offset(TimePoint timestamp) {
+    const Duration offset = timestamp - now_;
+    if (clock_offset_ && offset <= min_clock_offset()) return;
+    clock_offset_ = offset;
+    clock_offset_seen_at_ = now_;
 }
 
-TimePoint EventTimeEstimator::latest_time(TimePoint stamp) const {
-    const TimePoint by_lead = stamp - min_lead();
-    const TimePoint at = period_ == Period::history ? std::max(by_lead, stamp) : by_lead;
+TimePoint EventTimeEstimator::latest_time(TimePoint timestamp) const {
+    const TimePoint by_offset = timestamp - min_clock_offset();
+    const TimePoint at = period_ == Period::history ? std::max(by_offset, timestamp) : by_offset;
     return std::clamp(at, earliest_, now_);
 }
 
-TimePoint EventTimeEstimator::purge(TimePoint stamp) {
-    const bool stepped_back = lead_ && period_ == Period::news && stamp - min_lead() < earliest_ - tolerance;
-    if (stepped_back) lead_.reset();
-    learn_lead(stamp);
-    return latest_time(stamp);
+TimePoint EventTimeEstimator::purge_time(TimePoint timestamp) {
+    const bool stepped_back =
+        clock_offset_ && period_ == Period::live && timestamp - min_clock_offset() < earliest_ - tolerance;
+    if (stepped_back) clock_offset_.reset();
+    update_clock_offset(timestamp);
+    return latest_time(timestamp);
 }
 
-TimePoint EventTimeEstimator::start_in_history(TimePoint stamp) const {
-    return lead_ ? latest_time(stamp) : now_;
+TimePoint EventTimeEstimator::historical_start(TimePoint timestamp) const {
+    return clock_offset_ ? latest_time(timestamp) : now_;
 }
 
-TimePoint EventTimeEstimator::start_in_news(TimePoint stamp) const {
-    if (!lead_ && now_ - earliest_ > max_unproven_age) return now_;
-    const TimePoint at = lead_ ? stamp - min_lead() : stamp;
+TimePoint EventTimeEstimator::live_start(TimePoint timestamp) const {
+    if (!clock_offset_ && now_ - earliest_ > max_unproven_age) return now_;
+    const TimePoint at = clock_offset_ ? timestamp - min_clock_offset() : timestamp;
     const bool fits = at >= earliest_ - tolerance && at <= now_ + tolerance;
     return fits ? std::clamp(at, earliest_, now_) : now_;
 }
 
-TimePoint EventTimeEstimator::start(const CacheId& cache, TimePoint stamp) {
-    if (stamp == TimePoint{}) return stamp;
+TimePoint EventTimeEstimator::start_time(const CacheId& cache, TimePoint timestamp) {
+    if (timestamp == TimePoint{}) return timestamp;
     const auto known = starts_.find(cache);
-    if (known != starts_.end() && known->second.stamp == stamp) return known->second.at;
+    if (known != starts_.end() && known->second.timestamp == timestamp) return known->second.at;
     if (starts_.size() >= max_starts) forget_older_half();
-    const TimePoint at = period_ == Period::history ? start_in_history(stamp) : start_in_news(stamp);
-    starts_[cache] = {stamp, at};
+    const TimePoint at = period_ == Period::history ? historical_start(timestamp) : live_start(timestamp);
+    starts_[cache] = {timestamp, at};
     return at;
 }
 
--- a/src/net/event_time_estimator.hpp
+++ b/src/net/event_time_estimator.hpp
@@ -34,32 +34,32 @@
     /// @param newest the newest time of a purge in it, or else of a start; zero: there is none.
     void begin_history(TimePoint known_at, TimePoint newest);
     /// Events from now on have happened since `earliest`, when the poll before was sent.
-    void begin_news(TimePoint now, TimePoint earliest);
+    void begin_live(TimePoint now, TimePoint earliest);
 
-    /// The latest time at which a purge can have happened whose event bears `stamp`.
-    [[nodiscard]] TimePoint purge(TimePoint stamp);
-    /// The time of a cache's start whose event bears `stamp`. Zero stays zero: long ago.
-    [[nodiscard]] TimePoint start(const CacheId& cache, TimePoint stamp);
+    /// The latest time at which a purge can have happened whose event bears `timestamp`.
+    [[nodiscard]] TimePoint purge_time(TimePoint timestamp);
+    /// The time of a cache's start whose event bears `timestamp`. Zero stays zero: long ago.
+    [[nodiscard]] TimePoint start_time(const CacheId& cache, TimePoint timestamp);
 
 private:
-    enum class Period { history, news };
+    enum class Period { history, live };
     struct Start {
-        TimePoint stamp, at;
+        TimePoint timestamp, at;
     };
 
-    [[nodiscard]] TimePoint latest_time(TimePoint stamp) const;
-    [[nodiscard]] TimePoint start_in_history(TimePoint stamp) const;
-    [[nodiscard]] TimePoint start_in_news(TimePoint stamp) const;
-    void learn_lead(TimePoint stamp);
-    [[nodiscard]] Duration min_lead() const;
+    [[nodiscard]] TimePoint latest_time(TimePoint timestamp) const;
+    [[nodiscard]] TimePoint historical_start(TimePoint timestamp) const;
+    [[nodiscard]] TimePoint live_start(TimePoint timestamp) const;
+    void update_clock_offset(TimePoint timestamp);
+    [[nodiscard]] Duration min_clock_offset() const;
     void forget_older_half();
 
     Period period_ = Period::history;
     TimePoint now_, earliest_;
     // By how much the writers' clock is ahead of this one at least, and when that was seen; none: nothing
     // was.
-    std::optional<Duration> lead_;
-    TimePoint lead_seen_at_;
+    std::optional<Duration> clock_offset_;
+    TimePoint clock_offset_seen_at_;
     std::map<CacheId, Start> starts_;
 };
 
--- a/src/net/fastcgi_connection.cpp
+++ b/src/net/fastcgi_connection.cpp
@@ -115,7 +115,7 @@
 void FastCgiConnection::on_data() {
     const auto alive = shared_from_this();
     if (input_mode_ == InputMode::discarding) {
-        input_.consumed(input_.size());
+        input_.consume(input_.size());
         return;
     }
     while (state() == ConnectionState::open && !lingering() && input_mode_ == InputMode::parsing) {
@@ -129,7 +129,7 @@
         if (status == ParseStatus::incomplete) return;
         if (status == ParseStatus::invalid) return close_for_protocol_error("not_fastcgi");
         on_record(record);
-        input_.consumed(used);
+        input_.consume(used);
         scanned_bytes_ = 0;
         pause_if_responses_pile_up();
     }
@@ -141,7 +141,7 @@
     using fastcgi::Type;
     if (record.type == Type::get_values) return on_get_values(record.content);
     if (record.request == 0) {
-        fastcgi::write_unknown(output_, static_cast<std::uint8_t>(record.type));
+        fastcgi::write_unknown_type(output_, static_cast<std::uint8_t>(record.type));
         return schedule_write();
     }
     if (record.type == Type::begin_request) return on_begin_request(record);
@@ -160,17 +160,17 @@
 }
 
 void FastCgiConnection::on_begin_request(const fastcgi::Record& record) {
-    fastcgi::Begin begin;
-    if (fastcgi::parse_begin(record.content, begin) != ParseStatus::complete ||
+    fastcgi::BeginRequest begin;
+    if (fastcgi::parse_begin_request(record.content, begin) != ParseStatus::complete ||
         open_requests_.contains(record.request))
         return close_for_protocol_error("invalid_begin_request");
     if (begin.role != fastcgi::responder)
-        return end_request(record.request, fastcgi::ProtocolStatus::unknown_role, begin.keep);
+        return end_request(record.request, fastcgi::ProtocolStatus::unknown_role, begin.keep_connection);
     if (open_requests_.size() >= client_protocol::max_open_requests)
-        return end_request(record.request, fastcgi::ProtocolStatus::overloaded, begin.keep);
+        return end_request(record.request, fastcgi::ProtocolStatus::overloaded, begin.keep_connection);
     IncomingRequest& request = open_requests_[record.request];
     request.sequence = ++begun_requests_;
-    request.keep_connection = begin.keep;
+    request.keep_connection = begin.keep_connection;
     request.begun_at = loop_.now();
 }
 
@@ -207,7 +207,7 @@
 }
 
 void FastCgiConnection::on_get_values(std::string_view requested) {
-    const auto reply = client_protocol::values_reply(requested, context_.limits.connections);
+    const auto reply = client_protocol::get_values_reply(requested, context_.limits.connections);
     const auto* const values = std::get_if<std::string>(&reply);
     if (!values) return close_for_protocol_error("invalid_get_values");
     fastcgi::write_record(output_, fastcgi::Type::get_values_result, 0, *values);
@@ -305,7 +305,7 @@
 
 void FastCgiConnection::end_request(std::uint16_t request_id, fastcgi::ProtocolStatus status,
                                     bool keep_connection) {
-    fastcgi::write_end(output_, request_id, status);
+    fastcgi::write_end_request(output_, request_id, status);
     if (!keep_connection) begin_closing();
     schedule_write();
 }
--- a/src/net/fastcgi_server.cpp
+++ b/src/net/fastcgi_server.cpp
@@ -20,7 +20,7 @@
 // Failures of accept() after which the queue counts as empty, when the server stops.
 constexpr int max_accept_failures = 256;
 // The system's want of memory or descriptors passes.
-constexpr Duration memory_pause = Duration::micros(10'000);
+constexpr Duration memory_retry_delay = Duration::micros(10'000);
 
 }  // namespace
 
@@ -62,7 +62,7 @@
         listen_state_ = ListenState::accepting;
     } catch (const Poco::Exception&) {
         // No memory for it. Connections wait in the system's queue meanwhile.
-        pause_accepting(memory_pause);
+        pause_accepting(memory_retry_delay);
     }
 }
 
@@ -96,7 +96,7 @@
     const bool no_descriptor = result == AcceptResult::no_descriptor;
     const bool exhausted_before = std::exchange(descriptors_exhausted_, no_descriptor);
     if (result == AcceptResult::no_memory || (no_descriptor && !exhausted_before)) {
-        pause_accepting(memory_pause);
+        pause_accepting(memory_retry_delay);
     } else if (no_descriptor && !close_idle_connection()) {
         log::event(log::Level::warning, "accept_paused",
                    {{"reason", "no_descriptor"},
@@ -258,8 +258,8 @@
     });
 }
 
-void FastCgiServer::send_response(const ClientStream& stream, std::string_view body, bool client_copy_holds) {
-    if (client_copy_holds) return write_response(stream, client_protocol::not_modified_head(), {});
+void FastCgiServer::send_response(const ClientStream& stream, std::string_view body, bool not_modified) {
+    if (not_modified) return write_response(stream, client_protocol::not_modified_head(), {});
     write_response(stream, client_protocol::response_head(body.size()), body);
 }
 
--- a/src/net/fastcgi_server.hpp
+++ b/src/net/fastcgi_server.hpp
@@ -45,7 +45,7 @@
     /// Closes every connection gracefully; input is discarded from now on.
     void close_all();
 
-    void send_response(const ClientStream&, std::string_view body, bool client_copy_holds) override;
+    void send_response(const ClientStream&, std::string_view body, bool not_modified) override;
     void send_rejection(const ClientStream&, Duration retry_after) override;
     void send_failure(const ClientStream&) override;
 
--- a/src/net/notice_client.cpp
+++ b/src/net/notice_client.cpp
@@ -24,7 +24,7 @@
       observer_(observer),
       address_(std::move(address)),
       retry_delay_(retry_delay),
-      caught_up_at_(loop.now()) {}
+      last_complete_poll_at_(loop.now()) {}
 
 NoticeClient::~NoticeClient() {
     if (connection_) connection_->stop();
@@ -68,9 +68,9 @@
 
 // Guards the board against polls without end: one that neither holds a poll nor has anything new, such as one
 // whose revisions have gone back, is polled again after the retry delay.
-void NoticeClient::on_poll_answered(std::int64_t revision) {
+void NoticeClient::on_poll_response(std::int64_t revision) {
     observer_.on_poll_completed(revision, polled_from_);
-    caught_up_at_ = polled_at_;
+    last_complete_poll_at_ = polled_at_;
     revision_ = std::max(revision_, revision);
     last_poll_failed_ = false;
     if (revision_ > polled_from_ || event_loop_.now() - polled_at_ >= retry_delay_) return poll();
@@ -107,11 +107,11 @@
 
 // --- events ----------------------------------------------------------------------------------------------
 
-void NoticeClient::load_known(const nlohmann::json& known) {
+void NoticeClient::load_known_events(const nlohmann::json& known) {
     const KnownNotices notices = parse_known_notices(known);
     history_.revision = std::max(history_.revision, notices.revision);
     history_.known_at = event_loop_.now();
-    history_.newest_stamp = notices.newest_stamp;
+    history_.newest_timestamp = notices.newest_timestamp;
     for (const Notice& notice : notices.notices) {
         const bool applied = on_notice(notice);
         if (applied) continue;
@@ -124,10 +124,10 @@
 // Guards against an event that can't be read: it would hold up those behind it for good. It is asked for once
 // more, then left out.
 bool NoticeClient::on_notice(const Notice& notice) {
-    if (notice.numbered && notice.revision <= revision_) return true;
+    if (notice.has_revision && notice.revision <= revision_) return true;
     if (const auto error = apply(notice)) {
-        const bool failed_before = unreadable_behind_ == revision_;
-        unreadable_behind_ = revision_;
+        const bool failed_before = revision_before_unreadable_ == revision_;
+        revision_before_unreadable_ = revision_;
         if (!failed_before) return false;
         log::event(log::Level::warning, "notice_skipped",
                    {{"reason", to_string(error->kind)},
@@ -136,14 +136,14 @@
                     {"address", address_}});
         observer_.on_notice_skipped();
     }
-    if (notice.numbered) revision_ = notice.revision;
+    if (notice.has_revision) revision_ = notice.revision;
     return true;
 }
 
 // Returns why the event can't be read; none: it has taken effect.
 std::optional<EventError> NoticeClient::apply(const Notice& notice) {
     if (notice.error) return notice.error;
-    set_event_times(notice.revision);
+    begin_event_period(notice.revision);
     try {
         return deliver(parse_notice_event(notice));
     } catch (const std::exception& e) {
@@ -168,23 +168,23 @@
 
 void NoticeClient::deliver_purge(const PurgeEvent& event) {
     PurgeNotice purge;
-    purge.stamp = event.stamp;
+    purge.timestamp = event.timestamp;
     purge.group = event.group;
     purge.object = event.object;
-    purge.at = times_.purge(event.stamp);
+    purge.at = times_.purge_time(event.timestamp);
     observer_.on_purge_notice(purge);
 }
 
 void NoticeClient::estimate_starts(std::vector<EndpointRecord>& endpoints) {
     for (auto& [update, address] : endpoints)
-        update.started_at = times_.start(update.cache, update.started_at);
+        update.started_at = times_.start_time(update.cache, update.started_at);
 }
 
-void NoticeClient::set_event_times(std::int64_t revision) {
+void NoticeClient::begin_event_period(std::int64_t revision) {
     if (revision <= history_.revision)
-        times_.begin_history(history_.known_at, history_.newest_stamp);
+        times_.begin_history(history_.known_at, history_.newest_timestamp);
     else
-        times_.begin_news(event_loop_.now(), caught_up_at_);
+        times_.begin_live(event_loop_.now(), last_complete_poll_at_);
 }
 
 }  // namespace irismux
--- a/src/net/notice_client.hpp
+++ b/src/net/notice_client.hpp
@@ -23,8 +23,8 @@
 
 /// A purge of an object, or of a group.
 struct PurgeNotice {
-    TimePoint at;     ///< by this process's clock, the latest time at which it can have happened
-    TimePoint stamp;  ///< as the event bears it
+    TimePoint at;         ///< by this process's clock, the latest time at which it can have happened
+    TimePoint timestamp;  ///< as the event bears it
     PurgeGroupId group;
     std::optional<ObjectName> object;  ///< none: all of the group
 };
@@ -40,8 +40,8 @@
     /// Asked before each poll: whether the board is to send all its events, from the first on.
     virtual bool wants_full_history() const { return false; }
     virtual void on_poll_started(bool /*from_start*/) {}
-    /// All events up to `newest` have taken effect; the poll named `asked_from`.
-    virtual void on_poll_completed(std::int64_t /*newest*/, std::int64_t /*asked_from*/) {}
+    /// All events up to `newest` have taken effect; the poll named `polled_from`.
+    virtual void on_poll_completed(std::int64_t /*newest*/, std::int64_t /*polled_from*/) {}
     virtual void on_poll_failed() {}
     /// An event could not be read twice and has been left out.
     virtual void on_notice_skipped() {}
@@ -58,7 +58,7 @@
 
     /// Applies events that are known from elsewhere, {"rev": ..., "notices": [...]}. One that can't be read
     /// is left out. @throws std::runtime_error if `known` is not of that form.
-    void load_known(const nlohmann::json& known);
+    void load_known_events(const nlohmann::json& known);
     /// Polls now, and again after each answer.
     void poll();
     /// The board has another address from now on. Its revisions go on.
@@ -66,7 +66,7 @@
 
 private:
     [[nodiscard]] bool on_notice(const Notice& notice) override;
-    void on_poll_answered(std::int64_t revision) override;
+    void on_poll_response(std::int64_t revision) override;
     void on_poll_error(PollError error, std::string_view detail) override;
 
     void begin_full_history();
@@ -75,7 +75,7 @@
     void deliver_endpoints(EndpointEvent& event);
     void deliver_purge(const PurgeEvent& event);
     void estimate_starts(std::vector<EndpointRecord>& endpoints);
-    void set_event_times(std::int64_t revision);
+    void begin_event_period(std::int64_t revision);
     void poll_at(TimePoint due);
 
     EventLoop& event_loop_;
@@ -87,17 +87,17 @@
     TimePoint polled_at_;
     bool last_poll_failed_ = false;
     // The event behind this revision could not be read when it was last asked for.
-    std::optional<std::int64_t> unreadable_behind_;
+    std::optional<std::int64_t> revision_before_unreadable_;
 
     // Events up to this revision were known before, and may have happened at any time.
     struct History {
         std::int64_t revision = 0;
         TimePoint known_at;
-        TimePoint newest_stamp;
+        TimePoint newest_timestamp;
     };
     History history_;
     // Events behind it have happened since the last poll that was answered whole was sent.
-    TimePoint caught_up_at_;
+    TimePoint last_complete_poll_at_;
     EventTimeEstimator times_;
 
     ScopedTimer next_poll_;
--- a/src/net/notice_connection.cpp
+++ b/src/net/notice_connection.cpp
@@ -7,7 +7,7 @@
 
 // From the poll to the end of its answer. One that takes longer is broken off; the next poll goes on behind
 // what has come of it.
-constexpr Duration max_answer_time = Duration::micros(5'000'000);
+constexpr Duration max_response_time = Duration::micros(5'000'000);
 // Events take effect for so long in an iteration of the loop; the others wait for the next.
 constexpr Duration max_batch_time = Duration::micros(2'000);
 constexpr int http_ok = 200;
@@ -52,28 +52,28 @@
 void NoticeConnection::poll(const std::string& host, const std::string& target) {
     http::write_get(output_, host, target);
     schedule_write();
-    answer_.emplace();
+    response_.emplace();
     polled_at_ = loop_.now();
-    expect_data();
+    restart_response_timer();
 }
 
 void NoticeConnection::stop() {
-    answer_timer_.cancel();
+    response_timer_.cancel();
     close();
 }
 
 void NoticeConnection::on_data() {
     // Bytes that no poll asked for: the next poll takes another connection.
-    if (!answer_) return stop();
-    expect_data();
-    read_answer();
+    if (!response_) return stop();
+    restart_response_timer();
+    read_response();
 }
 
 // Guards against an answer that stands still: the timer starts anew with each arrival, up to the time of the
 // whole answer.
-void NoticeConnection::expect_data() {
-    const TimePoint due = std::min(loop_.now() + max_silence_, polled_at_ + max_answer_time);
-    answer_timer_ = ScopedTimer(loop_, due, [this] {
+void NoticeConnection::restart_response_timer() {
+    const TimePoint due = std::min(loop_.now() + max_silence_, polled_at_ + max_response_time);
+    response_timer_ = ScopedTimer(loop_, due, [this] {
         const auto alive = shared_from_this();
         if (state() != ConnectionState::closed) fail(PollError::timeout);
     });
@@ -81,10 +81,10 @@
 
 // Guards requests against a long answer: what does not fit into this iteration's batch stays in the buffer,
 // and nothing more is read until the next iteration.
-void NoticeConnection::read_answer() {
+void NoticeConnection::read_response() {
     const auto alive = shared_from_this();
     begin_batch();
-    while (state() == ConnectionState::open && answer_) {
+    while (state() == ConnectionState::open && response_) {
         if (loop_.now() - batch_began_at_ >= max_batch_time) {
             batch_ = Batch::cut_short;
             return set_reading(false);
@@ -107,19 +107,19 @@
     const Batch ended = std::exchange(batch_, Batch::none);
     if (ended != Batch::cut_short || state() != ConnectionState::open) return;
     set_reading(true);
-    if (answer_) read_answer();
+    if (response_) read_response();
 }
 
 // One event, or the next part of the answer.
 NoticeConnection::Step NoticeConnection::read_step() {
-    NoticeReader& notices = answer_->notices;
+    NoticeReader& notices = response_->notices;
     if (const auto notice = notices.next()) {
         if (handler_.on_notice(*notice)) return Step::more;
         return fail(PollError::unreadable_event);
     }
     if (notices.error()) return fail(PollError::invalid_answer, to_string(*notices.error()));
-    if (answer_->body_ended) return finish();
-    return answer_->head ? read_body() : read_head();
+    if (response_->body_ended) return finish();
+    return response_->head ? read_body() : read_head();
 }
 
 NoticeConnection::Step NoticeConnection::read_head() {
@@ -130,39 +130,39 @@
     if (status == ParseStatus::invalid) return fail(PollError::not_http);
     if (head.status != http_ok) return fail(PollError::unexpected_status, std::to_string(head.status));
     if (!head.framed()) return fail(PollError::unknown_length);
-    input_.consumed(used);
-    answer_->head = head;
-    answer_->body.emplace(head);
+    input_.consume(used);
+    response_->head = head;
+    response_->body.emplace(head);
     return Step::more;
 }
 
 NoticeConnection::Step NoticeConnection::read_body() {
     std::string_view piece;
     std::size_t used = 0;
-    const ParseStatus status = answer_->body->next(input_.view(), piece, used);
+    const ParseStatus status = response_->body->next(input_.view(), piece, used);
     if (status == ParseStatus::invalid) return fail(PollError::not_http);
-    answer_->notices.feed(piece);
-    input_.consumed(used);
-    answer_->body_ended = status == ParseStatus::complete;
-    return answer_->body_ended || used > 0 ? Step::more : Step::wait;
+    response_->notices.feed(piece);
+    input_.consume(used);
+    response_->body_ended = status == ParseStatus::complete;
+    return response_->body_ended || used > 0 ? Step::more : Step::wait;
 }
 
 NoticeConnection::Step NoticeConnection::finish() {
-    if (!answer_->notices.complete()) return fail(PollError::incomplete_json);
-    const auto revision = answer_->notices.revision();
+    if (!response_->notices.complete()) return fail(PollError::incomplete_json);
+    const auto revision = response_->notices.revision();
     if (!revision) return fail(PollError::missing_revision);
-    const bool reusable = !answer_->head->close && input_.empty();
-    answer_.reset();
-    answer_timer_.cancel();
+    const bool reusable = !response_->head->close && input_.empty();
+    response_.reset();
+    response_timer_.cancel();
     if (!reusable) stop();
-    handler_.on_poll_answered(*revision);
+    handler_.on_poll_response(*revision);
     return Step::wait;
 }
 
 NoticeConnection::Step NoticeConnection::fail(PollError error, std::string_view detail) {
     const auto alive = shared_from_this();
     stop();
-    answer_.reset();
+    response_.reset();
     handler_.on_poll_error(error, detail);
     return Step::wait;
 }
--- a/src/net/notice_connection.hpp
+++ b/src/net/notice_connection.hpp
@@ -35,13 +35,13 @@
     /// False: the event can't be read now. The poll fails.
     [[nodiscard]] virtual bool on_notice(const Notice& notice) = 0;
     /// The answer has come whole, and each of its events has taken effect.
-    virtual void on_poll_answered(std::int64_t revision) = 0;
+    virtual void on_poll_response(std::int64_t revision) = 0;
     /// The connection is closed.
     virtual void on_poll_error(PollError error, std::string_view detail) = 0;
 };
 
 /// How much of an answer has been read.
-struct PartialAnswer {
+struct PartialResponse {
     std::optional<http::Head> head;
     std::optional<http::BodyReader> body;
     bool body_ended = false;
@@ -75,8 +75,8 @@
         cut_short  // by the time that it may take
     };
 
-    void expect_data();
-    void read_answer();
+    void restart_response_timer();
+    void read_response();
     void begin_batch();
     void end_batch();
     Step read_step();
@@ -87,10 +87,10 @@
 
     PollHandler& handler_;
     Duration max_silence_;
-    std::optional<PartialAnswer> answer_;  // none: no poll is under way
+    std::optional<PartialResponse> response_;  // none: no poll is under way
     TimePoint polled_at_, batch_began_at_;
     Batch batch_ = Batch::none;
-    ScopedTimer answer_timer_;
+    ScopedTimer response_timer_;
 };
 
 }  // namespace irismux
--- a/src/registry/registry_socket.cpp
+++ b/src/registry/registry_socket.cpp
@@ -48,11 +48,11 @@
     }
     // A stream that was refused gets a whole reply.
     if (head_.status != 200 || !head_.chunked) form_ = ReplyForm::whole;
-    if (head_.sized && head_.length > max_reply_bytes) {
+    if (head_.has_content_length && head_.length > max_reply_bytes) {
         reject_long_reply();
         return Progress::needs_input;
     }
-    input_.consumed(used);
+    input_.consume(used);
     text_.clear();
     body_reader_.emplace(head_);
     state_ = State::reading_body;
@@ -69,7 +69,7 @@
         return Progress::needs_input;
     }
     text_.append(piece);
-    input_.consumed(used);
+    input_.consume(used);
     const bool complete = status == ParseStatus::complete;
     if (form_ == ReplyForm::stream) {
         deliver_messages();
--- a/testing/fault_proxy.cpp
+++ b/testing/fault_proxy.cpp
@@ -46,7 +46,7 @@
         StandInConnection& end = *p->ends[no(w)];
         end.got = [this, weak = std::weak_ptr<Pair>(p), w](Buffer& in) {
             std::string bytes(in.view());
-            in.consumed(bytes.size());
+            in.consume(bytes.size());
             if (const PairPtr pair = weak.lock()) on_accepted(pair, w, std::move(bytes));
         };
         end.ended = [this, weak = std::weak_ptr<Pair>(p), w] {
--- a/testing/registry_stand_in.cpp
+++ b/testing/registry_stand_in.cpp
@@ -107,7 +107,7 @@
                     const std::string token(
                         auth < head ? all.substr(auth + 15, all.find('\r', auth) - auth - 15) : "");
                     const std::string body(all.substr(head + 4, length));
-                    in.consumed(head + 4 + length);
+                    in.consume(head + 4 + length);
                     if (!m.faults.mute)
                         on_request({m, wire, target, json::parse(body, nullptr, false), header(m)}, token);
                     if (wire->state() != ConnectionState::open) return;
--- a/testing/single_process.cpp
+++ b/testing/single_process.cpp
@@ -44,7 +44,7 @@
         if (pull)
             received.push_back({loop_.now(), std::string(words[1]), std::string(words[2]),
                                 std::string(words.size() > 3 ? words[3] : ""), w});
-        in.consumed(used);
+        in.consume(used);
         if (pull) then(received.back());
     }
 }
@@ -92,7 +92,7 @@
     put("HTTP_X_FAMILY", "1");
     if (!q.idempotency_key.empty()) put("HTTP_IDEMPOTENCY_KEY", q.idempotency_key);
     Buffer out;
-    fastcgi::write_begin(out, number, {fastcgi::responder, true});
+    fastcgi::write_begin_request(out, number, {fastcgi::responder, true});
     fastcgi::write_record(out, fastcgi::Type::params, number, params);
     fastcgi::write_record(out, fastcgi::Type::params, number, {});
     fastcgi::write_stream(out, fastcgi::Type::std_in, number, q.body);
@@ -131,7 +131,7 @@
             const std::size_t body = head == std::string::npos ? said.size() : head + 4;
             responses.push_back({r.request, said.substr(0, head), said.substr(body)});
         }
-        in.consumed(used);
+        in.consume(used);
     }
 }
 
--- a/testing/stand_ins.cpp
+++ b/testing/stand_ins.cpp
@@ -71,7 +71,7 @@
                 to->write();
             });
         }
-        in.consumed(used);
+        in.consume(used);
     }
     w->write();
 }
@@ -89,7 +89,7 @@
               w->got = [this, raw = std::weak_ptr<StandInConnection>(w)](Buffer& in) {
                   const std::string said(in.view());
                   if (said.find("\r\n\r\n") == std::string::npos) return;
-                  in.consumed(said.size());
+                  in.consume(said.size());
                   const std::size_t watch = said.find("watch="), linger = said.find("linger=");
                   if (watch == std::string::npos || linger == std::string::npos) return;
                   polls_.push_back(
@@ -186,7 +186,7 @@
     put("HTTP_X_BLOCK", "0");
     put("HTTP_X_FAMILY", "1");
     Buffer& out = wire_->out();
-    fastcgi::write_begin(out, request, {fastcgi::responder, true});
+    fastcgi::write_begin_request(out, request, {fastcgi::responder, true});
     fastcgi::write_record(out, fastcgi::Type::params, request, params);
     fastcgi::write_record(out, fastcgi::Type::params, request, {});
     fastcgi::write_record(out, fastcgi::Type::std_in, request, {});
@@ -213,7 +213,7 @@
             }
             open_.erase(it);
         }
-        in.consumed(used);
+        in.consume(used);
     }
 }
 
--- a/testing/stub_gateway.cpp
+++ b/testing/stub_gateway.cpp
@@ -22,7 +22,7 @@
       settings_(settings),
       roster_(purge_done),
       notice_client_(loop, *this, settings.board, settings.board_pause) {
-    notice_client_.load_known(settings_.known);
+    notice_client_.load_known_events(settings_.known);
     if (settings_.registry)
         registry_ = std::make_unique<registry::RegistryClient>(
             loop, static_cast<registry::WatchObserver&>(*this), *settings_.registry, settings_.seed);
@@ -95,9 +95,9 @@
     ++purges_;
     // By the event's own time: when it happened is each gateway's own estimate.
     purge_digest_ +=
-        digest(std::to_string((purge.stamp - TimePoint{}).micros()) + '/' +
+        digest(std::to_string((purge.timestamp - TimePoint{}).micros()) + '/' +
                std::to_string(purge.group.raw()) + '/' + (purge.object ? purge.object->raw() : ""));
-    observer_.on_purge_applied(settings_.name, purge.stamp, now);
+    observer_.on_purge_applied(settings_.name, purge.timestamp, now);
 }
 
 bool StubGateway::start_health_check(const CacheId& cache) {
--- a/tests/cache_connection_pool_test.cpp
+++ b/tests/cache_connection_pool_test.cpp
@@ -63,7 +63,7 @@
             while (raw->state() == ConnectionState::open &&
                    resp::parse_array(in.view(), arguments, used) == ParseStatus::complete) {
                 const std::string command(arguments[0]), id(arguments[1]);
-                in.consumed(used);
+                in.consume(used);
                 health_checks_received += command == "ECHO";
                 if (command != "PULL") continue;
                 received.push_back(id);
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -54,7 +54,7 @@
                 const auto n = *rc::gen::inRange<std::size_t>(0, model.size() + 1);
                 const bool front = *rc::gen::arbitrary<bool>();
                 if (front) {
-                    b.consumed(n);
+                    b.consume(n);
                     model.erase(0, n);
                 } else {
                     b.remove_suffix(n);
@@ -95,7 +95,7 @@
         while (!out.empty()) {
             ASSERT_EQ(fastcgi::parse_record(out.view(), r, used), ParseStatus::complete);
             got += r.content;
-            out.consumed(used);
+            out.consume(used);
         }
         EXPECT_EQ(got, body);
     }
@@ -152,13 +152,13 @@
 
 TEST(Resp, FieldsAreFoundByName) {
     std::string f;
-    resp::put_field(f, "tag", "4be0");
-    resp::put_field(f, "n", "cached");
+    resp::append_field(f, "tag", "4be0");
+    resp::append_field(f, "n", "cached");
     EXPECT_EQ(resp::field(f, "n"), "cached");
     EXPECT_EQ(resp::field(f, "tag"), "4be0");
     EXPECT_EQ(resp::field(f, "lag"), "");
     EXPECT_EQ(resp::field("-", "n"), "");
-    EXPECT_EQ(resp::or_none(""), "-");
+    EXPECT_EQ(resp::dash_if_empty(""), "-");
 }
 
 // A whole response, read as the program reads one: its head, then its body piece by piece.
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -82,7 +82,7 @@
                 while (const auto link = raw.lock()) {
                     if (resp::parse_array(in.view(), words, used) != ParseStatus::complete) return;
                     const std::vector<std::string> said(words.begin(), words.end());
-                    in.consumed(used);
+                    in.consume(used);
                     if (said[0] == "PULL") pulled(id, link, mine, said[1], said[2]);
                     if (said[0] == "KILL" && mine->erase(said[1])) --asked[said[1]].out;
                     if (link->state() == ConnectionState::closed) return;
@@ -202,7 +202,7 @@
             w->got = [this, raw = std::weak_ptr<StandInConnection>(w)](Buffer& in) {
                 const std::string said(in.view());
                 if (said.find("\r\n\r\n") == std::string::npos) return;
-                in.consumed(said.size());
+                in.consume(said.size());
                 const auto w2 = raw.lock();
                 if (draw() < 0.2) return w2->close();  // it fails now and then
                 polls.emplace_back(w2, std::atoll(said.c_str() + said.find("watch=") + 6));
@@ -238,7 +238,7 @@
             } else if (r.type == fastcgi::Type::std_out && !r.content.empty()) {
                 wrong("bytes for no open request");
             }
-            in.consumed(used);
+            in.consume(used);
         }
     }
 
@@ -294,7 +294,7 @@
         put("HTTP_X_BLOCK", "3");
         put("HTTP_X_FAMILY", "17");
         Buffer& out = c.wire->out();
-        fastcgi::write_begin(out, request, {fastcgi::responder, true});
+        fastcgi::write_begin_request(out, request, {fastcgi::responder, true});
         const std::size_t cut = params.size() / 2;
         fastcgi::write_record(out, fastcgi::Type::params, request, std::string_view(params).substr(0, cut));
         fastcgi::write_record(out, fastcgi::Type::params, request, std::string_view(params).substr(cut));
@@ -500,7 +500,7 @@
         wires.push_back(c->wire = std::make_shared<StandInConnection>(loop));
         c->wire->got = [raw = c.get()](Buffer& in) {
             raw->heard += in.view();
-            in.consumed(in.size());
+            in.consume(in.size());
         };
         c->wire->ended = [raw = c.get()] { raw->open = false; };
         c->wire->start(at);
@@ -534,7 +534,7 @@
 void write_request(Buffer& out, std::uint16_t request, const Named& fields, const std::string& body = "") {
     std::string params;
     for (const auto& [name, value] : fields) fastcgi::write_pair(params, name, value);
-    fastcgi::write_begin(out, request, {fastcgi::responder, true});
+    fastcgi::write_begin_request(out, request, {fastcgi::responder, true});
     fastcgi::write_stream(out, fastcgi::Type::params, request, params);
     fastcgi::write_record(out, fastcgi::Type::params, request, {});
     fastcgi::write_stream(out, fastcgi::Type::std_in, request, body);
@@ -598,8 +598,8 @@
         for (int i = 0; i < 3; ++i) talkers.push_back(day.client());
         Buffer& endless = talkers[0]->wire->out();
         for (const int i : {0, 1})
-            fastcgi::write_begin(talkers[static_cast<std::size_t>(i)]->wire->out(), 1,
-                                 {fastcgi::responder, true});
+            fastcgi::write_begin_request(talkers[static_cast<std::size_t>(i)]->wire->out(), 1,
+                                         {fastcgi::responder, true});
         fastcgi::write_stream(endless, fastcgi::Type::params, 1, std::string(300'000, 'p'));
         fastcgi::write_record(talkers[2]->wire->out(), fastcgi::Type::std_in, 9, "x");
         for (const auto& c : talkers) c->wire->write();
@@ -624,7 +624,7 @@
     for (int i = 0; i < 6; ++i) {
         all.push_back(day.client());
         for (std::uint16_t r = 1; r <= 32; ++r) {
-            fastcgi::write_begin(all.back()->wire->out(), r, {fastcgi::responder, true});
+            fastcgi::write_begin_request(all.back()->wire->out(), r, {fastcgi::responder, true});
             fastcgi::write_record(all.back()->wire->out(), fastcgi::Type::std_in, r,
                                   std::string(40'000, 'w'));
         }
--- a/tests/notice_board_stand_in.hpp
+++ b/tests/notice_board_stand_in.hpp
@@ -24,7 +24,7 @@
                           connections.back()->got = [this, raw = connections.back().get()](Buffer& in) {
                               const std::string request(in.view());
                               if (request.find("\r\n\r\n") == std::string::npos) return;
-                              in.consumed(request.size());
+                              in.consume(request.size());
                               const std::size_t from = request.find("watch=") + 6;
                               polled_from.push_back(request.substr(from, request.find('&') - from));
                               on_poll(*raw);
--- a/tests/notice_client_test.cpp
+++ b/tests/notice_client_test.cpp
@@ -85,7 +85,7 @@
 };
 
 // Given a board whose revisions have gone back and which holds no poll, when it is polled, then again only
-// after the retry delay. Guarded by NoticeClient::on_poll_answered.
+// after the retry delay. Guarded by NoticeClient::on_poll_response.
 TEST(NoticeClient, PollsABoardThatHasGoneBackAfterTheRetryDelay) {
     PollScenario scenario;
     NoticeBoardStandIn& one = scenario.one;
--- a/tests/notices_test.cpp
+++ b/tests/notices_test.cpp
@@ -61,7 +61,7 @@
 struct Result {
     std::vector<Notice> notices;
     bool complete = false;
-    std::optional<AnswerError> error;
+    std::optional<ResponseError> error;
     std::optional<std::int64_t> revision;
 };
 
@@ -165,7 +165,7 @@
 // Given a body longer than any that is held whole, when it is read in pieces, then it ends at its length.
 TEST(HttpBodyReader, EndsABodyAtItsLength) {
     http::Head head;
-    head.sized = true;
+    head.has_content_length = true;
     head.length = (std::size_t{1} << 21) + 1;  // above what is ever held whole
     http::BodyReader body(head);
     const std::string some(100'000, 'b');
@@ -217,9 +217,9 @@
     }
     for (const char* body : {"", "{", "{]", "{\"rev\":1", "{\"rev\":1,\"notices\":[}"})
         EXPECT_FALSE(read_whole(body).complete) << body;
-    EXPECT_EQ(read_whole(std::string(3, '\0')).error, AnswerError::not_json);
+    EXPECT_EQ(read_whole(std::string(3, '\0')).error, ResponseError::not_json);
     EXPECT_EQ(read_whole("{\"notices\":" + std::string(1, '\0') + "[]}").error,
-              AnswerError::notices_not_a_list);
+              ResponseError::notices_not_a_list);
 }
 
 // Given events without a revision, when the answer's stands before or behind them, then they bear it and the
@@ -230,9 +230,9 @@
         const Result read = read_in_pieces(body, [] { return std::size_t{1}; });
         ASSERT_EQ(read.notices.size(), 3u) << body;
         EXPECT_EQ(read.notices[0].revision, 9);
-        EXPECT_FALSE(read.notices[0].numbered);
+        EXPECT_FALSE(read.notices[0].has_revision);
         EXPECT_EQ(read.notices[1].revision, 8);
-        EXPECT_TRUE(read.notices[1].numbered);
+        EXPECT_TRUE(read.notices[1].has_revision);
         EXPECT_EQ(read.notices[2].revision, 9);
     }
 }
@@ -250,7 +250,7 @@
         fed += some.size();
         EXPECT_FALSE(reader.next());
     }
-    EXPECT_EQ(reader.error(), AnswerError::too_many_unnumbered_events);
+    EXPECT_EQ(reader.error(), ResponseError::too_many_unnumbered_events);
     EXPECT_LT(fed, NoticeReader::max_waiting_bytes);
 }
 
--- a/tests/request_identity_test.cpp
+++ b/tests/request_identity_test.cpp
@@ -98,8 +98,8 @@
                 Duration::micros(static_cast<std::int64_t>(random() % (n % 50 == 0 ? 8'000'000 : 20'000)));
             const TimePoint happened = now + Duration::micros(static_cast<std::int64_t>(random() % 500'000));
             now = happened + delay;
-            times.begin_news(now, poll);
-            const TimePoint at = times.purge(happened + Duration::seconds(off));
+            times.begin_live(now, poll);
+            const TimePoint at = times.purge_time(happened + Duration::seconds(off));
             ASSERT_GE(at, happened);
             ASSERT_LE(at, now);
             if (n > 100) {
@@ -114,12 +114,12 @@
 // A writer's clock that is stepped back while the board is silent and after: what was known of it is void.
 TEST(EventTimes, AWritersClockThatIsSteppedIsFoundOut) {
     EventTimeEstimator times;
-    times.begin_news(after(1), after(0));
-    EXPECT_EQ(times.purge(after(1)), after(1));
-    times.begin_news(after(2), after(1));
-    EXPECT_EQ(times.purge(after(2 - 3600)), after(2));
-    times.begin_news(after(3), after(2));
-    EXPECT_GE(times.purge(after(3)), after(3));
+    times.begin_live(after(1), after(0));
+    EXPECT_EQ(times.purge_time(after(1)), after(1));
+    times.begin_live(after(2), after(1));
+    EXPECT_EQ(times.purge_time(after(2 - 3600)), after(2));
+    times.begin_live(after(3), after(2));
+    EXPECT_GE(times.purge_time(after(3)), after(3));
 }
 
 // History is no older than its newest purge makes it, whatever the own clock says.
@@ -128,8 +128,8 @@
         EventTimeEstimator times;
         const TimePoint newest = after(-1 - off);  // the own clock is ahead by that
         times.begin_history(start, newest);
-        EXPECT_EQ(times.purge(newest - Duration::seconds(5)), after(-5));
-        EXPECT_EQ(times.purge(newest), after(0));
+        EXPECT_EQ(times.purge_time(newest - Duration::seconds(5)), after(-5));
+        EXPECT_EQ(times.purge_time(newest), after(0));
     }
 }
 
@@ -137,14 +137,14 @@
 TEST(EventTimes, AStartThatDoesNotFitIsOneOfNow) {
     EventTimeEstimator times;
     const CacheId a{"a"}, b{"b"}, c{"c"};
-    times.begin_news(after(10), after(9));
-    EXPECT_EQ(times.start(a, after(9.5)), after(9.5));
-    EXPECT_EQ(times.start(b, after(-3600)), after(10));
-    EXPECT_EQ(times.start(c, TimePoint{}), TimePoint{});
-    times.begin_news(after(20), after(19));
-    EXPECT_EQ(times.start(a, after(9.5)), after(9.5));
-    EXPECT_EQ(times.start(b, after(-3600)), after(10));
-    EXPECT_EQ(times.start(b, after(-3599)), after(20));
+    times.begin_live(after(10), after(9));
+    EXPECT_EQ(times.start_time(a, after(9.5)), after(9.5));
+    EXPECT_EQ(times.start_time(b, after(-3600)), after(10));
+    EXPECT_EQ(times.start_time(c, TimePoint{}), TimePoint{});
+    times.begin_live(after(20), after(19));
+    EXPECT_EQ(times.start_time(a, after(9.5)), after(9.5));
+    EXPECT_EQ(times.start_time(b, after(-3600)), after(10));
+    EXPECT_EQ(times.start_time(b, after(-3599)), after(20));
 }
 
 // Given attempts that have ended, when timers fire, then nothing is found.
--- a/tests/wire_names_test.cpp
+++ b/tests/wire_names_test.cpp
@@ -132,11 +132,14 @@
     };
     std::string pair;
     fastcgi::write_pair(pair, "HTTP_X_OBJECT", "00000000000000a1");
-    add("fastcgi begin", [](Buffer& out) { fastcgi::write_begin(out, 1, {fastcgi::responder, true}); });
+    add("fastcgi begin", [](Buffer& out) {
+        fastcgi::write_begin_request(out, 1, {fastcgi::responder, true});
+    });
     add("fastcgi params", [&](Buffer& out) { fastcgi::write_record(out, fastcgi::Type::params, 1, pair); });
     add("fastcgi stdin", [](Buffer& out) { fastcgi::write_stream(out, fastcgi::Type::std_in, 1, "body"); });
-    add("fastcgi end", [](Buffer& out) { fastcgi::write_end(out, 1, fastcgi::ProtocolStatus::overloaded); });
-    add("fastcgi unknown", [](Buffer& out) { fastcgi::write_unknown(out, 99); });
+    add("fastcgi end",
+        [](Buffer& out) { fastcgi::write_end_request(out, 1, fastcgi::ProtocolStatus::overloaded); });
+    add("fastcgi unknown", [](Buffer& out) { fastcgi::write_unknown_type(out, 99); });
     add("resp array", [](Buffer& out) { resp::write_array(out, {"PULL", "id", "sort=pages", ""}); });
     add("http get",
         [](Buffer& out) { http::write_get(out, "127.0.0.1:80", "/board/poll?watch=1&linger=2"); });
@@ -258,7 +261,7 @@
     EventLoop loop;
     Heard heard;
     NoticeClient board(loop, heard, "127.0.0.1:9", Duration::seconds(1));
-    board.load_known(json::parse(board_events));
+    board.load_known_events(json::parse(board_events));
     EXPECT_EQ(heard.left_out, 0);
     EXPECT_TRUE(heard.complete);
     ASSERT_EQ(heard.list.size(), 1u);
@@ -271,10 +274,10 @@
     EXPECT_EQ(listing.weight, 1.5);
     EXPECT_EQ(listing.status, EndpointStatus::active);
     ASSERT_EQ(heard.purges.size(), 2u);
-    EXPECT_EQ(heard.purges[0].stamp, time_from_unix_ms(1'700'000'000'456));
+    EXPECT_EQ(heard.purges[0].timestamp, time_from_unix_ms(1'700'000'000'456));
     EXPECT_EQ(heard.purges[0].group, PurgeGroupId{7});
     EXPECT_EQ(heard.purges[0].object, std::nullopt);
-    EXPECT_EQ(heard.purges[1].stamp, time_from_unix_ms(1'700'000'000'789));
+    EXPECT_EQ(heard.purges[1].timestamp, time_from_unix_ms(1'700'000'000'789));
     EXPECT_EQ(heard.purges[1].group, PurgeGroupId{8});
     EXPECT_EQ(heard.purges[1].object, ObjectName{"00000000000000a1"});
 }
@@ -482,7 +485,7 @@
               auto wire = std::make_shared<stand_ins::StandInConnection>(loop, s);
               wire->got = [this, raw = std::weak_ptr<stand_ins::StandInConnection>(wire)](Buffer& in) {
                   heard += in.view();
-                  in.consumed(in.size());
+                  in.consume(in.size());
                   last_ = raw.lock();
               };
               wires_.push_back(wire);
@@ -645,7 +648,7 @@
     std::string params;
     for (const auto& [name, value] : fields) fastcgi::write_pair(params, name, value);
     Buffer out;
-    fastcgi::write_begin(out, 1, {fastcgi::responder, true});
+    fastcgi::write_begin_request(out, 1, {fastcgi::responder, true});
     fastcgi::write_record(out, fastcgi::Type::params, 1, params);
     fastcgi::write_record(out, fastcgi::Type::params, 1, {});
     fastcgi::write_stream(out, fastcgi::Type::std_in, 1, body);
@@ -702,7 +705,7 @@
         client = std::make_shared<stand_ins::StandInConnection>(loop);
         client->got = [this](Buffer& in) {
             answer += in.view();
-            in.consumed(in.size());
+            in.consume(in.size());
         };
         client->start(listen);
     }
@@ -854,7 +857,7 @@
     fastcgi::write_record(unknown, static_cast<fastcgi::Type>(99), 0, "?");
     say(bytes_of(unknown));
     expect_answer();
-    fastcgi::write_begin(role, 1, {3, true});
+    fastcgi::write_begin_request(role, 1, {3, true});
     say(bytes_of(role));
     expect_answer();
     expect_golden("wire/protocol.txt", lines);
