--- a/src/codec/buffer.hpp
+++ b/src/codec/buffer.hpp
@@ -1,5 +1,5 @@
-// The bytes of one connection: grows as needed, is compacted in place, and gives memory back when it runs
-// empty.
+// A byte buffer for the input or output of a connection. Grows as needed, compacts its content in place, and
+// releases large memory when it becomes empty.
 #pragma once
 
 #include <algorithm>
@@ -12,12 +12,13 @@
 
 class Buffer {
 public:
-    /// Valid until the next call that is not const.
+    /// The content. The view is valid until the next call of a non-const function.
     [[nodiscard]] std::string_view view() const { return {store_.get() + begin_, end_ - begin_}; }
     [[nodiscard]] bool empty() const { return begin_ == end_; }
     [[nodiscard]] std::size_t size() const { return end_ - begin_; }
 
-    /// Room for at least `bytes` more behind the present ones. What is written there counts after commit().
+    /// Returns room for at least `bytes` more bytes after the content. Bytes written there become part of the
+    /// content with commit().
     [[nodiscard]] char* prepare(std::size_t bytes) {
         if (capacity_ - end_ >= bytes) return store_.get() + end_;
         if (begin_ > 0 && capacity_ - size() >= bytes) {
@@ -33,7 +34,7 @@
         begin_ = 0;
         return store_.get() + end_;
     }
-    /// Bytes that fit behind the present ones without growing.
+    /// Number of bytes that fit after the content without growing the buffer.
     [[nodiscard]] std::size_t free_capacity() const { return capacity_ - end_; }
     void commit(std::size_t bytes) { end_ += bytes; }
 
@@ -42,15 +43,15 @@
         std::memcpy(prepare(bytes.size()), bytes.data(), bytes.size());
         commit(bytes.size());
     }
-    /// Removes the last bytes.
+    /// Removes bytes from the end.
     void remove_suffix(std::size_t bytes) { end_ -= bytes; }
-    /// Removes the first bytes.
+    /// Removes bytes from the front.
     void consume(std::size_t bytes) {
         begin_ += bytes;
         if (begin_ != end_) return;
         begin_ = end_ = 0;
         if (capacity_ <= max_kept_capacity) return;
-        // Guards the memory: hundreds of connections would each keep the largest message that they carried.
+        // Limits memory: otherwise each of hundreds of connections would keep room for its largest message.
         store_.reset();
         capacity_ = 0;
     }
--- a/src/codec/cache_protocol.cpp
+++ b/src/codec/cache_protocol.cpp
@@ -39,7 +39,7 @@
      {"root_failed", CacheStatus::origin_failed}}};
 
 constexpr std::size_t response_arguments = 4;  // id, result, fields, body
-// Longer waits count as this, so that any number that a cache may report fits a Duration.
+// Longer waits are reduced to this, so that any number that a cache may report fits into a Duration.
 constexpr double max_fill_wait_ms = 1e9;
 
 template <class Value, std::size_t size>
@@ -89,7 +89,8 @@
     return fields;
 }
 
-// The time that the cache waited for its fill; zero: not reported; none: not a time.
+// @return how long the cache waited for its fill, zero if that is not reported, or std::nullopt if the text
+// is not a time.
 std::optional<Duration> parse_fill_wait(std::string_view text) {
     if (text.empty()) return Duration{};
     const auto ms = parse_number<double>(text);
@@ -97,7 +98,7 @@
     return Duration::seconds(std::min(*ms, max_fill_wait_ms) / 1000);
 }
 
-// Whether the response carries the tag and the time of a copy.
+// Whether the response contains the tag and the creation time of a copy.
 bool describes_copy(std::string_view fields) {
     const auto created_at = parse_number<std::int64_t>(resp::field(fields, "minted"));
     return !resp::field(fields, "tag").empty() && created_at && *created_at > 0;
@@ -128,8 +129,9 @@
 
 bool is_healthy(const Message& message) { return message.arguments[1] == healthy_reply; }
 
-// Guards clients against responses that were damaged on the way: nothing of one counts unless all of it is
-// valid, and a body is passed on only with the marks of a copy.
+// Protects clients from responses that were damaged in transit: a response is rejected unless all of it is
+// valid, and a body is passed on only if the response describes a copy (see describes_copy()) or the request
+// is a write.
 std::optional<AttemptEnd> parse_response(const Message& message, const ClientRequest& request) {
     if (message.arguments.size() != response_arguments) return std::nullopt;
     const std::string_view result = message.arguments[1];
--- a/src/codec/cache_protocol.hpp
+++ b/src/codec/cache_protocol.hpp
@@ -1,5 +1,5 @@
-// The protocol of caches: attempts, cancellations and health checks out, responses in. Without I/O. The
-// protocol's words stand in cache_protocol.cpp alone.
+// The protocol between the gateway and caches: writes attempts, cancellations and health checks, and parses
+// responses. Performs no I/O. The protocol's keywords appear only in cache_protocol.cpp.
 #pragma once
 
 #include <cstddef>
@@ -16,30 +16,32 @@
 
 namespace irismux::cache_protocol {
 
-/// What an attempt tells its cache besides the client's request.
+/// The parts of an attempt that are sent to the cache in addition to the client's request.
 struct AttemptOptions {
-    const AttemptPlan* plan = nullptr;  ///< none: no cache options are written
-    Duration timeout;                   ///< what is left of it; written in whole milliseconds, at least one
-    Duration max_age;                   ///< oldest copy that may be served; zero: as the cache sees fit
+    const AttemptPlan* plan = nullptr;  ///< null to write no cache options
+    Duration timeout;                   ///< the remaining time; written in whole milliseconds, at least one
+    Duration max_age;                   ///< maximum age of the served copy; zero to let the cache decide
 };
 void write_attempt(Buffer& out, const ClientRequest& request, const AttemptOptions& options);
 void write_cancellation(Buffer& out, const ClientRequestId& id);
-/// @param tag comes back in the reply; must not be the id of a request.
+/// @param tag is returned in the reply; must not be the id of a request.
 void write_health_check(Buffer& out, std::string_view tag);
 
-/// One message of a cache. Holds views into the bytes that it was parsed from.
+/// A message from a cache. Holds views into the bytes from which it was parsed.
 struct Message {
     std::string_view id;  ///< a request's id or a health check's tag
     resp::Arguments arguments;
 };
-/// The first message of `bytes`; `used` is its length. Invalid: no message of the protocol begins so.
+/// Parses the first message of `bytes` and sets `used` to its length.
+/// @return ParseStatus::invalid if no message of the protocol begins with these bytes.
 [[nodiscard]] ParseStatus parse_message(std::string_view bytes, Message& message, std::size_t& used);
-/// Whether the reply to a health check says that the cache is well.
+/// Whether the reply to a health check reports that the cache is healthy.
 [[nodiscard]] bool is_healthy(const Message& message);
-/// The response to an attempt; its body is a view. None: it is not valid, and what the cache meant is
-/// unknown.
+/// Parses the response to an attempt. The body of the result is a view.
+/// @return std::nullopt if the response is invalid, so that its meaning is unknown.
 [[nodiscard]] std::optional<AttemptEnd> parse_response(const Message& message, const ClientRequest& request);
-/// The id of a response that broke off in the middle of `bytes`; none: none did, or its id had not come.
+/// @return the id of a response that is cut off at the end of `bytes`, or std::nullopt if there is none or
+/// its id has not arrived.
 [[nodiscard]] std::optional<ClientRequestId> find_partial_response(std::string_view bytes);
 
 }  // namespace irismux::cache_protocol
--- a/src/codec/client_protocol.cpp
+++ b/src/codec/client_protocol.cpp
@@ -53,7 +53,7 @@
     return text.size() == 16 && text.find_first_not_of("0123456789abcdefABCDEF") == std::string_view::npos;
 }
 
-// A key is passed on to caches in a list of fields, where commas and equals signs are separators.
+// The key is passed on to caches in a list of fields, in which commas and equals signs are separators.
 bool is_idempotency_key(std::string_view text) {
     return !text.empty() && text.size() <= max_idempotency_key_bytes &&
            std::all_of(text.begin(), text.end(), [](unsigned char c) {
@@ -61,7 +61,7 @@
            });
 }
 
-// The parameters of a request, by name. Each that is asked for may be given once.
+// The parameters of a request by name. A parameter that is looked up may occur only once.
 class Parameters {
 public:
     explicit Parameters(const fastcgi::Pairs& pairs) : pairs_(pairs) {}
@@ -76,7 +76,7 @@
         return found;
     }
     std::string_view get(std::string_view name) { return find(name).value_or(std::string_view{}); }
-    // Whether one of those asked for so far stands there more than once.
+    // Whether a parameter that has been looked up so far occurs more than once.
     bool has_duplicates() const { return has_duplicates_; }
 
 private:
@@ -84,8 +84,8 @@
     bool has_duplicates_ = false;
 };
 
-// Guards the router and the caches against what a client may send: no field counts before all are checked.
-// None: one is missing, malformed, out of range, or given twice.
+// Protects the router and the caches from invalid input: no field is used before all have been checked.
+// @return std::nullopt if a field is missing, malformed, out of range, or given twice.
 std::optional<ClientRequest> parse_fields(Parameters& parameters, const ServedKind& kind, std::string body,
                                           TimePoint now) {
     const auto timeout_ms = parse_number<std::int64_t>(parameters.get("HTTP_X_TIMEOUT_MS"));
--- a/src/codec/fastcgi.hpp
+++ b/src/codec/fastcgi.hpp
@@ -1,4 +1,4 @@
-// FastCGI 1.0: records and name-value pairs. Pure functions of bytes.
+// Parses and writes the records and name-value pairs of FastCGI 1.0. Performs no I/O.
 //
 // Source: FastCGI Specification 1.0, sections 3 to 5.
 #pragma once
@@ -28,7 +28,7 @@
     get_values_result = 10,
     unknown_type = 11
 };
-/// Why a request ends, in END_REQUEST.
+/// The protocol status in END_REQUEST, which says why the request ends.
 enum class ProtocolStatus : std::uint8_t {
     request_complete = 0,
     cant_mpx_conn = 1,
@@ -36,33 +36,33 @@
     unknown_role = 3
 };
 
-constexpr std::uint16_t responder = 1;  ///< the role of requests that are served here
-constexpr std::uint8_t keep_conn = 1;   ///< flag: the connection stays open behind the request
+constexpr std::uint16_t responder = 1;  ///< the only role that the server supports
+constexpr std::uint8_t keep_conn = 1;   ///< flag to keep the connection open after the request
 
 struct Record {
     Type type{};
-    std::uint16_t request = 0;  ///< 0: management of the connection
+    std::uint16_t request = 0;  ///< request id; 0 in management records
     std::string_view content;   ///< a view into the parsed bytes
 };
 
-/// The first record of `bytes`; `used` counts its padding too.
+/// Parses the first record of `bytes`. `used` is set to its length including the padding.
 [[nodiscard]] ParseStatus parse_record(std::string_view bytes, Record& record, std::size_t& used);
-/// The content length of a record that is not complete yet, and in `record.request` whose it is. 0: its
-/// header has not come either.
+/// Returns the content length of an incomplete record and sets `record.request` to its request id.
+/// @return 0 if the record's header is incomplete too.
 [[nodiscard]] std::size_t announced_content_length(std::string_view bytes, Record& record);
 
 struct BeginRequest {
     std::uint16_t role = 0;
-    bool keep_connection = false;  ///< keep_conn was set
+    bool keep_connection = false;  ///< whether keep_conn was set
 };
 [[nodiscard]] ParseStatus parse_begin_request(std::string_view content, BeginRequest& begin);
 
 using Pairs = std::vector<std::pair<std::string_view, std::string_view>>;
-/// All pairs of a complete stream, as views into `bytes`.
+/// Parses all pairs of a complete stream. The pairs are views into `bytes`.
 [[nodiscard]] ParseStatus parse_pairs(std::string_view bytes, Pairs& pairs);
 
 void write_record(Buffer& out, Type type, std::uint16_t request, std::string_view content);
-/// As many records as the bytes need; none for no bytes.
+/// Writes as many records as the bytes need; no record if there are no bytes.
 void write_stream(Buffer& out, Type type, std::uint16_t request, std::string_view bytes);
 void write_begin_request(Buffer& out, std::uint16_t request, BeginRequest begin);
 void write_end_request(Buffer& out, std::uint16_t request, ProtocolStatus status);
--- a/src/codec/http.cpp
+++ b/src/codec/http.cpp
@@ -9,10 +9,10 @@
 namespace irismux::http {
 namespace {
 
-// Of a response's head, of the line before a chunk, and of all trailers.
+// Maximum size of a response's head, of the line before a chunk, and of all trailers together.
 constexpr std::size_t max_head_bytes = 16'384;
 constexpr std::string_view line_end = "\r\n";
-// "HTTP/1.1 200"
+// The position of the status code in a status line such as "HTTP/1.1 200".
 constexpr std::size_t status_position = 9;
 constexpr std::size_t status_digits = 3;
 
@@ -27,12 +27,14 @@
     return s;
 }
 
-// The line before a chunk's data: its length in hexadecimal, and extensions, which do not count.
+// Parses the line before a chunk's data, which holds the length in hexadecimal and extensions, which are
+// ignored.
 std::optional<std::size_t> parse_chunk_size(std::string_view line) {
     return parse_number<std::size_t>(trimmed(line.substr(0, line.find(';'))), 16);
 }
 
-// One line of a response's head. False: it is not valid.
+// Parses one line of a response's head.
+// @return false if the line is invalid.
 bool parse_field(std::string_view line, Head& head) {
     const std::size_t colon = line.find(':');
     if (colon == std::string_view::npos) return false;
@@ -91,7 +93,7 @@
     return chunked_ ? ParseStatus::incomplete : ParseStatus::complete;
 }
 
-// The lines between the data: a chunk's size, the empty line behind its data, and the trailers.
+// Handles the lines between the data: a chunk's size, the empty line after its data, and the trailers.
 ParseStatus BodyReader::next_line(std::string_view bytes, std::size_t& used) {
     const std::size_t end = bytes.find(line_end);
     if (end == std::string_view::npos)
--- a/src/codec/http.hpp
+++ b/src/codec/http.hpp
@@ -1,5 +1,5 @@
-// HTTP/1.1, as far as its clients here need it: a GET or a POST, and a response with a length, in chunks, or
-// as a stream of chunks that does not end. Without I/O.
+// The subset of HTTP/1.1 that the clients in this program need: GET and POST requests, and responses with a
+// Content-Length, in chunks, or as an endless stream of chunks. Performs no I/O.
 //
 // Source: RFC 9112, sections 4 to 7.
 #pragma once
@@ -18,22 +18,24 @@
     bool chunked = false;
     bool has_content_length = false;  ///< has a Content-Length
     std::size_t length = 0;           ///< of the body, if has_content_length
-    bool close = false;               ///< the connection ends behind the response
-    /// Whether the end of the body can be told from a connection that broke.
+    bool close = false;               ///< the connection ends after the response
+    /// Whether the end of the body can be distinguished from a broken connection.
     [[nodiscard]] bool framed() const { return chunked || has_content_length; }
 };
 
-/// Invalid: it is not HTTP/1.x, or longer than 16 KB.
+/// @return ParseStatus::invalid if the head is not HTTP/1.x or is longer than 16 KB.
 [[nodiscard]] ParseStatus parse_head(std::string_view bytes, Head& head, std::size_t& used);
 
-/// Takes the framing (a length, or chunks) off one body as it arrives. The body may have any length; nothing
-/// of it is kept.
+/// Removes the framing (a length, or chunks) from a body as it arrives. The body may have any length; none of
+/// it is stored.
 class BodyReader {
 public:
     explicit BodyReader(const Head& head);
 
-    /// Reads from the first bytes not used yet: `piece` is the next part of the body, a view into `bytes`.
-    /// Incomplete with nothing used: more bytes have to arrive first. Complete: the body has ended.
+    /// Reads the next part of the body. `bytes` must begin after the bytes that earlier calls used; `piece`
+    /// is set to a view into it.
+    /// @return ParseStatus::complete once the body has ended. If the result is ParseStatus::incomplete and
+    /// `used` is 0, more bytes have to arrive first.
     [[nodiscard]] ParseStatus next(std::string_view bytes, std::string_view& piece, std::size_t& used);
 
 private:
@@ -44,12 +46,12 @@
 
     bool chunked_;
     Expecting expecting_;
-    std::size_t missing_bytes_;      // of the chunk, or of the body
-    std::size_t trailer_bytes_ = 0;  // so far
+    std::size_t missing_bytes_;      // remaining bytes of the chunk or of the body
+    std::size_t trailer_bytes_ = 0;  // size of the trailers read so far
 };
 
 void write_get(Buffer& out, std::string_view host, std::string_view target);
-/// @param authorization the value of that field; empty: there is none.
+/// @param authorization the value of the Authorization field; empty to send none.
 void write_post(Buffer& out, std::string_view host, std::string_view target, std::string_view authorization,
                 std::string_view body);
 
--- a/src/codec/notice_events.cpp
+++ b/src/codec/notice_events.cpp
@@ -41,10 +41,10 @@
     return event;
 }
 
-// The newest times that the events bear, by kind.
+// The newest timestamps of the events, separately for purges and for starts of caches.
 class NewestTimestamps {
 public:
-    // Counts what stands before a field that can't be read.
+    // If a field can't be read, only the timestamps before it are used.
     void add(const json& event) {
         try {
             if (const auto purge = event.find(purge_key); purge != event.end())
--- a/src/codec/notice_events.hpp
+++ b/src/codec/notice_events.hpp
@@ -1,4 +1,4 @@
-// What the events of the notice board say, and the words of its protocol. Without I/O.
+// Parses the events of the notice board and builds the request target of a poll. Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -18,19 +18,19 @@
 /// The endpoint list has changed.
 struct EndpointEvent {
     std::vector<EndpointRecord> endpoints;
-    bool complete = false;  ///< the whole list: endpoints that are not named are removed
+    bool complete = false;  ///< whether this is the whole list, so that other endpoints are removed
 };
-/// Copies of an object, or of all objects of a group, that were made before `timestamp` are purged.
+/// Purges the copies of an object, or of all objects of a group, that were made before `timestamp`.
 struct PurgeEvent {
-    TimePoint timestamp;  ///< by the clock of whoever wrote it
+    TimePoint timestamp;  ///< by the clock of the writer of the event
     PurgeGroupId group;
     std::optional<ObjectName> object;
 };
-/// Of a kind that this program does not know.
+/// An event of a kind that this program does not know.
 struct UnknownEvent {};
 struct UnreadableEvent {
     EventError error;
-    std::vector<EndpointRecord> endpoints;  ///< that were read before the error
+    std::vector<EndpointRecord> endpoints;  ///< the records that were read before the error
 };
 using NoticeEvent = std::variant<EndpointEvent, PurgeEvent, UnknownEvent, UnreadableEvent>;
 
@@ -38,17 +38,17 @@
 
 /// Events that were known before the first poll.
 struct KnownNotices {
-    std::int64_t revision = 0;  ///< of the newest
+    std::int64_t revision = 0;  ///< revision of the newest event
     std::vector<Notice> notices;
-    /// Of the newest purge, or else of the newest start of a cache; zero: there is none. Events that can't be
-    /// read do not count.
+    /// Timestamp of the newest purge, or of the newest start of a cache if there is no purge; zero if there
+    /// is neither. Events that can't be read are ignored.
     TimePoint newest_timestamp;
 };
 /// @throws std::runtime_error if `known` is not {"rev": ..., "notices": [...]}.
 [[nodiscard]] KnownNotices parse_known_notices(const nlohmann::json& known);
 
-/// The request target of a poll for the events behind `revision`.
-/// @param linger for how long the board may hold the poll if there are none; counted in whole milliseconds.
+/// Returns the request target of a poll for the events after `revision`.
+/// @param linger how long the board may hold the poll if there are no new events; sent in whole milliseconds.
 [[nodiscard]] std::string poll_target(std::int64_t revision, Duration linger);
 
 }  // namespace irismux
--- a/src/codec/notice_reader.cpp
+++ b/src/codec/notice_reader.cpp
@@ -86,7 +86,8 @@
     return notice;
 }
 
-// Reads up to the next terminator. False: the piece has been read.
+// Reads up to the next terminator.
+// @return false if the piece has been read completely.
 bool NoticeReader::step(std::optional<Notice>& notice) {
     if (position_ == piece_.size()) return false;
     switch (expecting_) {
@@ -155,7 +156,7 @@
     first_ = false;
     if (only && is_whitespace(text) && !too_large) return;  // an empty list
     Notice read = parse_element(text, too_large);
-    // Guards the order: behind an event that waits for the answer's revision all others wait too.
+    // Preserves the order: while one event waits for the revision of the response, all later ones wait too.
     if (revision_ || (waiting_.empty() && (read.has_revision || read.error))) {
         notice = std::move(read);
         return;
@@ -179,7 +180,7 @@
     return make_notice(std::move(content), revision_.value_or(0));
 }
 
-// Before the answer's object, behind its list, and behind all of it.
+// Reads the punctuation before the object, after the list, and after the object.
 void NoticeReader::read_punctuation() {
     const auto c = next_non_whitespace();
     if (!c) return;
@@ -200,7 +201,8 @@
     return piece_[position_++];
 }
 
-// Collects the text up to a terminator outside of strings and brackets. False: it goes on in the next piece.
+// Collects the text up to a terminator outside of strings and brackets.
+// @return false if the text continues in the next piece.
 bool NoticeReader::collect(std::string_view terminators) {
     const std::size_t begin = position_;
     for (; position_ < piece_.size(); ++position_) {
@@ -231,7 +233,7 @@
     }
 }
 
-// Guards the memory: an event that is too large is read through and not kept.
+// Limits memory: an event that is too large is read to its end without being stored.
 void NoticeReader::append_text(std::string_view bytes) {
     too_large_ = too_large_ || text_.size() + bytes.size() > max_notice_bytes;
     if (too_large_)
--- a/src/codec/notice_reader.hpp
+++ b/src/codec/notice_reader.hpp
@@ -1,8 +1,8 @@
-// Reads one answer of the notice board, {"rev": LAST, "notices": [...]}, as its bytes arrive: in pieces of
-// any size and in bounded memory, each event as soon as it is whole. Without I/O.
+// Reads one response of the notice board, {"rev": LAST, "notices": [...]}, incrementally: from pieces of any
+// size and in bounded memory, returning each event as soon as it is complete. Performs no I/O.
 //
-// A scanner cuts the list into the texts of its events and nlohmann-json parses each. So events count that
-// came whole before a break, and one that is not JSON does not affect the others.
+// A scanner splits the list into the texts of its events, and nlohmann-json parses each text. So events that
+// arrived completely before a break are used, and an event that is not JSON does not affect the others.
 #pragma once
 
 #include <cstddef>
@@ -18,11 +18,11 @@
 /// Why one event can't be read.
 struct EventError {
     enum class Kind {
-        too_large,  ///< or too deep; see NoticeReader
+        too_large,  ///< or nested too deeply; see NoticeReader
         not_json,
         not_an_object,
         invalid_field,
-        not_applicable  ///< its observer refused it
+        not_applicable  ///< the observer threw an exception
     };
     Kind kind;
     std::string detail;
@@ -31,19 +31,19 @@
 /// For logs, in snake_case.
 [[nodiscard]] std::string_view to_string(EventError::Kind kind);
 
-/// One event of the board.
+/// One event of the notice board.
 // NOLINTNEXTLINE(bugprone-exception-escape): json's move constructor is noexcept; the check looks inside it.
 struct Notice {
-    std::int64_t revision = 0;  ///< its own, or that of the answer
-    bool has_revision = false;  ///< it has one of its own
+    std::int64_t revision = 0;  ///< its own revision, or that of the response
+    bool has_revision = false;  ///< whether the event has a revision of its own
     nlohmann::json content;
-    std::optional<EventError> error;  ///< set: `content` does not count
+    std::optional<EventError> error;  ///< if set, `content` must not be used
 };
 
-/// An event as it stands in a list that was parsed elsewhere.
+/// Creates a Notice from an element of a list that has already been parsed.
 [[nodiscard]] Notice make_notice(nlohmann::json content, std::int64_t response_revision);
 
-/// Why the rest of an answer can't be read.
+/// Why the rest of a response can't be read.
 enum class ResponseError {
     not_json,
     notices_not_a_list,
@@ -55,20 +55,22 @@
 
 class NoticeReader {
 public:
-    /// A longer event is read through and reported as too large. Enough for a list of some 5,000 caches.
+    /// A longer event is skipped and reported as too large. The limit allows a list of some 5,000 caches.
     static constexpr std::size_t max_notice_bytes = 1'048'576;
-    static constexpr int max_depth = 32;  ///< of nested brackets
-    /// Events without a revision of their own wait for the answer's, in so many bytes.
+    static constexpr int max_depth = 32;  ///< maximum nesting of brackets
+    /// Maximum size of the events that wait for the revision of the response because they have none of their
+    /// own.
     static constexpr std::size_t max_waiting_bytes = max_notice_bytes;
 
-    /// The next bytes of the answer. To be called only once next() has returned none.
+    /// Passes the next bytes of the response. Must be called only after next() has returned std::nullopt.
     void feed(std::string_view piece);
-    /// The next event; none: more bytes are needed, or the answer is complete, or it can't be read.
+    /// @return the next event, or std::nullopt if more bytes are needed, the response is complete, or it
+    /// can't be read.
     [[nodiscard]] std::optional<Notice> next();
 
     [[nodiscard]] bool complete() const { return expecting_ == Expecting::nothing && !error_; }
     [[nodiscard]] std::optional<ResponseError> error() const { return error_; }
-    /// The answer's; none: it has not come yet.
+    /// @return the revision of the response, or std::nullopt if it has not arrived yet.
     [[nodiscard]] std::optional<std::int64_t> revision() const { return revision_; }
 
 private:
@@ -88,12 +90,12 @@
     [[nodiscard]] std::string take_text();
 
     std::string piece_;
-    std::size_t position_ = 0;  // in the piece
+    std::size_t position_ = 0;  // in piece_
     Expecting expecting_ = Expecting::object;
     std::string key_;
-    bool first_ = true;  // of the keys, or of the list
+    bool first_ = true;  // whether no key, or no element of the list, has been read yet
 
-    // The text of one key, value or element, up to its terminator.
+    // The text of the current key, value or element, up to its terminator.
     std::string text_;
     int depth_ = 0;
     bool in_string_ = false;
@@ -102,7 +104,7 @@
     char terminator_ = 0;
 
     std::optional<std::int64_t> revision_;
-    std::deque<Notice> waiting_;  // for the answer's revision, in order
+    std::deque<Notice> waiting_;  // events that wait for the revision of the response, in order
     std::size_t waiting_bytes_ = 0;
     std::optional<ResponseError> error_;
 };
--- a/src/codec/parse_number.hpp
+++ b/src/codec/parse_number.hpp
@@ -1,4 +1,4 @@
-// Numbers as text.
+// Conversion of text to numbers.
 #pragma once
 
 #include <charconv>
@@ -9,7 +9,8 @@
 
 namespace irismux {
 
-/// The number that the whole of `text` denotes; none: it is empty, not a number, or does not fit.
+/// @return the number that the whole of `text` represents, or std::nullopt if the text is empty, is not a
+/// number, or the number does not fit.
 template <std::integral Number>
 [[nodiscard]] std::optional<Number> parse_number(std::string_view text, int base = 10) {
     Number number{};
--- a/src/codec/parse_status.hpp
+++ b/src/codec/parse_status.hpp
@@ -1,4 +1,4 @@
-// The result of every parser.
+// The result of a parser.
 #pragma once
 
 namespace irismux {
@@ -6,7 +6,7 @@
 enum class ParseStatus {
     incomplete,  ///< more bytes are needed
     complete,
-    invalid  ///< no more bytes can make it valid
+    invalid  ///< further bytes can't make the input valid
 };
 
 }  // namespace irismux
--- a/src/codec/resp.cpp
+++ b/src/codec/resp.cpp
@@ -7,16 +7,16 @@
 namespace irismux::resp {
 namespace {
 
-// Guards the memory against lengths that no message has: a message has few arguments, of which one may be a
-// body and the others are short.
+// These limits protect the memory from lengths that no valid message has: a message has few arguments, of
+// which one may be a body and the others are short.
 constexpr long max_arguments = 8;
 constexpr long max_body_bytes = 240'000;
-constexpr std::size_t max_other_bytes = 4'096;  // of the other arguments together
+constexpr std::size_t max_other_bytes = 4'096;  // all other arguments together
 constexpr std::size_t max_length_line_bytes = 24;
 constexpr std::string_view line_end = "\r\n";
 constexpr long null_string = -1;
 
-// A line "<mark><number>\r\n" at the front of `bytes`, which is removed from them.
+// Parses a line "<mark><number>\r\n" at the front of `bytes` and removes it.
 ParseStatus take_number(std::string_view& bytes, char mark, long max, long& number) {
     if (bytes.empty()) return ParseStatus::incomplete;
     if (bytes[0] != mark) return ParseStatus::invalid;
@@ -30,7 +30,7 @@
     return ParseStatus::complete;
 }
 
-// A string of `length` bytes and the line end behind it, which are removed from `bytes`.
+// Reads a string of `length` bytes and the line end after it, and removes both from `bytes`.
 ParseStatus take_string(std::string_view& bytes, std::size_t length, std::string_view& string) {
     if (bytes.size() >= length + 1 && bytes[length] != '\r') return ParseStatus::invalid;
     if (bytes.size() < length + line_end.size()) return ParseStatus::incomplete;
@@ -40,7 +40,7 @@
     return ParseStatus::complete;
 }
 
-// The first field of the list, which is removed from it.
+// Returns the first field of the list and removes it from the list.
 std::string_view take_field(std::string_view& fields) {
     const std::size_t end = std::min(fields.find(','), fields.size());
     const std::string_view first = fields.substr(0, end);
--- a/src/codec/resp.hpp
+++ b/src/codec/resp.hpp
@@ -1,4 +1,4 @@
-// RESP: arrays of bulk strings, and the lists of fields in them. Pure functions of bytes.
+// Parses and writes RESP arrays of bulk strings, and the lists of fields in such strings. Performs no I/O.
 #pragma once
 
 #include <cstddef>
@@ -14,19 +14,20 @@
 
 using Arguments = std::vector<std::string_view>;
 
-/// The first array of `bytes`, as views; a null string reads as an empty one. Invalid: also an array that is
-/// longer than any message of caches. Incomplete: `arguments` holds those that have come whole.
+/// Parses the first array of `bytes` into views. A null string is read as an empty one.
+/// @return ParseStatus::invalid also if the array is longer than any message of caches. If the result is
+/// ParseStatus::incomplete, `arguments` holds the arguments that have arrived completely.
 [[nodiscard]] ParseStatus parse_array(std::string_view bytes, Arguments& arguments, std::size_t& used);
 void write_array(Buffer& out, std::initializer_list<std::string_view> arguments);
 
-// Lists of fields: "name=value,name=value", or "-" for none.
+// Lists of fields have the form "name=value,name=value", or "-" if there are none.
 
 [[nodiscard]] bool well_formed(std::string_view fields);
-/// The value of a field; empty: there is none.
+/// @return the value of a field, or an empty string if the field does not exist.
 [[nodiscard]] std::string_view field(std::string_view fields, std::string_view name);
 /// Appends a field.
 void append_field(std::string& fields, std::string_view name, std::string_view value);
-/// "-" if there are none.
+/// @return the list, or "-" if it is empty.
 [[nodiscard]] std::string_view dash_if_empty(std::string_view fields);
 
 }  // namespace irismux::resp
--- a/src/net/attempt_observer.hpp
+++ b/src/net/attempt_observer.hpp
@@ -1,4 +1,4 @@
-// Who is told how attempts and health checks end.
+// The interface through which connections report the results of attempts and health checks.
 #pragma once
 
 #include <cstddef>
@@ -19,13 +19,14 @@
 class AttemptObserver {
 public:
     virtual ~AttemptObserver() = default;
-    /// Called once for each attempt that was not cancelled, maybe from within start_attempt().
+    /// Called once for each attempt that was not cancelled, possibly from within start_attempt().
     virtual void on_attempt_ended(ActiveRequest&, std::size_t attempt, const AttemptEnd&) = 0;
     virtual void on_health_check_result(const HealthCheckResult&) = 0;
-    /// Asked right before the attempt's first byte is written. False: it ends as overloaded.
+    /// Called immediately before the attempt's first byte is written.
+    /// @return false to end the attempt as overloaded instead.
     virtual bool may_begin_attempt(ActiveRequest&, std::size_t attempt) = 0;
-    /// The attempt did not begin: a late response to another request of the same client id could be taken for
-    /// its own on every connection that may carry it.
+    /// Called if the attempt could not begin: on every connection that may carry it, a late response to
+    /// another request with the same client request id could be mistaken for the attempt's response.
     virtual void on_request_id_in_use(ActiveRequest&, std::size_t attempt) = 0;
 };
 
--- a/src/net/cache_connection.cpp
+++ b/src/net/cache_connection.cpp
@@ -9,7 +9,8 @@
 namespace irismux {
 namespace {
 
-// Attempts are written in batches of this size, so that little has to be taken back when the socket is full.
+// Attempts are written in batches of this size, so that few bytes have to be removed from the output again
+// when the socket is full.
 constexpr std::size_t max_batch_bytes = 16'384;
 
 }  // namespace
@@ -49,7 +50,8 @@
 void CacheConnection::on_open() {
     was_connected_ = true;
     connect_or_idle_timer_.cancel();
-    // Whoever asked for a health check may not want it any more, and the cache may have left the list.
+    // The caller may no longer need a health check that it requested earlier, and the cache may have left the
+    // endpoint list.
     for (const auto& [tag, still_wanted] : std::exchange(deferred_health_checks_, {})) {
         if (still_wanted() && context_.endpoints.is_active(cache_))
             cache_protocol::write_health_check(output_, tag);
@@ -70,7 +72,7 @@
     const auto alive = shared_from_this();
     connect_or_idle_timer_.cancel();
     partial_response_timer_.cancel();
-    // A reset while connecting shows that somebody had accepted: the cache is not dead.
+    // A reset while connecting shows that the peer had accepted the connection, so the cache is not dead.
     was_connected_ = was_connected_ || was_reset();
     if (was_connected_) {
         const auto id = cache_protocol::find_partial_response(input_.view());
@@ -93,9 +95,10 @@
     end_attempt(carried, Outcome::connection_reset);
 }
 
-// An attempt that never came whole to its cache has not run. If no connection came up, the cache is refused;
-// if one broke, another attempt to connect shows whether the cache lives; a cache that accepts connections
-// and breaks two in a row is overloaded, not dead.
+// A cache runs an attempt only once it has received all of it. If the connection was never established, the
+// attempt ends as refused. If an established connection broke, the attempt is restarted on a new connection,
+// which shows whether the cache is alive. A cache that accepts connections and breaks two in a row is
+// overloaded, not dead.
 void CacheConnection::restart_or_end(const CarriedAttempt& carried) {
     if (!was_connected_) return end_attempt(carried, Outcome::connection_refused);
     if (carried.request->answered()) return end_attempt(carried, Outcome::cancelled);
@@ -134,7 +137,7 @@
     });
 }
 
-// --- which attempts it may carry -------------------------------------------------------------------------
+// --- which attempts the connection may carry -------------------------------------------------------------
 
 bool CacheConnection::connects_to(const Endpoint& endpoint) const {
     return address_ == endpoint.address && process_started_at_ == endpoint.update.started_at;
@@ -153,7 +156,7 @@
     return request_ids_.used_by_another(request.client_request_id(), request.id(), loop_.now());
 }
 
-// --- attempts out ----------------------------------------------------------------------------------------
+// --- sending attempts ------------------------------------------------------------------------------------
 
 void CacheConnection::enqueue(std::shared_ptr<ActiveRequest> request, std::size_t attempt) {
     request->attempt(attempt).connection = number_;
@@ -184,23 +187,25 @@
 }
 
 void CacheConnection::cancel_in_flight(InFlight::iterator it) {
-    // Destroyed last: nothing else may hold the request.
+    // Declared first, so that it is destroyed last: it may hold the last reference to the request.
     const CarriedAttempt cancelled = std::move(it->second);
     in_flight_.erase(it);
     cache_protocol::write_cancellation(output_, cancelled.request->client_request_id());
     write_pending();
     update_progress();
-    // Guards against two attempts of a request that run at once: the next one waits until the cancellation
-    // has been written. A cache that takes no input learns of it by the end of its connection.
+    // Prevents two attempts of one request from running at once: the next attempt must not start before the
+    // cancellation has been written. If the cache's socket takes no more input, the connection is closed,
+    // which cancels the attempt too.
     if (!output_.empty() && writable()) run_soon([this] { disconnect(); });
     cancelled.request->delay_reuse_until(loop_.now() + context_.limits.reuse_delay);
 }
 
-// Attempts are written only when their first byte can go out, and are checked against what is known then.
-// What the socket does not take is queued again, but for the one that it has taken a part of.
+// Writes attempts only when the socket can take their first byte, and checks each against the endpoint list
+// and the observer at that moment. Attempts of which the socket takes nothing are queued again; one that it
+// has taken in part stays in the output.
 void CacheConnection::on_write_ready() {
-    // Guards attempts against an idle connection that the cache has just closed: what was never written to it
-    // can go elsewhere, what was written may have run.
+    // Avoids writing attempts to an idle connection that the cache has just closed: an attempt that was not
+    // written can be sent on another connection, but one that was written may have run.
     if (!queued_.empty() && output_.empty() && peer_closed()) return disconnect();
     write_pending();
     update_progress();
@@ -210,13 +215,13 @@
     }
 }
 
-// True: there is output.
+// @return whether there is output to write.
 bool CacheConnection::write_queued() {
     while (!queued_.empty() && in_flight_.size() < context_.limits.streams &&
            output_.size() < max_batch_bytes) {
         CarriedAttempt carried = std::move(queued_.front());
         queued_.pop_front();
-        // The list may name another address or process by now.
+        // The endpoint list may name another address or process by now.
         if (!connects_to_listed_process())
             restart_or_end(carried);
         else if (!context_.endpoints_active(carried.attempt()) ||
@@ -252,7 +257,7 @@
         if (attempt.plan->timeout > Duration{})
             options.timeout = std::min(options.timeout, attempt.decided_at + attempt.plan->timeout - now);
     }
-    // Purges since the attempt was decided count too.
+    // Includes purges that arrived after the attempt was planned.
     const auto purge_bound = context_.endpoints.max_age_after_purges(request.client_request().request, now);
     if (purge_bound && (options.max_age <= Duration{} || *purge_bound < options.max_age))
         options.max_age = *purge_bound;
@@ -261,7 +266,7 @@
 
 // --- how far attempts have been written ------------------------------------------------------------------
 
-// The attempt that was written at `range`, if it is still the one in flight under its id.
+// Returns the attempt that was written at `range`, or null if it is no longer the one in flight under its id.
 CacheConnection::CarriedAttempt* CacheConnection::find_in_flight(const WriteRange& range) {
     const auto it = in_flight_.find(range.id);
     return it != in_flight_.end() && it->second.sequence == range.sequence ? &it->second : nullptr;
@@ -281,7 +286,7 @@
     if (!unwritten_.empty()) record_progress(unwritten_.front(), TransmitProgress::partially_written);
 }
 
-// The socket has taken nothing of it: it is queued again.
+// Removes the last attempt, of which the socket has taken nothing, from the output and queues it again.
 void CacheConnection::take_back_last_written() {
     const WriteRange range = std::move(unwritten_.back());
     unwritten_.pop_back();
@@ -294,7 +299,7 @@
     in_flight_.erase(range.id);
 }
 
-// --- responses in ----------------------------------------------------------------------------------------
+// --- receiving responses ---------------------------------------------------------------------------------
 
 void CacheConnection::on_data() {
     const auto alive = shared_from_this();
@@ -308,7 +313,8 @@
     }
 }
 
-// Guards attempts that share the connection: their responses would wait behind one that stopped short.
+// Limits the time for the rest of a partial response, since the responses of the other attempts on the
+// connection have to wait behind it.
 void CacheConnection::limit_partial_response() {
     partial_response_timer_.cancel();
     if (input_.empty()) return;
@@ -318,7 +324,7 @@
     });
 }
 
-// False: the message is not valid.
+// @return false if the message is invalid.
 bool CacheConnection::on_message(const cache_protocol::Message& message) {
     const std::string id(message.id);
     if (health_checks_.contains(id)) {
@@ -326,7 +332,7 @@
         return true;
     }
     const auto it = in_flight_.find(ClientRequestId{id});
-    // Cancelled meanwhile, or never sent; one that is not written whole can't have a response either.
+    // Ignores a response to an attempt that was cancelled, was never sent, or is not fully written yet.
     if (it == in_flight_.end()) return true;
     if (it->second.attempt().progress < TransmitProgress::fully_written) return true;
     return on_response(it, message);
@@ -337,7 +343,7 @@
     const auto end = cache_protocol::parse_response(message, carried.request->client_request());
     if (!end) return false;
     in_flight_.erase(it);
-    // A response that comes twice does so within moments, so the id is free sooner than at the deadline.
+    // A duplicate of a response follows it shortly, so the id can be released before the request's deadline.
     const TimePoint now = loop_.now();
     request_ids_.add(carried.request->client_request_id(), carried.request->id(),
                      now + context_.limits.late_response_window, now);
--- a/src/net/cache_connection.hpp
+++ b/src/net/cache_connection.hpp
@@ -1,5 +1,5 @@
-// One connection to one process of a cache: the attempts that wait for it, those in flight on it, and health
-// checks.
+// A connection to one process of a cache, with the attempts that are queued for it or in flight on it, and
+// health checks.
 #pragma once
 
 #include <cstddef>
@@ -23,33 +23,35 @@
 namespace irismux {
 
 struct CacheConnectionLimits {
-    std::size_t connections = 0;  ///< to all caches together
-    std::size_t streams = 1;      ///< attempts in flight on one connection
-    Duration connect_timeout;     ///< also for the rest of a response that has begun
-    Duration idle_timeout;        ///< a connection that carries nothing is closed after this
-    /// Between the end of an attempt that its cache may notice late and the request's next attempt.
+    std::size_t connections = 0;  ///< maximum number of connections to all caches together
+    std::size_t streams = 1;      ///< maximum number of attempts in flight on one connection
+    /// Also limits the wait for the rest of a partial response.
+    Duration connect_timeout;
+    Duration idle_timeout;  ///< an idle connection is closed after this time
+    /// Delay between the end of an attempt that its cache may notice late and the request's next attempt.
     Duration reuse_delay;
     /// How long after its response, or after its request's deadline, an attempt may get another response.
     Duration late_response_window;
 };
 
-/// Whether a health check that had to wait for its connection is still to be sent.
+/// Returns whether a health check that was deferred until its connection is open is still to be sent.
 using StillWanted = std::function<bool()>;
 
 class CacheConnection;
 
-/// What connections need of the pool that owns them.
+/// The interface of the pool for the connections that it owns.
 class CacheConnectionOwner {
 public:
     virtual ~CacheConnectionOwner() = default;
-    /// The connection broke before the attempt was written whole: it gets another one.
+    /// The connection broke before the attempt was fully written: the attempt is started on another
+    /// connection.
     virtual void restart_attempt(ActiveRequest&, std::size_t attempt) = 0;
-    /// A response has come: the cache lives.
+    /// A response has arrived, so the cache is alive.
     virtual void on_response_received(CacheConnection&) = 0;
     virtual void on_connection_lost(CacheConnection&) = 0;
 };
 
-/// What the connections of a pool share. Owned by the pool; must outlive them.
+/// The state that the connections of a pool share. Owned by the pool; must outlive the connections.
 struct CacheConnectionContext {
     EventLoop& event_loop;
     EndpointTable& endpoints;
@@ -57,7 +59,7 @@
     CacheConnectionOwner& owner;
     CacheConnectionLimits limits;
 
-    /// Whether the endpoint list lets the attempt go to its cache and its fill source.
+    /// Whether the attempt's cache and its fill source, if any, are active in the endpoint list.
     [[nodiscard]] bool endpoints_active(const Attempt& attempt) const;
 };
 
@@ -65,32 +67,33 @@
 public:
     using Connection::ConnectResult;
 
-    /// @param number the connection's, never given twice.
+    /// @param number identifies the connection; never reused.
     CacheConnection(CacheConnectionContext& context, const Endpoint& endpoint, std::uint64_t number);
 
     [[nodiscard]] ConnectResult start();
-    /// Closes at once; what it carried ends as after a break.
+    /// Closes at once; queued and in-flight attempts end as if the connection had broken.
     void disconnect();
 
     [[nodiscard]] const CacheId& cache() const { return cache_; }
     [[nodiscard]] std::uint64_t number() const { return number_; }
-    /// Attempts that wait for it or are in flight.
+    /// The number of attempts that are queued or in flight.
     [[nodiscard]] std::size_t load() const { return in_flight_.size() + queued_.size(); }
-    /// Whether a write has failed; on_closed() follows.
+    /// Whether a write has failed; on_closed() will be called.
     [[nodiscard]] bool write_failed() const { return state() == ConnectionState::open && !writable(); }
-    /// Whether it leads to the process that `endpoint` names: a cache may come back elsewhere, or as a new
-    /// process, under the same id.
+    /// Whether the connection is to the process that `endpoint` names: a cache may come back at another
+    /// address, or as a new process, under the same id.
     [[nodiscard]] bool connects_to(const Endpoint& endpoint) const;
-    /// Whether attempts may use it, now or later.
+    /// Whether attempts may use the connection, now or later.
     [[nodiscard]] bool needed() const;
-    /// Whether a late response to another request could be taken for one to this request.
+    /// Whether a late response to another request could be mistaken for a response to this request.
     [[nodiscard]] bool has_id_conflict(const ActiveRequest& request) const;
 
     /// Queues an attempt and keeps its request alive until it has ended.
     void enqueue(std::shared_ptr<ActiveRequest> request, std::size_t attempt);
-    /// Takes an attempt back, or tells the cache if it may have arrived there. It is not reported.
+    /// Removes a queued attempt, or sends a cancellation for an attempt in flight. The end of the attempt is
+    /// not reported.
     void cancel(const ActiveRequest& request, std::size_t attempt);
-    /// Queued attempts move to `other`, but for those that it may confuse.
+    /// Moves the queued attempts to `other`, except those whose request id conflicts there.
     void move_queued_to(CacheConnection& other);
     /// @param tag unique among health checks.
     void start_health_check(const std::string& tag, StillWanted still_wanted);
@@ -105,15 +108,15 @@
     struct CarriedAttempt {
         std::shared_ptr<ActiveRequest> request;
         std::size_t index = 0;
-        std::uint64_t sequence = 0;  // among those written to this connection; zero: it is queued
+        std::uint64_t sequence = 0;  // position among the attempts written to this connection; zero if queued
 
         Attempt& attempt() const { return request->attempt(index); }
         bool is(const ActiveRequest& other, std::size_t other_index) const {
             return request.get() == &other && index == other_index;
         }
     };
-    using InFlight = std::map<ClientRequestId, CarriedAttempt>;  // by the id that their responses bear
-    // Where an attempt stands among all bytes written to the connection.
+    using InFlight = std::map<ClientRequestId, CarriedAttempt>;  // by the id in their responses
+    // The position of an attempt in the stream of all bytes written to the connection.
     struct WriteRange {
         ClientRequestId id;
         std::uint64_t sequence = 0;
@@ -143,15 +146,16 @@
     std::uint64_t number_;
     CacheId cache_;
     std::string address_;
-    TimePoint process_started_at_;  // as the endpoint list had it
+    TimePoint process_started_at_;  // start time in the endpoint list when the connection was created
     bool was_connected_ = false;
     std::deque<CarriedAttempt> queued_;
     InFlight in_flight_;
     InFlightRequestIds request_ids_;
     std::uint64_t last_sequence_ = 0;
-    std::deque<WriteRange> unwritten_;                // attempts that the socket has not taken whole
-    std::map<std::string, TimePoint> health_checks_;  // begun at, by tag
-    std::vector<std::pair<std::string, StillWanted>> deferred_health_checks_;  // wait for the connection
+    std::deque<WriteRange> unwritten_;                // attempts that are not fully written to the socket
+    std::map<std::string, TimePoint> health_checks_;  // start times, by tag
+    // Health checks to be sent once the connection is open.
+    std::vector<std::pair<std::string, StillWanted>> deferred_health_checks_;
     ScopedTimer connect_or_idle_timer_;
     ScopedTimer partial_response_timer_;
 };
--- a/src/net/cache_connection_pool.cpp
+++ b/src/net/cache_connection_pool.cpp
@@ -6,12 +6,14 @@
 namespace irismux {
 namespace {
 
-// Half of a cache's even share of the connections is used; the rest is for caches that the list adds.
+// Each cache gets half of its even share of the connections; the rest is reserved for caches that are added
+// to the endpoint list later.
 constexpr std::size_t used_share_divisor = 2;
-// To one cache for a request whose id may be confused on the others, so that an id is served twice at once
-// and a client that repeats ids does not use up the connections.
+// Once a cache has this many connections, no further one is opened for a request whose id conflicts on them.
+// So two requests with the same id can be served at once, and a client that repeats ids does not use up the
+// connections.
 constexpr std::size_t max_connections_for_repeated_id = 2;
-// An attempt that found no connection tries again after this share of the connect timeout.
+// An attempt for which no connection is available is retried after this fraction of the connect timeout.
 constexpr double connection_retry_share = 0.1;
 constexpr Duration min_connection_retry = Duration::micros(1'000);
 
@@ -57,7 +59,8 @@
     start_attempt(request, index);
 }
 
-// One poll more follows the delay, so that input which came during a late iteration is seen first.
+// Waits for one more poll of the sockets after the delay, so that input that arrived during a late iteration
+// is handled first.
 void CacheConnectionPool::start_after_reuse_delay(ActiveRequest& request, std::size_t index) {
     const AttemptKey key(request.id(), index);
     const auto start = [this, key, weak = std::weak_ptr(request.shared_from_this())] {
@@ -69,7 +72,7 @@
                                          [this, start] { event_loop_.run_next_iteration(start); });
 }
 
-// A shortage of this process's says nothing of the cache: the attempt waits.
+// A shortage of resources in this process is not a failure of the cache, so the attempt waits.
 void CacheConnectionPool::wait_for_connection(ActiveRequest& request, std::size_t index) {
     close_one_idle();
     const Duration retry = std::max(limits_.connect_timeout * connection_retry_share, min_connection_retry);
@@ -92,12 +95,13 @@
     }
 }
 
-// Its cache would receive it whole only now. The connection is closed if it carries nothing else; other
-// attempts come first.
+// Closes the connection, so that the cache does not receive the rest of the attempt, unless the connection
+// carries other attempts.
 void CacheConnectionPool::withdraw_partially_written(const Attempt& attempt) {
     for (const ConnectionPtr& connection : connections_to(attempt.cache)) {
         if (connection->number() != attempt.connection || connection->load() != 1) continue;
-        // From the loop: whoever is told of the end may release the request that the caller holds.
+        // Deferred to the loop: an observer of the closing may release the request that the caller still
+        // uses.
         event_loop_.schedule_now([weak = std::weak_ptr<CacheConnection>(connection)] {
             if (const auto alive = weak.lock()) alive->disconnect();
         });
@@ -115,9 +119,9 @@
 
 // --- choosing a connection -------------------------------------------------------------------------------
 
-// The connections are shared out evenly among the caches of this location, to which all attempts go. With few
-// to a cache, responses queue behind each other and a backlog is not worked off; with one for each attempt,
-// the handshakes of a burst delay everything else.
+// Divides the connections evenly among the caches of this location, to which all attempts go. With too few
+// connections to a cache, responses queue behind each other and a backlog is not worked off; with one
+// connection per attempt, the handshakes of a burst delay everything else.
 std::size_t CacheConnectionPool::max_connections_per_cache() const {
     const std::size_t even_share =
         limits_.connections / std::max<std::size_t>(1, endpoints_.count_at(location_));
@@ -142,9 +146,10 @@
     return candidates;
 }
 
-// An idle connection, or a new one, or the one with the lowest load. One that has carried the request before
-// comes last, since a late response to the earlier attempt can't be told from one to the next; one that has
-// carried another request of the same client id is not used at all.
+// Prefers an idle connection, then a new one, then the one with the lowest load. A connection that has
+// carried the request before is the last choice, since a late response to the earlier attempt can't be
+// distinguished from a response to the new one. A connection that has carried another request with the same
+// client request id is not used at all.
 CacheConnectionPool::Selection CacheConnectionPool::select_connection(Endpoint& endpoint,
                                                                       const ActiveRequest* request) {
     const Candidates candidates = find_candidates(endpoint, request);
@@ -158,7 +163,8 @@
 
     const bool may_open = !at_connection_limit() || close_one_idle();
     Selection opened = may_open ? open_connection(endpoint) : Selection{};
-    // One refusal for want of a route may be stale news; without another connection it is asked for again.
+    // A single "no route" error may be outdated, so the connection is tried once more if there is no other
+    // one.
     if (opened.status == SelectionStatus::unreachable && !best) opened = open_connection(endpoint);
     if (opened.status == SelectionStatus::selected || !best) return opened;
     return {SelectionStatus::selected, best};
@@ -179,10 +185,11 @@
     return {SelectionStatus::none_available, nullptr};
 }
 
-// --- connections that end, or are not needed -------------------------------------------------------------
+// --- lost and unneeded connections -----------------------------------------------------------------------
 
-// Guards attempts against a connection that does not come up while the cache answers on others: they would be
-// reported as refused. The first response elsewhere takes them along.
+// Moves attempts from connections that are still being established to the one that has just received a
+// response. Otherwise they would be reported as refused if their connection failed, although the cache
+// responds on others.
 void CacheConnectionPool::on_response_received(CacheConnection& connection) {
     Endpoint* const endpoint = endpoints_.find(connection.cache());
     if (!endpoint) return;
@@ -203,7 +210,7 @@
     return endpoint ? endpoint->connections : std::vector<ConnectionPtr>{};
 }
 
-// False: none is idle.
+// @return false if no connection is idle.
 bool CacheConnectionPool::close_one_idle() {
     ConnectionPtr idle;
     endpoints_.for_each([&](const Endpoint& endpoint) {
--- a/src/net/cache_connection_pool.hpp
+++ b/src/net/cache_connection_pool.hpp
@@ -1,4 +1,5 @@
-// Connections to all caches: which connection an attempt goes out on, and attempts that wait for one.
+// The connections to all caches. Selects a connection for each attempt and delays attempts that can't get one
+// yet.
 #pragma once
 
 #include <cstddef>
@@ -19,47 +20,49 @@
 
 class CacheConnectionPool final : private CacheConnectionOwner {
 public:
-    /// @param endpoints holds the connections of each cache; must outlive the pool, as `observer` must.
+    /// @param endpoints holds the connections of each cache; must outlive the pool, as must `observer`.
     CacheConnectionPool(EventLoop& loop, EndpointTable& endpoints, AttemptObserver& observer,
                         const Deployment& deployment, CacheConnectionLimits limits);
     ~CacheConnectionPool() override;
     CacheConnectionPool(const CacheConnectionPool&) = delete;
     CacheConnectionPool& operator=(const CacheConnectionPool&) = delete;
 
-    /// Begins an attempt as soon as a connection can carry it. Its end is reported to the observer.
+    /// Starts an attempt as soon as a connection can carry it. The end of the attempt is reported to the
+    /// observer.
     void start_attempt(ActiveRequest& request, std::size_t attempt);
-    /// Takes an attempt back, or tells the cache if it may have arrived there. It is not reported.
+    /// Removes a queued or delayed attempt, or sends a cancellation for an attempt in flight. The end of the
+    /// attempt is not reported.
     void cancel_attempt(ActiveRequest& request, std::size_t attempt);
-    /// The client has gone: attempts that have not begun do not begin any more. The caller ends those whose
-    /// progress is TransmitProgress::not_connected afterwards.
+    /// Prevents the attempts of a request whose client is gone from starting. The caller then has to end
+    /// those whose progress is TransmitProgress::not_connected.
     void withdraw_unstarted_attempts(ActiveRequest& request);
 
-    /// Does nothing if the cache is not active or no connection can be had.
-    /// @param still_wanted asked if the connection has to come up first.
+    /// Does nothing if the cache is not active or no connection is available.
+    /// @param still_wanted called once the connection is open, if it has to be established first.
     void start_health_check(const CacheId& cache, StillWanted still_wanted);
 
     void close_all();
-    /// Closes idle connections that the endpoint list does not name any more. To be called after each change
-    /// of the list.
+    /// Closes idle connections to processes that the endpoint list no longer names. Must be called after each
+    /// change of the list.
     void close_unlisted();
 
 private:
     using ConnectionPtr = std::shared_ptr<CacheConnection>;
     enum class SelectionStatus {
         selected,
-        none_available,     // for now
-        request_id_in_use,  // the request's id may be confused on every connection that could carry it
-        unreachable         // there is no route, twice in a row
+        none_available,     // temporarily
+        request_id_in_use,  // the request's id conflicts on every connection that could carry it
+        unreachable         // no route, on two consecutive attempts
     };
     struct Selection {
         SelectionStatus status = SelectionStatus::none_available;
         ConnectionPtr connection;  // set if selected
     };
-    // The least loaded connections to an endpoint's present process.
+    // The connections to an endpoint's current process that the request may use.
     struct Candidates {
-        ConnectionPtr unused;    // that have not carried the request before
-        ConnectionPtr used;      // that have
-        bool id_in_use = false;  // others were left out, as they may confuse the request's id
+        ConnectionPtr unused;    // the least loaded of those that have not carried the request before
+        ConnectionPtr used;      // the least loaded of those that have
+        bool id_in_use = false;  // connections were left out because the request's id conflicts there
     };
     using AttemptKey = std::pair<RequestId, std::size_t>;
 
@@ -87,7 +90,7 @@
     std::size_t connection_count_ = 0;
     std::uint64_t next_connection_ = 1;
     std::uint64_t next_health_check_ = 1;
-    // Attempts that wait for a connection, or for the reuse delay of their request.
+    // Attempts that wait for a connection or for the reuse delay of their request.
     std::map<AttemptKey, ScopedTimer> delayed_attempts_;
 };
 
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -16,22 +16,22 @@
 using Poco::Net::ReadableNotification;
 using Poco::Net::WritableNotification;
 
-// The buffer may have grown; then more is read at once.
+// Minimum free room in the input buffer for a read; if the buffer has grown, a read fills all of it.
 constexpr std::size_t min_read_bytes = 4'096;
-// Reads of one connection in an iteration, so that a busy one does not hold up the others.
+// Limits the reads from one connection per iteration, so that a busy connection does not delay the others.
 constexpr int max_reads_per_iteration = 4;
-// Of a lingering connection: a few of the largest requests. One that sends more is closed.
+// A lingering connection that sends more than this is closed. Enough for a few of the largest requests.
 constexpr std::size_t max_discarded_bytes = 262'144;
-// A call that failed for want of the system's memory is made again after this.
+// A system call that failed because the system was out of memory is retried after this delay.
 constexpr Duration memory_retry_delay = Duration::micros(2'000);
 constexpr int max_option_attempts = 3;
 
 // POCO 1.11 throws where a non-blocking socket would have to wait, so the system is called directly.
 bool would_block() { return errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR; }
-// Says nothing of the connection.
+// A failure that does not concern the connection itself.
 bool out_of_memory() { return errno == ENOMEM || errno == ENOBUFS; }
 
-// The connection works without the option, only slower.
+// Only logs repeated failures, since the connection works without the option, only slower.
 template <class Set>
 void set_option_if_possible(std::string_view option, Set set) {
     for (int attempt = 1; attempt <= max_option_attempts; ++attempt) {
@@ -79,8 +79,8 @@
     }
 }
 
-// Guards against a connection for which no local port was free: it looks like one that is still connecting
-// and then ends without an error.
+// Detects a connection for which no local port was free: it appears to be connecting and then ends without an
+// error.
 bool Connection::is_connected() const {
     sockaddr_storage peer{};
     socklen_t size = sizeof peer;
@@ -101,17 +101,17 @@
     state_ = ConnectionState::closed;
     for (ScopedTimer* const timer : {&linger_timer_, &rewatch_timer_, &read_pause_, &write_pause_})
         timer->cancel();
-    // The reactor must forget the socket before its descriptor can be given to another one.
+    // The reactor must stop watching the socket before the system can reuse its descriptor.
     watch({});
     try {
         socket_.close();
     } catch (const Poco::Exception&) {
-        // The descriptor is gone already.
+        // The descriptor is already closed.
     }
 }
 
-// Guards responses just written, and the last requests of a client, against a reset: that is what the system
-// makes of a close while input lies unread.
+// Prevents a reset that could destroy responses just written or a client's last requests: the system resets a
+// connection that is closed while input is unread.
 void Connection::linger(Duration timeout) {
     if (lingering() || state_ == ConnectionState::closed) return;
     if (state_ == ConnectionState::connecting || !writable()) return on_broken();
@@ -120,7 +120,7 @@
         const auto alive = shared_from_this();
         on_broken();
     });
-    // From the loop: this may have been called from within a handler.
+    // Deferred to the loop, because linger() may have been called from within a handler.
     run_soon([this] {
         if (state_ == ConnectionState::closed) return;
         write_pending();
@@ -174,8 +174,9 @@
     update_watch();
 }
 
-// Guards against a loop that spins: POCO 1.11 narrows what it polls a socket for only when the socket's last
-// handler goes, so both are removed and the one that stays is added again. Errors wake either handler.
+// Prevents a busy loop: POCO 1.11 reduces the events that it polls a socket for only when the socket's last
+// handler is removed, so both handlers are removed and the one that is still needed is added again. Either
+// handler is called on an error.
 void Connection::update_watch() {
     const Events wanted{.readable = wanted_.readable && !read_pause_.pending(),
                         .writable = wanted_.writable && !write_pause_.pending()};
@@ -191,7 +192,7 @@
     if (watched_ != wanted) retry_watch_later();
 }
 
-// False: the system had no memory for it.
+// @return false if the system was out of memory.
 template <class Observer>
 bool Connection::add_handler(const Observer& observer) {
     try {
@@ -208,7 +209,7 @@
     try {
         loop_.removeEventHandler(socket_, observer);
     } catch (const Poco::Exception&) {
-        // The system was not watching it.
+        // The socket was not being watched.
     }
 }
 
@@ -217,8 +218,8 @@
     rewatch_timer_ = ScopedTimer(loop_, loop_.now() + memory_retry_delay, [this] { update_watch(); });
 }
 
-// Guards against a loop that spins while the system is short of memory: the socket stays readable, and each
-// read fails again.
+// Prevents a busy loop while the system is out of memory: the socket stays readable, and each read fails
+// again.
 void Connection::pause_reading() {
     if (read_pause_.pending()) return;
     read_pause_ = ScopedTimer(loop_, loop_.now() + memory_retry_delay, [this] { update_watch(); });
@@ -266,7 +267,7 @@
     return {ReceiveStatus::none_yet};
 }
 
-// True: the system may hold more input.
+// @return whether the system may have more input.
 bool Connection::read_some() {
     char* const first = input_.prepare(min_read_bytes);
     const std::span<char> room(first, input_.free_capacity());
@@ -278,7 +279,7 @@
     return received.bytes == room.size();
 }
 
-// True: the system may hold more input.
+// @return whether the system may have more input.
 bool Connection::discard_some() {
     std::array<char, min_read_bytes> discarded{};
     const Received received = receive(discarded);
@@ -307,7 +308,7 @@
         const auto alive = self.lock();
         if (!alive) return;
         write_scheduled_ = false;
-        // While the socket is full, on_writable() follows once it has room again.
+        // While the socket is full, on_writable() will be called once it has room again.
         if (state_ == ConnectionState::open && !wanted_.writable && !lingering()) on_write_ready();
     });
 }
@@ -329,8 +330,8 @@
     watch({.readable = read_state_ != ReadState::pause, .writable = !output_.empty()});
 }
 
-// The end is reported from the loop, as this may have been called from within a handler. Until then nothing
-// more is written: a caller that writes as long as there is output would not come to an end.
+// Reports the failure from the loop, because the caller may be a handler. Nothing more is written until then:
+// a caller that writes as long as there is output would never finish.
 void Connection::on_write_failed() {
     write_state_ = WriteState::failed;
     run_soon([this] { on_broken(); });
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -1,5 +1,5 @@
-// One connection on the event loop: bytes in, bytes out, and its end. Derived classes give the bytes a
-// meaning.
+// A socket connection on the event loop: reads input, writes output and reports when the connection ends.
+// Derived classes implement the protocol.
 #pragma once
 
 #include <Poco/Net/SocketAddress.h>
@@ -18,7 +18,7 @@
 
 enum class ConnectionState { connecting, open, closed };
 
-/// Owned by shared_ptr. An exception in a handler closes its connection and nothing else.
+/// Must be owned by a std::shared_ptr. An exception in a handler closes only the handler's connection.
 class Connection : public std::enable_shared_from_this<Connection> {
 public:
     virtual ~Connection();
@@ -26,55 +26,57 @@
     Connection& operator=(const Connection&) = delete;
 
     [[nodiscard]] ConnectionState state() const { return state_; }
-    /// Open, and no write has failed. After a failed write on_closed() follows in the next iteration.
+    /// Whether the connection is open and no write has failed. After a failed write, on_closed() is called in
+    /// the next iteration.
     [[nodiscard]] bool writable() const {
         return state_ == ConnectionState::open && write_state_ != WriteState::failed;
     }
-    /// Closes at once, without on_closed(). Output that waits is lost; if input lies unread the system resets
-    /// the connection, and the peer may lose output that it has not read.
+    /// Closes at once, without a call to on_closed(). Pending output is lost; if input is unread, the system
+    /// resets the connection, and the peer may lose output that it has not read.
     void close();
-    /// Closes gracefully: output that waits is written, sending ends, and input is discarded until the peer
-    /// closes too, for at most `timeout`. on_data() is not called any more; on_closed() is, at the end.
+    /// Closes gracefully: writes pending output, shuts down sending, and discards input until the peer closes
+    /// too, for at most `timeout`. on_data() is no longer called; on_closed() is called at the end.
     void linger(Duration timeout);
     [[nodiscard]] bool lingering() const { return read_state_ == ReadState::discard; }
-    /// Whether the peer has closed or reset the connection, also if on_closed() has not been called yet.
+    /// Whether the peer has closed or reset the connection, even if on_closed() has not been called yet.
     [[nodiscard]] bool peer_closed() const;
-    /// Whether the system holds input, or can't say.
+    /// Whether the system has unread input; also true if that is unknown.
     [[nodiscard]] bool has_unread_data() const;
 
 protected:
     Connection(EventLoop& loop, const Poco::Net::StreamSocket& socket, ConnectionState state);
 
-    /// From here on the handlers below are called.
+    /// Starts watching the socket; the virtual functions below may be called from now on.
     void register_handlers();
     enum class ConnectResult {
-        started,             ///< on_open() or on_closed() follows
-        short_of_resources,  ///< no descriptor, port or memory was left
-        unreachable          ///< there is no route
+        started,             ///< on_open() or on_closed() will be called
+        short_of_resources,  ///< no descriptor, port or memory was available
+        unreachable          ///< there is no route to the address
     };
     [[nodiscard]] ConnectResult connect(const Poco::Net::SocketAddress& address);
 
     virtual void on_open() {}
-    /// input_ has grown.
+    /// New bytes have been appended to input_.
     virtual void on_data() = 0;
-    /// The socket has room. What it did not take is still in output_.
+    /// The socket has room for output. Bytes that it has not taken yet are in output_.
     virtual void on_write_ready() { write_pending(); }
-    /// The peer has closed, or the connection has failed. Never called from within write_pending().
+    /// The peer has closed the connection, or the connection has failed. Never called from within
+    /// write_pending().
     virtual void on_closed() = 0;
-    /// Whether connecting failed by a reset: the peer had accepted the connection.
+    /// Whether connecting failed with a reset, which means that the peer had accepted the connection.
     [[nodiscard]] bool was_reset() const { return reset_while_connecting_; }
 
-    /// Has on_write_ready() called before the loop waits again.
+    /// Schedules a call of on_write_ready() before the loop waits again.
     void schedule_write();
-    /// Writes output_, as far as the socket takes it.
+    /// Writes as much of output_ as the socket takes.
     void write_pending();
     void set_reading(bool wanted);
-    /// Limits the output that the system holds; the rest waits in output_.
+    /// Limits the output that the system buffers; the rest stays in output_.
     void limit_send_buffer(int bytes);
-    /// Bytes that the socket has taken so far.
+    /// Number of bytes that the socket has taken so far.
     [[nodiscard]] std::uint64_t bytes_written() const { return bytes_written_; }
 
-    /// Runs `step` from the loop, after the handler that runs now, unless this object is destroyed by then.
+    /// Runs `step` from the loop after the current handler, unless this object has been destroyed by then.
     template <class Step>
     void run_soon(Step step) {
         loop_.schedule_now([self = weak_from_this(), step = std::move(step)] {
@@ -129,11 +131,12 @@
     WriteState write_state_ = WriteState::open;
     bool reset_while_connecting_ = false;
     bool write_scheduled_ = false;
-    Events wanted_, watched_;  // what the loop is to watch for, and what it watches for
+    Events wanted_, watched_;  // the events to watch for, and those that the loop currently watches for
     std::size_t discarded_bytes_ = 0;
     std::uint64_t bytes_written_ = 0;
     ScopedTimer linger_timer_;
-    // Pending while the system is short of memory: the watch could not be set, or nothing is read or written.
+    // Pending while the system is out of memory: a handler could not be registered, or reading or writing is
+    // paused.
     ScopedTimer rewatch_timer_, read_pause_, write_pause_;
 };
 
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -5,7 +5,7 @@
 namespace irismux {
 namespace {
 
-// Without timers the reactor wakes this often, for signals.
+// The longest wait of the reactor, so that signals are handled in time even if no timer is pending.
 constexpr std::int64_t max_wait_ms = 50;
 
 }  // namespace
@@ -18,8 +18,8 @@
     run_due_timers();
 }
 
-// Guards against a callback that is destroyed here and owns an object with timers of its own: those would be
-// erased from a map under destruction, which crashes. They are erased from an empty one instead.
+// Empties the containers before their callbacks are destroyed. A callback may own an object with timers,
+// whose destructor erases them from the map of timers; erasing from a map that is being destroyed crashes.
 EventLoop::~EventLoop() {
     const auto callbacks = std::exchange(next_iteration_, {});
     const auto timers = std::exchange(timers_, {});
@@ -37,7 +37,7 @@
     return timer;
 }
 
-// Deferred work runs at the head of the next iteration, and the poll between does not wait.
+// Deferred callbacks run at the start of the next iteration; the poll in between does not wait.
 void EventLoop::iterate() {
     ++iterations_;
     const auto deferred = std::exchange(next_iteration_, {});
@@ -54,8 +54,8 @@
         present = now();
     }
     std::int64_t wait_ms = max_wait_ms;
-    // Guards against a loop that spins: the poll counts whole milliseconds and rounds a shorter wait down to
-    // none, so it is rounded up here.
+    // Prevents a busy loop: the poll takes whole milliseconds and would round a shorter wait down to zero, so
+    // the wait is rounded up.
     if (!timers_.empty())
         wait_ms = std::min(wait_ms, ((timers_.begin()->first.first - present).micros() + 999) / 1000);
     if (!next_iteration_.empty()) wait_ms = 0;
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -1,4 +1,4 @@
-// The event loop: a Poco SocketReactor with timers. One thread runs everything.
+// The event loop: a Poco SocketReactor with timers. All callbacks run on one thread.
 #pragma once
 
 #include <Poco/Net/SocketReactor.h>
@@ -14,11 +14,11 @@
 
 namespace irismux {
 
-/// Calls back for sockets, timers and deferred work, on the thread that runs it. An exception in a timer's
-/// callback is logged by the reactor and ends that callback alone.
+/// Runs callbacks for sockets, timers and deferred work on the thread that runs the loop. An exception in a
+/// timer's callback is logged by the reactor and ends only that callback.
 class EventLoop final : public Poco::Net::SocketReactor {
 public:
-    /// Names one timer. Its number is never given twice, so cancelling a timer that has run does nothing.
+    /// Identifies a timer. Its number is never reused, so cancelling a timer that has run does nothing.
     using Timer = std::pair<TimePoint, std::uint64_t>;
 
     EventLoop();
@@ -26,33 +26,34 @@
     EventLoop(const EventLoop&) = delete;
     EventLoop& operator=(const EventLoop&) = delete;
 
-    /// The present time of a steady clock, which is anchored once to the Unix clock.
+    /// The current time of a steady clock that was set once, when the loop was created, to the Unix time.
     [[nodiscard]] TimePoint now() const;
-    /// Calls back once, at `due` or up to a millisecond later. Whoever owns what the callback uses holds a
-    /// ScopedTimer instead.
+    /// Runs the callback once, at `due` or up to a millisecond later. An owner of objects that the callback
+    /// uses should hold a ScopedTimer instead.
     Timer schedule_at(TimePoint due, std::function<void()> callback);
-    /// Calls back once, after the handler that runs now.
+    /// Runs the callback once, after the current handler.
     Timer schedule_now(std::function<void()> callback) { return schedule_at(now(), std::move(callback)); }
     void cancel(const Timer& timer) { timers_.erase(timer); }
     [[nodiscard]] bool is_pending(const Timer& timer) const { return timers_.contains(timer); }
 
-    /// Calls back in the next iteration, after all input that is ready by then: small writes are collected.
+    /// Runs the callback in the next iteration, after all input that is ready by then has been handled. Used
+    /// to combine small writes.
     void run_next_iteration(std::function<void()> callback) {
         next_iteration_.push_back(std::move(callback));
     }
 
     /// Runs the timers that are due and limits the next wait to the earliest of the others. The reactor has
-    /// no hook before its poll, so every handler ends with this call.
+    /// no hook before its poll, so every handler must end with a call of this function.
     void run_due_timers();
-    /// The longest time by which a timer has run late so far.
+    /// The longest delay after its due time with which a timer has run so far.
     [[nodiscard]] Duration max_timer_delay() const { return max_timer_delay_; }
-    /// Iterations so far. An idle loop waits up to 50 ms in each.
+    /// Number of iterations so far. An idle loop waits up to 50 ms in each.
     [[nodiscard]] std::uint64_t iterations() const { return iterations_; }
 
 protected:
     void onBusy() override { iterate(); }
     void onTimeout() override { iterate(); }
-    void onIdle() override { iterate(); }  // no socket is watched
+    void onIdle() override { iterate(); }  // called if no socket is watched
 
 private:
     void iterate();
@@ -65,12 +66,12 @@
     Duration max_timer_delay_;
 };
 
-/// Owns one timer of a loop: cancels it when destroyed or assigned anew. While its callback runs it is no
-/// longer pending. Must be destroyed or cancelled before its loop is.
+/// Owns one timer of a loop and cancels it when destroyed or reassigned. The timer is no longer pending while
+/// its callback runs. Must be destroyed or cancelled before its loop is destroyed.
 class ScopedTimer {
 public:
     ScopedTimer() = default;
-    /// Calls back once, at `due`.
+    /// Runs the callback once, at `due`.
     ScopedTimer(EventLoop& loop, TimePoint due, std::function<void()> callback)
         : event_loop_(&loop), timer_(loop.schedule_at(due, std::move(callback))) {}
     ~ScopedTimer() { cancel(); }
--- a/src/net/event_time_estimator.cpp
+++ b/src/net/event_time_estimator.cpp
@@ -6,11 +6,12 @@
 namespace irismux {
 namespace {
 
-// Of times that were read at the two ends of a connection.
+// Allowed difference between timestamps that the two ends of a connection took of one event.
 constexpr Duration tolerance = Duration::micros(50'000);
-// Two clocks drift apart by less than one part in so many of the time that passes.
+// Two clocks drift apart by less than the elapsed time divided by this.
 constexpr std::int64_t drift_divisor = 1'000;
-// Before anything was seen of the writers' clock this one is believed for so long.
+// Until an offset of the writers' clock is known, timestamps of starts are read as times of this process's
+// clock if the previous poll is not older than this.
 constexpr Duration max_unproven_age = Duration::micros(2'000'000);
 
 }  // namespace
--- a/src/net/event_time_estimator.hpp
+++ b/src/net/event_time_estimator.hpp
@@ -1,17 +1,18 @@
-// When the events of the notice board happened, on this process's steady clock. Each bears a time of the Unix
-// clock, but any wall clock may be wrong by seconds or by an hour: this process's, which was read once at the
-// start, and that of whoever wrote the event.
+// Estimates when the events of the notice board happened, on this process's steady clock. Each event has a
+// timestamp of its writer's Unix clock, but any wall clock may be wrong by seconds or by an hour: the
+// writer's, and this process's, which was read once at the start.
 //
-// - No event is received before it has happened. So each purge shows by how much, at least, its writer's
-//   clock is ahead of this one. The most that was seen of that dates all others: as late as they can have
-//   happened, which is what a bound on copies needs.
-// - News, received by a poll, are no older than the poll before. A time that contradicts that shows that its
-//   writer's clock has been stepped, and what was seen of it does not count any more.
-// - History, received as a whole, may be of any age; there an event is no older than this clock makes it.
-// - Starts bear the clocks of caches. One that does not fit between the two polls counts as of now, so the
-//   cache gets a slow start.
+// - No event is received before it has happened. So each purge shows a minimum by which its writer's clock is
+//   ahead of this process's clock. The largest such minimum is applied to all other timestamps. It yields the
+//   latest time at which an event can have happened, which is needed to bound the age of copies.
+// - Live events, received by a poll, are not older than the previous poll. A timestamp that contradicts this
+//   shows that its writer's clock has been stepped, and the known offset is discarded.
+// - History, received as a whole, may be of any age; its events are not older than their timestamps, read as
+//   times of this process's clock.
+// - The timestamps of starts come from the caches' clocks. A start whose timestamp does not fit between the
+//   two polls is dated to the current time, so that the cache gets a slow start.
 //
-// Without I/O.
+// Performs no I/O.
 #pragma once
 
 #include <cstddef>
@@ -25,20 +26,21 @@
 
 class EventTimeEstimator {
 public:
-    /// Starts that are remembered, so that one which is announced again is the same one. At this size the
-    /// older half is forgotten; one of those would count as a start of the moment in which it is announced
-    /// again.
+    /// Number of starts that are remembered, so that a start that is announced again keeps its time. When
+    /// this many are stored, the older half is discarded; a discarded start that is announced again would be
+    /// dated to that announcement.
     static constexpr std::size_t max_starts = 16'384;
 
-    /// Events from now on are history as it was known at `known_at`.
-    /// @param newest the newest time of a purge in it, or else of a start; zero: there is none.
+    /// The events that follow belong to the history that was known at `known_at`.
+    /// @param newest the newest timestamp of a purge in the history, or of a start if there is no purge; zero
+    /// if there is neither.
     void begin_history(TimePoint known_at, TimePoint newest);
-    /// Events from now on have happened since `earliest`, when the poll before was sent.
+    /// The events that follow have happened since `earliest`, the time at which the previous poll was sent.
     void begin_live(TimePoint now, TimePoint earliest);
 
-    /// The latest time at which a purge can have happened whose event bears `timestamp`.
+    /// The latest time at which a purge whose event has this timestamp can have happened.
     [[nodiscard]] TimePoint purge_time(TimePoint timestamp);
-    /// The time of a cache's start whose event bears `timestamp`. Zero stays zero: long ago.
+    /// The time of a cache's start whose event has this timestamp. Zero, which means long ago, stays zero.
     [[nodiscard]] TimePoint start_time(const CacheId& cache, TimePoint timestamp);
 
 private:
@@ -56,8 +58,8 @@
 
     Period period_ = Period::history;
     TimePoint now_, earliest_;
-    // By how much the writers' clock is ahead of this one at least, and when that was seen; none: nothing
-    // was.
+    // The minimum by which the writers' clock is ahead of this process's clock, and when it was observed;
+    // std::nullopt if nothing was observed.
     std::optional<Duration> clock_offset_;
     TimePoint clock_offset_seen_at_;
     std::map<CacheId, Start> starts_;
--- a/src/net/fastcgi_connection.cpp
+++ b/src/net/fastcgi_connection.cpp
@@ -10,22 +10,24 @@
 
 using client_protocol::RequestError;
 
-// Clients close idle connections after this.
+// Clients close idle connections after this time.
 constexpr Duration client_idle_timeout = Duration::micros(4'000'000);
-// An idle connection that the client should have closed by then is closed here.
+// The server closes an idle connection after this time, by which the client should have closed it.
 const Duration server_idle_timeout = client_idle_timeout * 1.25;
-// A request that is still incomplete then is refused: it would use memory and a descriptor for good.
+// A request that is still incomplete after this time is refused; otherwise it could use memory and a
+// descriptor forever.
 const Duration incomplete_request_timeout = client_idle_timeout * 0.5;
 
-// One connection may use one part in so many of the memory for requests.
+// One connection may use at most the memory for requests divided by this.
 constexpr std::size_t connection_memory_divisor = 8;
-// A response up to this size is written as one record with its head.
+// A response up to this size is written in one record together with its head.
 constexpr std::size_t max_joined_response_bytes = 16'384;
-// Responses that the system holds ahead of a slow client; the others wait here and are counted.
+// Responses to a slow client that the system may buffer; the rest stays in the output buffer and is counted.
 constexpr int max_send_buffer_bytes = 65'536;
-// A client that has not read so many bytes of responses is not read from.
+// Reading from a client pauses while it has more than this many unread bytes of responses.
 constexpr std::size_t max_unread_response_bytes = 1'048'576;
-// Input that is read ahead while paused: one of the largest requests, and aborts of others.
+// Limit of the input that is read ahead while paused. Enough for one of the largest requests and aborts of
+// others.
 constexpr std::size_t max_paused_input_bytes =
     client_protocol::max_body_bytes + client_protocol::max_parameter_bytes;
 
@@ -122,7 +124,7 @@
         fastcgi::Record record;
         std::size_t used = 0;
         const ParseStatus status = fastcgi::parse_record(input_.view(), record, used);
-        // No request needs such a record, so the rest of it is not waited for.
+        // No valid request needs a record of this length, so the server does not wait for the rest of it.
         if (status == ParseStatus::incomplete &&
             fastcgi::announced_content_length(input_.view(), record) > client_protocol::max_body_bytes)
             return refuse_and_discard_input(record.request, RequestError::record_too_long);
@@ -146,7 +148,7 @@
     }
     if (record.type == Type::begin_request) return on_begin_request(record);
     const auto it = open_requests_.find(record.request);
-    if (it == open_requests_.end()) return;  // it has its response already, or never began
+    if (it == open_requests_.end()) return;  // already answered, or never begun
     switch (record.type) {
         case Type::abort_request:
             return on_abort_request(record.request);
@@ -155,7 +157,7 @@
         case Type::std_in:
             return on_body(record, it->second);
         default:
-            return;  // DATA belongs to other roles
+            return;  // DATA records belong to other roles
     }
 }
 
@@ -214,7 +216,7 @@
     schedule_write();
 }
 
-// Guards the memory against many requests that have no response yet: what is over the limit is refused.
+// Limits the memory for requests that have no response yet by refusing requests that exceed it.
 void FastCgiConnection::buffer_content(std::uint16_t request_id, IncomingRequest& request,
                                        std::string& destination, std::string_view content) {
     const std::size_t limit = context_.limits.request_bytes;
@@ -295,7 +297,7 @@
     respond(request_id, client_protocol::error_head(error), {});
 }
 
-// More input than a request may have is to come: none of it is stored.
+// Refuses a request that has more input than allowed, without storing the input that is still to arrive.
 void FastCgiConnection::refuse_and_discard_input(std::uint16_t request_id, RequestError error) {
     begin_closing();
     input_mode_ = InputMode::discarding;
@@ -324,18 +326,18 @@
     if (input_mode_ != InputMode::paused) return;
     input_mode_ = InputMode::parsing;
     set_reading(true);
-    on_data();  // records that came while it was paused
+    on_data();  // handles records that arrived while parsing was paused
 }
 
-// --- a client that does not read its responses -----------------------------------------------------------
+// --- clients that do not read their responses ------------------------------------------------------------
 
 void FastCgiConnection::pause_if_responses_pile_up() {
     if (input_mode_ == InputMode::parsing && output_.size() > max_unread_response_bytes)
         input_mode_ = InputMode::paused;
 }
 
-// Guards against a client that closes or aborts while its input is paused: its attempts would go on. Aborts
-// are carried out at once, and the end is noticed as long as the input before it fits.
+// Detects a client that closes or aborts while its input is paused; otherwise its attempts would continue.
+// Aborts are handled at once, and the end of the connection is noticed as long as the input before it fits.
 void FastCgiConnection::scan_paused_input() {
     fastcgi::Record record;
     std::size_t used = 0;
--- a/src/net/fastcgi_connection.hpp
+++ b/src/net/fastcgi_connection.hpp
@@ -1,4 +1,4 @@
-// One client's connection: FastCGI requests in, responses out.
+// The connection of one client: reads FastCGI requests and writes responses.
 #pragma once
 
 #include <cstddef>
@@ -17,49 +17,50 @@
 namespace irismux {
 
 struct FastCgiServerLimits {
-    std::size_t connections = 0;  ///< at once
-    /// Of requests without a response, and as much again of responses that clients have not read, both on all
-    /// connections together.
+    std::size_t connections = 0;  ///< maximum number of simultaneous connections
+    /// Limit of the memory for requests without a response on all connections together. The same limit
+    /// applies separately to responses that clients have not read.
     std::size_t request_bytes = 0;
-    Duration accept_pause;  ///< once descriptors have run out; also how long a closing connection lingers
+    /// How long accepting pauses when no descriptor is left; also how long a closing connection lingers.
+    Duration accept_pause;
 };
 
-/// What the connections of a server share. Owned by the server; must outlive them.
+/// The state that the connections of a server share. Owned by the server; must outlive the connections.
 struct FastCgiContext {
     EventLoop& event_loop;
     RequestHandler& request_handler;
     ServedKinds kinds;
     FastCgiServerLimits limits;
-    /// Called last, once a connection has closed.
+    /// The last call that a connection makes, after it has closed.
     std::function<void(std::uint64_t connection)> on_connection_closed;
-    std::size_t request_bytes = 0;  ///< of requests without a response, on all connections
+    std::size_t request_bytes = 0;  ///< size of the requests without a response, on all connections
 };
 
 class FastCgiConnection final : public Connection {
 public:
-    /// @param number the connection's, never given twice.
+    /// @param number identifies the connection; never reused.
     FastCgiConnection(FastCgiContext& context, std::uint64_t number, const Poco::Net::StreamSocket& socket);
 
     void start();
 
-    /// Bytes of responses that wait for room in the socket.
+    /// Number of bytes of responses that wait for room in the socket.
     [[nodiscard]] std::size_t unsent_response_bytes() const { return output_.size(); }
-    /// Whether nothing is open or waits to be written. Input that has not been read does not count.
+    /// Whether no request is open and no output is pending. Unread input is not considered.
     [[nodiscard]] bool idle() const;
-    /// Whether part of a request has come, or input that has not been read.
+    /// Whether a request has been received in part, or there is unread input.
     [[nodiscard]] bool has_incomplete_request() const;
-    /// Of two idle connections the one of lower rank is closed first: those that never sent a request, then
-    /// those that have been idle longest.
+    /// The idle connection with the lowest rank is closed first: first those that never sent a complete
+    /// request, then those that have been idle longest.
     [[nodiscard]] std::pair<bool, TimePoint> eviction_rank() const { return {has_dispatched_, idle_since_}; }
 
-    /// Answers requests that have been incomplete for too long and closes the connection if it is idle for
-    /// too long.
+    /// Refuses requests that have been incomplete for too long, and closes the connection if it has been idle
+    /// for too long.
     void check_timeouts(TimePoint now);
-    /// Does nothing if the request has been answered or aborted, also if its FastCGI id is in use again.
+    /// Does nothing if the request has been answered or aborted, even if its FastCGI id is in use again.
     void write_response(const ClientStream& stream, std::string_view head, std::string_view body);
-    /// Abandons the open requests, writes what waits, and reads until the client closes too.
+    /// Abandons the open requests, writes pending output, and discards input until the client closes too.
     void close_gracefully();
-    /// Closes at once; responses that wait are lost.
+    /// Closes at once; pending responses are lost.
     void close_now();
 
 protected:
@@ -71,28 +72,30 @@
     enum class RequestState {
         receiving_parameters,
         receiving_body,
-        dispatched  ///< has come whole
+        dispatched  ///< completely received
     };
     struct IncomingRequest {
         RequestState state = RequestState::receiving_parameters;
-        std::uint64_t sequence = 0;  // among all requests of the connection
+        std::uint64_t sequence = 0;  // position among all requests of the connection
         bool keep_connection = true;
         std::string parameters, body;
-        std::size_t buffered_bytes = 0;  // counted against the memory for requests until it has a response
+        // Counted against the memory for requests until the request has a response.
+        std::size_t buffered_bytes = 0;
         TimePoint begun_at;
     };
     using OpenRequests = std::map<std::uint16_t, IncomingRequest>;  // by FastCGI request id
 
-    // What happens to input. Once discarding it stays so.
+    // How input is handled. The mode never changes again once it is `discarding`.
     enum class InputMode {
         parsing,
-        paused,     // the client has to read its responses first
-        discarding  // input can't be split into records any more; it is read to notice the end
+        paused,  // until the client has read its responses
+        // Input can't be split into records any more; it is read only to notice the end of the connection.
+        discarding
     };
     enum class Lifecycle {
         serving,
-        closing,   // closes once every open request has its response
-        abandoned  // the open requests have been given to on_client_closed()
+        closing,   // closes once every open request has a response
+        abandoned  // the open requests have been reported to on_client_closed()
     };
 
     void on_record(const fastcgi::Record& record);
@@ -126,10 +129,10 @@
     Lifecycle lifecycle_ = Lifecycle::serving;
     OpenRequests open_requests_;
     std::uint64_t begun_requests_ = 0;
-    bool has_dispatched_ = false;    // a whole request has come
-    TimePoint idle_since_;           // since when no request has been open
-    std::size_t request_bytes_ = 0;  // of its open requests
-    std::size_t scanned_bytes_ = 0;  // of the paused input
+    bool has_dispatched_ = false;    // whether a complete request has been received
+    TimePoint idle_since_;           // when the last open request ended, or the connection began
+    std::size_t request_bytes_ = 0;  // size of the open requests
+    std::size_t scanned_bytes_ = 0;  // how much of the paused input has been scanned
 };
 
 }  // namespace irismux
--- a/src/net/fastcgi_server.cpp
+++ b/src/net/fastcgi_server.cpp
@@ -13,13 +13,14 @@
 namespace {
 
 constexpr Duration idle_check_interval = Duration::micros(200'000);
-// One connection in so many is kept free, so that idle ones can be closed gracefully before all are in use.
+// The maximum number of connections divided by this is kept free, so that idle connections can be closed
+// gracefully before all are in use.
 constexpr std::size_t free_connections_divisor = 16;
-// Connections that the system holds until they are accepted.
+// Maximum number of connections that the system queues until they are accepted.
 constexpr int listen_backlog = 1024;
-// Failures of accept() after which the queue counts as empty, when the server stops.
+// While the server stops, the queue is treated as empty after this many failures of accept().
 constexpr int max_accept_failures = 256;
-// The system's want of memory or descriptors passes.
+// The delay before a retry while the system is out of memory or descriptors, which is a temporary state.
 constexpr Duration memory_retry_delay = Duration::micros(10'000);
 
 }  // namespace
@@ -61,7 +62,7 @@
                                                  *this, &FastCgiServer::on_acceptable));
         listen_state_ = ListenState::accepting;
     } catch (const Poco::Exception&) {
-        // No memory for it. Connections wait in the system's queue meanwhile.
+        // The system is out of memory. Connections wait in its queue until the retry.
         pause_accepting(memory_retry_delay);
     }
 }
@@ -86,11 +87,13 @@
     });
 }
 
-// One at a time: the loop comes back for the next, and nothing waits for it longer than one iteration.
+// Accepts one connection per call, so that other events wait for it for at most one iteration. The loop calls
+// again for the next connection.
 //
-// Guards against a loop that spins while accept() fails: the connection stays in the queue and would wake the
-// loop at once. A shortage of the system's is not mended by closing connections here; the process's own may
-// pass, and is acted on when it is met twice in a row.
+// Prevents a busy loop while accept() fails: the connection stays in the queue and would wake the loop at
+// once. A system-wide shortage is not relieved by closing connections of this process. A shortage of the
+// process's own descriptors may be temporary; only at the second failure in a row is an idle connection
+// closed or, if there is none, accepting paused for longer.
 void FastCgiServer::on_acceptable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
     const AcceptResult result = accept_one();
     const bool no_descriptor = result == AcceptResult::no_descriptor;
@@ -138,8 +141,8 @@
     connection->start();
 }
 
-// Guards against lost requests at shutdown: a client whose connection the system has completed may have sent
-// one, so the whole queue is accepted. A call may fail for a moment, also with more in the queue.
+// Accepts the whole queue, so that no request is lost at shutdown: a client whose connection the system has
+// established may already have sent one. accept() may fail temporarily while more connections are queued.
 void FastCgiServer::stop_listening() {
     if (listen_state_ == ListenState::stopped) return;
     stop_watching();
@@ -176,14 +179,14 @@
                               [this] { check_idle_connections(); });
 }
 
-// Guards against clients that connect and send nothing: no connection would be left for those that send
-// requests.
+// Finds the connection to close first. Without this, clients that connect and send nothing could take all
+// connections from clients that send requests.
 FastCgiServer::ConnectionPtr FastCgiServer::find_longest_idle() const {
     ConnectionPtr longest;
     for (const auto& [number, connection] : connections_) {
         if (!connection->idle()) continue;
         if (longest && connection->eviction_rank() >= longest->eviction_rank()) continue;
-        // A system call, so it comes last: a flood of clients costs one each.
+        // Checked last because it is a system call; a flood of clients then costs one call per client.
         if (!connection->has_unread_data()) longest = connection;
     }
     return longest;
@@ -195,7 +198,8 @@
     return it == connections_.end() ? nullptr : it->second;
 }
 
-// Frees a descriptor at once. False: no connection can be closed without harm.
+// Frees a descriptor at once.
+// @return false if no connection can be closed without losing requests or responses.
 bool FastCgiServer::close_idle_connection() {
     ConnectionPtr connection = find_lingering();
     if (!connection) connection = find_longest_idle();
@@ -204,7 +208,7 @@
     return true;
 }
 
-// Closes the longest idle connection while there is time to do so gracefully.
+// Closes the longest idle connection while there is still time to close it gracefully.
 void FastCgiServer::keep_connections_free() {
     const std::size_t limit = context_.limits.connections;
     const std::size_t kept_free = limit / free_connections_divisor;
@@ -238,8 +242,8 @@
     if (connection->unsent_response_bytes() > 0) enforce_memory_limit();
 }
 
-// Guards the memory against clients that send requests and do not read the responses: the one with most
-// unsent bytes is closed.
+// Limits the memory for responses that clients do not read by closing the connection with the most unsent
+// bytes.
 void FastCgiServer::enforce_memory_limit() {
     std::size_t unsent_bytes = 0;
     ConnectionPtr slowest;
--- a/src/net/fastcgi_server.hpp
+++ b/src/net/fastcgi_server.hpp
@@ -1,4 +1,4 @@
-// The FastCGI server for web servers: its listening socket, its connections, and their limits.
+// The FastCGI server that web servers connect to: the listening socket, the connections, and their limits.
 #pragma once
 
 #include <Poco/Net/ServerSocket.h>
@@ -18,7 +18,7 @@
 
 /// The server accepts connections.
 struct Listening {};
-/// Why it can't, for now.
+/// Why the server can't listen; a later attempt may succeed.
 struct ListenError {
     int error_number = 0;  ///< errno
     std::string message;
@@ -36,13 +36,13 @@
 
     [[nodiscard]] ListenResult listen(const Poco::Net::SocketAddress& address);
     [[nodiscard]] bool listening() const { return listen_state_ != ListenState::stopped; }
-    /// Accepts the connections that wait in the system's queue, then none any more.
+    /// Accepts the connections that wait in the system's queue, then closes the listening socket.
     void stop_listening();
 
     [[nodiscard]] std::size_t connection_count() const { return connections_.size(); }
-    /// Whether all responses have been written and no request is being received.
+    /// Whether all responses have been written and no request is partially received.
     [[nodiscard]] bool drained() const;
-    /// Closes every connection gracefully; input is discarded from now on.
+    /// Closes every connection gracefully and discards further input.
     void close_all();
 
     void send_response(const ClientStream&, std::string_view body, bool not_modified) override;
@@ -58,8 +58,8 @@
     enum class AcceptResult {
         accepted,
         none_waiting,
-        failed,         // the connection is gone again, or the network failed for a moment
-        no_descriptor,  // this process has none left
+        failed,         // the client has closed the connection again, or a temporary network failure
+        no_descriptor,  // this process has no descriptor left
         no_memory       // the system has no memory or no descriptor left
     };
     using ConnectionPtr = std::shared_ptr<FastCgiConnection>;
@@ -84,7 +84,7 @@
     FastCgiContext context_;
     Poco::Net::ServerSocket socket_;
     ListenState listen_state_ = ListenState::stopped;
-    bool descriptors_exhausted_ = false;  // at the last attempt to accept
+    bool descriptors_exhausted_ = false;  // whether the last accept() found no descriptor
     ScopedTimer idle_check_, resume_accepting_;
     std::uint64_t next_connection_ = 1;
     std::map<std::uint64_t, ConnectionPtr> connections_;
--- a/src/net/in_flight_request_ids.cpp
+++ b/src/net/in_flight_request_ids.cpp
@@ -21,7 +21,7 @@
     erase_threshold_ = std::clamp(entries_.size() * 2, min_erase_threshold, max_entries);
 }
 
-// The half that expires first.
+// Erases the half of the entries that expires first.
 void InFlightRequestIds::erase_half() {
     std::vector<TimePoint> expiries;
     expiries.reserve(entries_.size());
--- a/src/net/in_flight_request_ids.hpp
+++ b/src/net/in_flight_request_ids.hpp
@@ -1,6 +1,6 @@
-// Which client request ids a connection has carried for which request. Clients choose ids and may use them
-// again, and a response names nothing else: an id is not carried for another request while a response to the
-// first may still come. Without I/O.
+// The client request ids that a connection has carried, each with its request. Clients choose the ids and may
+// reuse them, and a response is identified by nothing else. So a connection does not carry an id for another
+// request while a response to the first may still arrive. Performs no I/O.
 #pragma once
 
 #include <cstddef>
@@ -13,13 +13,15 @@
 
 class InFlightRequestIds {
 public:
-    /// At this size the half that expires first is forgotten. A response that is later than so many attempts
-    /// of the connection could then be taken for one to another request of its id.
+    /// When this many ids are stored, the half that expires first is erased. A response that arrives after so
+    /// many further attempts on the connection could then be mistaken for a response to another request with
+    /// its id.
     static constexpr std::size_t max_entries = 4'096;
 
-    /// The id is carried for `request`; responses may come until `until`. Replaces what was known of the id.
+    /// Records that the id is carried for `request`, to which responses may arrive until `until`. Replaces an
+    /// earlier entry of the id.
     void add(const ClientRequestId& id, RequestId request, TimePoint until, TimePoint now);
-    /// Whether a response that bears the id may be meant for another request.
+    /// Whether a response with this id may belong to another request.
     [[nodiscard]] bool used_by_another(const ClientRequestId& id, RequestId request, TimePoint now) const;
     [[nodiscard]] std::size_t size() const { return entries_.size(); }
 
@@ -34,7 +36,8 @@
     void erase_half();
 
     std::map<ClientRequestId, Entry> entries_;
-    std::size_t erase_threshold_ = min_erase_threshold;  // rises with what stays, as a search takes time
+    // Grows with the number of entries that have not expired, because searching for expired ones takes time.
+    std::size_t erase_threshold_ = min_erase_threshold;
 };
 
 }  // namespace irismux
--- a/src/net/notice_client.cpp
+++ b/src/net/notice_client.cpp
@@ -12,8 +12,8 @@
 namespace irismux {
 namespace {
 
-// For how long the board may hold a poll. It would hold one for up to 5 s; a board that does not answer any
-// more has to be noticed well before that.
+// How long the board may hold a poll. It would hold one for up to 5 s, but a board that no longer responds
+// has to be detected well before that.
 constexpr Duration poll_linger = Duration::micros(1'000'000);
 
 }  // namespace
@@ -55,7 +55,7 @@
     }
 }
 
-// Events that are sent again are history, however recent the poll.
+// Events that are sent again are treated as history, however recent the last poll is.
 void NoticeClient::begin_full_history() {
     history_.revision = std::max(history_.revision, revision_);
     history_.known_at = event_loop_.now();
@@ -66,8 +66,8 @@
     next_poll_ = ScopedTimer(event_loop_, due, [this] { poll(); });
 }
 
-// Guards the board against polls without end: one that neither holds a poll nor has anything new, such as one
-// whose revisions have gone back, is polled again after the retry delay.
+// Avoids polling the board in a busy loop: a board that neither holds a poll nor has new events, such as one
+// whose revisions have gone back, is polled again only after the retry delay.
 void NoticeClient::on_poll_response(std::int64_t revision) {
     observer_.on_poll_completed(revision, polled_from_);
     last_complete_poll_at_ = polled_at_;
@@ -77,8 +77,8 @@
     poll_at(polled_at_ + retry_delay_);
 }
 
-// What is known stays in force. Events may be urgent, so the board is polled again at once; after a second
-// failure in a row only if the poll before it brought events.
+// The events received so far stay in force. Events may be urgent, so the board is polled again at once; after
+// a second failure in a row, only if the failed poll brought new events.
 void NoticeClient::on_poll_error(PollError error, std::string_view detail) {
     observer_.on_poll_failed();
     log::event(log::Level::info, "notice_poll_failed",
@@ -93,8 +93,8 @@
     poll_at(event_loop_.now() + (at_once ? Duration{} : retry_delay_));
 }
 
-// Guards against events that are lost in a move: what the old board has not sent whole is asked of the new
-// one.
+// Prevents the loss of events when the address changes: the new board is asked for every event that the old
+// one has not sent completely.
 void NoticeClient::set_address(const std::string& address) {
     if (address == address_) return;
     log::event(log::Level::info, "notice_board_changed", {{"address", address}, {"revision", revision_}});
@@ -115,14 +115,14 @@
     for (const Notice& notice : notices.notices) {
         const bool applied = on_notice(notice);
         if (applied) continue;
-        // Nobody can be asked for it once more: the second failure leaves it out.
+        // The event can't be requested again, so the second failure skips it.
         (void)on_notice(notice);
     }
     revision_ = std::max(revision_, notices.revision);
 }
 
-// Guards against an event that can't be read: it would hold up those behind it for good. It is asked for once
-// more, then left out.
+// Requests an event that can't be read once more and then skips it; otherwise it would block the events after
+// it forever.
 bool NoticeClient::on_notice(const Notice& notice) {
     if (notice.has_revision && notice.revision <= revision_) return true;
     if (const auto error = apply(notice)) {
@@ -140,7 +140,7 @@
     return true;
 }
 
-// Returns why the event can't be read; none: it has taken effect.
+// @return why the event can't be read, or std::nullopt if it has taken effect.
 std::optional<EventError> NoticeClient::apply(const Notice& notice) {
     if (notice.error) return notice.error;
     begin_event_period(notice.revision);
@@ -156,7 +156,8 @@
     if (const auto* const purge = std::get_if<PurgeEvent>(&event)) deliver_purge(*purge);
     auto* const unreadable = std::get_if<UnreadableEvent>(&event);
     if (!unreadable) return std::nullopt;
-    // A start counts from when it was first announced, also by an event that can't be read whole.
+    // A start is dated from its first announcement, even if the event that announced it can be read only in
+    // part.
     estimate_starts(unreadable->endpoints);
     return unreadable->error;
 }
--- a/src/net/notice_client.hpp
+++ b/src/net/notice_client.hpp
@@ -1,7 +1,7 @@
 // The client of the notice board: polls it over HTTP/1.1 for changes of the endpoint list and for purges.
 //
-// An answer may have any length. Its events take effect one by one as they arrive, and the next poll asks for
-// what is behind the last of them, also where an answer broke off.
+// A response may have any length. Its events take effect one by one as they arrive, and the next poll
+// requests the events after the last of them, even if the response broke off.
 #pragma once
 
 #include <cstdint>
@@ -23,45 +23,46 @@
 
 /// A purge of an object, or of a group.
 struct PurgeNotice {
-    TimePoint at;         ///< by this process's clock, the latest time at which it can have happened
-    TimePoint timestamp;  ///< as the event bears it
+    TimePoint at;         ///< the latest time at which the purge can have happened, by this process's clock
+    TimePoint timestamp;  ///< the timestamp in the event
     PurgeGroupId group;
-    std::optional<ObjectName> object;  ///< none: all of the group
+    std::optional<ObjectName> object;  ///< std::nullopt to purge the whole group
 };
 
-/// Receives the events of the board, in their order.
+/// Receives the events of the board in their order.
 class NoticeObserver {
 public:
     virtual ~NoticeObserver() = default;
-    /// @param complete the whole list: endpoints that are not named are removed.
+    /// @param complete whether this is the whole list, so that endpoints that it does not name are removed.
     virtual void on_endpoint_notice(const std::vector<EndpointRecord>& endpoints, bool complete) = 0;
     virtual void on_purge_notice(const PurgeNotice& purge) = 0;
 
-    /// Asked before each poll: whether the board is to send all its events, from the first on.
+    /// Called before each poll. @return whether the board is to send all its events again, from the first on.
     virtual bool wants_full_history() const { return false; }
     virtual void on_poll_started(bool /*from_start*/) {}
-    /// All events up to `newest` have taken effect; the poll named `polled_from`.
+    /// All events up to `newest` have taken effect; `polled_from` is the revision that the poll named.
     virtual void on_poll_completed(std::int64_t /*newest*/, std::int64_t /*polled_from*/) {}
     virtual void on_poll_failed() {}
-    /// An event could not be read twice and has been left out.
+    /// An event has been skipped because it could not be read twice.
     virtual void on_notice_skipped() {}
 };
 
 class NoticeClient final : private PollHandler {
 public:
     /// @param observer must outlive the client.
-    /// @param retry_delay between polls if several in a row have failed, or bring nothing new at once.
+    /// @param retry_delay the delay between polls if several in a row have failed or returned at once without
+    /// new events.
     NoticeClient(EventLoop& loop, NoticeObserver& observer, std::string address, Duration retry_delay);
     ~NoticeClient() override;
     NoticeClient(const NoticeClient&) = delete;
     NoticeClient& operator=(const NoticeClient&) = delete;
 
-    /// Applies events that are known from elsewhere, {"rev": ..., "notices": [...]}. One that can't be read
-    /// is left out. @throws std::runtime_error if `known` is not of that form.
+    /// Applies events from another source, in the form {"rev": ..., "notices": [...]}. Events that can't be
+    /// read are skipped. @throws std::runtime_error if `known` does not have that form.
     void load_known_events(const nlohmann::json& known);
-    /// Polls now, and again after each answer.
+    /// Polls now, and again after each response.
     void poll();
-    /// The board has another address from now on. Its revisions go on.
+    /// Sets a new address of the board. The client continues from the last revision.
     void set_address(const std::string& address);
 
 private:
@@ -82,21 +83,22 @@
     NoticeObserver& observer_;
     std::string address_;
     Duration retry_delay_;
-    std::int64_t revision_ = 0;     // of the last event that took effect
+    std::int64_t revision_ = 0;     // revision of the last event that took effect
     std::int64_t polled_from_ = 0;  // the revision that the last poll named
     TimePoint polled_at_;
     bool last_poll_failed_ = false;
-    // The event behind this revision could not be read when it was last asked for.
+    // The event after this revision could not be read when it was last received.
     std::optional<std::int64_t> revision_before_unreadable_;
 
-    // Events up to this revision were known before, and may have happened at any time.
+    // Events up to this revision were known earlier and may have happened at any time.
     struct History {
         std::int64_t revision = 0;
         TimePoint known_at;
         TimePoint newest_timestamp;
     };
     History history_;
-    // Events behind it have happened since the last poll that was answered whole was sent.
+    // When the last poll that got a complete response was sent. Events after the history have happened since
+    // then.
     TimePoint last_complete_poll_at_;
     EventTimeEstimator times_;
 
--- a/src/net/notice_connection.cpp
+++ b/src/net/notice_connection.cpp
@@ -5,10 +5,10 @@
 namespace irismux {
 namespace {
 
-// From the poll to the end of its answer. One that takes longer is broken off; the next poll goes on behind
-// what has come of it.
+// Maximum time from a poll to the end of its response. A response that takes longer is broken off, and the
+// next poll continues after the events that have arrived.
 constexpr Duration max_response_time = Duration::micros(5'000'000);
-// Events take effect for so long in an iteration of the loop; the others wait for the next.
+// Maximum time per iteration of the loop in which events are applied; the rest wait for the next iteration.
 constexpr Duration max_batch_time = Duration::micros(2'000);
 constexpr int http_ok = 200;
 
@@ -63,14 +63,14 @@
 }
 
 void NoticeConnection::on_data() {
-    // Bytes that no poll asked for: the next poll takes another connection.
+    // These bytes belong to no poll, so the connection is closed and the next poll opens another one.
     if (!response_) return stop();
     restart_response_timer();
     read_response();
 }
 
-// Guards against an answer that stands still: the timer starts anew with each arrival, up to the time of the
-// whole answer.
+// Detects a stalled response: the timer is restarted whenever data arrives, up to the maximum time for the
+// whole response.
 void NoticeConnection::restart_response_timer() {
     const TimePoint due = std::min(loop_.now() + max_silence_, polled_at_ + max_response_time);
     response_timer_ = ScopedTimer(loop_, due, [this] {
@@ -79,8 +79,8 @@
     });
 }
 
-// Guards requests against a long answer: what does not fit into this iteration's batch stays in the buffer,
-// and nothing more is read until the next iteration.
+// Keeps a long response from delaying requests: data that does not fit into this iteration's batch stays in
+// the buffer, and nothing more is read until the next iteration.
 void NoticeConnection::read_response() {
     const auto alive = shared_from_this();
     begin_batch();
@@ -102,7 +102,8 @@
     });
 }
 
-// Only a batch that was cut short goes on: one that waits for bytes must not wake the loop in each iteration.
+// Only a batch that was cut short is continued; one that waits for data must not wake the loop in each
+// iteration.
 void NoticeConnection::end_batch() {
     const Batch ended = std::exchange(batch_, Batch::none);
     if (ended != Batch::cut_short || state() != ConnectionState::open) return;
@@ -110,7 +111,7 @@
     if (response_) read_response();
 }
 
-// One event, or the next part of the answer.
+// Handles one event, or reads the next part of the response.
 NoticeConnection::Step NoticeConnection::read_step() {
     NoticeReader& notices = response_->notices;
     if (const auto notice = notices.next()) {
--- a/src/net/notice_connection.hpp
+++ b/src/net/notice_connection.hpp
@@ -1,4 +1,4 @@
-// One connection to the notice board, with one poll at a time. Events take effect as they arrive.
+// A connection to the notice board, with one poll at a time. Events take effect as they arrive.
 #pragma once
 
 #include <cstdint>
@@ -12,35 +12,35 @@
 
 namespace irismux {
 
-/// Why a poll brought no answer, or no whole one.
+/// Why a poll got no response or an incomplete one.
 enum class PollError {
-    connect_failed,   ///< no connection could be begun
-    connection_lost,  ///< it did not come up, or broke
-    timeout,          ///< nothing came for too long, or the answer took too long
+    connect_failed,   ///< connecting could not be started
+    connection_lost,  ///< the connection was not established, or broke
+    timeout,          ///< no data arrived for too long, or the response took too long
     not_http,
-    unexpected_status,  ///< another HTTP status than 200
-    unknown_length,     ///< the answer's end could not be told from a break
+    unexpected_status,  ///< an HTTP status other than 200
+    unknown_length,     ///< the end of the response could not be distinguished from a broken connection
     incomplete_json,
-    invalid_answer,  ///< NoticeReader::error()
+    invalid_answer,  ///< see NoticeReader::error()
     missing_revision,
-    unreadable_event  ///< an event that is to be asked for once more
+    unreadable_event  ///< an event could not be read and is to be requested once more
 };
 /// For logs, in snake_case.
 [[nodiscard]] std::string_view to_string(PollError error);
 
-/// Who is told what a poll brings. May start the next poll, or stop the connection, from within each call.
+/// Receives the results of polls. May start the next poll or stop the connection from within each call.
 class PollHandler {
 public:
     virtual ~PollHandler() = default;
-    /// False: the event can't be read now. The poll fails.
+    /// @return false if the event can't be read now, which fails the poll.
     [[nodiscard]] virtual bool on_notice(const Notice& notice) = 0;
-    /// The answer has come whole, and each of its events has taken effect.
+    /// The complete response has arrived, and each of its events has taken effect.
     virtual void on_poll_response(std::int64_t revision) = 0;
-    /// The connection is closed.
+    /// The poll has failed, and the connection is closed.
     virtual void on_poll_error(PollError error, std::string_view detail) = 0;
 };
 
-/// How much of an answer has been read.
+/// The state of a response that is being read.
 struct PartialResponse {
     std::optional<http::Head> head;
     std::optional<http::BodyReader> body;
@@ -50,14 +50,15 @@
 
 class NoticeConnection final : public Connection {
 public:
-    /// @param max_silence a poll fails if nothing arrives for so long.
+    /// @param max_silence a poll fails if no data arrives for this time.
     NoticeConnection(EventLoop& loop, PollHandler& handler, Duration max_silence);
 
-    /// False: no connection could be begun. May throw Poco::Exception for an address that can't be read.
+    /// @return false if connecting could not be started. May throw Poco::Exception for an address that can't
+    /// be parsed.
     [[nodiscard]] bool start(const std::string& address);
-    /// Not before the poll before has been answered.
+    /// Must not be called before the previous poll has ended.
     void poll(const std::string& host, const std::string& target);
-    /// Closes without telling the handler.
+    /// Closes the connection without calling the handler.
     void stop();
 
 protected:
@@ -66,13 +67,13 @@
     void on_closed() override { fail(PollError::connection_lost); }
 
 private:
-    // Whether more can be read now.
+    // Whether reading can continue now or has to wait for more data.
     enum class Step { more, wait };
-    // The work of one iteration of the loop.
+    // The state of the work in one iteration of the loop.
     enum class Batch {
         none,
         running,
-        cut_short  // by the time that it may take
+        cut_short  // exceeded the time limit of an iteration
     };
 
     void restart_response_timer();
@@ -87,7 +88,7 @@
 
     PollHandler& handler_;
     Duration max_silence_;
-    std::optional<PartialResponse> response_;  // none: no poll is under way
+    std::optional<PartialResponse> response_;  // std::nullopt if no poll is in progress
     TimePoint polled_at_, batch_began_at_;
     Batch batch_ = Batch::none;
     ScopedTimer response_timer_;
--- a/src/net/request_handler.hpp
+++ b/src/net/request_handler.hpp
@@ -1,4 +1,4 @@
-// Who serves the requests that clients send.
+// The interface through which the server passes on the requests of clients.
 #pragma once
 
 #include "request/active_request.hpp"
@@ -14,9 +14,10 @@
         id_in_use,  ///< another request with this id is open on the connection
         duplicate   ///< the same request is open or was run before
     };
-    /// A whole request has come. The response may be sent from within this call.
+    /// Called for each complete request. The response may be sent from within this call.
     virtual Admission on_client_request(const ClientStream&, ClientRequest) = 0;
-    /// The client of an accepted request has gone, or has taken it back: no response can reach it any more.
+    /// Called if the client of an accepted request has closed the connection or aborted the request. No
+    /// response can reach the client any more.
     virtual void on_client_closed(const ClientStream&) = 0;
 };
 
