--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -36,7 +36,7 @@
       shutdown_(loop, dispatcher_, server_, cache_connections_, fleet_,
                 longest_deadline(configuration.settings.deployment)) {
     // Until the registry has delivered its endpoint list, the gateway uses the one in the initial notices.
-    notice_client_.load_known(configuration.initial_notices);
+    notice_client_.load_known_events(configuration.initial_notices);
     endpoint_source_.open_registry();
     fleet_.open_client();
 }
