--- a/bench/data_path.cpp
+++ b/bench/data_path.cpp
@@ -21,8 +21,8 @@
 namespace {
 
 using namespace irismux::bench;
-using irismux::stand_ins::descriptors_of;
-using irismux::stand_ins::processor_seconds;
+using irismux::test_support::descriptors_of;
+using irismux::test_support::processor_seconds;
 
 struct Options {
     std::string program, results = "data_path", router;
@@ -31,7 +31,7 @@
     double seconds = 2.5;  // of each measured stretch
 };
 
-double resident_mb(pid_t id) { return static_cast<double>(irismux::stand_ins::resident_bytes(id)) / 1e6; }
+double resident_mb(pid_t id) { return static_cast<double>(irismux::test_support::resident_bytes(id)) / 1e6; }
 
 void pause_for(double seconds) { std::this_thread::sleep_for(std::chrono::duration<double>(seconds)); }
 
--- a/bench/data_path_load.cpp
+++ b/bench/data_path_load.cpp
@@ -72,8 +72,8 @@
         Connection& c = *connections_.back();
         for (std::size_t slot = most_on_a_connection; slot > 0; --slot)
             c.free.push_back(static_cast<std::uint16_t>(slot));
-        c.asker = std::make_shared<stand_ins::FastCgiClient>(loop_, gateway);
-        c.asker->wire->got = [this, &c, read = c.asker->wire->got](Buffer& in) {
+        c.asker = std::make_shared<test_support::FastCgiClient>(loop_, gateway);
+        c.asker->connection->on_received = [this, &c, read = c.asker->connection->on_received](Buffer& in) {
             read(in);
             answered(c);
         };
@@ -105,10 +105,10 @@
         Connection& c = *connections_[next_connection_++ % connections_.size()];
         if (c.free.empty()) continue;
         const std::uint64_t count = asked++;
-        stand_ins::FastCgiClient::Request q;
+        test_support::FastCgiClient::Request q;
         q.id = hex16(number_ << 48 | count);
         q.object = hex16(load_.objects > 0 ? random_() % load_.objects : number_ << 48 | count);
-        q.patience_ms = static_cast<int>(load_.patience_s * 1000);
+        q.timeout_ms = static_cast<int>(load_.patience_s * 1000);
         c.asker->send(c.free.back(), q);
         c.free.pop_back();
         ++under_way_;
@@ -118,7 +118,7 @@
 }
 
 void LoadClients::answered(Connection& on) {
-    for (const stand_ins::FastCgiClient::Response& a : on.asker->responses) {
+    for (const test_support::FastCgiClient::Response& a : on.asker->responses) {
         on.free.push_back(a.number);
         --under_way_;
         ++(a.head.rfind("Status: 200", 0) == 0 ? satisfied : refused);
@@ -134,14 +134,14 @@
       listen_(free_address()),
       answer_(load.answer_bytes, 'x') {
     if (!::mkdtemp(folder_.data())) throw std::runtime_error("no folder can be made");
-    board_ = std::make_unique<stand_ins::NoticeBoard>(board_thread_.loop);
+    board_ = std::make_unique<test_support::FakeNoticeBoard>(board_thread_.loop);
     for (std::size_t n = 0; n < cache_threads; ++n) cache_loops_.push_back(std::make_unique<LoopThread>());
     for (std::size_t n = 0; n < stand_ins; ++n) {
         EventLoop& loop = cache_loops_[n % cache_threads]->loop;
-        caches_.push_back(std::make_unique<stand_ins::ScriptedCache>(loop, "stand-in", 1024));
+        caches_.push_back(std::make_unique<test_support::ScriptedCache>(loop, "stand-in", 1024));
         if (load.answer_bytes == 0) continue;
-        caches_.back()->then =
-            [this, &cache = *caches_.back()](const stand_ins::ScriptedCache::ReceivedAttempt& pull) {
+        caches_.back()->on_attempt =
+            [this, &cache = *caches_.back()](const test_support::ScriptedCache::ReceivedAttempt& pull) {
                 cache.answer(pull, "HIT", answer_);
                 cache.received.clear();
             };
@@ -150,7 +150,7 @@
     for (std::size_t n = 0; n < client_threads; ++n) client_loops_.push_back(std::make_unique<LoopThread>());
     board_thread_.start();
     for (const auto& thread : cache_loops_) thread->start();
-    process_ = std::make_unique<stand_ins::Process>(stand_ins::Process::Start{
+    process_ = std::make_unique<test_support::Process>(test_support::Process::Options{
         {load.program}, {"NODE_CONFIG=" + folder_ + "/config.json"}, "", folder_ + "/log"});
     wait_until_it_serves();
     for (std::size_t n = 0; n < client_threads; ++n) {
@@ -173,12 +173,12 @@
 void LoadedGateway::write_configuration(const Load& load) {
     json lines = json::array();
     for (std::size_t n = 0; n < load.listed_caches; ++n)
-        lines.push_back(stand_ins::endpoint_json("edge-" + std::to_string(n), "node", "plant",
-                                                 caches_[n % stand_ins]->address(), "Ready"));
-    lines.push_back(stand_ins::endpoint_json("parent", "parent", "hub", "127.0.0.1:9", "Ready"));
-    lines.push_back(stand_ins::endpoint_json("origin", "origin", "hub", "127.0.0.1:9", "Ready"));
+        lines.push_back(test_support::endpoint_json("edge-" + std::to_string(n), "node", "plant",
+                                                    caches_[n % stand_ins]->address(), "Ready"));
+    lines.push_back(test_support::endpoint_json("parent", "parent", "hub", "127.0.0.1:9", "Ready"));
+    lines.push_back(test_support::endpoint_json("origin", "origin", "hub", "127.0.0.1:9", "Ready"));
     board_->post({{"pool", {{"version", 1}, {"full", true}, {"servers", lines}}}});
-    json config = stand_ins::configuration(listen_, board_->address(), board_->known());
+    json config = test_support::configuration(listen_, board_->address(), board_->known());
     config["limits"]["memory_mb"] = load.memory_mb;
     config["limits"]["sockets"] = load.sockets;
     config["settings"]["lanes"][0]["hardLimitS"] = load.patience_s;
--- a/bench/data_path_load.hpp
+++ b/bench/data_path_load.hpp
@@ -9,9 +9,9 @@
 #include <thread>
 #include <vector>
 
+#include "testing/fake_services.hpp"
 #include "testing/process.hpp"
 #include "testing/single_process.hpp"
-#include "testing/stand_ins.hpp"
 
 namespace irismux::bench {
 
@@ -44,7 +44,7 @@
 
 private:
     void look_whether_over();
-    stand_ins::Acceptor keeps_alarms_running_;  // a reactor without sockets runs no alarms
+    test_support::Acceptor keeps_alarms_running_;  // a reactor without sockets runs no alarms
     std::atomic<bool> over_{false};
     std::thread thread_;
 };
@@ -60,7 +60,7 @@
 
 private:
     struct Connection {
-        std::shared_ptr<stand_ins::FastCgiClient> asker;
+        std::shared_ptr<test_support::FastCgiClient> asker;
         std::vector<std::uint16_t> free;  // request numbers
     };
     void tick();
@@ -99,10 +99,10 @@
     std::string answer_;
     LoopThread board_thread_;
     std::vector<std::unique_ptr<LoopThread>> client_loops_, cache_loops_;
-    std::unique_ptr<stand_ins::NoticeBoard> board_;
-    std::vector<std::unique_ptr<stand_ins::ScriptedCache>> caches_;
+    std::unique_ptr<test_support::FakeNoticeBoard> board_;
+    std::vector<std::unique_ptr<test_support::ScriptedCache>> caches_;
     std::vector<std::unique_ptr<LoadClients>> clients_;
-    std::unique_ptr<stand_ins::Process> process_;
+    std::unique_ptr<test_support::Process> process_;
 };
 
 }  // namespace irismux::bench
--- a/bench/data_path_router.cpp
+++ b/bench/data_path_router.cpp
@@ -42,7 +42,7 @@
     return static_cast<double>(spent.tv_sec) + static_cast<double>(spent.tv_nsec) * 1e-9;
 }
 
-double resident_mb() { return static_cast<double>(stand_ins::resident_bytes(::getpid())) / 1e6; }
+double resident_mb() { return static_cast<double>(test_support::resident_bytes(::getpid())) / 1e6; }
 
 std::string hex16(std::uint64_t n) {
     char text[17];
@@ -203,11 +203,11 @@
     const int made = ::mkstemp(output.data());
     if (made < 0) throw std::runtime_error("no file can be made");
     ::close(made);
-    stand_ins::Process child({{self, "--router", json(load).dump()}, {}, "", output});
+    test_support::Process child({{self, "--router", json(load).dump()}, {}, "", output});
     while (child.running()) std::this_thread::sleep_for(std::chrono::milliseconds(5));
     const json told = json::parse(std::ifstream(output), nullptr, false);
     fs::remove(output);
-    if (!child.left() || told.is_discarded())
+    if (!child.exited_cleanly() || told.is_discarded())
         throw std::runtime_error("a run of the Router did not end well");
     return told.get<RouterCost>();
 }
--- a/bench/fleet_owner.cpp
+++ b/bench/fleet_owner.cpp
@@ -60,11 +60,11 @@
     void play(int times, Counted& counted) {
         a_.start_all();
         for (int n = 0; n < times; ++n)
-            if (!a_.until([&] { return ready(); }) || !once(counted)) ++counted.stuck;
-        for (const std::string& what : a_.broken) std::cerr << "broken: " << what << '\n';
+            if (!a_.wait_until([&] { return ready(); }) || !once(counted)) ++counted.stuck;
+        for (const std::string& what : a_.violations) std::cerr << "broken: " << what << '\n';
     }
-    static stand_ins::ProcessFleet::Options shape(const std::string& program) {
-        stand_ins::ProcessFleet::Options s;
+    static test_support::ProcessFleet::Options shape(const std::string& program) {
+        test_support::ProcessFleet::Options s;
         s.program = program;
         s.gateways = gateways;
         s.caches = 1;
@@ -80,15 +80,16 @@
     }
     bool once(Counted& counted) {
         const std::size_t who = *a_.owner(duty);
-        const auto before = *a_.duty(duty);
-        const std::size_t claims = a_.ownership_changes.size(), writes = a_.written.size();
+        const auto before = *a_.duty_record(duty);
+        const std::size_t claims = a_.ownership_changes.size(), writes = a_.fenced_writes.size();
         const TimePoint from = a_.loop.now();
         order(who, true);
         TimePoint landed;
-        const bool followed = a_.until([&] {
-            for (std::size_t n = writes; n < a_.written.size(); ++n) {
-                const auto& w = a_.written[n];
-                if (!w.held || w.at < from || (w.token == before.token && fault_ != "registry member lost"))
+        const bool followed = a_.wait_until([&] {
+            for (std::size_t n = writes; n < a_.fenced_writes.size(); ++n) {
+                const auto& w = a_.fenced_writes[n];
+                if (!w.accepted || w.at < from ||
+                    (w.token == before.token && fault_ != "registry member lost"))
                     continue;
                 landed = w.at;
                 return true;
@@ -99,41 +100,41 @@
         for (std::size_t n = claims; n < a_.ownership_changes.size(); ++n)
             counted.moved += !a_.ownership_changes[n].by.name.raw().empty();
         counted.least += fault_ != "registry member lost";
-        a_.pass(a_.options.term * 0.25);
+        a_.run_for(a_.options.term * 0.25);
         order(who, false);
-        a_.pass(a_.options.term * 0.5);
-        for (std::size_t n = writes; n < a_.written.size(); ++n) {
-            const auto& w = a_.written[n];
+        a_.run_for(a_.options.term * 0.5);
+        for (std::size_t n = writes; n < a_.fenced_writes.size(); ++n) {
+            const auto& w = a_.fenced_writes[n];
             if (!followed || w.at <= landed || w.token > before.token || fault_ == "registry member lost")
                 continue;
             ++counted.tried;
-            counted.landed += w.held;
+            counted.landed += w.accepted;
         }
         return followed;
     }
     void order(std::size_t who, bool is) {
         if (fault_ == "killed") is ? a_.kill(who) : a_.start(who);
         if (fault_ == "stopped") is ? a_.stop(who) : a_.resume(who);
-        if (fault_ == "cut both ways") a_.cut_registry(who, is, is);
-        if (fault_ == "cut on the way out") a_.cut_registry(who, is, false);
-        if (fault_ == "cut on the way back") a_.cut_registry(who, false, is);
+        if (fault_ == "cut both ways") a_.partition_registry(who, is, is);
+        if (fault_ == "cut on the way out") a_.partition_registry(who, is, false);
+        if (fault_ == "cut on the way back") a_.partition_registry(who, false, is);
         if (fault_ == "link of 500 bytes a second")
-            for (auto& r : a_.gateways[who].to_registry) {
-                for (const stand_ins::Direction w :
-                     {stand_ins::Direction::to_server, stand_ins::Direction::to_client})
-                    r->faults(w).bytes_a_second = is ? 500 : 0;
-                if (!is) r->break_all();  // what still crawls there is given up
+            for (auto& r : a_.gateways[who].registry_proxies) {
+                for (const test_support::Direction w :
+                     {test_support::Direction::to_server, test_support::Direction::to_client})
+                    r->faults(w).bytes_per_second = is ? 500 : 0;
+                if (!is) r->reset_all();  // what still crawls there is given up
             }
         if (fault_ == "registry member lost") {
             // Each in turn: the one that the owner talks to is among them.
             if (is) lost_ = (lost_ + 1) % a_.options.members;
-            is ? a_.registry.down(lost_) : a_.registry.up(lost_);
+            is ? a_.registry.stop_member(lost_) : a_.registry.restart_member(lost_);
         }
     }
 
     std::string fault_;
     fs::path folder_;
-    stand_ins::ProcessFleet a_;
+    test_support::ProcessFleet a_;
     std::size_t lost_ = 0;
 };
 
@@ -146,7 +147,7 @@
                   "cut on the way back",
                   "link of 500 bytes a second",
                   "registry member lost"};
-    const stand_ins::ProcessFleet::Options s = Fleet::shape(program);
+    const test_support::ProcessFleet::Options s = Fleet::shape(program);
     const double bound =
         longest_without_owner({"", s.term, s.drift}, s.term * 0.125, gateways - 2).seconds() * 1000;
     std::printf(
@@ -219,7 +220,7 @@
         "lookup median ms | 95th | 99th | failed or nacked |\n"
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
     for (const std::string state : {"off", "on", "on, churn", "off", "on"}) {
-        stand_ins::ProcessFleet::Options s;
+        test_support::ProcessFleet::Options s;
         s.program = program;
         s.term = ms * 12'000;  // as an installation would have it
         s.collection_interval = ms * 60'000;
@@ -229,31 +230,31 @@
         if (churn) s.term = ms * 800;
         const fs::path folder = fs::temp_directory_path() / ("fleet_cost." + std::to_string(::getpid()));
         {
-            stand_ins::ProcessFleet a(s, folder.string());
+            test_support::ProcessFleet a(s, folder.string());
             auto& g = a.gateways[0];
             if (on)
                 a.start_all();
             else
-                g.process = std::make_unique<stand_ins::Process>(
-                    stand_ins::Process::Start{{program}, {"NODE_CONFIG=" + g.configuration}, "", g.log});
-            a.until([&] { return a.logged(0, "listening gateway=") && (!on || a.all_joined()); },
-                    ms * 30'000);
+                g.process = std::make_unique<test_support::Process>(
+                    test_support::Process::Options{{program}, {"NODE_CONFIG=" + g.configuration}, "", g.log});
+            a.wait_until([&] { return a.logged(0, "listening gateway=") && (!on || a.all_joined()); },
+                         ms * 30'000);
             const pid_t id = g.process->id();
             const double idle = processor_seconds(id);
-            a.pass(ms * 5'000);
+            a.run_for(ms * 5'000);
             const double rest = (processor_seconds(id) - idle) / 5 * 100;
-            a.serve(0);
-            a.pass(ms * 1'000);
-            g.clients->took_ms.clear();
+            a.start_clients(0);
+            a.run_for(ms * 1'000);
+            g.clients->latencies_ms.clear();
             const double busy = processor_seconds(id);
             const TimePoint begun = a.loop.now();
             for (int n = 0; a.loop.now() - begun < Duration::seconds(seconds); ++n) {
-                a.pass(ms * 400);
+                a.run_for(ms * 400);
                 if (churn && n % 4 == 0) a.kill(1);
                 if (churn && n % 4 == 2) a.start(1);
             }
             const double load = (processor_seconds(id) - busy) / (a.loop.now() - begun).seconds() * 100;
-            const auto& took = g.clients->took_ms;
+            const auto& took = g.clients->latencies_ms;
             std::printf("| %s | %.0f | %.1f | %zu | %.2f | %.2f | %.3f | %.3f | %.3f | %llu |\n",
                         state.c_str(), static_cast<double>(took.size()) / (a.loop.now() - begun).seconds(),
                         resident_mb(id), descriptors(id), rest, load, at(took, 0.5), at(took, 0.95),
@@ -277,27 +278,28 @@
         "| --- | --- | --- | --- | --- | --- | --- |\n");
     for (const std::size_t n : sizes)
         for (const bool spread : {true, false}) {
-            stand_ins::FleetSimulation w(
-                7, {.members = n, .duties = 8, .drift = 0.01, .spread = spread, .works = false},
+            test_support::FleetSimulation w(
+                7, {.members = n, .duties = 8, .drift = 0.01, .randomized = spread, .fenced_writes = false},
                 shared_config);
             w.start_all();
             w.run(shared_config.term * 4, {});
-            w.mark();
+            w.reset_measurements();
             w.run(shared_config.term * 2, {});
-            const double rest = static_cast<double>(w.asked.size()) / (shared_config.term * 2).seconds();
+            const double rest =
+                static_cast<double>(w.transaction_times.size()) / (shared_config.term * 2).seconds();
             const std::size_t calm = w.max_transactions_within(ms * 100);
             for (std::size_t m = 0; m < n; ++m) w.kill(m);
-            w.mark();
+            w.reset_measurements();
             for (std::size_t m = 0; m < n; ++m) w.start(m);
             w.run(shared_config.term * 4, {});
             const std::size_t restart = w.max_transactions_within(ms * 100);
             w.set_registry_down(true);
             w.run(shared_config.term * 2, {});
-            w.mark();
+            w.reset_measurements();
             w.set_registry_down(false);
             w.run(shared_config.term * 3, {});
             std::printf("| %zu | %s | %.1f | %zu | %zu | %zu | %zu |\n", n, spread ? "yes" : "no", rest, calm,
-                        restart, w.max_transactions_within(ms * 100), w.broken.size());
+                        restart, w.max_transactions_within(ms * 100), w.violations.size());
             std::fflush(stdout);
         }
 }
--- a/bench/registry_load.cpp
+++ b/bench/registry_load.cpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "registry/registry_client.hpp"
-#include "testing/registry_stand_in.hpp"
+#include "testing/fake_registry.hpp"
 #include "testing/sockets.hpp"
 
 namespace {
@@ -40,16 +40,17 @@
 // That many clients follow; then all connections break, or the registry is away for five seconds.
 void herd(std::size_t clients, bool away) {
     EventLoop loop;
-    stand_ins::RegistryStandIn r(loop, members, ms * 100);
+    test_support::FakeRegistry r(loop, members, ms * 100);
     for (std::size_t n = 0; n < listed; ++n)
-        r.model.put("/caches/c" + std::to_string(n), stand_ins::list_value("c" + std::to_string(n), "Ready"));
+        r.model.put("/caches/c" + std::to_string(n),
+                    test_support::endpoint_value("c" + std::to_string(n), "Ready"));
     registry::Settings settings;
     for (std::size_t m = 0; m < members; ++m) settings.members.push_back(r.address(m));
     settings.prefix = "/caches/";
     settings.poll_policy.members = members;
     std::vector<std::unique_ptr<Ear>> ears;
     std::vector<std::unique_ptr<registry::RegistryClient>> all;
-    stand_ins::Intervals stretches(loop);
+    test_support::LoopRunner stretches(loop);
     for (std::size_t n = 0; n < clients; ++n) {
         ears.push_back(std::make_unique<Ear>());
         all.push_back(std::make_unique<registry::RegistryClient>(loop, *ears.back(), settings, n * 7919 + 1));
@@ -59,22 +60,22 @@
         return std::all_of(ears.begin(), ears.end(),
                            [](const auto& e) { return e->sight == registry::SyncState::following; });
     };
-    stretches.until(following, ms * 30'000);
-    const std::size_t from = r.ledger.asked.size();
+    stretches.run_until(following, ms * 30'000);
+    const std::size_t from = r.ledger.request_times.size();
     const int reads = r.ledger.reads;
     const TimePoint broken = loop.now();
-    for (std::size_t m = 0; m < members; ++m) away ? r.down(m) : r.break_connections(m);
+    for (std::size_t m = 0; m < members; ++m) away ? r.stop_member(m) : r.break_connections(m);
     if (away) {
-        stretches.until([&] { return loop.now() - broken > ms * 5'000; });
-        for (std::size_t m = 0; m < members; ++m) r.up(m);
+        stretches.run_until([&] { return loop.now() - broken > ms * 5'000; });
+        for (std::size_t m = 0; m < members; ++m) r.restart_member(m);
     } else {
-        stretches.until([&] { return loop.now() - broken > ms * 50; });
+        stretches.run_until([&] { return loop.now() - broken > ms * 50; });
     }
     const TimePoint back = loop.now();
-    const bool whole = stretches.until(following, ms * 30'000);
+    const bool whole = stretches.run_until(following, ms * 30'000);
     std::printf("| %zu | %s | %zu | %zu | %d | %s%.0f |\n", clients,
-                away ? "away for 5 s" : "all connections broken", r.ledger.asked.size() - from,
-                worst(r.ledger.asked, from, ms * 100), r.ledger.reads - reads, whole ? "" : "over ",
+                away ? "away for 5 s" : "all connections broken", r.ledger.request_times.size() - from,
+                worst(r.ledger.request_times, from, ms * 100), r.ledger.reads - reads, whole ? "" : "over ",
                 (loop.now() - back).seconds() * 1000);
     std::fflush(stdout);
     all.clear();
@@ -89,7 +90,7 @@
         std::vector<registry::Record> records;
         for (std::size_t k = 0; k < n; ++k) {
             const std::string id = "cache-" + std::to_string(k);
-            records.push_back({registry::RecordKey{id}, stand_ins::list_value(id, "Ready"),
+            records.push_back({registry::RecordKey{id}, test_support::endpoint_value(id, "Ready"),
                                registry::Revision{1}, registry::Revision{1}});
         }
         const auto before = ::mallinfo2().uordblks;
@@ -103,7 +104,7 @@
         for (std::int64_t e = 0; e < events; ++e) {
             registry::Record r = records[static_cast<std::size_t>(e) % n];
             r.modified = registry::Revision{e + 2};
-            r.value = stand_ins::list_value(r.key.raw(), e % 2 ? "Ready" : "Terminating");
+            r.value = test_support::endpoint_value(r.key.raw(), e % 2 ? "Ready" : "Terminating");
             view->apply(r.modified, {{r, false}}, TimePoint::at_seconds(2));
         }
         const double us = std::chrono::duration<double, std::micro>(Clock::now() - from).count();
--- a/bench/registry_staleness.cpp
+++ b/bench/registry_staleness.cpp
@@ -21,8 +21,8 @@
 #include <fstream>
 #include <iostream>
 
-#include "testing/registry_stand_in.hpp"
-#include "testing/stand_ins.hpp"
+#include "testing/fake_registry.hpp"
+#include "testing/fake_services.hpp"
 
 namespace {
 
@@ -44,17 +44,17 @@
     bool play() {
         json lines = json::array();
         for (std::size_t n = 0; n < edge_caches; ++n) {
-            caches_.push_back(
-                std::make_unique<stand_ins::Cache>(loop_, "c" + std::to_string(n), Duration::micros(1'000)));
+            caches_.push_back(std::make_unique<test_support::FakeCache>(loop_, "c" + std::to_string(n),
+                                                                        Duration::micros(1'000)));
             lines.push_back(line(n, "Ready"));
         }
-        lines.push_back(stand_ins::endpoint_json("p1", "parent", "hub", "127.0.0.1:9", "Ready"));
-        lines.push_back(stand_ins::endpoint_json("o1", "origin", "hub", "127.0.0.1:9", "Ready"));
+        lines.push_back(test_support::endpoint_json("p1", "parent", "hub", "127.0.0.1:9", "Ready"));
+        lines.push_back(test_support::endpoint_json("o1", "origin", "hub", "127.0.0.1:9", "Ready"));
         for (const json& l : lines) registry_.model.put(prefix + l["id"].get<std::string>(), l.dump());
         board_.post({{"pool", {{"version", 1}, {"full", true}, {"servers", lines}}}});
         if (!start()) return false;
-        clients_ = std::make_unique<stand_ins::ClientLoad>(loop_, listen_, "pages", Duration::micros(2'500),
-                                                           Duration::seconds(1.5));
+        clients_ = std::make_unique<test_support::ClientLoad>(
+            loop_, listen_, "pages", Duration::micros(2'500), Duration::seconds(1.5));
         after(0.5, [this] { clients_->start(); });
         after(1.5, [this] {
             trouble();
@@ -75,8 +75,8 @@
         loop_.schedule_at(loop_.now() + Duration::seconds(seconds), std::move(step));
     }
     json line(std::size_t n, const std::string& state) const {
-        return stand_ins::endpoint_json("c" + std::to_string(n), "node", "plant", caches_[n]->address(),
-                                        state);
+        return test_support::endpoint_json("c" + std::to_string(n), "node", "plant", caches_[n]->address(),
+                                           state);
     }
     void post(const json& l) { board_.post({{"pool", {{"version", 2}, {"full", false}, {"servers", {l}}}}}); }
     void put(std::size_t n, const std::string& state) {
@@ -96,7 +96,7 @@
             std::filesystem::temp_directory_path() / ("registry_staleness." + std::to_string(::getpid()));
         std::filesystem::create_directories(folder_);
         std::ofstream(folder_ / "node.json")
-            << stand_ins::configuration(listen_, board_.address(), board_.known());
+            << test_support::configuration(listen_, board_.address(), board_.known());
         std::ofstream parts(folder_ / "parts.toml");
         parts << "[registry]\nmembers = [";
         for (std::size_t m = 0; m < members; ++m)
@@ -122,7 +122,7 @@
         }
         if (name_ == "silent") {  // one member after the other
             silent_ = (silent_ + 1) % members;
-            for (std::size_t m = 0; m < members; ++m) registry_.faults(m).silent = m == silent_;
+            for (std::size_t m = 0; m < members; ++m) registry_.faults(m).silent_watches = m == silent_;
             after(2, [this] { trouble(); });
         }
         if (name_ == "lagging") {
@@ -131,7 +131,8 @@
         }
         if (name_ == "down for 10 s") {
             down_ = !down_;
-            for (std::size_t m = 0; m < members; ++m) down_ ? registry_.down(m) : registry_.up(m);
+            for (std::size_t m = 0; m < members; ++m)
+                down_ ? registry_.stop_member(m) : registry_.restart_member(m);
             after(down_ ? 10 : 5, [this] { trouble(); });
         }
         if (name_ == "restored") {
@@ -161,7 +162,7 @@
         const TimePoint at = loop_.now();
         loop_.schedule_at(at + watched, [this, n, at] {
             double last = 0;
-            for (const stand_ins::Cache::ReceivedAttempt& p : caches_[n]->received) {
+            for (const test_support::FakeCache::ReceivedAttempt& p : caches_[n]->received) {
                 if (p.first_byte <= at) continue;
                 last = std::max(last, (p.first_byte - at).seconds());
                 late_ += p.first_byte > at + grace;
@@ -181,17 +182,17 @@
         std::printf("| %s | %zu | %.1f | %.1f | %.1f | %.1f | %llu | %llu of %llu |\n", name_.c_str(),
                     last_.size(), at(0.5), at(0.95), at(0.99), at(1), static_cast<unsigned long long>(late_),
                     static_cast<unsigned long long>(clients_->served),
-                    static_cast<unsigned long long>(clients_->sent));
+                    static_cast<unsigned long long>(clients_->requests_sent));
         std::fflush(stdout);
     }
 
     std::string program_, name_, listen_;
     int drains_, made_ = 0;
     EventLoop loop_;
-    stand_ins::RegistryStandIn registry_{loop_, members, Duration::micros(50'000)};
-    stand_ins::NoticeBoard board_{loop_};
-    std::vector<std::unique_ptr<stand_ins::Cache>> caches_;
-    std::unique_ptr<stand_ins::ClientLoad> clients_;
+    test_support::FakeRegistry registry_{loop_, members, Duration::micros(50'000)};
+    test_support::FakeNoticeBoard board_{loop_};
+    std::vector<std::unique_ptr<test_support::FakeCache>> caches_;
+    std::unique_ptr<test_support::ClientLoad> clients_;
     std::filesystem::path folder_;
     pid_t pid_ = 0;
     std::map<std::size_t, std::string> polled_;
--- a/bench/scale/control_channel.cpp
+++ b/bench/scale/control_channel.cpp
@@ -4,10 +4,10 @@
 
 namespace irismux::scale {
 
-ControlChannel::ControlChannel(std::shared_ptr<stand_ins::StandInConnection> wire, Heard heard,
+ControlChannel::ControlChannel(std::shared_ptr<test_support::TestConnection> wire, Heard heard,
                                std::function<void()> ended)
     : wire_(std::move(wire)) {
-    wire_->got = [heard = std::move(heard)](Buffer& in) {
+    wire_->on_received = [heard = std::move(heard)](Buffer& in) {
         for (;;) {
             const std::string_view all = in.view();
             const std::size_t end = all.find('\n');
@@ -17,25 +17,25 @@
             if (!message.is_discarded()) heard(message);
         }
     };
-    wire_->ended = std::move(ended);
+    wire_->on_end = std::move(ended);
 }
 
 std::unique_ptr<ControlChannel> ControlChannel::connect(EventLoop& loop, const std::string& address,
                                                         Heard heard, std::function<void()> ended) {
-    auto wire = std::make_shared<stand_ins::StandInConnection>(loop);
+    auto wire = std::make_shared<test_support::TestConnection>(loop);
     auto channel = std::make_unique<ControlChannel>(wire, std::move(heard), std::move(ended));
     if (!wire->start(address)) throw std::runtime_error("no connection to " + address + " was possible");
     return channel;
 }
 
 ControlChannel::~ControlChannel() {
-    wire_->got = [](Buffer&) {};
-    wire_->ended = [] {};
+    wire_->on_received = [](Buffer&) {};
+    wire_->on_end = [] {};
     wire_->close();
 }
 
 void ControlChannel::say(const nlohmann::json& message) {
-    wire_->out().append(message.dump() + '\n');
+    wire_->output().append(message.dump() + '\n');
     if (wire_->state() == ConnectionState::open) wire_->write();
 }
 
--- a/bench/scale/control_channel.hpp
+++ b/bench/scale/control_channel.hpp
@@ -14,7 +14,7 @@
 public:
     using Heard = std::function<void(const nlohmann::json&)>;
 
-    ControlChannel(std::shared_ptr<stand_ins::StandInConnection> wire, Heard heard,
+    ControlChannel(std::shared_ptr<test_support::TestConnection> wire, Heard heard,
                    std::function<void()> ended);
     // Connects to whoever listens there; throws std::runtime_error where that is not possible.
     static std::unique_ptr<ControlChannel> connect(EventLoop& loop, const std::string& address, Heard heard,
@@ -23,7 +23,7 @@
     void say(const nlohmann::json& message);
 
 private:
-    std::shared_ptr<stand_ins::StandInConnection> wire_;
+    std::shared_ptr<test_support::TestConnection> wire_;
 };
 
 }  // namespace irismux::scale
--- a/bench/scale/counting.cpp
+++ b/bench/scale/counting.cpp
@@ -62,9 +62,9 @@
     return found;
 }
 
-Traffic ConnectionCounter::count(stand_ins::Direction way, std::string_view bytes) {
+Traffic ConnectionCounter::count(test_support::Direction way, std::string_view bytes) {
     Traffic traffic;
-    if (way == stand_ins::Direction::to_server) {
+    if (way == test_support::Direction::to_server) {
         if (channel_ == Channel::unknown) channel_ = channel_of(bytes);
         traffic.bytes_out = bytes.size();
         traffic.messages_out = out_.scan(bytes);
--- a/bench/scale/counting.hpp
+++ b/bench/scale/counting.hpp
@@ -42,7 +42,7 @@
 class ConnectionCounter {
 public:
     Channel channel() const { return channel_; }
-    Traffic count(stand_ins::Direction way, std::string_view bytes);
+    Traffic count(test_support::Direction way, std::string_view bytes);
 
 private:
     Channel channel_ = Channel::unknown;
--- a/bench/scale/rig.cpp
+++ b/bench/scale/rig.cpp
@@ -8,8 +8,8 @@
 #include <fstream>
 #include <stdexcept>
 
+#include "testing/fake_services.hpp"
 #include "testing/registry_model.hpp"
-#include "testing/stand_ins.hpp"
 
 namespace irismux::scale {
 namespace {
@@ -59,9 +59,9 @@
     check_descriptors();
     std::signal(SIGTERM, on_end);
     std::signal(SIGINT, on_end);
-    acceptor_ = std::make_unique<stand_ins::Acceptor>(
+    acceptor_ = std::make_unique<test_support::Acceptor>(
         loop_, [this](const Poco::Net::StreamSocket& s) { taken(s); }, static_cast<int>(most_processes));
-    stretches_ = std::make_unique<stand_ins::Intervals>(loop_);
+    stretches_ = std::make_unique<test_support::LoopRunner>(loop_);
     start_registry();
     board_ = ask(start_child("board", 0), json::object()).at("address");
     start_relays();
@@ -111,11 +111,11 @@
 // --- children --------------------------------------------------------------------------------------------
 
 void Rig::taken(const Poco::Net::StreamSocket& socket) {
-    auto wire = std::make_shared<stand_ins::StandInConnection>(loop_, socket);
+    auto wire = std::make_shared<test_support::TestConnection>(loop_, socket);
     const auto child = std::make_shared<Child*>(nullptr);
     auto channel = std::make_unique<ControlChannel>(
         wire,
-        [this, child, weak = std::weak_ptr<stand_ins::StandInConnection>(wire)](const json& m) {
+        [this, child, weak = std::weak_ptr<test_support::TestConnection>(wire)](const json& m) {
             heard(child, m, weak.lock());
         },
         [] {});
@@ -126,7 +126,7 @@
 }
 
 void Rig::heard(const std::shared_ptr<Child*>& child, const json& message,
-                const std::shared_ptr<stand_ins::StandInConnection>& wire) {
+                const std::shared_ptr<test_support::TestConnection>& wire) {
     if (message.contains("hello")) {
         for (auto& c : children_)
             if (c->role == message["hello"] && c->number == message["number"]) *child = c.get();
@@ -154,12 +154,12 @@
     Child& child = *children_.back();
     child.role = role;
     child.number = number;
-    child.process = std::make_unique<stand_ins::Process>(stand_ins::Process::Start{
+    child.process = std::make_unique<test_support::Process>(test_support::Process::Options{
         .command = {settings_.self, "role", role, acceptor_->address(), std::to_string(number)},
         .environment = {},
         .folder = {},
         .log = (folder_.path / (role + std::to_string(number) + ".log")).string(),
-        .ends_with_us = true});
+        .kill_with_parent = true});
     return child;
 }
 
@@ -209,7 +209,7 @@
 
 json Rig::list_line_of(std::size_t cache) const {
     const bool reachable = cache < cache_addresses_.size();
-    json line = stand_ins::endpoint_json(
+    json line = test_support::endpoint_json(
         Topology::cache_name(cache), "node",
         reachable ? real_zone : "zone-" + std::to_string(cache / Topology::zone_caches),
         reachable ? cache_addresses_[cache] : "10.0.0.1:6379", "Ready");
@@ -261,7 +261,7 @@
     start_children("hollow", topology().sites());
     ask_all("hollow", json::object());
     for (Child* child : all_of("hollow"))
-        empty_hollow_ = std::max(empty_hollow_, stand_ins::resident_bytes(child->process->id()));
+        empty_hollow_ = std::max(empty_hollow_, test_support::resident_bytes(child->process->id()));
     std::vector<std::pair<Child*, std::int64_t>> told;
     for (Child* child : all_of("hollow")) {
         json gateways = json::array();
@@ -280,8 +280,8 @@
 void Rig::set_up_real() {
     for (std::size_t g = 0; g < settings_.real_gateways; ++g) {
         const std::string name = Topology::gateway_name(g), base = (folder_.path / name).string();
-        json c = stand_ins::configuration(free_address(), by_gateway_[g][settings_.members],
-                                          {{"rev", 0}, {"notices", json::array()}});
+        json c = test_support::configuration(free_address(), by_gateway_[g][settings_.members],
+                                             {{"rev", 0}, {"notices", json::array()}});
         c["name"] = name;
         c["seed"] = std::to_string(settings_.seed * 100'003 + g);
         c["settings"]["balancers"] = topology().gateways;
@@ -303,7 +303,7 @@
 }
 
 double Rig::RealGateway::processor_seconds() const {
-    return spent + (process ? stand_ins::processor_seconds(process->id()) : 0);
+    return spent + (process ? test_support::processor_seconds(process->id()) : 0);
 }
 
 // --- orders ----------------------------------------------------------------------------------------------
@@ -312,12 +312,12 @@
     for (const std::size_t g : gateways)
         if (const auto it = real_.find(g); it != real_.end()) {
             it->second.end();
-            it->second.process = std::make_unique<stand_ins::Process>(stand_ins::Process::Start{
+            it->second.process = std::make_unique<test_support::Process>(test_support::Process::Options{
                 .command = {settings_.program, "serve", "--parts", it->second.parts},
                 .environment = {"NODE_CONFIG=" + it->second.configuration},
                 .folder = {},
                 .log = it->second.log,
-                .ends_with_us = true});
+                .kill_with_parent = true});
         }
     ask_all("hollow", {{"start", gateways}});
 }
@@ -412,7 +412,7 @@
 
 // Told to end, the rig does so where it waits, and takes its processes and its folder with it.
 bool Rig::until(std::function<bool()> so, Duration most) {
-    const bool has_come = stretches_->until([&] { return told_to_end || so(); }, most);
+    const bool has_come = stretches_->run_until([&] { return told_to_end || so(); }, most);
     if (told_to_end) throw std::runtime_error("told to end");
     return has_come;
 }
@@ -440,7 +440,7 @@
 std::map<std::string, double> Rig::processor_seconds() {
     std::map<std::string, double> by_role;
     for (const auto& child : children_)
-        by_role[child->role] += stand_ins::processor_seconds(child->process->id());
+        by_role[child->role] += test_support::processor_seconds(child->process->id());
     for (const auto& [number, real] : real_) by_role["real"] += real.processor_seconds();
     return by_role;
 }
@@ -448,9 +448,9 @@
 std::map<std::string, std::size_t> Rig::resident_bytes() {
     std::map<std::string, std::size_t> by_role;
     for (const auto& child : children_)
-        by_role[child->role] += stand_ins::resident_bytes(child->process->id());
+        by_role[child->role] += test_support::resident_bytes(child->process->id());
     for (const auto& [number, real] : real_)
-        if (real.process) by_role["real"] += stand_ins::resident_bytes(real.process->id());
+        if (real.process) by_role["real"] += test_support::resident_bytes(real.process->id());
     return by_role;
 }
 
--- a/bench/scale/rig.hpp
+++ b/bench/scale/rig.hpp
@@ -97,7 +97,7 @@
     struct Child {
         std::string role;
         std::size_t number = 0;
-        std::unique_ptr<stand_ins::Process> process;
+        std::unique_ptr<test_support::Process> process;
         std::unique_ptr<ControlChannel> channel;
         std::map<std::int64_t, nlohmann::json> answers;
     };
@@ -107,13 +107,13 @@
 
         std::string configuration, parts, log, listen;
         double spent = 0;  // processor time of its processes that have ended
-        std::unique_ptr<stand_ins::Process> process;
+        std::unique_ptr<test_support::Process> process;
     };
 
     void check_descriptors() const;
     void taken(const Poco::Net::StreamSocket& socket);
     void heard(const std::shared_ptr<Child*>& child, const nlohmann::json& message,
-               const std::shared_ptr<stand_ins::StandInConnection>&);
+               const std::shared_ptr<test_support::TestConnection>&);
     Child& start_child(const std::string& role, std::size_t number);
     void start_children(const std::string& role, std::size_t count);
     std::vector<Child*> all_of(const std::string& role);
@@ -134,10 +134,10 @@
     RigSettings settings_;
     Folder folder_;
     EventLoop loop_;
-    std::unique_ptr<stand_ins::Acceptor> acceptor_;
+    std::unique_ptr<test_support::Acceptor> acceptor_;
     std::vector<std::unique_ptr<Child>> children_;
     std::map<std::size_t, RealGateway> real_;
-    std::vector<std::shared_ptr<stand_ins::StandInConnection>> strangers_;
+    std::vector<std::shared_ptr<test_support::TestConnection>> strangers_;
     std::vector<std::unique_ptr<ControlChannel>> unnamed_;
     nlohmann::json members_, board_;                    // addresses
     std::map<std::size_t, nlohmann::json> by_gateway_;  // its relays' addresses
@@ -147,7 +147,7 @@
     std::int64_t next_order_ = 1, next_expected_ = 1, list_version_ = 1000, last_purge_ms_ = 0;
     std::uint64_t purges_posted_ = 0;
     std::size_t empty_hollow_ = 0;
-    std::unique_ptr<stand_ins::Intervals>
+    std::unique_ptr<test_support::LoopRunner>
         stretches_;  // the last: nothing of the above may go while the loop runs
 };
 
--- a/bench/scale/roles.cpp
+++ b/bench/scale/roles.cpp
@@ -12,9 +12,9 @@
 #include "bench/scale/counting.hpp"
 #include "bench/scale/topology.hpp"
 #include "gateway/parts.hpp"
+#include "testing/fake_registry.hpp"
+#include "testing/fake_services.hpp"
 #include "testing/fault_proxy.hpp"
-#include "testing/registry_stand_in.hpp"
-#include "testing/stand_ins.hpp"
 #include "testing/stub_gateway.hpp"
 
 namespace irismux::scale {
@@ -61,34 +61,36 @@
 
     json obey(const json& order) override {
         if (order.contains("members")) {
-            registry_ = std::make_unique<stand_ins::RegistryStandIn>(
+            registry_ = std::make_unique<test_support::FakeRegistry>(
                 loop_, order["members"].get<std::size_t>(), milliseconds(order["progress_ms"]));
-            registry_->settled = [this](const stand_ins::RegistryStandIn::Settled&) { compact(); };
+            registry_->on_settled = [this](const test_support::FakeRegistry::SettledTransaction&) {
+                compact();
+            };
             json addresses = json::array();
             for (std::size_t m = 0; m < order["members"].get<std::size_t>(); ++m)
                 addresses.push_back(registry_->address(m));
             return {{"addresses", addresses}};
         }
         if (order.contains("put")) {
-            std::vector<std::pair<stand_ins::RecordKey, std::optional<std::string>>> writes;
+            std::vector<std::pair<test_support::RecordKey, std::optional<std::string>>> writes;
             for (const auto& [key, value] : order["put"].items())
-                writes.emplace_back(stand_ins::RecordKey{key},
+                writes.emplace_back(test_support::RecordKey{key},
                                     value.is_null() ? std::nullopt : std::optional(value.get<std::string>()));
             registry_->model.commit(writes);
             registry_->publish();
         }
         return json{
-            {"transactions", registry_->ledger.txns},       {"reads", registry_->ledger.reads},
-            {"watches", registry_->ledger.watches},         {"told", registry_->ledger.told},
-            {"connections", registry_->ledger.connections}, {"revision", registry_->model.newest().raw()}};
+            {"transactions", registry_->ledger.transactions}, {"reads", registry_->ledger.reads},
+            {"watches", registry_->ledger.watches},           {"told", registry_->ledger.delivered_changes},
+            {"connections", registry_->ledger.connections},   {"revision", registry_->model.newest().raw()}};
     }
     void compact() {
         auto& model = registry_->model;
         if (model.newest().raw() - model.oldest().raw() > 2 * most_history)
-            model.compact(stand_ins::Revision{model.newest().raw() - most_history});
-        if (registry_->ledger.asked.size() > 100'000) registry_->ledger.asked.clear();
+            model.compact(test_support::Revision{model.newest().raw() - most_history});
+        if (registry_->ledger.request_times.size() > 100'000) registry_->ledger.request_times.clear();
     }
-    std::unique_ptr<stand_ins::RegistryStandIn> registry_;
+    std::unique_ptr<test_support::FakeRegistry> registry_;
 };
 
 // --- the notice board ------------------------------------------------------------------------------------
@@ -98,7 +100,7 @@
         if (order.contains("post")) board_.post_all(order["post"].get<std::vector<json>>());
         return {{"address", board_.address()}};
     }
-    stand_ins::NoticeBoard board_{loop_};
+    test_support::FakeNoticeBoard board_{loop_};
 };
 
 // --- relays ----------------------------------------------------------------------------------------------
@@ -121,14 +123,16 @@
         json addresses = json::array();
         auto& all = relays_[gateway];
         for (std::size_t machine = 0; machine < targets.size(); ++machine) {
-            auto relay = std::make_unique<stand_ins::FaultProxy>(loop_, targets[machine].get<std::string>());
-            relay->seen_on = [this, gateway, machine](std::uint64_t connection, stand_ins::Direction way,
-                                                      std::string_view bytes) {
+            auto relay =
+                std::make_unique<test_support::FaultProxy>(loop_, targets[machine].get<std::string>());
+            relay->on_connection_chunk = [this, gateway, machine](std::uint64_t connection,
+                                                                  test_support::Direction way,
+                                                                  std::string_view bytes) {
                 auto& counter = counters_[{gateway, machine, connection}];
                 const Traffic traffic = counter.count(way, bytes);
                 rows_[{gateway, machine, counter.channel()}] += traffic;
             };
-            relay->closed = [this, gateway, machine](std::uint64_t connection) {
+            relay->on_connection_closed = [this, gateway, machine](std::uint64_t connection) {
                 counters_.erase({gateway, machine, connection});
             };
             addresses.push_back(relay->address());
@@ -136,15 +140,15 @@
         }
         return addresses;
     }
-    static void change(stand_ins::FaultProxy& relay, const json& order) {
-        if (order.contains("cut")) relay.cut(order["cut"].get<bool>());
-        if (order.contains("down")) relay.down(order["down"].get<bool>());
-        if (order.contains("break")) relay.break_all();
-        for (const stand_ins::Direction way :
-             {stand_ins::Direction::to_server, stand_ins::Direction::to_client}) {
+    static void change(test_support::FaultProxy& relay, const json& order) {
+        if (order.contains("cut")) relay.set_partitioned(order["cut"].get<bool>());
+        if (order.contains("down")) relay.set_down(order["down"].get<bool>());
+        if (order.contains("break")) relay.reset_all();
+        for (const test_support::Direction way :
+             {test_support::Direction::to_server, test_support::Direction::to_client}) {
             if (order.contains("delay_ms")) relay.faults(way).delay = milliseconds(order["delay_ms"]);
             if (order.contains("bytes_a_second"))
-                relay.faults(way).bytes_a_second = order["bytes_a_second"].get<std::size_t>();
+                relay.faults(way).bytes_per_second = order["bytes_a_second"].get<std::size_t>();
         }
     }
     // At each full second, what came within the last one.
@@ -154,7 +158,7 @@
         told_ = second;
         loop_.schedule_at(TimePoint{} + Duration::micros((second + 1) * 1'000'000), [this] { tell(); });
     }
-    std::map<std::size_t, std::vector<std::unique_ptr<stand_ins::FaultProxy>>> relays_;
+    std::map<std::size_t, std::vector<std::unique_ptr<test_support::FaultProxy>>> relays_;
     std::map<std::tuple<std::size_t, std::size_t, std::uint64_t>, ConnectionCounter> counters_;
     std::map<TrafficKey, Traffic> rows_;
     std::int64_t told_ = 0;
@@ -164,11 +168,11 @@
 
 constexpr std::size_t changing_first = 50, changing_caches = 40;  // of the list
 
-class HollowRole final : public Role, public stand_ins::StubGatewayObserver {
+class HollowRole final : public Role, public test_support::StubGatewayObserver {
     struct Slot {
         std::size_t number = 0;
-        stand_ins::StubGatewaySettings settings;
-        std::unique_ptr<stand_ins::StubGateway> gateway;
+        test_support::StubGatewaySettings settings;
+        std::unique_ptr<test_support::StubGateway> gateway;
         bool whole_told = false;
         std::int64_t list_version = -1;
         CacheId marked;  // where marks change all the time
@@ -197,7 +201,7 @@
             slot.number = g.at("number").get<std::size_t>();
             slot.settings.name = g.at("name").get<std::string>();
             slot.settings.seed = g.at("seed").get<std::uint64_t>();
-            slot.settings.board = g.at("board").get<std::string>();
+            slot.settings.notice_board = g.at("board").get<std::string>();
             const auto read = read_parts_text(g.at("parts").get<std::string>(), slot.settings.name);
             if (const auto* error = std::get_if<PartsError>(&read)) throw std::runtime_error(error->text());
             slot.settings.registry = std::get<Parts>(read).registry;
@@ -217,7 +221,7 @@
         slot.gateway.reset();
         slot.list_version = -1;
         slot.whole_told = false;
-        slot.gateway = std::make_unique<stand_ins::StubGateway>(loop_, *this, slot.settings);
+        slot.gateway = std::make_unique<test_support::StubGateway>(loop_, *this, slot.settings);
         slot.gateway->start();
     }
     void mark(const json& order) {
@@ -251,19 +255,19 @@
         json all = json::object();
         for (const auto& [number, slot] : slots_) {
             if (!slot.gateway) continue;
-            const stand_ins::StubGateway& g = *slot.gateway;
+            const test_support::StubGateway& g = *slot.gateway;
             all[std::to_string(number)] = {{"joined", g.joined()},
-                                           {"members", g.members_known()},
+                                           {"members", g.known_members()},
                                            {"member_digest", g.member_digest()},
                                            {"listed", g.endpoints().size()},
                                            {"list_version", slot.list_version},
-                                           {"purges", g.purges()},
+                                           {"purges", g.purge_count()},
                                            {"purge_digest", g.purge_digest()}};
         }
         return all;
     }
 
-    // stand_ins::HollowObserver
+    // test_support::HollowObserver
     void on_endpoints_applied(const std::string& gateway, TimePoint at) override {
         Slot& slot = slots_.at(numbers_.at(gateway));
         if (!slot.gateway) return;
@@ -289,9 +293,9 @@
         const TimePoint now = loop_.now();
         for (auto& [number, slot] : slots_) {
             if (!slot.gateway || slot.whole_told || expected_.id == 0) continue;
-            const stand_ins::StubGateway& g = *slot.gateway;
-            if (!g.joined() || g.members_known() != expected_.members ||
-                slot.list_version < expected_.list_version || g.purges() < expected_.purges)
+            const test_support::StubGateway& g = *slot.gateway;
+            if (!g.joined() || g.known_members() != expected_.members ||
+                slot.list_version < expected_.list_version || g.purge_count() < expected_.purges)
                 continue;
             slot.whole_told = true;
             force("whole", number, expected_.id, now);
@@ -321,27 +325,28 @@
         if (order.contains("caches")) {
             json addresses = json::array();
             for (const json& name : order["caches"]) {
-                caches_.push_back(std::make_unique<stand_ins::Cache>(loop_, name.get<std::string>(), ms * 2));
+                caches_.push_back(
+                    std::make_unique<test_support::FakeCache>(loop_, name.get<std::string>(), ms * 2));
                 addresses.push_back(caches_.back()->address());
             }
             return {{"addresses", addresses}};
         }
         if (order.contains("ask"))
             for (const json& address : order["ask"]) {
-                clients_.push_back(std::make_unique<stand_ins::ClientLoad>(
+                clients_.push_back(std::make_unique<test_support::ClientLoad>(
                     loop_, address.get<std::string>(), "pages",
                     Duration::micros(order["every_us"].get<std::int64_t>()), ms * 2000));
                 clients_.back()->start();
             }
         json counts = json::array();
         for (const auto& c : clients_) {
-            c->took_ms.clear();
-            counts.push_back({c->sent, c->served, c->rejected, c->failed});
+            c->latencies_ms.clear();
+            counts.push_back({c->requests_sent, c->served, c->rejected, c->failed});
         }
         return {{"lookups", counts}};
     }
-    std::vector<std::unique_ptr<stand_ins::Cache>> caches_;
-    std::vector<std::unique_ptr<stand_ins::ClientLoad>> clients_;
+    std::vector<std::unique_ptr<test_support::FakeCache>> caches_;
+    std::vector<std::unique_ptr<test_support::ClientLoad>> clients_;
 };
 
 }  // namespace
--- a/testing/failing_calls.cpp
+++ b/testing/failing_calls.cpp
@@ -18,9 +18,9 @@
 
 namespace {
 
-using irismux::stand_ins::Call;
-using irismux::stand_ins::call_count;
-using irismux::stand_ins::CallFaults;
+using irismux::test_support::Call;
+using irismux::test_support::call_count;
+using irismux::test_support::CallFaults;
 
 template <class Function>
 Function real(const char* name) {
@@ -34,7 +34,7 @@
 
 const volatile CallFaults* faults() {
     static const CallFaults* const shared = [] {
-        const char* path = std::getenv("IRISMUX_LAB_CALLS");
+        const char* path = std::getenv("IRISMUX_CALL_FAULTS_FILE");
         const int file = path ? open_really(path, O_RDONLY | O_CLOEXEC, 0) : -1;
         if (file < 0) return static_cast<const CallFaults*>(nullptr);
         void* at = ::mmap(nullptr, sizeof(CallFaults), PROT_READ, MAP_SHARED, file, 0);
--- a/testing/failing_calls.hpp
+++ b/testing/failing_calls.hpp
@@ -1,11 +1,11 @@
 // What a process under lab/failing_calls.cpp is told of the calls that fail in it: a file of this form, named
-// by IRISMUX_LAB_CALLS, which may change while the process runs.
+// by IRISMUX_CALL_FAULTS_FILE, which may change while the process runs.
 #pragma once
 
 #include <cstddef>
 #include <cstdint>
 
-namespace irismux::stand_ins {
+namespace irismux::test_support {
 
 enum class Call : std::size_t {
     accept,
@@ -33,4 +33,4 @@
     std::uint32_t nth[call_count] = {};
 };
 
-}  // namespace irismux::stand_ins
+}  // namespace irismux::test_support
--- a/testing/registry_stand_in.cpp
+++ b/testing/fake_registry.cpp
@@ -1,4 +1,4 @@
-#include "testing/registry_stand_in.hpp"
+#include "testing/fake_registry.hpp"
 
 #include <Poco/Base64Decoder.h>
 #include <Poco/Base64Encoder.h>
@@ -7,7 +7,7 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-namespace irismux::stand_ins {
+namespace irismux::test_support {
 namespace {
 
 using nlohmann::json;
@@ -66,32 +66,33 @@
 
 }  // namespace
 
-RegistryStandIn::RegistryStandIn(EventLoop& loop, std::size_t members, Duration progress)
-    : loop_(loop), progress_(progress) {
+FakeRegistry::FakeRegistry(EventLoop& loop, std::size_t members, Duration progress)
+    : loop_(loop), progress_interval_(progress) {
     for (std::size_t n = 0; n < members; ++n) {
         members_.push_back(std::make_unique<Member>());
-        members_.back()->no = n;
+        members_.back()->number = n;
         listen(*members_.back(), "127.0.0.1:0");
     }
-    RegistryStandIn::progress();
+    FakeRegistry::send_progress();
 }
 
-RegistryStandIn::~RegistryStandIn() { loop_.cancel(tick_); }
+FakeRegistry::~FakeRegistry() { loop_.cancel(progress_timer_); }
 
-Revision RegistryStandIn::shown(const Member& m) const {
+Revision FakeRegistry::visible_revision(const Member& m) const {
     return std::max(model.oldest(), Revision{model.newest().raw() - m.faults.lag});
 }
 
-void RegistryStandIn::listen(Member& m, const std::string& at) {
+void FakeRegistry::listen(Member& m, const std::string& at) {
     m.acceptor = std::make_unique<Acceptor>(
         loop_,
         [this, &m](const Poco::Net::StreamSocket& s) {
             ++ledger.connections;
             if (m.faults.refuse) return;  // the connection ends with its last handle
-            auto w = std::make_shared<StandInConnection>(loop_, s);
-            std::erase_if(m.wires, [](const auto& old) { return old->state() == ConnectionState::closed; });
-            m.wires.push_back(w);
-            w->got = [this, &m, raw = std::weak_ptr<StandInConnection>(w)](Buffer& in) {
+            auto w = std::make_shared<TestConnection>(loop_, s);
+            std::erase_if(m.connections,
+                          [](const auto& old) { return old->state() == ConnectionState::closed; });
+            m.connections.push_back(w);
+            w->on_received = [this, &m, raw = std::weak_ptr<TestConnection>(w)](Buffer& in) {
                 const auto wire = raw.lock();
                 while (wire) {
                     const std::string_view all = in.view();
@@ -108,7 +109,7 @@
                         auth < head ? all.substr(auth + 15, all.find('\r', auth) - auth - 15) : "");
                     const std::string body(all.substr(head + 4, length));
                     in.consumed(head + 4 + length);
-                    if (!m.faults.mute)
+                    if (!m.faults.unresponsive)
                         on_request({m, wire, target, json::parse(body, nullptr, false), header(m)}, token);
                     if (wire->state() != ConnectionState::open) return;
                 }
@@ -119,40 +120,38 @@
     m.address = m.acceptor->address();
 }
 
-void RegistryStandIn::answer(Member& m, const std::shared_ptr<StandInConnection>& w, int status,
-                             std::string body) {
-    if (std::exchange(m.faults.garble, false)) std::reverse(body.begin(), body.end());
-    loop_.schedule_at(loop_.now() + m.faults.delay,
-                      [weak = std::weak_ptr<StandInConnection>(w), status, body] {
-                          const auto to = weak.lock();
-                          if (!to || to->state() != ConnectionState::open) return;
-                          to->out().append("HTTP/1.1 " + std::to_string(status) +
-                                           " X\r\nContent-Type: application/json\r\nContent-Length: " +
-                                           std::to_string(body.size()) + "\r\n\r\n" + body);
-                          to->write();
-                      });
+void FakeRegistry::answer(Member& m, const std::shared_ptr<TestConnection>& w, int status, std::string body) {
+    if (std::exchange(m.faults.corrupt_response, false)) std::reverse(body.begin(), body.end());
+    loop_.schedule_at(loop_.now() + m.faults.delay, [weak = std::weak_ptr<TestConnection>(w), status, body] {
+        const auto to = weak.lock();
+        if (!to || to->state() != ConnectionState::open) return;
+        to->output().append("HTTP/1.1 " + std::to_string(status) +
+                            " X\r\nContent-Type: application/json\r\nContent-Length: " +
+                            std::to_string(body.size()) + "\r\n\r\n" + body);
+        to->write();
+    });
 }
 
-void RegistryStandIn::stream(Member& m, const std::shared_ptr<StandInConnection>& w, std::string message) {
+void FakeRegistry::stream(Member& m, const std::shared_ptr<TestConnection>& w, std::string message) {
     message += '\n';
     std::ostringstream chunk;
     chunk << std::hex << message.size() << "\r\n" << message << "\r\n";
     std::string bytes = chunk.str();
-    const bool cut = std::exchange(m.faults.cut, false);
+    const bool cut = std::exchange(m.faults.truncate_watch, false);
     if (cut) bytes.resize(bytes.size() / 2);
     loop_.schedule_at(loop_.now() + m.faults.delay,
-                      [weak = std::weak_ptr<StandInConnection>(w), bytes, cut, this] {
+                      [weak = std::weak_ptr<TestConnection>(w), bytes, cut, this] {
                           const auto to = weak.lock();
                           if (!to || to->state() != ConnectionState::open) return;
-                          to->out().append(bytes);
+                          to->output().append(bytes);
                           to->write();
                           if (cut)
                               loop_.schedule_at(loop_.now() + Duration::micros(2000), [to] { to->close(); });
                       });
 }
 
-void RegistryStandIn::on_request(const Call& call, const std::string& token) {
-    ledger.asked.push_back(loop_.now());
+void FakeRegistry::on_request(const Call& call, const std::string& token) {
+    ledger.request_times.push_back(loop_.now());
     if (call.target == "/v3/auth/authenticate") return authenticate(call);
     if (!user.empty() && !tokens_.contains(token)) {
         ++ledger.refused;
@@ -165,32 +164,33 @@
     answer_error(call, 404, 5, "Not Found");
 }
 
-json RegistryStandIn::header(const Member& m) const {
+json FakeRegistry::header(const Member& m) const {
     return {{"cluster_id", model.cluster().raw()},
-            {"member_id", std::to_string(m.no)},
-            {"revision", std::to_string(shown(m).raw())},
+            {"member_id", std::to_string(m.number)},
+            {"revision", std::to_string(visible_revision(m).raw())},
             {"raft_term", "2"}};
 }
 
-void RegistryStandIn::answer_error(const Call& call, int status, int code, const std::string& message) {
-    answer(call.member, call.wire, status,
+void FakeRegistry::answer_error(const Call& call, int status, int code, const std::string& message) {
+    answer(call.member, call.connection, status,
            json{{"error", message}, {"code", code}, {"message", message}}.dump());
 }
 
-void RegistryStandIn::authenticate(const Call& call) {
+void FakeRegistry::authenticate(const Call& call) {
     ++ledger.logins;
     if (call.body.value("name", "") != user || call.body.value("password", "") != password)
         return answer_error(call, 400, 3, "etcdserver: authentication failed, invalid user ID or password");
-    const std::string made = "token." + std::to_string(++made_);
+    const std::string made = "token." + std::to_string(++issued_tokens_);
     tokens_.insert(made);
-    answer(call.member, call.wire, 200, json{{"header", call.header}, {"token", made}}.dump());
+    answer(call.member, call.connection, 200, json{{"header", call.header}, {"token", made}}.dump());
 }
 
-void RegistryStandIn::answer_range(const Call& call) {
+void FakeRegistry::answer_range(const Call& call) {
     const json& o = call.body;
     const bool last_changed = o.contains("sort_target");
     ++(last_changed ? ledger.checks : ledger.reads);
-    const Revision at = figure(o, "revision") > 0 ? Revision{figure(o, "revision")} : shown(call.member);
+    const Revision at =
+        figure(o, "revision") > 0 ? Revision{figure(o, "revision")} : visible_revision(call.member);
     const RegistryModel::State* state = model.at(at);
     if (!state && at > model.newest())
         return answer_error(call, 400, 11, "etcdserver: mvcc: required revision is a future revision");
@@ -207,45 +207,45 @@
     for (const Record& r : found) kvs.push_back(kv_of(r));
     json out = {{"header", call.header}, {"kvs", kvs}, {"count", std::to_string(count)}};
     if (more) out["more"] = true;
-    answer(call.member, call.wire, 200, out.dump());
+    answer(call.member, call.connection, 200, out.dump());
 }
 
-void RegistryStandIn::open_watch(const Call& call) {
+void FakeRegistry::open_watch(const Call& call) {
     ++ledger.watches;
     const json& create = call.body["create_request"];
-    call.wire->out().append(
+    call.connection->output().append(
         "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
     const Revision from{figure(create, "start_revision")};
     const json created = {{"header", call.header}, {"created", true}};
     const bool available = model.changes(from, model.newest()).has_value();
-    stream(call.member, call.wire, json{{"result", created}}.dump());
-    if (!available) return cancel(call.member, call.wire);
-    call.member.watchers.push_back({call.wire, decoded(create, "key"), from});
-    feed(call.member);
+    stream(call.member, call.connection, json{{"result", created}}.dump());
+    if (!available) return cancel_watch(call.member, call.connection);
+    call.member.watchers.push_back({call.connection, decoded(create, "key"), from});
+    deliver_changes(call.member);
 }
 
-void RegistryStandIn::answer_transaction(const Call& call) {
-    json out = transact(call.member.no, call.body);
-    if (std::exchange(call.member.faults.vanish, false)) {
+void FakeRegistry::answer_transaction(const Call& call) {
+    json out = transact(call.member.number, call.body);
+    if (std::exchange(call.member.faults.drop_write_response, false)) {
         publish();
-        return call.wire->close();
+        return call.connection->close();
     }
     out["header"] = call.header;
     out["header"]["revision"] = std::to_string(model.newest().raw());
-    answer(call.member, call.wire, 200, out.dump());
+    answer(call.member, call.connection, 200, out.dump());
     publish();
 }
 
-void RegistryStandIn::answer_write(const Call& call) {
+void FakeRegistry::answer_write(const Call& call) {
     const bool put = call.target == "/v3/kv/put";
     std::optional<std::string> value;
     if (put) value = decoded(call.body, "value");
     model.commit({{RecordKey{decoded(call.body, "key")}, value}});
-    answer(call.member, call.wire, 200, json{{"header", call.header}}.dump());
+    answer(call.member, call.connection, 200, json{{"header", call.header}}.dump());
     publish();
 }
 
-bool RegistryStandIn::compares_hold(const json& compares, std::vector<std::string>& keys) const {
+bool FakeRegistry::compares_hold(const json& compares, std::vector<std::string>& keys) const {
     const RegistryModel::State& state = *model.at(model.newest());
     bool hold = true;
     for (const json& c : compares) {
@@ -260,18 +260,18 @@
 }
 
 // Members that lag take part in transactions as all do: those are agreed on.
-json RegistryStandIn::transact(std::size_t member, const json& asked) {
-    ++ledger.txns;
-    Settled done{loop_.now(), member, {}, {}, false};
+json FakeRegistry::transact(std::size_t member, const json& asked) {
+    ++ledger.transactions;
+    SettledTransaction done{loop_.now(), member, {}, {}, false};
     const bool holds = compares_hold(asked.value("compare", json::array()), done.compared);
-    ledger.held += holds;
+    ledger.successful_transactions += holds;
     const json steps = asked.value(holds ? "success" : "failure", json::array());
     std::vector<std::pair<RecordKey, std::optional<std::string>>> writes;
     for (auto& [key, value] : writes_of(steps)) writes.emplace_back(key, value);
     if (!writes.empty()) model.commit(writes);
-    done.held = holds;
+    done.succeeded = holds;
     done.writes = writes_of(asked.value("success", json::array()));
-    settled(done);
+    on_settled(done);
     const RegistryModel::State& after = *model.at(model.newest());
     json responses = json::array();
     for (const json& step : steps) {
@@ -289,47 +289,49 @@
     return out;
 }
 
-void RegistryStandIn::cancel(Member& m, const std::shared_ptr<StandInConnection>& w) {
-    const json header = {{"cluster_id", model.cluster().raw()}, {"revision", std::to_string(shown(m).raw())}};
+void FakeRegistry::cancel_watch(Member& m, const std::shared_ptr<TestConnection>& w) {
+    const json header = {{"cluster_id", model.cluster().raw()},
+                         {"revision", std::to_string(visible_revision(m).raw())}};
     const json result = {
         {"header", header}, {"canceled", true}, {"compact_revision", std::to_string(model.oldest().raw())}};
     stream(m, w, json{{"result", result}}.dump());
 }
 
-void RegistryStandIn::feed(Member& m) {
+void FakeRegistry::deliver_changes(Member& m) {
     std::erase_if(m.watchers, [](const Watcher& x) {
-        const auto w = x.wire.lock();
+        const auto w = x.connection.lock();
         return !w || w->state() == ConnectionState::closed;
     });
-    if (m.faults.silent) return;
+    if (m.faults.silent_watches) return;
     // Watchers of the same prefix that are as far as each other get the same messages: encoded once.
     std::map<std::pair<std::string, Revision>, std::optional<Messages>> encoded;
     for (Watcher& x : m.watchers) {
-        const auto w = x.wire.lock();
-        if (!w || x.next > shown(m)) continue;
+        const auto w = x.connection.lock();
+        if (!w || x.next > visible_revision(m)) continue;
         const auto [it, fresh] = encoded.try_emplace({x.prefix, x.next});
         if (fresh) it->second = messages(m, x.prefix, x.next);
         if (!it->second) {
             // It fell behind for so long that what it waits for has been compacted.
-            cancel(m, w);
-            x.wire.reset();
+            cancel_watch(m, w);
+            x.connection.reset();
             continue;
         }
-        x.next = Revision{shown(m).raw() + 1};
-        ledger.told += it->second->changes;
+        x.next = Revision{visible_revision(m).raw() + 1};
+        ledger.delivered_changes += it->second->changes;
         for (const std::string& message : it->second->texts) stream(m, w, message);
     }
 }
 
 // What a watch of that prefix is told from that revision on; none: that is compacted.
-std::optional<RegistryStandIn::Messages> RegistryStandIn::messages(const Member& m, const std::string& prefix,
-                                                                   Revision from) const {
-    const auto all = model.changes(from, shown(m));
+std::optional<FakeRegistry::Messages> FakeRegistry::messages(const Member& m, const std::string& prefix,
+                                                             Revision from) const {
+    const auto all = model.changes(from, visible_revision(m));
     if (!all) return std::nullopt;
     std::vector<Change> ours;
     for (const Change& c : *all)
         if (c.record.key.raw().compare(0, prefix.size(), prefix) == 0) ours.push_back(c);
-    const json header = {{"cluster_id", model.cluster().raw()}, {"revision", std::to_string(shown(m).raw())}};
+    const json header = {{"cluster_id", model.cluster().raw()},
+                         {"revision", std::to_string(visible_revision(m).raw())}};
     Messages made;
     made.changes = ours.size();
     json events = json::array();
@@ -341,7 +343,8 @@
         if (ours[n].deleted) event["type"] = "DELETE";
         events.push_back(event);
         const bool last = n + 1 == ours.size();
-        if (!last && (m.faults.fragment <= 0 || events.size() < static_cast<std::size_t>(m.faults.fragment)))
+        if (!last &&
+            (m.faults.fragment_size <= 0 || events.size() < static_cast<std::size_t>(m.faults.fragment_size)))
             continue;
         json result = {{"header", header}, {"events", std::exchange(events, json::array())}};
         if (!last) result["fragment"] = true;
@@ -350,37 +353,39 @@
     return made;
 }
 
-void RegistryStandIn::publish() {
-    for (const auto& m : members_) feed(*m);
+void FakeRegistry::publish() {
+    for (const auto& m : members_) deliver_changes(*m);
 }
 
 // What a registry says when there is nothing to say.
-void RegistryStandIn::progress() {
+void FakeRegistry::send_progress() {
     for (const auto& m : members_) {
-        feed(*m);
+        deliver_changes(*m);
         for (const Watcher& x : m->watchers) {
-            const auto w = x.wire.lock();
-            if (!w || w->state() != ConnectionState::open || m->faults.silent || m->faults.mute) continue;
+            const auto w = x.connection.lock();
+            if (!w || w->state() != ConnectionState::open || m->faults.silent_watches ||
+                m->faults.unresponsive)
+                continue;
             const json header = {{"cluster_id", model.cluster().raw()},
-                                 {"revision", std::to_string(shown(*m).raw())}};
+                                 {"revision", std::to_string(visible_revision(*m).raw())}};
             stream(*m, w, json{{"result", {{"header", header}}}}.dump());
         }
     }
-    tick_ = loop_.schedule_at(loop_.now() + progress_, [this] { progress(); });
+    progress_timer_ = loop_.schedule_at(loop_.now() + progress_interval_, [this] { send_progress(); });
 }
 
-void RegistryStandIn::break_connections(std::size_t member) {
-    for (const auto& w : std::exchange(members_[member]->wires, {})) w->close();
+void FakeRegistry::break_connections(std::size_t member) {
+    for (const auto& w : std::exchange(members_[member]->connections, {})) w->close();
     members_[member]->watchers.clear();
 }
 
-void RegistryStandIn::down(std::size_t member) {
+void FakeRegistry::stop_member(std::size_t member) {
     break_connections(member);
     members_[member]->acceptor.reset();
 }
 
-void RegistryStandIn::up(std::size_t member) {
+void FakeRegistry::restart_member(std::size_t member) {
     if (!members_[member]->acceptor) listen(*members_[member], members_[member]->address);
 }
 
-}  // namespace irismux::stand_ins
+}  // namespace irismux::test_support
--- a/testing/stand_ins.cpp
+++ b/testing/fake_services.cpp
@@ -1,11 +1,11 @@
-#include "testing/stand_ins.hpp"
+#include "testing/fake_services.hpp"
 
 #include <algorithm>
 
 #include "codec/fastcgi.hpp"
 #include "codec/resp.hpp"
 
-namespace irismux::stand_ins {
+namespace irismux::test_support {
 
 using nlohmann::json;
 
@@ -14,7 +14,7 @@
 constexpr std::size_t most_kept = 4096;
 constexpr int most_waiting = 4096;  // to be accepted by a board
 
-void drop_ended(std::vector<std::shared_ptr<StandInConnection>>& wires) {
+void drop_ended(std::vector<std::shared_ptr<TestConnection>>& wires) {
     std::erase_if(wires, [](const auto& w) { return w->state() == ConnectionState::closed; });
 }
 
@@ -23,51 +23,51 @@
 // --- caches
 // ---------------------------------------------------------------------------------------------------
 
-Cache::Cache(EventLoop& loop, std::string id, Duration answers_after)
-    : loop_(loop), id_(std::move(id)), after_(answers_after) {
+FakeCache::FakeCache(EventLoop& loop, std::string id, Duration answers_after)
+    : loop_(loop), id_(std::move(id)), response_delay_(answers_after) {
     listen("127.0.0.1:0");
 }
 
-void Cache::listen(const std::string& at) {
+void FakeCache::listen(const std::string& at) {
     acceptor_ = std::make_unique<Acceptor>(
         loop_,
         [this](const Poco::Net::StreamSocket& s) {
-            drop_ended(wires_);
-            auto w = std::make_shared<StandInConnection>(loop_, s);
-            w->got = [this, raw = std::weak_ptr<StandInConnection>(w)](Buffer& in) {
+            drop_ended(connections_);
+            auto w = std::make_shared<TestConnection>(loop_, s);
+            w->on_received = [this, raw = std::weak_ptr<TestConnection>(w)](Buffer& in) {
                 if (const auto wire = raw.lock()) on_data(wire, in);
             };
-            wires_.push_back(w);
+            connections_.push_back(w);
             w->start();
         },
         64, at);
     address_ = acceptor_->address();
 }
 
-void Cache::die() {
+void FakeCache::stop() {
     acceptor_.reset();
-    for (const auto& w : std::exchange(wires_, {})) w->reset();
+    for (const auto& w : std::exchange(connections_, {})) w->reset();
 }
 
-void Cache::live() {
+void FakeCache::restart() {
     if (!acceptor_) listen(address_);
 }
 
-void Cache::on_data(const std::shared_ptr<StandInConnection>& w, Buffer& in) {
+void FakeCache::on_data(const std::shared_ptr<TestConnection>& w, Buffer& in) {
     resp::Arguments words;
     std::size_t used = 0;
     while (resp::parse_array(in.view(), words, used) == ParseStatus::complete) {
         health_checks += words[0] == "ECHO";
-        if (words[0] == "ECHO") resp::write_array(w->out(), {words[1], "PONG", "-", ""});
+        if (words[0] == "ECHO") resp::write_array(w->output(), {words[1], "PONG", "-", ""});
         if (words[0] == "PULL" && words.size() > 2) {
             const std::string id(words[1]);
             received.push_back({loop_.now(), id});
             ++total;
             if (received.size() > most_kept) received.pop_front();
-            loop_.schedule_at(loop_.now() + after_, [id, weak = std::weak_ptr<StandInConnection>(w)] {
+            loop_.schedule_at(loop_.now() + response_delay_, [id, weak = std::weak_ptr<TestConnection>(w)] {
                 const auto to = weak.lock();
                 if (!to || to->state() != ConnectionState::open) return;
-                resp::write_array(to->out(), {id, "HIT", "tag=t1,minted=1,n=cached", "a body"});
+                resp::write_array(to->output(), {id, "HIT", "tag=t1,minted=1,n=cached", "a body"});
                 to->write();
             });
         }
@@ -79,14 +79,14 @@
 // --- the board
 // ------------------------------------------------------------------------------------------------
 
-NoticeBoard::NoticeBoard(EventLoop& loop)
+FakeNoticeBoard::FakeNoticeBoard(EventLoop& loop)
     : loop_(loop),
       acceptor_(
           loop,
           [this](const Poco::Net::StreamSocket& s) {
-              drop_ended(wires_);
-              auto w = std::make_shared<StandInConnection>(loop_, s);
-              w->got = [this, raw = std::weak_ptr<StandInConnection>(w)](Buffer& in) {
+              drop_ended(connections_);
+              auto w = std::make_shared<TestConnection>(loop_, s);
+              w->on_received = [this, raw = std::weak_ptr<TestConnection>(w)](Buffer& in) {
                   const std::string said(in.view());
                   if (said.find("\r\n\r\n") == std::string::npos) return;
                   in.consumed(said.size());
@@ -97,16 +97,16 @@
                        loop_.now() + Duration::micros(std::atoll(said.c_str() + linger + 7) * 1000)});
                   answer();
               };
-              wires_.push_back(w);
+              connections_.push_back(w);
               w->start();
           },
           most_waiting) {
     check_polls();
 }
 
-std::int64_t NoticeBoard::post(json event) { return post_all({std::move(event)}); }
+std::int64_t FakeNoticeBoard::post(json event) { return post_all({std::move(event)}); }
 
-std::int64_t NoticeBoard::post_all(std::vector<json> events) {
+std::int64_t FakeNoticeBoard::post_all(std::vector<json> events) {
     for (json& event : events) {
         event["rev"] = events_.size() + 1;
         events_.push_back(std::move(event));
@@ -115,27 +115,27 @@
     return static_cast<std::int64_t>(events_.size());
 }
 
-json NoticeBoard::known() const { return {{"rev", events_.size()}, {"notices", events_}}; }
+json FakeNoticeBoard::known() const { return {{"rev", events_.size()}, {"notices", events_}}; }
 
-void NoticeBoard::break_connections() {
+void FakeNoticeBoard::break_connections() {
     polls_.clear();
-    for (const auto& w : std::exchange(wires_, {})) w->close();
+    for (const auto& w : std::exchange(connections_, {})) w->close();
 }
 
-void NoticeBoard::check_polls() {
+void FakeNoticeBoard::check_polls() {
     answer();
     loop_.schedule_at(loop_.now() + Duration::micros(10'000), [this] { check_polls(); });
 }
 
-void NoticeBoard::answer() {
+void FakeNoticeBoard::answer() {
     if (silent) return;
     const auto newest = static_cast<std::int64_t>(events_.size());
     // Those that watch from the same event are told the same: it is encoded once.
     std::map<std::int64_t, std::string> encoded;
     for (const Poll& p : std::exchange(polls_, {})) {
-        const auto w = p.wire.lock();
+        const auto w = p.connection.lock();
         if (!w || w->state() != ConnectionState::open) continue;
-        if (p.since >= newest && loop_.now() < p.until) {
+        if (p.since >= newest && loop_.now() < p.deadline) {
             polls_.push_back(p);
             continue;
         }
@@ -147,8 +147,8 @@
             for (auto e = events_.begin() + told; e != events_.end(); ++e) some.push_back(*e);
             body = json{{"rev", newest}, {"notices", some}}.dump();
         }
-        w->out().append("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
-                        body);
+        w->output().append("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
+                           body);
         w->write();
     }
 }
@@ -158,25 +158,32 @@
 
 ClientLoad::ClientLoad(EventLoop& loop, std::string gateway, std::string kind, Duration every,
                        Duration patience)
-    : loop_(loop), gateway_(std::move(gateway)), kind_(std::move(kind)), every_(every), timeout_(patience) {}
+    : loop_(loop),
+      gateway_(std::move(gateway)),
+      kind_(std::move(kind)),
+      interval_(every),
+      timeout_(patience) {}
 
 void ClientLoad::start() {
-    wire_ = std::make_shared<StandInConnection>(loop_);
-    wire_->got = [this](Buffer& in) { on_data(in); };
-    wire_->start(gateway_);
-    going_ = true;
-    loop_.schedule_at(loop_.now() + every_, [this] { send_request(); });
+    connection_ = std::make_shared<TestConnection>(loop_);
+    connection_->on_received = [this](Buffer& in) { on_data(in); };
+    connection_->start(gateway_);
+    running_ = true;
+    loop_.schedule_at(loop_.now() + interval_, [this] { send_request(); });
 }
 
 void ClientLoad::send_request() {
-    if (!going_) return;
-    loop_.schedule_at(loop_.now() + every_, [this] { send_request(); });
-    if (open_.contains(next_)) return;  // 65,535 open: there is no number for one more
-    const std::uint16_t request = next_;
-    next_ = static_cast<std::uint16_t>(next_ == 65'535 ? 1 : next_ + 1);
+    if (!running_) return;
+    loop_.schedule_at(loop_.now() + interval_, [this] { send_request(); });
+    if (open_requests_.contains(next_request_number_))
+        return;  // 65,535 open: there is no number for one more
+    const std::uint16_t request = next_request_number_;
+    next_request_number_ =
+        static_cast<std::uint16_t>(next_request_number_ == 65'535 ? 1 : next_request_number_ + 1);
     char id[17], object[17];
-    std::snprintf(id, sizeof id, "%016llx", static_cast<unsigned long long>(++sent));
-    std::snprintf(object, sizeof object, "%016llx", static_cast<unsigned long long>(sent * 7919 % 997));
+    std::snprintf(id, sizeof id, "%016llx", static_cast<unsigned long long>(++requests_sent));
+    std::snprintf(object, sizeof object, "%016llx",
+                  static_cast<unsigned long long>(requests_sent * 7919 % 997));
     std::string params;
     const auto put = [&](const char* k, const std::string& v) { fastcgi::write_pair(params, k, v); };
     put("SCRIPT_NAME", "/api/v2/" + kind_);
@@ -185,33 +192,33 @@
     put("HTTP_X_OBJECT", object);
     put("HTTP_X_BLOCK", "0");
     put("HTTP_X_FAMILY", "1");
-    Buffer& out = wire_->out();
+    Buffer& out = connection_->output();
     fastcgi::write_begin(out, request, {fastcgi::responder, true});
     fastcgi::write_record(out, fastcgi::Type::params, request, params);
     fastcgi::write_record(out, fastcgi::Type::params, request, {});
     fastcgi::write_record(out, fastcgi::Type::std_in, request, {});
-    open_[request] = {loop_.now(), ""};
-    wire_->write();
+    open_requests_[request] = {loop_.now(), ""};
+    connection_->write();
 }
 
 void ClientLoad::on_data(Buffer& in) {
     fastcgi::Record r;
     std::size_t used = 0;
     while (fastcgi::parse_record(in.view(), r, used) == ParseStatus::complete) {
-        const auto it = open_.find(r.request);
-        if (it == open_.end()) {
-            twice += r.type == fastcgi::Type::end_request;
+        const auto it = open_requests_.find(r.request);
+        if (it == open_requests_.end()) {
+            duplicate_responses += r.type == fastcgi::Type::end_request;
         } else if (r.type == fastcgi::Type::std_out) {
             it->second.second += r.content;
         } else if (r.type == fastcgi::Type::end_request) {
             const std::string& said = it->second.second;
             if (said.find("Status: 200") == 0) {
                 ++served;
-                took_ms.push_back((loop_.now() - it->second.first).seconds() * 1000);
+                latencies_ms.push_back((loop_.now() - it->second.first).seconds() * 1000);
             } else {
                 ++(said.find("Status: 503") == 0 ? rejected : failed);
             }
-            open_.erase(it);
+            open_requests_.erase(it);
         }
         in.consumed(used);
     }
@@ -277,4 +284,4 @@
                     {"purgeGraceS", 1.0}}}}}};
 }
 
-}  // namespace irismux::stand_ins
+}  // namespace irismux::test_support
--- a/testing/stand_ins.hpp
+++ b/testing/fake_services.hpp
@@ -13,12 +13,12 @@
 #include "irismux/router.hpp"
 #include "testing/sockets.hpp"
 
-namespace irismux::stand_ins {
+namespace irismux::test_support {
 
 // A cache that holds everything and answers after a while.
-class Cache {
+class FakeCache {
 public:
-    Cache(EventLoop& loop, std::string id, Duration answers_after);
+    FakeCache(EventLoop& loop, std::string id, Duration answers_after);
     const std::string& id() const { return id_; }
     std::string address() const { return address_; }
 
@@ -29,24 +29,24 @@
     std::deque<ReceivedAttempt> received;  // the last 4,096
     std::uint64_t total = 0, health_checks = 0;
     // Its process is gone: connections are reset, those that come are refused.
-    void die();
-    void live();
+    void stop();
+    void restart();
 
 private:
-    void on_data(const std::shared_ptr<StandInConnection>& w, Buffer& in);
+    void on_data(const std::shared_ptr<TestConnection>& w, Buffer& in);
     EventLoop& loop_;
     std::string id_;
-    Duration after_;
+    Duration response_delay_;
     void listen(const std::string& at);
-    std::vector<std::shared_ptr<StandInConnection>> wires_;
+    std::vector<std::shared_ptr<TestConnection>> connections_;
     std::string address_;
     std::unique_ptr<Acceptor> acceptor_;
 };
 
 // A board that answers each poll when there is something new, or when it has lingered.
-class NoticeBoard {
+class FakeNoticeBoard {
 public:
-    explicit NoticeBoard(EventLoop& loop);
+    explicit FakeNoticeBoard(EventLoop& loop);
     std::string address() const { return acceptor_.address(); }
     // One more event; numbered here. Returns its number.
     std::int64_t post(nlohmann::json event);
@@ -55,20 +55,20 @@
     nlohmann::json known() const;  // all events, as a configuration brings them
     void break_connections();
     // The number from which the last poll watched.
-    std::int64_t waiting_from() const { return polls_.empty() ? -1 : polls_.back().since; }
+    std::int64_t last_poll_since() const { return polls_.empty() ? -1 : polls_.back().since; }
     bool silent = false;
 
 private:
     struct Poll {
-        std::weak_ptr<StandInConnection> wire;
+        std::weak_ptr<TestConnection> connection;
         std::int64_t since;
-        TimePoint until;
+        TimePoint deadline;
     };
     void check_polls();
     void answer();
     EventLoop& loop_;
     std::vector<nlohmann::json> events_;
-    std::vector<std::shared_ptr<StandInConnection>> wires_;
+    std::vector<std::shared_ptr<TestConnection>> connections_;
     std::vector<Poll> polls_;
     Acceptor acceptor_;
 };
@@ -78,22 +78,22 @@
 public:
     ClientLoad(EventLoop& loop, std::string gateway, std::string kind, Duration every, Duration patience);
     void start();
-    void stop() { going_ = false; }
+    void stop() { running_ = false; }
 
-    std::uint64_t sent = 0, served = 0, rejected = 0, failed = 0, twice = 0;
-    std::size_t open() const { return open_.size(); }
-    std::vector<double> took_ms;  // of those satisfied
+    std::uint64_t requests_sent = 0, served = 0, rejected = 0, failed = 0, duplicate_responses = 0;
+    std::size_t open_requests() const { return open_requests_.size(); }
+    std::vector<double> latencies_ms;  // of those satisfied
 
 private:
     void send_request();
     void on_data(Buffer& in);
     EventLoop& loop_;
     std::string gateway_, kind_;
-    Duration every_, timeout_;
-    bool going_ = false;
-    std::shared_ptr<StandInConnection> wire_;
-    std::map<std::uint16_t, std::pair<TimePoint, std::string>> open_;
-    std::uint16_t next_ = 1;
+    Duration interval_, timeout_;
+    bool running_ = false;
+    std::shared_ptr<TestConnection> connection_;
+    std::map<std::uint16_t, std::pair<TimePoint, std::string>> open_requests_;
+    std::uint16_t next_request_number_ = 1;
 };
 
 // A configuration of a gateway as its platform writes it.
@@ -104,4 +104,4 @@
 nlohmann::json endpoint_json(const std::string& id, const std::string& kind, const std::string& zone,
                              const std::string& address, const std::string& state);
 
-}  // namespace irismux::stand_ins
+}  // namespace irismux::test_support
--- a/testing/fault_proxy.hpp
+++ b/testing/fault_proxy.hpp
@@ -12,7 +12,7 @@
 
 #include "testing/sockets.hpp"
 
-namespace irismux::stand_ins {
+namespace irismux::test_support {
 
 enum class Direction { to_server, to_client };  // from whoever connects, and to it
 
@@ -21,52 +21,52 @@
     struct Faults {
         bool hold = false;  // what comes is kept; ends of connections, too. Undone: it all goes on
         Duration delay;     // of each piece
-        std::size_t bytes_a_second = 0;  // zero: as fast as it goes
-        std::size_t reset_in = 0;        // so many bytes from now both ends are reset; zero: never
+        std::size_t bytes_per_second = 0;   // zero: as fast as it goes
+        std::size_t reset_after_bytes = 0;  // so many bytes from now both ends are reset; zero: never
     };
 
     FaultProxy(EventLoop& loop, std::string to);
     ~FaultProxy();
     const std::string& address() const { return address_; }
     // From now on to there; open connections stay as they are.
-    void set_target(std::string to) { to_ = std::move(to); }
+    void set_target(std::string to) { target_ = std::move(to); }
 
     Faults& faults(Direction w) { return faults_[static_cast<std::size_t>(w)]; }
     void hold(Direction w, bool is);
-    void cut(bool is);   // both ways; connections that come are taken, and nothing passes
-    void down(bool is);  // connections are reset, those that come are refused by the system
-    void break_all();    // every connection, with a reset
+    void set_partitioned(bool is);  // both ways; connections that come are taken, and nothing passes
+    void set_down(bool is);         // connections are reset, those that come are refused by the system
+    void reset_all();               // every connection, with a reset
 
     // Each piece as it comes in, before anything is done with it.
-    std::function<void(Direction, std::string_view)> seen = [](Direction, std::string_view) {};
+    std::function<void(Direction, std::string_view)> on_chunk = [](Direction, std::string_view) {};
     // As above, with the number of its connection, which is never given again.
-    std::function<void(std::uint64_t connection, Direction, std::string_view)> seen_on =
+    std::function<void(std::uint64_t connection, Direction, std::string_view)> on_connection_chunk =
         [](std::uint64_t, Direction, std::string_view) {};
-    std::function<void(std::uint64_t connection)> closed = [](std::uint64_t) {};
-    std::uint64_t pieces(Direction w) const { return pieces_[static_cast<std::size_t>(w)]; }
+    std::function<void(std::uint64_t connection)> on_connection_closed = [](std::uint64_t) {};
+    std::uint64_t chunk_count(Direction w) const { return chunk_counts_[static_cast<std::size_t>(w)]; }
 
 private:
     struct Pair {
         std::uint64_t number = 0;
-        std::array<std::shared_ptr<StandInConnection>, 2> ends;  // the near one, the far one
-        std::array<std::deque<std::string>, 2> held;
-        std::array<TimePoint, 2> free;  // by then what was passed on before has gone
+        std::array<std::shared_ptr<TestConnection>, 2> ends;  // the near one, the far one
+        std::array<std::deque<std::string>, 2> held_chunks;
+        std::array<TimePoint, 2> next_send;  // by then what was passed on before has gone
         std::array<bool, 2> ended{};
-        bool over = false;
+        bool finished = false;
     };
     using PairPtr = std::shared_ptr<Pair>;
 
     void listen(const std::string& at);
-    void taken(const Poco::Net::StreamSocket& socket);
-    void on_accepted(const PairPtr& p, Direction w, std::string bytes);
-    void pass(const PairPtr& p, Direction w, std::string bytes);
-    void end(const PairPtr& p, Direction w);
+    void on_connect(const Poco::Net::StreamSocket& socket);
+    void on_received(const PairPtr& p, Direction w, std::string bytes);
+    void forward(const PairPtr& p, Direction w, std::string bytes);
+    void on_end_of_stream(const PairPtr& p, Direction w);
     void reset(const PairPtr& p);
 
     EventLoop& loop_;
-    std::string to_;
+    std::string target_;
     std::array<Faults, 2> faults_;
-    std::array<std::uint64_t, 2> pieces_{};
+    std::array<std::uint64_t, 2> chunk_counts_{};
     std::vector<PairPtr> pairs_;
     std::uint64_t last_number_ = 0;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
@@ -74,4 +74,4 @@
     std::unique_ptr<Acceptor> acceptor_;
 };
 
-}  // namespace irismux::stand_ins
+}  // namespace irismux::test_support
--- a/testing/fleet_simulation.cpp
+++ b/testing/fleet_simulation.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace irismux::stand_ins {
+namespace irismux::test_support {
 
 using namespace irismux::fleet;
 
@@ -15,36 +15,36 @@
 }  // namespace
 
 struct FleetSimulation::Node final : public AgentTransport, public AgentObserver {
-    Node(FleetSimulation& w, std::size_t n) : world(w), no(n), name("m" + std::to_string(n)) {}
+    Node(FleetSimulation& w, std::size_t n) : world(w), number(n), name("m" + std::to_string(n)) {}
 
     FleetSimulation& world;
-    std::size_t no;
+    std::size_t number;
     MemberName name;
     std::unique_ptr<Agent> agent;
     double rate = 1;
-    bool stopped = false, cut_out = false, cut_in = false;
-    std::uint64_t ask = 0;   // the transaction under way
-    std::uint64_t life = 0;  // of the process
+    bool stopped = false, outbound_blocked = false, inbound_blocked = false;
+    std::uint64_t transaction_number = 0;  // the transaction under way
+    std::uint64_t process_number = 0;      // of the process
     std::optional<TimePoint> wake_at;
     std::uint64_t wake_no = 0;
-    Revision told;  // by the watch
-    std::uint64_t history = 0;
-    bool telling = false;
-    std::string kept;
-    Incarnation former;
-    std::vector<std::function<void()>> waiting;  // for a stopped process to go on
+    Revision delivered;  // by the watch
+    std::uint64_t restores_seen = 0;
+    bool delivering = false;
+    std::string saved_fence;
+    Incarnation previous_incarnation;
+    std::vector<std::function<void()>> deferred;  // for a stopped process to go on
 
     TimePoint clock() const { return TimePoint{} + Duration::seconds(world.now_.seconds() * rate); }
     TimePoint real(TimePoint local) const { return TimePoint::at_seconds(local.seconds() / rate + 1e-6); }
 
     void submit(const Transaction& d) override {
-        ++ask;
+        ++transaction_number;
         world.on_submit(*this, d);
     }
     void schedule_wake(TimePoint local) override {
-        const std::uint64_t mine = ++wake_no, born = life;
-        world.at(std::max(real(local), world.now_), [this, mine, born] {
-            if (born == life && mine == wake_no) world.wake(*this);
+        const std::uint64_t mine = ++wake_no, born = process_number;
+        world.schedule(std::max(real(local), world.now_), [this, mine, born] {
+            if (born == process_number && mine == wake_no) world.wake(*this);
         });
     }
     void on_lease_state(const DutyName&, LeaseState, FencingToken) override {}
@@ -54,44 +54,45 @@
     void when_running(std::function<void()> then) {
         if (!agent) return;
         if (stopped)
-            waiting.push_back(std::move(then));
+            deferred.push_back(std::move(then));
         else
             then();
     }
 };
 
-FleetSimulation::FleetSimulation(std::uint32_t seed, const Shape& shape, const SharedConfig& shared_config)
-    : shape_(shape), shared_config_(shared_config), chance_(seed) {
+FleetSimulation::FleetSimulation(std::uint32_t seed, const Options& shape, const SharedConfig& shared_config)
+    : options_(shape), shared_config_(shared_config), random_(seed) {
     for (std::size_t d = 0; d < shape.duties; ++d) duties_.emplace_back("d" + std::to_string(d));
     owned_.resize(shape.duties);
-    without_since_.resize(shape.duties, now_);
+    unowned_since_.resize(shape.duties, now_);
     for (std::size_t n = 0; n < shape.members; ++n) {
         nodes_.push_back(std::make_unique<Node>(*this, n));
         // The first two stand at either end of what is allowed.
         const double off = n == 0 ? -1 : n == 1 ? 1 : 2 * random_fraction() - 1;
         nodes_.back()->rate = 1 + off * shape.drift;
     }
-    next_fault_ = next_backup_ = next_work_ = now_;
+    next_fault_ = next_backup_ = next_write_ = now_;
 }
 
 FleetSimulation::~FleetSimulation() = default;
 
-void FleetSimulation::at(TimePoint due, std::function<void()> then) {
-    events_[{due, next_++}] = std::move(then);
+void FleetSimulation::schedule(TimePoint due, std::function<void()> then) {
+    events_[{due, next_event_number_++}] = std::move(then);
 }
 
 void FleetSimulation::start(std::size_t member) {
     Node& n = *nodes_[member];
-    ++n.life;
-    n.waiting.clear();
-    n.stopped = n.cut_in = n.cut_out = n.telling = false;
-    n.told = {};
-    n.history = 0;
-    MemberIdentity identity{n.name, InstanceId{n.name.raw() + '.' + std::to_string(n.life)}, "1", n.former};
+    ++n.process_number;
+    n.deferred.clear();
+    n.stopped = n.inbound_blocked = n.outbound_blocked = n.delivering = false;
+    n.delivered = {};
+    n.restores_seen = 0;
+    MemberIdentity identity{n.name, InstanceId{n.name.raw() + '.' + std::to_string(n.process_number)}, "1",
+                            n.previous_incarnation};
     identity.reply_timeout = ms * 300;
-    identity.randomized = shape_.spread;
-    n.agent = std::make_unique<Agent>(n, n, shared_config_, identity, chance_());
-    if (!n.kept.empty()) n.agent->fence().restore(n.kept);
+    identity.randomized = options_.randomized;
+    n.agent = std::make_unique<Agent>(n, n, shared_config_, identity, random_());
+    if (!n.saved_fence.empty()) n.agent->fence().restore(n.saved_fence);
     n.agent->set_duties(n.clock(), {duties_.begin(), duties_.end()});
     n.agent->start(n.clock());
     deliver_records(n);
@@ -104,11 +105,11 @@
 void FleetSimulation::kill(std::size_t member) {
     Node& n = *nodes_[member];
     if (!n.agent) return;
-    n.kept = n.agent->fence().serialize();
-    n.former = n.agent->incarnation();
+    n.saved_fence = n.agent->fence().serialize();
+    n.previous_incarnation = n.agent->incarnation();
     n.agent.reset();
-    ++n.life;
-    n.waiting.clear();
+    ++n.process_number;
+    n.deferred.clear();
 }
 
 void FleetSimulation::stop(std::size_t member) { nodes_[member]->stopped = true; }
@@ -116,14 +117,14 @@
 void FleetSimulation::resume(std::size_t member) {
     Node& n = *nodes_[member];
     n.stopped = false;
-    for (const auto& then : std::exchange(n.waiting, {}))
+    for (const auto& then : std::exchange(n.deferred, {}))
         if (n.agent && !n.stopped) then();
 }
 
-void FleetSimulation::revive(std::size_t member) {
+void FleetSimulation::recover(std::size_t member) {
     Node& n = *nodes_[member];
     if (!n.agent) return start(member);
-    n.cut_in = n.cut_out = n.telling = false;
+    n.inbound_blocked = n.outbound_blocked = n.delivering = false;
     resume(member);
     deliver_records(n);
 }
@@ -137,21 +138,22 @@
 
 Duration FleetSimulation::delay(double late) {
     const Duration usual = ms * (1 + 20 * random_fraction());
-    return happens(late) ? shared_config_.term * (2.5 * random_fraction()) : usual;
+    return with_probability(late) ? shared_config_.term * (2.5 * random_fraction()) : usual;
 }
 
 void FleetSimulation::on_submit(Node& n, const Transaction& transaction) {
-    if (n.cut_out || happens(fault_rates_.lose)) return;
-    const std::uint64_t ask = n.ask;
-    const std::size_t no = n.no;
-    const int times = happens(fault_rates_.repeat) ? 2 : 1;
+    if (n.outbound_blocked || with_probability(fault_rates_.lose)) return;
+    const std::uint64_t ask = n.transaction_number;
+    const std::size_t no = n.number;
+    const int times = with_probability(fault_rates_.repeat) ? 2 : 1;
     for (int t = 0; t < times; ++t)
-        at(now_ + delay(fault_rates_.late), [this, no, ask, transaction] { settle(no, ask, transaction); });
+        schedule(now_ + delay(fault_rates_.late),
+                 [this, no, ask, transaction] { settle(no, ask, transaction); });
 }
 
 // A value DUTY/TOKEN/NAME/INCARNATION: its writer has to be a member of that incarnation, and no token may be
 // below one that has written.
-void FleetSimulation::check_work(const std::string& value) {
+void FleetSimulation::check_fenced_write(const std::string& value) {
     const std::size_t duty_end = value.find('/');
     const std::size_t token_end = value.find('/', duty_end + 1);
     const std::size_t name_end = value.rfind('/');
@@ -162,12 +164,12 @@
     const auto it = ledger_.records().find(member_key(who));
     const auto writer = it == ledger_.records().end() ? std::nullopt : parse_member(it->second);
     if (!writer || writer->incarnation != holder.incarnation)
-        broken.push_back("a write by one who is no member: " + value);
-    for (int n = 0; n < 2; ++n) order(DutyName{duty}, holder);
-    if (token < highest_[duty])
-        broken.push_back("a write by token " + std::to_string(token) + " after one by " +
-                         std::to_string(highest_[duty]));
-    highest_[duty] = std::max(highest_[duty], token);
+        violations.push_back("a write by one who is no member: " + value);
+    for (int n = 0; n < 2; ++n) send_order(DutyName{duty}, holder);
+    if (token < highest_token_[duty])
+        violations.push_back("a write by token " + std::to_string(token) + " after one by " +
+                             std::to_string(highest_token_[duty]));
+    highest_token_[duty] = std::max(highest_token_[duty], token);
 }
 
 // No token of a duty may be given to two owners.
@@ -175,79 +177,80 @@
     const auto duty = duty_of(key);
     const auto record = duty ? parse_duty(value) : std::nullopt;
     if (!record || record->owner.raw().empty()) return;
-    ++owners;
+    ++owner_changes;
     const std::string who = record->owner.raw() + '/' + std::to_string(record->incarnation.raw());
-    const auto [it, fresh] = given_.try_emplace({duty->raw(), record->token.raw()}, who);
+    const auto [it, fresh] = token_owners_.try_emplace({duty->raw(), record->token.raw()}, who);
     if (!fresh && it->second != who)
-        broken.push_back("token " + std::to_string(record->token.raw()) + " of " + duty->raw() +
-                         " given to " + it->second + " and " + who);
+        violations.push_back("token " + std::to_string(record->token.raw()) + " of " + duty->raw() +
+                             " given to " + it->second + " and " + who);
 }
 
 // The registry's ledger: what was written on behalf of the fleet, in the registry's order.
 void FleetSimulation::check_writes(const Transaction& transaction, bool succeeded) {
     for (const auto& [key, value] : transaction.writes) {
         const bool is_work = key.raw().rfind("work/", 0) == 0;
-        if (is_work) ++(succeeded ? written : refused);
+        if (is_work) ++(succeeded ? accepted_writes : refused_writes);
         if (!succeeded || !value) continue;
-        if (is_work) check_work(*value);
+        if (is_work) check_fenced_write(*value);
         check_owner(key, *value);
     }
 }
 
 void FleetSimulation::settle(std::size_t member, std::uint64_t ask, const Transaction& transaction) {
-    if (down_) return;
+    if (registry_down_) return;
     ++transactions;
-    asked.push_back(now_);
+    transaction_times.push_back(now_);
     const TransactionLedger::Outcome o = ledger_.settle(transaction);
-    check_writes(transaction, o.held);
+    check_writes(transaction, o.succeeded);
     // Heartbeats are not watched.
     const bool watched = std::any_of(transaction.writes.begin(), transaction.writes.end(),
                                      [](const Entry& e) { return e.first.raw().rfind("beat/", 0) != 0; });
-    if (watched && o.held)
+    if (watched && o.succeeded)
         for (const auto& n : nodes_) deliver_records(*n);
     Node& n = *nodes_[member];
-    if (n.ask != ask || n.cut_in || happens(fault_rates_.lose)) return;
-    const std::uint64_t life = n.life, history = histories_;
-    at(now_ + delay(fault_rates_.late), [this, &n, life, history, ask, o] {
-        if (n.life != life || history != histories_) return;
+    if (n.transaction_number != ask || n.inbound_blocked || with_probability(fault_rates_.lose)) return;
+    const std::uint64_t life = n.process_number, history = restores_;
+    schedule(now_ + delay(fault_rates_.late), [this, &n, life, history, ask, o] {
+        if (n.process_number != life || history != restores_) return;
         n.when_running([this, &n, ask, o] {
-            if (n.ask == ask) n.agent->on_transaction_result(n.clock(), o.at, o.held, o.shown);
+            if (n.transaction_number == ask)
+                n.agent->on_transaction_result(n.clock(), o.revision, o.succeeded, o.values);
             check(false);
         });
     });
 }
 
 // An owner's order to some member, by another way than the registry: late, out of order, from former owners.
-void FleetSimulation::order(const DutyName& duty, const LeaseHolder& holder) {
-    Node& n = *nodes_[chance_() % nodes_.size()];
-    at(now_ + shared_config_.term * (3 * random_fraction()), [this, &n, duty, holder] {
+void FleetSimulation::send_order(const DutyName& duty, const LeaseHolder& holder) {
+    Node& n = *nodes_[random_() % nodes_.size()];
+    schedule(now_ + shared_config_.term * (3 * random_fraction()), [this, &n, duty, holder] {
         if (!n.agent || n.stopped || !n.agent->accepts_order_of(duty, holder)) return;
-        FencingToken& heeded = heeded_[{n.no, duty}];
+        FencingToken& heeded = accepted_tokens_[{n.number, duty}];
         if (holder.token < heeded)
-            broken.push_back(n.name.raw() + " heeds epoch " + std::to_string(holder.token.raw()) + " after " +
-                             std::to_string(heeded.raw()));
+            violations.push_back(n.name.raw() + " heeds epoch " + std::to_string(holder.token.raw()) +
+                                 " after " + std::to_string(heeded.raw()));
         heeded = std::max(heeded, holder.token);
     });
 }
 
 // The watch: everything up to some revision after a while, in order.
 void FleetSimulation::deliver_records(Node& n) {
-    if (n.telling || !n.agent) return;
-    n.telling = true;
-    const std::uint64_t life = n.life;
-    at(now_ + delay(fault_rates_.late / 4), [this, &n, life] {
-        if (n.life != life) return;
-        n.telling = false;
-        if (n.cut_in || down_) {
-            n.telling = true;  // once it is mended it is told; see trouble()
+    if (n.delivering || !n.agent) return;
+    n.delivering = true;
+    const std::uint64_t life = n.process_number;
+    schedule(now_ + delay(fault_rates_.late / 4), [this, &n, life] {
+        if (n.process_number != life) return;
+        n.delivering = false;
+        if (n.inbound_blocked || registry_down_) {
+            n.delivering = true;  // once it is mended it is told; see trouble()
             return;
         }
         n.when_running([this, &n] {
-            const bool whole = n.history != histories_ + 1 || ledger_.forgotten(n.told);
+            const bool whole = n.restores_seen != restores_ + 1 || ledger_.compacted(n.delivered);
             const std::vector<Entry> list =
-                whole ? ledger_.all() : ledger_.changes(n.told, ledger_.revision());
-            n.history = histories_ + 1;
-            n.told = ledger_.revision();
+                whole ? ledger_.watched_records() : ledger_.changes(n.delivered, ledger_.revision());
+            n.restores_seen = restores_ + 1;
+            n.delivered = ledger_.revision();
             if (whole || !list.empty()) n.agent->on_records(n.clock(), ledger_.revision(), list, whole);
             check(false);
         });
@@ -258,19 +261,20 @@
     const double share = trouble_every.seconds();
     for (const auto& node : nodes_) {
         Node& n = *node;
-        if (happens(t.cut * share)) n.cut_in = true;
-        if (happens(t.cut * share)) n.cut_out = true;
-        if ((n.cut_in || n.cut_out) && t.cut > 0 && happens(share / 6)) {
-            n.cut_in = n.cut_out = false;
-            n.telling = false;
+        if (with_probability(t.partition * share)) n.inbound_blocked = true;
+        if (with_probability(t.partition * share)) n.outbound_blocked = true;
+        if ((n.inbound_blocked || n.outbound_blocked) && t.partition > 0 && with_probability(share / 6)) {
+            n.inbound_blocked = n.outbound_blocked = false;
+            n.delivering = false;
             deliver_records(n);
         }
-        if (n.agent && !n.stopped && happens(t.stop * share)) n.stopped = true;
-        if (n.stopped && t.stop > 0 && happens(share / 8)) resume(n.no);
-        if (n.agent && happens(t.crash * share)) kill(n.no);
-        if (!n.agent && t.crash > 0 && happens(share / 5)) start(n.no);
+        if (n.agent && !n.stopped && with_probability(t.stop * share)) n.stopped = true;
+        if (n.stopped && t.stop > 0 && with_probability(share / 8)) resume(n.number);
+        if (n.agent && with_probability(t.crash * share)) kill(n.number);
+        if (!n.agent && t.crash > 0 && with_probability(share / 5)) start(n.number);
     }
-    if (happens(t.restore * share)) restore_backup(shared_config_.term * (1 + 2 * random_fraction()));
+    if (with_probability(t.restore * share))
+        restore_backup(shared_config_.term * (1 + 2 * random_fraction()));
 }
 
 // Premise of the guarantees: a backup is more than a term old when the registry answers from it.
@@ -278,12 +282,12 @@
     for (auto b = backups_.rbegin(); b != backups_.rend(); ++b) {
         if (now_ - b->taken <= age) continue;
         ledger_.restore(b->records, b->revision);
-        ++histories_;
-        highest_.clear();
-        given_.clear();
+        ++restores_;
+        highest_token_.clear();
+        token_owners_.clear();
         backups_.erase(b.base(), backups_.end());
         for (const auto& n : nodes_) {
-            n->telling = false;
+            n->delivering = false;
             deliver_records(*n);
         }
         return;
@@ -291,26 +295,26 @@
 }
 
 void FleetSimulation::set_registry_down(bool is) {
-    down_ = is;
+    registry_down_ = is;
     if (!is)
         for (const auto& n : nodes_) {
-            n->telling = false;
+            n->delivering = false;
             deliver_records(*n);
         }
 }
 
-void FleetSimulation::cut(std::size_t member, bool in, bool out) {
+void FleetSimulation::partition(std::size_t member, bool in, bool out) {
     Node& n = *nodes_[member];
-    n.cut_in = in;
-    n.cut_out = out;
-    n.telling = false;
+    n.inbound_blocked = in;
+    n.outbound_blocked = out;
+    n.delivering = false;
     deliver_records(n);
 }
 
 std::size_t FleetSimulation::max_transactions_within(Duration window) const {
     std::size_t most = 0;
-    for (std::size_t first = 0, last = 0; last < asked.size(); ++last) {
-        while (asked[last] - asked[first] > window) ++first;
+    for (std::size_t first = 0, last = 0; last < transaction_times.size(); ++last) {
+        while (transaction_times[last] - transaction_times[first] > window) ++first;
         most = std::max(most, last - first + 1);
     }
     return most;
@@ -319,9 +323,9 @@
 void FleetSimulation::run(Duration time, const FaultRates& troubles) {
     fault_rates_ = troubles;
     const TimePoint end = now_ + time;
-    while (broken.size() < most_broken) {
+    while (violations.size() < most_broken) {
         const TimePoint due = events_.empty() ? end : events_.begin()->first.first;
-        const TimePoint timed = std::min({next_fault_, next_backup_, next_work_});
+        const TimePoint timed = std::min({next_fault_, next_backup_, next_write_});
         if (std::min(due, timed) >= end) break;
         if (timed <= due) {
             now_ = std::max(now_, timed);
@@ -334,13 +338,14 @@
                 backups_.push_back({now_, ledger_.records(), ledger_.revision()});
                 if (backups_.size() > most_backups) backups_.erase(backups_.begin());
             } else {
-                next_work_ = now_ + work_every;
+                next_write_ = now_ + work_every;
                 for (const auto& n : nodes_)
                     for (const DutyName& d : duties_)
-                        if (shape_.works && n->agent && !n->stopped &&
+                        if (options_.fenced_writes && n->agent && !n->stopped &&
                             n->agent->may_begin_work(n->clock(), d))
                             n->agent->write_fenced(
-                                n->clock(), d, Key{"work/" + d.raw() + '/' + std::to_string(++works_ % 8)},
+                                n->clock(), d,
+                                Key{"work/" + d.raw() + '/' + std::to_string(++fenced_writes_ % 8)},
                                 d.raw() + '/' + std::to_string(n->agent->token_of(d).raw()) + '/' +
                                     n->name.raw() + '/' + std::to_string(n->agent->incarnation().raw()));
             }
@@ -357,14 +362,14 @@
 
 std::optional<std::size_t> FleetSimulation::owner(std::size_t duty) const {
     for (const auto& n : nodes_)
-        if (n->agent && n->agent->may_act(n->clock(), duties_[duty])) return n->no;
+        if (n->agent && n->agent->may_act(n->clock(), duties_[duty])) return n->number;
     return std::nullopt;
 }
 
-void FleetSimulation::mark() {
-    longest_without = {};
-    asked.clear();
-    for (TimePoint& t : without_since_) t = now_;
+void FleetSimulation::reset_measurements() {
+    longest_unowned = {};
+    transaction_times.clear();
+    for (TimePoint& t : unowned_since_) t = now_;
 }
 
 // Every process is asked what it would do now, by its own clock; of a large fleet all of them only now and
@@ -376,12 +381,12 @@
         for (const auto& n : nodes_) {
             if (!n->agent || !n->agent->may_act(n->clock(), duties_[d])) continue;
             if (first)
-                broken.push_back("m" + std::to_string(*first) + " and " + n->name.raw() + " may act on " +
-                                 duties_[d].raw() + " at " + std::to_string(now_.seconds() - 1000));
-            first = n->no;
+                violations.push_back("m" + std::to_string(*first) + " and " + n->name.raw() + " may act on " +
+                                     duties_[d].raw() + " at " + std::to_string(now_.seconds() - 1000));
+            first = n->number;
         }
-        if (!first) longest_without = std::max(longest_without, now_ - without_since_[d]);
-        if (first) without_since_[d] = now_;
+        if (!first) longest_unowned = std::max(longest_unowned, now_ - unowned_since_[d]);
+        if (first) unowned_since_[d] = now_;
         owned_[d] = first;
     }
 }
@@ -395,4 +400,4 @@
     return all;
 }
 
-}  // namespace irismux::stand_ins
+}  // namespace irismux::test_support
--- a/testing/interleaving_explorer.cpp
+++ b/testing/interleaving_explorer.cpp
@@ -10,7 +10,7 @@
 #include "fleet/agent.hpp"
 #include "testing/transaction_ledger.hpp"
 
-namespace irismux::stand_ins {
+namespace irismux::test_support {
 
 using namespace irismux::fleet;
 
@@ -116,7 +116,7 @@
     TransactionLedger::Outcome settle(const Transaction& transaction) {
         TransactionLedger::Outcome o = ledger.settle(transaction);
         for (const auto& [key, value] : transaction.writes) {
-            if (!o.held || !value || key.raw().rfind("work/", 0) != 0) continue;
+            if (!o.succeeded || !value || key.raw().rfind("work/", 0) != 0) continue;
             // EPOCH/NAME/START: a member of that incarnation, and no token below one that has written.
             const std::size_t a = value->find('/'), b = value->rfind('/');
             const std::int64_t token = std::atoll(value->c_str());
@@ -168,11 +168,11 @@
         if (!n.agent || n.stopped) return;
         if (n.answer) {
             const TransactionLedger::Outcome o = *std::exchange(n.answer, std::nullopt);
-            n.agent->on_transaction_result(now, o.at, o.held, o.shown);
+            n.agent->on_transaction_result(now, o.revision, o.succeeded, o.values);
         }
         if (!n.cut && (n.history != history || n.told < ledger.revision())) {
-            const bool whole = n.history != history || ledger.forgotten(n.told);
-            const auto list = whole ? ledger.all() : ledger.changes(n.told, ledger.revision());
+            const bool whole = n.history != history || ledger.compacted(n.told);
+            const auto list = whole ? ledger.watched_records() : ledger.changes(n.told, ledger.revision());
             n.history = history;
             n.told = ledger.revision();
             if (whole || !list.empty()) n.agent->on_records(now, ledger.revision(), list, whole);
@@ -197,7 +197,7 @@
                 n.answer = o;
                 return;
             }
-            n.agent->on_transaction_result(now, o.at, o.held, o.shown);
+            n.agent->on_transaction_result(now, o.revision, o.succeeded, o.values);
         }
         n.ports.asked.reset();
     }
@@ -224,9 +224,9 @@
 
 class Search {
 public:
-    explicit Search(const Exploration& b) : bounds_(b) {}
+    explicit Search(const ExplorationBounds& b) : bounds_(b) {}
 
-    Explored run() {
+    ExplorationResult run() {
         auto root = std::make_shared<State>();
         root->drift = bounds_.drift;
         const double off = bounds_.first_is_slow ? bounds_.drift : -bounds_.drift;
@@ -250,12 +250,12 @@
         }
         root->faults_left = bounds_.faults;
         std::vector<Shared> layer = {root};
-        for (int t = 0; t < bounds_.ticks && found_.path.empty() && found_.whole; ++t) {
+        for (int t = 0; t < bounds_.ticks && found_.path.empty() && found_.complete; ++t) {
             next_.clear();
             seen_.clear();
             for (const Shared& s : layer) {
                 branch(s);
-                if (!found_.path.empty() || !found_.whole) break;
+                if (!found_.path.empty() || !found_.complete) break;
             }
             layer = std::move(next_);
         }
@@ -346,7 +346,7 @@
                 return;
             }
             if (!seen_.insert(s->hash()).second) continue;
-            if (++found_.states >= bounds_.most_states) found_.whole = false;
+            if (++found_.states >= bounds_.max_states) found_.complete = false;
             next_.push_back(std::move(s));
         }
     }
@@ -357,14 +357,14 @@
             found_.path.insert(found_.path.begin(), "tick " + std::to_string(p->tick) + ": " + p->told);
     }
 
-    Exploration bounds_;
-    Explored found_;
+    ExplorationBounds bounds_;
+    ExplorationResult found_;
     std::vector<Shared> next_;
     std::unordered_set<XXH64_hash_t> seen_;
 };
 
 }  // namespace
 
-Explored explore(const Exploration& bounds) { return Search(bounds).run(); }
+ExplorationResult explore(const ExplorationBounds& bounds) { return Search(bounds).run(); }
 
-}  // namespace irismux::stand_ins
+}  // namespace irismux::test_support
--- a/testing/interleaving_explorer.hpp
+++ b/testing/interleaving_explorer.hpp
@@ -13,24 +13,24 @@
 #include <string>
 #include <vector>
 
-namespace irismux::stand_ins {
+namespace irismux::test_support {
 
-struct Exploration {
+struct ExplorationBounds {
     std::size_t members = 2;
     int ticks = 24;
     int faults = 1;
-    std::uint64_t most_states = 2'000'000;  // beyond, it gives up and says so
-    double drift = 0.25;                    // of the clocks: the first as slow, the second as fast as that,
-    bool first_is_slow = true;              // or the other way round
+    std::uint64_t max_states = 2'000'000;  // beyond, it gives up and says so
+    double drift = 0.25;                   // of the clocks: the first as slow, the second as fast as that,
+    bool first_is_slow = true;             // or the other way round
 };
 
-struct Explored {
+struct ExplorationResult {
     std::uint64_t states = 0;
-    bool whole = true;  // not given up
+    bool complete = true;  // not given up
     std::vector<std::string>
         path;  // what happened, a line a tick with something to tell; empty: nothing broke
 };
 
-Explored explore(const Exploration& bounds);
+ExplorationResult explore(const ExplorationBounds& bounds);
 
-}  // namespace irismux::stand_ins
+}  // namespace irismux::test_support
--- a/testing/known_endpoints.hpp
+++ b/testing/known_endpoints.hpp
@@ -6,7 +6,7 @@
 
 #include "endpoint/endpoint_record.hpp"
 
-namespace irismux::stand_ins {
+namespace irismux::test_support {
 
 using KnownEndpoints = std::map<CacheId, EndpointUpdate>;
 
@@ -20,4 +20,4 @@
     }
 }
 
-}  // namespace irismux::stand_ins
+}  // namespace irismux::test_support
--- a/testing/process.cpp
+++ b/testing/process.cpp
@@ -13,7 +13,7 @@
 #include <sstream>
 #include <stdexcept>
 
-namespace irismux::stand_ins {
+namespace irismux::test_support {
 namespace {
 
 namespace fs = std::filesystem;
@@ -50,7 +50,7 @@
 
 }  // namespace
 
-Process::Process(const Start& start) {
+Process::Process(const Options& start) {
     const std::vector<char*> argv = pointers(start.command), env = pointers(start.environment);
     const std::string log = start.log.empty() ? "/dev/null" : start.log;
     id_ = ::fork();
@@ -63,7 +63,7 @@
         ::dup2(out, 2);
     }
     for (int fd = 3; fd < 1024; ++fd) ::close(fd);
-    if (start.ends_with_us) ::prctl(PR_SET_PDEATHSIG, SIGKILL);
+    if (start.kill_with_parent) ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     const rlimit none{0, 0};
     if ((start.folder.empty() || ::chdir(start.folder.c_str()) == 0) &&
         (start.may_write || ::setrlimit(RLIMIT_FSIZE, &none) == 0))
@@ -90,10 +90,10 @@
     if (::waitpid(id_, &status, 0) == id_) status_ = status;
 }
 
-std::vector<SeenSocket> sockets_of(pid_t id) {
+std::vector<SocketInfo> sockets_of(pid_t id) {
     constexpr const char* listening = "0A";  // of the kernel's states of TCP
     const std::set<std::string> inodes = socket_inodes(id);
-    std::vector<SeenSocket> found;
+    std::vector<SocketInfo> found;
     for (const char* family : {"tcp", "tcp6", "udp", "udp6", "raw", "raw6", "unix", "netlink", "packet"}) {
         std::ifstream table(proc(id, "net/") + family);
         std::string line;
@@ -176,4 +176,4 @@
     return false;
 }
 
-}  // namespace irismux::stand_ins
+}  // namespace irismux::test_support
--- a/testing/process_fleet.cpp
+++ b/testing/process_fleet.cpp
@@ -7,7 +7,7 @@
 
 #include "fleet/fleet_client.hpp"
 
-namespace irismux::stand_ins {
+namespace irismux::test_support {
 
 using namespace irismux::fleet;
 namespace fs = std::filesystem;
@@ -30,10 +30,11 @@
 ProcessFleet::ProcessFleet(const Options& s, const std::string& folder)
     : registry(loop, s.members, Duration::micros(50'000)), options(s) {
     for (std::size_t c = 0; c < options.caches; ++c)
-        caches.push_back(std::make_unique<Cache>(loop, "c" + std::to_string(c + 1), Duration::micros(2'000)));
+        caches.push_back(
+            std::make_unique<FakeCache>(loop, "c" + std::to_string(c + 1), Duration::micros(2'000)));
     gateways.resize(options.gateways);
     for (std::size_t n = 0; n < options.gateways; ++n) build(n, folder + "/g" + std::to_string(n + 1));
-    registry.settled = [this](const RegistryStandIn::Settled& t) {
+    registry.on_settled = [this](const FakeRegistry::SettledTransaction& t) {
         check(t);
         on_transaction(t);
         if (registry.model.newest().raw() - registry.model.oldest().raw() > 2 * most_history)
@@ -49,25 +50,26 @@
     fs::create_directories(folder);
     Gateway& g = gateways[n];
     g.name = "g" + std::to_string(n + 1);
-    g.board = std::make_unique<NoticeBoard>(loop);
-    g.to_board = std::make_unique<FaultProxy>(loop, g.board->address());
+    g.notice_board = std::make_unique<FakeNoticeBoard>(loop);
+    g.notice_board_proxy = std::make_unique<FaultProxy>(loop, g.notice_board->address());
     for (std::size_t m = 0; m < options.members; ++m)
-        g.to_registry.push_back(std::make_unique<FaultProxy>(loop, registry.address(m)));
+        g.registry_proxies.push_back(std::make_unique<FaultProxy>(loop, registry.address(m)));
     nlohmann::json lines = nlohmann::json::array();
     for (std::size_t c = 0; c < options.caches; ++c) {
-        g.to_caches.push_back(std::make_unique<FaultProxy>(loop, caches[c]->address()));
-        g.to_caches[c]->seen = [this, n, c](Direction w, std::string_view bytes) {
+        g.cache_proxies.push_back(std::make_unique<FaultProxy>(loop, caches[c]->address()));
+        g.cache_proxies[c]->on_chunk = [this, n, c](Direction w, std::string_view bytes) {
             if (w == Direction::to_server && bytes.find("ECHO") != std::string_view::npos)
                 check_health_check(n, c);
         };
-        lines.push_back(endpoint_json(caches[c]->id(), "node", "plant", g.to_caches[c]->address(), "Ready"));
+        lines.push_back(
+            endpoint_json(caches[c]->id(), "node", "plant", g.cache_proxies[c]->address(), "Ready"));
     }
-    g.board->post({{"pool", {{"version", 1}, {"full", true}, {"servers", lines}}}});
+    g.notice_board->post({{"pool", {{"version", 1}, {"full", true}, {"servers", lines}}}});
     g.listen = free_address();
-    g.from_clients = std::make_unique<FaultProxy>(loop, g.listen);
-    g.clients = std::make_unique<ClientLoad>(loop, g.from_clients->address(), "pages",
+    g.client_proxy = std::make_unique<FaultProxy>(loop, g.listen);
+    g.clients = std::make_unique<ClientLoad>(loop, g.client_proxy->address(), "pages",
                                              options.request_interval, Duration::micros(2'000'000));
-    nlohmann::json c = configuration(g.listen, g.to_board->address(), g.board->known());
+    nlohmann::json c = configuration(g.listen, g.notice_board_proxy->address(), g.notice_board->known());
     c["name"] = g.name;
     c["seed"] = std::to_string(n + 1);
     c["settings"]["balancers"] = options.gateways;
@@ -76,7 +78,8 @@
     g.configuration = folder + "/config.json";
     std::ofstream(g.configuration) << c.dump();
     std::string members;
-    for (const auto& r : g.to_registry) members += (members.empty() ? "\"" : ", \"") + r->address() + '"';
+    for (const auto& r : g.registry_proxies)
+        members += (members.empty() ? "\"" : ", \"") + r->address() + '"';
     const auto ms = [](Duration s) { return '"' + std::to_string(s.micros() / 1000) + "ms\"\n"; };
     g.parts = folder + "/parts.toml";
     std::ofstream parts(g.parts);
@@ -88,9 +91,9 @@
     if (options.stores_tokens) parts << "keep_in = \"" << folder << "/store\"\n";
     parts << options.fleet_lines(n);
     g.log = folder + "/log";
-    g.clock = folder + "/clock";
-    std::ofstream(g.clock) << std::string(2 * sizeof(double), '\0');
-    clock(n, 1);
+    g.clock_file = folder + "/clock";
+    std::ofstream(g.clock_file) << std::string(2 * sizeof(double), '\0');
+    set_clock(n, 1);
 }
 
 // --- orders ----------------------------------------------------------------------------------------------
@@ -99,12 +102,13 @@
     Gateway& g = gateways[n];
     g.stopped = false;
     std::vector<std::string> environment{"NODE_CONFIG=" + g.configuration};
-    if (!options.clock.empty())
-        for (const std::string& e : {"LD_PRELOAD=" + options.clock, "IRISMUX_LAB_CLOCK=" + g.clock,
-                                     std::string("ASAN_OPTIONS=verify_asan_link_order=0")})
+    if (!options.clock_library.empty())
+        for (const std::string& e :
+             {"LD_PRELOAD=" + options.clock_library, "IRISMUX_CLOCK_SKEW_FILE=" + g.clock_file,
+              std::string("ASAN_OPTIONS=verify_asan_link_order=0")})
             environment.push_back(e);
     g.process = std::make_unique<Process>(
-        Process::Start{{options.program, "serve", "--parts", g.parts}, environment, "", g.log});
+        Process::Options{{options.program, "serve", "--parts", g.parts}, environment, "", g.log});
 }
 
 void ProcessFleet::start_all() {
@@ -123,48 +127,48 @@
     if (gateways[n].process) gateways[n].process->signal(SIGCONT);
 }
 
-void ProcessFleet::cut_registry(std::size_t n, bool out, bool back) {
-    for (const auto& r : gateways[n].to_registry) {
+void ProcessFleet::partition_registry(std::size_t n, bool out, bool back) {
+    for (const auto& r : gateways[n].registry_proxies) {
         r->hold(Direction::to_server, out);
         r->hold(Direction::to_client, back);
     }
 }
 
-void ProcessFleet::cut_caches(std::size_t n, bool is) {
-    for (const auto& r : gateways[n].to_caches) r->cut(is);
+void ProcessFleet::partition_caches(std::size_t n, bool is) {
+    for (const auto& r : gateways[n].cache_proxies) r->set_partitioned(is);
 }
 
 void ProcessFleet::set_cache_dead(std::size_t c, bool is) {
     if (is)
-        caches[c]->die();
+        caches[c]->stop();
     else
-        caches[c]->live();
-    for (const Gateway& g : gateways) g.to_caches[c]->down(is);
+        caches[c]->restart();
+    for (const Gateway& g : gateways) g.cache_proxies[c]->set_down(is);
 }
 
-void ProcessFleet::clock(std::size_t n, double rate, Duration ahead) {
+void ProcessFleet::set_clock(std::size_t n, double rate, Duration ahead) {
     const std::int64_t us = ahead.micros();
     // In place: the process has the file mapped.
-    std::fstream file(gateways[n].clock, std::ios::in | std::ios::out | std::ios::binary);
+    std::fstream file(gateways[n].clock_file, std::ios::in | std::ios::out | std::ios::binary);
     file.write(reinterpret_cast<const char*>(&rate), sizeof rate);
     file.write(reinterpret_cast<const char*>(&us), sizeof us);
 }
 
-void ProcessFleet::serve(std::size_t n) {
-    until([&] {
+void ProcessFleet::start_clients(std::size_t n) {
+    wait_until([&] {
         const auto seen = sockets_of(gateways[n].process->id());
-        return std::any_of(seen.begin(), seen.end(), [](const SeenSocket& s) { return s.listening; });
+        return std::any_of(seen.begin(), seen.end(), [](const SocketInfo& s) { return s.listening; });
     });
     gateways[n].clients->start();
 }
 
-bool ProcessFleet::until(std::function<bool()> so, Duration most) {
-    return intervals_.until(std::move(so), most);
+bool ProcessFleet::wait_until(std::function<bool()> so, Duration most) {
+    return loop_runner_.run_until(std::move(so), most);
 }
 
-void ProcessFleet::pass(Duration time) {
+void ProcessFleet::run_for(Duration time) {
     const TimePoint end = loop.now() + time;
-    intervals_.until([&] { return loop.now() >= end; }, time + time);
+    loop_runner_.run_until([&] { return loop.now() >= end; }, time + time);
 }
 
 // --- what the far ends show ------------------------------------------------------------------------------
@@ -175,12 +179,12 @@
     return it == state->end() ? std::nullopt : std::optional(it->second.value);
 }
 
-std::optional<DutyRecord> ProcessFleet::duty(const std::string& name) const {
+std::optional<DutyRecord> ProcessFleet::duty_record(const std::string& name) const {
     const auto text = record(duty_key(DutyName{name}).raw());
     return text ? parse_duty(*text) : std::nullopt;
 }
 
-std::optional<MemberRecord> ProcessFleet::member(std::size_t n) const {
+std::optional<MemberRecord> ProcessFleet::member_record(std::size_t n) const {
     const auto text = record(member_key(MemberName{gateways[n].name}).raw());
     return text ? parse_member(*text) : std::nullopt;
 }
@@ -192,22 +196,22 @@
 }
 
 std::optional<std::size_t> ProcessFleet::owner(const std::string& name) const {
-    const auto d = duty(name);
+    const auto d = duty_record(name);
     const auto n = d ? number_of(d->owner) : std::nullopt;
-    const auto m = n ? member(*n) : std::nullopt;
+    const auto m = n ? member_record(*n) : std::nullopt;
     return m && m->incarnation == d->incarnation ? n : std::nullopt;
 }
 
 bool ProcessFleet::all_joined() const {
     for (std::size_t n = 0; n < gateways.size(); ++n)
-        if (!member(n)) return false;
+        if (!member_record(n)) return false;
     return true;
 }
 
-std::size_t ProcessFleet::accepted(const std::string& name, std::size_t n, Incarnation start) const {
+std::size_t ProcessFleet::accepted_writes(const std::string& name, std::size_t n, Incarnation start) const {
     return static_cast<std::size_t>(
-        std::count_if(written.begin(), written.end(), [&](const FencedWriteSeen& w) {
-            return w.held && w.duty == name && w.by == Instance{MemberName{gateways[n].name}, start};
+        std::count_if(fenced_writes.begin(), fenced_writes.end(), [&](const FencedWriteRecord& w) {
+            return w.accepted && w.duty == name && w.by == Instance{MemberName{gateways[n].name}, start};
         }));
 }
 
@@ -217,54 +221,56 @@
     return all.find(part) != std::string::npos;
 }
 
-void ProcessFleet::all_answered() {
+void ProcessFleet::check_all_answered() {
     for (const Gateway& g : gateways) g.clients->stop();
-    until([&] {
+    wait_until([&] {
         return std::all_of(gateways.begin(), gateways.end(),
-                           [](const Gateway& g) { return g.clients->open() == 0; });
+                           [](const Gateway& g) { return g.clients->open_requests() == 0; });
     });
     for (const Gateway& g : gateways) {
-        if (g.clients->open() > 0)
-            broken.insert(std::to_string(g.clients->open()) + " lookups of " + g.name + " have no answer");
-        if (g.clients->twice > 0) broken.insert("a lookup of " + g.name + " was answered twice");
+        if (g.clients->open_requests() > 0)
+            violations.insert(std::to_string(g.clients->open_requests()) + " lookups of " + g.name +
+                              " have no answer");
+        if (g.clients->duplicate_responses > 0)
+            violations.insert("a lookup of " + g.name + " was answered twice");
     }
 }
 
 // At each transaction that the registry settles.
-void ProcessFleet::check(const RegistryStandIn::Settled& t) {
+void ProcessFleet::check(const FakeRegistry::SettledTransaction& t) {
     for (const auto& [path, value] : t.writes) {
         if (!value || path.rfind(prefix, 0) != 0) continue;
         const Key key = key_at(path.substr(std::string_view(prefix).size()));
         if (const auto d = duty_of(key)) {
             const auto r = parse_duty(*value);
-            if (!r || !t.held) continue;
+            if (!r || !t.succeeded) continue;
             const Instance by{r->owner, r->incarnation};
             ownership_changes.push_back({t.at, d->raw(), r->token, by});
             if (by.name.raw().empty()) continue;
-            const auto [it, fresh] = given_.try_emplace({d->raw(), r->token}, by);
+            const auto [it, fresh] = token_owners_.try_emplace({d->raw(), r->token}, by);
             if (!fresh && it->second != by)
-                broken.insert("epoch " + std::to_string(r->token.raw()) + " of " + d->raw() + " given to " +
-                              words(it->second) + " and " + words(by));
+                violations.insert("epoch " + std::to_string(r->token.raw()) + " of " + d->raw() +
+                                  " given to " + words(it->second) + " and " + words(by));
         }
-        std::optional<FencedWriteSeen> w;
+        std::optional<FencedWriteRecord> w;
         if (const auto s =
                 key == collection_progress_key() ? parse_collection_progress(*value) : std::nullopt)
-            w = FencedWriteSeen{t.at, "sweep", s->token, s->owner, t.held};
+            w = FencedWriteRecord{t.at, "sweep", s->token, s->owner, t.succeeded};
         if (const auto c = health_record_cache(key))
             if (const auto f = parse_health_record(*value))
-                w = FencedWriteSeen{t.at, health_check_duty(*c).raw(), f->token, f->owner, t.held};
+                w = FencedWriteRecord{t.at, health_check_duty(*c).raw(), f->token, f->owner, t.succeeded};
         if (!w) continue;
-        written.push_back(*w);
-        if (!w->held) continue;
-        const auto now_owns = duty(w->duty);
+        fenced_writes.push_back(*w);
+        if (!w->accepted) continue;
+        const auto now_owns = duty_record(w->duty);
         if (!now_owns || now_owns->token != w->token || now_owns->owner != w->by.name ||
             now_owns->incarnation != w->by.incarnation)
-            broken.insert("a write on " + w->duty + " by " + words(w->by) + " under epoch " +
-                          std::to_string(w->token.raw()) + ", which does not own it");
-        FencingToken& highest = highest_[w->duty];
+            violations.insert("a write on " + w->duty + " by " + words(w->by) + " under epoch " +
+                              std::to_string(w->token.raw()) + ", which does not own it");
+        FencingToken& highest = highest_token_[w->duty];
         if (w->token < highest)
-            broken.insert("a write on " + w->duty + " by epoch " + std::to_string(w->token.raw()) +
-                          " after one by " + std::to_string(highest.raw()));
+            violations.insert("a write on " + w->duty + " by epoch " + std::to_string(w->token.raw()) +
+                              " after one by " + std::to_string(highest.raw()));
         highest = std::max(highest, w->token);
     }
 }
@@ -274,15 +280,15 @@
     health_checks.push_back({loop.now(), gateway, cache});
     auto& order = health_checkers_[cache];
     if (!order.empty() && order.back() == gateway) return;
-    const auto d = duty(health_check_duty(CacheId{caches[cache]->id()}).raw());
+    const auto d = duty_record(health_check_duty(CacheId{caches[cache]->id()}).raw());
     const bool owns = d && d->owner.raw() == gateways[gateway].name;
     if (order.empty() || owns) {
         order.push_back(gateway);
         late_health_checks_[cache] = 0;
     } else if (++late_health_checks_[cache] > looks_under_way) {
-        broken.insert(gateways[gateway].name + " goes on looking at " + caches[cache]->id() +
-                      " after another has begun to");
+        violations.insert(gateways[gateway].name + " goes on looking at " + caches[cache]->id() +
+                          " after another has begun to");
     }
 }
 
-}  // namespace irismux::stand_ins
+}  // namespace irismux::test_support
--- a/testing/registry_model.cpp
+++ b/testing/registry_model.cpp
@@ -2,7 +2,7 @@
 
 #include <nlohmann/json.hpp>
 
-namespace irismux::stand_ins {
+namespace irismux::test_support {
 
 Revision RegistryModel::commit(const std::vector<std::pair<RecordKey, std::optional<std::string>>>& writes) {
     const Revision r{newest().raw() + 1};
@@ -50,8 +50,8 @@
     return all;
 }
 
-std::string list_value(const std::string& id, const std::string& state, double weight,
-                       std::int64_t started_ms, const std::string& address) {
+std::string endpoint_value(const std::string& id, const std::string& state, double weight,
+                           std::int64_t started_ms, const std::string& address) {
     nlohmann::json line = {
         {"id", id}, {"state", state}, {"weight", weight}, {"zone", "here"}, {"kind", "edge"}};
     if (started_ms > 0) line["started_ms"] = started_ms;
@@ -59,4 +59,4 @@
     return line.dump();
 }
 
-}  // namespace irismux::stand_ins
+}  // namespace irismux::test_support
--- a/testing/registry_model.hpp
+++ b/testing/registry_model.hpp
@@ -9,7 +9,7 @@
 
 #include "registry/record.hpp"
 
-namespace irismux::stand_ins {
+namespace irismux::test_support {
 
 using registry::Change;
 using registry::ClusterId;
@@ -51,7 +51,7 @@
 };
 
 // The value of a record of the list, as line_of reads it.
-std::string list_value(const std::string& id, const std::string& state, double weight = 1,
-                       std::int64_t started_ms = 0, const std::string& address = "");
+std::string endpoint_value(const std::string& id, const std::string& state, double weight = 1,
+                           std::int64_t started_ms = 0, const std::string& address = "");
 
-}  // namespace irismux::stand_ins
+}  // namespace irismux::test_support
--- a/testing/shims.cpp
+++ b/testing/shims.cpp
@@ -5,7 +5,7 @@
 #include <fstream>
 #include <stdexcept>
 
-namespace irismux::stand_ins {
+namespace irismux::test_support {
 namespace {
 
 namespace fs = std::filesystem;
@@ -35,11 +35,12 @@
 }
 
 std::vector<std::string> Shims::environment() const {
-    return {"LD_PRELOAD=" + libraries_.clock + ':' + libraries_.calls, "IRISMUX_LAB_CLOCK=" + clock_file_,
-            "IRISMUX_LAB_CALLS=" + calls_file_, "ASAN_OPTIONS=verify_asan_link_order=0"};
+    return {"LD_PRELOAD=" + libraries_.clock + ':' + libraries_.calls,
+            "IRISMUX_CLOCK_SKEW_FILE=" + clock_file_, "IRISMUX_CALL_FAULTS_FILE=" + calls_file_,
+            "ASAN_OPTIONS=verify_asan_link_order=0"};
 }
 
 void Shims::set_calls(const CallFaults& faults) { write_orders(calls_file_, faults); }
 void Shims::set_clock(const ClockSkew& skew) { write_orders(clock_file_, skew); }
 
-}  // namespace irismux::stand_ins
+}  // namespace irismux::test_support
--- a/testing/shims.hpp
+++ b/testing/shims.hpp
@@ -9,7 +9,7 @@
 #include "testing/failing_calls.hpp"
 #include "testing/skewed_clock.hpp"
 
-namespace irismux::stand_ins {
+namespace irismux::test_support {
 
 // Paths of the built libraries.
 struct ShimLibraries {
@@ -35,4 +35,4 @@
     std::string folder_, clock_file_, calls_file_;
 };
 
-}  // namespace irismux::stand_ins
+}  // namespace irismux::test_support
--- a/testing/single_process.cpp
+++ b/testing/single_process.cpp
@@ -8,7 +8,7 @@
 #include "codec/fastcgi.hpp"
 #include "codec/resp.hpp"
 
-namespace irismux::stand_ins {
+namespace irismux::test_support {
 
 namespace fs = std::filesystem;
 
@@ -24,18 +24,18 @@
         loop_,
         [this](const Poco::Net::StreamSocket& s) {
             peers.insert(s.peerAddress().toString());
-            auto w = std::make_shared<StandInConnection>(loop_, s);
-            w->got = [this, raw = std::weak_ptr<StandInConnection>(w)](Buffer& in) {
+            auto w = std::make_shared<TestConnection>(loop_, s);
+            w->on_received = [this, raw = std::weak_ptr<TestConnection>(w)](Buffer& in) {
                 if (const auto wire = raw.lock()) on_data(wire, in);
             };
-            wires.push_back(w);
+            connections.push_back(w);
             w->start();
         },
         backlog, at);
     address_ = acceptor_->address();
 }
 
-void ScriptedCache::on_data(const std::shared_ptr<StandInConnection>& w, Buffer& in) {
+void ScriptedCache::on_data(const std::shared_ptr<TestConnection>& w, Buffer& in) {
     resp::Arguments words;
     std::size_t used = 0;
     while (w->state() == ConnectionState::open &&
@@ -45,21 +45,21 @@
             received.push_back({loop_.now(), std::string(words[1]), std::string(words[2]),
                                 std::string(words.size() > 3 ? words[3] : ""), w});
         in.consumed(used);
-        if (pull) then(received.back());
+        if (pull) on_attempt(received.back());
     }
 }
 
-std::size_t ScriptedCache::find_received(const std::string& lookup) const {
+std::size_t ScriptedCache::count_received(const std::string& lookup) const {
     return static_cast<std::size_t>(std::count_if(
         received.begin(), received.end(), [&](const ReceivedAttempt& p) { return p.request_id == lookup; }));
 }
 
 void ScriptedCache::answer(const ReceivedAttempt& p, const std::string& word, const std::string& body) {
-    if (p.wire->state() != ConnectionState::open) return;
+    if (p.connection->state() != ConnectionState::open) return;
     const bool hit = word == "HIT";
-    resp::write_array(p.wire->out(),
+    resp::write_array(p.connection->output(),
                       {p.request_id, word, hit ? "tag=t1,minted=1,n=cached" : "-", hit ? body : ""});
-    p.wire->write();
+    p.connection->write();
 }
 
 void ScriptedCache::hold_connections() {
@@ -69,16 +69,16 @@
 
 void ScriptedCache::resume_accepting() {
     blockers_.clear();
-    acceptor_->take_again();
+    acceptor_->resume();
 }
 
 // --- clients ---------------------------------------------------------------------------------------------
 
 FastCgiClient::FastCgiClient(EventLoop& loop, const std::string& gateway)
-    : wire(std::make_shared<StandInConnection>(loop)) {
-    wire->got = [this](Buffer& in) { on_data(in); };
-    wire->ended = [this] { ended = true; };
-    wire->start(gateway);
+    : connection(std::make_shared<TestConnection>(loop)) {
+    connection->on_received = [this](Buffer& in) { on_data(in); };
+    connection->on_end = [this] { ended = true; };
+    connection->start(gateway);
 }
 
 std::string FastCgiClient::request(std::uint16_t number, const Request& q) const {
@@ -86,7 +86,7 @@
     const auto put = [&](const char* k, const std::string& v) { fastcgi::write_pair(params, k, v); };
     put("SCRIPT_NAME", "/api/v2/" + q.kind);
     put("HTTP_X_REQUEST_ID", q.id);
-    put("HTTP_X_TIMEOUT_MS", std::to_string(q.patience_ms));
+    put("HTTP_X_TIMEOUT_MS", std::to_string(q.timeout_ms));
     put("HTTP_X_OBJECT", q.object);
     put("HTTP_X_BLOCK", "0");
     put("HTTP_X_FAMILY", "1");
@@ -103,16 +103,16 @@
 void FastCgiClient::send(std::uint16_t number, const Request& q) { write(request(number, q)); }
 
 void FastCgiClient::write(std::string_view bytes) {
-    wire->out().append(bytes);
-    wire->write();
+    connection->output().append(bytes);
+    connection->write();
 }
 
 void FastCgiClient::abort(std::uint16_t number) {
-    fastcgi::write_record(wire->out(), fastcgi::Type::abort_request, number, {});
-    wire->write();
+    fastcgi::write_record(connection->output(), fastcgi::Type::abort_request, number, {});
+    connection->write();
 }
 
-void FastCgiClient::close() { wire->close(); }
+void FastCgiClient::close() { connection->close(); }
 
 bool FastCgiClient::has_response(std::uint16_t number, const std::string& status) const {
     return std::any_of(responses.begin(), responses.end(),
@@ -140,7 +140,7 @@
 SingleProcess::SingleProcess(const Options& shape) {
     folder = (fs::temp_directory_path() / ("irismux-solo-XXXXXX")).string();
     if (!::mkdtemp(folder.data())) throw std::runtime_error("no folder can be made");
-    notice_board = std::make_unique<NoticeBoard>(loop);
+    notice_board = std::make_unique<FakeNoticeBoard>(loop);
     nlohmann::json lines = nlohmann::json::array();
     for (std::size_t c = 0; c < shape.caches; ++c) {
         caches.push_back(std::make_unique<ScriptedCache>(loop, "e" + std::to_string(c + 1), shape.backlog));
@@ -153,17 +153,18 @@
         Poco::Net::ServerSocket free(Poco::Net::SocketAddress("127.0.0.1:0"));
         listen = free.address().toString();
     }
-    configured = configuration(listen, notice_board->address(), notice_board->known());
-    shape.change(configured);
+    configuration_json = configuration(listen, notice_board->address(), notice_board->known());
+    shape.adjust_configuration(configuration_json);
     configuration_file = folder + "/config.json";
     log = folder + "/log";
-    std::ofstream(configuration_file) << configured.dump();
+    std::ofstream(configuration_file) << configuration_json.dump();
     std::vector<std::string> environment = {"NODE_CONFIG=" + configuration_file, "IRISMUX_LOG=debug"};
     environment.insert(environment.end(), shape.environment.begin(), shape.environment.end());
-    process = std::make_unique<Process>(Process::Start{{shape.program}, environment, "", log});
+    process = std::make_unique<Process>(Process::Options{{shape.program}, environment, "", log});
     for (const auto& c : caches)
-        if (shape.answers) c->then = [&c = *c](const ScriptedCache::ReceivedAttempt& p) { c.answer(p); };
-    if (!until([&] { return logged("listening gateway="); }))
+        if (shape.answer_at_once)
+            c->on_attempt = [&c = *c](const ScriptedCache::ReceivedAttempt& p) { c.answer(p); };
+    if (!wait_until([&] { return logged("listening gateway="); }))
         throw std::runtime_error("the gateway does not serve, " +
                                  std::string(process->running() ? "and runs" : "its process has ended") +
                                  ":\n" + log_tail());
@@ -181,24 +182,24 @@
 }
 
 bool SingleProcess::exited_cleanly() {
-    return until([&] { return !process->running(); }) && process->left();
+    return wait_until([&] { return !process->running(); }) && process->exited_cleanly();
 }
 
 ScriptedCache* SingleProcess::cache_serving(const std::string& lookup) {
     const auto it = std::find_if(caches.begin(), caches.end(),
-                                 [&](const auto& c) { return c->find_received(lookup) > 0; });
+                                 [&](const auto& c) { return c->count_received(lookup) > 0; });
     return it == caches.end() ? nullptr : it->get();
 }
 
 std::size_t SingleProcess::attempts_received(const std::string& lookup) const {
     std::size_t n = 0;
-    for (const auto& c : caches) n += c->find_received(lookup);
+    for (const auto& c : caches) n += c->count_received(lookup);
     return n;
 }
 
 std::size_t SingleProcess::pending_connections(const ScriptedCache& cache) const {
     std::size_t n = 0;
-    for (const SeenSocket& s : sockets_of(process->id()))
+    for (const SocketInfo& s : sockets_of(process->id()))
         n += s.remote == cache.address() && !cache.peers.contains(s.local);
     return n;
 }
@@ -219,4 +220,4 @@
     return text.size() > most ? text.substr(text.size() - most) : text;
 }
 
-}  // namespace irismux::stand_ins
+}  // namespace irismux::test_support
--- a/testing/single_process.hpp
+++ b/testing/single_process.hpp
@@ -10,11 +10,11 @@
 #include <string>
 #include <vector>
 
+#include "testing/fake_services.hpp"
 #include "testing/process.hpp"
 #include "testing/sockets.hpp"
-#include "testing/stand_ins.hpp"
 
-namespace irismux::stand_ins {
+namespace irismux::test_support {
 
 // A cache that does nothing by itself.
 class ScriptedCache {
@@ -26,22 +26,22 @@
     struct ReceivedAttempt {
         TimePoint at;  // its last byte
         std::string request_id, fields, body;
-        std::shared_ptr<StandInConnection> wire;
+        std::shared_ptr<TestConnection> connection;
     };
     std::deque<ReceivedAttempt> received;
-    std::size_t find_received(const std::string& lookup) const;
+    std::size_t count_received(const std::string& lookup) const;
     void answer(const ReceivedAttempt&, const std::string& word = "HIT", const std::string& body = "a body");
 
     // No connection comes up until take_again(), where the backlog is 0.
     void hold_connections();
     void resume_accepting();
-    std::vector<std::shared_ptr<StandInConnection>> wires;            // in the order in which they came
-    std::set<std::string> peers;                                      // whose they are
-    std::function<void(const ReceivedAttempt&)> then = [](auto&) {};  // with each lookup
+    std::vector<std::shared_ptr<TestConnection>> connections;               // in the order in which they came
+    std::set<std::string> peers;                                            // whose they are
+    std::function<void(const ReceivedAttempt&)> on_attempt = [](auto&) {};  // with each lookup
 
 private:
     void listen(int backlog);
-    void on_data(const std::shared_ptr<StandInConnection>& w, Buffer& in);
+    void on_data(const std::shared_ptr<TestConnection>& w, Buffer& in);
     EventLoop& loop_;
     std::string id_, address_;
     std::vector<Poco::Net::StreamSocket> blockers_;
@@ -54,7 +54,7 @@
     FastCgiClient(EventLoop& loop, const std::string& gateway);
     struct Request {
         std::string id, object = "00000000000000a1", kind = "pages", body = {};
-        int patience_ms = 3000;
+        int timeout_ms = 3000;
         std::string idempotency_key = {};
     };
     std::string request(std::uint16_t number, const Request& q) const;  // its bytes
@@ -72,7 +72,7 @@
     // Whether that one is here and begins so.
     bool has_response(std::uint16_t number, const std::string& status = "Status: ") const;
     bool ended = false;  // by the gateway
-    std::shared_ptr<StandInConnection> wire;
+    std::shared_ptr<TestConnection> connection;
 
 private:
     void on_data(Buffer& in);
@@ -85,16 +85,16 @@
         std::string program;
         std::size_t caches = 2;
         int backlog = 64;
-        bool answers = false;                                        // each cache, each lookup, at once
-        std::function<void(nlohmann::json&)> change = [](auto&) {};  // of the configuration
-        std::vector<std::string> environment = {};                   // beside the configuration's
+        bool answer_at_once = false;  // each cache, each lookup, at once
+        std::function<void(nlohmann::json&)> adjust_configuration = [](auto&) {};  // of the configuration
+        std::vector<std::string> environment = {};  // beside the configuration's
     };
     // Returns when the gateway serves; throws std::runtime_error where it does not.
     explicit SingleProcess(const Options& shape);
     ~SingleProcess();
 
-    bool until(std::function<bool()> so, Duration most = Duration::micros(10'000'000)) {
-        return intervals_.until(std::move(so), most);
+    bool wait_until(std::function<bool()> so, Duration most = Duration::micros(10'000'000)) {
+        return loop_runner_.run_until(std::move(so), most);
     }
     std::shared_ptr<FastCgiClient> connect_client();
     bool exited_cleanly();  // by itself, with exit code 0, before long
@@ -109,14 +109,14 @@
 
     EventLoop loop;
     std::vector<std::unique_ptr<ScriptedCache>> caches;
-    std::unique_ptr<NoticeBoard> notice_board;
+    std::unique_ptr<FakeNoticeBoard> notice_board;
     std::unique_ptr<Process> process;
     std::string listen, folder, log, configuration_file;
-    nlohmann::json configured;
+    nlohmann::json configuration_json;
 
 private:
     std::vector<std::shared_ptr<FastCgiClient>> clients_;
-    Intervals intervals_{loop};  // the last: nothing of the above may go while the loop runs
+    LoopRunner loop_runner_{loop};  // the last: nothing of the above may go while the loop runs
 };
 
-}  // namespace irismux::stand_ins
+}  // namespace irismux::test_support
--- a/testing/site_simulation.cpp
+++ b/testing/site_simulation.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace irismux::stand_ins {
+namespace irismux::test_support {
 
 using namespace irismux::fleet;
 
@@ -26,37 +26,38 @@
 
 // One member's name: its process, if one runs, and what is between it and the others.
 struct SiteSimulation::Process final : public AgentTransport, public AgentObserver {
-    Process(SiteSimulation& w, std::size_t n, std::string in) : world(w), no(n), site(std::move(in)) {}
+    Process(SiteSimulation& w, std::size_t n, std::string in) : world(w), number(n), site(std::move(in)) {}
 
     SiteSimulation& world;
-    std::size_t no;
+    std::size_t number;
     std::string site;
-    MemberName name{"m" + std::to_string(no)};
+    MemberName name{"m" + std::to_string(number)};
     std::unique_ptr<Agent> agent;
     std::unique_ptr<SiteReporter> reporter;  // none: in the old form
     double rate = 1;
-    bool stopped = false, cut_out = false, cut_in = false, board_cut = false, leaving = false;
-    std::uint64_t ask = 0, life = 0, polls = 0, wake_no = 0, history = 0;
-    Revision told;
-    bool telling = false;
+    bool stopped = false, outbound_blocked = false, inbound_blocked = false, board_blocked = false,
+         leaving = false;
+    std::uint64_t transaction_number = 0, process_number = 0, polls = 0, wake_no = 0, restores_seen = 0;
+    Revision delivered;
+    bool delivering = false;
     std::set<int> in_force;  // events
     std::int64_t position = 0;
-    Incarnation former;
-    std::string kept;
-    std::vector<std::function<void()>> waiting;
+    Incarnation previous_incarnation;
+    std::string saved_fence;
+    std::vector<std::function<void()>> deferred;
 
     TimePoint clock() const { return TimePoint{} + Duration::seconds(world.now_.seconds() * rate); }
     TimePoint real(TimePoint local) const { return TimePoint::at_seconds(local.seconds() / rate + 1e-6); }
     std::int64_t unix_ms() const { return static_cast<std::int64_t>(world.now_.seconds() * 1000); }
 
     void submit(const Transaction& d) override {
-        ++ask;
+        ++transaction_number;
         world.submit(*this, d);
     }
     void schedule_wake(TimePoint local) override {
-        const std::uint64_t mine = ++wake_no, born = life;
-        world.at(std::max(real(local), world.now_), [this, mine, born] {
-            if (born == life && mine == wake_no) world.wake(*this);
+        const std::uint64_t mine = ++wake_no, born = process_number;
+        world.schedule(std::max(real(local), world.now_), [this, mine, born] {
+            if (born == process_number && mine == wake_no) world.wake(*this);
         });
     }
     void on_lease_state(const DutyName&, LeaseState, FencingToken) override {}
@@ -67,14 +68,14 @@
     void on_registry_restored() override {
         if (reporter) reporter->applied().on_history_lost();
     }
-    void on_heartbeat_result(TimePoint sent, HeartbeatNumber number,
+    void on_heartbeat_result(TimePoint sent, HeartbeatNumber heartbeat,
                              const std::vector<Entry>& shown) override {
-        if (reporter) reporter->on_heartbeat(clock(), unix_ms(), sent, number, shown, *agent);
+        if (reporter) reporter->on_heartbeat(clock(), unix_ms(), sent, heartbeat, shown, *agent);
     }
     void when_running(std::function<void()> then) {
         if (!agent) return;
         if (stopped)
-            waiting.push_back(std::move(then));
+            deferred.push_back(std::move(then));
         else
             then();
     }
@@ -85,11 +86,11 @@
         : status(w.shared_config_.term, std::move(inventory)), rate(clock_rate) {}
     FleetStatus status;
     double rate;
-    std::size_t no = 0;
+    std::size_t number = 0;
 };
 
-SiteSimulation::SiteSimulation(std::uint32_t seed, const Shape& shape, const SharedConfig& shared_config)
-    : shape_(shape), shared_config_(shared_config), chance_(seed) {
+SiteSimulation::SiteSimulation(std::uint32_t seed, const Options& shape, const SharedConfig& shared_config)
+    : options_(shape), shared_config_(shared_config), random_(seed) {
     std::map<SiteName, std::size_t> inventory;
     for (const auto& [site, count] : shape.inventory) inventory[SiteName{site}] = count;
     for (std::size_t s = 0; s < shape.sites.size(); ++s) {
@@ -98,18 +99,18 @@
         for (std::size_t n = 0; n < shape.sites[s]; ++n)
             processes_.push_back(std::make_unique<Process>(*this, processes_.size(), site_names_[s]));
     }
-    for (std::size_t n = 0; n < shape.old_form; ++n)
+    for (std::size_t n = 0; n < shape.legacy_members; ++n)
         processes_.push_back(std::make_unique<Process>(*this, processes_.size(), outside));
     for (const auto& p : processes_) {
         // The first two stand at either end of what is allowed.
-        const double off = p->no == 0 ? -1 : p->no == 1 ? 1 : 2 * random_fraction() - 1;
+        const double off = p->number == 0 ? -1 : p->number == 1 ? 1 : 2 * random_fraction() - 1;
         p->rate = 1 + off * shape.drift;
     }
     for (const double end : {-1.0, 1.0}) {
         readers_.push_back(std::make_unique<Reader>(*this, inventory, 1 + end * shape.drift));
-        readers_.back()->no = readers_.size() - 1;
+        readers_.back()->number = readers_.size() - 1;
     }
-    said_.resize(readers_.size());
+    last_verdicts_.resize(readers_.size());
     next_fault_ = next_backup_ = next_publication_ = now_;
     if (shape.readers)
         for (const auto& r : readers_) read(*r);
@@ -117,13 +118,13 @@
 
 SiteSimulation::~SiteSimulation() = default;
 
-void SiteSimulation::at(TimePoint due, std::function<void()> then) {
-    events_[{due, next_++}] = std::move(then);
+void SiteSimulation::schedule(TimePoint due, std::function<void()> then) {
+    events_[{due, next_event_number_++}] = std::move(then);
 }
 
 std::size_t SiteSimulation::member(std::size_t site, std::size_t place) const {
     std::size_t first = 0;
-    for (std::size_t s = 0; s < site; ++s) first += shape_.sites[s];
+    for (std::size_t s = 0; s < site; ++s) first += options_.sites[s];
     return first + place;
 }
 
@@ -132,7 +133,7 @@
 std::size_t SiteSimulation::owner(std::size_t site) const {
     for (const auto& p : processes_)
         if (p->site == site_names_[site] && p->agent && p->agent->may_act(p->clock(), digest_duty()))
-            return p->no;
+            return p->number;
     return members();
 }
 
@@ -140,28 +141,28 @@
 
 Duration SiteSimulation::delay(double late) {
     const Duration usual = ms * (1 + 20 * random_fraction());
-    return happens(late) ? shared_config_.term * (2.5 * random_fraction()) : usual;
+    return with_probability(late) ? shared_config_.term * (2.5 * random_fraction()) : usual;
 }
 
 // --- processes -------------------------------------------------------------------------------------------
 
 void SiteSimulation::start(std::size_t member, std::size_t events_ago) {
     Process& p = *processes_[member];
-    ++p.life;
-    p.waiting.clear();
-    p.stopped = p.leaving = p.telling = false;
-    p.told = {};
-    p.history = 0;
+    ++p.process_number;
+    p.deferred.clear();
+    p.stopped = p.leaving = p.delivering = false;
+    p.delivered = {};
+    p.restores_seen = 0;
     const std::size_t known = board_.size() - std::min(board_.size(), events_ago);
     p.in_force = {board_.begin(), board_.begin() + static_cast<std::ptrdiff_t>(known)};
     p.position = static_cast<std::int64_t>(known);
-    const std::string id = p.name.raw() + '.' + std::to_string(p.life);
-    MemberIdentity identity{p.name, InstanceId{id}, "1", p.former};
+    const std::string id = p.name.raw() + '.' + std::to_string(p.process_number);
+    MemberIdentity identity{p.name, InstanceId{id}, "1", p.previous_incarnation};
     identity.reply_timeout = ms * 300;
     const bool of_a_site = p.site != outside;
     if (of_a_site) identity.acknowledge_interval = acknowledge_every;
-    p.agent = std::make_unique<Agent>(p, p, shared_config_, identity, chance_());
-    if (!p.kept.empty()) p.agent->fence().restore(p.kept);
+    p.agent = std::make_unique<Agent>(p, p, shared_config_, identity, random_());
+    if (!p.saved_fence.empty()) p.agent->fence().restore(p.saved_fence);
     if (of_a_site)
         p.reporter = std::make_unique<SiteReporter>(
             SiteReporter::Settings{p.name, id, shared_config_.term, acknowledge_every, shared_config_.drift},
@@ -173,18 +174,18 @@
 }
 
 void SiteSimulation::start_all() {
-    for (const auto& p : processes_) start(p->no);
+    for (const auto& p : processes_) start(p->number);
 }
 
 void SiteSimulation::kill(std::size_t member) {
     Process& p = *processes_[member];
     if (!p.agent) return;
-    p.kept = p.agent->fence().serialize();
-    p.former = p.agent->incarnation();
+    p.saved_fence = p.agent->fence().serialize();
+    p.previous_incarnation = p.agent->incarnation();
     p.agent.reset();
     p.reporter.reset();
-    ++p.life;
-    p.waiting.clear();
+    ++p.process_number;
+    p.deferred.clear();
 }
 
 void SiteSimulation::leave(std::size_t member) {
@@ -197,23 +198,23 @@
 void SiteSimulation::resume(std::size_t member) {
     Process& p = *processes_[member];
     p.stopped = false;
-    for (const auto& then : std::exchange(p.waiting, {}))
+    for (const auto& then : std::exchange(p.deferred, {}))
         if (p.agent && !p.stopped) then();
 }
 
-void SiteSimulation::cut(std::size_t member, bool in, bool out) {
+void SiteSimulation::partition(std::size_t member, bool in, bool out) {
     Process& p = *processes_[member];
-    p.cut_in = in;
-    p.cut_out = out;
-    p.telling = false;
+    p.inbound_blocked = in;
+    p.outbound_blocked = out;
+    p.delivering = false;
     deliver_records(p);
 }
 
-void SiteSimulation::cut_board(std::size_t member, bool is) { processes_[member]->board_cut = is; }
+void SiteSimulation::partition_board(std::size_t member, bool is) { processes_[member]->board_blocked = is; }
 
-void SiteSimulation::revive(std::size_t member) {
-    cut(member, false, false);
-    cut_board(member, false);
+void SiteSimulation::recover(std::size_t member) {
+    partition(member, false, false);
+    partition_board(member, false);
     if (!processes_[member]->agent) return start(member);
     resume(member);
 }
@@ -232,12 +233,13 @@
 // --- the registry ----------------------------------------------------------------------------------------
 
 void SiteSimulation::submit(Process& p, const Transaction& deal) {
-    if (p.cut_out || happens(fault_rates_.lose)) return;
-    const std::uint64_t ask = p.ask, life = p.life;
-    const std::size_t no = p.no;
-    const int times = happens(fault_rates_.repeat) ? 2 : 1;
+    if (p.outbound_blocked || with_probability(fault_rates_.lose)) return;
+    const std::uint64_t ask = p.transaction_number, life = p.process_number;
+    const std::size_t no = p.number;
+    const int times = with_probability(fault_rates_.repeat) ? 2 : 1;
     for (int t = 0; t < times; ++t)
-        at(now_ + delay(fault_rates_.late), [this, no, ask, life, deal] { settle(no, ask, life, deal); });
+        schedule(now_ + delay(fault_rates_.late),
+                 [this, no, ask, life, deal] { settle(no, ask, life, deal); });
 }
 
 void SiteSimulation::settle(std::size_t member, std::uint64_t ask, std::uint64_t life,
@@ -249,20 +251,23 @@
     for (const auto& [key, text] : deal.writes) placed.writes.emplace_back(Key{where(p.site, key)}, text);
     for (const Key& key : deal.reads) placed.reads.emplace_back(where(p.site, key));
     TransactionLedger::Outcome o = ledger_.settle(placed);
-    for (std::size_t n = 0; n < o.shown.size(); ++n)
-        o.shown[n].first = o.held ? deal.reads[n] : deal.compares[n].first;
+    for (std::size_t n = 0; n < o.values.size(); ++n)
+        o.values[n].first = o.succeeded ? deal.reads[n] : deal.compares[n].first;
     const bool watched = std::any_of(placed.writes.begin(), placed.writes.end(), [&](const Entry& e) {
         return e.first.raw().rfind(p.site + '/', 0) == 0;
     });
-    if (watched && o.held)
+    if (watched && o.succeeded)
         for (const auto& other : processes_)
             if (other->site == p.site) deliver_records(*other);
-    if (p.life != life || p.ask != ask || p.cut_in || happens(fault_rates_.lose)) return;
-    const std::uint64_t history = histories_;
-    at(now_ + delay(fault_rates_.late), [this, &p, life, history, ask, o] {
-        if (p.life != life || history != histories_) return;
+    if (p.process_number != life || p.transaction_number != ask || p.inbound_blocked ||
+        with_probability(fault_rates_.lose))
+        return;
+    const std::uint64_t history = restores_;
+    schedule(now_ + delay(fault_rates_.late), [this, &p, life, history, ask, o] {
+        if (p.process_number != life || history != restores_) return;
         p.when_running([this, &p, ask, o] {
-            if (p.ask == ask) p.agent->on_transaction_result(p.clock(), o.at, o.held, o.shown);
+            if (p.transaction_number == ask)
+                p.agent->on_transaction_result(p.clock(), o.revision, o.succeeded, o.values);
             step(p);
         });
     });
@@ -270,22 +275,22 @@
 
 // The watch over the site's own records: everything up to some revision after a while, in order.
 void SiteSimulation::deliver_records(Process& p) {
-    if (p.telling || !p.agent || p.cut_in) return;
-    p.telling = true;
-    const std::uint64_t life = p.life;
-    at(now_ + delay(fault_rates_.late / 4), [this, &p, life] {
-        if (p.life != life) return;
-        p.telling = false;
-        if (p.cut_in) return;
+    if (p.delivering || !p.agent || p.inbound_blocked) return;
+    p.delivering = true;
+    const std::uint64_t life = p.process_number;
+    schedule(now_ + delay(fault_rates_.late / 4), [this, &p, life] {
+        if (p.process_number != life) return;
+        p.delivering = false;
+        if (p.inbound_blocked) return;
         p.when_running([this, &p] {
-            const bool whole = p.history != histories_ + 1 || ledger_.forgotten(p.told);
+            const bool whole = p.restores_seen != restores_ + 1 || ledger_.compacted(p.delivered);
             std::vector<Entry> list;
             for (const auto& [key, text] :
-                 whole ? ledger_.all() : ledger_.changes(p.told, ledger_.revision()))
+                 whole ? ledger_.watched_records() : ledger_.changes(p.delivered, ledger_.revision()))
                 if (key.raw().rfind(p.site + '/', 0) == 0)
                     list.emplace_back(Key{key.raw().substr(p.site.size() + 1)}, text);
-            p.history = histories_ + 1;
-            p.told = ledger_.revision();
+            p.restores_seen = restores_ + 1;
+            p.delivered = ledger_.revision();
             if (!whole && list.empty()) return;
             deliveries += list.size();
             p.agent->on_records(p.clock(), ledger_.revision(), list, whole);
@@ -295,14 +300,14 @@
 }
 
 // Premise: a backup is more than a term old when the registry answers from it.
-void SiteSimulation::registry_back(Duration age) {
+void SiteSimulation::restore_registry(Duration age) {
     for (auto b = backups_.rbegin(); b != backups_.rend(); ++b) {
         if (now_ - b->taken <= age) continue;
         ledger_.restore(b->records, b->revision);
-        ++histories_;
+        ++restores_;
         backups_.erase(b.base(), backups_.end());
         for (const auto& p : processes_) {
-            p->telling = false;
+            p->delivering = false;
             deliver_records(*p);
         }
         return;
@@ -310,7 +315,7 @@
 }
 
 // As the command line does: the name goes from the roster if nobody runs under it.
-void SiteSimulation::forget(std::size_t member) {
+void SiteSimulation::forget_member(std::size_t member) {
     const Process& p = *processes_[member];
     const Key roster{where(p.site, roster_key())}, is_member{where(p.site, member_key(p.name))};
     const auto it = ledger_.records().find(roster);
@@ -329,21 +334,21 @@
 
 // Polls as the notice client does: what came last takes effect before the next poll goes out.
 void SiteSimulation::poll(Process& p) {
-    const std::uint64_t life = p.life, mine = ++p.polls;
+    const std::uint64_t life = p.process_number, mine = ++p.polls;
     p.when_running([this, &p, life, mine] {
-        if (p.life != life || p.polls != mine) return;
+        if (p.process_number != life || p.polls != mine) return;
         const bool from_start = p.reporter && p.reporter->applied().needs_full_history();
         if (from_start) p.position = 0;
         if (p.reporter) p.reporter->applied().on_poll_started(from_start);
-        if (p.board_cut) return fail_poll(p, life);
+        if (p.board_blocked) return fail_poll(p, life);
         const std::int64_t from = p.position;
-        at(now_ + delay(fault_rates_.late / 4), [this, &p, life, from] { answer_poll(p, life, from); });
+        schedule(now_ + delay(fault_rates_.late / 4), [this, &p, life, from] { answer_poll(p, life, from); });
     });
 }
 
 void SiteSimulation::fail_poll(Process& p, std::uint64_t life) {
-    at(now_ + poll_fails_after, [this, &p, life] {
-        if (p.life != life) return;
+    schedule(now_ + poll_fails_after, [this, &p, life] {
+        if (p.process_number != life) return;
         p.when_running([&p] {
             if (p.reporter) p.reporter->applied().on_poll_failed();
         });
@@ -355,11 +360,11 @@
     const std::int64_t newest = this->newest();
     std::vector<int> owed;
     for (std::int64_t n = from; n < newest; ++n) owed.push_back(board_[static_cast<std::size_t>(n)]);
-    at(now_ + delay(fault_rates_.late / 4), [this, &p, life, from, newest, owed] {
-        if (p.life != life) return;
+    schedule(now_ + delay(fault_rates_.late / 4), [this, &p, life, from, newest, owed] {
+        if (p.process_number != life) return;
         p.when_running([this, &p, from, newest, owed] { apply_notices(p, from, newest, owed); });
-        at(now_ + poll_every, [this, &p, life] {
-            if (p.life == life) poll(p);
+        schedule(now_ + poll_every, [this, &p, life] {
+            if (p.process_number == life) poll(p);
         });
     });
 }
@@ -373,14 +378,14 @@
     step(p);
 }
 
-void SiteSimulation::board_back(std::size_t events, bool announced) {
+void SiteSimulation::restore_board(std::size_t events, bool announced) {
     const std::size_t left = board_.size() - std::min(events, board_.size());
     board_.resize(left);
     if (!announced) return;
     const auto it = ledger_.records().find(generation_key());
     const auto shown = it == ledger_.records().end() ? std::nullopt : parse_generation(it->second);
-    const auto next = next_generation(shown, {}, true,
-                                      "operator." + std::to_string(published_) + '.' + std::to_string(next_));
+    const auto next = next_generation(
+        shown, {}, true, "operator." + std::to_string(published_) + '.' + std::to_string(next_event_number_));
     ledger_.settle({{}, {{generation_key(), serialize(*next)}}, {}});
 }
 
@@ -388,7 +393,7 @@
 
 void SiteSimulation::read(Reader& r) {
     const TimePoint asked = TimePoint{} + Duration::seconds(now_.seconds() * r.rate);
-    at(now_ + delay(fault_rates_.late), [this, &r, asked] {
+    schedule(now_ + delay(fault_rates_.late), [this, &r, asked] {
         FleetStatus::RegistryReading reading;
         reading.requested_at = asked;
         const auto text = [&](const std::string& key) -> Text {
@@ -407,11 +412,11 @@
         const std::string members = std::string(outside) + "/member/";
         for (const auto& [key, record] : ledger_.records())
             if (key.raw().rfind(members, 0) == 0) reading.old_form.emplace(key.raw().substr(members.size()));
-        at(now_ + delay(fault_rates_.late), [this, &r, reading] {
+        schedule(now_ + delay(fault_rates_.late), [this, &r, reading] {
             r.status.on_reading(reading);
             r.status.on_newest_event(EventNumber{newest()});
             judge(r);
-            at(now_ + read_every, [this, &r] { read(r); });
+            schedule(now_ + read_every, [this, &r] { read(r); });
         });
     });
 }
@@ -436,7 +441,7 @@
     }
 }
 
-FleetStatus::Verdict SiteSimulation::said_of(std::int64_t event) { return asked_about_[event]; }
+FleetStatus::Verdict SiteSimulation::verdict_of(std::int64_t event) { return asked_about_[event]; }
 
 void SiteSimulation::judge(Reader& r) {
     std::set<std::int64_t> numbers;
@@ -450,25 +455,25 @@
     const TimePoint local = TimePoint{} + Duration::seconds(now_.seconds() * r.rate);
     const auto verdict = r.status.judge(local, {EventNumber{n}, {}});
     const int event = board_[static_cast<std::size_t>(n - 1)];
-    if (n == newest()) said_[r.no] = {now_, n, verdict};
-    if (const auto it = asked_about_.find(n); r.no == 0 && it != asked_about_.end()) it->second = verdict;
+    if (n == newest()) last_verdicts_[r.number] = {now_, n, verdict};
+    if (const auto it = asked_about_.find(n); r.number == 0 && it != asked_about_.end()) it->second = verdict;
     if (verdict.reach == FleetStatus::Reach::not_yet) return;
     const bool all = verdict.reach == FleetStatus::Reach::everywhere;
-    ++(all ? everywhere : all_but);
-    if (all && r.no == 0 && said_everywhere_.insert(event).second && in_force_since_.contains(event))
-        longest_until_said = std::max(longest_until_said, now_ - in_force_since_.at(event));
+    ++(all ? everywhere_verdicts : all_but_verdicts);
+    if (all && r.number == 0 && reported_everywhere_.insert(event).second && in_force_since_.contains(event))
+        longest_verdict_delay = std::max(longest_verdict_delay, now_ - in_force_since_.at(event));
     for (const auto& p : processes_) {
         const bool excepted = std::any_of(verdict.missing.begin(), verdict.missing.end(), [&](const auto& m) {
             return m.site.raw() == p->site && (m.member == p->name || m.member.raw().empty());
         });
-        if (excepted || !acts_without(*p, event) || broken.size() >= most_broken) continue;
-        broken.push_back((all ? "everywhere" : "all but others") + std::string(" said of event ") +
-                         std::to_string(n) + " at " + std::to_string(now_.seconds() - 1000) + ", and " +
-                         p->name.raw() + " acts without it");
+        if (excepted || !acts_without(*p, event) || violations.size() >= most_broken) continue;
+        violations.push_back((all ? "everywhere" : "all but others") + std::string(" said of event ") +
+                             std::to_string(n) + " at " + std::to_string(now_.seconds() - 1000) + ", and " +
+                             p->name.raw() + " acts without it");
     }
 }
 
-void SiteSimulation::mark() { longest_until_said = {}; }
+void SiteSimulation::reset_measurements() { longest_verdict_delay = {}; }
 
 // --- time ------------------------------------------------------------------------------------------------
 
@@ -476,27 +481,30 @@
     const double share = trouble_every.seconds();
     for (const auto& process : processes_) {
         Process& p = *process;
-        if (happens(t.cut * share)) p.cut_in = true;
-        if (happens(t.cut * share)) p.cut_out = true;
-        if (happens(t.cut_board * share)) p.board_cut = true;
-        if (p.board_cut && t.cut_board > 0 && happens(share / 6)) p.board_cut = false;
-        if ((p.cut_in || p.cut_out) && t.cut > 0 && happens(share / 6)) cut(p.no, false, false);
-        if (p.agent && !p.stopped && happens(t.stop * share)) p.stopped = true;
-        if (p.stopped && t.stop > 0 && happens(share / 8)) resume(p.no);
-        if (p.agent && happens(t.crash * share)) {
-            if (happens(0.5)) leave(p.no);
-            kill(p.no);
+        if (with_probability(t.partition * share)) p.inbound_blocked = true;
+        if (with_probability(t.partition * share)) p.outbound_blocked = true;
+        if (with_probability(t.board_partition * share)) p.board_blocked = true;
+        if (p.board_blocked && t.board_partition > 0 && with_probability(share / 6)) p.board_blocked = false;
+        if ((p.inbound_blocked || p.outbound_blocked) && t.partition > 0 && with_probability(share / 6))
+            partition(p.number, false, false);
+        if (p.agent && !p.stopped && with_probability(t.stop * share)) p.stopped = true;
+        if (p.stopped && t.stop > 0 && with_probability(share / 8)) resume(p.number);
+        if (p.agent && with_probability(t.crash * share)) {
+            if (with_probability(0.5)) leave(p.number);
+            kill(p.number);
         }
-        if (!p.agent && t.crash > 0 && happens(share * 2)) start(p.no, happens(0.7) ? chance_() % 40 : 0);
+        if (!p.agent && t.crash > 0 && with_probability(share * 2))
+            start(p.number, with_probability(0.7) ? random_() % 40 : 0);
     }
-    if (happens(t.registry_back * share)) registry_back(shared_config_.term * (1 + 2 * random_fraction()));
-    if (happens(t.board_back * share)) board_back(1 + chance_() % 10, true);
+    if (with_probability(t.registry_restore * share))
+        restore_registry(shared_config_.term * (1 + 2 * random_fraction()));
+    if (with_probability(t.board_restore * share)) restore_board(1 + random_() % 10, true);
 }
 
 void SiteSimulation::run(Duration time, const FaultRates& troubles) {
     fault_rates_ = troubles;
     const TimePoint end = now_ + time;
-    while (broken.size() < most_broken) {
+    while (violations.size() < most_broken) {
         const TimePoint due = events_.empty() ? end : events_.begin()->first.first;
         const TimePoint timed = std::min({next_fault_, next_backup_, next_publication_});
         if (std::min(due, timed) >= end) break;
@@ -510,7 +518,7 @@
                 backups_.push_back({now_, ledger_.records(), ledger_.revision()});
                 if (backups_.size() > most_backups) backups_.erase(backups_.begin());
             } else {
-                next_publication_ = now_ + shape_.publish_every;
+                next_publication_ = now_ + options_.publish_every;
                 if (publishing_) publish();
             }
             continue;
@@ -523,7 +531,7 @@
     now_ = std::max(now_, end);
 }
 
-std::string SiteSimulation::picture() const {
+std::string SiteSimulation::debug_state() const {
     std::string all;
     for (const auto& p : processes_) {
         all += p->site + '/' + p->name.raw() + (p->agent ? (p->stopped ? " stopped" : " up") : " down");
@@ -536,10 +544,10 @@
         all += '\n';
     }
     for (const auto& [key, value] : ledger_.records()) all += key.raw() + ' ' + value + '\n';
-    for (const auto& m : said_.front().verdict.missing)
+    for (const auto& m : last_verdicts_.front().verdict.missing)
         all += "missing " + std::to_string(static_cast<int>(m.reason)) + ' ' + m.site.raw() + ' ' +
                m.member.raw() + '\n';
     return all;
 }
 
-}  // namespace irismux::stand_ins
+}  // namespace irismux::test_support
--- a/testing/site_simulation.hpp
+++ b/testing/site_simulation.hpp
@@ -18,31 +18,32 @@
 #include "fleet/site_reporter.hpp"
 #include "testing/transaction_ledger.hpp"
 
-namespace irismux::stand_ins {
+namespace irismux::test_support {
 
 class SiteSimulation {
 public:
     // Chances: of a message, and, of the others, a second and a member (of restores a second).
     struct FaultRates {
         double lose = 0, late = 0, repeat = 0;
-        double stop = 0, crash = 0, cut = 0, cut_board = 0, registry_back = 0, board_back = 0;
+        double stop = 0, crash = 0, partition = 0, board_partition = 0, registry_restore = 0,
+               board_restore = 0;
     };
-    struct Shape {
+    struct Options {
         std::vector<std::size_t> sites = {3, 3};            // members of each
-        std::size_t old_form = 0;                           // members outside of all sites, that say nothing
+        std::size_t legacy_members = 0;                     // members outside of all sites, that say nothing
         std::map<std::string, std::size_t> inventory = {};  // besides the sites above
         double drift = 0.05;
         Duration publish_every = Duration::micros(1'000'000);
         bool readers = true;
     };
     // What a reader said last of the newest event that it asked about.
-    struct Said {
+    struct ReportedVerdict {
         TimePoint at;
         std::int64_t event = 0;
         fleet::FleetStatus::Verdict verdict;
     };
 
-    SiteSimulation(std::uint32_t seed, const Shape& shape, const fleet::SharedConfig& shared_config);
+    SiteSimulation(std::uint32_t seed, const Options& shape, const fleet::SharedConfig& shared_config);
     ~SiteSimulation();
 
     void start_all();
@@ -59,42 +60,42 @@
     void leave(std::size_t member);
     void stop(std::size_t member);
     void resume(std::size_t member);
-    void cut(std::size_t member, bool in, bool out);
-    void cut_board(std::size_t member, bool is);
-    void revive(std::size_t member);
-    void publishes(bool is) { publishing_ = is; }
+    void partition(std::size_t member, bool in, bool out);
+    void partition_board(std::size_t member, bool is);
+    void recover(std::size_t member);
+    void set_publishing(bool is) { publishing_ = is; }
     void publish();
     // The board, to what it was so many events ago; announced: with the operator's word before it goes on.
-    void board_back(std::size_t events, bool announced);
-    void registry_back(Duration age);
-    void forget(std::size_t member);  // an operator's command
+    void restore_board(std::size_t events, bool announced);
+    void restore_registry(Duration age);
+    void forget_member(std::size_t member);  // an operator's command
 
     TimePoint now() const { return now_; }
-    const Said& said() const { return said_.front(); }
+    const ReportedVerdict& last_verdict() const { return last_verdicts_.front(); }
     // What the first reader said last of that event; it is asked about until it is everywhere, however old it
     // is.
-    fleet::FleetStatus::Verdict said_of(std::int64_t event);
+    fleet::FleetStatus::Verdict verdict_of(std::int64_t event);
     // At that instant no process acts without the newest event.
     bool in_force_everywhere() const;
-    std::string picture() const;
+    std::string debug_state() const;
 
-    std::vector<std::string> broken;
-    std::uint64_t transactions = 0, deliveries = 0;  // at the registry; to watches
-    std::uint64_t everywhere = 0, all_but = 0;       // verdicts, of all events asked about
-    Duration longest_until_said;  // from an event's being in force everywhere until the reader said so, since
-                                  // mark()
-    void mark();
+    std::vector<std::string> violations;
+    std::uint64_t transactions = 0, deliveries = 0;               // at the registry; to watches
+    std::uint64_t everywhere_verdicts = 0, all_but_verdicts = 0;  // verdicts, of all events asked about
+    Duration longest_verdict_delay;  // from an event's being in force everywhere until the reader said so,
+                                     // since mark()
+    void reset_measurements();
 
 private:
     struct Process;
     struct Reader;
     using Key = fleet::Key;
 
-    void at(TimePoint due, std::function<void()> then);
+    void schedule(TimePoint due, std::function<void()> then);
     Duration delay(double late);
-    bool happens(double p) { return p > 0 && random_fraction() < p; }
+    bool with_probability(double p) { return p > 0 && random_fraction() < p; }
     double random_fraction() {
-        return static_cast<double>(chance_()) / static_cast<double>(std::ranlux24_base::max());
+        return static_cast<double>(random_()) / static_cast<double>(std::ranlux24_base::max());
     }
     void submit(Process& p, const fleet::Transaction& deal);
     void settle(std::size_t member, std::uint64_t ask, std::uint64_t life, const fleet::Transaction& deal);
@@ -112,15 +113,15 @@
     void note_in_force();
     void inject_fault(const FaultRates& t);
 
-    Shape shape_;
+    Options options_;
     fleet::SharedConfig shared_config_;
-    std::ranlux24_base chance_;
+    std::ranlux24_base random_;
     TimePoint now_ = TimePoint::at_seconds(1000);
-    std::uint64_t next_ = 0;
+    std::uint64_t next_event_number_ = 0;
     std::map<std::pair<TimePoint, std::uint64_t>, std::function<void()>> events_;
 
     TransactionLedger ledger_;
-    std::uint64_t histories_ = 0;  // of the registry
+    std::uint64_t restores_ = 0;  // of the registry
     struct Backup {
         TimePoint taken;
         TransactionLedger::Records records;
@@ -132,15 +133,15 @@
     int published_ = 0;
     bool publishing_ = true;
     std::map<int, TimePoint> in_force_since_;  // everywhere for the first time
-    std::set<int> said_everywhere_;
+    std::set<int> reported_everywhere_;
 
     std::vector<std::string> site_names_;
     std::vector<std::unique_ptr<Process>> processes_;
     std::vector<std::unique_ptr<Reader>> readers_;
-    std::vector<Said> said_;
+    std::vector<ReportedVerdict> last_verdicts_;
     std::map<std::int64_t, fleet::FleetStatus::Verdict> asked_about_;
     FaultRates fault_rates_;
     TimePoint next_fault_, next_backup_, next_publication_;
 };
 
-}  // namespace irismux::stand_ins
+}  // namespace irismux::test_support
--- a/testing/skewed_clock.cpp
+++ b/testing/skewed_clock.cpp
@@ -1,6 +1,6 @@
 // A library to be loaded into a process (LD_PRELOAD) that shows it steady clocks of another rate, and lets
-// them jump: a machine that slept. It also steps the wall clock. The file named by IRISMUX_LAB_CLOCK holds
-// stand_ins::ClockSkew, which may change while the process runs.
+// them jump: a machine that slept. It also steps the wall clock. The file named by IRISMUX_CLOCK_SKEW_FILE
+// holds test_support::ClockSkew, which may change while the process runs.
 #include "testing/skewed_clock.hpp"
 
 #include <dlfcn.h>
@@ -14,7 +14,7 @@
 
 namespace {
 
-using irismux::stand_ins::ClockSkew;
+using irismux::test_support::ClockSkew;
 
 using Clock = int (*)(clockid_t, timespec*);
 
@@ -25,7 +25,7 @@
 
 const volatile ClockSkew* skew() {
     static const ClockSkew* const shared = [] {
-        const char* path = std::getenv("IRISMUX_LAB_CLOCK");
+        const char* path = std::getenv("IRISMUX_CLOCK_SKEW_FILE");
         const int file = path ? ::open(path, O_RDONLY) : -1;
         if (file < 0) return static_cast<const ClockSkew*>(nullptr);
         void* at = ::mmap(nullptr, sizeof(ClockSkew), PROT_READ, MAP_SHARED, file, 0);
