--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -10,9 +10,9 @@
 #include "golden.hpp"
 #include "registry/endpoint_snapshot.hpp"
 #include "store/store.hpp"
+#include "testing/fake_registry.hpp"
+#include "testing/fake_services.hpp"
 #include "testing/process.hpp"
-#include "testing/registry_stand_in.hpp"
-#include "testing/stand_ins.hpp"
 
 namespace irismux::testing {
 namespace {
@@ -384,11 +384,11 @@
 class StoredByProcess : public ::testing::Test {
 protected:
     EventLoop loop;
-    stand_ins::RegistryStandIn registry_{loop, 1, Duration::micros(20'000)};
-    stand_ins::NoticeBoard board{loop};
+    test_support::FakeRegistry registry_{loop, 1, Duration::micros(20'000)};
+    test_support::FakeNoticeBoard board{loop};
     Folder folder;
-    std::unique_ptr<stand_ins::Process> gateway;
-    stand_ins::Intervals stretches{loop};  // the last: nothing of the above may go while the loop runs
+    std::unique_ptr<test_support::Process> gateway;
+    test_support::LoopRunner stretches{loop};  // the last: nothing of the above may go while the loop runs
 
     std::string value(const std::string& key) const {
         const auto* state = registry_.model.at(registry_.model.newest());
@@ -407,19 +407,20 @@
     int run(const std::vector<std::string>& words) {
         std::vector<std::string> all = {IRISMUX_PROGRAM, "registry", "--parts", write_parts()};
         all.insert(all.end(), words.begin(), words.end());
-        stand_ins::Process p({all, {"PATH=/usr/bin:/bin"}, "", folder.path() + "/out"});
-        EXPECT_TRUE(stretches.until([&] { return !p.running(); }));
+        test_support::Process p({all, {"PATH=/usr/bin:/bin"}, "", folder.path() + "/out"});
+        EXPECT_TRUE(stretches.run_until([&] { return !p.running(); }));
         return p.status().value_or(-1);
     }
     void start_gateway() {
         board.post({{"pool", {{"version", 1}, {"full", true}, {"servers", nlohmann::json::array()}}}});
         const std::string path = folder.path() + "/config.json";
-        std::ofstream(path) << stand_ins::configuration("127.0.0.1:0", board.address(), board.known()).dump();
-        gateway = std::make_unique<stand_ins::Process>(
-            stand_ins::Process::Start{{IRISMUX_PROGRAM, "serve", "--parts", write_parts()},
-                                      {"NODE_CONFIG=" + path},
-                                      "",
-                                      folder.path() + "/log"});
+        std::ofstream(path)
+            << test_support::configuration("127.0.0.1:0", board.address(), board.known()).dump();
+        gateway = std::make_unique<test_support::Process>(
+            test_support::Process::Options{{IRISMUX_PROGRAM, "serve", "--parts", write_parts()},
+                                           {"NODE_CONFIG=" + path},
+                                           "",
+                                           folder.path() + "/log"});
     }
     void start_in_place_of_an_earlier_one() {
         fs::copy(golden_path("stored/store_fleet"), folder.path() + "/fleet", fs::copy_options::recursive);
@@ -463,14 +464,14 @@
 // and the list under the same names.
 TEST_F(StoredByProcess, AGatewayReadsTheTokensOfAnEarlierOneAndWritesItsOwn) {
     start_in_place_of_an_earlier_one();
-    ASSERT_TRUE(stretches.until([&] { return !value("/fleet/roll/duty/sweep").empty(); }));
+    ASSERT_TRUE(stretches.run_until([&] { return !value("/fleet/roll/duty/sweep").empty(); }));
     EXPECT_EQ(parse_duty(value("/fleet/roll/duty/sweep"))->token, FencingToken{6});
     const auto start = std::to_string(parse_member(value("/fleet/roll/member/g1"))->incarnation.raw());
     // Each is stored within a few seconds.
-    ASSERT_TRUE(stretches.until([&] {
+    ASSERT_TRUE(stretches.run_until([&] {
         return stored("fleet", R"("sweep":[6,"g1",)" + start) && stored("list", "as_of_us");
     })) << bytes_of_file(folder.path() + "/log");
-    EXPECT_TRUE(stretches.until([&] { return read_store("fleet", "fleet last start") == start; }))
+    EXPECT_TRUE(stretches.run_until([&] { return read_store("fleet", "fleet last start") == start; }))
         << read_store("fleet", "fleet last start") << " is stored, and the number is " << start;
     gateway->kill_and_wait();
     Fence fence;
@@ -484,7 +485,7 @@
 // registry that knows nothing. Then: its number is the next one.
 TEST_F(StoredByProcess, AGatewayReadsTheNumberOfAnEarlierOne) {
     start_in_place_of_an_earlier_one();
-    ASSERT_TRUE(stretches.until([&] { return !value("/fleet/roll/member/g1").empty(); }));
+    ASSERT_TRUE(stretches.run_until([&] { return !value("/fleet/roll/member/g1").empty(); }));
     EXPECT_EQ(parse_member(value("/fleet/roll/member/g1"))->incarnation.raw(), 5'000'001);
 }
 
--- a/tests/wall_clock_test.cpp
+++ b/tests/wall_clock_test.cpp
@@ -10,10 +10,10 @@
 namespace irismux::testing {
 namespace {
 
-using stand_ins::Shims;
-using stand_ins::SingleProcess;
+using test_support::Shims;
+using test_support::SingleProcess;
 
-const stand_ins::ShimLibraries libraries{IRISMUX_SKEWED_CLOCK, IRISMUX_FAILING_CALLS};
+const test_support::ShimLibraries libraries{IRISMUX_SKEWED_CLOCK, IRISMUX_FAILING_CALLS};
 constexpr std::int64_t hour_us = 3'600'000'000;
 // Of its even share, what a cache may get at most in the seconds after its start.
 constexpr double max_slow_start_share = 0.5;
@@ -33,16 +33,16 @@
 
 class WallClock : public ::testing::TestWithParam<Case> {
 protected:
-    void start(stand_ins::SingleProcess::Options shape) {
+    void start(test_support::SingleProcess::Options shape) {
         if (GetParam().when == Stepped::before_start) step();
         shape.environment = shims.environment();
         solo = std::make_unique<SingleProcess>(answering(shape));
         // The board holds the poll that is under way.
-        ASSERT_TRUE(solo->until([&] { return solo->notice_board->waiting_from() == 1; }));
+        ASSERT_TRUE(solo->wait_until([&] { return solo->notice_board->last_poll_since() == 1; }));
         if (GetParam().when == Stepped::while_running) step();
     }
     void step() {
-        stand_ins::ClockSkew skew;
+        test_support::ClockSkew skew;
         skew.wall_ahead_us = GetParam().wall_ahead_us;
         shims.set_clock(skew);
     }
@@ -52,9 +52,10 @@
         for (int n = 0; n < objects; ++n) {
             client->send(static_cast<std::uint16_t>(n + 1), {.id = id_of(next_), .object = id_of(next_)});
             ++next_;
-            solo->until([] { return false; }, Duration::micros(4'000));
+            solo->wait_until([] { return false; }, Duration::micros(4'000));
         }
-        return solo->until([&] { return client->responses.size() == static_cast<std::size_t>(objects); });
+        return solo->wait_until(
+            [&] { return client->responses.size() == static_cast<std::size_t>(objects); });
     }
 
     Shims shims{libraries};
@@ -70,7 +71,7 @@
     start(solo_shape(2));
     const TimePoint posted_at = solo->loop.now();
     solo->notice_board->post({{"flush", {{"collection", 1}, {"ms", unix_now_ms()}}}});
-    ASSERT_TRUE(solo->until([&] { return solo->notice_board->waiting_from() == 2; }));
+    ASSERT_TRUE(solo->wait_until([&] { return solo->notice_board->last_poll_since() == 2; }));
     ASSERT_TRUE(request(100));
     for (const auto& cache : solo->caches)
         for (const auto& attempt : cache->received) {
@@ -83,15 +84,15 @@
 // Given a purge, when its retention is over, then attempts carry no bound, though the clock is off by an
 // hour.
 TEST_P(WallClock, APurgeIsForgottenInItsTime) {
-    stand_ins::SingleProcess::Options shape = solo_shape(2);
-    shape.change = [change = shape.change](json& c) {
+    test_support::SingleProcess::Options shape = solo_shape(2);
+    shape.adjust_configuration = [change = shape.adjust_configuration](json& c) {
         change(c);
         c["settings"]["specifics"]["purgeDoneS"] = 0.2;
     };
     start(shape);
     solo->notice_board->post({{"flush", {{"collection", 1}, {"ms", unix_now_ms()}}}});
-    ASSERT_TRUE(solo->until([&] { return solo->notice_board->waiting_from() == 2; }));
-    solo->until([] { return false; }, Duration::seconds(0.6));
+    ASSERT_TRUE(solo->wait_until([&] { return solo->notice_board->last_poll_since() == 2; }));
+    solo->wait_until([] { return false; }, Duration::seconds(0.6));
     ASSERT_TRUE(request(10));
     for (const auto& cache : solo->caches)
         for (const auto& attempt : cache->received) EXPECT_EQ(resp::field(attempt.fields, "fresh"), "");
@@ -100,12 +101,12 @@
 // Rule 4. Given a running process, when a cache starts, then it gets a small share of the requests at first.
 TEST_P(WallClock, ACacheThatStartsNowGetsASlowStart) {
     start(solo_shape(2));
-    stand_ins::ScriptedCache fresh(solo->loop, "e3");
-    fresh.then = [&fresh](const stand_ins::ScriptedCache::ReceivedAttempt& p) { fresh.answer(p); };
-    json line = stand_ins::endpoint_json("e3", "node", "plant", fresh.address(), "Ready");
+    test_support::ScriptedCache fresh(solo->loop, "e3");
+    fresh.on_attempt = [&fresh](const test_support::ScriptedCache::ReceivedAttempt& p) { fresh.answer(p); };
+    json line = test_support::endpoint_json("e3", "node", "plant", fresh.address(), "Ready");
     line["started_ms"] = unix_now_ms();
     solo->notice_board->post({{"pool", {{"version", 2}, {"full", false}, {"servers", {line}}}}});
-    ASSERT_TRUE(solo->until([&] { return solo->notice_board->waiting_from() == 2; }));
+    ASSERT_TRUE(solo->wait_until([&] { return solo->notice_board->last_poll_since() == 2; }));
     constexpr int requests = 400;
     ASSERT_TRUE(request(requests));
     // A third of the requests are its own by their objects.
@@ -117,23 +118,23 @@
 // the clock is stepped back, then the wait ends in time and not an hour later.
 TEST(WallClockStep, WithASignalDoesNotProlongTheWait) {
     Shims shims(libraries);
-    stand_ins::SingleProcess::Options shape = solo_shape(1);
+    test_support::SingleProcess::Options shape = solo_shape(1);
     shape.environment = shims.environment();
     SingleProcess solo(shape);
     solo.notice_board->silent = true;
     const auto client = solo.connect_client();
     for (std::uint16_t n = 1; n <= 5; ++n) {
-        client->send(n, {.id = id_of(n), .patience_ms = 400});
-        ASSERT_TRUE(solo.until([&] { return solo.attempts_received(id_of(n)) > 0; }));
+        client->send(n, {.id = id_of(n), .timeout_ms = 400});
+        ASSERT_TRUE(solo.wait_until([&] { return solo.attempts_received(id_of(n)) > 0; }));
         const TimePoint requested_at = solo.loop.now();
         for (int step = 1; step <= 4; ++step) {
-            solo.until([] { return false; }, Duration::micros(20'000));
-            stand_ins::ClockSkew skew;
+            solo.wait_until([] { return false; }, Duration::micros(20'000));
+            test_support::ClockSkew skew;
             skew.wall_ahead_us = -hour_us * (n * 4 + step);
             shims.set_clock(skew);
             solo.process->signal(SIGHUP);
         }
-        ASSERT_TRUE(solo.until([&] { return client->has_response(n); }, Duration::seconds(3)));
+        ASSERT_TRUE(solo.wait_until([&] { return client->has_response(n); }, Duration::seconds(3)));
         EXPECT_LT((solo.loop.now() - requested_at).seconds(), 0.6);
     }
 }
--- a/tests/watch_harness.hpp
+++ b/tests/watch_harness.hpp
@@ -14,8 +14,8 @@
 
 namespace irismux::registry::testing {
 
-using stand_ins::list_value;
-using stand_ins::RegistryModel;
+using test_support::endpoint_value;
+using test_support::RegistryModel;
 
 constexpr Duration ms = Duration::micros(1000);
 inline TimePoint start_time() { return TimePoint::at_seconds(1000); }
@@ -42,7 +42,7 @@
     std::optional<RecordKey> after;
     Revision at;
     TimePoint wake_at, now = start_time();
-    stand_ins::KnownEndpoints endpoints;
+    test_support::KnownEndpoints endpoints;
     std::vector<WatchWarningKind> warnings;
     std::vector<SyncState> states;
     Watch watch;
@@ -60,7 +60,7 @@
     void close() override { pending_request = Request::none; }
     void schedule_wake(TimePoint t) override { wake_at = t; }
     void on_endpoints(TimePoint, const std::vector<EndpointRecord>& updates, bool complete) override {
-        stand_ins::apply(endpoints, updates, complete);
+        test_support::apply(endpoints, updates, complete);
     }
     void on_sync_state(TimePoint, SyncState state, TimePoint) override { states.push_back(state); }
     void on_watch_warning(const WatchWarning& warning) override { warnings.push_back(warning.kind); }
@@ -133,7 +133,7 @@
 inline RegistryModel model_of(std::size_t caches) {
     RegistryModel registry;
     for (std::size_t n = 1; n <= caches; ++n)
-        registry.put("c" + std::to_string(n), list_value("c" + std::to_string(n), "Ready"));
+        registry.put("c" + std::to_string(n), endpoint_value("c" + std::to_string(n), "Ready"));
     return registry;
 }
 
--- a/tests/watch_random_test.cpp
+++ b/tests/watch_random_test.cpp
@@ -67,7 +67,7 @@
                 writes.emplace_back(RecordKey{id}, std::nullopt);
             else
                 writes.emplace_back(RecordKey{id},
-                                    list_value(id, draw(3) ? "Ready" : "Terminating", 1 + draw(5)));
+                                    endpoint_value(id, draw(3) ? "Ready" : "Terminating", 1 + draw(5)));
         }
         registry_.commit(writes);
         history_[registry_.newest()] = *registry_.at(registry_.newest());
--- a/tests/wire_names_test.cpp
+++ b/tests/wire_names_test.cpp
@@ -16,9 +16,9 @@
 #include "net/notice_client.hpp"
 #include "registry/etcd_codec.hpp"
 #include "request/active_request.hpp"
+#include "testing/fake_services.hpp"
 #include "testing/process.hpp"
 #include "testing/sockets.hpp"
-#include "testing/stand_ins.hpp"
 
 namespace irismux::testing {
 namespace {
@@ -69,7 +69,7 @@
     std::vector<std::string> all = {IRISMUX_PROGRAM};
     all.insert(all.end(), words.begin(), words.end());
     environment.push_back("PATH=/usr/bin:/bin");
-    stand_ins::Process p({all, environment, "", folder.path() + "/out"});
+    test_support::Process p({all, environment, "", folder.path() + "/out"});
     for (int n = 0; n < 1000 && p.running(); ++n) ::usleep(10'000);
     return {p.status().value_or(-1), bytes_of_file(folder.path() + "/out")};
 }
@@ -479,8 +479,9 @@
 public:
     explicit FarEnd(EventLoop& loop)
         : acceptor_(loop, [this, &loop](const Poco::Net::StreamSocket& s) {
-              auto wire = std::make_shared<stand_ins::StandInConnection>(loop, s);
-              wire->got = [this, raw = std::weak_ptr<stand_ins::StandInConnection>(wire)](Buffer& in) {
+              auto wire = std::make_shared<test_support::TestConnection>(loop, s);
+              wire->on_received = [this,
+                                   raw = std::weak_ptr<test_support::TestConnection>(wire)](Buffer& in) {
                   heard += in.view();
                   in.consumed(in.size());
                   last_ = raw.lock();
@@ -490,15 +491,15 @@
           }) {}
     std::string address() const { return acceptor_.address(); }
     void say(std::string_view bytes) {
-        last_->out().append(bytes);
+        last_->output().append(bytes);
         last_->write();
     }
     std::string heard;
 
 private:
-    std::vector<std::shared_ptr<stand_ins::StandInConnection>> wires_;
-    std::shared_ptr<stand_ins::StandInConnection> last_;
-    stand_ins::Acceptor acceptor_;
+    std::vector<std::shared_ptr<test_support::TestConnection>> wires_;
+    std::shared_ptr<test_support::TestConnection> last_;
+    test_support::Acceptor acceptor_;
 };
 
 // The client side alone, before one cache.
@@ -513,7 +514,7 @@
     std::optional<AttemptEnd> end;
     std::optional<Outcome> probe_end;
     std::string lines;
-    stand_ins::Intervals stretches{loop};  // the last: nothing of the above may go while the loop runs
+    test_support::LoopRunner stretches{loop};  // the last: nothing of the above may go while the loop runs
 
     void SetUp() override {
         EndpointUpdate e1;
@@ -524,7 +525,7 @@
             loop, roster, *this, deployment, CacheConnectionLimits{8, 10, second, second * 60, {}, second});
     }
     void TearDown() override {
-        stretches.until([&] { return caches->close_all(), true; });
+        stretches.run_until([&] { return caches->close_all(), true; });
     }
     void on_attempt_ended(ActiveRequest&, std::size_t, const AttemptEnd& e) override { end = e; }
     void on_health_check_result(const HealthCheckResult& a) override { probe_end = a.outcome; }
@@ -539,7 +540,7 @@
     std::string next_message() {
         resp::Arguments words;
         std::size_t used = 0;
-        EXPECT_TRUE(stretches.until([&] {
+        EXPECT_TRUE(stretches.run_until([&] {
             return resp::parse_array(cache.heard, words, used) == ParseStatus::complete;
         })) << printable(cache.heard);
         return std::exchange(cache.heard, {});
@@ -560,7 +561,7 @@
         s.plan = fill;
         s.decided_at = loop.now();
         lookups.back()->add_attempt(std::move(s));
-        stretches.until([&] { return caches->start_attempt(*lookups.back(), 0), true; });
+        stretches.run_until([&] { return caches->start_attempt(*lookups.back(), 0), true; });
         return next_message();
     }
     // What is made of the cache's answer to the last lookup.
@@ -569,7 +570,7 @@
         resp::write_array(out, {lookups.back()->client_request_id().raw(), word, fields, body});
         end.reset();
         cache.say(out.view());
-        EXPECT_TRUE(stretches.until([&] { return end.has_value(); })) << word << ' ' << fields;
+        EXPECT_TRUE(stretches.run_until([&] { return end.has_value(); })) << word << ' ' << fields;
         return end.value_or(AttemptEnd{});
     }
 };
@@ -587,15 +588,15 @@
     all.emplace_back("merge", masked(printable(pull(fill))));
     fill.revalidate = fill.only_if_cached = fill.bypass_parent_cache = true;
     all.emplace_back("all options", masked(printable(pull(fill))));
-    stretches.until([&] { return caches->cancel_attempt(*lookups.back(), 0), true; });
+    stretches.run_until([&] { return caches->cancel_attempt(*lookups.back(), 0), true; });
     all.emplace_back("given up", printable(next_message()));
-    stretches.until([&] { return caches->start_health_check(CacheId{"e1"}, [] { return true; }), true; });
+    stretches.run_until([&] { return caches->start_health_check(CacheId{"e1"}, [] { return true; }), true; });
     all.emplace_back("probe", printable(next_message()));
     expect_golden("wire/cache_requests.txt", text_of(all));
     Buffer out;
     resp::write_array(out, {"probe-1", "PONG"});
     cache.say(out.view());
-    EXPECT_TRUE(stretches.until([&] { return probe_end.has_value(); }));
+    EXPECT_TRUE(stretches.run_until([&] { return probe_end.has_value(); }));
     EXPECT_EQ(probe_end, Outcome::completed);
 }
 
@@ -659,20 +660,20 @@
     FarEnd board{loop}, cache{loop};
     Folder folder;
     std::string listen;
-    std::unique_ptr<stand_ins::Process> process;
-    std::shared_ptr<stand_ins::StandInConnection> client;
-    std::string answer;                    // bytes that have come to the client
-    std::string lines;                     // the whole conversation
-    stand_ins::Intervals stretches{loop};  // the last: nothing of the above may go while the loop runs
+    std::unique_ptr<test_support::Process> process;
+    std::shared_ptr<test_support::TestConnection> client;
+    std::string answer;                        // bytes that have come to the client
+    std::string lines;                         // the whole conversation
+    test_support::LoopRunner stretches{loop};  // the last: nothing of the above may go while the loop runs
 
     virtual void change(json&) const {}
     json configured() const {
-        const json servers = {stand_ins::endpoint_json("e1", "node", "plant", cache.address(), "Ready"),
-                              stand_ins::endpoint_json("p1", "parent", "hub", "127.0.0.1:9", "Ready"),
-                              stand_ins::endpoint_json("o", "origin", "hub", "127.0.0.1:9", "Ready")};
+        const json servers = {test_support::endpoint_json("e1", "node", "plant", cache.address(), "Ready"),
+                              test_support::endpoint_json("p1", "parent", "hub", "127.0.0.1:9", "Ready"),
+                              test_support::endpoint_json("o", "origin", "hub", "127.0.0.1:9", "Ready")};
         const json pool = {{"version", 1}, {"full", true}, {"servers", servers}};
-        json c = stand_ins::configuration("127.0.0.1:9", board.address(),
-                                          {{"rev", 1}, {"notices", {{{"rev", 1}, {"pool", pool}}}}});
+        json c = test_support::configuration("127.0.0.1:9", board.address(),
+                                             {{"rev", 1}, {"notices", {{{"rev", 1}, {"pool", pool}}}}});
         json lane = c["settings"]["lanes"][0];
         // So long that no send is given up and tried again, also on a busy machine.
         lane["aimS"] = lane["hardLimitS"] = 30.0;
@@ -690,17 +691,17 @@
         }
         const std::string path = folder.path() + "/config.json", log = folder.path() + "/log";
         std::ofstream(path) << configured().dump();
-        process = std::make_unique<stand_ins::Process>(stand_ins::Process::Start{
+        process = std::make_unique<test_support::Process>(test_support::Process::Options{
             {IRISMUX_PROGRAM}, {"NODE_CONFIG=" + path, "NODE_LISTEN=" + listen}, "", log});
-        ASSERT_TRUE(stretches.until([&] {
+        ASSERT_TRUE(stretches.run_until([&] {
             return std::filesystem::exists(log) &&
                    bytes_of_file(log).find("listening gateway=") != std::string::npos;
         }));
         connect();
     }
     void connect() {
-        client = std::make_shared<stand_ins::StandInConnection>(loop);
-        client->got = [this](Buffer& in) {
+        client = std::make_shared<test_support::TestConnection>(loop);
+        client->on_received = [this](Buffer& in) {
             answer += in.view();
             in.consumed(in.size());
         };
@@ -711,7 +712,7 @@
     }
     void say(const std::string& bytes) {
         note("client to gateway", bytes);
-        client->out().append(bytes);
+        client->output().append(bytes);
         client->write();
     }
     // Until the client has so many bytes: the last record of an answer tells its end.
@@ -726,7 +727,7 @@
             }
             return false;
         };
-        EXPECT_TRUE(stretches.until(whole)) << printable(answer);
+        EXPECT_TRUE(stretches.run_until(whole)) << printable(answer);
         // The lengths of records depend on that figure's length.
         if (answer.find("Retry-After-Ms: ") != std::string::npos) answer = content_of(answer);
         note("gateway to client", std::exchange(answer, {}));
@@ -745,7 +746,7 @@
     void expect_pull() {
         resp::Arguments words;
         std::size_t used = 0;
-        EXPECT_TRUE(stretches.until([&] {
+        EXPECT_TRUE(stretches.run_until([&] {
             return resp::parse_array(cache.heard, words, used) == ParseStatus::complete;
         })) << printable(cache.heard);
         note("gateway to cache", std::exchange(cache.heard, {}));
@@ -863,7 +864,7 @@
 // Given: the same. When: the board is polled, tells of a purge and of nothing else. Then: the poll is that of
 // the file, and so is the next one, which goes on behind the purge; and lookups of the group name an age.
 TEST_F(Conversation, PollsOfTheBoard) {
-    ASSERT_TRUE(stretches.until([&] { return board.heard.find("\r\n\r\n") != std::string::npos; }));
+    ASSERT_TRUE(stretches.run_until([&] { return board.heard.find("\r\n\r\n") != std::string::npos; }));
     note("gateway to board", std::exchange(board.heard, {}));
     const std::string body =
         R"({"rev": 2, "notices": [{"rev": 2, "flush": {"ms": 1700000000456, "collection": 7}}]})";
@@ -871,7 +872,7 @@
         "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
     note("board to gateway", told);
     board.say(told);
-    ASSERT_TRUE(stretches.until([&] { return board.heard.find("\r\n\r\n") != std::string::npos; }));
+    ASSERT_TRUE(stretches.run_until([&] { return board.heard.find("\r\n\r\n") != std::string::npos; }));
     note("gateway to board", std::exchange(board.heard, {}));
     say(request_of(fields_of("/api/v2/pages", "0000000000000001"), ""));
     expect_pull();
