--- a/bench/scale/roles.cpp
+++ b/bench/scale/roles.cpp
@@ -267,7 +267,7 @@
         return all;
     }
 
-    // test_support::HollowObserver
+    // test_support::StubGatewayObserver
     void on_endpoints_applied(const std::string& gateway, TimePoint at) override {
         Slot& slot = slots_.at(numbers_.at(gateway));
         if (!slot.gateway) return;
--- a/testing/failing_calls.cpp
+++ b/testing/failing_calls.cpp
@@ -1,6 +1,6 @@
-// A library to be loaded into a process (LD_PRELOAD) in which system calls fail now and then, each with an
-// error that Linux documents for it. Failures are drawn from a seed; lab/failing_calls.hpp says what fails
-// how often.
+// A shim library, loaded into a process with LD_PRELOAD, that makes system calls fail, each with an error
+// that Linux documents for it. Failures are drawn from a seed; testing/failing_calls.hpp describes the
+// settings.
 #include "testing/failing_calls.hpp"
 
 #include <dlfcn.h>
@@ -27,7 +27,7 @@
     return reinterpret_cast<Function>(::dlsym(RTLD_NEXT, name));
 }
 
-int open_really(const char* path, int flags, mode_t mode) {
+int real_open(const char* path, int flags, mode_t mode) {
     static const auto next = real<int (*)(const char*, int, mode_t)>("open");
     return next(path, flags, mode);
 }
@@ -35,7 +35,7 @@
 const volatile CallFaults* faults() {
     static const CallFaults* const shared = [] {
         const char* path = std::getenv("IRISMUX_CALL_FAULTS_FILE");
-        const int file = path ? open_really(path, O_RDONLY | O_CLOEXEC, 0) : -1;
+        const int file = path ? real_open(path, O_RDONLY | O_CLOEXEC, 0) : -1;
         if (file < 0) return static_cast<const CallFaults*>(nullptr);
         void* at = ::mmap(nullptr, sizeof(CallFaults), PROT_READ, MAP_SHARED, file, 0);
         ::close(file);
@@ -113,7 +113,7 @@
     return fails(Call::listen) ? fail_with(address_errors) : next(s, backlog);
 }
 
-// A call that a signal interrupts has begun all the same: the connection comes up by itself.
+// If a signal interrupts the call, the connection is still established asynchronously.
 int connect(int s, const sockaddr* a, socklen_t n) {
     static const auto next = real<int (*)(int, const sockaddr*, socklen_t)>("connect");
     if (!fails(Call::connect)) return next(s, a, n);
@@ -123,7 +123,7 @@
     return result;
 }
 
-// Half of the failures are short reads, some are connections that the system gives up.
+// Half of the failures are short reads. A quarter are ENOMEM, as if the kernel had given up the connection.
 ssize_t recv(int s, void* to, size_t n, int flags) {
     static const auto next = real<ssize_t (*)(int, void*, size_t, int)>("recv");
     if (!fails(Call::recv)) return next(s, to, n, flags);
@@ -158,7 +158,7 @@
     return next(e, what, s, event);
 }
 
-// Of configurations only: libraries open files of their own.
+// Fails only for the configuration, because libraries open files of their own.
 int open(const char* path, int flags, ...) {
     va_list rest;
     va_start(rest, flags);
@@ -166,7 +166,7 @@
     va_end(rest);
     const char* configuration = std::getenv("NODE_CONFIG");
     const bool counts = configuration && std::string_view(path) == configuration;
-    return counts && fails(Call::open) ? fail_with(open_errors) : open_really(path, flags, mode);
+    return counts && fails(Call::open) ? fail_with(open_errors) : real_open(path, flags, mode);
 }
 
 ssize_t read(int descriptor, void* to, size_t n) {
@@ -176,7 +176,7 @@
     return fail_with(read_errors);
 }
 
-// Of the log.
+// Fails only for the log on standard error.
 ssize_t write(int descriptor, const void* from, size_t n) {
     static const auto next = real<ssize_t (*)(int, const void*, size_t)>("write");
     if (descriptor != STDERR_FILENO || !fails(Call::write)) return next(descriptor, from, n);
--- a/testing/failing_calls.hpp
+++ b/testing/failing_calls.hpp
@@ -1,5 +1,6 @@
-// What a process under lab/failing_calls.cpp is told of the calls that fail in it: a file of this form, named
-// by IRISMUX_CALL_FAULTS_FILE, which may change while the process runs.
+// The settings of the shim testing/failing_calls.cpp: which system calls fail, and how often. The process
+// maps a file of this layout, whose path the environment variable IRISMUX_CALL_FAULTS_FILE holds; the file
+// may change while the process runs.
 #pragma once
 
 #include <cstddef>
@@ -27,9 +28,9 @@
 
 struct CallFaults {
     std::uint64_t seed = 1;
-    // One in so many calls fails, by chance; zero: none does.
+    // One in this many calls fails, at random; zero disables random failures.
     std::uint32_t one_in[call_count] = {};
-    // The call of this number fails, counted from one at the start of the process; zero: none does.
+    // The call with this number fails, counted from one since the process started; zero selects no call.
     std::uint32_t nth[call_count] = {};
 };
 
--- a/testing/fake_registry.cpp
+++ b/testing/fake_registry.cpp
@@ -12,9 +12,9 @@
 
 using nlohmann::json;
 
-constexpr int most_waiting = 4096;  // to be accepted by a member
+constexpr int accept_backlog = 4096;  // of a member
 
-std::string coded(const std::string& bytes) {
+std::string base64_encoded(const std::string& bytes) {
     std::ostringstream out;
     Poco::Base64Encoder encoder(out);
     encoder.rdbuf()->setLineLength(0);
@@ -23,22 +23,22 @@
     return out.str();
 }
 
-std::string decoded(const json& o, const char* key) {
+std::string base64_decoded(const json& o, const char* key) {
     std::istringstream in(o.value(key, ""));
     Poco::Base64Decoder decoder(in);
     return {std::istreambuf_iterator<char>(decoder), {}};
 }
 
-std::int64_t figure(const json& o, const char* key) { return std::atoll(o.value(key, "0").c_str()); }
+std::int64_t number_field(const json& o, const char* key) { return std::atoll(o.value(key, "0").c_str()); }
 
 json kv_of(const Record& r) {
-    return {{"key", coded(r.key.raw())},
+    return {{"key", base64_encoded(r.key.raw())},
             {"create_revision", std::to_string(r.created.raw())},
             {"mod_revision", std::to_string(r.modified.raw())},
-            {"value", coded(r.value)}};
+            {"value", base64_encoded(r.value)}};
 }
 
-// From a first key up to, not including, the last; an empty last one: the first key alone.
+// Records with keys from `first` up to, not including, `end`. If `end` is empty, the record of `first` alone.
 std::vector<Record> records_between(const RegistryModel::State& state, const std::string& first,
                                     const std::string& end) {
     std::vector<Record> found;
@@ -52,22 +52,23 @@
     return it == state.end() ? Record{} : it->second;
 }
 
-// The writes among a transaction's steps; a value of none deletes the key.
+// The writes among a transaction's steps. std::nullopt as the value deletes the key.
 std::vector<std::pair<std::string, std::optional<std::string>>> writes_of(const json& steps) {
     std::vector<std::pair<std::string, std::optional<std::string>>> writes;
     for (const json& step : steps) {
         if (step.contains("request_put"))
-            writes.emplace_back(decoded(step["request_put"], "key"), decoded(step["request_put"], "value"));
+            writes.emplace_back(base64_decoded(step["request_put"], "key"),
+                                base64_decoded(step["request_put"], "value"));
         if (step.contains("request_delete_range"))
-            writes.emplace_back(decoded(step["request_delete_range"], "key"), std::nullopt);
+            writes.emplace_back(base64_decoded(step["request_delete_range"], "key"), std::nullopt);
     }
     return writes;
 }
 
 }  // namespace
 
-FakeRegistry::FakeRegistry(EventLoop& loop, std::size_t members, Duration progress)
-    : loop_(loop), progress_interval_(progress) {
+FakeRegistry::FakeRegistry(EventLoop& loop, std::size_t members, Duration progress_interval)
+    : loop_(loop), progress_interval_(progress_interval) {
     for (std::size_t n = 0; n < members; ++n) {
         members_.push_back(std::make_unique<Member>());
         members_.back()->number = n;
@@ -82,19 +83,19 @@
     return std::max(model.oldest(), Revision{model.newest().raw() - m.faults.lag});
 }
 
-void FakeRegistry::listen(Member& m, const std::string& at) {
+void FakeRegistry::listen(Member& m, const std::string& address) {
     m.acceptor = std::make_unique<Acceptor>(
         loop_,
         [this, &m](const Poco::Net::StreamSocket& s) {
             ++ledger.connections;
-            if (m.faults.refuse) return;  // the connection ends with its last handle
-            auto w = std::make_shared<TestConnection>(loop_, s);
+            if (m.faults.refuse) return;  // dropping the last handle closes the connection
+            auto accepted = std::make_shared<TestConnection>(loop_, s);
             std::erase_if(m.connections,
                           [](const auto& old) { return old->state() == ConnectionState::closed; });
-            m.connections.push_back(w);
-            w->on_received = [this, &m, raw = std::weak_ptr<TestConnection>(w)](Buffer& in) {
-                const auto wire = raw.lock();
-                while (wire) {
+            m.connections.push_back(accepted);
+            accepted->on_received = [this, &m, weak = std::weak_ptr<TestConnection>(accepted)](Buffer& in) {
+                const auto connection = weak.lock();
+                while (connection) {
                     const std::string_view all = in.view();
                     const std::size_t head = all.find("\r\n\r\n");
                     if (head == std::string_view::npos) return;
@@ -110,29 +111,32 @@
                     const std::string body(all.substr(head + 4, length));
                     in.consumed(head + 4 + length);
                     if (!m.faults.unresponsive)
-                        on_request({m, wire, target, json::parse(body, nullptr, false), header(m)}, token);
-                    if (wire->state() != ConnectionState::open) return;
+                        on_request({m, connection, target, json::parse(body, nullptr, false), header(m)},
+                                   token);
+                    if (connection->state() != ConnectionState::open) return;
                 }
             };
-            w->start();
+            accepted->start();
         },
-        most_waiting, at);
+        accept_backlog, address);
     m.address = m.acceptor->address();
 }
 
-void FakeRegistry::answer(Member& m, const std::shared_ptr<TestConnection>& w, int status, std::string body) {
+void FakeRegistry::answer(Member& m, const std::shared_ptr<TestConnection>& connection, int status,
+                          std::string body) {
     if (std::exchange(m.faults.corrupt_response, false)) std::reverse(body.begin(), body.end());
-    loop_.schedule_at(loop_.now() + m.faults.delay, [weak = std::weak_ptr<TestConnection>(w), status, body] {
-        const auto to = weak.lock();
-        if (!to || to->state() != ConnectionState::open) return;
-        to->output().append("HTTP/1.1 " + std::to_string(status) +
-                            " X\r\nContent-Type: application/json\r\nContent-Length: " +
-                            std::to_string(body.size()) + "\r\n\r\n" + body);
-        to->write();
-    });
+    loop_.schedule_at(loop_.now() + m.faults.delay,
+                      [weak = std::weak_ptr<TestConnection>(connection), status, body] {
+                          const auto to = weak.lock();
+                          if (!to || to->state() != ConnectionState::open) return;
+                          to->output().append("HTTP/1.1 " + std::to_string(status) +
+                                              " X\r\nContent-Type: application/json\r\nContent-Length: " +
+                                              std::to_string(body.size()) + "\r\n\r\n" + body);
+                          to->write();
+                      });
 }
 
-void FakeRegistry::stream(Member& m, const std::shared_ptr<TestConnection>& w, std::string message) {
+void FakeRegistry::stream(Member& m, const std::shared_ptr<TestConnection>& connection, std::string message) {
     message += '\n';
     std::ostringstream chunk;
     chunk << std::hex << message.size() << "\r\n" << message << "\r\n";
@@ -140,7 +144,7 @@
     const bool cut = std::exchange(m.faults.truncate_watch, false);
     if (cut) bytes.resize(bytes.size() / 2);
     loop_.schedule_at(loop_.now() + m.faults.delay,
-                      [weak = std::weak_ptr<TestConnection>(w), bytes, cut, this] {
+                      [weak = std::weak_ptr<TestConnection>(connection), bytes, cut, this] {
                           const auto to = weak.lock();
                           if (!to || to->state() != ConnectionState::open) return;
                           to->output().append(bytes);
@@ -189,18 +193,19 @@
     const json& o = call.body;
     const bool last_changed = o.contains("sort_target");
     ++(last_changed ? ledger.checks : ledger.reads);
-    const Revision at =
-        figure(o, "revision") > 0 ? Revision{figure(o, "revision")} : visible_revision(call.member);
+    const Revision at = number_field(o, "revision") > 0 ? Revision{number_field(o, "revision")}
+                                                        : visible_revision(call.member);
     const RegistryModel::State* state = model.at(at);
     if (!state && at > model.newest())
         return answer_error(call, 400, 11, "etcdserver: mvcc: required revision is a future revision");
     if (!state) return answer_error(call, 400, 11, "etcdserver: mvcc: required revision has been compacted");
-    std::vector<Record> found = records_between(*state, decoded(o, "key"), decoded(o, "range_end"));
+    std::vector<Record> found =
+        records_between(*state, base64_decoded(o, "key"), base64_decoded(o, "range_end"));
     const std::size_t count = found.size();
     if (last_changed)
         std::sort(found.begin(), found.end(),
                   [](const Record& a, const Record& b) { return a.modified > b.modified; });
-    const auto limit = static_cast<std::size_t>(figure(o, "limit"));
+    const auto limit = static_cast<std::size_t>(number_field(o, "limit"));
     const bool more = limit > 0 && found.size() > limit;
     if (more) found.resize(limit);
     json kvs = json::array();
@@ -215,12 +220,12 @@
     const json& create = call.body["create_request"];
     call.connection->output().append(
         "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
-    const Revision from{figure(create, "start_revision")};
+    const Revision from{number_field(create, "start_revision")};
     const json created = {{"header", call.header}, {"created", true}};
     const bool available = model.changes(from, model.newest()).has_value();
     stream(call.member, call.connection, json{{"result", created}}.dump());
     if (!available) return cancel_watch(call.member, call.connection);
-    call.member.watchers.push_back({call.connection, decoded(create, "key"), from});
+    call.member.watchers.push_back({call.connection, base64_decoded(create, "key"), from});
     deliver_changes(call.member);
 }
 
@@ -239,8 +244,8 @@
 void FakeRegistry::answer_write(const Call& call) {
     const bool put = call.target == "/v3/kv/put";
     std::optional<std::string> value;
-    if (put) value = decoded(call.body, "value");
-    model.commit({{RecordKey{decoded(call.body, "key")}, value}});
+    if (put) value = base64_decoded(call.body, "value");
+    model.commit({{RecordKey{base64_decoded(call.body, "key")}, value}});
     answer(call.member, call.connection, 200, json{{"header", call.header}}.dump());
     publish();
 }
@@ -249,28 +254,29 @@
     const RegistryModel::State& state = *model.at(model.newest());
     bool hold = true;
     for (const json& c : compares) {
-        keys.push_back(decoded(c, "key"));
+        keys.push_back(base64_decoded(c, "key"));
         const Record r = record_of(state, keys.back());
         const std::string target = c.value("target", "");
-        if (target == "MOD") hold = hold && r.modified.raw() == figure(c, "mod_revision");
-        if (target == "CREATE") hold = hold && r.created.raw() == figure(c, "create_revision");
-        if (target == "VALUE") hold = hold && r.created != Revision{} && r.value == decoded(c, "value");
+        if (target == "MOD") hold = hold && r.modified.raw() == number_field(c, "mod_revision");
+        if (target == "CREATE") hold = hold && r.created.raw() == number_field(c, "create_revision");
+        if (target == "VALUE")
+            hold = hold && r.created != Revision{} && r.value == base64_decoded(c, "value");
     }
     return hold;
 }
 
-// Members that lag take part in transactions as all do: those are agreed on.
-json FakeRegistry::transact(std::size_t member, const json& asked) {
+// A member that lags still commits transactions at the newest revision, because the members agree on them.
+json FakeRegistry::transact(std::size_t member, const json& request) {
     ++ledger.transactions;
     SettledTransaction done{loop_.now(), member, {}, {}, false};
-    const bool holds = compares_hold(asked.value("compare", json::array()), done.compared);
+    const bool holds = compares_hold(request.value("compare", json::array()), done.compared);
     ledger.successful_transactions += holds;
-    const json steps = asked.value(holds ? "success" : "failure", json::array());
+    const json steps = request.value(holds ? "success" : "failure", json::array());
     std::vector<std::pair<RecordKey, std::optional<std::string>>> writes;
     for (auto& [key, value] : writes_of(steps)) writes.emplace_back(key, value);
     if (!writes.empty()) model.commit(writes);
     done.succeeded = holds;
-    done.writes = writes_of(asked.value("success", json::array()));
+    done.writes = writes_of(request.value("success", json::array()));
     on_settled(done);
     const RegistryModel::State& after = *model.at(model.newest());
     json responses = json::array();
@@ -279,7 +285,7 @@
         if (step.contains("request_delete_range"))
             responses.push_back({{"response_delete_range", json::object()}});
         if (!step.contains("request_range")) continue;
-        const Record r = record_of(after, decoded(step["request_range"], "key"));
+        const Record r = record_of(after, base64_decoded(step["request_range"], "key"));
         json kvs = json::array();
         if (r.created != Revision{}) kvs.push_back(kv_of(r));
         responses.push_back({{"response_range", {{"kvs", kvs}}}});
@@ -289,40 +295,41 @@
     return out;
 }
 
-void FakeRegistry::cancel_watch(Member& m, const std::shared_ptr<TestConnection>& w) {
+void FakeRegistry::cancel_watch(Member& m, const std::shared_ptr<TestConnection>& connection) {
     const json header = {{"cluster_id", model.cluster().raw()},
                          {"revision", std::to_string(visible_revision(m).raw())}};
     const json result = {
         {"header", header}, {"canceled", true}, {"compact_revision", std::to_string(model.oldest().raw())}};
-    stream(m, w, json{{"result", result}}.dump());
+    stream(m, connection, json{{"result", result}}.dump());
 }
 
 void FakeRegistry::deliver_changes(Member& m) {
     std::erase_if(m.watchers, [](const Watcher& x) {
-        const auto w = x.connection.lock();
-        return !w || w->state() == ConnectionState::closed;
+        const auto connection = x.connection.lock();
+        return !connection || connection->state() == ConnectionState::closed;
     });
     if (m.faults.silent_watches) return;
-    // Watchers of the same prefix that are as far as each other get the same messages: encoded once.
+    // Watchers with the same prefix and next revision get the same messages, which are encoded once.
     std::map<std::pair<std::string, Revision>, std::optional<Messages>> encoded;
     for (Watcher& x : m.watchers) {
-        const auto w = x.connection.lock();
-        if (!w || x.next > visible_revision(m)) continue;
+        const auto connection = x.connection.lock();
+        if (!connection || x.next > visible_revision(m)) continue;
         const auto [it, fresh] = encoded.try_emplace({x.prefix, x.next});
         if (fresh) it->second = messages(m, x.prefix, x.next);
         if (!it->second) {
-            // It fell behind for so long that what it waits for has been compacted.
-            cancel_watch(m, w);
+            // The revisions that this watcher waits for have been compacted.
+            cancel_watch(m, connection);
             x.connection.reset();
             continue;
         }
         x.next = Revision{visible_revision(m).raw() + 1};
         ledger.delivered_changes += it->second->changes;
-        for (const std::string& message : it->second->texts) stream(m, w, message);
+        for (const std::string& message : it->second->texts) stream(m, connection, message);
     }
 }
 
-// What a watch of that prefix is told from that revision on; none: that is compacted.
+// The messages to a watch of this prefix from this revision on. Returns std::nullopt if the revision is
+// compacted.
 std::optional<FakeRegistry::Messages> FakeRegistry::messages(const Member& m, const std::string& prefix,
                                                              Revision from) const {
     const auto all = model.changes(from, visible_revision(m));
@@ -336,7 +343,7 @@
     made.changes = ours.size();
     json events = json::array();
     for (std::size_t n = 0; n < ours.size(); ++n) {
-        json kv = ours[n].deleted ? json{{"key", coded(ours[n].record.key.raw())},
+        json kv = ours[n].deleted ? json{{"key", base64_encoded(ours[n].record.key.raw())},
                                          {"mod_revision", std::to_string(ours[n].record.modified.raw())}}
                                   : kv_of(ours[n].record);
         json event = {{"kv", kv}};
@@ -357,25 +364,25 @@
     for (const auto& m : members_) deliver_changes(*m);
 }
 
-// What a registry says when there is nothing to say.
+// Sends new changes and then a progress notification to each watch, at regular intervals.
 void FakeRegistry::send_progress() {
     for (const auto& m : members_) {
         deliver_changes(*m);
         for (const Watcher& x : m->watchers) {
-            const auto w = x.connection.lock();
-            if (!w || w->state() != ConnectionState::open || m->faults.silent_watches ||
+            const auto connection = x.connection.lock();
+            if (!connection || connection->state() != ConnectionState::open || m->faults.silent_watches ||
                 m->faults.unresponsive)
                 continue;
             const json header = {{"cluster_id", model.cluster().raw()},
                                  {"revision", std::to_string(visible_revision(*m).raw())}};
-            stream(*m, w, json{{"result", {{"header", header}}}}.dump());
+            stream(*m, connection, json{{"result", {{"header", header}}}}.dump());
         }
     }
     progress_timer_ = loop_.schedule_at(loop_.now() + progress_interval_, [this] { send_progress(); });
 }
 
 void FakeRegistry::break_connections(std::size_t member) {
-    for (const auto& w : std::exchange(members_[member]->connections, {})) w->close();
+    for (const auto& connection : std::exchange(members_[member]->connections, {})) connection->close();
     members_[member]->watchers.clear();
 }
 
--- a/testing/fake_registry.hpp
+++ b/testing/fake_registry.hpp
@@ -1,5 +1,5 @@
-// A stand-in for a key-value registry's members: etcd's HTTP/JSON interface over a RegistryModel, on a loop,
-// with faults to order. It keeps a ledger of what was asked of it.
+// A fake of the members of a key-value registry: etcd's HTTP/JSON interface to a RegistryModel, on an event
+// loop, with fault injection per member. It counts the requests that it receives.
 #pragma once
 
 #include <functional>
@@ -20,32 +20,40 @@
 class FakeRegistry {
 public:
     struct Faults {
-        bool refuse = false;          // connections are closed as they come
-        bool silent_watches = false;  // watches stay open and say nothing, not even progress
-        bool unresponsive = false;    // nothing is answered at all
-        bool truncate_watch =
-            false;  // the next message of a watch ends in its middle, and the connection with it
-        bool corrupt_response = false;  // the next answer is wrong bytes
-        bool drop_write_response =
-            false;              // the next write is done, and the connection closed without an answer
-        int lag = 0;            // revisions that this member is behind
-        int fragment_size = 0;  // changes a piece of a watch's message; zero: whole
-        Duration delay;         // before anything is said
+        /// Closes each new connection.
+        bool refuse = false;
+        /// Keeps watches open and sends neither changes nor progress notifications on them.
+        bool silent_watches = false;
+        /// Answers no request.
+        bool unresponsive = false;
+        /// Sends half of the next watch message and then closes the connection.
+        bool truncate_watch = false;
+        /// Sends the next response's body with its bytes reversed.
+        bool corrupt_response = false;
+        /// Runs the next transaction and closes the connection without a response.
+        bool drop_write_response = false;
+        /// Number of revisions that this member is behind.
+        int lag = 0;
+        /// Maximum number of changes in a fragment of a watch message; zero sends the message whole.
+        int fragment_size = 0;
+        /// Delay of each response and watch message.
+        Duration delay;
     };
     struct Ledger {
         int reads = 0, checks = 0, watches = 0, connections = 0, refused = 0, logins = 0;
-        int transactions = 0, successful_transactions = 0;  // transactions, and those that wrote
-        std::uint64_t delivered_changes = 0;  // changes, each as often as a watch was told of it
+        /// The second counts the transactions whose comparisons held.
+        int transactions = 0, successful_transactions = 0;
+        /// Changes sent to watches; a change counts once for each watch.
+        std::uint64_t delivered_changes = 0;
         std::vector<TimePoint> request_times;
     };
 
-    FakeRegistry(EventLoop& loop, std::size_t members, Duration progress);
+    FakeRegistry(EventLoop& loop, std::size_t members, Duration progress_interval);
     ~FakeRegistry();
 
     std::string address(std::size_t member) const { return members_[member]->address; }
     RegistryModel model;
     Ledger ledger;
-    // Each transaction once it has been settled and before it is answered; nothing of it may be changed.
     struct SettledTransaction {
         TimePoint at;
         std::size_t member = 0;
@@ -53,11 +61,14 @@
         std::vector<std::pair<std::string, std::optional<std::string>>> writes;
         bool succeeded = false;
     };
+    // Called after a transaction has run and before its response is sent. The callback must not change the
+    // registry.
     std::function<void(const SettledTransaction&)> on_settled = [](const SettledTransaction&) {};
-    std::string user, password;  // empty: open to all
+    std::string user, password;  // an empty user disables authentication
     Faults& faults(std::size_t member) { return members_[member]->faults; }
 
-    // Tells the watches of what the model has gained since; the instant is that of the commit.
+    // Sends the changes since the last call to the watches. The time of this call counts as that of the
+    // commit.
     void publish();
     void break_connections(std::size_t member);
     void stop_member(std::size_t member);
@@ -80,13 +91,13 @@
     };
 
     void listen(Member& m, const std::string& at);
-    // One request at one member.
+    // A request that one member received.
     struct Call {
         Member& member;
         std::shared_ptr<TestConnection> connection;
         std::string target;
         nlohmann::json body;
-        nlohmann::json header;  // of its answer
+        nlohmann::json header;  // of the response
     };
     void on_request(const Call& call, const std::string& token);
     nlohmann::json header(const Member& m) const;
@@ -96,15 +107,15 @@
     void open_watch(const Call& call);
     void answer_transaction(const Call& call);
     void answer_write(const Call& call);
-    // Whether all comparisons hold now; `keys` gets what they compare.
+    // Whether all comparisons hold at the newest revision. Appends the compared keys to `keys`.
     bool compares_hold(const nlohmann::json& compares, std::vector<std::string>& keys) const;
-    void answer(Member& m, const std::shared_ptr<TestConnection>& w, int status, std::string body);
-    void stream(Member& m, const std::shared_ptr<TestConnection>& w, std::string message);
-    // The answer to a transaction, which is done by then.
-    nlohmann::json transact(std::size_t member, const nlohmann::json& asked);
-    void cancel_watch(Member& m, const std::shared_ptr<TestConnection>& w);
+    void answer(Member& m, const std::shared_ptr<TestConnection>& connection, int status, std::string body);
+    void stream(Member& m, const std::shared_ptr<TestConnection>& connection, std::string message);
+    // Runs a transaction and returns its response.
+    nlohmann::json transact(std::size_t member, const nlohmann::json& request);
+    void cancel_watch(Member& m, const std::shared_ptr<TestConnection>& connection);
     void deliver_changes(Member& m);
-    // What a watch is told, and of how many changes.
+    // Encoded watch messages and the number of changes in them.
     struct Messages {
         std::vector<std::string> texts;
         std::size_t changes = 0;
--- a/testing/fake_services.cpp
+++ b/testing/fake_services.cpp
@@ -11,73 +11,73 @@
 
 namespace {
 
-constexpr std::size_t most_kept = 4096;
-constexpr int most_waiting = 4096;  // to be accepted by a board
+constexpr std::size_t max_kept_attempts = 4096;
+constexpr int accept_backlog = 4096;  // of a notice board
 
-void drop_ended(std::vector<std::shared_ptr<TestConnection>>& wires) {
-    std::erase_if(wires, [](const auto& w) { return w->state() == ConnectionState::closed; });
+void drop_ended(std::vector<std::shared_ptr<TestConnection>>& connections) {
+    std::erase_if(connections,
+                  [](const auto& connection) { return connection->state() == ConnectionState::closed; });
 }
 
 }  // namespace
 
-// --- caches
-// ---------------------------------------------------------------------------------------------------
+// --- caches ---------------------------------------------------------------------------------------------
 
-FakeCache::FakeCache(EventLoop& loop, std::string id, Duration answers_after)
-    : loop_(loop), id_(std::move(id)), response_delay_(answers_after) {
+FakeCache::FakeCache(EventLoop& loop, std::string id, Duration response_delay)
+    : loop_(loop), id_(std::move(id)), response_delay_(response_delay) {
     listen("127.0.0.1:0");
 }
 
-void FakeCache::listen(const std::string& at) {
+void FakeCache::listen(const std::string& address) {
     acceptor_ = std::make_unique<Acceptor>(
         loop_,
         [this](const Poco::Net::StreamSocket& s) {
             drop_ended(connections_);
-            auto w = std::make_shared<TestConnection>(loop_, s);
-            w->on_received = [this, raw = std::weak_ptr<TestConnection>(w)](Buffer& in) {
-                if (const auto wire = raw.lock()) on_data(wire, in);
+            auto connection = std::make_shared<TestConnection>(loop_, s);
+            connection->on_received = [this, weak = std::weak_ptr<TestConnection>(connection)](Buffer& in) {
+                if (const auto locked = weak.lock()) on_data(locked, in);
             };
-            connections_.push_back(w);
-            w->start();
+            connections_.push_back(connection);
+            connection->start();
         },
-        64, at);
+        64, address);
     address_ = acceptor_->address();
 }
 
 void FakeCache::stop() {
     acceptor_.reset();
-    for (const auto& w : std::exchange(connections_, {})) w->reset();
+    for (const auto& connection : std::exchange(connections_, {})) connection->reset();
 }
 
 void FakeCache::restart() {
     if (!acceptor_) listen(address_);
 }
 
-void FakeCache::on_data(const std::shared_ptr<TestConnection>& w, Buffer& in) {
-    resp::Arguments words;
+void FakeCache::on_data(const std::shared_ptr<TestConnection>& connection, Buffer& in) {
+    resp::Arguments arguments;
     std::size_t used = 0;
-    while (resp::parse_array(in.view(), words, used) == ParseStatus::complete) {
-        health_checks += words[0] == "ECHO";
-        if (words[0] == "ECHO") resp::write_array(w->output(), {words[1], "PONG", "-", ""});
-        if (words[0] == "PULL" && words.size() > 2) {
-            const std::string id(words[1]);
+    while (resp::parse_array(in.view(), arguments, used) == ParseStatus::complete) {
+        health_checks += arguments[0] == "ECHO";
+        if (arguments[0] == "ECHO") resp::write_array(connection->output(), {arguments[1], "PONG", "-", ""});
+        if (arguments[0] == "PULL" && arguments.size() > 2) {
+            const std::string id(arguments[1]);
             received.push_back({loop_.now(), id});
             ++total;
-            if (received.size() > most_kept) received.pop_front();
-            loop_.schedule_at(loop_.now() + response_delay_, [id, weak = std::weak_ptr<TestConnection>(w)] {
-                const auto to = weak.lock();
-                if (!to || to->state() != ConnectionState::open) return;
-                resp::write_array(to->output(), {id, "HIT", "tag=t1,minted=1,n=cached", "a body"});
-                to->write();
-            });
+            if (received.size() > max_kept_attempts) received.pop_front();
+            loop_.schedule_at(
+                loop_.now() + response_delay_, [id, weak = std::weak_ptr<TestConnection>(connection)] {
+                    const auto to = weak.lock();
+                    if (!to || to->state() != ConnectionState::open) return;
+                    resp::write_array(to->output(), {id, "HIT", "tag=t1,minted=1,n=cached", "a body"});
+                    to->write();
+                });
         }
         in.consumed(used);
     }
-    w->write();
+    connection->write();
 }
 
-// --- the board
-// ------------------------------------------------------------------------------------------------
+// --- the notice board -----------------------------------------------------------------------------------
 
 FakeNoticeBoard::FakeNoticeBoard(EventLoop& loop)
     : loop_(loop),
@@ -85,22 +85,22 @@
           loop,
           [this](const Poco::Net::StreamSocket& s) {
               drop_ended(connections_);
-              auto w = std::make_shared<TestConnection>(loop_, s);
-              w->on_received = [this, raw = std::weak_ptr<TestConnection>(w)](Buffer& in) {
-                  const std::string said(in.view());
-                  if (said.find("\r\n\r\n") == std::string::npos) return;
-                  in.consumed(said.size());
-                  const std::size_t watch = said.find("watch="), linger = said.find("linger=");
+              auto connection = std::make_shared<TestConnection>(loop_, s);
+              connection->on_received = [this, weak = std::weak_ptr<TestConnection>(connection)](Buffer& in) {
+                  const std::string request(in.view());
+                  if (request.find("\r\n\r\n") == std::string::npos) return;
+                  in.consumed(request.size());
+                  const std::size_t watch = request.find("watch="), linger = request.find("linger=");
                   if (watch == std::string::npos || linger == std::string::npos) return;
                   polls_.push_back(
-                      {raw, std::atoll(said.c_str() + watch + 6),
-                       loop_.now() + Duration::micros(std::atoll(said.c_str() + linger + 7) * 1000)});
+                      {weak, std::atoll(request.c_str() + watch + 6),
+                       loop_.now() + Duration::micros(std::atoll(request.c_str() + linger + 7) * 1000)});
                   answer();
               };
-              connections_.push_back(w);
-              w->start();
+              connections_.push_back(connection);
+              connection->start();
           },
-          most_waiting) {
+          accept_backlog) {
     check_polls();
 }
 
@@ -119,7 +119,7 @@
 
 void FakeNoticeBoard::break_connections() {
     polls_.clear();
-    for (const auto& w : std::exchange(connections_, {})) w->close();
+    for (const auto& connection : std::exchange(connections_, {})) connection->close();
 }
 
 void FakeNoticeBoard::check_polls() {
@@ -130,11 +130,11 @@
 void FakeNoticeBoard::answer() {
     if (silent) return;
     const auto newest = static_cast<std::int64_t>(events_.size());
-    // Those that watch from the same event are told the same: it is encoded once.
+    // Polls that wait for events after the same number get the same response, which is encoded once.
     std::map<std::int64_t, std::string> encoded;
     for (const Poll& p : std::exchange(polls_, {})) {
-        const auto w = p.connection.lock();
-        if (!w || w->state() != ConnectionState::open) continue;
+        const auto connection = p.connection.lock();
+        if (!connection || connection->state() != ConnectionState::open) continue;
         if (p.since >= newest && loop_.now() < p.deadline) {
             polls_.push_back(p);
             continue;
@@ -142,27 +142,26 @@
         const auto [it, fresh] = encoded.try_emplace(p.since);
         std::string& body = it->second;
         if (fresh) {
-            json some = json::array();
-            const auto told = std::clamp<std::int64_t>(p.since, 0, newest);  // events are numbered from one
-            for (auto e = events_.begin() + told; e != events_.end(); ++e) some.push_back(*e);
-            body = json{{"rev", newest}, {"notices", some}}.dump();
+            json notices = json::array();
+            const auto first = std::clamp<std::int64_t>(p.since, 0, newest);  // events are numbered from one
+            for (auto e = events_.begin() + first; e != events_.end(); ++e) notices.push_back(*e);
+            body = json{{"rev", newest}, {"notices", notices}}.dump();
         }
-        w->output().append("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
-                           body);
-        w->write();
+        connection->output().append("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) +
+                                    "\r\n\r\n" + body);
+        connection->write();
     }
 }
 
-// --- clients
-// --------------------------------------------------------------------------------------------------
+// --- clients --------------------------------------------------------------------------------------------
 
-ClientLoad::ClientLoad(EventLoop& loop, std::string gateway, std::string kind, Duration every,
-                       Duration patience)
+ClientLoad::ClientLoad(EventLoop& loop, std::string gateway, std::string kind, Duration interval,
+                       Duration timeout)
     : loop_(loop),
       gateway_(std::move(gateway)),
       kind_(std::move(kind)),
-      interval_(every),
-      timeout_(patience) {}
+      interval_(interval),
+      timeout_(timeout) {}
 
 void ClientLoad::start() {
     connection_ = std::make_shared<TestConnection>(loop_);
@@ -175,8 +174,7 @@
 void ClientLoad::send_request() {
     if (!running_) return;
     loop_.schedule_at(loop_.now() + interval_, [this] { send_request(); });
-    if (open_requests_.contains(next_request_number_))
-        return;  // 65,535 open: there is no number for one more
+    if (open_requests_.contains(next_request_number_)) return;  // all 65,535 request numbers are in use
     const std::uint16_t request = next_request_number_;
     next_request_number_ =
         static_cast<std::uint16_t>(next_request_number_ == 65'535 ? 1 : next_request_number_ + 1);
@@ -211,12 +209,12 @@
         } else if (r.type == fastcgi::Type::std_out) {
             it->second.second += r.content;
         } else if (r.type == fastcgi::Type::end_request) {
-            const std::string& said = it->second.second;
-            if (said.find("Status: 200") == 0) {
+            const std::string& response = it->second.second;
+            if (response.find("Status: 200") == 0) {
                 ++served;
                 latencies_ms.push_back((loop_.now() - it->second.first).seconds() * 1000);
             } else {
-                ++(said.find("Status: 503") == 0 ? rejected : failed);
+                ++(response.find("Status: 503") == 0 ? rejected : failed);
             }
             open_requests_.erase(it);
         }
@@ -224,8 +222,7 @@
     }
 }
 
-// --- the gateway
-// ----------------------------------------------------------------------------------------------
+// --- the gateway's configuration ------------------------------------------------------------------------
 
 json endpoint_json(const std::string& id, const std::string& kind, const std::string& zone,
                    const std::string& address, const std::string& state) {
@@ -233,10 +230,10 @@
             {"cell", 0}, {"state", state},  {"weight", 1}};
 }
 
-json configuration(const std::string& listen, const std::string& board, const json& known) {
+json configuration(const std::string& listen, const std::string& notice_board, const json& known) {
     return json{{"name", "lab"},
                 {"listen", listen},
-                {"board", board},
+                {"board", notice_board},
                 {"seed", "1"},
                 {"limits", {{"cores", 1.0}, {"memory_mb", 32}, {"sockets", 256}}},
                 {"known", known},
--- a/testing/fake_services.hpp
+++ b/testing/fake_services.hpp
@@ -1,5 +1,6 @@
-// What a gateway stands between, on one loop: clients that ask it over FastCGI, caches that answer it over
-// RESP, and the notice board. Each keeps a ledger of what reached it and when its first byte did.
+// Fakes of the services around a gateway, on one event loop: clients that send requests over FastCGI, caches
+// that answer over RESP, and the notice board. The cache records each attempt and when its first byte
+// arrived, the client counts responses.
 #pragma once
 
 #include <deque>
@@ -15,10 +16,10 @@
 
 namespace irismux::test_support {
 
-// A cache that holds everything and answers after a while.
+// A cache that answers each attempt with a hit after a fixed delay.
 class FakeCache {
 public:
-    FakeCache(EventLoop& loop, std::string id, Duration answers_after);
+    FakeCache(EventLoop& loop, std::string id, Duration response_delay);
     const std::string& id() const { return id_; }
     std::string address() const { return address_; }
 
@@ -28,35 +29,37 @@
     };
     std::deque<ReceivedAttempt> received;  // the last 4,096
     std::uint64_t total = 0, health_checks = 0;
-    // Its process is gone: connections are reset, those that come are refused.
+    // Simulates the end of the cache's process: resets all connections and refuses new ones.
     void stop();
     void restart();
 
 private:
-    void on_data(const std::shared_ptr<TestConnection>& w, Buffer& in);
+    void on_data(const std::shared_ptr<TestConnection>& connection, Buffer& in);
     EventLoop& loop_;
     std::string id_;
     Duration response_delay_;
-    void listen(const std::string& at);
+    void listen(const std::string& address);
     std::vector<std::shared_ptr<TestConnection>> connections_;
     std::string address_;
     std::unique_ptr<Acceptor> acceptor_;
 };
 
-// A board that answers each poll when there is something new, or when it has lingered.
+// A notice board that answers a long poll when there is a new event or when the poll's linger time is over.
 class FakeNoticeBoard {
 public:
     explicit FakeNoticeBoard(EventLoop& loop);
     std::string address() const { return acceptor_.address(); }
-    // One more event; numbered here. Returns its number.
+    // Publishes one event under the next number, which it returns.
     std::int64_t post(nlohmann::json event);
-    // As above, all at once: polls are answered with all of them.
+    // Publishes several events at once, so that the next answer to a poll holds all of them. Returns the last
+    // number.
     std::int64_t post_all(std::vector<nlohmann::json> events);
-    nlohmann::json known() const;  // all events, as a configuration brings them
+    // All events, in the form that a gateway's configuration has under "known".
+    nlohmann::json known() const;
     void break_connections();
-    // The number from which the last poll watched.
+    // The event number after which the last waiting poll asks for events; -1 if no poll waits.
     std::int64_t last_poll_since() const { return polls_.empty() ? -1 : polls_.back().since; }
-    bool silent = false;
+    bool silent = false;  // leaves polls unanswered
 
 private:
     struct Poll {
@@ -73,16 +76,16 @@
     Acceptor acceptor_;
 };
 
-// Asks a gateway at an even pace and counts what comes back.
+// Sends requests to a gateway at a constant rate and counts the responses.
 class ClientLoad {
 public:
-    ClientLoad(EventLoop& loop, std::string gateway, std::string kind, Duration every, Duration patience);
+    ClientLoad(EventLoop& loop, std::string gateway, std::string kind, Duration interval, Duration timeout);
     void start();
     void stop() { running_ = false; }
 
     std::uint64_t requests_sent = 0, served = 0, rejected = 0, failed = 0, duplicate_responses = 0;
     std::size_t open_requests() const { return open_requests_.size(); }
-    std::vector<double> latencies_ms;  // of those satisfied
+    std::vector<double> latencies_ms;  // of served requests
 
 private:
     void send_request();
@@ -96,11 +99,11 @@
     std::uint16_t next_request_number_ = 1;
 };
 
-// A configuration of a gateway as its platform writes it.
-nlohmann::json configuration(const std::string& listen, const std::string& board,
+// A gateway's configuration in the form that its platform writes.
+nlohmann::json configuration(const std::string& listen, const std::string& notice_board,
                              const nlohmann::json& known);
 
-// A line of the list as board and registry hold it.
+// An endpoint's entry in the form that the notice board and the registry hold.
 nlohmann::json endpoint_json(const std::string& id, const std::string& kind, const std::string& zone,
                              const std::string& address, const std::string& state);
 
--- a/testing/fault_proxy.cpp
+++ b/testing/fault_proxy.cpp
@@ -3,22 +3,22 @@
 namespace irismux::test_support {
 namespace {
 
-std::size_t no(Direction w) { return static_cast<std::size_t>(w); }
+std::size_t index_of(Direction direction) { return static_cast<std::size_t>(direction); }
 
 }  // namespace
 
-FaultProxy::FaultProxy(EventLoop& loop, std::string to) : loop_(loop), target_(std::move(to)) {
+FaultProxy::FaultProxy(EventLoop& loop, std::string target) : loop_(loop), target_(std::move(target)) {
     listen("127.0.0.1:0");
 }
 
-void FaultProxy::listen(const std::string& at) {
+void FaultProxy::listen(const std::string& address) {
     acceptor_ = std::make_unique<Acceptor>(
-        loop_, [this](const Poco::Net::StreamSocket& s) { on_connect(s); }, 64, at);
+        loop_, [this](const Poco::Net::StreamSocket& s) { on_connect(s); }, 64, address);
     address_ = acceptor_->address();
 }
 
-void FaultProxy::set_down(bool is) {
-    if (!is) {
+void FaultProxy::set_down(bool enabled) {
+    if (!enabled) {
         if (!acceptor_) listen(address_);
         return;
     }
@@ -28,106 +28,107 @@
 
 FaultProxy::~FaultProxy() {
     alive_.reset();
-    for (const auto& p : pairs_)
-        for (const auto& w : p->ends) w->close();
+    for (const auto& pair : pairs_)
+        for (const auto& end : pair->ends) end->close();
 }
 
 void FaultProxy::on_connect(const Poco::Net::StreamSocket& socket) {
-    std::erase_if(pairs_, [this](const PairPtr& p) {
-        if (p->finished) on_connection_closed(p->number);
-        return p->finished;
+    std::erase_if(pairs_, [this](const PairPtr& pair) {
+        if (pair->finished) on_connection_closed(pair->number);
+        return pair->finished;
     });
-    auto p = std::make_shared<Pair>();
-    p->number = ++last_number_;
-    p->ends = {std::make_shared<TestConnection>(loop_, socket), std::make_shared<TestConnection>(loop_)};
-    pairs_.push_back(p);
-    for (const Direction w : {Direction::to_server, Direction::to_client}) {
-        TestConnection& end = *p->ends[no(w)];
-        end.on_received = [this, weak = std::weak_ptr<Pair>(p), w](Buffer& in) {
+    auto pair = std::make_shared<Pair>();
+    pair->number = ++last_number_;
+    pair->ends = {std::make_shared<TestConnection>(loop_, socket), std::make_shared<TestConnection>(loop_)};
+    pairs_.push_back(pair);
+    for (const Direction direction : {Direction::to_server, Direction::to_client}) {
+        TestConnection& end = *pair->ends[index_of(direction)];
+        end.on_received = [this, weak = std::weak_ptr<Pair>(pair), direction](Buffer& in) {
             std::string bytes(in.view());
             in.consumed(bytes.size());
-            if (const PairPtr pair = weak.lock()) on_received(pair, w, std::move(bytes));
+            if (const PairPtr locked = weak.lock()) on_received(locked, direction, std::move(bytes));
         };
-        end.on_end = [this, weak = std::weak_ptr<Pair>(p), w] {
-            if (const PairPtr pair = weak.lock()) FaultProxy::on_end_of_stream(pair, w);
+        end.on_end = [this, weak = std::weak_ptr<Pair>(pair), direction] {
+            if (const PairPtr locked = weak.lock()) FaultProxy::on_end_of_stream(locked, direction);
         };
     }
-    p->ends[0]->start();
-    if (!p->ends[1]->start(target_)) reset(p);
+    pair->ends[0]->start();
+    if (!pair->ends[1]->start(target_)) reset(pair);
 }
 
-void FaultProxy::on_received(const PairPtr& p, Direction w, std::string bytes) {
-    ++chunk_counts_[no(w)];
-    on_chunk(w, bytes);
-    on_connection_chunk(p->number, w, bytes);
-    if (p->finished) return;
-    Faults& f = faults(w);
+void FaultProxy::on_received(const PairPtr& pair, Direction direction, std::string bytes) {
+    ++chunk_counts_[index_of(direction)];
+    on_chunk(direction, bytes);
+    on_connection_chunk(pair->number, direction, bytes);
+    if (pair->finished) return;
+    Faults& f = faults(direction);
     if (f.reset_after_bytes > 0 && bytes.size() >= f.reset_after_bytes) {
         bytes.resize(std::exchange(f.reset_after_bytes, 0));
-        forward(p, w, std::move(bytes));
+        forward(pair, direction, std::move(bytes));
         loop_.schedule_at(loop_.now() + Duration::micros(2000),
-                          [this, alive = std::weak_ptr<bool>(alive_), p] {
-                              if (alive.lock()) reset(p);
+                          [this, alive = std::weak_ptr<bool>(alive_), pair] {
+                              if (alive.lock()) reset(pair);
                           });
         return;
     }
     if (f.reset_after_bytes > 0) f.reset_after_bytes -= bytes.size();
     if (f.hold)
-        p->held_chunks[no(w)].push_back(std::move(bytes));
+        pair->held_chunks[index_of(direction)].push_back(std::move(bytes));
     else
-        forward(p, w, std::move(bytes));
+        forward(pair, direction, std::move(bytes));
 }
 
-void FaultProxy::forward(const PairPtr& p, Direction w, std::string bytes) {
-    const Faults& f = faults(w);
-    TimePoint& free = p->next_send[no(w)];
-    free = std::max(free, loop_.now() + f.delay);
+void FaultProxy::forward(const PairPtr& pair, Direction direction, std::string bytes) {
+    const Faults& f = faults(direction);
+    TimePoint& send_time = pair->next_send[index_of(direction)];
+    send_time = std::max(send_time, loop_.now() + f.delay);
     if (f.bytes_per_second > 0)
-        free = free +
-               Duration::seconds(static_cast<double>(bytes.size()) / static_cast<double>(f.bytes_per_second));
-    const auto go = [p, w, bytes = std::move(bytes)] {
-        TestConnection& to = *p->ends[1 - no(w)];
+        send_time = send_time + Duration::seconds(static_cast<double>(bytes.size()) /
+                                                  static_cast<double>(f.bytes_per_second));
+    const auto go = [pair, direction, bytes = std::move(bytes)] {
+        TestConnection& to = *pair->ends[1 - index_of(direction)];
         if (to.state() == ConnectionState::closed) return;
         to.output().append(bytes);
         if (to.state() == ConnectionState::open) to.write();
     };
-    if (free <= loop_.now())
+    if (send_time <= loop_.now())
         go();
     else
-        loop_.schedule_at(free, go);
+        loop_.schedule_at(send_time, go);
 }
 
-// A cut link loses the ends of connections, too.
-void FaultProxy::on_end_of_stream(const PairPtr& p, Direction w) {
-    p->ended[no(w)] = true;
-    if (faults(w).hold || p->finished) return;
-    const TimePoint at = std::max(p->next_send[no(w)], loop_.now() + Duration::micros(1000));
-    loop_.schedule_at(at, [p] {
-        p->finished = true;
-        for (const auto& e : p->ends) e->close();
+// Forwards the end of a connection, unless this direction is held back.
+void FaultProxy::on_end_of_stream(const PairPtr& pair, Direction direction) {
+    pair->ended[index_of(direction)] = true;
+    if (faults(direction).hold || pair->finished) return;
+    const TimePoint at = std::max(pair->next_send[index_of(direction)], loop_.now() + Duration::micros(1000));
+    loop_.schedule_at(at, [pair] {
+        pair->finished = true;
+        for (const auto& e : pair->ends) e->close();
     });
 }
 
-void FaultProxy::reset(const PairPtr& p) {
-    p->finished = true;
-    for (const auto& e : p->ends) e->reset();
+void FaultProxy::reset(const PairPtr& pair) {
+    pair->finished = true;
+    for (const auto& e : pair->ends) e->reset();
 }
 
-void FaultProxy::hold(Direction w, bool is) {
-    faults(w).hold = is;
-    if (is) return;
-    for (const PairPtr& p : pairs_) {
-        for (std::string& bytes : std::exchange(p->held_chunks[no(w)], {})) forward(p, w, std::move(bytes));
-        if (p->ended[no(w)]) on_end_of_stream(p, w);
+void FaultProxy::hold(Direction direction, bool enabled) {
+    faults(direction).hold = enabled;
+    if (enabled) return;
+    for (const PairPtr& pair : pairs_) {
+        for (std::string& bytes : std::exchange(pair->held_chunks[index_of(direction)], {}))
+            forward(pair, direction, std::move(bytes));
+        if (pair->ended[index_of(direction)]) on_end_of_stream(pair, direction);
     }
 }
 
-void FaultProxy::set_partitioned(bool is) {
-    for (const Direction w : {Direction::to_server, Direction::to_client}) hold(w, is);
+void FaultProxy::set_partitioned(bool enabled) {
+    for (const Direction direction : {Direction::to_server, Direction::to_client}) hold(direction, enabled);
 }
 
 void FaultProxy::reset_all() {
-    for (const PairPtr& p : std::exchange(pairs_, {})) reset(p);
+    for (const PairPtr& pair : std::exchange(pairs_, {})) reset(pair);
 }
 
 }  // namespace irismux::test_support
--- a/testing/fault_proxy.hpp
+++ b/testing/fault_proxy.hpp
@@ -1,4 +1,5 @@
-// A link between two processes, with faults to order: on which link, in which direction, at which piece.
+// A TCP proxy between two processes that injects faults: per proxy and direction, and through callbacks at a
+// chosen chunk of data.
 #pragma once
 
 #include <array>
@@ -14,54 +15,63 @@
 
 namespace irismux::test_support {
 
-enum class Direction { to_server, to_client };  // from whoever connects, and to it
+enum class Direction { to_server, to_client };  // the client is the process that connects to the proxy
 
 class FaultProxy {
 public:
     struct Faults {
-        bool hold = false;  // what comes is kept; ends of connections, too. Undone: it all goes on
-        Duration delay;     // of each piece
-        std::size_t bytes_per_second = 0;   // zero: as fast as it goes
-        std::size_t reset_after_bytes = 0;  // so many bytes from now both ends are reset; zero: never
+        /// Holds back data and ends of connections. FaultProxy::hold(direction, false) forwards them.
+        bool hold = false;
+        /// Delay of each chunk.
+        Duration delay;
+        /// Throughput limit; zero is unlimited.
+        std::size_t bytes_per_second = 0;
+        /// Resets both ends of a connection after this many more bytes; zero is never.
+        std::size_t reset_after_bytes = 0;
     };
 
-    FaultProxy(EventLoop& loop, std::string to);
+    FaultProxy(EventLoop& loop, std::string target);
     ~FaultProxy();
     const std::string& address() const { return address_; }
-    // From now on to there; open connections stay as they are.
-    void set_target(std::string to) { target_ = std::move(to); }
+    // Connects new connections to this address; open ones keep theirs.
+    void set_target(std::string target) { target_ = std::move(target); }
 
-    Faults& faults(Direction w) { return faults_[static_cast<std::size_t>(w)]; }
-    void hold(Direction w, bool is);
-    void set_partitioned(bool is);  // both ways; connections that come are taken, and nothing passes
-    void set_down(bool is);         // connections are reset, those that come are refused by the system
-    void reset_all();               // every connection, with a reset
+    Faults& faults(Direction direction) { return faults_[static_cast<std::size_t>(direction)]; }
+    void hold(Direction direction, bool enabled);
+    // Holds back both directions: new connections are accepted, and no data passes.
+    void set_partitioned(bool enabled);
+    // Resets all connections and stops listening, so that the kernel refuses new ones.
+    void set_down(bool enabled);
+    void reset_all();
 
-    // Each piece as it comes in, before anything is done with it.
+    // Called with each chunk on arrival, before the proxy handles it.
     std::function<void(Direction, std::string_view)> on_chunk = [](Direction, std::string_view) {};
-    // As above, with the number of its connection, which is never given again.
+    // Like on_chunk, with the number of the connection. A number is never used twice.
     std::function<void(std::uint64_t connection, Direction, std::string_view)> on_connection_chunk =
         [](std::uint64_t, Direction, std::string_view) {};
     std::function<void(std::uint64_t connection)> on_connection_closed = [](std::uint64_t) {};
-    std::uint64_t chunk_count(Direction w) const { return chunk_counts_[static_cast<std::size_t>(w)]; }
+    std::uint64_t chunk_count(Direction direction) const {
+        return chunk_counts_[static_cast<std::size_t>(direction)];
+    }
 
 private:
+    // The two connections of one proxied connection.
     struct Pair {
         std::uint64_t number = 0;
-        std::array<std::shared_ptr<TestConnection>, 2> ends;  // the near one, the far one
+        std::array<std::shared_ptr<TestConnection>, 2> ends;  // to the client, to the server
         std::array<std::deque<std::string>, 2> held_chunks;
-        std::array<TimePoint, 2> next_send;  // by then what was passed on before has gone
+        std::array<TimePoint, 2> next_send;  // when the chunks before have been sent
         std::array<bool, 2> ended{};
         bool finished = false;
     };
     using PairPtr = std::shared_ptr<Pair>;
 
-    void listen(const std::string& at);
+    void listen(const std::string& address);
     void on_connect(const Poco::Net::StreamSocket& socket);
-    void on_received(const PairPtr& p, Direction w, std::string bytes);
-    void forward(const PairPtr& p, Direction w, std::string bytes);
-    void on_end_of_stream(const PairPtr& p, Direction w);
-    void reset(const PairPtr& p);
+    void on_received(const PairPtr& pair, Direction direction, std::string bytes);
+    void forward(const PairPtr& pair, Direction direction, std::string bytes);
+    void on_end_of_stream(const PairPtr& pair, Direction direction);
+    void reset(const PairPtr& pair);
 
     EventLoop& loop_;
     std::string target_;
--- a/testing/fleet_simulation.cpp
+++ b/testing/fleet_simulation.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 const Duration ms = Duration::micros(1000);
-const Duration trouble_every = ms * 100, work_every = ms * 400;
-constexpr std::size_t most_backups = 64, most_broken = 20;
+const Duration fault_interval = ms * 100, write_interval = ms * 400;
+constexpr std::size_t max_backups = 64, max_violations = 20;
 
 }  // namespace
 
@@ -23,16 +23,16 @@
     std::unique_ptr<Agent> agent;
     double rate = 1;
     bool stopped = false, outbound_blocked = false, inbound_blocked = false;
-    std::uint64_t transaction_number = 0;  // the transaction under way
-    std::uint64_t process_number = 0;      // of the process
+    std::uint64_t transaction_number = 0;  // of the last submitted transaction
+    std::uint64_t process_number = 0;      // counts the member's processes
     std::optional<TimePoint> wake_at;
     std::uint64_t wake_no = 0;
-    Revision delivered;  // by the watch
+    Revision delivered;  // newest revision that the watch has delivered
     std::uint64_t restores_seen = 0;
     bool delivering = false;
     std::string saved_fence;
     Incarnation previous_incarnation;
-    std::vector<std::function<void()>> deferred;  // for a stopped process to go on
+    std::vector<std::function<void()>> deferred;  // calls that wait until a stopped process resumes
 
     TimePoint clock() const { return TimePoint{} + Duration::seconds(world.now_.seconds() * rate); }
     TimePoint real(TimePoint local) const { return TimePoint::at_seconds(local.seconds() / rate + 1e-6); }
@@ -50,7 +50,7 @@
     void on_lease_state(const DutyName&, LeaseState, FencingToken) override {}
     void on_write_outcome(const DutyName&, const Key&, WriteOutcome) override {}
     void on_event(const FleetEvent&) override {}
-    // Runs at once, or when a stopped process goes on; never for a former one.
+    // Runs the function now or, if the process is stopped, when it resumes; never in a later process.
     void when_running(std::function<void()> then) {
         if (!agent) return;
         if (stopped)
@@ -60,16 +60,17 @@
     }
 };
 
-FleetSimulation::FleetSimulation(std::uint32_t seed, const Options& shape, const SharedConfig& shared_config)
-    : options_(shape), shared_config_(shared_config), random_(seed) {
-    for (std::size_t d = 0; d < shape.duties; ++d) duties_.emplace_back("d" + std::to_string(d));
-    owned_.resize(shape.duties);
-    unowned_since_.resize(shape.duties, now_);
-    for (std::size_t n = 0; n < shape.members; ++n) {
+FleetSimulation::FleetSimulation(std::uint32_t seed, const Options& options,
+                                 const SharedConfig& shared_config)
+    : options_(options), shared_config_(shared_config), random_(seed) {
+    for (std::size_t d = 0; d < options.duties; ++d) duties_.emplace_back("d" + std::to_string(d));
+    owned_.resize(options.duties);
+    unowned_since_.resize(options.duties, now_);
+    for (std::size_t n = 0; n < options.members; ++n) {
         nodes_.push_back(std::make_unique<Node>(*this, n));
-        // The first two stand at either end of what is allowed.
-        const double off = n == 0 ? -1 : n == 1 ? 1 : 2 * random_fraction() - 1;
-        nodes_.back()->rate = 1 + off * shape.drift;
+        // The first two members have the slowest and the fastest allowed clock.
+        const double deviation = n == 0 ? -1 : n == 1 ? 1 : 2 * random_fraction() - 1;
+        nodes_.back()->rate = 1 + deviation * options.drift;
     }
     next_fault_ = next_backup_ = next_write_ = now_;
 }
@@ -143,16 +144,16 @@
 
 void FleetSimulation::on_submit(Node& n, const Transaction& transaction) {
     if (n.outbound_blocked || with_probability(fault_rates_.lose)) return;
-    const std::uint64_t ask = n.transaction_number;
+    const std::uint64_t number = n.transaction_number;
     const std::size_t no = n.number;
     const int times = with_probability(fault_rates_.repeat) ? 2 : 1;
     for (int t = 0; t < times; ++t)
         schedule(now_ + delay(fault_rates_.late),
-                 [this, no, ask, transaction] { settle(no, ask, transaction); });
+                 [this, no, number, transaction] { settle(no, number, transaction); });
 }
 
-// A value DUTY/TOKEN/NAME/INCARNATION: its writer has to be a member of that incarnation, and no token may be
-// below one that has written.
+// Checks a write with the value DUTY/TOKEN/NAME/INCARNATION: the writer must be a member with this
+// incarnation, and the token must not be lower than that of an earlier write.
 void FleetSimulation::check_fenced_write(const std::string& value) {
     const std::size_t duty_end = value.find('/');
     const std::size_t token_end = value.find('/', duty_end + 1);
@@ -164,15 +165,15 @@
     const auto it = ledger_.records().find(member_key(who));
     const auto writer = it == ledger_.records().end() ? std::nullopt : parse_member(it->second);
     if (!writer || writer->incarnation != holder.incarnation)
-        violations.push_back("a write by one who is no member: " + value);
+        violations.push_back("a fenced write by an instance that is not a member: " + value);
     for (int n = 0; n < 2; ++n) send_order(DutyName{duty}, holder);
     if (token < highest_token_[duty])
-        violations.push_back("a write by token " + std::to_string(token) + " after one by " +
+        violations.push_back("a write by token " + std::to_string(token) + " after a write by token " +
                              std::to_string(highest_token_[duty]));
     highest_token_[duty] = std::max(highest_token_[duty], token);
 }
 
-// No token of a duty may be given to two owners.
+// Checks that no token of a duty goes to two owners.
 void FleetSimulation::check_owner(const Key& key, const std::string& value) {
     const auto duty = duty_of(key);
     const auto record = duty ? parse_duty(value) : std::nullopt;
@@ -182,10 +183,10 @@
     const auto [it, fresh] = token_owners_.try_emplace({duty->raw(), record->token.raw()}, who);
     if (!fresh && it->second != who)
         violations.push_back("token " + std::to_string(record->token.raw()) + " of " + duty->raw() +
-                             " given to " + it->second + " and " + who);
+                             " was given to " + it->second + " and " + who);
 }
 
-// The registry's ledger: what was written on behalf of the fleet, in the registry's order.
+// Checks the writes of a transaction in the order in which the registry commits them.
 void FleetSimulation::check_writes(const Transaction& transaction, bool succeeded) {
     for (const auto& [key, value] : transaction.writes) {
         const bool is_work = key.raw().rfind("work/", 0) == 0;
@@ -196,69 +197,71 @@
     }
 }
 
-void FleetSimulation::settle(std::size_t member, std::uint64_t ask, const Transaction& transaction) {
+void FleetSimulation::settle(std::size_t member, std::uint64_t number, const Transaction& transaction) {
     if (registry_down_) return;
     ++transactions;
     transaction_times.push_back(now_);
     const TransactionLedger::Outcome o = ledger_.settle(transaction);
     check_writes(transaction, o.succeeded);
-    // Heartbeats are not watched.
+    // Watches do not deliver heartbeats.
     const bool watched = std::any_of(transaction.writes.begin(), transaction.writes.end(),
                                      [](const Entry& e) { return e.first.raw().rfind("beat/", 0) != 0; });
     if (watched && o.succeeded)
         for (const auto& n : nodes_) deliver_records(*n);
     Node& n = *nodes_[member];
-    if (n.transaction_number != ask || n.inbound_blocked || with_probability(fault_rates_.lose)) return;
-    const std::uint64_t life = n.process_number, history = restores_;
-    schedule(now_ + delay(fault_rates_.late), [this, &n, life, history, ask, o] {
-        if (n.process_number != life || history != restores_) return;
-        n.when_running([this, &n, ask, o] {
-            if (n.transaction_number == ask)
+    if (n.transaction_number != number || n.inbound_blocked || with_probability(fault_rates_.lose)) return;
+    const std::uint64_t process_number = n.process_number, history = restores_;
+    schedule(now_ + delay(fault_rates_.late), [this, &n, process_number, history, number, o] {
+        if (n.process_number != process_number || history != restores_) return;
+        n.when_running([this, &n, number, o] {
+            if (n.transaction_number == number)
                 n.agent->on_transaction_result(n.clock(), o.revision, o.succeeded, o.values);
             check(false);
         });
     });
 }
 
-// An owner's order to some member, by another way than the registry: late, out of order, from former owners.
+// Sends an owner's order to a random member, bypassing the registry. Orders arrive late, out of order and
+// also from former owners.
 void FleetSimulation::send_order(const DutyName& duty, const LeaseHolder& holder) {
     Node& n = *nodes_[random_() % nodes_.size()];
     schedule(now_ + shared_config_.term * (3 * random_fraction()), [this, &n, duty, holder] {
         if (!n.agent || n.stopped || !n.agent->accepts_order_of(duty, holder)) return;
         FencingToken& heeded = accepted_tokens_[{n.number, duty}];
         if (holder.token < heeded)
-            violations.push_back(n.name.raw() + " heeds epoch " + std::to_string(holder.token.raw()) +
-                                 " after " + std::to_string(heeded.raw()));
+            violations.push_back(n.name.raw() + " accepts an order with token " +
+                                 std::to_string(holder.token.raw()) + " after " +
+                                 std::to_string(heeded.raw()));
         heeded = std::max(heeded, holder.token);
     });
 }
 
-// The watch: everything up to some revision after a while, in order.
+// Simulates the watch: delivers all changes up to the newest revision after a delay, in order.
 void FleetSimulation::deliver_records(Node& n) {
     if (n.delivering || !n.agent) return;
     n.delivering = true;
-    const std::uint64_t life = n.process_number;
-    schedule(now_ + delay(fault_rates_.late / 4), [this, &n, life] {
-        if (n.process_number != life) return;
+    const std::uint64_t process_number = n.process_number;
+    schedule(now_ + delay(fault_rates_.late / 4), [this, &n, process_number] {
+        if (n.process_number != process_number) return;
         n.delivering = false;
         if (n.inbound_blocked || registry_down_) {
-            n.delivering = true;  // once it is mended it is told; see trouble()
+            n.delivering = true;  // delivered after the partition ends; see inject_fault()
             return;
         }
         n.when_running([this, &n] {
-            const bool whole = n.restores_seen != restores_ + 1 || ledger_.compacted(n.delivered);
+            const bool complete = n.restores_seen != restores_ + 1 || ledger_.compacted(n.delivered);
             const std::vector<Entry> list =
-                whole ? ledger_.watched_records() : ledger_.changes(n.delivered, ledger_.revision());
+                complete ? ledger_.watched_records() : ledger_.changes(n.delivered, ledger_.revision());
             n.restores_seen = restores_ + 1;
             n.delivered = ledger_.revision();
-            if (whole || !list.empty()) n.agent->on_records(n.clock(), ledger_.revision(), list, whole);
+            if (complete || !list.empty()) n.agent->on_records(n.clock(), ledger_.revision(), list, complete);
             check(false);
         });
     });
 }
 
 void FleetSimulation::inject_fault(const FaultRates& t) {
-    const double share = trouble_every.seconds();
+    const double share = fault_interval.seconds();
     for (const auto& node : nodes_) {
         Node& n = *node;
         if (with_probability(t.partition * share)) n.inbound_blocked = true;
@@ -277,7 +280,7 @@
         restore_backup(shared_config_.term * (1 + 2 * random_fraction()));
 }
 
-// Premise of the guarantees: a backup is more than a term old when the registry answers from it.
+// The guarantees assume that a backup is more than a term old when the registry answers from it.
 void FleetSimulation::restore_backup(Duration age) {
     for (auto b = backups_.rbegin(); b != backups_.rend(); ++b) {
         if (now_ - b->taken <= age) continue;
@@ -294,19 +297,19 @@
     }
 }
 
-void FleetSimulation::set_registry_down(bool is) {
-    registry_down_ = is;
-    if (!is)
+void FleetSimulation::set_registry_down(bool down) {
+    registry_down_ = down;
+    if (!down)
         for (const auto& n : nodes_) {
             n->delivering = false;
             deliver_records(*n);
         }
 }
 
-void FleetSimulation::partition(std::size_t member, bool in, bool out) {
+void FleetSimulation::partition(std::size_t member, bool inbound, bool outbound) {
     Node& n = *nodes_[member];
-    n.inbound_blocked = in;
-    n.outbound_blocked = out;
+    n.inbound_blocked = inbound;
+    n.outbound_blocked = outbound;
     n.delivering = false;
     deliver_records(n);
 }
@@ -320,25 +323,25 @@
     return most;
 }
 
-void FleetSimulation::run(Duration time, const FaultRates& troubles) {
-    fault_rates_ = troubles;
+void FleetSimulation::run(Duration time, const FaultRates& fault_rates) {
+    fault_rates_ = fault_rates;
     const TimePoint end = now_ + time;
-    while (violations.size() < most_broken) {
+    while (violations.size() < max_violations) {
         const TimePoint due = events_.empty() ? end : events_.begin()->first.first;
         const TimePoint timed = std::min({next_fault_, next_backup_, next_write_});
         if (std::min(due, timed) >= end) break;
         if (timed <= due) {
             now_ = std::max(now_, timed);
             if (now_ >= next_fault_) {
-                next_fault_ = now_ + trouble_every;
-                inject_fault(troubles);
+                next_fault_ = now_ + fault_interval;
+                inject_fault(fault_rates);
                 check(true);
             } else if (now_ >= next_backup_) {
                 next_backup_ = now_ + shared_config_.term * 0.5;
                 backups_.push_back({now_, ledger_.records(), ledger_.revision()});
-                if (backups_.size() > most_backups) backups_.erase(backups_.begin());
+                if (backups_.size() > max_backups) backups_.erase(backups_.begin());
             } else {
-                next_write_ = now_ + work_every;
+                next_write_ = now_ + write_interval;
                 for (const auto& n : nodes_)
                     for (const DutyName& d : duties_)
                         if (options_.fenced_writes && n->agent && !n->stopped &&
@@ -372,8 +375,8 @@
     for (TimePoint& t : unowned_since_) t = now_;
 }
 
-// Every process is asked what it would do now, by its own clock; of a large fleet all of them only now and
-// then, and else those that did something.
+// Checks that at most one member may act on a duty now, each by its own clock. In a fleet of more than 12
+// members only every 64th call checks, unless `all` is true.
 void FleetSimulation::check(bool all) {
     if (nodes_.size() > 12 && !all && ++checks_ % 64 != 0) return;
     for (std::size_t d = 0; d < duties_.size(); ++d) {
--- a/testing/fleet_simulation.hpp
+++ b/testing/fleet_simulation.hpp
@@ -1,7 +1,7 @@
-// A whole fleet in virtual time, from one seed: Agents whose clocks drift, round one registry, with messages
-// that are lost, late and repeated, processes that stop, die and start anew, links that are cut, and a
-// registry that goes back to a backup. After every event the guarantees are checked, from the registry's own
-// ledger and by asking every process, stopped ones too, what it would do at that instant.
+// A simulation of a fleet in virtual time, from one seed: Agents with drifting clocks share one registry.
+// Messages are lost, delayed and repeated, processes stop, crash and restart, links are partitioned, and the
+// registry is restored from a backup. After every event the simulation checks the invariants, both on the
+// registry's ledger and by asking each process, stopped ones included, whether it would act at this time.
 #pragma once
 
 #include <functional>
@@ -20,43 +20,48 @@
 
 class FleetSimulation {
 public:
-    // Chances: of a message, and, of the others, a second and a member (of `restore` a second).
+    // lose, late and repeat are probabilities per message, the others per second and member; restore is per
+    // second.
     struct FaultRates {
         double lose = 0, late = 0, repeat = 0;
         double stop = 0, crash = 0, partition = 0, restore = 0;
     };
     struct Options {
         std::size_t members = 3, duties = 2;
-        double drift = 0.01;  // that of the clocks; the shared configuration has its own
+        double drift = 0.01;  // of the simulated clocks; the shared configuration has its own bound
         bool randomized = true;
-        bool fenced_writes = true;  // owners write on behalf of the fleet all the while
+        bool fenced_writes = true;  // owners of duties make fenced writes all the time
     };
-    FleetSimulation(std::uint32_t seed, const Options& shape, const fleet::SharedConfig& shared_config);
+    FleetSimulation(std::uint32_t seed, const Options& options, const fleet::SharedConfig& shared_config);
     ~FleetSimulation();
 
     void start_all();
-    void run(Duration time, const FaultRates& troubles);
+    void run(Duration time, const FaultRates& fault_rates);
     void kill(std::size_t member);
     void start(std::size_t member);
     void stop(std::size_t member);
     void resume(std::size_t member);
-    void recover(std::size_t member);  // runs and is linked, whatever it was
-    void set_registry_down(bool is);   // the registry, for all
-    void restore_backup(
-        Duration age);  // the registry, to a backup at least so old; one more than a term old is expected
-    void partition(std::size_t member, bool in, bool out);
-    std::size_t max_transactions_within(
-        Duration window) const;  // transactions that reached the registry within such a stretch, since mark()
+    // Starts or resumes the member and ends its partition.
+    void recover(std::size_t member);
+    void set_registry_down(bool down);  // for all members
+    // Restores the registry from the newest backup that is older than `age`. The guarantees hold only if
+    // `age` is more than a term.
+    void restore_backup(Duration age);
+    void partition(std::size_t member, bool inbound, bool outbound);
+    // The largest number of transactions that reached the registry within a window of this length since
+    // reset_measurements().
+    std::size_t max_transactions_within(Duration window) const;
 
     TimePoint now() const { return now_; }
-    std::optional<std::size_t> owner(std::size_t duty) const;  // who may act on it at this instant
+    std::optional<std::size_t> owner(std::size_t duty) const;  // the member that may act on the duty now
     std::string debug_state() const;
 
-    std::vector<std::string> violations;  // guarantees, each with its instant; checked on each event
-    std::uint64_t transactions = 0, accepted_writes = 0, refused_writes = 0,
-                  owner_changes = 0;           // of the registry; owners: changes of
-    std::vector<TimePoint> transaction_times;  // of transactions as they reached the registry
-    Duration longest_unowned;                  // of any duty, since the last mark()
+    std::vector<std::string> violations;  // broken invariants, checked on each event
+    // Counted at the registry.
+    std::uint64_t transactions = 0, accepted_writes = 0, refused_writes = 0, owner_changes = 0;
+    std::vector<TimePoint> transaction_times;  // arrival of each transaction at the registry
+    // The longest time that any duty had no owner since the last reset_measurements().
+    Duration longest_unowned;
     void reset_measurements();
 
 private:
@@ -68,7 +73,7 @@
     void check_fenced_write(const std::string& value);
     void check_owner(const fleet::Key& key, const std::string& value);
     void check_writes(const fleet::Transaction& transaction, bool succeeded);
-    void settle(std::size_t member, std::uint64_t ask, const Transaction& transaction);
+    void settle(std::size_t member, std::uint64_t number, const Transaction& transaction);
     void deliver_records(Node& n);
     void send_order(const fleet::DutyName& duty, const fleet::LeaseHolder& holder);
     void wake(Node& n);
@@ -95,10 +100,11 @@
     std::vector<Backup> backups_;
     std::vector<std::unique_ptr<Node>> nodes_;
     std::vector<fleet::DutyName> duties_;
-    std::map<std::string, std::int64_t> highest_token_;  // token of accepted writes, of this history
+    // By duty, the highest token of an accepted write since the last restore.
+    std::map<std::string, std::int64_t> highest_token_;
     std::map<std::pair<std::string, std::int64_t>, std::string> token_owners_;
-    std::map<std::pair<std::size_t, fleet::DutyName>, fleet::FencingToken>
-        accepted_tokens_;  // by each, restarts and all
+    // By member and duty, the highest token of an order that the member has accepted, across its restarts.
+    std::map<std::pair<std::size_t, fleet::DutyName>, fleet::FencingToken> accepted_tokens_;
     std::vector<std::optional<std::size_t>> owned_;
     std::vector<TimePoint> unowned_since_;
     FaultRates fault_rates_;
--- a/testing/interleaving_explorer.cpp
+++ b/testing/interleaving_explorer.cpp
@@ -16,23 +16,24 @@
 
 namespace {
 
-constexpr int ticks_a_term = 8;
+constexpr int ticks_per_term = 8;
 constexpr std::int64_t tick_us = 1000;
-constexpr int transactions_a_tick = 4;
-constexpr std::size_t most_history = 8;  // a watch that is further behind reads all anew
+constexpr int transactions_per_tick = 4;
+constexpr std::size_t max_history = 8;  // a watch that is further behind reads all records again
 const DutyName the_duty{"d"};
 
 enum class Fault { none, request_lost, answer_lost, late, stop, stop_sent, stop_settled, cut, die };
 constexpr Fault faults[] = {Fault::request_lost, Fault::answer_lost,  Fault::late, Fault::stop,
                             Fault::stop_sent,    Fault::stop_settled, Fault::cut,  Fault::die};
-constexpr const char* fault_words[] = {"-",       "request lost",      "answer lost",          "request late",
-                                       "stopped", "stopped once sent", "stopped once settled", "cut off",
-                                       "died"};
+constexpr const char* fault_names[] = {
+    "-",       "request lost",          "response lost",        "request late",
+    "stopped", "stopped after sending", "stopped after commit", "partitioned",
+    "crashed"};
 
-struct Ports final : AgentTransport, AgentObserver {
-    std::optional<Transaction> asked;
+struct AgentRecorder final : AgentTransport, AgentObserver {
+    std::optional<Transaction> transaction;
     TimePoint wake_at;
-    void submit(const Transaction& d) override { asked = d; }
+    void submit(const Transaction& d) override { transaction = d; }
     void schedule_wake(TimePoint at) override { wake_at = at; }
     void on_lease_state(const DutyName&, LeaseState, FencingToken) override {}
     void on_write_outcome(const DutyName&, const Key&, WriteOutcome) override {}
@@ -42,27 +43,27 @@
 struct Node {
     MemberName name;
     double rate = 1;
-    Ports ports;
+    AgentRecorder recorder;
     std::unique_ptr<Agent> agent;
     bool stopped = false, cut = false;
-    int life = 0;
-    std::string kept;
-    Incarnation former;
+    int process_number = 0;
+    std::string saved_fence;
+    Incarnation previous_incarnation;
     Revision told;
     int history = -1;
-    std::optional<TransactionLedger::Outcome> answer;  // waits for a stopped process
+    std::optional<TransactionLedger::Outcome> answer;  // waits until a stopped process resumes
 
     Node() = default;
     Node(const Node& o)
         : name(o.name),
           rate(o.rate),
-          ports(o.ports),
-          agent(o.agent ? std::make_unique<Agent>(*o.agent, ports, ports) : nullptr),
+          recorder(o.recorder),
+          agent(o.agent ? std::make_unique<Agent>(*o.agent, recorder, recorder) : nullptr),
           stopped(o.stopped),
           cut(o.cut),
-          life(o.life),
-          kept(o.kept),
-          former(o.former),
+          process_number(o.process_number),
+          saved_fence(o.saved_fence),
+          previous_incarnation(o.previous_incarnation),
           told(o.told),
           history(o.history),
           answer(o.answer) {}
@@ -73,7 +74,7 @@
     }
 };
 
-// How a state came about; of those before it only this is kept.
+// The events that led to a state. Earlier states themselves are not kept.
 struct Trace {
     int tick;
     std::string told;
@@ -83,7 +84,7 @@
 struct State {
     int tick = 0, faults_left = 0, history = 0;
     double drift = 0;
-    TransactionLedger ledger{most_history};
+    TransactionLedger ledger{max_history};
     std::vector<std::unique_ptr<Node>> nodes;
     std::vector<Transaction> late;
     struct Backup {
@@ -93,9 +94,9 @@
     };
     std::vector<std::shared_ptr<const Backup>> backups;  // one every half term
     std::int64_t highest = 0;
-    std::string broken;
+    std::string violation;
     std::shared_ptr<const Trace> before;
-    std::string told;  // what happened in its tick
+    std::string told;  // events in this state's tick
 
     State() = default;
     State(const State& o)
@@ -107,7 +108,7 @@
           late(o.late),
           backups(o.backups),
           highest(o.highest),
-          broken(o.broken),
+          violation(o.violation),
           before(o.before),
           told(o.told) {
         for (const auto& n : o.nodes) nodes.push_back(std::make_unique<Node>(*n));
@@ -117,49 +118,52 @@
         TransactionLedger::Outcome o = ledger.settle(transaction);
         for (const auto& [key, value] : transaction.writes) {
             if (!o.succeeded || !value || key.raw().rfind("work/", 0) != 0) continue;
-            // EPOCH/NAME/START: a member of that incarnation, and no token below one that has written.
+            // The value is TOKEN/NAME/INCARNATION. The writer must be a member with this incarnation, and the
+            // token must not be lower than that of an earlier write.
             const std::size_t a = value->find('/'), b = value->rfind('/');
             const std::int64_t token = std::atoll(value->c_str());
             const auto it = ledger.records().find(member_key(MemberName{value->substr(a + 1, b - a - 1)}));
             const auto writer = it == ledger.records().end() ? std::nullopt : parse_member(it->second);
             if (!writer || writer->incarnation.raw() != std::atoll(value->c_str() + b + 1))
-                broken = "a write by one who is no member: " + *value;
-            if (token < highest) broken = "a write by epoch " + *value + " after " + std::to_string(highest);
+                violation = "a fenced write by an instance that is not a member: " + *value;
+            if (token < highest)
+                violation = "a write by token " + *value + " after " + std::to_string(highest);
             highest = std::max(highest, token);
         }
         return o;
     }
 
-    void look() {
+    void check_exclusive() {
         int acting = 0;
         for (const auto& n : nodes) acting += n->agent && n->agent->may_act(n->clock(tick), the_duty);
-        if (acting > 1) broken = "two may act at once";
+        if (acting > 1) violation = "two members may act at the same time";
     }
 
     void begin(Node& n) {
-        ++n.life;
+        ++n.process_number;
         n.stopped = n.cut = false;
         n.answer.reset();
-        n.ports = {};
+        n.recorder = {};
         n.told = {};
         n.history = -1;
-        MemberIdentity identity{n.name, InstanceId{n.name.raw() + std::to_string(n.life)}, "1", n.former};
+        MemberIdentity identity{n.name, InstanceId{n.name.raw() + std::to_string(n.process_number)}, "1",
+                                n.previous_incarnation};
         identity.reply_timeout = Duration::micros(tick_us);
         identity.randomized = false;
-        n.agent = std::make_unique<Agent>(n.ports, n.ports,
-                                          SharedConfig{"x", Duration::micros(tick_us * ticks_a_term), drift},
-                                          identity, 1);
-        if (!n.kept.empty()) n.agent->fence().restore(n.kept);
+        n.agent = std::make_unique<Agent>(
+            n.recorder, n.recorder, SharedConfig{"x", Duration::micros(tick_us * ticks_per_term), drift},
+            identity, 1);
+        if (!n.saved_fence.empty()) n.agent->fence().restore(n.saved_fence);
         n.agent->set_duties(n.clock(tick), {the_duty});
         n.agent->start(n.clock(tick));
     }
 
-    // One process through one tick; a fault takes its first transaction under way.
-    void play(Node& n, Fault fault) {
+    // Runs one process through one tick. A fault of a transaction hits the first one in the tick.
+    void run_tick(Node& n, Fault fault) {
         const TimePoint now = n.clock(tick);
         if (fault == Fault::die) {
-            n.kept = n.agent->fence().serialize();
-            n.former = n.agent->incarnation();
+            n.saved_fence = n.agent->fence().serialize();
+            n.previous_incarnation = n.agent->incarnation();
             n.agent.reset();
             return;
         }
@@ -171,19 +175,19 @@
             n.agent->on_transaction_result(now, o.revision, o.succeeded, o.values);
         }
         if (!n.cut && (n.history != history || n.told < ledger.revision())) {
-            const bool whole = n.history != history || ledger.compacted(n.told);
-            const auto list = whole ? ledger.watched_records() : ledger.changes(n.told, ledger.revision());
+            const bool complete = n.history != history || ledger.compacted(n.told);
+            const auto list = complete ? ledger.watched_records() : ledger.changes(n.told, ledger.revision());
             n.history = history;
             n.told = ledger.revision();
-            if (whole || !list.empty()) n.agent->on_records(now, ledger.revision(), list, whole);
+            if (complete || !list.empty()) n.agent->on_records(now, ledger.revision(), list, complete);
         }
-        if (n.ports.wake_at <= now) n.agent->on_wake(now);
+        if (n.recorder.wake_at <= now) n.agent->on_wake(now);
         if (n.agent->may_begin_work(now, the_duty))
             n.agent->write_fenced(now, the_duty, Key{"work/d"},
                                   std::to_string(n.agent->token_of(the_duty).raw()) + '/' + n.name.raw() +
                                       '/' + std::to_string(n.agent->incarnation().raw()));
-        for (int k = 0; k < transactions_a_tick && n.ports.asked && !n.cut; ++k) {
-            const Transaction transaction = *std::exchange(n.ports.asked, std::nullopt);
+        for (int k = 0; k < transactions_per_tick && n.recorder.transaction && !n.cut; ++k) {
+            const Transaction transaction = *std::exchange(n.recorder.transaction, std::nullopt);
             const Fault f = std::exchange(fault, Fault::none);
             if (f == Fault::request_lost) return;
             if (f == Fault::late || f == Fault::stop_sent) {
@@ -199,7 +203,7 @@
             }
             n.agent->on_transaction_result(now, o.revision, o.succeeded, o.values);
         }
-        n.ports.asked.reset();
+        n.recorder.transaction.reset();
     }
 
     XXH64_hash_t hash() const {
@@ -207,8 +211,8 @@
         for (const auto& n : nodes) {
             all += (n->stopped ? "s" : "r") + std::string(n->cut ? "c" : "l") + (n->answer ? "a" : "-") +
                    std::to_string(n->history == history ? (n->told < ledger.revision() ? 1 : 2) : 0);
-            all +=
-                n->agent ? n->agent->debug_state(n->clock(tick)) : n->kept + std::to_string(n->former.raw());
+            all += n->agent ? n->agent->debug_state(n->clock(tick))
+                            : n->saved_fence + std::to_string(n->previous_incarnation.raw());
             all += '\n';
         }
         for (const auto& [key, value] : ledger.records()) all += key.raw() + value;
@@ -220,7 +224,7 @@
     }
 };
 
-using Shared = std::shared_ptr<const State>;
+using StatePtr = std::shared_ptr<const State>;
 
 class Search {
 public:
@@ -229,31 +233,31 @@
     ExplorationResult run() {
         auto root = std::make_shared<State>();
         root->drift = bounds_.drift;
-        const double off = bounds_.first_is_slow ? bounds_.drift : -bounds_.drift;
+        const double deviation = bounds_.first_is_slow ? bounds_.drift : -bounds_.drift;
         for (std::size_t n = 0; n < bounds_.members; ++n) {
             root->nodes.push_back(std::make_unique<Node>());
             root->nodes.back()->name = MemberName{"m" + std::to_string(n)};
-            root->nodes.back()->rate = n == 0 ? 1 - off : n == 1 ? 1 + off : 1;
+            root->nodes.back()->rate = n == 0 ? 1 - deviation : n == 1 ? 1 + deviation : 1;
         }
         for (auto& n : root->nodes) root->begin(*n);
-        // At rest: all have joined and listened, and the duty is with the first in its order.
-        for (int t = 0; t < 6 * ticks_a_term; ++t) {
+        // Brings the fleet to rest: all members have joined, and the first in the duty's order owns it.
+        for (int t = 0; t < 6 * ticks_per_term; ++t) {
             ++root->tick;
-            for (auto& n : root->nodes) root->play(*n, Fault::none);
+            for (auto& n : root->nodes) root->run_tick(*n, Fault::none);
             back_up(*root);
         }
-        // Of a fleet in which nobody acts nothing could break.
+        // A fleet in which no member acts could not violate an invariant.
         if (std::none_of(root->nodes.begin(), root->nodes.end(),
                          [&](const auto& n) { return n->agent->may_act(n->clock(root->tick), the_duty); })) {
             found_.path.push_back("nobody owns the duty at rest");
             return found_;
         }
         root->faults_left = bounds_.faults;
-        std::vector<Shared> layer = {root};
+        std::vector<StatePtr> layer = {root};
         for (int t = 0; t < bounds_.ticks && found_.path.empty() && found_.complete; ++t) {
             next_.clear();
             seen_.clear();
-            for (const Shared& s : layer) {
+            for (const StatePtr& s : layer) {
                 branch(s);
                 if (!found_.path.empty() || !found_.complete) break;
             }
@@ -264,14 +268,14 @@
 
 private:
     static void back_up(State& s) {
-        if (s.tick % (ticks_a_term / 2) != 0) return;
+        if (s.tick % (ticks_per_term / 2) != 0) return;
         s.backups.push_back(
             std::make_shared<State::Backup>(State::Backup{s.tick, s.ledger.records(), s.ledger.revision()}));
         if (s.backups.size() > 4) s.backups.erase(s.backups.begin());
     }
 
-    // What the registry and the links do before the processes run.
-    void branch(const Shared& s) {
+    // Branches over the events of the registry and of late requests before the processes run.
+    void branch(const StatePtr& s) {
         auto fresh = [&] {
             auto c = std::make_shared<State>(*s);
             if (!s->told.empty()) c->before = std::make_shared<Trace>(Trace{s->tick, s->told, s->before});
@@ -279,46 +283,47 @@
             ++c->tick;
             return c;
         };
-        turns(fresh());
+        branch_recoveries(fresh());
         for (std::size_t l = 0; l < s->late.size(); ++l) {
             auto c = fresh();
             const Transaction transaction = c->late[l];
             c->late.erase(c->late.begin() + static_cast<std::ptrdiff_t>(l));
             c->settle(transaction);
-            c->told += "a late request lands; ";
-            turns(c);
+            c->told += "a late request arrives; ";
+            branch_recoveries(c);
         }
         if (s->faults_left > 0)
             for (const auto& b : s->backups)
-                if (s->tick + 1 - b->taken >= ticks_a_term) {
+                if (s->tick + 1 - b->taken >= ticks_per_term) {
                     auto c = fresh();
                     c->ledger.restore(b->records, b->revision);
                     ++c->history;
                     c->highest = 0;
                     c->backups.clear();
                     --c->faults_left;
-                    c->told += "the registry goes back to tick " + std::to_string(b->taken) + "; ";
-                    turns(c);
+                    c->told += "the registry is restored to tick " + std::to_string(b->taken) + "; ";
+                    branch_recoveries(c);
                     break;
                 }
     }
 
-    // Each process goes on, starts or is mended, or stays as it is; then one may have a fault.
-    void turns(const std::shared_ptr<State>& c, std::size_t n = 0) {
-        if (n == c->nodes.size()) return with_faults(c);
+    // Branches over recoveries: each process resumes, restarts or is reconnected, or stays as it is. Then one
+    // process may have a fault.
+    void branch_recoveries(const std::shared_ptr<State>& c, std::size_t n = 0) {
+        if (n == c->nodes.size()) return branch_faults(c);
         Node& node = *c->nodes[n];
         if (node.stopped || node.cut || !node.agent) {
             auto other = std::make_shared<State>(*c);
-            other->told += node.name.raw() + (node.agent ? " goes on; " : " starts; ");
+            other->told += node.name.raw() + (node.agent ? " resumes; " : " restarts; ");
             Node& again = *other->nodes[n];
             again.stopped = again.cut = false;
             if (!again.agent) other->begin(again);
-            turns(other, n + 1);
+            branch_recoveries(other, n + 1);
         }
-        turns(c, n + 1);
+        branch_recoveries(c, n + 1);
     }
 
-    void with_faults(const std::shared_ptr<State>& c) {
+    void branch_faults(const std::shared_ptr<State>& c) {
         end(c, 0, Fault::none);
         if (c->faults_left == 0) return;
         for (std::size_t n = 0; n < c->nodes.size(); ++n)
@@ -332,17 +337,17 @@
             auto s = std::make_shared<State>(*c);
             if (fault != Fault::none) {
                 --s->faults_left;
-                s->told += s->nodes[who]->name.raw() + ' ' + fault_words[static_cast<std::size_t>(fault)];
+                s->told += s->nodes[who]->name.raw() + ' ' + fault_names[static_cast<std::size_t>(fault)];
             }
-            s->look();  // before anybody has heard anything
+            s->check_exclusive();  // before any process receives anything
             for (std::size_t k = 0; k < s->nodes.size(); ++k) {
                 const std::size_t n = reversed ? s->nodes.size() - 1 - k : k;
-                s->play(*s->nodes[n], n == who ? fault : Fault::none);
-                s->look();
+                s->run_tick(*s->nodes[n], n == who ? fault : Fault::none);
+                s->check_exclusive();
             }
             back_up(*s);
-            if (!s->broken.empty()) {
-                if (found_.path.empty()) tell(*s);
+            if (!s->violation.empty()) {
+                if (found_.path.empty()) report_path(*s);
                 return;
             }
             if (!seen_.insert(s->hash()).second) continue;
@@ -351,15 +356,15 @@
         }
     }
 
-    void tell(const State& s) {
-        found_.path.push_back("tick " + std::to_string(s.tick) + ": " + s.told + " => " + s.broken);
+    void report_path(const State& s) {
+        found_.path.push_back("tick " + std::to_string(s.tick) + ": " + s.told + " => " + s.violation);
         for (const Trace* p = s.before.get(); p; p = p->before.get())
             found_.path.insert(found_.path.begin(), "tick " + std::to_string(p->tick) + ": " + p->told);
     }
 
     ExplorationBounds bounds_;
     ExplorationResult found_;
-    std::vector<Shared> next_;
+    std::vector<StatePtr> next_;
     std::unordered_set<XXH64_hash_t> seen_;
 };
 
--- a/testing/known_endpoints.hpp
+++ b/testing/known_endpoints.hpp
@@ -1,4 +1,4 @@
-// The list that somebody holds who has been told all its lines, in order.
+// The endpoint list that results from applying all updates in order.
 #pragma once
 
 #include <map>
--- a/testing/process.cpp
+++ b/testing/process.cpp
@@ -18,7 +18,7 @@
 
 namespace fs = std::filesystem;
 
-std::string proc(pid_t id, const char* what) { return "/proc/" + std::to_string(id) + '/' + what; }
+std::string proc_path(pid_t id, const char* what) { return "/proc/" + std::to_string(id) + '/' + what; }
 
 std::vector<char*> pointers(const std::vector<std::string>& words) {
     std::vector<char*> all;
@@ -28,7 +28,7 @@
     return all;
 }
 
-// "0100007F:1F90" is 127.0.0.1:8080; longer ones (IPv6) stay as they are.
+// Converts "0100007F:1F90" to 127.0.0.1:8080. Returns longer addresses (IPv6) unchanged.
 std::string address_of(const std::string& hex) {
     unsigned ip = 0, port = 0;
     if (hex.size() != 13 || std::sscanf(hex.c_str(), "%8X:%4X", &ip, &port) != 2) return hex;
@@ -40,33 +40,33 @@
 
 std::set<std::string> socket_inodes(pid_t id) {
     std::set<std::string> found;
-    std::error_code gone;
-    for (const auto& entry : fs::directory_iterator(proc(id, "fd"), gone)) {
-        const std::string to = fs::read_symlink(entry.path(), gone).string();
-        if (!gone && to.rfind("socket:[", 0) == 0) found.insert(to.substr(8, to.size() - 9));
+    std::error_code error;
+    for (const auto& entry : fs::directory_iterator(proc_path(id, "fd"), error)) {
+        const std::string to = fs::read_symlink(entry.path(), error).string();
+        if (!error && to.rfind("socket:[", 0) == 0) found.insert(to.substr(8, to.size() - 9));
     }
     return found;
 }
 
 }  // namespace
 
-Process::Process(const Options& start) {
-    const std::vector<char*> argv = pointers(start.command), env = pointers(start.environment);
-    const std::string log = start.log.empty() ? "/dev/null" : start.log;
+Process::Process(const Options& options) {
+    const std::vector<char*> argv = pointers(options.command), env = pointers(options.environment);
+    const std::string log = options.log.empty() ? "/dev/null" : options.log;
     id_ = ::fork();
-    if (id_ < 0) throw std::runtime_error("no process can be made");
+    if (id_ < 0) throw std::runtime_error("cannot create a process");
     if (id_ > 0) return;
-    // Only calls that are safe between fork and exec: the caller may have threads.
+    // The caller may have threads, so only calls that are safe between fork and exec follow.
     const int out = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
     if (out >= 0) {
         ::dup2(out, 1);
         ::dup2(out, 2);
     }
     for (int fd = 3; fd < 1024; ++fd) ::close(fd);
-    if (start.kill_with_parent) ::prctl(PR_SET_PDEATHSIG, SIGKILL);
+    if (options.kill_with_parent) ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     const rlimit none{0, 0};
-    if ((start.folder.empty() || ::chdir(start.folder.c_str()) == 0) &&
-        (start.may_write || ::setrlimit(RLIMIT_FSIZE, &none) == 0))
+    if ((options.folder.empty() || ::chdir(options.folder.c_str()) == 0) &&
+        (options.may_write || ::setrlimit(RLIMIT_FSIZE, &none) == 0))
         ::execve(argv[0], argv.data(), env.data());
     ::_exit(127);
 }
@@ -91,13 +91,13 @@
 }
 
 std::vector<SocketInfo> sockets_of(pid_t id) {
-    constexpr const char* listening = "0A";  // of the kernel's states of TCP
+    constexpr const char* listening = "0A";  // TCP state in the kernel's tables
     const std::set<std::string> inodes = socket_inodes(id);
     std::vector<SocketInfo> found;
     for (const char* family : {"tcp", "tcp6", "udp", "udp6", "raw", "raw6", "unix", "netlink", "packet"}) {
-        std::ifstream table(proc(id, "net/") + family);
+        std::ifstream table(proc_path(id, "net/") + family);
         std::string line;
-        std::getline(table, line);  // of headings
+        std::getline(table, line);  // the heading
         while (std::getline(table, line)) {
             std::istringstream in(line);
             std::vector<std::string> words;
@@ -115,20 +115,21 @@
 }
 
 std::size_t threads_of(pid_t id) {
-    std::error_code gone;
+    std::error_code error;
     std::size_t n = 0;
-    for (const auto& entry : fs::directory_iterator(proc(id, "task"), gone)) n += entry.is_directory(gone);
+    for (const auto& entry : fs::directory_iterator(proc_path(id, "task"), error))
+        n += entry.is_directory(error);
     return n;
 }
 
 std::size_t children_of(pid_t id) {
-    std::error_code gone;
+    std::error_code error;
     std::size_t n = 0;
-    for (const auto& entry : fs::directory_iterator("/proc", gone)) {
+    for (const auto& entry : fs::directory_iterator("/proc", error)) {
         std::ifstream stat(entry.path() / "stat");
         std::string line;
         if (!std::getline(stat, line)) continue;
-        // PID (NAME) STATE PPID; a name may hold anything.
+        // PID (NAME) STATE PPID; the name may contain any character.
         std::istringstream rest(line.substr(std::min(line.size(), line.rfind(')') + 1)));
         std::string state;
         pid_t parent = 0;
@@ -138,39 +139,39 @@
 }
 
 std::string program_of(pid_t id) {
-    std::error_code gone;
-    return fs::read_symlink(proc(id, "exe"), gone).string();
+    std::error_code error;
+    return fs::read_symlink(proc_path(id, "exe"), error).string();
 }
 
 double processor_seconds(pid_t id) {
-    std::ifstream stat(proc(id, "stat"));
+    std::ifstream stat(proc_path(id, "stat"));
     std::string line;
     if (!std::getline(stat, line)) return 0;
-    // PID (NAME) STATE PPID ... UTIME STIME, the 14th and 15th; a name may hold anything.
+    // PID (NAME) STATE PPID ... UTIME STIME (fields 14 and 15); the name may contain any character.
     std::istringstream rest(line.substr(std::min(line.size(), line.rfind(')') + 1)));
-    std::string passed_over;
-    for (int field = 3; field < 14; ++field) rest >> passed_over;
+    std::string skipped;
+    for (int field = 3; field < 14; ++field) rest >> skipped;
     double user = 0, system = 0;
     rest >> user >> system;
     return (user + system) / static_cast<double>(::sysconf(_SC_CLK_TCK));
 }
 
 std::size_t resident_bytes(pid_t id) {
-    std::ifstream statm(proc(id, "statm"));
+    std::ifstream statm(proc_path(id, "statm"));
     std::size_t all = 0, resident = 0;
     statm >> all >> resident;
     return resident * static_cast<std::size_t>(::sysconf(_SC_PAGESIZE));
 }
 
 std::size_t descriptors_of(pid_t id) {
-    std::error_code gone;
+    std::error_code error;
     std::size_t n = 0;
-    for ([[maybe_unused]] const auto& entry : fs::directory_iterator(proc(id, "fd"), gone)) ++n;
+    for ([[maybe_unused]] const auto& entry : fs::directory_iterator(proc_path(id, "fd"), error)) ++n;
     return n;
 }
 
 bool maps(pid_t id, const std::string& part_of_name) {
-    std::ifstream all(proc(id, "maps"));
+    std::ifstream all(proc_path(id, "maps"));
     for (std::string line; std::getline(all, line);)
         if (line.find(part_of_name) != std::string::npos) return true;
     return false;
--- a/testing/process.hpp
+++ b/testing/process.hpp
@@ -1,5 +1,5 @@
-// A program as a process of its own, started and ended by whoever holds it, and what the system shows of it
-// from outside (Linux, /proc): its sockets, threads, children and program. Nothing here asks the process.
+// Starts a program as a child process and ends it, and reads its state from outside through Linux's /proc:
+// sockets, threads, children, executable. The process itself does not take part.
 #pragma once
 
 #include <sys/types.h>
@@ -14,23 +14,29 @@
 class Process {
 public:
     struct Options {
-        std::vector<std::string> command;  // a path, then the arguments
+        std::vector<std::string> command;  // path and arguments
         std::vector<std::string> environment;
-        std::string folder;             // to start in; empty: the caller's
-        std::string log;                // file that its output is added to; empty: nowhere
-        bool may_write = true;          // false: the first byte written to any file kills it (SIGXFSZ)
-        bool kill_with_parent = false;  // killed once the thread that started it has ended, however it did
+        /// Working directory; empty is the caller's.
+        std::string folder;
+        /// File to which the process appends its output; empty discards it.
+        std::string log;
+        /// If false, the first byte that the process writes to a file kills it (SIGXFSZ).
+        bool may_write = true;
+        /// Kills the process when the thread that started it ends for any reason.
+        bool kill_with_parent = false;
     };
-    // Throws std::runtime_error where no process can be made.
-    explicit Process(const Options& start);
-    ~Process();  // killed, if it still runs
+    // Throws std::runtime_error if no process can be created.
+    explicit Process(const Options& options);
+    ~Process();  // kills the process if it still runs
     Process(const Process&) = delete;
     Process& operator=(const Process&) = delete;
 
     pid_t id() const { return id_; }
     bool running();
-    std::optional<int> status() const { return status_; }  // as waitpid() tells it, once it has ended
-    bool exited_cleanly() const { return status_ == 0; }   // by itself, with exit code 0
+    // The status from waitpid() after the process has ended.
+    std::optional<int> status() const { return status_; }
+    // Whether the process has exited by itself with code 0.
+    bool exited_cleanly() const { return status_ == 0; }
     void signal(int number);
     void kill_and_wait();
 
@@ -40,20 +46,20 @@
 };
 
 struct SocketInfo {
-    std::string family;  // the table of /proc/net that names it: tcp, tcp6, udp, ...
+    std::string family;  // the table in /proc/net that lists the socket: tcp, tcp6, udp, ...
     std::string local, remote;
     bool listening = false;
     auto operator<=>(const SocketInfo&) const = default;
 };
 
-// Sockets that are not in any table (made, and neither bound nor connected) are left out.
+// Omits sockets that no table lists: those that are neither bound nor connected.
 std::vector<SocketInfo> sockets_of(pid_t id);
 std::size_t threads_of(pid_t id);
 std::size_t children_of(pid_t id);
 std::string program_of(pid_t id);
-double processor_seconds(pid_t id);    // used so far, in user and system mode
-std::size_t resident_bytes(pid_t id);  // of its memory, in the machine's
+double processor_seconds(pid_t id);    // user and system time used so far
+std::size_t resident_bytes(pid_t id);  // resident set size
 std::size_t descriptors_of(pid_t id);
-bool maps(pid_t id, const std::string& part_of_name);  // whether such a file is mapped into it
+bool maps(pid_t id, const std::string& part_of_name);  // whether a file with such a name is mapped
 
 }  // namespace irismux::test_support
--- a/testing/process_fleet.cpp
+++ b/testing/process_fleet.cpp
@@ -14,12 +14,14 @@
 
 namespace {
 
-constexpr std::int64_t most_history = 4000;
-constexpr int looks_under_way = 1;
+constexpr std::int64_t max_history = 4000;
+constexpr int max_late_health_checks = 1;
 
-std::string words(const Instance& i) { return i.name.raw() + '/' + std::to_string(i.incarnation.raw()); }
+std::string instance_name(const Instance& i) {
+    return i.name.raw() + '/' + std::to_string(i.incarnation.raw());
+}
 
-// A port that nobody listens on now.
+// An address with a port on which no process listens now.
 std::string free_address() {
     Poco::Net::ServerSocket s(Poco::Net::SocketAddress("127.0.0.1:0"));
     return s.address().toString();
@@ -37,8 +39,8 @@
     registry.on_settled = [this](const FakeRegistry::SettledTransaction& t) {
         check(t);
         on_transaction(t);
-        if (registry.model.newest().raw() - registry.model.oldest().raw() > 2 * most_history)
-            registry.model.compact(Revision{registry.model.newest().raw() - most_history});
+        if (registry.model.newest().raw() - registry.model.oldest().raw() > 2 * max_history)
+            registry.model.compact(Revision{registry.model.newest().raw() - max_history});
     };
 }
 
@@ -96,7 +98,7 @@
     set_clock(n, 1);
 }
 
-// --- orders ----------------------------------------------------------------------------------------------
+// --- control and fault injection ------------------------------------------------------------------------
 
 void ProcessFleet::start(std::size_t n) {
     Gateway& g = gateways[n];
@@ -127,28 +129,28 @@
     if (gateways[n].process) gateways[n].process->signal(SIGCONT);
 }
 
-void ProcessFleet::partition_registry(std::size_t n, bool out, bool back) {
+void ProcessFleet::partition_registry(std::size_t n, bool outbound, bool inbound) {
     for (const auto& r : gateways[n].registry_proxies) {
-        r->hold(Direction::to_server, out);
-        r->hold(Direction::to_client, back);
+        r->hold(Direction::to_server, outbound);
+        r->hold(Direction::to_client, inbound);
     }
 }
 
-void ProcessFleet::partition_caches(std::size_t n, bool is) {
-    for (const auto& r : gateways[n].cache_proxies) r->set_partitioned(is);
+void ProcessFleet::partition_caches(std::size_t n, bool enabled) {
+    for (const auto& r : gateways[n].cache_proxies) r->set_partitioned(enabled);
 }
 
-void ProcessFleet::set_cache_dead(std::size_t c, bool is) {
-    if (is)
+void ProcessFleet::set_cache_dead(std::size_t c, bool dead) {
+    if (dead)
         caches[c]->stop();
     else
         caches[c]->restart();
-    for (const Gateway& g : gateways) g.cache_proxies[c]->set_down(is);
+    for (const Gateway& g : gateways) g.cache_proxies[c]->set_down(dead);
 }
 
 void ProcessFleet::set_clock(std::size_t n, double rate, Duration ahead) {
     const std::int64_t us = ahead.micros();
-    // In place: the process has the file mapped.
+    // Writes in place, because the process has the file mapped.
     std::fstream file(gateways[n].clock_file, std::ios::in | std::ios::out | std::ios::binary);
     file.write(reinterpret_cast<const char*>(&rate), sizeof rate);
     file.write(reinterpret_cast<const char*>(&us), sizeof us);
@@ -162,8 +164,8 @@
     gateways[n].clients->start();
 }
 
-bool ProcessFleet::wait_until(std::function<bool()> so, Duration most) {
-    return loop_runner_.run_until(std::move(so), most);
+bool ProcessFleet::wait_until(std::function<bool()> condition, Duration timeout) {
+    return loop_runner_.run_until(std::move(condition), timeout);
 }
 
 void ProcessFleet::run_for(Duration time) {
@@ -171,7 +173,7 @@
     loop_runner_.run_until([&] { return loop.now() >= end; }, time + time);
 }
 
-// --- what the far ends show ------------------------------------------------------------------------------
+// --- what the fakes and proxies observe -----------------------------------------------------------------
 
 std::optional<std::string> ProcessFleet::record(const std::string& key) const {
     const auto* state = registry.model.at(registry.model.newest());
@@ -229,14 +231,14 @@
     });
     for (const Gateway& g : gateways) {
         if (g.clients->open_requests() > 0)
-            violations.insert(std::to_string(g.clients->open_requests()) + " lookups of " + g.name +
-                              " have no answer");
+            violations.insert(std::to_string(g.clients->open_requests()) + " requests of " + g.name +
+                              " have no response");
         if (g.clients->duplicate_responses > 0)
-            violations.insert("a lookup of " + g.name + " was answered twice");
+            violations.insert("a request of " + g.name + " got two responses");
     }
 }
 
-// At each transaction that the registry settles.
+// Checks each transaction that the registry has run.
 void ProcessFleet::check(const FakeRegistry::SettledTransaction& t) {
     for (const auto& [path, value] : t.writes) {
         if (!value || path.rfind(prefix, 0) != 0) continue;
@@ -249,8 +251,8 @@
             if (by.name.raw().empty()) continue;
             const auto [it, fresh] = token_owners_.try_emplace({d->raw(), r->token}, by);
             if (!fresh && it->second != by)
-                violations.insert("epoch " + std::to_string(r->token.raw()) + " of " + d->raw() +
-                                  " given to " + words(it->second) + " and " + words(by));
+                violations.insert("token " + std::to_string(r->token.raw()) + " of " + d->raw() +
+                                  " was given to " + instance_name(it->second) + " and " + instance_name(by));
         }
         std::optional<FencedWriteRecord> w;
         if (const auto s =
@@ -265,17 +267,18 @@
         const auto now_owns = duty_record(w->duty);
         if (!now_owns || now_owns->token != w->token || now_owns->owner != w->by.name ||
             now_owns->incarnation != w->by.incarnation)
-            violations.insert("a write on " + w->duty + " by " + words(w->by) + " under epoch " +
-                              std::to_string(w->token.raw()) + ", which does not own it");
+            violations.insert("a write on " + w->duty + " by " + instance_name(w->by) + " under token " +
+                              std::to_string(w->token.raw()) + ", which does not own the duty");
         FencingToken& highest = highest_token_[w->duty];
         if (w->token < highest)
-            violations.insert("a write on " + w->duty + " by epoch " + std::to_string(w->token.raw()) +
+            violations.insert("a write on " + w->duty + " by token " + std::to_string(w->token.raw()) +
                               " after one by " + std::to_string(highest.raw()));
         highest = std::max(highest, w->token);
     }
 }
 
-// Whoever looked at a cache before another did is a former owner of that watch, until it owns it again.
+// A gateway that checked a cache before another one did is a former owner of the cache's health check duty
+// until it owns the duty again.
 void ProcessFleet::check_health_check(std::size_t gateway, std::size_t cache) {
     health_checks.push_back({loop.now(), gateway, cache});
     auto& order = health_checkers_[cache];
@@ -285,9 +288,9 @@
     if (order.empty() || owns) {
         order.push_back(gateway);
         late_health_checks_[cache] = 0;
-    } else if (++late_health_checks_[cache] > looks_under_way) {
-        violations.insert(gateways[gateway].name + " goes on looking at " + caches[cache]->id() +
-                          " after another has begun to");
+    } else if (++late_health_checks_[cache] > max_late_health_checks) {
+        violations.insert(gateways[gateway].name + " keeps checking " + caches[cache]->id() +
+                          " after another gateway has begun to");
     }
 }
 
--- a/testing/process_fleet.hpp
+++ b/testing/process_fleet.hpp
@@ -1,14 +1,15 @@
-// A fleet of processes of the real program: each with a relay of its own on every link (to each member of the
-// registry, its board, each cache, its clients), and faults to order between and to them.
+// A fleet of gateway processes. Each process has its own fault proxy on every link: to each member of the
+// registry, to its notice board, to each cache and from its clients. Tests inject faults into the links and
+// the processes.
 //
-// The far ends keep the ledgers; what is broken is found there, at each transaction that the registry settles
-// and each look that a cache's relay sees:
+// The fakes record what they receive. Each transaction that the registry commits and each health check that a
+// cache's proxy forwards is checked for violations:
 //
-//   a write on behalf of the fleet by one who does not own the duty under the token that it names
-//   a write under a token after one under a higher token
+//   a fenced write by an instance that does not own the duty under the token in the write
+//   a write under a token after a write under a higher token
 //   one token of a duty for two instances, also across restores of the registry
-//   a look by a former owner after its successor's first, but for one that was under way
-//   a lookup without exactly one answer
+//   a health check by a former owner after its successor's first one, except one that was in flight
+//   a request without exactly one response
 #pragma once
 
 #include <array>
@@ -38,15 +39,17 @@
         double drift = 0.05;
         Duration health_check_interval = Duration::micros(200'000),
                  collection_interval = Duration::micros(100'000);
-        Duration request_interval = Duration::micros(10'000);  // of each gateway's clients
+        Duration request_interval = Duration::micros(10'000);  // interval of each gateway's clients
         bool probes = true;
-        bool stores_tokens = false;  // stores the tokens seen, in a folder of each gateway's own
-        // More keys of a gateway's [fleet].
+        /// Each gateway stores the tokens that it has seen in a folder of its own.
+        bool stores_tokens = false;
+        /// Returns more keys for the [fleet] section of the gateway with this number.
         std::function<std::string(std::size_t)> fleet_lines = [](std::size_t) { return std::string(); };
-        std::string clock_library;  // the library that shows other clocks; empty: all have the machine's
+        /// Path of the shim with skewed clocks; empty leaves all gateways the machine's clocks.
+        std::string clock_library;
     };
 
-    ProcessFleet(const Options& shape, const std::string& folder);
+    ProcessFleet(const Options& options, const std::string& folder);
     ~ProcessFleet();
 
     struct Gateway {
@@ -60,27 +63,29 @@
         bool stopped = false;
     };
 
-    // --- orders
+    // --- control and fault injection
     void start(std::size_t n);
     void start_all();
     void kill(std::size_t n);
-    void stop(std::size_t n);    // SIGSTOP: the process and its clock's reader stand still, time goes on
+    void stop(std::size_t n);    // SIGSTOP: the process halts while its clocks go on
     void resume(std::size_t n);  // SIGCONT
-    void partition_registry(std::size_t n, bool out, bool back);
-    void partition_caches(std::size_t n, bool is);
-    void set_cache_dead(std::size_t c, bool is);  // for all; a process of no gateway's
-    void start_clients(std::size_t n);            // its clients ask, from now on
-    // What its steady clocks show from now on, where the shape has a clock: their rate, and how far ahead
-    // they are.
+    void partition_registry(std::size_t n, bool outbound, bool inbound);
+    void partition_caches(std::size_t n, bool enabled);
+    void set_cache_dead(std::size_t c, bool dead);  // for all gateways
+    // Starts the gateway's clients once the gateway listens.
+    void start_clients(std::size_t n);
+    // Sets rate and offset of the gateway's steady clocks. Needs Options::clock_library.
     void set_clock(std::size_t n, double rate, Duration ahead = {});
-    bool wait_until(std::function<bool()> so, Duration most = Duration::micros(20'000'000));
-    void run_for(Duration time);  // nothing is waited for; only to let harm happen that must not
+    bool wait_until(std::function<bool()> condition, Duration timeout = Duration::micros(20'000'000));
+    // Runs the loop for a fixed time, for checks that something does not happen.
+    void run_for(Duration time);
 
-    // --- what the far ends show
+    // --- what the fakes and proxies observe
     std::optional<fleet::DutyRecord> duty_record(const std::string& name) const;
-    std::optional<std::size_t> owner(const std::string& duty) const;  // who lives, as the registry has it
+    // The gateway that owns the duty and is a live member according to the registry.
+    std::optional<std::size_t> owner(const std::string& duty) const;
     std::optional<fleet::MemberRecord> member_record(std::size_t n) const;
-    std::optional<std::string> record(const std::string& key) const;  // behind what is watched
+    std::optional<std::string> record(const std::string& key) const;  // value of a key below the prefix
     bool all_joined() const;
     struct FencedWriteRecord {
         TimePoint at;
@@ -89,7 +94,7 @@
         fleet::Instance by;
         bool accepted = false;
     };
-    std::vector<FencedWriteRecord> fenced_writes;  // tries, too
+    std::vector<FencedWriteRecord> fenced_writes;  // includes refused ones
     struct HealthCheckRecord {
         TimePoint at;
         std::size_t gateway = 0, cache = 0;
@@ -99,13 +104,14 @@
         TimePoint at;
         std::string duty;
         fleet::FencingToken token;
-        fleet::Instance by;  // nobody: given up
+        fleet::Instance by;  // empty name: the owner released the duty
     };
     std::vector<OwnershipChange> ownership_changes;
     std::size_t accepted_writes(const std::string& duty, std::size_t n, fleet::Incarnation start) const;
     std::set<std::string> violations;
     bool logged(std::size_t n, const std::string& part_of_a_line) const;
-    // What the last-named rule says of the clients: no answer twice, and in the end none owed.
+    // Stops all clients, waits for their open requests and adds a violation for each gateway with a request
+    // that has no response or several.
     void check_all_answered();
 
     EventLoop loop;
@@ -113,7 +119,7 @@
     std::vector<std::unique_ptr<FakeCache>> caches;
     std::vector<Gateway> gateways;
     const Options options;
-    // Called for each settled transaction, after it has been checked.
+    // Called for each transaction that has run, after its checks.
     std::function<void(const FakeRegistry::SettledTransaction&)> on_transaction =
         [](const FakeRegistry::SettledTransaction&) {};
 
@@ -127,9 +133,10 @@
 
     std::map<std::string, fleet::FencingToken> highest_token_;
     std::map<std::pair<std::string, fleet::FencingToken>, fleet::Instance> token_owners_;
-    std::map<std::size_t, std::vector<std::size_t>> health_checkers_;  // of a cache, in order
+    // The gateways that have checked a cache, in order of their turns as owner.
+    std::map<std::size_t, std::vector<std::size_t>> health_checkers_;
     std::map<std::size_t, int> late_health_checks_;
-    LoopRunner loop_runner_{loop};  // the last: nothing of the above may go while the loop runs
+    LoopRunner loop_runner_{loop};  // last member: destroyed first, which ends the loop
 };
 
 }  // namespace irismux::test_support
--- a/testing/registry_model.hpp
+++ b/testing/registry_model.hpp
@@ -1,5 +1,6 @@
-// A model of a key-value registry: one numbered history of records, compaction, members that lag, restores
-// from a backup. Stand-ins serve it over sockets; tests of the core ask it directly.
+// An in-memory model of a key-value registry: records with a numbered history, compaction, reads of older
+// revisions for members that lag, and restores from a backup. FakeRegistry serves it over sockets; tests of
+// the watch read it directly.
 #pragma once
 
 #include <map>
@@ -24,24 +25,26 @@
     RegistryModel() { states_[Revision{1}] = {}; }
 
     Revision newest() const { return states_.rbegin()->first; }
-    Revision oldest() const { return states_.begin()->first; }  // older ones are compacted
+    Revision oldest() const { return states_.begin()->first; }  // older revisions are compacted
     const ClusterId& cluster() const { return cluster_; }
 
-    // One transaction; changes of keys that aren't there are left out. Returns the newest revision.
+    // Commits one transaction and returns the newest revision. Deletes of missing keys are ignored.
     Revision commit(const std::vector<std::pair<RecordKey, std::optional<std::string>>>& writes);
     Revision put(const std::string& key, const std::string& value) {
         return commit({{RecordKey{key}, value}});
     }
     Revision erase(const std::string& key) { return commit({{RecordKey{key}, std::nullopt}}); }
 
-    // Forgets the history before that revision; reads at it still work.
+    // Drops the history before this revision; reads at this revision still work.
     void compact(Revision to);
-    // Back to what a backup held, as another cluster or as the same; what came after never was.
+    // Restores the backup of a revision and drops all later revisions. The registry then answers as a new
+    // cluster or as the same one.
     void restore(Revision backup, bool another_cluster);
 
-    // None: compacted or not there yet.
+    // Returns nullptr if the revision is compacted or does not exist yet.
     const State* at(Revision r) const;
-    // Changes with revisions in [from, upto], oldest first; none where `from` is compacted.
+    // Returns the changes with revisions in [from, upto], oldest first, or std::nullopt if `from` is
+    // compacted.
     std::optional<std::vector<Change>> changes(Revision from, Revision upto) const;
 
 private:
@@ -50,7 +53,7 @@
     std::map<Revision, std::vector<Change>> history_;
 };
 
-// The value of a record of the list, as line_of reads it.
+// The value of an endpoint's record in the registry, in the form that line_of() reads.
 std::string endpoint_value(const std::string& id, const std::string& state, double weight = 1,
                            std::int64_t started_ms = 0, const std::string& address = "");
 
--- a/testing/shims.cpp
+++ b/testing/shims.cpp
@@ -10,19 +10,20 @@
 
 namespace fs = std::filesystem;
 
-// In place: the process has the file mapped.
-template <class Orders>
-void write_orders(const std::string& path, const Orders& orders) {
+// Writes in place, because the process has the file mapped.
+template <class Settings>
+void write_settings(const std::string& path, const Settings& settings) {
     if (!fs::exists(path)) std::ofstream(path).flush();
     std::fstream file(path, std::ios::in | std::ios::out | std::ios::binary);
-    file.write(reinterpret_cast<const char*>(&orders), sizeof orders);
+    file.write(reinterpret_cast<const char*>(&settings), sizeof settings);
 }
 
 }  // namespace
 
 Shims::Shims(ShimLibraries libraries) : libraries_(std::move(libraries)) {
     folder_ = (fs::temp_directory_path() / "irismux-shims-XXXXXX").string();
-    if (!::mkdtemp(folder_.data())) throw std::runtime_error("no folder can be made");
+    if (!::mkdtemp(folder_.data()))
+        throw std::runtime_error("cannot create a temporary folder for the shims");
     clock_file_ = folder_ + "/clock";
     calls_file_ = folder_ + "/calls";
     set_clock({});
@@ -40,7 +41,7 @@
             "ASAN_OPTIONS=verify_asan_link_order=0"};
 }
 
-void Shims::set_calls(const CallFaults& faults) { write_orders(calls_file_, faults); }
-void Shims::set_clock(const ClockSkew& skew) { write_orders(clock_file_, skew); }
+void Shims::set_calls(const CallFaults& faults) { write_settings(calls_file_, faults); }
+void Shims::set_clock(const ClockSkew& skew) { write_settings(clock_file_, skew); }
 
 }  // namespace irismux::test_support
--- a/testing/shims.hpp
+++ b/testing/shims.hpp
@@ -1,5 +1,4 @@
-// What a process is started with so that its calls fail and its clocks are wrong, by order of whoever holds
-// this.
+// Starts processes under the shims and controls which system calls fail in them and what their clocks show.
 #pragma once
 
 #include <string>
@@ -18,15 +17,15 @@
 
 class Shims {
 public:
-    // Throws std::runtime_error where no folder for the orders can be made.
+    // Throws std::runtime_error if the folder for the settings files cannot be created.
     explicit Shims(ShimLibraries libraries);
     ~Shims();
     Shims(const Shims&) = delete;
     Shims& operator=(const Shims&) = delete;
 
-    // Of a process that is to be under these orders.
+    // The environment variables that load the shims into a process.
     std::vector<std::string> environment() const;
-    // In force at once, also in a process that runs.
+    // Both take effect at once, also in a process that already runs.
     void set_calls(const CallFaults& faults);
     void set_clock(const ClockSkew& skew);
 
--- a/testing/single_process.cpp
+++ b/testing/single_process.cpp
@@ -12,7 +12,7 @@
 
 namespace fs = std::filesystem;
 
-// --- caches ----------------------------------------------------------------------------------------------
+// --- caches ---------------------------------------------------------------------------------------------
 
 ScriptedCache::ScriptedCache(EventLoop& loop, std::string id, int backlog) : loop_(loop), id_(std::move(id)) {
     listen(backlog);
@@ -24,41 +24,42 @@
         loop_,
         [this](const Poco::Net::StreamSocket& s) {
             peers.insert(s.peerAddress().toString());
-            auto w = std::make_shared<TestConnection>(loop_, s);
-            w->on_received = [this, raw = std::weak_ptr<TestConnection>(w)](Buffer& in) {
-                if (const auto wire = raw.lock()) on_data(wire, in);
+            auto connection = std::make_shared<TestConnection>(loop_, s);
+            connection->on_received = [this, weak = std::weak_ptr<TestConnection>(connection)](Buffer& in) {
+                if (const auto locked = weak.lock()) on_data(locked, in);
             };
-            connections.push_back(w);
-            w->start();
+            connections.push_back(connection);
+            connection->start();
         },
         backlog, at);
     address_ = acceptor_->address();
 }
 
-void ScriptedCache::on_data(const std::shared_ptr<TestConnection>& w, Buffer& in) {
-    resp::Arguments words;
+void ScriptedCache::on_data(const std::shared_ptr<TestConnection>& connection, Buffer& in) {
+    resp::Arguments arguments;
     std::size_t used = 0;
-    while (w->state() == ConnectionState::open &&
-           resp::parse_array(in.view(), words, used) == ParseStatus::complete) {
-        const bool pull = words[0] == "PULL" && words.size() > 2;
+    while (connection->state() == ConnectionState::open &&
+           resp::parse_array(in.view(), arguments, used) == ParseStatus::complete) {
+        const bool pull = arguments[0] == "PULL" && arguments.size() > 2;
         if (pull)
-            received.push_back({loop_.now(), std::string(words[1]), std::string(words[2]),
-                                std::string(words.size() > 3 ? words[3] : ""), w});
+            received.push_back({loop_.now(), std::string(arguments[1]), std::string(arguments[2]),
+                                std::string(arguments.size() > 3 ? arguments[3] : ""), connection});
         in.consumed(used);
         if (pull) on_attempt(received.back());
     }
 }
 
-std::size_t ScriptedCache::count_received(const std::string& lookup) const {
-    return static_cast<std::size_t>(std::count_if(
-        received.begin(), received.end(), [&](const ReceivedAttempt& p) { return p.request_id == lookup; }));
+std::size_t ScriptedCache::count_received(const std::string& request_id) const {
+    return static_cast<std::size_t>(
+        std::count_if(received.begin(), received.end(),
+                      [&](const ReceivedAttempt& p) { return p.request_id == request_id; }));
 }
 
-void ScriptedCache::answer(const ReceivedAttempt& p, const std::string& word, const std::string& body) {
+void ScriptedCache::answer(const ReceivedAttempt& p, const std::string& result, const std::string& body) {
     if (p.connection->state() != ConnectionState::open) return;
-    const bool hit = word == "HIT";
+    const bool hit = result == "HIT";
     resp::write_array(p.connection->output(),
-                      {p.request_id, word, hit ? "tag=t1,minted=1,n=cached" : "-", hit ? body : ""});
+                      {p.request_id, result, hit ? "tag=t1,minted=1,n=cached" : "-", hit ? body : ""});
     p.connection->write();
 }
 
@@ -72,7 +73,7 @@
     acceptor_->resume();
 }
 
-// --- clients ---------------------------------------------------------------------------------------------
+// --- clients --------------------------------------------------------------------------------------------
 
 FastCgiClient::FastCgiClient(EventLoop& loop, const std::string& gateway)
     : connection(std::make_shared<TestConnection>(loop)) {
@@ -125,25 +126,25 @@
     while (fastcgi::parse_record(in.view(), r, used) == ParseStatus::complete) {
         if (r.type == fastcgi::Type::std_out) received_[r.request] += r.content;
         if (r.type == fastcgi::Type::end_request) {
-            const std::string said = std::exchange(received_[r.request], {});
+            const std::string response = std::exchange(received_[r.request], {});
             received_.erase(r.request);
-            const std::size_t head = said.find("\r\n\r\n");
-            const std::size_t body = head == std::string::npos ? said.size() : head + 4;
-            responses.push_back({r.request, said.substr(0, head), said.substr(body)});
+            const std::size_t head = response.find("\r\n\r\n");
+            const std::size_t body = head == std::string::npos ? response.size() : head + 4;
+            responses.push_back({r.request, response.substr(0, head), response.substr(body)});
         }
         in.consumed(used);
     }
 }
 
-// --- the gateway -----------------------------------------------------------------------------------------
+// --- the gateway process --------------------------------------------------------------------------------
 
-SingleProcess::SingleProcess(const Options& shape) {
+SingleProcess::SingleProcess(const Options& options) {
     folder = (fs::temp_directory_path() / ("irismux-solo-XXXXXX")).string();
-    if (!::mkdtemp(folder.data())) throw std::runtime_error("no folder can be made");
+    if (!::mkdtemp(folder.data())) throw std::runtime_error("cannot create a temporary folder");
     notice_board = std::make_unique<FakeNoticeBoard>(loop);
     nlohmann::json lines = nlohmann::json::array();
-    for (std::size_t c = 0; c < shape.caches; ++c) {
-        caches.push_back(std::make_unique<ScriptedCache>(loop, "e" + std::to_string(c + 1), shape.backlog));
+    for (std::size_t c = 0; c < options.caches; ++c) {
+        caches.push_back(std::make_unique<ScriptedCache>(loop, "e" + std::to_string(c + 1), options.backlog));
         lines.push_back(endpoint_json(caches[c]->id(), "node", "plant", caches[c]->address(), "Ready"));
     }
     lines.push_back(endpoint_json("p1", "parent", "hub", "127.0.0.1:9", "Ready"));
@@ -154,20 +155,21 @@
         listen = free.address().toString();
     }
     configuration_json = configuration(listen, notice_board->address(), notice_board->known());
-    shape.adjust_configuration(configuration_json);
+    options.adjust_configuration(configuration_json);
     configuration_file = folder + "/config.json";
     log = folder + "/log";
     std::ofstream(configuration_file) << configuration_json.dump();
     std::vector<std::string> environment = {"NODE_CONFIG=" + configuration_file, "IRISMUX_LOG=debug"};
-    environment.insert(environment.end(), shape.environment.begin(), shape.environment.end());
-    process = std::make_unique<Process>(Process::Options{{shape.program}, environment, "", log});
+    environment.insert(environment.end(), options.environment.begin(), options.environment.end());
+    process = std::make_unique<Process>(Process::Options{{options.program}, environment, "", log});
     for (const auto& c : caches)
-        if (shape.answer_at_once)
+        if (options.answer_at_once)
             c->on_attempt = [&c = *c](const ScriptedCache::ReceivedAttempt& p) { c.answer(p); };
     if (!wait_until([&] { return logged("listening gateway="); }))
-        throw std::runtime_error("the gateway does not serve, " +
-                                 std::string(process->running() ? "and runs" : "its process has ended") +
-                                 ":\n" + log_tail());
+        throw std::runtime_error(
+            "the gateway does not listen, " +
+            std::string(process->running() ? "and its process runs" : "its process has ended") + ":\n" +
+            log_tail());
 }
 
 SingleProcess::~SingleProcess() {
@@ -185,15 +187,15 @@
     return wait_until([&] { return !process->running(); }) && process->exited_cleanly();
 }
 
-ScriptedCache* SingleProcess::cache_serving(const std::string& lookup) {
+ScriptedCache* SingleProcess::cache_serving(const std::string& request_id) {
     const auto it = std::find_if(caches.begin(), caches.end(),
-                                 [&](const auto& c) { return c->count_received(lookup) > 0; });
+                                 [&](const auto& c) { return c->count_received(request_id) > 0; });
     return it == caches.end() ? nullptr : it->get();
 }
 
-std::size_t SingleProcess::attempts_received(const std::string& lookup) const {
+std::size_t SingleProcess::attempts_received(const std::string& request_id) const {
     std::size_t n = 0;
-    for (const auto& c : caches) n += c->count_received(lookup);
+    for (const auto& c : caches) n += c->count_received(request_id);
     return n;
 }
 
--- a/testing/single_process.hpp
+++ b/testing/single_process.hpp
@@ -1,6 +1,6 @@
-// One gateway process between far ends whose every step is the test's: caches that answer, end, reset or stop
-// reading when told to, a connection that does not come up, clients that speak byte by byte and rest. Each
-// far end keeps a ledger of what came whole, and when.
+// One gateway process with caches and clients that the test controls step by step: caches that answer, close,
+// reset or stop reading on command, connections that are never accepted, and clients that send byte by byte.
+// The caches and clients record each complete message and when it arrived.
 #pragma once
 
 #include <deque>
@@ -16,7 +16,7 @@
 
 namespace irismux::test_support {
 
-// A cache that does nothing by itself.
+// A cache that takes no action except those of the test.
 class ScriptedCache {
 public:
     ScriptedCache(EventLoop& loop, std::string id, int backlog = 64);
@@ -24,24 +24,26 @@
     std::string address() const { return address_; }
 
     struct ReceivedAttempt {
-        TimePoint at;  // its last byte
+        TimePoint at;  // arrival of the last byte
         std::string request_id, fields, body;
         std::shared_ptr<TestConnection> connection;
     };
     std::deque<ReceivedAttempt> received;
-    std::size_t count_received(const std::string& lookup) const;
-    void answer(const ReceivedAttempt&, const std::string& word = "HIT", const std::string& body = "a body");
+    std::size_t count_received(const std::string& request_id) const;
+    void answer(const ReceivedAttempt&, const std::string& result = "HIT",
+                const std::string& body = "a body");
 
-    // No connection comes up until take_again(), where the backlog is 0.
+    // Fills the backlog so that no new connection is established until resume_accepting(). Needs a backlog of
+    // 0.
     void hold_connections();
     void resume_accepting();
-    std::vector<std::shared_ptr<TestConnection>> connections;               // in the order in which they came
-    std::set<std::string> peers;                                            // whose they are
-    std::function<void(const ReceivedAttempt&)> on_attempt = [](auto&) {};  // with each lookup
+    std::vector<std::shared_ptr<TestConnection>> connections;  // in order of acceptance
+    std::set<std::string> peers;                               // peer addresses of the connections
+    std::function<void(const ReceivedAttempt&)> on_attempt = [](auto&) {};
 
 private:
     void listen(int backlog);
-    void on_data(const std::shared_ptr<TestConnection>& w, Buffer& in);
+    void on_data(const std::shared_ptr<TestConnection>& connection, Buffer& in);
     EventLoop& loop_;
     std::string id_, address_;
     std::vector<Poco::Net::StreamSocket> blockers_;
@@ -57,8 +59,8 @@
         int timeout_ms = 3000;
         std::string idempotency_key = {};
     };
-    std::string request(std::uint16_t number, const Request& q) const;  // its bytes
-    void send(std::uint16_t number, const Request& q);
+    std::string request(std::uint16_t number, const Request& request) const;  // encoded request
+    void send(std::uint16_t number, const Request& request);
     void write(std::string_view bytes);
     void abort(std::uint16_t number);
     void close();
@@ -69,9 +71,9 @@
         std::string body = {};
     };
     std::vector<Response> responses;
-    // Whether that one is here and begins so.
+    // Whether the response to this request has arrived and begins with this status.
     bool has_response(std::uint16_t number, const std::string& status = "Status: ") const;
-    bool ended = false;  // by the gateway
+    bool ended = false;  // the gateway closed the connection
     std::shared_ptr<TestConnection> connection;
 
 private:
@@ -85,26 +87,28 @@
         std::string program;
         std::size_t caches = 2;
         int backlog = 64;
-        bool answer_at_once = false;  // each cache, each lookup, at once
-        std::function<void(nlohmann::json&)> adjust_configuration = [](auto&) {};  // of the configuration
-        std::vector<std::string> environment = {};  // beside the configuration's
+        bool answer_at_once = false;  // each cache answers each attempt at once
+        std::function<void(nlohmann::json&)> adjust_configuration = [](auto&) {};
+        std::vector<std::string> environment = {};  // added to the variables for the configuration
     };
-    // Returns when the gateway serves; throws std::runtime_error where it does not.
-    explicit SingleProcess(const Options& shape);
+    // Returns when the gateway listens. Throws std::runtime_error if it does not.
+    explicit SingleProcess(const Options& options);
     ~SingleProcess();
 
-    bool wait_until(std::function<bool()> so, Duration most = Duration::micros(10'000'000)) {
-        return loop_runner_.run_until(std::move(so), most);
+    bool wait_until(std::function<bool()> condition, Duration timeout = Duration::micros(10'000'000)) {
+        return loop_runner_.run_until(std::move(condition), timeout);
     }
     std::shared_ptr<FastCgiClient> connect_client();
-    bool exited_cleanly();  // by itself, with exit code 0, before long
-    // The cache that has the lookup whole, once one has.
-    ScriptedCache* cache_serving(const std::string& lookup);
-    std::size_t attempts_received(const std::string& lookup) const;
-    // Connections that the gateway has begun there and that are not taken yet.
+    // Waits for the process to end. Returns whether it exited by itself with code 0.
+    bool exited_cleanly();
+    // The first cache that has received the request completely, or nullptr.
+    ScriptedCache* cache_serving(const std::string& request_id);
+    std::size_t attempts_received(const std::string& request_id) const;
+    // The number of connections that the gateway has started to this cache and that the cache has not
+    // accepted.
     std::size_t pending_connections(const ScriptedCache&) const;
     bool logged(const std::string& part_of_a_line) const;
-    // The end of what the process has logged, without its records of lookups.
+    // The end of the process's log without debug lines, which report each request.
     std::string log_tail() const;
 
     EventLoop loop;
@@ -116,7 +120,7 @@
 
 private:
     std::vector<std::shared_ptr<FastCgiClient>> clients_;
-    LoopRunner loop_runner_{loop};  // the last: nothing of the above may go while the loop runs
+    LoopRunner loop_runner_{loop};  // last member: destroyed first, which ends the loop
 };
 
 }  // namespace irismux::test_support
--- a/testing/site_simulation.cpp
+++ b/testing/site_simulation.cpp
@@ -9,13 +9,14 @@
 namespace {
 
 const Duration ms = Duration::micros(1000);
-const Duration trouble_every = ms * 100, poll_every = ms * 200, poll_fails_after = ms * 600;
-const Duration acknowledge_every = ms * 250, read_every = ms * 250;
-constexpr std::size_t most_backups = 64, most_broken = 20;
-constexpr const char* outside = "-";  // in place of a site: members in the old form
-
-// What no watch tells lies behind `beat/`; a site's records behind its name.
-std::string where(const std::string& site, const Key& key) {
+const Duration fault_interval = ms * 100, poll_interval = ms * 200, poll_timeout = ms * 600;
+const Duration acknowledge_every = ms * 250, read_interval = ms * 250;
+constexpr std::size_t max_backups = 64, max_violations = 20;
+constexpr const char* outside = "-";  // site name of members without a site
+
+// The ledger's key for a site's key: records that no watch delivers are below `beat/`, the others below the
+// site's name.
+std::string ledger_key(const std::string& site, const Key& key) {
     if (key == generation_key()) return key.raw();
     if (const auto member = heartbeat_owner(key)) return "beat/" + site + '/' + member->raw();
     if (key == digest_key()) return "beat/" + site + "/=digest";
@@ -24,7 +25,7 @@
 
 }  // namespace
 
-// One member's name: its process, if one runs, and what is between it and the others.
+// A member: its process, if one runs, and the state of its links.
 struct SiteSimulation::Process final : public AgentTransport, public AgentObserver {
     Process(SiteSimulation& w, std::size_t n, std::string in) : world(w), number(n), site(std::move(in)) {}
 
@@ -33,7 +34,7 @@
     std::string site;
     MemberName name{"m" + std::to_string(number)};
     std::unique_ptr<Agent> agent;
-    std::unique_ptr<SiteReporter> reporter;  // none: in the old form
+    std::unique_ptr<SiteReporter> reporter;  // unset for a member without a site
     double rate = 1;
     bool stopped = false, outbound_blocked = false, inbound_blocked = false, board_blocked = false,
          leaving = false;
@@ -89,30 +90,31 @@
     std::size_t number = 0;
 };
 
-SiteSimulation::SiteSimulation(std::uint32_t seed, const Options& shape, const SharedConfig& shared_config)
-    : options_(shape), shared_config_(shared_config), random_(seed) {
+SiteSimulation::SiteSimulation(std::uint32_t seed, const Options& options, const SharedConfig& shared_config)
+    : options_(options), shared_config_(shared_config), random_(seed) {
     std::map<SiteName, std::size_t> inventory;
-    for (const auto& [site, count] : shape.inventory) inventory[SiteName{site}] = count;
-    for (std::size_t s = 0; s < shape.sites.size(); ++s) {
+    for (const auto& [site, count] : options.inventory) inventory[SiteName{site}] = count;
+    for (std::size_t s = 0; s < options.sites.size(); ++s) {
         site_names_.push_back("s" + std::to_string(s));
-        if (!shape.inventory.contains(site_names_[s])) inventory[SiteName{site_names_[s]}] = shape.sites[s];
-        for (std::size_t n = 0; n < shape.sites[s]; ++n)
+        if (!options.inventory.contains(site_names_[s]))
+            inventory[SiteName{site_names_[s]}] = options.sites[s];
+        for (std::size_t n = 0; n < options.sites[s]; ++n)
             processes_.push_back(std::make_unique<Process>(*this, processes_.size(), site_names_[s]));
     }
-    for (std::size_t n = 0; n < shape.legacy_members; ++n)
+    for (std::size_t n = 0; n < options.legacy_members; ++n)
         processes_.push_back(std::make_unique<Process>(*this, processes_.size(), outside));
     for (const auto& p : processes_) {
-        // The first two stand at either end of what is allowed.
-        const double off = p->number == 0 ? -1 : p->number == 1 ? 1 : 2 * random_fraction() - 1;
-        p->rate = 1 + off * shape.drift;
+        // The first two members have the slowest and the fastest allowed clock.
+        const double deviation = p->number == 0 ? -1 : p->number == 1 ? 1 : 2 * random_fraction() - 1;
+        p->rate = 1 + deviation * options.drift;
     }
     for (const double end : {-1.0, 1.0}) {
-        readers_.push_back(std::make_unique<Reader>(*this, inventory, 1 + end * shape.drift));
+        readers_.push_back(std::make_unique<Reader>(*this, inventory, 1 + end * options.drift));
         readers_.back()->number = readers_.size() - 1;
     }
     last_verdicts_.resize(readers_.size());
     next_fault_ = next_backup_ = next_publication_ = now_;
-    if (shape.readers)
+    if (options.readers)
         for (const auto& r : readers_) read(*r);
 }
 
@@ -144,7 +146,7 @@
     return with_probability(late) ? shared_config_.term * (2.5 * random_fraction()) : usual;
 }
 
-// --- processes -------------------------------------------------------------------------------------------
+// --- processes ------------------------------------------------------------------------------------------
 
 void SiteSimulation::start(std::size_t member, std::size_t events_ago) {
     Process& p = *processes_[member];
@@ -202,15 +204,17 @@
         if (p.agent && !p.stopped) then();
 }
 
-void SiteSimulation::partition(std::size_t member, bool in, bool out) {
+void SiteSimulation::partition(std::size_t member, bool inbound, bool outbound) {
     Process& p = *processes_[member];
-    p.inbound_blocked = in;
-    p.outbound_blocked = out;
+    p.inbound_blocked = inbound;
+    p.outbound_blocked = outbound;
     p.delivering = false;
     deliver_records(p);
 }
 
-void SiteSimulation::partition_board(std::size_t member, bool is) { processes_[member]->board_blocked = is; }
+void SiteSimulation::partition_board(std::size_t member, bool enabled) {
+    processes_[member]->board_blocked = enabled;
+}
 
 void SiteSimulation::recover(std::size_t member) {
     partition(member, false, false);
@@ -230,76 +234,80 @@
     if (p.reporter) p.reporter->advance(p.clock(), *p.agent);
 }
 
-// --- the registry ----------------------------------------------------------------------------------------
+// --- the registry ---------------------------------------------------------------------------------------
 
-void SiteSimulation::submit(Process& p, const Transaction& deal) {
+void SiteSimulation::submit(Process& p, const Transaction& transaction) {
     if (p.outbound_blocked || with_probability(fault_rates_.lose)) return;
-    const std::uint64_t ask = p.transaction_number, life = p.process_number;
+    const std::uint64_t number = p.transaction_number, process_number = p.process_number;
     const std::size_t no = p.number;
     const int times = with_probability(fault_rates_.repeat) ? 2 : 1;
     for (int t = 0; t < times; ++t)
-        schedule(now_ + delay(fault_rates_.late),
-                 [this, no, ask, life, deal] { settle(no, ask, life, deal); });
+        schedule(now_ + delay(fault_rates_.late), [this, no, number, process_number, transaction] {
+            settle(no, number, process_number, transaction);
+        });
 }
 
-void SiteSimulation::settle(std::size_t member, std::uint64_t ask, std::uint64_t life,
-                            const Transaction& deal) {
+void SiteSimulation::settle(std::size_t member, std::uint64_t number, std::uint64_t process_number,
+                            const Transaction& transaction) {
     ++transactions;
     Process& p = *processes_[member];
-    Transaction placed;
-    for (const auto& [key, text] : deal.compares) placed.compares.emplace_back(Key{where(p.site, key)}, text);
-    for (const auto& [key, text] : deal.writes) placed.writes.emplace_back(Key{where(p.site, key)}, text);
-    for (const Key& key : deal.reads) placed.reads.emplace_back(where(p.site, key));
-    TransactionLedger::Outcome o = ledger_.settle(placed);
+    Transaction mapped;
+    for (const auto& [key, text] : transaction.compares)
+        mapped.compares.emplace_back(Key{ledger_key(p.site, key)}, text);
+    for (const auto& [key, text] : transaction.writes)
+        mapped.writes.emplace_back(Key{ledger_key(p.site, key)}, text);
+    for (const Key& key : transaction.reads) mapped.reads.emplace_back(ledger_key(p.site, key));
+    TransactionLedger::Outcome o = ledger_.settle(mapped);
     for (std::size_t n = 0; n < o.values.size(); ++n)
-        o.values[n].first = o.succeeded ? deal.reads[n] : deal.compares[n].first;
-    const bool watched = std::any_of(placed.writes.begin(), placed.writes.end(), [&](const Entry& e) {
+        o.values[n].first = o.succeeded ? transaction.reads[n] : transaction.compares[n].first;
+    const bool watched = std::any_of(mapped.writes.begin(), mapped.writes.end(), [&](const Entry& e) {
         return e.first.raw().rfind(p.site + '/', 0) == 0;
     });
     if (watched && o.succeeded)
         for (const auto& other : processes_)
             if (other->site == p.site) deliver_records(*other);
-    if (p.process_number != life || p.transaction_number != ask || p.inbound_blocked ||
+    if (p.process_number != process_number || p.transaction_number != number || p.inbound_blocked ||
         with_probability(fault_rates_.lose))
         return;
     const std::uint64_t history = restores_;
-    schedule(now_ + delay(fault_rates_.late), [this, &p, life, history, ask, o] {
-        if (p.process_number != life || history != restores_) return;
-        p.when_running([this, &p, ask, o] {
-            if (p.transaction_number == ask)
+    schedule(now_ + delay(fault_rates_.late), [this, &p, process_number, history, number, o] {
+        if (p.process_number != process_number || history != restores_) return;
+        p.when_running([this, &p, number, o] {
+            if (p.transaction_number == number)
                 p.agent->on_transaction_result(p.clock(), o.revision, o.succeeded, o.values);
             step(p);
         });
     });
 }
 
-// The watch over the site's own records: everything up to some revision after a while, in order.
+// Simulates the watch on the site's records: delivers all changes up to the newest revision after a delay, in
+// order.
 void SiteSimulation::deliver_records(Process& p) {
     if (p.delivering || !p.agent || p.inbound_blocked) return;
     p.delivering = true;
-    const std::uint64_t life = p.process_number;
-    schedule(now_ + delay(fault_rates_.late / 4), [this, &p, life] {
-        if (p.process_number != life) return;
+    const std::uint64_t process_number = p.process_number;
+    schedule(now_ + delay(fault_rates_.late / 4), [this, &p, process_number] {
+        if (p.process_number != process_number) return;
         p.delivering = false;
         if (p.inbound_blocked) return;
         p.when_running([this, &p] {
-            const bool whole = p.restores_seen != restores_ + 1 || ledger_.compacted(p.delivered);
+            const bool complete = p.restores_seen != restores_ + 1 || ledger_.compacted(p.delivered);
             std::vector<Entry> list;
             for (const auto& [key, text] :
-                 whole ? ledger_.watched_records() : ledger_.changes(p.delivered, ledger_.revision()))
+                 complete ? ledger_.watched_records() : ledger_.changes(p.delivered, ledger_.revision()))
                 if (key.raw().rfind(p.site + '/', 0) == 0)
                     list.emplace_back(Key{key.raw().substr(p.site.size() + 1)}, text);
             p.restores_seen = restores_ + 1;
             p.delivered = ledger_.revision();
-            if (!whole && list.empty()) return;
+            if (!complete && list.empty()) return;
             deliveries += list.size();
-            p.agent->on_records(p.clock(), ledger_.revision(), list, whole);
+            p.agent->on_records(p.clock(), ledger_.revision(), list, complete);
             step(p);
         });
     });
 }
 
-// Premise: a backup is more than a term old when the registry answers from it.
+// The guarantees assume that a backup is more than a term old when the registry answers from it.
 void SiteSimulation::restore_registry(Duration age) {
     for (auto b = backups_.rbegin(); b != backups_.rend(); ++b) {
         if (now_ - b->taken <= age) continue;
@@ -314,10 +322,10 @@
     }
 }
 
-// As the command line does: the name goes from the roster if nobody runs under it.
+// Removes the name from the roster if no member runs under it, like the command `forget`.
 void SiteSimulation::forget_member(std::size_t member) {
     const Process& p = *processes_[member];
-    const Key roster{where(p.site, roster_key())}, is_member{where(p.site, member_key(p.name))};
+    const Key roster{ledger_key(p.site, roster_key())}, is_member{ledger_key(p.site, member_key(p.name))};
     const auto it = ledger_.records().find(roster);
     if (it == ledger_.records().end() || ledger_.records().contains(is_member)) return;
     SiteRoster next = parse_site_roster(it->second).value_or(SiteRoster{});
@@ -325,30 +333,31 @@
     ledger_.settle({{{roster, it->second}, {is_member, std::nullopt}}, {{roster, serialize(next)}}, {}});
 }
 
-// --- the board -------------------------------------------------------------------------------------------
+// --- the board ------------------------------------------------------------------------------------------
 
 void SiteSimulation::publish() {
     board_.push_back(++published_);
     note_in_force();
 }
 
-// Polls as the notice client does: what came last takes effect before the next poll goes out.
+// Polls like the notice client: the last response takes effect before the next poll is sent.
 void SiteSimulation::poll(Process& p) {
-    const std::uint64_t life = p.process_number, mine = ++p.polls;
-    p.when_running([this, &p, life, mine] {
-        if (p.process_number != life || p.polls != mine) return;
+    const std::uint64_t process_number = p.process_number, mine = ++p.polls;
+    p.when_running([this, &p, process_number, mine] {
+        if (p.process_number != process_number || p.polls != mine) return;
         const bool from_start = p.reporter && p.reporter->applied().needs_full_history();
         if (from_start) p.position = 0;
         if (p.reporter) p.reporter->applied().on_poll_started(from_start);
-        if (p.board_blocked) return fail_poll(p, life);
+        if (p.board_blocked) return fail_poll(p, process_number);
         const std::int64_t from = p.position;
-        schedule(now_ + delay(fault_rates_.late / 4), [this, &p, life, from] { answer_poll(p, life, from); });
+        schedule(now_ + delay(fault_rates_.late / 4),
+                 [this, &p, process_number, from] { answer_poll(p, process_number, from); });
     });
 }
 
-void SiteSimulation::fail_poll(Process& p, std::uint64_t life) {
-    schedule(now_ + poll_fails_after, [this, &p, life] {
-        if (p.process_number != life) return;
+void SiteSimulation::fail_poll(Process& p, std::uint64_t process_number) {
+    schedule(now_ + poll_timeout, [this, &p, process_number] {
+        if (p.process_number != process_number) return;
         p.when_running([&p] {
             if (p.reporter) p.reporter->applied().on_poll_failed();
         });
@@ -356,15 +365,15 @@
     });
 }
 
-void SiteSimulation::answer_poll(Process& p, std::uint64_t life, std::int64_t from) {
+void SiteSimulation::answer_poll(Process& p, std::uint64_t process_number, std::int64_t from) {
     const std::int64_t newest = this->newest();
-    std::vector<int> owed;
-    for (std::int64_t n = from; n < newest; ++n) owed.push_back(board_[static_cast<std::size_t>(n)]);
-    schedule(now_ + delay(fault_rates_.late / 4), [this, &p, life, from, newest, owed] {
-        if (p.process_number != life) return;
-        p.when_running([this, &p, from, newest, owed] { apply_notices(p, from, newest, owed); });
-        schedule(now_ + poll_every, [this, &p, life] {
-            if (p.process_number == life) poll(p);
+    std::vector<int> notices;
+    for (std::int64_t n = from; n < newest; ++n) notices.push_back(board_[static_cast<std::size_t>(n)]);
+    schedule(now_ + delay(fault_rates_.late / 4), [this, &p, process_number, from, newest, notices] {
+        if (p.process_number != process_number) return;
+        p.when_running([this, &p, from, newest, notices] { apply_notices(p, from, newest, notices); });
+        schedule(now_ + poll_interval, [this, &p, process_number] {
+            if (p.process_number == process_number) poll(p);
         });
     });
 }
@@ -389,7 +398,7 @@
     ledger_.settle({{}, {{generation_key(), serialize(*next)}}, {}});
 }
 
-// --- what is said, and whether it is so ------------------------------------------------------------------
+// --- the readers' verdicts and their check --------------------------------------------------------------
 
 void SiteSimulation::read(Reader& r) {
     const TimePoint asked = TimePoint{} + Duration::seconds(now_.seconds() * r.rate);
@@ -403,10 +412,10 @@
         reading.generation = text(generation_key().raw());
         const auto owners = r.status.owners();
         for (const std::string& site : site_names_) {
-            if (const Text digest = text(where(site, digest_key())))
+            if (const Text digest = text(ledger_key(site, digest_key())))
                 reading.digests[SiteName{site}] = *digest;
             if (const auto owner = owners.find(SiteName{site}); owner != owners.end())
-                if (const Text beat = text(where(site, heartbeat_key(owner->second))))
+                if (const Text beat = text(ledger_key(site, heartbeat_key(owner->second))))
                     reading.owner_heartbeats[SiteName{site}] = *beat;
         }
         const std::string members = std::string(outside) + "/member/";
@@ -416,7 +425,7 @@
             r.status.on_reading(reading);
             r.status.on_newest_event(EventNumber{newest()});
             judge(r);
-            schedule(now_ + read_every, [this, &r] { read(r); });
+            schedule(now_ + read_interval, [this, &r] { read(r); });
         });
     });
 }
@@ -466,19 +475,19 @@
         const bool excepted = std::any_of(verdict.missing.begin(), verdict.missing.end(), [&](const auto& m) {
             return m.site.raw() == p->site && (m.member == p->name || m.member.raw().empty());
         });
-        if (excepted || !acts_without(*p, event) || violations.size() >= most_broken) continue;
-        violations.push_back((all ? "everywhere" : "all but others") + std::string(" said of event ") +
+        if (excepted || !acts_without(*p, event) || violations.size() >= max_violations) continue;
+        violations.push_back((all ? "everywhere" : "all but others") + std::string(" reported for event ") +
                              std::to_string(n) + " at " + std::to_string(now_.seconds() - 1000) + ", and " +
-                             p->name.raw() + " acts without it");
+                             p->name.raw() + " acts without the event");
     }
 }
 
 void SiteSimulation::reset_measurements() { longest_verdict_delay = {}; }
 
-// --- time ------------------------------------------------------------------------------------------------
+// --- time -----------------------------------------------------------------------------------------------
 
 void SiteSimulation::inject_fault(const FaultRates& t) {
-    const double share = trouble_every.seconds();
+    const double share = fault_interval.seconds();
     for (const auto& process : processes_) {
         Process& p = *process;
         if (with_probability(t.partition * share)) p.inbound_blocked = true;
@@ -501,22 +510,22 @@
     if (with_probability(t.board_restore * share)) restore_board(1 + random_() % 10, true);
 }
 
-void SiteSimulation::run(Duration time, const FaultRates& troubles) {
-    fault_rates_ = troubles;
+void SiteSimulation::run(Duration time, const FaultRates& fault_rates) {
+    fault_rates_ = fault_rates;
     const TimePoint end = now_ + time;
-    while (violations.size() < most_broken) {
+    while (violations.size() < max_violations) {
         const TimePoint due = events_.empty() ? end : events_.begin()->first.first;
         const TimePoint timed = std::min({next_fault_, next_backup_, next_publication_});
         if (std::min(due, timed) >= end) break;
         if (timed <= due) {
             now_ = std::max(now_, timed);
             if (now_ >= next_fault_) {
-                next_fault_ = now_ + trouble_every;
-                inject_fault(troubles);
+                next_fault_ = now_ + fault_interval;
+                inject_fault(fault_rates);
             } else if (now_ >= next_backup_) {
                 next_backup_ = now_ + shared_config_.term * 0.5;
                 backups_.push_back({now_, ledger_.records(), ledger_.revision()});
-                if (backups_.size() > most_backups) backups_.erase(backups_.begin());
+                if (backups_.size() > max_backups) backups_.erase(backups_.begin());
             } else {
                 next_publication_ = now_ + options_.publish_every;
                 if (publishing_) publish();
--- a/testing/site_simulation.hpp
+++ b/testing/site_simulation.hpp
@@ -1,8 +1,8 @@
-// All sites of an installation in virtual time, from one seed: members that acknowledge events of a notice
-// board round one registry, and readers who ask what is in force everywhere. Messages are lost, late and
-// repeated, processes stop, die and start anew with old state, links to the registry and to the board are
-// cut, and both go back to backups. Whenever a reader says `everywhere`, or `all but these`, every process is
-// looked into: whether one of those that it means acts without the event.
+// A simulation of all sites of an installation in virtual time, from one seed: members share one registry and
+// acknowledge the events of a notice board, and readers judge which events are in force everywhere. Messages
+// are lost, delayed and repeated, processes stop, crash and restart with old state, links to the registry and
+// to the board are partitioned, and both are restored from backups. Whenever a reader reports `everywhere` or
+// `all_but`, the simulation inspects every process that the verdict covers: none may act without the event.
 #pragma once
 
 #include <functional>
@@ -22,68 +22,74 @@
 
 class SiteSimulation {
 public:
-    // Chances: of a message, and, of the others, a second and a member (of restores a second).
+    // lose, late and repeat are probabilities per message, the others per second and member; restores are per
+    // second.
     struct FaultRates {
         double lose = 0, late = 0, repeat = 0;
         double stop = 0, crash = 0, partition = 0, board_partition = 0, registry_restore = 0,
                board_restore = 0;
     };
     struct Options {
-        std::vector<std::size_t> sites = {3, 3};            // members of each
-        std::size_t legacy_members = 0;                     // members outside of all sites, that say nothing
-        std::map<std::string, std::size_t> inventory = {};  // besides the sites above
+        /// The number of members of each site.
+        std::vector<std::size_t> sites = {3, 3};
+        /// Members that belong to no site and report nothing.
+        std::size_t legacy_members = 0;
+        /// Further sites of the readers' inventory, and other member counts for the sites above.
+        std::map<std::string, std::size_t> inventory = {};
         double drift = 0.05;
         Duration publish_every = Duration::micros(1'000'000);
         bool readers = true;
     };
-    // What a reader said last of the newest event that it asked about.
+    // A reader's last verdict on the newest event at its time.
     struct ReportedVerdict {
         TimePoint at;
         std::int64_t event = 0;
         fleet::FleetStatus::Verdict verdict;
     };
 
-    SiteSimulation(std::uint32_t seed, const Options& shape, const fleet::SharedConfig& shared_config);
+    SiteSimulation(std::uint32_t seed, const Options& options, const fleet::SharedConfig& shared_config);
     ~SiteSimulation();
 
     void start_all();
-    void run(Duration time, const FaultRates& troubles);
+    void run(Duration time, const FaultRates& fault_rates);
     void run(Duration time) { run(time, FaultRates{}); }
-    std::size_t member(std::size_t site, std::size_t place) const;  // its number among all
+    std::size_t member(std::size_t site, std::size_t place) const;  // number among all members
     std::size_t members() const;
-    std::size_t owner(std::size_t site) const;  // of its digest; members() if nobody
-    std::int64_t newest() const;                // event of the board
+    std::size_t owner(std::size_t site) const;  // owner of the site's digest duty; members() if there is none
+    std::int64_t newest() const;                // number of the board's newest event
 
     void kill(std::size_t member);
-    // With the state of so many events ago; the board's own, if none.
+    // Starts the member with the state that it had this many events ago; zero is the board's current state.
     void start(std::size_t member, std::size_t events_ago = 0);
     void leave(std::size_t member);
     void stop(std::size_t member);
     void resume(std::size_t member);
-    void partition(std::size_t member, bool in, bool out);
-    void partition_board(std::size_t member, bool is);
+    void partition(std::size_t member, bool inbound, bool outbound);
+    void partition_board(std::size_t member, bool enabled);
     void recover(std::size_t member);
-    void set_publishing(bool is) { publishing_ = is; }
+    void set_publishing(bool enabled) { publishing_ = enabled; }
     void publish();
-    // The board, to what it was so many events ago; announced: with the operator's word before it goes on.
+    // Restores the board to its state this many events ago. If announced, the operator starts a new
+    // generation before the board continues.
     void restore_board(std::size_t events, bool announced);
     void restore_registry(Duration age);
-    void forget_member(std::size_t member);  // an operator's command
+    void forget_member(std::size_t member);  // the operator's command `forget`
 
     TimePoint now() const { return now_; }
     const ReportedVerdict& last_verdict() const { return last_verdicts_.front(); }
-    // What the first reader said last of that event; it is asked about until it is everywhere, however old it
-    // is.
+    // The first reader's last verdict on this event. From the first call on, the readers judge the event at
+    // each reading, however old it is.
     fleet::FleetStatus::Verdict verdict_of(std::int64_t event);
-    // At that instant no process acts without the newest event.
+    // Whether no process acts without the newest event now.
     bool in_force_everywhere() const;
     std::string debug_state() const;
 
     std::vector<std::string> violations;
-    std::uint64_t transactions = 0, deliveries = 0;               // at the registry; to watches
-    std::uint64_t everywhere_verdicts = 0, all_but_verdicts = 0;  // verdicts, of all events asked about
-    Duration longest_verdict_delay;  // from an event's being in force everywhere until the reader said so,
-                                     // since mark()
+    std::uint64_t transactions = 0, deliveries = 0;  // at the registry; records sent to watches
+    std::uint64_t everywhere_verdicts = 0, all_but_verdicts = 0;
+    // The longest time since reset_measurements() from an event being in force everywhere until the first
+    // reader reported it.
+    Duration longest_verdict_delay;
     void reset_measurements();
 
 private:
@@ -97,11 +103,12 @@
     double random_fraction() {
         return static_cast<double>(random_()) / static_cast<double>(std::ranlux24_base::max());
     }
-    void submit(Process& p, const fleet::Transaction& deal);
-    void settle(std::size_t member, std::uint64_t ask, std::uint64_t life, const fleet::Transaction& deal);
+    void submit(Process& p, const fleet::Transaction& transaction);
+    void settle(std::size_t member, std::uint64_t number, std::uint64_t process_number,
+                const fleet::Transaction& transaction);
     void deliver_records(Process& p);
-    void fail_poll(Process& p, std::uint64_t life);
-    void answer_poll(Process& p, std::uint64_t life, std::int64_t from);
+    void fail_poll(Process& p, std::uint64_t process_number);
+    void answer_poll(Process& p, std::uint64_t process_number, std::int64_t from);
     void apply_notices(Process& p, std::int64_t from, std::int64_t newest, const std::vector<int>& notices);
     void poll(Process& p);
     void wake(Process& p);
@@ -121,7 +128,7 @@
     std::map<std::pair<TimePoint, std::uint64_t>, std::function<void()>> events_;
 
     TransactionLedger ledger_;
-    std::uint64_t restores_ = 0;  // of the registry
+    std::uint64_t restores_ = 0;  // number of restores of the registry
     struct Backup {
         TimePoint taken;
         TransactionLedger::Records records;
@@ -129,10 +136,10 @@
     };
     std::vector<Backup> backups_;
 
-    std::vector<int> board_;  // its events, by number; each event ever published is a number of its own
+    std::vector<int> board_;  // the board's events, in order; each published event has an identity of its own
     int published_ = 0;
     bool publishing_ = true;
-    std::map<int, TimePoint> in_force_since_;  // everywhere for the first time
+    std::map<int, TimePoint> in_force_since_;  // when an event was in force everywhere for the first time
     std::set<int> reported_everywhere_;
 
     std::vector<std::string> site_names_;
--- a/testing/skewed_clock.cpp
+++ b/testing/skewed_clock.cpp
@@ -1,6 +1,6 @@
-// A library to be loaded into a process (LD_PRELOAD) that shows it steady clocks of another rate, and lets
-// them jump: a machine that slept. It also steps the wall clock. The file named by IRISMUX_CLOCK_SKEW_FILE
-// holds test_support::ClockSkew, which may change while the process runs.
+// A shim library, loaded into a process with LD_PRELOAD, that changes the rate of the process's steady clocks
+// and makes them jump, as on a machine that was suspended. It also steps the wall clock. The file named by
+// IRISMUX_CLOCK_SKEW_FILE holds a test_support::ClockSkew, which may change while the process runs.
 #include "testing/skewed_clock.hpp"
 
 #include <dlfcn.h>
@@ -37,7 +37,7 @@
 
 std::int64_t micros(const timespec& t) { return t.tv_sec * 1'000'000 + t.tv_nsec / 1000; }
 
-void show(timespec* t, std::int64_t us) {
+void set_time(timespec* t, std::int64_t us) {
     t->tv_sec = us / 1'000'000;
     t->tv_nsec = us % 1'000'000 * 1000;
 }
@@ -47,10 +47,10 @@
 extern "C" int clock_gettime(clockid_t id, timespec* t) {
     const int failed = real()(id, t);
     if (failed != 0 || !skew()) return failed;
-    if (id == CLOCK_REALTIME) show(t, micros(*t) + skew()->wall_ahead_us);
+    if (id == CLOCK_REALTIME) set_time(t, micros(*t) + skew()->wall_ahead_us);
     if (id != CLOCK_MONOTONIC && id != CLOCK_BOOTTIME) return 0;
     static const std::int64_t first = micros(*t);
     const auto passed = static_cast<double>(micros(*t) - first) * skew()->rate;
-    show(t, first + static_cast<std::int64_t>(passed) + skew()->ahead_us);
+    set_time(t, first + static_cast<std::int64_t>(passed) + skew()->ahead_us);
     return 0;
 }
--- a/testing/skewed_clock.hpp
+++ b/testing/skewed_clock.hpp
@@ -1,5 +1,6 @@
-// What a process under lab/skewed_clock.cpp is told of its clocks: a file of this form, named by
-// IRISMUX_CLOCK_SKEW_FILE. A shorter file leaves the fields behind its end at zero.
+// The settings of the shim testing/skewed_clock.cpp: rate and offsets of the clocks that a process sees. The
+// process maps a file of this layout, whose path the environment variable IRISMUX_CLOCK_SKEW_FILE holds. In a
+// shorter file the fields behind its end are zero.
 #pragma once
 
 #include <cstdint>
@@ -7,9 +8,9 @@
 namespace irismux::test_support {
 
 struct ClockSkew {
-    double rate = 1;                 // of the steady clocks
-    std::int64_t ahead_us = 0;       // of the steady clocks
-    std::int64_t wall_ahead_us = 0;  // of the wall clock
+    double rate = 1;                 // rate of the steady clocks
+    std::int64_t ahead_us = 0;       // offset of the steady clocks
+    std::int64_t wall_ahead_us = 0;  // offset of the wall clock
 };
 
 }  // namespace irismux::test_support
