--- a/testing/soak.cpp
+++ b/testing/soak.cpp
@@ -14,15 +14,17 @@
 
 using nlohmann::json;
 
-// Of the platform's page.
-constexpr Duration work_after_term = Duration::micros(700'000),
-                   longest_waited_for = Duration::micros(3'000'000);
+// Limits from the platform's documentation.
+constexpr Duration grace_after_drain = Duration::micros(700'000),
+                   max_drain_time = Duration::micros(3'000'000);
 constexpr Duration new_connections_after_term = Duration::micros(300'000);
-constexpr Duration late_answer = Duration::micros(500'000), crossing = Duration::micros(50'000);
-constexpr Duration after_client_left = Duration::micros(100'000), drain_grace = Duration::micros(250'000);
-constexpr double patience_slack_ms = 150;
-constexpr std::size_t descriptors = 256;
-// What the far ends themselves may be late, on a machine that does other things.
+constexpr Duration max_response_delay = Duration::micros(500'000),
+                   max_close_crossing = Duration::micros(50'000);
+constexpr Duration max_attempt_after_cancel = Duration::micros(100'000),
+                   drain_grace = Duration::micros(250'000);
+constexpr double timeout_slack_ms = 150;
+constexpr std::size_t max_descriptors = 256;
+// Allowed delay of the fakes themselves on a machine with other load.
 constexpr Duration slack = Duration::micros(60'000);
 constexpr Duration tick = Duration::micros(2'000);
 
@@ -32,11 +34,11 @@
         .count();
 }
 
-// An event of the board, and since when the gateway has been seen to have it.
+// An event of the board and the time at which a poll showed that the gateway has it.
 struct PostedEvent {
     TimePoint posted;
     std::int64_t revision = 0;
-    std::string drained;  // the cache; empty: it is a purge
+    std::string drained;  // the draining cache; empty for a purge
     std::optional<TimePoint> seen;
 };
 
@@ -47,19 +49,19 @@
           script_(SoakScript::draw(options.seed)),
           random_(options.seed),
           shims_(options.shims) {
-        solo_ = std::make_unique<SingleProcess>(shape());
-        for (const auto& cache : solo_->caches) misbehave(*cache);
+        gateway_ = std::make_unique<SingleProcess>(shape());
+        for (const auto& cache : gateway_->caches) misbehave(*cache);
     }
 
     SoakResult run() {
         start_clients();
         plan();
-        started_ = solo_->loop.now();
-        while (solo_->loop.now() < started_ + Duration::seconds(options_.seconds)) turn(false);
+        started_ = gateway_->loop.now();
+        while (gateway_->loop.now() < started_ + Duration::seconds(options_.seconds)) step(false);
         leave();
         check();
         result_.script = script_.text();
-        result_.log_tail = solo_->log_tail();
+        result_.log_tail = gateway_->log_tail();
         return result_;
     }
 
@@ -92,7 +94,7 @@
             once.update({{"name", "bids"}, {"effect", "once"}});
             c["settings"]["lanes"] = {lane, keyed, once};
             c["settings"]["specifics"]["neverKept"] = {false, true, true};
-            c["limits"]["sockets"] = descriptors;
+            c["limits"]["sockets"] = max_descriptors;
         };
         return shape;
     }
@@ -103,17 +105,17 @@
         shims_.set_clock(skew);
     }
 
-    void answer_pull(ScriptedCache& cache, const ScriptedCache::ReceivedAttempt& pull,
-                     const std::string& word) {
-        cache.answer(pull, word, word == "HIT" ? soak_bytes(resp::field(pull.fields, "asset")) : "");
+    void answer_attempt(ScriptedCache& cache, const ScriptedCache::ReceivedAttempt& attempt,
+                        const std::string& word) {
+        cache.answer(attempt, word, word == "HIT" ? soak_bytes(resp::field(attempt.fields, "asset")) : "");
     }
 
     void misbehave(ScriptedCache& cache) {
-        cache.on_attempt = [this, &cache](const ScriptedCache::ReceivedAttempt& pull) {
+        cache.on_attempt = [this, &cache](const ScriptedCache::ReceivedAttempt& attempt) {
             const auto later = [&](int least_ms, int most_ms) {
-                solo_->loop.schedule_at(
-                    solo_->loop.now() + Duration::micros(std::int64_t{1000} * pick(least_ms, most_ms)),
-                    [this, &cache, pull] { answer_pull(cache, pull, "HIT"); });
+                gateway_->loop.schedule_at(
+                    gateway_->loop.now() + Duration::micros(std::int64_t{1000} * pick(least_ms, most_ms)),
+                    [this, &cache, attempt] { answer_attempt(cache, attempt, "HIT"); });
             };
             if (hanging_) return;
             if (pick(1, 100) > script_.misbehaving) return later(0, 8);
@@ -121,20 +123,20 @@
                 case 1:
                     return later(50, 1500);
                 case 2:
-                    return answer_pull(cache, pull, "FAULT");
+                    return answer_attempt(cache, attempt, "FAULT");
                 case 3:
-                    answer_pull(cache, pull, "HIT");
+                    answer_attempt(cache, attempt, "HIT");
                     return later(1, 10);
                 case 4:
-                    return pull.connection->close();
+                    return attempt.connection->close();
                 case 5:
-                    return pull.connection->reset();
+                    return attempt.connection->reset();
                 case 6:
-                    if (resp::field(pull.fields, "sort") != "bids") answer_pull(cache, pull, "SHED");
+                    if (resp::field(attempt.fields, "sort") != "bids") answer_attempt(cache, attempt, "SHED");
                     return;
                 case 7:
-                    pull.connection->output().append("*4\r\n$3\r\nspoilt");
-                    return pull.connection->write();
+                    attempt.connection->output().append("*4\r\n$3\r\nspoilt");
+                    return attempt.connection->write();
                 default:
                     return;  // no answer
             }
@@ -146,7 +148,7 @@
         const auto add = [&](ClientBehaviour behaviour, int count) {
             for (int n = 0; n < count; ++n)
                 clients_.push_back(std::make_unique<SoakClient>(
-                    *solo_, random_, behaviour, static_cast<int>(clients_.size()) + 1, longest_ms));
+                    *gateway_, random_, behaviour, static_cast<int>(clients_.size()) + 1, longest_ms));
         };
         add(ClientBehaviour::good, script_.good);
         add(ClientBehaviour::impatient, script_.impatient);
@@ -154,81 +156,85 @@
         add(ClientBehaviour::garbling, script_.garbling);
     }
 
-    // What happens when, from the start of the clients on.
+    // Schedules the script's events by the time since the start of the clients.
     void plan() {
         const auto at = [&](double share, std::function<void()> what) {
             plan_.emplace(Duration::seconds(options_.seconds * share), std::move(what));
         };
         const auto any = [&] { return pick(5, 95) / 100.0; };
         if (!script_.clock_off_from_start) at(any(), [this] { step_clock(); });
-        for (int n = 0; n < script_.reloads; ++n) at(any(), [this] { solo_->process->signal(SIGHUP); });
+        for (int n = 0; n < script_.reloads; ++n) at(any(), [this] { gateway_->process->signal(SIGHUP); });
         for (int n = 0; n < 3; ++n) at(any(), [this] { purge(); });
         if (script_.caches_drain) at(any(), [this] { drain(); });
-        if (script_.board_breaks) at(any(), [this] { solo_->notice_board->break_connections(); });
+        if (script_.board_breaks) at(any(), [this] { gateway_->notice_board->break_connections(); });
         if (script_.board_falls_silent) {
-            at(0.3, [this] { solo_->notice_board->silent = true; });
-            at(0.6, [this] { solo_->notice_board->silent = false; });
+            at(0.3, [this] { gateway_->notice_board->silent = true; });
+            at(0.6, [this] { gateway_->notice_board->silent = false; });
         }
-        if (script_.idle_connections > 0) at(0.9, [this] { crowd(); });
+        if (script_.idle_connections > 0) at(0.9, [this] { open_idle_connections(); });
         if (script_.hangs_at_end) at(0.95, [this] { hanging_ = true; });
     }
 
     void purge() {
-        events_.push_back({solo_->loop.now(), 0, "", {}});
+        events_.push_back({gateway_->loop.now(), 0, "", {}});
         events_.back().revision =
-            solo_->notice_board->post({{"flush", {{"collection", 1}, {"ms", unix_now_ms()}}}});
+            gateway_->notice_board->post({{"flush", {{"collection", 1}, {"ms", unix_now_ms()}}}});
     }
-    // The last cache, which leaves others behind.
+    // Drains the last cache; the others remain.
     void drain() {
-        const ScriptedCache& cache = *solo_->caches.back();
-        events_.push_back({solo_->loop.now(), 0, cache.id(), {}});
+        const ScriptedCache& cache = *gateway_->caches.back();
+        events_.push_back({gateway_->loop.now(), 0, cache.id(), {}});
         json line = endpoint_json(cache.id(), "node", "plant", "", "Terminating");
         events_.back().revision =
-            solo_->notice_board->post({{"pool", {{"version", 2}, {"full", false}, {"servers", {line}}}}});
+            gateway_->notice_board->post({{"pool", {{"version", 2}, {"full", false}, {"servers", {line}}}}});
     }
-    void crowd() {
-        for (int n = 0; n < script_.idle_connections; ++n) crowd_.push_back(solo_->connect_client());
+    void open_idle_connections() {
+        for (int n = 0; n < script_.idle_connections; ++n)
+            idle_connections_.push_back(gateway_->connect_client());
     }
 
-    void turn(bool stays) {
-        const TimePoint now = solo_->loop.now();
+    void step(bool stays) {
+        const TimePoint now = gateway_->loop.now();
         while (!plan_.empty() && now >= started_ + plan_.begin()->first) {
             const auto what = plan_.begin()->second;
             plan_.erase(plan_.begin());
             what();
         }
         for (const auto& client : clients_) client->step(stays);
-        solo_->wait_until([] { return false; }, tick);
+        gateway_->wait_until([] { return false; }, tick);
         for (PostedEvent& e : events_)
-            if (!e.seen && solo_->notice_board->last_poll_since() >= e.revision) e.seen = solo_->loop.now();
-        if (!solo_->process->running() && !leaving_ && !std::exchange(died_, true))
-            violation("the process ended by itself");
-        if (descriptors_of(solo_->process->id()) > descriptors) violation("over the limit of descriptors");
+            if (!e.seen && gateway_->notice_board->last_poll_since() >= e.revision)
+                e.seen = gateway_->loop.now();
+        if (!gateway_->process->running() && !leaving_ && !std::exchange(died_, true))
+            violation("the process ended without a signal");
+        if (descriptors_of(gateway_->process->id()) > max_descriptors)
+            violation("more open descriptors than the limit");
     }
 
-    // SIGTERM, more signals behind it, and SIGKILL at the earliest moment; clients go on until then.
+    // Sends SIGTERM, further signals and, at the earliest allowed time, SIGKILL. Clients keep sending until
+    // then.
     void leave() {
-        const TimePoint told = solo_->loop.now();
+        const TimePoint told = gateway_->loop.now();
         leaving_ = true;
-        if (!died_) solo_->process->signal(SIGTERM);
-        const Duration longest = std::min(Duration::seconds(script_.deadline_s), longest_waited_for);
-        const TimePoint killed = told + longest + work_after_term;
+        if (!died_) gateway_->process->signal(SIGTERM);
+        const Duration longest = std::min(Duration::seconds(script_.deadline_s), max_drain_time);
+        const TimePoint kill_at = told + longest + grace_after_drain;
         started_ = told;
         plan_.clear();
         for (int n = 0; n < script_.further_signals; ++n)
             plan_.emplace(longest * (pick(0, 100) / 100.0),
-                          [this, n] { solo_->process->signal(n % 2 == 0 ? SIGTERM : SIGHUP); });
-        while (solo_->loop.now() < killed && solo_->process->running())
-            turn(solo_->loop.now() > told + new_connections_after_term);
-        // Of the platform's page: what SIGKILL finds unanswered is lost. Each request is judged by that
-        // below.
-        result_.killed = !died_ && solo_->process->running();
-        if (!died_ && !result_.killed && !solo_->process->exited_cleanly())
-            violation("it left with a status other than 0");
-        solo_->process->kill_and_wait();
-        const TimePoint heard_by = solo_->loop.now() + Duration::micros(100'000);
-        while (solo_->loop.now() < heard_by) {
-            solo_->wait_until([] { return false; }, tick);
+                          [this, n] { gateway_->process->signal(n % 2 == 0 ? SIGTERM : SIGHUP); });
+        while (gateway_->loop.now() < kill_at && gateway_->process->running())
+            step(gateway_->loop.now() > told + new_connections_after_term);
+        // By the platform's documentation, requests without a response at SIGKILL are lost; check_request()
+        // judges each request by that.
+        result_.killed = !died_ && gateway_->process->running();
+        if (!died_ && !result_.killed && !gateway_->process->exited_cleanly())
+            violation("the process exited with a status other than 0");
+        gateway_->process->kill_and_wait();
+        const TimePoint heard_by = gateway_->loop.now() + Duration::micros(100'000);
+        while (gateway_->loop.now() < heard_by) {
+            gateway_->wait_until([] { return false; }, tick);
             for (const auto& client : clients_) client->receive_responses();
         }
     }
@@ -238,9 +244,10 @@
             for (const SoakRequest& r : client->requests()) check_request(r);
             for (const std::string& s : client->violations()) violation(s);
         }
-        for (const auto& cache : solo_->caches) {
+        for (const auto& cache : gateway_->caches) {
             result_.attempts += cache->received.size();
-            for (const ScriptedCache::ReceivedAttempt& pull : cache->received) check_pull(*cache, pull);
+            for (const ScriptedCache::ReceivedAttempt& attempt : cache->received)
+                check_attempt(*cache, attempt);
         }
         check_effects();
     }
@@ -254,48 +261,49 @@
                : r.status.starts_with("Status: 503") ? result_.rejected
                                                      : result_.failed);
             if (served && r.body != soak_bytes(r.request.object))
-                violation("1: not the bytes of what was asked: " + r.request.id);
-            if (*r.answered > r.due() + late_answer + slack)
-                violation("1: answered too late: " + r.request.id);
+                violation("1: the response is not the content of the requested object: " + r.request.id);
+            if (*r.answered > r.due() + max_response_delay + slack)
+                violation("1: response too late: " + r.request.id);
             return;
         }
         if (r.cancelled || died_) return;
-        if (!r.connection_ended) return violation("1: never answered: " + r.request.id);
-        if (*r.connection_ended > r.sent + crossing + slack)
-            violation("1: its connection ended with no answer, " +
+        if (!r.connection_ended) return violation("1: no response: " + r.request.id);
+        if (*r.connection_ended > r.sent + max_close_crossing + slack)
+            violation("1: the connection ended without a response, " +
                       std::to_string((*r.connection_ended - r.sent).micros() / 1000) +
-                      " ms after it was said: " + r.request.id);
+                      " ms after the request was sent: " + r.request.id);
     }
 
-    void check_pull(const ScriptedCache& cache, const ScriptedCache::ReceivedAttempt& pull) {
+    void check_attempt(const ScriptedCache& cache, const ScriptedCache::ReceivedAttempt& attempt) {
         for (const PostedEvent& e : events_) {
-            if (!e.seen || pull.at <= *e.seen + slack) continue;
-            if (e.drained == cache.id() && pull.at > *e.seen + drain_grace + slack)
-                violation("3: sent to one that drains: " + pull.request_id);
-            if (e.drained.empty()) check_fresh(e, pull);
+            if (!e.seen || attempt.at <= *e.seen + slack) continue;
+            if (e.drained == cache.id() && attempt.at > *e.seen + drain_grace + slack)
+                violation("3: attempt sent to a draining cache: " + attempt.request_id);
+            if (e.drained.empty()) check_fresh(e, attempt);
         }
-        const auto known = by_id_.find(pull.request_id);
+        const auto known = by_id_.find(attempt.request_id);
         if (known == by_id_.end()) return;
         const SoakRequest& r = *known->second;
-        const double left_ms = (r.due() - pull.at).seconds() * 1000;
-        const std::string patience(resp::field(pull.fields, "patience"));
-        if (std::atof(patience.c_str()) > left_ms + patience_slack_ms + slack.seconds() * 1000)
-            violation("a deadline passed on that is longer than what is left: " + pull.request_id);
-        if (r.cancelled && pull.at > *r.cancelled + after_client_left + slack)
-            violation("1: begun after its client had left: " + pull.request_id);
+        const double left_ms = (r.due() - attempt.at).seconds() * 1000;
+        const std::string patience(resp::field(attempt.fields, "patience"));
+        if (std::atof(patience.c_str()) > left_ms + timeout_slack_ms + slack.seconds() * 1000)
+            violation("the attempt's timeout is longer than the time left: " + attempt.request_id);
+        if (r.cancelled && attempt.at > *r.cancelled + max_attempt_after_cancel + slack)
+            violation("1: attempt started after the client had cancelled: " + attempt.request_id);
     }
 
-    void check_fresh(const PostedEvent& purge, const ScriptedCache::ReceivedAttempt& pull) {
+    void check_fresh(const PostedEvent& purge, const ScriptedCache::ReceivedAttempt& attempt) {
         constexpr double purge_done_s = 6;
-        if ((pull.at - purge.posted).seconds() > purge_done_s) return;
-        const std::string fresh(resp::field(pull.fields, "fresh"));
-        if (fresh.empty() || std::atof(fresh.c_str()) > (pull.at - purge.posted).seconds() * 1000 + 2)
-            violation("5: a copy from before a purge would do: " + pull.request_id + " fresh=" + fresh);
+        if ((attempt.at - purge.posted).seconds() > purge_done_s) return;
+        const std::string fresh(resp::field(attempt.fields, "fresh"));
+        if (fresh.empty() || std::atof(fresh.c_str()) > (attempt.at - purge.posted).seconds() * 1000 + 2)
+            violation("5: the attempt accepts a copy from before a purge: " + attempt.request_id +
+                      " fresh=" + fresh);
     }
 
     void check_effects() {
         std::map<std::string, std::vector<TimePoint>> runs;
-        for (const auto& cache : solo_->caches)
+        for (const auto& cache : gateway_->caches)
             for (const ScriptedCache::ReceivedAttempt& p : cache->received)
                 if (resp::field(p.fields, "sort") == "bids")
                     runs[p.request_id + ' ' + std::string(resp::field(p.fields, "asset")) + ' ' + p.body]
@@ -303,7 +311,8 @@
         for (auto& [what, at] : runs) {
             std::sort(at.begin(), at.end());
             for (std::size_t n = 1; n < at.size(); ++n)
-                if ((at[n] - at[n - 1]).seconds() < script_.deadline_s) violation("2: run twice: " + what);
+                if ((at[n] - at[n - 1]).seconds() < script_.deadline_s)
+                    violation("2: executed twice: " + what);
         }
     }
 
@@ -311,9 +320,9 @@
     SoakScript script_;
     std::mt19937_64 random_;
     Shims shims_;
-    std::unique_ptr<SingleProcess> solo_;
+    std::unique_ptr<SingleProcess> gateway_;
     std::vector<std::unique_ptr<SoakClient>> clients_;
-    std::vector<std::shared_ptr<FastCgiClient>> crowd_;
+    std::vector<std::shared_ptr<FastCgiClient>> idle_connections_;
     std::multimap<Duration, std::function<void()>> plan_;
     std::vector<PostedEvent> events_;
     std::map<std::string, const SoakRequest*> by_id_;
--- a/testing/soak_client.cpp
+++ b/testing/soak_client.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr int objects = 40, repeated_ids = 5;
-constexpr std::size_t most_open = 12;
+constexpr std::size_t max_open_requests = 12;
 
 std::string hex(std::uint64_t n) {
     char text[17];
@@ -18,20 +18,20 @@
 }  // namespace
 
 std::string soak_bytes(std::string_view object) {
-    // Objects of several sizes, some larger than what the system takes at once.
+    // Objects have several sizes, some larger than the kernel takes in one write.
     const std::size_t size = 20 + 3'000 * (static_cast<std::size_t>(object.back()) % 16);
     std::string bytes = "bytes of " + std::string(object) + ' ';
     bytes.resize(std::max(bytes.size(), size), 'x');
     return bytes;
 }
 
-SoakClient::SoakClient(SingleProcess& solo, std::mt19937_64& random, ClientBehaviour behaviour, int number,
-                       int longest_patience_ms)
-    : gateway_(solo),
+SoakClient::SoakClient(SingleProcess& gateway, std::mt19937_64& random, ClientBehaviour behaviour, int number,
+                       int max_timeout_ms)
+    : gateway_(gateway),
       random_(random),
       behaviour_(behaviour),
       number_(number),
-      longest_patience_ms_(longest_patience_ms) {
+      max_timeout_ms_(max_timeout_ms) {
     connect();
 }
 
@@ -47,26 +47,26 @@
 }
 
 void SoakClient::close() {
-    for (const auto& [number, place] : open_) requests_[place].cancelled = gateway_.loop.now();
+    for (const auto& [number, index] : open_) requests_[index].cancelled = gateway_.loop.now();
     open_.clear();
     client_->close();
 }
 
-void SoakClient::step(bool stays) {
+void SoakClient::step(bool keep_connection) {
     receive_responses();
     if (client_->ended) {
-        if (!stays) connect();
+        if (!keep_connection) connect();
         return;
     }
-    const int what = pick(1, 100);
-    if (behaviour_ == ClientBehaviour::garbling && what <= 20) return send_garbage();
-    if (behaviour_ == ClientBehaviour::impatient && what <= 10 && !open_.empty()) return cancel_request();
+    const int action = pick(1, 100);
+    if (behaviour_ == ClientBehaviour::garbling && action <= 20) return send_garbage();
+    if (behaviour_ == ClientBehaviour::impatient && action <= 10 && !open_.empty()) return cancel_request();
     const bool leaves = behaviour_ == ClientBehaviour::impatient || behaviour_ == ClientBehaviour::repeating;
-    if (leaves && what >= 99 && !stays) {
+    if (leaves && action >= 99 && !keep_connection) {
         close();
         return connect();
     }
-    if (what <= 45 && open_.size() < most_open) send_request();
+    if (action <= 45 && open_.size() < max_open_requests) send_request();
 }
 
 void SoakClient::send_request() {
@@ -83,7 +83,7 @@
     r.request.kind = kinds[static_cast<std::size_t>(pick(0, 4))];
     if (r.request.kind == "bids") r.request.body = "bid " + std::to_string(repeats ? 1 : requests_sent_);
     if (r.request.kind == "keyed") r.request.idempotency_key = "key-" + r.request.id;
-    r.request.timeout_ms = pick(20, longest_patience_ms_);
+    r.request.timeout_ms = pick(20, max_timeout_ms_);
     r.sent = gateway_.loop.now();
     open_[number] = requests_.size();
     requests_.push_back(r);
@@ -98,14 +98,14 @@
     client_->abort(number);
 }
 
-// Bytes that are no request, on this connection: what is open on it is given up, by the client and so before
-// the gateway can end the connection for them.
+// Sends malformed bytes on this connection. The open requests count as cancelled by the client from before
+// the gateway can close the connection because of these bytes.
 void SoakClient::send_garbage() {
-    for (const auto& [number, place] : open_) requests_[place].cancelled = gateway_.loop.now();
+    for (const auto& [number, index] : open_) requests_[index].cancelled = gateway_.loop.now();
     open_.clear();
     std::string bytes(static_cast<std::size_t>(pick(1, 400)), '\0');
     for (char& c : bytes) c = static_cast<char>(pick(0, 255));
-    if (pick(1, 2) == 1) bytes[0] = 1;  // FastCGI's version
+    if (pick(1, 2) == 1) bytes[0] = 1;  // the FastCGI version
     client_->write(bytes);
     gateway_.wait_until([] { return false; }, Duration::micros(1'000));
     receive_responses();
@@ -117,7 +117,7 @@
     if (aborted_.erase(answer.number) > 0) return;
     if (!open_.contains(answer.number)) {
         if (behaviour_ != ClientBehaviour::garbling)
-            violations_.push_back("1: an answer to nothing that is open");
+            violations_.push_back("1: a response to a request that is not open");
         return;
     }
     SoakRequest& r = request(answer.number);
@@ -131,7 +131,7 @@
     for (; processed_responses_ < client_->responses.size(); ++processed_responses_)
         record_response(client_->responses[processed_responses_]);
     if (!client_->ended) return;
-    for (const auto& [number, place] : open_) requests_[place].connection_ended = gateway_.loop.now();
+    for (const auto& [number, index] : open_) requests_[index].connection_ended = gateway_.loop.now();
     open_.clear();
 }
 
--- a/testing/soak_client.hpp
+++ b/testing/soak_client.hpp
@@ -1,4 +1,5 @@
-// A client's connection in a soak: what it asks, in its own way, and a ledger of each request.
+// A client of the soak test: sends requests on a connection according to its behaviour and records each of
+// them.
 #pragma once
 
 #include <functional>
@@ -15,13 +16,13 @@
 
 enum class ClientBehaviour { good, impatient, repeating, garbling };
 
-// One request, from when it was said to what became of it.
+// A request and its outcome.
 struct SoakRequest {
     FastCgiClient::Request request;
     ClientBehaviour behaviour = ClientBehaviour::good;
     TimePoint sent;
     std::optional<TimePoint> answered, cancelled;
-    std::optional<TimePoint> connection_ended;  // by the gateway, with no answer
+    std::optional<TimePoint> connection_ended;  // closed by the gateway without a response
     std::string status, body;
 
     TimePoint due() const { return sent + Duration::micros(std::int64_t{1000} * request.timeout_ms); }
@@ -29,11 +30,12 @@
 
 class SoakClient {
 public:
-    SoakClient(SingleProcess& solo, std::mt19937_64& random, ClientBehaviour behaviour, int number,
-               int longest_patience_ms);
-    // Does what comes next, or nothing. No connection is made any more once `stays` is true.
-    void step(bool stays);
-    // Takes in what has come.
+    SoakClient(SingleProcess& gateway, std::mt19937_64& random, ClientBehaviour behaviour, int number,
+               int max_timeout_ms);
+    // Takes the next random action, or none. If keep_connection is true, the client opens no further
+    // connections.
+    void step(bool keep_connection);
+    // Records the responses that have arrived.
     void receive_responses();
     const std::vector<SoakRequest>& requests() const { return requests_; }
     const std::vector<std::string>& violations() const { return violations_; }
@@ -53,16 +55,16 @@
     SingleProcess& gateway_;
     std::mt19937_64& random_;
     ClientBehaviour behaviour_;
-    int number_, longest_patience_ms_, requests_sent_ = 0;
+    int number_, max_timeout_ms_, requests_sent_ = 0;
     std::shared_ptr<FastCgiClient> client_;
     std::size_t processed_responses_ = 0;
     std::vector<SoakRequest> requests_;
-    std::map<std::uint16_t, std::size_t> open_;  // by the number on the connection
+    std::map<std::uint16_t, std::size_t> open_;  // index in requests_, by number on the connection
     std::map<std::uint16_t, bool> aborted_;
     std::vector<std::string> violations_;
 };
 
-// The bytes of an object as the caches of a soak hold them.
+// The content of an object in the caches of a soak test.
 std::string soak_bytes(std::string_view object);
 
 }  // namespace irismux::test_support
--- a/testing/soak_script.hpp
+++ b/testing/soak_script.hpp
@@ -1,4 +1,4 @@
-// What a soak draws from its seed before it begins.
+// The parameters of a soak test, drawn from its seed before it begins.
 #pragma once
 
 #include <cstdint>
@@ -10,15 +10,15 @@
 struct SoakScript {
     std::size_t caches = 2;
     double deadline_s = 1;
-    int good = 3, impatient = 1, repeating = 1, garbling = 1;  // connections of clients
-    int idle_connections = 0;                                  // idle connections that come before the end
-    int misbehaving = 5;  // answers of caches in a hundred that are not in time or not answers
+    int good = 3, impatient = 1, repeating = 1, garbling = 1;  // number of clients by behaviour
+    int idle_connections = 0;                                  // opened shortly before SIGTERM
+    int misbehaving = 5;  // percentage of attempts that a cache answers late, wrongly or not at all
     std::uint32_t calls_fail_one_in = 0;
     std::int64_t clock_step_us = 0;
     bool clock_off_from_start = false;
     bool board_falls_silent = false, board_breaks = false, caches_drain = false, hangs_at_end = false;
-    int reloads = 0;          // SIGHUP while it runs
-    int further_signals = 0;  // SIGTERM and SIGHUP behind the first SIGTERM
+    int reloads = 0;          // SIGHUPs while the process runs
+    int further_signals = 0;  // SIGTERMs and SIGHUPs after the first SIGTERM
 
     static SoakScript draw(std::uint64_t seed);
     std::string text() const;
--- a/testing/sockets.hpp
+++ b/testing/sockets.hpp
@@ -1,4 +1,5 @@
-// Both ends of a connection for stand-ins, on the loop that they share with what they stand against.
+// Listening sockets and connections for the fakes, and a runner for the event loop that they share with the
+// test.
 #pragma once
 
 #include <Poco/Exception.h>
@@ -15,17 +16,19 @@
 
 namespace irismux::test_support {
 
-// A listening stand-in; whoever connects is handed on.
+// Listens on an address and passes each accepted connection to a callback.
 class Acceptor {
 public:
-    Acceptor(EventLoop& loop, std::function<void(const Poco::Net::StreamSocket&)> got, int backlog = 64,
-             const std::string& at = "127.0.0.1:0")
-        : loop_(loop), on_connection_(std::move(got)), socket_(Poco::Net::SocketAddress(at), backlog) {
+    Acceptor(EventLoop& loop, std::function<void(const Poco::Net::StreamSocket&)> on_connection,
+             int backlog = 64, const std::string& address = "127.0.0.1:0")
+        : loop_(loop),
+          on_connection_(std::move(on_connection)),
+          socket_(Poco::Net::SocketAddress(address), backlog) {
         socket_.setBlocking(false);
         loop_.addEventHandler(socket_, observer());
     }
     ~Acceptor() { stop(); }
-    // From now on connections are left waiting.
+    // Stops accepting: new connections wait in the backlog.
     void stop() { loop_.removeEventHandler(socket_, observer()); }
     void resume() { loop_.addEventHandler(socket_, observer()); }
     std::string address() const { return socket_.address().toString(); }
@@ -43,7 +46,7 @@
     Poco::Net::ServerSocket socket_;
 };
 
-// A stand-in's end of a connection: what comes is handed on as it stands in the buffer.
+// One end of a connection. Passes the input buffer to a callback after each read.
 class TestConnection final : public Connection {
 public:
     TestConnection(EventLoop& loop, const Poco::Net::StreamSocket& s)
@@ -53,22 +56,24 @@
     std::function<void(Buffer&)> on_received = [](Buffer&) {};
     std::function<void()> on_end = [] {};
     void start() { register_handlers(); }
-    bool start(const std::string& to) {
-        return connect(Poco::Net::SocketAddress(to)) == ConnectResult::started;
+    bool start(const std::string& address) {
+        return connect(Poco::Net::SocketAddress(address)) == ConnectResult::started;
     }
     Buffer& output() { return output_; }
     void write() { schedule_write(); }
-    bool all_written() const { return output_.empty(); }  // the system has it
-    // Reads on, or lets what comes lie in the system.
-    void enable_reading(bool is) { set_reading(is); }
-    // As little as the system allows lies there; then the other side finds no room. Before it is started.
+    // Whether the kernel has taken all output.
+    bool all_written() const { return output_.empty(); }
+    // Resumes reading, or leaves input in the kernel's buffer.
+    void enable_reading(bool enabled) { set_reading(enabled); }
+    // Sets the smallest receive buffer that the kernel allows, so that the peer's writes block early. Call it
+    // before start().
     void shrink_receive_buffer() { socket_.setReceiveBufferSize(1); }
-    // Ends it so that the other side sees a reset.
+    // Closes the connection so that the peer gets a reset.
     void reset() {
         if (state() != ConnectionState::closed) try {
                 socket_.setLinger(true, 0);
             } catch (const Poco::Exception&) {
-                // Not connected: there is nobody to see it.
+                // The socket is not connected, so there is no peer to reset.
             }
         close();
     }
@@ -81,11 +86,12 @@
 private:
     TestConnection(EventLoop& loop, const Poco::Net::StreamSocket& s, ConnectionState state)
         : Connection(loop, s, state), socket_(s) {}
-    Poco::Net::StreamSocket socket_;  // the same as the link's
+    Poco::Net::StreamSocket socket_;  // shares its handle with the base class's socket
 };
 
-// Runs a loop in stretches: it stands still, and may be touched, but within until(). A reactor of POCO 1.11
-// can be run only once; so it runs in a thread of its own, and only one of the two threads is ever awake.
+// Runs an event loop only within run_until(). Between these calls the loop is paused, and the caller may use
+// it and its objects. A reactor of POCO 1.11 can be run only once, so it runs in a thread of its own; at any
+// time only one of the two threads runs.
 class LoopRunner {
 public:
     explicit LoopRunner(EventLoop& loop)
@@ -100,10 +106,10 @@
         thread_.join();
     }
 
-    // Until that is so, for so long at most; whether it is.
-    bool run_until(std::function<bool()> so, Duration most = Duration::micros(10'000'000)) {
-        condition_ = std::move(so);
-        deadline_ = loop_.now() + most;
+    // Runs the loop until the condition holds or the timeout is over. Returns whether the condition holds.
+    bool run_until(std::function<bool()> condition, Duration timeout = Duration::micros(10'000'000)) {
+        condition_ = std::move(condition);
+        deadline_ = loop_.now() + timeout;
         resumed_.release();
         paused_.acquire();
         return condition_met_;
@@ -118,13 +124,13 @@
     }
     void check_condition() {
         condition_met_ = condition_();
-        // Not from within a socket's handler, which holds a lock of the reactor's.
+        // Pauses in the next iteration: a socket's handler holds a lock of the reactor.
         if (condition_met_ || loop_.now() > deadline_) return loop_.run_next_iteration([this] { pause(); });
         loop_.schedule_at(loop_.now() + Duration::micros(500), [this] { check_condition(); });
     }
 
     EventLoop& loop_;
-    Acceptor keep_alive_;  // a reactor without sockets runs no alarms
+    Acceptor keep_alive_;  // a reactor without sockets runs no timers
     std::function<bool()> condition_;
     TimePoint deadline_;
     bool finished_ = false, condition_met_ = false;
--- a/testing/stub_gateway.cpp
+++ b/testing/stub_gateway.cpp
@@ -7,7 +7,7 @@
 const Duration purge_done = Duration::micros(6'000'000);
 const Duration probe_answered_in = Duration::micros(1'000);
 
-// FNV-1a: the same in every process, and across runs.
+// FNV-1a: gives the same result in every process and run.
 std::uint64_t digest(std::string_view text) {
     std::uint64_t sum = 14695981039346656037ULL;
     for (const char c : text) sum = (sum ^ static_cast<unsigned char>(c)) * 1099511628211ULL;
@@ -39,11 +39,11 @@
     if (fleet_client_) fleet_client_->start();
 }
 
-void StubGateway::set_ejected(const CacheId& cache, bool is) {
-    if (fleet_client_) fleet_client_->on_ejection_changed(cache, is);
+void StubGateway::set_ejected(const CacheId& cache, bool ejected) {
+    if (fleet_client_) fleet_client_->on_ejection_changed(cache, ejected);
 }
 
-void StubGateway::set_cache_answers(const CacheId& cache, bool is) { answers_[cache] = is; }
+void StubGateway::set_cache_answers(const CacheId& cache, bool answers) { answers_[cache] = answers; }
 
 bool StubGateway::joined() const { return fleet_client_ && fleet_client_->agent().membership().joined(); }
 
@@ -66,7 +66,7 @@
     return !registry_ || registry_->watch().sync_state() == registry::SyncState::following;
 }
 
-// The board's list counts only where no registry tells one.
+// Applies the board's endpoint list only if the gateway has no registry.
 void StubGateway::on_endpoint_notice(const std::vector<EndpointRecord>& lines, bool complete) {
     if (!registry_) apply_endpoints(lines, complete);
 }
@@ -93,7 +93,7 @@
     const TimePoint now = event_loop_.now();
     roster_.add_purge(purge.at, purge.group, purge.object, now);
     ++purge_count_;
-    // By the event's own time: when it happened is each gateway's own estimate.
+    // Uses the time in the event, which is the same at each gateway; purge.at is each gateway's own estimate.
     purge_digest_ +=
         digest(std::to_string((purge.stamp - TimePoint{}).micros()) + '/' +
                std::to_string(purge.group.raw()) + '/' + (purge.object ? purge.object->raw() : ""));
@@ -102,7 +102,8 @@
 
 bool StubGateway::start_health_check(const CacheId& cache) {
     const auto it = answers_.find(cache);
-    if (it == answers_.end() || !it->second) return true;  // silent: the next probe finds that out
+    if (it == answers_.end() || !it->second)
+        return true;  // the cache does not answer; the next probe notices that
     event_loop_.schedule_at(event_loop_.now() + probe_answered_in,
                             [this, cache, alive = std::weak_ptr<bool>(alive_)] {
                                 if (alive.lock() && fleet_client_)
--- a/testing/stub_gateway.hpp
+++ b/testing/stub_gateway.hpp
@@ -1,8 +1,8 @@
-// A gateway without its data path: the program's own classes for control (the notice board's poll, the
-// registry's client, the fleet's member and its store) with its own connections, seed and store folder. No
-// lookups, no Router: what the Router would decide of a cache (that it is marked) is ordered from outside.
+// A gateway without its data path. It runs the program's classes for control (notice client, registry client,
+// fleet member and token store) with its own connections, seed and store folder. It serves no requests and
+// has no Router; the test sets the ejection state that the Router would decide on.
 //
-// Many share one loop and one process; each has connections of its own, as a gateway has.
+// Many stub gateways share one event loop and one process; each has its own connections, like a gateway.
 #pragma once
 
 #include <cstdint>
@@ -20,19 +20,19 @@
 
 namespace irismux::test_support {
 
-// What a hollow gateway goes by; the same as a configuration and a file of parts tell a real one.
+// The settings of a stub gateway, as a gateway reads them from its configuration and its parts file.
 struct StubGatewaySettings {
     std::string name;
     std::uint64_t seed = 1;
-    std::string notice_board;                                 // address
-    Duration notice_board_pause = Duration::micros(400'000);  // after a failed poll
+    std::string notice_board;                                 // address of the notice board
+    Duration notice_board_pause = Duration::micros(400'000);  // pause after a failed poll
     nlohmann::json known = {{"rev", 0},
-                            {"notices", nlohmann::json::array()}};  // what the board knew at the start
-    std::optional<registry::Settings> registry;                     // the list of caches; none: the board's
+                            {"notices", nlohmann::json::array()}};  // the board's events at the start
+    std::optional<registry::Settings> registry;  // source of the cache list; if unset, the board
     std::optional<fleet::Settings> fleet;
 };
 
-// Told when something has come into force at a hollow gateway.
+// Receives a call when an update takes effect at a stub gateway.
 class StubGatewayObserver {
 public:
     virtual ~StubGatewayObserver() = default;
@@ -52,26 +52,26 @@
     StubGateway& operator=(const StubGateway&) = delete;
 
     void start();
-    // As if its Router had found the cache to be silent, or answering again.
-    void set_ejected(const CacheId& cache, bool is);
-    // From now on its probes of that cache are answered; others are not.
-    void set_cache_answers(const CacheId& cache, bool is);
+    // Reports that a Router has ejected or readmitted the cache.
+    void set_ejected(const CacheId& cache, bool ejected);
+    // Sets whether the cache answers health checks; by default no cache does.
+    void set_cache_answers(const CacheId& cache, bool answers);
 
-    // --- what is in force here
+    // --- the state in force
     const std::map<CacheId, EndpointUpdate>& endpoints() const { return endpoints_by_id_; }
-    std::uint64_t purge_count() const { return purge_count_; }    // told, those of a catch-up too
-    std::uint64_t purge_digest() const { return purge_digest_; }  // of all that were told, in any order
+    std::uint64_t purge_count() const { return purge_count_; }    // including those of a catch-up
+    std::uint64_t purge_digest() const { return purge_digest_; }  // of all purges, independent of their order
     bool joined() const;
-    std::size_t known_members() const;    // itself among them once it has joined
-    std::uint64_t member_digest() const;  // of their names and starts
+    std::size_t known_members() const;    // includes this gateway after it has joined
+    std::uint64_t member_digest() const;  // of the members' names and incarnations
     bool follows_endpoints() const;
     const fleet::Agent* member() const { return fleet_client_ ? &fleet_client_->agent() : nullptr; }
 
 private:
-    // BoardObserver
+    // NoticeObserver
     void on_endpoint_notice(const std::vector<EndpointRecord>& lines, bool complete) override;
     void on_purge_notice(const PurgeNotice& purge) override;
-    // registry::Knows
+    // registry::WatchObserver
     void on_endpoints(TimePoint now, const std::vector<EndpointRecord>& lines, bool complete) override;
     void on_sync_state(TimePoint, registry::SyncState, TimePoint) override {}
     void on_watch_warning(const registry::WatchWarning&) override {}
@@ -89,7 +89,7 @@
     std::map<CacheId, EndpointUpdate> endpoints_by_id_;
     std::map<CacheId, bool> answers_;
     std::uint64_t purge_count_ = 0, purge_digest_ = 0;
-    irismux::NoticeClient notice_client_;  // not the stand-in of this namespace
+    irismux::NoticeClient notice_client_;
     std::unique_ptr<registry::RegistryClient> registry_;
     std::unique_ptr<fleet::FleetClient> fleet_client_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/testing/transaction_ledger.cpp
+++ b/testing/transaction_ledger.cpp
@@ -10,14 +10,14 @@
 }  // namespace
 
 TransactionLedger::Outcome TransactionLedger::settle(const Transaction& transaction) {
-    const auto text = [&](const Key& key) {
+    const auto value_of = [&](const Key& key) {
         const auto it = records_.find(key);
         return it == records_.end() ? fleet::Text{} : fleet::Text{it->second};
     };
-    Outcome o;
-    o.succeeded = std::all_of(transaction.compares.begin(), transaction.compares.end(),
-                              [&](const Entry& e) { return text(e.first) == e.second; });
-    if (o.succeeded && !transaction.writes.empty()) {
+    Outcome outcome;
+    outcome.succeeded = std::all_of(transaction.compares.begin(), transaction.compares.end(),
+                                    [&](const Entry& e) { return value_of(e.first) == e.second; });
+    if (outcome.succeeded && !transaction.writes.empty()) {
         revision_ = Revision{revision_.raw() + 1};
         for (const auto& [key, value] : transaction.writes) {
             if (value)
@@ -31,12 +31,12 @@
             history_.erase(history_.begin());
         }
     }
-    if (!o.succeeded)
-        for (const Entry& e : transaction.compares) o.values.emplace_back(e.first, text(e.first));
+    if (!outcome.succeeded)
+        for (const Entry& e : transaction.compares) outcome.values.emplace_back(e.first, value_of(e.first));
     else
-        for (const Key& key : transaction.reads) o.values.emplace_back(key, text(key));
-    o.revision = revision_;
-    return o;
+        for (const Key& key : transaction.reads) outcome.values.emplace_back(key, value_of(key));
+    outcome.revision = revision_;
+    return outcome;
 }
 
 std::vector<Entry> TransactionLedger::watched_records() const {
@@ -46,9 +46,9 @@
     return list;
 }
 
-std::vector<Entry> TransactionLedger::changes(Revision told, Revision upto) const {
+std::vector<Entry> TransactionLedger::changes(Revision after, Revision upto) const {
     std::vector<Entry> list;
-    for (auto it = history_.upper_bound(told); it != history_.end() && it->first <= upto; ++it)
+    for (auto it = history_.upper_bound(after); it != history_.end() && it->first <= upto; ++it)
         list.insert(list.end(), it->second.begin(), it->second.end());
     return list;
 }
--- a/testing/transaction_ledger.hpp
+++ b/testing/transaction_ledger.hpp
@@ -1,5 +1,5 @@
-// A registry as an Agent's transactions see it: records, one revision, a history to watch, and backups
-// to go back to. In memory, for models; the stand-in on sockets is lab/registry.
+// An in-memory registry as an Agent's transactions see it: records, one revision, a history for watches, and
+// restores from backups. Simulations use it; FakeRegistry is the fake with sockets.
 #pragma once
 
 #include <map>
@@ -19,7 +19,7 @@
 public:
     using Records = std::map<Key, std::string>;
 
-    explicit TransactionLedger(std::size_t most_history = 2048) : max_history_(most_history) {}
+    explicit TransactionLedger(std::size_t max_history = 2048) : max_history_(max_history) {}
 
     struct Outcome {
         Revision revision;
@@ -30,15 +30,16 @@
 
     const Records& records() const { return records_; }
     Revision revision() const { return revision_; }
-    std::vector<Entry> watched_records() const;  // what a new watch delivers: no heartbeats
-    // Changes that a watch tells, those up to `told` left out; a watch has all of one revision or none.
-    std::vector<Entry> changes(Revision told, Revision upto) const;
-    bool compacted(Revision told) const { return told < oldest_; }
-    // Back to what a backup held.
+    std::vector<Entry> watched_records() const;  // all records that a new watch delivers, without heartbeats
+    // The changes that a watch delivers with revisions in (after, upto]. A watch delivers all changes of a
+    // revision or none.
+    std::vector<Entry> changes(Revision after, Revision upto) const;
+    bool compacted(Revision after) const { return after < oldest_; }
+    // Restores the records and the revision of a backup and drops the history.
     void restore(const Records& backup, Revision at);
 
 private:
-    std::size_t max_history_;  // changes older than so many revisions are compacted
+    std::size_t max_history_;  // number of revisions with changes that are kept
     Records records_;
     Revision revision_{1}, oldest_;
     std::map<Revision, std::vector<Entry>> history_;
