--- a/testing/fleet_simulation.hpp
+++ b/testing/fleet_simulation.hpp
@@ -1,7 +1,7 @@
-// A whole fleet in virtual time, from one seed: Agents whose clocks drift, round one registry, with messages
-// that are lost, late and repeated, processes that stop, die and start anew, links that are cut, and a
-// registry that goes back to a backup. After every event the guarantees are checked, from the registry's own
-// ledger and by asking every process, stopped ones too, what it would do at that instant.
+// A simulation of a fleet in virtual time, from one seed: Agents with drifting clocks share one registry.
+// Messages are lost, delayed and repeated, processes stop, crash and restart, links are partitioned, and the
+// registry is restored from a backup. After every event the simulation checks the invariants, both on the
+// registry's ledger and by asking each process, stopped ones included, whether it would act at this time.
 #pragma once
 
 #include <functional>
@@ -16,77 +16,82 @@
 #include "fleet/agent.hpp"
 #include "testing/transaction_ledger.hpp"
 
-namespace irismux::stand_ins {
+namespace irismux::test_support {
 
 class FleetSimulation {
 public:
-    // Chances: of a message, and, of the others, a second and a member (of `restore` a second).
+    // lose, late and repeat are probabilities per message, the others per second and member; restore is per
+    // second.
     struct FaultRates {
         double lose = 0, late = 0, repeat = 0;
-        double stop = 0, crash = 0, cut = 0, restore = 0;
+        double stop = 0, crash = 0, partition = 0, restore = 0;
     };
-    struct Shape {
+    struct Options {
         std::size_t members = 3, duties = 2;
-        double drift = 0.01;  // that of the clocks; the shared configuration has its own
-        bool spread = true;
-        bool works = true;  // owners write on behalf of the fleet all the while
+        double drift = 0.01;  // of the simulated clocks; the shared configuration has its own bound
+        bool randomized = true;
+        bool fenced_writes = true;  // owners of duties make fenced writes all the time
     };
-    FleetSimulation(std::uint32_t seed, const Shape& shape, const fleet::SharedConfig& shared_config);
+    FleetSimulation(std::uint32_t seed, const Options& options, const fleet::SharedConfig& shared_config);
     ~FleetSimulation();
 
     void start_all();
-    void run(Duration time, const FaultRates& troubles);
+    void run(Duration time, const FaultRates& fault_rates);
     void kill(std::size_t member);
     void start(std::size_t member);
     void stop(std::size_t member);
     void resume(std::size_t member);
-    void revive(std::size_t member);  // runs and is linked, whatever it was
-    void set_registry_down(bool is);  // the registry, for all
-    void restore_backup(
-        Duration age);  // the registry, to a backup at least so old; one more than a term old is expected
-    void cut(std::size_t member, bool in, bool out);
-    std::size_t max_transactions_within(
-        Duration window) const;  // transactions that reached the registry within such a stretch, since mark()
+    // Starts or resumes the member and ends its partition.
+    void recover(std::size_t member);
+    void set_registry_down(bool down);  // for all members
+    // Restores the registry from the newest backup that is older than `age`. The guarantees hold only if
+    // `age` is more than a term.
+    void restore_backup(Duration age);
+    void partition(std::size_t member, bool inbound, bool outbound);
+    // The largest number of transactions that reached the registry within a window of this length since
+    // reset_measurements().
+    std::size_t max_transactions_within(Duration window) const;
 
     TimePoint now() const { return now_; }
-    std::optional<std::size_t> owner(std::size_t duty) const;  // who may act on it at this instant
+    std::optional<std::size_t> owner(std::size_t duty) const;  // the member that may act on the duty now
     std::string debug_state() const;
 
-    std::vector<std::string> broken;  // guarantees, each with its instant; checked on each event
-    std::uint64_t transactions = 0, written = 0, refused = 0,
-                  owners = 0;      // of the registry; owners: changes of
-    std::vector<TimePoint> asked;  // of transactions as they reached the registry
-    Duration longest_without;      // of any duty, since the last mark()
-    void mark();
+    std::vector<std::string> violations;  // broken invariants, checked on each event
+    // Counted at the registry.
+    std::uint64_t transactions = 0, accepted_writes = 0, refused_writes = 0, owner_changes = 0;
+    std::vector<TimePoint> transaction_times;  // arrival of each transaction at the registry
+    // The longest time that any duty had no owner since the last reset_measurements().
+    Duration longest_unowned;
+    void reset_measurements();
 
 private:
     struct Node;
-    void at(TimePoint due, std::function<void()> then);
+    void schedule(TimePoint due, std::function<void()> then);
     void check(bool all);
     void inject_fault(const FaultRates& t);
     void on_submit(Node& n, const Transaction& transaction);
-    void check_work(const std::string& value);
+    void check_fenced_write(const std::string& value);
     void check_owner(const fleet::Key& key, const std::string& value);
     void check_writes(const fleet::Transaction& transaction, bool succeeded);
-    void settle(std::size_t member, std::uint64_t ask, const Transaction& transaction);
+    void settle(std::size_t member, std::uint64_t number, const Transaction& transaction);
     void deliver_records(Node& n);
-    void order(const fleet::DutyName& duty, const fleet::LeaseHolder& holder);
+    void send_order(const fleet::DutyName& duty, const fleet::LeaseHolder& holder);
     void wake(Node& n);
-    bool happens(double p) { return p > 0 && random_fraction() < p; }
+    bool with_probability(double p) { return p > 0 && random_fraction() < p; }
     double random_fraction() {
-        return static_cast<double>(chance_()) / static_cast<double>(std::ranlux24_base::max());
+        return static_cast<double>(random_()) / static_cast<double>(std::ranlux24_base::max());
     }
     Duration delay(double late);
 
-    Shape shape_;
+    Options options_;
     fleet::SharedConfig shared_config_;
-    std::ranlux24_base chance_;
+    std::ranlux24_base random_;
     TimePoint now_ = TimePoint::at_seconds(1000);
-    std::uint64_t next_ = 0;
+    std::uint64_t next_event_number_ = 0;
     std::map<std::pair<TimePoint, std::uint64_t>, std::function<void()>> events_;
     TransactionLedger ledger_;
-    std::uint64_t histories_ = 0;
-    bool down_ = false;
+    std::uint64_t restores_ = 0;
+    bool registry_down_ = false;
     struct Backup {
         TimePoint taken;
         TransactionLedger::Records records;
@@ -95,15 +100,16 @@
     std::vector<Backup> backups_;
     std::vector<std::unique_ptr<Node>> nodes_;
     std::vector<fleet::DutyName> duties_;
-    std::map<std::string, std::int64_t> highest_;  // token of accepted writes, of this history
-    std::map<std::pair<std::string, std::int64_t>, std::string> given_;
-    std::map<std::pair<std::size_t, fleet::DutyName>, fleet::FencingToken>
-        heeded_;  // by each, restarts and all
+    // By duty, the highest token of an accepted write since the last restore.
+    std::map<std::string, std::int64_t> highest_token_;
+    std::map<std::pair<std::string, std::int64_t>, std::string> token_owners_;
+    // By member and duty, the highest token of an order that the member has accepted, across its restarts.
+    std::map<std::pair<std::size_t, fleet::DutyName>, fleet::FencingToken> accepted_tokens_;
     std::vector<std::optional<std::size_t>> owned_;
-    std::vector<TimePoint> without_since_;
+    std::vector<TimePoint> unowned_since_;
     FaultRates fault_rates_;
-    TimePoint next_fault_, next_backup_, next_work_;
-    std::uint64_t works_ = 0, checks_ = 0;
+    TimePoint next_fault_, next_backup_, next_write_;
+    std::uint64_t fenced_writes_ = 0, checks_ = 0;
 };
 
-}  // namespace irismux::stand_ins
+}  // namespace irismux::test_support
--- a/testing/transaction_ledger.cpp
+++ b/testing/transaction_ledger.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace irismux::stand_ins {
+namespace irismux::test_support {
 namespace {
 
 bool watched(const Key& key) { return key.raw().rfind("beat/", 0) != 0; }
@@ -10,14 +10,14 @@
 }  // namespace
 
 TransactionLedger::Outcome TransactionLedger::settle(const Transaction& transaction) {
-    const auto text = [&](const Key& key) {
+    const auto value_of = [&](const Key& key) {
         const auto it = records_.find(key);
         return it == records_.end() ? fleet::Text{} : fleet::Text{it->second};
     };
-    Outcome o;
-    o.held = std::all_of(transaction.compares.begin(), transaction.compares.end(),
-                         [&](const Entry& e) { return text(e.first) == e.second; });
-    if (o.held && !transaction.writes.empty()) {
+    Outcome outcome;
+    outcome.succeeded = std::all_of(transaction.compares.begin(), transaction.compares.end(),
+                                    [&](const Entry& e) { return value_of(e.first) == e.second; });
+    if (outcome.succeeded && !transaction.writes.empty()) {
         revision_ = Revision{revision_.raw() + 1};
         for (const auto& [key, value] : transaction.writes) {
             if (value)
@@ -26,29 +26,29 @@
                 records_.erase(key);
             if (watched(key)) history_[revision_].emplace_back(key, value);
         }
-        while (history_.size() > most_history_) {
+        while (history_.size() > max_history_) {
             oldest_ = history_.begin()->first;
             history_.erase(history_.begin());
         }
     }
-    if (!o.held)
-        for (const Entry& e : transaction.compares) o.shown.emplace_back(e.first, text(e.first));
+    if (!outcome.succeeded)
+        for (const Entry& e : transaction.compares) outcome.values.emplace_back(e.first, value_of(e.first));
     else
-        for (const Key& key : transaction.reads) o.shown.emplace_back(key, text(key));
-    o.at = revision_;
-    return o;
+        for (const Key& key : transaction.reads) outcome.values.emplace_back(key, value_of(key));
+    outcome.revision = revision_;
+    return outcome;
 }
 
-std::vector<Entry> TransactionLedger::all() const {
+std::vector<Entry> TransactionLedger::watched_records() const {
     std::vector<Entry> list;
     for (const auto& [key, value] : records_)
         if (watched(key)) list.emplace_back(key, value);
     return list;
 }
 
-std::vector<Entry> TransactionLedger::changes(Revision told, Revision upto) const {
+std::vector<Entry> TransactionLedger::changes(Revision after, Revision upto) const {
     std::vector<Entry> list;
-    for (auto it = history_.upper_bound(told); it != history_.end() && it->first <= upto; ++it)
+    for (auto it = history_.upper_bound(after); it != history_.end() && it->first <= upto; ++it)
         list.insert(list.end(), it->second.begin(), it->second.end());
     return list;
 }
@@ -60,4 +60,4 @@
     oldest_ = at;
 }
 
-}  // namespace irismux::stand_ins
+}  // namespace irismux::test_support
