--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -599,7 +599,7 @@
         Buffer& endless = talkers[0]->wire->output();
         for (const int i : {0, 1})
             fastcgi::write_begin_request(talkers[static_cast<std::size_t>(i)]->wire->output(), 1,
-                                 {fastcgi::responder, true});
+                                         {fastcgi::responder, true});
         fastcgi::write_stream(endless, fastcgi::Type::params, 1, std::string(300'000, 'p'));
         fastcgi::write_record(talkers[2]->wire->output(), fastcgi::Type::std_in, 9, "x");
         for (const auto& c : talkers) c->wire->write();
