--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -27,16 +27,16 @@
     return records;
 }
 
-Text text_of(const Records& records, const Key& key) {
+RecordValue text_of(const Records& records, const Key& key) {
     const auto it = records.find(key);
-    return it == records.end() ? Text{} : Text{it->second};
+    return it == records.end() ? RecordValue{} : RecordValue{it->second};
 }
 
 template <class Run>
 int with_records(const Settings& settings, Run run) {
     return with_session(settings.registry, [&](RegistrySession& session) {
         const Records records = value_or_throw(read_records(session, settings.registry));
-        const Text shared_config = text_of(records, shared_config_key());
+        const RecordValue shared_config = text_of(records, shared_config_key());
         if (shared_config && *shared_config != serialize(settings.shared_config))
             std::cerr << "irismux: the fleet there goes by other articles: " << *shared_config << '\n';
         return run(session, records);
@@ -44,7 +44,7 @@
 }
 
 bool is_live(const Records& records, const Instance& instance) {
-    const Text text = text_of(records, member_key(instance.name));
+    const RecordValue text = text_of(records, member_key(instance.name));
     if (!text) return false;
     const auto member = parse_member(*text);
     return !member || member->incarnation == instance.incarnation;
@@ -54,8 +54,8 @@
 // read: it shows whether the write was carried out.
 class RecordUpdate {
 public:
-    RecordUpdate(RegistrySession& session, const registry::Settings& settings, Key key, Text before,
-                 Text after, std::vector<Entry> conditions)
+    RecordUpdate(RegistrySession& session, const registry::Settings& settings, Key key, RecordValue before,
+                 RecordValue after, std::vector<KeyValue> conditions)
         : session_(session),
           settings_(settings),
           key_(std::move(key)),
@@ -94,7 +94,7 @@
         const auto read = read_records(session_, settings_);
         if (const auto* error = std::get_if<etcd::Error>(&read))
             return print_error("no answer, and " + error->message + "; whether it is written can't be told");
-        const Text now = text_of(std::get<Records>(read), key_);
+        const RecordValue now = text_of(std::get<Records>(read), key_);
         if (now == after_) return 0;
         if (now == before_) return std::nullopt;
         return print_error("changed meanwhile; whether ours was written before that can't be told");
@@ -105,8 +105,8 @@
     RegistrySession& session_;
     const registry::Settings& settings_;
     Key key_;
-    Text before_, after_;
-    std::vector<Entry> conditions_;
+    RecordValue before_, after_;
+    std::vector<KeyValue> conditions_;
 };
 
 // Prints a line for each record of one kind, by name.
@@ -125,7 +125,7 @@
 }
 
 void print_member(const Records& records, const MemberName& name, const MemberRecord& member) {
-    const Text text = text_of(records, heartbeat_key(name));
+    const RecordValue text = text_of(records, heartbeat_key(name));
     const auto heartbeat = text ? parse_heartbeat(*text) : std::nullopt;
     const bool own_heartbeat = heartbeat && heartbeat->instance_id == member.instance_id;
     std::cout << " start " << member.incarnation.raw() << " version " << member.version << " sign "
@@ -136,7 +136,7 @@
 }
 
 void print_release(const Records& records, const DutyName& duty) {
-    const Text text = text_of(records, release_key(duty));
+    const RecordValue text = text_of(records, release_key(duty));
     const auto owner = text ? parse_release(*text) : std::nullopt;
     if (owner)
         std::cout << " left to others by " << owner->name.raw() << " start " << owner->incarnation.raw();
@@ -144,7 +144,7 @@
 
 void print_health(const Records& records, const DutyName& duty) {
     const auto cache = health_check_cache(duty);
-    const Text text = cache ? text_of(records, health_record_key(*cache)) : Text{};
+    const RecordValue text = cache ? text_of(records, health_record_key(*cache)) : RecordValue{};
     const auto health = text ? parse_health_record(*text) : std::nullopt;
     if (health)
         std::cout << (health->healthy ? " answered " : " silent ") << health->streak << " times in a row";
@@ -170,7 +170,7 @@
     for (double waited = 0; waited < wait_per_term; waited += poll_interval_per_term) {
         const auto read = read_records(session, settings.registry);
         const auto* records = std::get_if<Records>(&read);
-        const Text text = records ? text_of(*records, duty_key(name)) : Text{};
+        const RecordValue text = records ? text_of(*records, duty_key(name)) : RecordValue{};
         const auto duty = text ? parse_duty(*text) : std::nullopt;
         if (duty && !duty->owner.raw().empty() && duty->token > former.token && duty->owner != former.owner) {
             std::cout << name.raw() << " is now owned by " << duty->owner.raw() << " under epoch "
@@ -199,7 +199,7 @@
     return with_records(settings, [&](RegistrySession&, const Records& records) {
         print_each(records, duty_of, parse_duty,
                    [&](const DutyName& name, const DutyRecord& duty) { print_duty(records, name, duty); });
-        const Text text = text_of(records, collection_progress_key());
+        const RecordValue text = text_of(records, collection_progress_key());
         const auto progress = text ? parse_collection_progress(*text) : std::nullopt;
         if (progress)
             std::cout << "swept " << progress->removed_records << " records in " << progress->pass
@@ -211,7 +211,7 @@
 int fleet_release(const Settings& settings, const std::string& name) {
     const DutyName duty_name{name};
     return with_records(settings, [&](RegistrySession& session, const Records& records) {
-        const Text text = text_of(records, duty_key(duty_name));
+        const RecordValue text = text_of(records, duty_key(duty_name));
         const auto duty = text ? parse_duty(*text) : std::nullopt;
         if (!duty || duty->owner.raw().empty()) return print_error("nobody owns " + name);
         const Instance owner{duty->owner, duty->incarnation};
@@ -228,7 +228,7 @@
 int fleet_restore(const Settings& settings, const std::string& name) {
     const Key key = release_key(DutyName{name});
     return with_records(settings, [&](RegistrySession& session, const Records& records) {
-        const Text release = text_of(records, key);
+        const RecordValue release = text_of(records, key);
         if (!release) return print_error("nobody was asked to leave " + name);
         RecordUpdate update(session, settings.registry, key, release, std::nullopt, {});
         if (const int exit_code = update.run(); exit_code != 0) return exit_code;
--- a/src/cli/fleet_in_force_command.cpp
+++ b/src/cli/fleet_in_force_command.cpp
@@ -60,7 +60,7 @@
         reading.digests[SiteName{site}] = text;
     const std::string members = settings.registry.prefix + path_of(Key{"member/"});
     for (const auto& [name, text] : read_all_or_throw(session, settings, members))
-        reading.old_form.emplace(name);
+        reading.members_outside_sites.emplace(name);
     const std::string generation = path_of(generation_key(), SiteName{"-"});
     const ValuesByKey found = read_keys(session, settings.registry, {generation});
     if (const auto it = found.find(generation); it != found.end()) reading.generation = it->second;
@@ -91,23 +91,23 @@
     switch (reason) {
         case Reason::absent:
             return "cut off, dead or left";
-        case Reason::site_silent:
+        case Reason::stale_digest:
             return "nothing new is heard of that site";
-        case Reason::behind:
+        case Reason::lagging:
             return "live, and without it";
         case Reason::never_reported:
             return "expected, and has no digest that can be read";
-        case Reason::too_few:
+        case Reason::too_few_members:
             return "fewer gateways are known than 'sites' has";
-        case Reason::too_many:
+        case Reason::too_many_members:
             return "more gateways than can be named";
         case Reason::other_generation:
             return "numbers of another history of the board";
-        case Reason::old_form:
+        case Reason::outside_all_sites:
             return "a gateway without 'site'";
         case Reason::no_inventory:
             return "[fleet] has no 'sites'";
-        case Reason::board_unknown:
+        case Reason::newest_event_unknown:
             return "the board has not that event, or fewer than gateways claim";
     }
     return "";
--- a/src/cli/fleet_repair_commands.cpp
+++ b/src/cli/fleet_repair_commands.cpp
@@ -44,7 +44,7 @@
         const bool site_empty = remaining.names.empty() && !remaining.incomplete;
         const std::string& prefix = settings.registry.prefix;
         std::vector<etcd::KeyValue> writes;
-        writes.emplace_back(prefix + roster, site_empty ? Text{} : Text{serialize(remaining)});
+        writes.emplace_back(prefix + roster, site_empty ? RecordValue{} : RecordValue{serialize(remaining)});
         // An empty site has no gateway that would update its digest.
         if (site_empty) writes.emplace_back(prefix + path_of(digest_key(), SiteName{site}), std::nullopt);
         const std::vector<etcd::KeyValue> compares{{prefix + roster, found.at(roster)},
@@ -57,7 +57,7 @@
     return with_session(settings.registry, [&](RegistrySession& session) {
         const std::string path = path_of(generation_key(), SiteName{"-"});
         const ValuesByKey found = read_keys(session, settings.registry, {path});
-        const Text present = found.contains(path) ? Text{found.at(path)} : Text{};
+        const RecordValue present = found.contains(path) ? RecordValue{found.at(path)} : RecordValue{};
         std::random_device random;
         const std::string first_half = std::to_string(random());
         const std::string second_half = std::to_string(random());
--- a/src/fleet/agent.cpp
+++ b/src/fleet/agent.cpp
@@ -96,7 +96,7 @@
             std::min(next_heartbeat_at_, std::max(now, heartbeat_sent_at_ + identity_.acknowledge_interval));
 }
 
-void Agent::on_records(TimePoint now, registry::Revision at, const std::vector<Entry>& records,
+void Agent::on_records(TimePoint now, registry::Revision at, const std::vector<KeyValue>& records,
                        bool full_list) {
     if (full_list) on_full_list(now, records);
     apply_records(now, at, records);
@@ -104,7 +104,7 @@
 }
 
 void Agent::on_transaction_result(TimePoint now, registry::Revision at, bool succeeded,
-                                  const std::vector<Entry>& records) {
+                                  const std::vector<KeyValue>& records) {
     const Purpose purpose = std::exchange(purpose_, Purpose::none);
     if (purpose == Purpose::none) return;
     consecutive_timeouts_ = 0;
@@ -149,7 +149,7 @@
 
 // --- records
 
-void Agent::on_full_list(TimePoint now, const std::vector<Entry>& records) {
+void Agent::on_full_list(TimePoint now, const std::vector<KeyValue>& records) {
     std::set<MemberName> members;
     std::set<DutyName> duties;
     bool floor_listed = false;
@@ -164,7 +164,7 @@
     if (!floor_listed) token_floor_.reset();
 }
 
-void Agent::apply_records(TimePoint now, registry::Revision at, const std::vector<Entry>& records) {
+void Agent::apply_records(TimePoint now, registry::Revision at, const std::vector<KeyValue>& records) {
     const bool keep_observing = reads_all_heartbeats();
     for (const auto& [key, text] : records) {
         if (const auto name = member_of(key)) membership_.on_member_record(now, at, *name, text);
--- a/src/fleet/agent.hpp
+++ b/src/fleet/agent.hpp
@@ -68,10 +68,11 @@
 
     /// Watched records as of a revision; they may lag behind transactions. `full_list`: there are no others.
     /// Unknown kinds of keys are ignored.
-    void on_records(TimePoint now, registry::Revision at, const std::vector<Entry>& records, bool full_list);
+    void on_records(TimePoint now, registry::Revision at, const std::vector<KeyValue>& records,
+                    bool full_list);
     /// `succeeded`: the comparison succeeded and all is written. `records`: see Transaction.
     void on_transaction_result(TimePoint now, registry::Revision at, bool succeeded,
-                               const std::vector<Entry>& records);
+                               const std::vector<KeyValue>& records);
     /// There is no answer: the transaction may have landed, may still land, or never.
     void on_transaction_timeout(TimePoint now);
     void on_wake(TimePoint now);
@@ -83,7 +84,7 @@
     /// The token of the duty's newest known record; zero: none.
     [[nodiscard]] FencingToken token_of(const DutyName&) const;
     /// Whether an order that another member gives as that holder is to be obeyed.
-    [[nodiscard]] bool accepts_order_of(const DutyName& duty, const LeaseHolder& holder) {
+    [[nodiscard]] bool accepts_holder(const DutyName& duty, const LeaseHolder& holder) {
         return fence_.accepts(duty, holder);
     }
     /// Queues a write that lands only if the duty is still owned then; the observer is told the outcome.
@@ -99,7 +100,7 @@
     [[nodiscard]] const std::set<CacheId>& ejected_caches() const { return ejected_caches_; }
     [[nodiscard]] Instance self() const { return {identity_.name, incarnation_}; }
     /// The record that holds the highest token of all removed duties, as last known.
-    [[nodiscard]] const Text& token_floor() const { return token_floor_; }
+    [[nodiscard]] const RecordValue& token_floor() const { return token_floor_; }
     /// Whether that very instance is a member, as far as is known. One whose record can't be parsed counts.
     [[nodiscard]] bool is_member(const Instance&) const;
     /// The whole state as text, times relative to `now`: equal texts, equal behaviour.
@@ -113,7 +114,7 @@
     enum class Purpose {
         none,
         read_own_records,
-        found_fleet,
+        write_shared_config,
         join,
         heartbeat,
         publish,
@@ -137,16 +138,18 @@
     void submit(TimePoint now, Purpose purpose, Transaction transaction);
     void schedule_retry(TimePoint now);
     double random_fraction();  // from 0 to 1
-    void on_full_list(TimePoint now, const std::vector<Entry>& records);
-    void apply_records(TimePoint now, registry::Revision at, const std::vector<Entry>& records);
+    void on_full_list(TimePoint now, const std::vector<KeyValue>& records);
+    void apply_records(TimePoint now, registry::Revision at, const std::vector<KeyValue>& records);
 
     // agent_join.cpp
     void read_own_records(TimePoint now);
-    void on_own_records(TimePoint now, registry::Revision at, const std::vector<Entry>& records);
-    void on_own_instance_found(TimePoint now, Incarnation incarnation, const Text& member,
-                               const Text& heartbeat, const Text& roster);
-    void wait_for_name(TimePoint now, const Text& member, const Text& heartbeat, const Text& roster);
-    void join(TimePoint now, const Text& member, const Text& heartbeat, const Text& roster);
+    void on_own_records(TimePoint now, registry::Revision at, const std::vector<KeyValue>& records);
+    void on_own_instance_found(TimePoint now, Incarnation incarnation, const RecordValue& member,
+                               const RecordValue& heartbeat, const RecordValue& roster);
+    void wait_for_name(TimePoint now, const RecordValue& member, const RecordValue& heartbeat,
+                       const RecordValue& roster);
+    void join(TimePoint now, const RecordValue& member, const RecordValue& heartbeat,
+              const RecordValue& roster);
     bool in_site() const { return identity_.acknowledge_interval > Duration{}; }
     void acknowledge_soon(TimePoint now);
     void submit_leave(TimePoint now);
@@ -157,11 +160,11 @@
     // agent_heartbeat.cpp
     void send_heartbeat(TimePoint now);
     void on_heartbeat_landed(TimePoint now);
-    void check_own_heartbeat(TimePoint now, const std::vector<Entry>& records);
+    void check_own_heartbeat(TimePoint now, const std::vector<KeyValue>& records);
     HeartbeatRecord next_heartbeat_record();
     std::vector<Key> keys_to_read(TimePoint now);
     std::vector<Key> heartbeats_to_read(TimePoint now);
-    Entry own_heartbeat() const { return {heartbeat_key(identity_.name), heartbeat_text_}; }
+    KeyValue own_heartbeat() const { return {heartbeat_key(identity_.name), heartbeat_text_}; }
     bool reads_all_heartbeats() const;
     bool next_eviction(TimePoint now);
 
@@ -204,8 +207,8 @@
 
     Incarnation incarnation_;
     HeartbeatNumber last_heartbeat_;
-    Text heartbeat_text_;                              // our newest that the registry is known to hold
-    Text record_text_;                                 // our member record, as last written
+    RecordValue heartbeat_text_;                       // our newest that the registry is known to hold
+    RecordValue record_text_;                          // our member record, as last written
     std::map<DutyName, FencingToken> refused_tokens_;  // to be published, or published already
     bool started_ = false;
     bool leaving_ = false;
@@ -224,11 +227,11 @@
 
     bool join_outcome_unknown_ = false;  // a join went out, and its result is not known
     // Member record and heartbeat of another instance that has our name, and since when they are unchanged.
-    std::optional<std::pair<Text, Text>> name_holder_;
+    std::optional<std::pair<RecordValue, RecordValue>> name_holder_;
     TimePoint name_holder_unchanged_since_;
     std::optional<JoinRefused> last_refusal_;  // reported once
     std::deque<PendingWrite> pending_writes_;
-    Text token_floor_;
+    RecordValue token_floor_;
     registry::Revision token_floor_revision_;
     std::set<CacheId> ejected_caches_;
     TimePoint next_publication_at_;
--- a/src/fleet/agent_callbacks.hpp
+++ b/src/fleet/agent_callbacks.hpp
@@ -29,7 +29,7 @@
     /// For the log.
     virtual void on_event(const FleetEvent&) = 0;
     /// A heartbeat has landed: when it was sent, its number, and the records that its transaction read.
-    virtual void on_heartbeat_result(TimePoint, HeartbeatNumber, const std::vector<Entry>&) {}
+    virtual void on_heartbeat_result(TimePoint, HeartbeatNumber, const std::vector<KeyValue>&) {}
     /// An answer is of a lower revision than one before: the registry was restored from a backup.
     virtual void on_registry_restored() {}
 };
--- a/src/fleet/agent_heartbeat.cpp
+++ b/src/fleet/agent_heartbeat.cpp
@@ -53,12 +53,12 @@
 
 // A transaction failed. If it shows another heartbeat under our name, a later one of ours has landed without
 // an answer, or we are not a member any more.
-void Agent::check_own_heartbeat(TimePoint now, const std::vector<Entry>& records) {
+void Agent::check_own_heartbeat(TimePoint now, const std::vector<KeyValue>& records) {
     const Key own = heartbeat_key(identity_.name);
     const auto it =
-        std::find_if(records.begin(), records.end(), [&](const Entry& e) { return e.first == own; });
+        std::find_if(records.begin(), records.end(), [&](const KeyValue& e) { return e.first == own; });
     if (!membership_.joined() || it == records.end() || it->second == heartbeat_text_) return;
-    const Text& text = it->second;
+    const RecordValue& text = it->second;
     const auto record = text ? parse_heartbeat(*text) : std::nullopt;
     const bool ours =
         record && record->instance_id == identity_.instance_id && record->incarnation == incarnation_;
--- a/src/fleet/agent_join.cpp
+++ b/src/fleet/agent_join.cpp
@@ -9,10 +9,10 @@
 // Longest part of another fleet's shared configuration that a log line repeats.
 constexpr std::size_t max_quoted_bytes = 200;
 
-const Text& value_of(const std::vector<Entry>& records, const Key& key) {
-    static const Text none;
+const RecordValue& value_of(const std::vector<KeyValue>& records, const Key& key) {
+    static const RecordValue none;
     const auto it =
-        std::find_if(records.begin(), records.end(), [&](const Entry& e) { return e.first == key; });
+        std::find_if(records.begin(), records.end(), [&](const KeyValue& e) { return e.first == key; });
     return it == records.end() ? none : it->second;
 }
 
@@ -24,20 +24,20 @@
     submit(now, Purpose::read_own_records, {{}, {}, std::move(keys)});
 }
 
-void Agent::on_own_records(TimePoint now, registry::Revision at, const std::vector<Entry>& records) {
+void Agent::on_own_records(TimePoint now, registry::Revision at, const std::vector<KeyValue>& records) {
     // All earlier incarnations of that name are below the registry's revision, also those without a record.
     identity_.last_incarnation = std::max(identity_.last_incarnation, Incarnation{at.raw()});
     next_submit_at_ = now + membership_.heartbeat_interval();
     const std::string own_config = serialize(shared_config_);
-    const Text& config = value_of(records, shared_config_key());
-    const Text& member = value_of(records, member_key(identity_.name));
-    const Text& heartbeat = value_of(records, heartbeat_key(identity_.name));
+    const RecordValue& config = value_of(records, shared_config_key());
+    const RecordValue& member = value_of(records, member_key(identity_.name));
+    const RecordValue& heartbeat = value_of(records, heartbeat_key(identity_.name));
     if (!config)
-        return submit(now, Purpose::found_fleet,
+        return submit(now, Purpose::write_shared_config,
                       {{{shared_config_key(), std::nullopt}}, {{shared_config_key(), own_config}}, {}});
     if (*config != own_config)
         return refuse_to_join(JoinRefusal::shared_config_differs, config->substr(0, max_quoted_bytes));
-    const Text& roster = value_of(records, roster_key());
+    const RecordValue& roster = value_of(records, roster_key());
     if (roster && !parse_site_roster(*roster)) return refuse_to_join(JoinRefusal::roster_unreadable);
     if (!member && !heartbeat) return join(now, member, heartbeat, roster);
     const auto record = member ? parse_member(*member) : std::nullopt;
@@ -49,8 +49,8 @@
 
 // A join of ours has landed whose answer was lost, or the registry has been restored to a state with a former
 // join of ours.
-void Agent::on_own_instance_found(TimePoint now, Incarnation incarnation, const Text& member,
-                                  const Text& heartbeat, const Text& roster) {
+void Agent::on_own_instance_found(TimePoint now, Incarnation incarnation, const RecordValue& member,
+                                  const RecordValue& heartbeat, const RecordValue& roster) {
     const auto record = heartbeat ? parse_heartbeat(*heartbeat) : std::nullopt;
     const bool own_join = join_outcome_unknown_ && incarnation == incarnation_ && record &&
                           record->instance_id == identity_.instance_id;
@@ -62,8 +62,9 @@
 
 // Another instance has the name: our former process, which is dead, or another gateway. Only its next
 // heartbeat, or none for the eviction timeout, shows which.
-void Agent::wait_for_name(TimePoint now, const Text& member, const Text& heartbeat, const Text& roster) {
-    const std::pair<Text, Text> holder{member, heartbeat};
+void Agent::wait_for_name(TimePoint now, const RecordValue& member, const RecordValue& heartbeat,
+                          const RecordValue& roster) {
+    const std::pair<RecordValue, RecordValue> holder{member, heartbeat};
     if (name_holder_ == holder) {
         if (now - name_holder_unchanged_since_ >= membership_.eviction_timeout())
             join(now, member, heartbeat, roster);
@@ -74,7 +75,8 @@
     name_holder_unchanged_since_ = now;
 }
 
-void Agent::join(TimePoint now, const Text& member, const Text& heartbeat, const Text& roster) {
+void Agent::join(TimePoint now, const RecordValue& member, const RecordValue& heartbeat,
+                 const RecordValue& roster) {
     identity_.last_incarnation = Incarnation{identity_.last_incarnation.raw() + 1};
     incarnation_ = identity_.last_incarnation;
     record_text_ = serialize(own_record());
--- a/src/fleet/agent_leases.cpp
+++ b/src/fleet/agent_leases.cpp
@@ -23,11 +23,11 @@
     return it != duties_.all().end() && it->second.record ? it->second.record->token : FencingToken{};
 }
 
-bool Agent::is_member(const Instance& who) const {
-    if (who.name == identity_.name) return membership_.joined() && who.incarnation == incarnation_;
-    const auto it = membership_.members().find(who.name);
+bool Agent::is_member(const Instance& instance) const {
+    if (instance.name == identity_.name) return membership_.joined() && instance.incarnation == incarnation_;
+    const auto it = membership_.members().find(instance.name);
     if (it == membership_.members().end()) return false;
-    return !it->second.readable || it->second.member.incarnation == who.incarnation;
+    return !it->second.readable || it->second.member.incarnation == instance.incarnation;
 }
 
 // The record names this very instance.
@@ -176,7 +176,8 @@
     // The registry itself must confirm that the former owner is no member any more.
     if (duty.record && !duty.record->owner.raw().empty() && duty.record->owner != identity_.name) {
         const auto it = membership_.members().find(duty.record->owner);
-        const Text member = it == membership_.members().end() ? Text{} : Text{it->second.text};
+        const RecordValue member =
+            it == membership_.members().end() ? RecordValue{} : RecordValue{it->second.text};
         transaction.compares.emplace_back(member_key(duty.record->owner), member);
     }
     // A removed record's tokens are at most the floor, which must still be as known.
--- a/src/fleet/applied_revisions.cpp
+++ b/src/fleet/applied_revisions.cpp
@@ -12,20 +12,20 @@
 constexpr const char* revisions_field = "in_force";
 
 json object_of(std::string_view bytes) {
-    json o = json::parse(bytes, nullptr, false);
-    return o.is_object() ? o : json::object();
+    json object = json::parse(bytes, nullptr, false);
+    return object.is_object() ? object : json::object();
 }
 
-std::optional<std::int64_t> count(const json& o, const char* key) {
-    const auto it = o.find(key);
-    if (it == o.end() || !it->is_number_integer() || *it < 0) return std::nullopt;
+std::optional<std::int64_t> non_negative_integer(const json& object, const char* key) {
+    const auto it = object.find(key);
+    if (it == object.end() || !it->is_number_integer() || *it < 0) return std::nullopt;
     return it->get<std::int64_t>();
 }
 
-std::optional<Generation> generation_of(const json& o) {
-    const auto number = count(o, "generation");
-    const auto id = o.find("id");
-    if (!number || *number == 0 || id == o.end() || !id->is_string()) return std::nullopt;
+std::optional<Generation> generation_of(const json& object) {
+    const auto number = non_negative_integer(object, "generation");
+    const auto id = object.find("id");
+    if (!number || *number == 0 || id == object.end() || !id->is_string()) return std::nullopt;
     return Generation{*number, id->get<std::string>()};
 }
 
@@ -33,7 +33,9 @@
 
 Key generation_key() { return Key{"generation"}; }
 
-std::string serialize(const Generation& g) { return json{{"generation", g.number}, {"id", g.id}}.dump(); }
+std::string serialize(const Generation& generation) {
+    return json{{"generation", generation.number}, {"id", generation.id}}.dump();
+}
 
 std::optional<Generation> parse_generation(std::string_view bytes) { return generation_of(object_of(bytes)); }
 
@@ -41,12 +43,12 @@
                                    const std::optional<AppliedRevisions>& revisions) {
     if (!revisions) return heartbeat;
     json all = object_of(heartbeat);
-    json& o = all[revisions_field];
-    o = {{"generation", revisions->generation.number},
-         {"id", revisions->generation.id},
-         {"event", revisions->event.raw()},
-         {"configuration", revisions->configuration.raw()}};
-    if (revisions->history_lost) o["worn"] = true;
+    json& object = all[revisions_field];
+    object = {{"generation", revisions->generation.number},
+              {"id", revisions->generation.id},
+              {"event", revisions->event.raw()},
+              {"configuration", revisions->configuration.raw()}};
+    if (revisions->history_lost) object["worn"] = true;
     return all.dump();
 }
 
@@ -55,7 +57,8 @@
     const auto it = all.find(revisions_field);
     if (it == all.end() || !it->is_object()) return std::nullopt;
     const auto generation = generation_of(*it);
-    const auto event = count(*it, "event"), configuration = count(*it, "configuration");
+    const auto event = non_negative_integer(*it, "event"),
+               configuration = non_negative_integer(*it, "configuration");
     if (!generation || !event || !configuration) return std::nullopt;
     return AppliedRevisions{*generation, EventNumber{*event}, ConfigurationNumber{*configuration},
                             it->contains("worn")};
--- a/src/fleet/digest.cpp
+++ b/src/fleet/digest.cpp
@@ -15,49 +15,50 @@
 // As the Agent's: its heartbeat interval, and its longest sleep between looking for what is due.
 constexpr double heartbeat_interval_share_of_term = 0.25, agent_sleep_share_of_interval = 0.25;
 
-std::optional<std::int64_t> count(const json& o, const char* key) {
-    const auto it = o.find(key);
-    if (it == o.end() || !it->is_number_integer() || *it < 0) return std::nullopt;
+std::optional<std::int64_t> non_negative_integer(const json& object, const char* key) {
+    const auto it = object.find(key);
+    if (it == object.end() || !it->is_number_integer() || *it < 0) return std::nullopt;
     return it->get<std::int64_t>();
 }
 
-std::string text(const json& o, const char* key) {
-    const auto it = o.find(key);
-    return it != o.end() && it->is_string() ? it->get<std::string>() : std::string();
+std::string string_field(const json& object, const char* key) {
+    const auto it = object.find(key);
+    return it != object.end() && it->is_string() ? it->get<std::string>() : std::string();
 }
 
-bool flag(const json& o, const char* key) {
-    const auto it = o.find(key);
-    return it != o.end() && it->is_boolean() && it->get<bool>();
+bool bool_field(const json& object, const char* key) {
+    const auto it = object.find(key);
+    return it != object.end() && it->is_boolean() && it->get<bool>();
 }
 
 // Without what changes with each snapshot: a digest is news only if the content has changed.
-json content_of(const Digest& d) {
-    json o = {{"owner", d.owner.raw()},
-              {"owner_id", d.owner_id},
-              {"generation", d.generation.number},
-              {"id", d.generation.id},
-              {"known", d.known_count},
-              {"live", d.live_count},
-              {"lowest", d.lowest.raw()},
-              {"highest", d.highest.raw()},
-              {"configuration", d.lowest_configuration.raw()},
-              {"absent_count", d.absent_count},
-              {"behind_count", d.lagging_count}};
-    if (d.history_lost) o["worn"] = true;
-    if (d.roster_incomplete) o["incomplete"] = true;
-    for (const auto& a : d.absent) o["absent"].push_back({a.member.raw(), a.since_ms});
-    for (const auto& b : d.lagging)
-        o["behind"].push_back({b.member.raw(), b.event.raw(), b.configuration.raw()});
-    for (const auto& [cache, members] : d.ejected_caches) o["marks"].push_back({cache.raw(), members});
-    return o;
+json content_of(const Digest& digest) {
+    json object = {{"owner", digest.owner.raw()},
+                   {"owner_id", digest.owner_id},
+                   {"generation", digest.generation.number},
+                   {"id", digest.generation.id},
+                   {"known", digest.known_count},
+                   {"live", digest.live_count},
+                   {"lowest", digest.lowest.raw()},
+                   {"highest", digest.highest.raw()},
+                   {"configuration", digest.lowest_configuration.raw()},
+                   {"absent_count", digest.absent_count},
+                   {"behind_count", digest.lagging_count}};
+    if (digest.history_lost) object["worn"] = true;
+    if (digest.roster_incomplete) object["incomplete"] = true;
+    for (const auto& a : digest.absent) object["absent"].push_back({a.member.raw(), a.since_ms});
+    for (const auto& b : digest.lagging)
+        object["behind"].push_back({b.member.raw(), b.event.raw(), b.configuration.raw()});
+    for (const auto& [cache, members] : digest.ejected_caches)
+        object["marks"].push_back({cache.raw(), members});
+    return object;
 }
 
 // Calls `visit` with each entry of a list whose first part is text and whose others are numbers.
 template <class Visit>
-bool for_each_entry(const json& o, const char* key, std::size_t numbers, std::size_t most, Visit visit) {
-    const auto it = o.find(key);
-    if (it == o.end()) return true;
+bool for_each_entry(const json& object, const char* key, std::size_t numbers, std::size_t most, Visit visit) {
+    const auto it = object.find(key);
+    if (it == object.end()) return true;
     if (!it->is_array() || it->size() > most) return false;
     for (const json& entry : *it) {
         if (!entry.is_array() || entry.size() != numbers + 1 || !entry[0].is_string()) return false;
@@ -90,7 +91,7 @@
 }
 
 // False: a list is malformed. A list that is missing is empty.
-bool parse_lists(const json& o, Digest& digest) {
+bool parse_lists(const json& object, Digest& digest) {
     const auto append_absent = [&](const json& entry) {
         digest.absent.push_back({MemberName{entry[0].get<std::string>()}, entry[1].get<std::int64_t>()});
     };
@@ -102,9 +103,9 @@
     const auto append_ejected = [&](const json& entry) {
         digest.ejected_caches.emplace_back(CacheId{entry[0].get<std::string>()}, entry[1].get<std::size_t>());
     };
-    return for_each_entry(o, "absent", 1, max_named_members, append_absent) &&
-           for_each_entry(o, "behind", 2, max_named_members, append_lagging) &&
-           for_each_entry(o, "marks", 1, max_reported_caches, append_ejected);
+    return for_each_entry(object, "absent", 1, max_named_members, append_absent) &&
+           for_each_entry(object, "behind", 2, max_named_members, append_lagging) &&
+           for_each_entry(object, "marks", 1, max_reported_caches, append_ejected);
 }
 
 }  // namespace
@@ -132,26 +133,26 @@
     return (heartbeat + snapshot + digest + read_interval) * (1 + drift) + reply_time * 2;
 }
 
-std::string serialize(const SiteRoster& r) {
-    json o = {{"names", json::array()}};
-    for (const MemberName& name : r.names) o["names"].push_back(name.raw());
-    if (r.incomplete) o["incomplete"] = true;
-    return o.dump();
+std::string serialize(const SiteRoster& roster) {
+    json object = {{"names", json::array()}};
+    for (const MemberName& name : roster.names) object["names"].push_back(name.raw());
+    if (roster.incomplete) object["incomplete"] = true;
+    return object.dump();
 }
 
 std::optional<SiteRoster> parse_site_roster(std::string_view bytes) {
-    const json o = json::parse(bytes, nullptr, false);
-    if (!o.is_object() || !o.contains("names") || !o["names"].is_array()) return std::nullopt;
-    SiteRoster r;
-    r.incomplete = flag(o, "incomplete");
-    for (const json& name : o["names"]) {
+    const json object = json::parse(bytes, nullptr, false);
+    if (!object.is_object() || !object.contains("names") || !object["names"].is_array()) return std::nullopt;
+    SiteRoster roster;
+    roster.incomplete = bool_field(object, "incomplete");
+    for (const json& name : object["names"]) {
         if (!name.is_string()) return std::nullopt;
-        if (r.names.size() >= max_roster_names)
-            r.incomplete = true;
+        if (roster.names.size() >= max_roster_names)
+            roster.incomplete = true;
         else
-            r.names.emplace(name.get<std::string>());
+            roster.names.emplace(name.get<std::string>());
     }
-    return r;
+    return roster;
 }
 
 std::optional<SiteRoster> add_to_roster(const SiteRoster& roster, const MemberName& name) {
@@ -164,42 +165,47 @@
     return next;
 }
 
-std::string serialize(const Digest& d) {
-    json o = content_of(d);
-    o["as_of"] = d.as_of_heartbeat;
-    o["as_of_ms"] = d.as_of_unix_ms;
-    return o.dump();
+std::string serialize(const Digest& digest) {
+    json object = content_of(digest);
+    object["as_of"] = digest.as_of_heartbeat;
+    object["as_of_ms"] = digest.as_of_unix_ms;
+    return object.dump();
 }
 
 std::optional<Digest> parse_digest(std::string_view bytes) {
-    const json o = json::parse(bytes, nullptr, false);
-    if (!o.is_object()) return std::nullopt;
-    const auto as_of = count(o, "as_of"), generation = count(o, "generation"), known = count(o, "known"),
-               live = count(o, "live"), lowest = count(o, "lowest"), highest = count(o, "highest"),
-               configuration = count(o, "configuration"), absent = count(o, "absent_count"),
-               behind = count(o, "behind_count");
+    const json object = json::parse(bytes, nullptr, false);
+    if (!object.is_object()) return std::nullopt;
+    const auto as_of = non_negative_integer(object, "as_of"),
+               generation = non_negative_integer(object, "generation"),
+               known = non_negative_integer(object, "known"), live = non_negative_integer(object, "live"),
+               lowest = non_negative_integer(object, "lowest"),
+               highest = non_negative_integer(object, "highest"),
+               configuration = non_negative_integer(object, "configuration"),
+               absent = non_negative_integer(object, "absent_count"),
+               behind = non_negative_integer(object, "behind_count");
     if (!as_of || !generation || !known || !live || !lowest || !highest || !configuration || !absent ||
         !behind)
         return std::nullopt;
-    Digest d;
-    d.owner = MemberName{text(o, "owner")};
-    d.owner_id = text(o, "owner_id");
-    d.as_of_heartbeat = *as_of;
-    d.as_of_unix_ms = count(o, "as_of_ms").value_or(0);
-    d.generation = {*generation, text(o, "id")};
-    d.history_lost = flag(o, "worn");
-    d.roster_incomplete = flag(o, "incomplete");
-    d.known_count = static_cast<std::size_t>(*known);
-    d.live_count = static_cast<std::size_t>(*live);
-    d.lowest = EventNumber{*lowest};
-    d.highest = EventNumber{*highest};
-    d.lowest_configuration = ConfigurationNumber{*configuration};
-    d.absent_count = static_cast<std::size_t>(*absent);
-    d.lagging_count = static_cast<std::size_t>(*behind);
+    Digest digest;
+    digest.owner = MemberName{string_field(object, "owner")};
+    digest.owner_id = string_field(object, "owner_id");
+    digest.as_of_heartbeat = *as_of;
+    digest.as_of_unix_ms = non_negative_integer(object, "as_of_ms").value_or(0);
+    digest.generation = {*generation, string_field(object, "id")};
+    digest.history_lost = bool_field(object, "worn");
+    digest.roster_incomplete = bool_field(object, "incomplete");
+    digest.known_count = static_cast<std::size_t>(*known);
+    digest.live_count = static_cast<std::size_t>(*live);
+    digest.lowest = EventNumber{*lowest};
+    digest.highest = EventNumber{*highest};
+    digest.lowest_configuration = ConfigurationNumber{*configuration};
+    digest.absent_count = static_cast<std::size_t>(*absent);
+    digest.lagging_count = static_cast<std::size_t>(*behind);
     // A list may be shorter than its count, since only so many are named, but not longer.
-    if (!parse_lists(o, d) || d.absent.size() > d.absent_count || d.lagging.size() > d.lagging_count)
+    if (!parse_lists(object, digest) || digest.absent.size() > digest.absent_count ||
+        digest.lagging.size() > digest.lagging_count)
         return std::nullopt;
-    return d;
+    return digest;
 }
 
 // --- what is known of the members' processes -------------------------------------------------------------
@@ -209,35 +215,36 @@
 void DigestBuilder::record_heartbeat(const MemberName& name, const std::optional<std::string>& text_shown,
                                      TimePoint requested_at) {
     const auto heartbeat = text_shown ? parse_heartbeat(*text_shown) : std::nullopt;
-    const auto known = evidence_.find(name);
-    const bool first = known == evidence_.end();
-    Evidence next{text_shown.value_or(""),
-                  heartbeat ? heartbeat->instance_id.raw() : "",
-                  heartbeat ? heartbeat->number.raw() : 0,
-                  requested_at,
-                  {},
-                  {}};
+    const auto known = observed_heartbeats_.find(name);
+    const bool first = known == observed_heartbeats_.end();
+    ObservedHeartbeat next{text_shown.value_or(""),
+                           heartbeat ? heartbeat->instance_id.raw() : "",
+                           heartbeat ? heartbeat->number.raw() : 0,
+                           requested_at,
+                           {},
+                           {}};
     if (!first) {
-        const Evidence& previous = known->second;
+        const ObservedHeartbeat& previous = known->second;
         const bool same_text = previous.text == next.text;
         const bool follows =
             heartbeat && next.instance_id == previous.instance_id && next.number > previous.number;
-        next.text_not_shown_at =
-            same_text ? previous.text_not_shown_at : std::optional(previous.last_shown_at);
-        next.previous_text_not_shown_at = same_text ? previous.previous_text_not_shown_at
-                                          : follows ? previous.text_not_shown_at
-                                                    : std::nullopt;
+        next.last_snapshot_without_text =
+            same_text ? previous.last_snapshot_without_text : std::optional(previous.last_shown_at);
+        next.last_snapshot_without_previous_text = same_text ? previous.last_snapshot_without_previous_text
+                                                   : follows ? previous.last_snapshot_without_text
+                                                             : std::nullopt;
     }
-    evidence_[name] = std::move(next);
+    observed_heartbeats_[name] = std::move(next);
 }
 
 // The sender of the heartbeat ran after the one before it had landed, and that one had not landed yet when
-// the snapshot of `previous_text_not_shown_at` was requested.
+// the snapshot of `last_snapshot_without_previous_text` was requested.
 bool DigestBuilder::is_live(const MemberName& name, TimePoint received_at) const {
-    const auto it = evidence_.find(name);
-    if (it == evidence_.end() || it->second.instance_id.empty() || !it->second.previous_text_not_shown_at)
+    const auto it = observed_heartbeats_.find(name);
+    if (it == observed_heartbeats_.end() || it->second.instance_id.empty() ||
+        !it->second.last_snapshot_without_previous_text)
         return false;
-    return received_at - *it->second.previous_text_not_shown_at <= max_unseen_time(settings_.term);
+    return received_at - *it->second.last_snapshot_without_previous_text <= max_unseen_time(settings_.term);
 }
 
 Digest DigestBuilder::merge(const FleetSnapshot& snapshot, const std::optional<AppliedRevisions>& own) const {
@@ -270,8 +277,8 @@
 }
 
 std::optional<AppliedRevisions> DigestBuilder::reported_revisions(const MemberName& name) const {
-    const auto it = evidence_.find(name);
-    return it == evidence_.end() ? std::nullopt : parse_applied_revisions(it->second.text);
+    const auto it = observed_heartbeats_.find(name);
+    return it == observed_heartbeats_.end() ? std::nullopt : parse_applied_revisions(it->second.text);
 }
 
 void DigestBuilder::add_absent(Digest& digest, const MemberName& name, std::int64_t now_unix_ms) const {
@@ -292,8 +299,8 @@
     };
     if (shown_generation_) record_generation(*shown_generation_);
     if (own) record_generation(own->generation);
-    for (const auto& [name, evidence] : evidence_)
-        if (const auto revisions = parse_applied_revisions(evidence.text))
+    for (const auto& [name, observed] : observed_heartbeats_)
+        if (const auto revisions = parse_applied_revisions(observed.text))
             record_generation(revisions->generation);
 }
 
@@ -302,7 +309,7 @@
     const auto roster = snapshot.roster ? parse_site_roster(*snapshot.roster) : std::nullopt;
     roster_readable_ = roster.has_value();
     if (roster) roster_ = *roster;
-    std::erase_if(evidence_, [&](const auto& e) { return !roster_.names.contains(e.first); });
+    std::erase_if(observed_heartbeats_, [&](const auto& e) { return !roster_.names.contains(e.first); });
     for (const auto& [name, text_shown] : snapshot.heartbeats)
         if (roster_.names.contains(name)) record_heartbeat(name, text_shown, snapshot.requested_at);
     shown_generation_ = snapshot.generation ? parse_generation(*snapshot.generation) : std::nullopt;
@@ -310,24 +317,25 @@
     // Since when members are absent is passed on from owner to owner.
     if (const auto previous = snapshot.former_digest ? parse_digest(*snapshot.former_digest) : std::nullopt)
         for (const auto& a : previous->absent) absent_since_.try_emplace(a.member, a.since_ms);
-    Digest d = merge(snapshot, own);
-    for (const auto& a : d.absent) absent_since_.try_emplace(a.member, a.since_ms);
+    Digest digest = merge(snapshot, own);
+    for (const auto& a : digest.absent) absent_since_.try_emplace(a.member, a.since_ms);
     std::erase_if(absent_since_, [&](const auto& since) {
         return !roster_.names.contains(since.first) || since.first == settings_.self ||
                is_live(since.first, snapshot.received_at);
     });
-    for (const auto& [cache, members] : ejections) d.ejected_caches.emplace_back(cache, members);
-    std::stable_sort(d.ejected_caches.begin(), d.ejected_caches.end(),
+    for (const auto& [cache, members] : ejections) digest.ejected_caches.emplace_back(cache, members);
+    std::stable_sort(digest.ejected_caches.begin(), digest.ejected_caches.end(),
                      [](const auto& a, const auto& b) { return a.second > b.second; });
-    if (d.ejected_caches.size() > max_reported_caches) d.ejected_caches.resize(max_reported_caches);
-    digest_ = std::move(d);
+    if (digest.ejected_caches.size() > max_reported_caches) digest.ejected_caches.resize(max_reported_caches);
+    digest_ = std::move(digest);
 }
 
 std::optional<std::string> DigestBuilder::next_digest(TimePoint now) {
     if (!digest_) return std::nullopt;
     const std::string content = content_of(*digest_).dump();
     const Duration age = now - written_at_;
-    if (ever_written_ && age < (content == written_content_ ? settings_.refresh : settings_.pace))
+    if (ever_written_ &&
+        age < (content == written_content_ ? settings_.refresh_interval : settings_.min_write_interval))
         return std::nullopt;
     ever_written_ = true;
     written_content_ = content;
--- a/src/fleet/digest.hpp
+++ b/src/fleet/digest.hpp
@@ -109,8 +109,8 @@
         MemberName self;
         std::string own_id;
         Duration term;
-        Duration pace;     ///< between two digests, at least
-        Duration refresh;  ///< a digest is written anew after so long, also if nothing has changed
+        Duration min_write_interval;  ///< between two digests, at least
+        Duration refresh_interval;    ///< a digest is written anew after so long, also if nothing has changed
     };
     explicit DigestBuilder(Settings settings) : settings_(std::move(settings)) {}
 
@@ -132,13 +132,13 @@
 
 private:
     // What is known of one member's process.
-    struct Evidence {
+    struct ObservedHeartbeat {
         std::string text, instance_id;  // of the heartbeat last shown, and of its sender's process
         std::int64_t number = 0;
         TimePoint last_shown_at;  // request time of the last snapshot with this member
         // A snapshot requested then did not have this text yet; and so for the text before, of the same
         // process.
-        std::optional<TimePoint> text_not_shown_at, previous_text_not_shown_at;
+        std::optional<TimePoint> last_snapshot_without_text, last_snapshot_without_previous_text;
     };
 
     void record_heartbeat(const MemberName& name, const std::optional<std::string>& text,
@@ -152,7 +152,7 @@
     Settings settings_;
     SiteRoster roster_;
     bool roster_readable_ = false;
-    std::map<MemberName, Evidence> evidence_;  // of names in the roster
+    std::map<MemberName, ObservedHeartbeat> observed_heartbeats_;  // of names in the roster
     std::map<MemberName, std::int64_t> absent_since_;
     std::optional<Generation> shown_generation_;
     Generation known_generation_;  // the highest that anybody was seen to have taken
--- a/src/fleet/fence.cpp
+++ b/src/fleet/fence.cpp
@@ -38,8 +38,8 @@
 
 std::string Fence::serialize() const {
     json all = json::object();
-    for (const auto& [duty, h] : holders_)
-        all[duty.raw()] = {h.token.raw(), h.owner.raw(), h.incarnation.raw()};
+    for (const auto& [duty, holder] : holders_)
+        all[duty.raw()] = {holder.token.raw(), holder.owner.raw(), holder.incarnation.raw()};
     if (highest_forgotten_ > FencingToken{}) all[""] = {highest_forgotten_.raw(), "", 0};
     return all.dump();
 }
@@ -48,18 +48,19 @@
     const json all = json::parse(bytes, nullptr, false);
     if (!all.is_object()) return false;
     std::map<DutyName, LeaseHolder> read;
-    for (const auto& [duty, h] : all.items()) {
-        if (!h.is_array() || h.size() != 3 || !h[0].is_number_integer() || !h[1].is_string() ||
-            !h[2].is_number_integer())
+    for (const auto& [duty, holder] : all.items()) {
+        if (!holder.is_array() || holder.size() != 3 || !holder[0].is_number_integer() ||
+            !holder[1].is_string() || !holder[2].is_number_integer())
             return false;
-        read[DutyName{duty}] = {FencingToken{h[0].get<std::int64_t>()}, MemberName{h[1].get<std::string>()},
-                                Incarnation{h[2].get<std::int64_t>()}};
+        read[DutyName{duty}] = {FencingToken{holder[0].get<std::int64_t>()},
+                                MemberName{holder[1].get<std::string>()},
+                                Incarnation{holder[2].get<std::int64_t>()}};
     }
     if (const auto it = read.find(DutyName{}); it != read.end()) {
         highest_forgotten_ = std::max(highest_forgotten_, it->second.token);
         read.erase(it);
     }
-    for (const auto& [duty, h] : read) on_record(duty, h);
+    for (const auto& [duty, holder] : read) on_record(duty, holder);
     return true;
 }
 
--- a/src/fleet/fleet_client.cpp
+++ b/src/fleet/fleet_client.cpp
@@ -62,9 +62,9 @@
 }
 
 // Runs it after the current call has returned; never after this client has been destroyed.
-void FleetClient::call_soon(std::function<void()> then) {
-    event_loop_.schedule_now([alive = std::weak_ptr<bool>(liveness_token_), then = std::move(then)] {
-        if (alive.lock()) then();
+void FleetClient::call_soon(std::function<void()> callback) {
+    event_loop_.schedule_now([alive = std::weak_ptr<bool>(liveness_token_), callback = std::move(callback)] {
+        if (alive.lock()) callback();
     });
 }
 
@@ -118,7 +118,7 @@
 // --- transactions
 
 void FleetClient::on_transaction_result(registry::Revision revision, bool succeeded,
-                                        const std::vector<Entry>& records) {
+                                        const std::vector<KeyValue>& records) {
     agent_.on_transaction_result(boot_time(), revision, succeeded, records);
     run_due_tasks();
 }
@@ -139,11 +139,11 @@
 
 void FleetClient::on_records(TimePoint, registry::Revision at, const std::vector<registry::Change>& changes,
                              bool all) {
-    std::vector<Entry> entries;
+    std::vector<KeyValue> entries;
     entries.reserve(changes.size());
     for (const auto& change : changes)
         entries.emplace_back(Key{change.record.key.raw()},
-                             change.deleted ? Text{} : Text{change.record.value});
+                             change.deleted ? RecordValue{} : RecordValue{change.record.value});
     record_mirror_.apply(entries, all);
     mirrored_revision_ = at;
     agent_.on_records(boot_time(), at, entries, all);
@@ -153,12 +153,12 @@
     run_due_tasks();
 }
 
-void FleetClient::apply_health_record(const CacheId& cache, const Text& value) {
+void FleetClient::apply_health_record(const CacheId& cache, const RecordValue& value) {
     const auto record = value ? parse_health_record(*value) : std::nullopt;
     if (!record) return;
     const LeaseHolder holder{record->token, record->owner.name, record->owner.incarnation};
-    if (agent_.accepts_order_of(health_check_duty(cache), holder))
-        health_monitor_.on_probe_result(boot_time(), cache, *record, agent_);
+    if (agent_.accepts_holder(health_check_duty(cache), holder))
+        health_monitor_.on_published_result(boot_time(), cache, *record, agent_);
 }
 
 void FleetClient::on_sync_state(TimePoint, registry::SyncState state, TimePoint) {
@@ -182,7 +182,7 @@
     for (const CacheId& cache : health_monitor_.update_monitored(agent_))
         duties.insert(health_check_duty(cache));
     if (duties == followed_duties_) return;
-    std::vector<Entry> records;
+    std::vector<KeyValue> records;
     for (const DutyName& duty : duties)
         if (!followed_duties_.contains(duty) && mirrored_revision_ > registry::Revision{})
             for (const Key& key : {duty_key(duty), release_key(duty)})
@@ -255,7 +255,7 @@
 }
 
 void FleetClient::on_heartbeat_result(TimePoint sent, HeartbeatNumber number,
-                                      const std::vector<Entry>& records) {
+                                      const std::vector<KeyValue>& records) {
     if (site_reporter_)
         site_reporter_->on_heartbeat(boot_time(), unix_time_ms(), sent, number, records, agent_);
 }
--- a/src/fleet/fleet_client.hpp
+++ b/src/fleet/fleet_client.hpp
@@ -72,13 +72,13 @@
     void on_lease_state(const DutyName&, LeaseState, FencingToken) override;
     void on_write_outcome(const DutyName&, const Key&, WriteOutcome) override;
     void on_event(const FleetEvent& event) override { gateway_.on_fleet_event(event); }
-    void on_heartbeat_result(TimePoint sent, HeartbeatNumber, const std::vector<Entry>& records) override;
+    void on_heartbeat_result(TimePoint sent, HeartbeatNumber, const std::vector<KeyValue>& records) override;
     void on_registry_restored() override;
     // HealthCheckCallbacks
     void start_health_check(const CacheId&) override;
     void postpone_recovery_probe(const CacheId&, TimePoint) override;
     // TransactionObserver
-    void on_transaction_result(registry::Revision, bool succeeded, const std::vector<Entry>&) override;
+    void on_transaction_result(registry::Revision, bool succeeded, const std::vector<KeyValue>&) override;
     void on_transaction_lost() override;
     // registry::WatchObserver
     void on_endpoints(TimePoint, const std::vector<EndpointRecord>&, bool) override {}
@@ -87,8 +87,8 @@
     void on_watch_warning(const registry::WatchWarning& warning) override;
 
     TimePoint to_event_loop_time(TimePoint boot) const { return event_loop_.now() + (boot - boot_time()); }
-    void call_soon(std::function<void()> then);
-    void apply_health_record(const CacheId& cache, const Text& value);
+    void call_soon(std::function<void()> callback);
+    void apply_health_record(const CacheId& cache, const RecordValue& value);
     void run_due_tasks();
     TimePoint collect_garbage(TimePoint now, TimePoint next_task_at);
     void update_duties();
--- a/src/fleet/fleet_status.cpp
+++ b/src/fleet/fleet_status.cpp
@@ -13,7 +13,7 @@
 void FleetStatus::on_reading(const RegistryReading& reading) {
     newest_event_.reset();
     generation_ = reading.generation ? parse_generation(*reading.generation) : std::nullopt;
-    legacy_members_ = reading.old_form;
+    members_outside_sites_ = reading.members_outside_sites;
     digests_.clear();
     unreadable_.clear();
     for (const auto& [site, text] : reading.digests) {
@@ -38,7 +38,7 @@
     if (digest == digests_.end() || shown == heartbeat_readings_.end()) return false;
     return std::any_of(shown->second.begin(), shown->second.end(), [&](const HeartbeatReading& s) {
         return s.owner_id == digest->second.owner_id && s.number < digest->second.as_of_heartbeat &&
-               now - s.asked <= max_staleness(term_);
+               now - s.requested_at <= max_staleness(term_);
     });
 }
 
@@ -51,26 +51,26 @@
 void FleetStatus::judge_site(TimePoint now, const Query& query, const SiteName& site, const Digest& digest,
                              std::vector<Missing>& missing) const {
     if (!fresh(now, site))
-        return missing.push_back({MissingReason::site_silent, site, {}, digest.as_of_unix_ms});
+        return missing.push_back({MissingReason::stale_digest, site, {}, digest.as_of_unix_ms});
     if (!generation_ || digest.generation != *generation_ || digest.history_lost)
         return missing.push_back({MissingReason::other_generation, site, {}, digest.as_of_unix_ms});
     const auto expected = inventory_.find(site);
     if (expected == inventory_.end() || digest.known_count < expected->second)
-        missing.push_back({MissingReason::too_few, site, {}, 0});
+        missing.push_back({MissingReason::too_few_members, site, {}, 0});
     if (digest.roster_incomplete || digest.absent_count > digest.absent.size())
-        missing.push_back({MissingReason::too_many, site, {}, 0});
+        missing.push_back({MissingReason::too_many_members, site, {}, 0});
     for (const auto& member : digest.absent)
         missing.push_back({MissingReason::absent, site, member.member, member.since_ms});
     if (digest.lowest >= query.event && digest.lowest_configuration >= query.configuration) return;
     bool named = false;
     for (const auto& lagging : digest.lagging)
         if (lagging.event < query.event || lagging.configuration < query.configuration) {
-            missing.push_back({MissingReason::behind, site, lagging.member, 0});
+            missing.push_back({MissingReason::lagging, site, lagging.member, 0});
             named = true;
         }
     // All of the site are equally behind, or not all of those behind are named in the digest.
     if (!named || digest.lagging_count > digest.lagging.size())
-        missing.push_back({MissingReason::behind, site, {}, 0});
+        missing.push_back({MissingReason::lagging, site, {}, 0});
 }
 
 FleetStatus::Verdict FleetStatus::judge(TimePoint now, const Query& query) const {
@@ -80,20 +80,20 @@
     // count as applied. Its newest event is then below what they report.
     if (query.event > EventNumber{} &&
         (!newest_event_ || *newest_event_ < query.event || *newest_event_ < highest_claimed_event()))
-        verdict.missing.push_back({MissingReason::board_unknown, {}, {}, 0});
-    for (const MemberName& name : legacy_members_)
-        verdict.missing.push_back({MissingReason::old_form, {}, name, 0});
+        verdict.missing.push_back({MissingReason::newest_event_unknown, {}, {}, 0});
+    for (const MemberName& name : members_outside_sites_)
+        verdict.missing.push_back({MissingReason::outside_all_sites, {}, name, 0});
     for (const auto& [site, count] : inventory_)
         if (count > 0 && !digests_.contains(site))
             verdict.missing.push_back({MissingReason::never_reported, site, {}, 0});
     for (const SiteName& site : unreadable_)
         verdict.missing.push_back({MissingReason::never_reported, site, {}, 0});
     for (const auto& [site, digest] : digests_) judge_site(now, query, site, digest, verdict.missing);
-    const bool all_cut_off =
+    const bool only_silent =
         std::all_of(verdict.missing.begin(), verdict.missing.end(), [](const Missing& m) {
-            return m.reason == MissingReason::absent || m.reason == MissingReason::site_silent;
+            return m.reason == MissingReason::absent || m.reason == MissingReason::stale_digest;
         });
-    verdict.reach = all_cut_off ? Reach::all_but : Reach::not_yet;
+    verdict.reach = only_silent ? Reach::all_but : Reach::not_yet;
     if (verdict.missing.empty()) verdict.reach = Reach::everywhere;
     return verdict;
 }
--- a/src/fleet/fleet_status.hpp
+++ b/src/fleet/fleet_status.hpp
@@ -31,16 +31,16 @@
         not_yet,
     };
     enum class MissingReason {
-        absent,            ///< a member whose heartbeats do not show that it runs: cut off, dead or left
-        site_silent,       ///< the site has no fresh digest
-        behind,            ///< live, and has not applied it
-        never_reported,    ///< an expected site without a digest
-        too_few,           ///< fewer names than in the inventory
-        too_many,          ///< more members than a digest or a roster can name
-        other_generation,  ///< the site's numbers are of another generation of the notice board
-        old_form,          ///< a gateway outside of all sites, which reports no revisions
-        no_inventory,      ///< the settings name no sites
-        board_unknown,     ///< the notice board's newest number is unknown, or lower than a reported one
+        absent,                ///< a member whose heartbeats do not show that it runs: cut off, dead or left
+        stale_digest,          ///< the site has no fresh digest
+        lagging,               ///< live, and has not applied it
+        never_reported,        ///< an expected site without a digest
+        too_few_members,       ///< fewer names than in the inventory
+        too_many_members,      ///< more members than a digest or a roster can name
+        other_generation,      ///< the site's numbers are of another generation of the notice board
+        outside_all_sites,     ///< a gateway outside of all sites, which reports no revisions
+        no_inventory,          ///< the settings name no sites
+        newest_event_unknown,  ///< the notice board's newest number is unknown, or lower than a reported one
     };
     struct Missing {
         MissingReason reason;
@@ -64,7 +64,7 @@
         std::optional<std::string> generation;
         std::map<SiteName, std::string> digests;
         std::map<SiteName, std::string> owner_heartbeats;  ///< of those that owners() returned
-        std::set<MemberName> old_form;                     ///< members outside of all sites
+        std::set<MemberName> members_outside_sites;        ///< members outside of all sites
     };
 
     /// The inventory: each site with the least number of its gateways.
@@ -85,7 +85,7 @@
     static constexpr std::size_t max_readings = 256;  // of a site; beyond, the oldest is dropped
 
     struct HeartbeatReading {
-        TimePoint asked;
+        TimePoint requested_at;
         std::string owner_id;
         std::int64_t number = 0;
     };
@@ -98,7 +98,7 @@
     std::map<SiteName, Digest> digests_;
     std::set<SiteName> unreadable_;
     std::map<SiteName, std::deque<HeartbeatReading>> heartbeat_readings_;  // of the digests' owners
-    std::set<MemberName> legacy_members_;
+    std::set<MemberName> members_outside_sites_;
     std::optional<EventNumber> newest_event_;
 };
 
--- a/src/fleet/garbage_collector.cpp
+++ b/src/fleet/garbage_collector.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 // A comparison that succeeds only while that instance is no member; none: it is one, as far as is known.
-std::optional<Entry> absence_of(const Instance& instance, const RecordMirror& record_mirror,
-                                const Agent& agent) {
+std::optional<KeyValue> absence_of(const Instance& instance, const RecordMirror& record_mirror,
+                                   const Agent& agent) {
     if (agent.is_member(instance)) return std::nullopt;
     const Key member = member_key(instance.name);
-    return Entry{member, record_mirror.at(member)};
+    return KeyValue{member, record_mirror.at(member)};
 }
 
 }  // namespace
@@ -20,7 +20,7 @@
 std::optional<FencedWrite> GarbageCollector::removal(const Key& key, const std::string& text,
                                                      const RecordMirror& record_mirror,
                                                      const Agent& agent) const {
-    const Entry unchanged{key, text}, removed{key, std::nullopt};
+    const KeyValue unchanged{key, text}, removed{key, std::nullopt};
     if (const auto duty = duty_of(key); duty && health_check_cache(*duty))
         return duty_removal(key, text, *duty, record_mirror, agent);
     if (released_duty_of(key)) {
@@ -74,7 +74,7 @@
 std::optional<FencedWrite> GarbageCollector::next_write(TimePoint now, const RecordMirror& record_mirror,
                                                         const Agent& agent) {
     if (write_under_way_ || now < next_pass_at_) return std::nullopt;
-    const Text former = record_mirror.at(collection_progress_key());
+    const RecordValue former = record_mirror.at(collection_progress_key());
     CollectionProgress progress =
         former ? parse_collection_progress(*former).value_or(CollectionProgress{}) : CollectionProgress{};
     // A new owner continues the pass that it finds in the registry.
@@ -84,7 +84,7 @@
     while (!ready_removals_.empty() && !write_request) {
         at = *ready_removals_.begin();
         ready_removals_.erase(ready_removals_.begin());
-        const Text text = record_mirror.at(at);
+        const RecordValue text = record_mirror.at(at);
         if (text && at.raw() > progress.last_key) write_request = removal(at, *text, record_mirror, agent);
     }
     write_ends_pass_ = !write_request;
--- a/src/fleet/health_monitor.cpp
+++ b/src/fleet/health_monitor.cpp
@@ -38,8 +38,8 @@
     return monitored_;
 }
 
-void HealthMonitor::on_probe_result(TimePoint now, const CacheId& cache, const HealthRecord& result,
-                                    const Agent& agent) {
+void HealthMonitor::on_published_result(TimePoint now, const CacheId& cache, const HealthRecord& result,
+                                        const Agent& agent) {
     if (!ejected_caches_.contains(cache)) return;
     if (!result.healthy) {
         healthy_.erase(cache);
--- a/src/fleet/health_monitor.hpp
+++ b/src/fleet/health_monitor.hpp
@@ -43,7 +43,7 @@
     /// Updates and returns the caches to be monitored, by the ejections that the members publish.
     const std::set<CacheId>& update_monitored(const Agent& agent);
     /// A result that the owner of a cache's duty has published.
-    void on_probe_result(TimePoint now, const CacheId&, const HealthRecord&, const Agent& agent);
+    void on_published_result(TimePoint now, const CacheId&, const HealthRecord&, const Agent& agent);
     /// The outcome of this member's own check; ignored if none is under way.
     void on_health_check_done(TimePoint now, const CacheId&, bool healthy, Agent& agent);
     /// Whether a check that was started may still be sent.
--- a/src/fleet/record_mirror.hpp
+++ b/src/fleet/record_mirror.hpp
@@ -16,7 +16,7 @@
     using Records = std::map<Key, std::string>;
 
     /// `all`: the changes are the whole content.
-    void apply(const std::vector<Entry>& changes, bool all) {
+    void apply(const std::vector<KeyValue>& changes, bool all) {
         if (all) records_.clear();
         for (const auto& [key, text] : changes)
             if (text)
@@ -26,9 +26,9 @@
     }
     const Records& records() const { return records_; }
     /// None: there is no such record.
-    Text at(const Key& key) const {
+    RecordValue at(const Key& key) const {
         const auto it = records_.find(key);
-        return it == records_.end() ? Text{} : Text{it->second};
+        return it == records_.end() ? RecordValue{} : RecordValue{it->second};
     }
 
 private:
--- a/src/fleet/record_paths.cpp
+++ b/src/fleet/record_paths.cpp
@@ -7,14 +7,14 @@
 namespace irismux::fleet {
 namespace {
 
-constexpr std::string_view watched_part = "roll/";
-constexpr std::string_view heartbeat_part = "beat/";
+constexpr std::string_view watched_record_prefix = "roll/";
+constexpr std::string_view heartbeat_prefix = "beat/";
 
 }  // namespace
 
 std::string path_of(const Key& key) {
-    if (key.raw().starts_with(heartbeat_part)) return key.raw();
-    return std::string(watched_part) + key.raw();
+    if (key.raw().starts_with(heartbeat_prefix)) return key.raw();
+    return std::string(watched_record_prefix) + key.raw();
 }
 
 std::string path_of(const Key& key, const SiteName& site) {
@@ -25,10 +25,10 @@
 }
 
 Key key_at(const std::string& path) {
-    return Key{path.starts_with(watched_part) ? path.substr(watched_part.size()) : path};
+    return Key{path.starts_with(watched_record_prefix) ? path.substr(watched_record_prefix.size()) : path};
 }
 
-std::string watched_prefix(const std::string& prefix) { return prefix + std::string(watched_part); }
+std::string watched_prefix(const std::string& prefix) { return prefix + std::string(watched_record_prefix); }
 
 std::string site_prefix(const std::string& prefix, const SiteName& site) {
     return site.raw().empty() ? prefix : prefix + "site/" + site.raw() + '/';
--- a/src/fleet/site_reporter.cpp
+++ b/src/fleet/site_reporter.cpp
@@ -25,7 +25,7 @@
                        settings_.term * refresh_share_of_term}) {}
 
 void SiteReporter::on_heartbeat(TimePoint now, std::int64_t unix_ms, TimePoint sent, HeartbeatNumber number,
-                                const std::vector<Entry>& shown, const Agent& agent) {
+                                const std::vector<KeyValue>& shown, const Agent& agent) {
     FleetSnapshot snapshot{sent, now, number.raw(), unix_ms, {}, {}, {}, {}};
     bool roster_shown = false;
     for (const auto& [key, text] : shown) {
@@ -60,10 +60,10 @@
     }
     agent.set_heartbeat_reads(now, std::move(reads));
     agent.set_applied_revisions(now, applied_.applied_revisions());
-    if (owner) write_due(now, agent);
+    if (owner) write_due_records(now, agent);
 }
 
-void SiteReporter::write_due(TimePoint now, Agent& agent) {
+void SiteReporter::write_due_records(TimePoint now, Agent& agent) {
     if (!generation_write_pending_) {
         const std::string id = settings_.instance_id + '/' + std::to_string(proposed_generations_ + 1);
         if (const auto next = digest_builder_.next_generation(id)) {
--- a/src/fleet/site_reporter.hpp
+++ b/src/fleet/site_reporter.hpp
@@ -30,12 +30,12 @@
 
     /// As AgentObserver::on_heartbeat_result().
     void on_heartbeat(TimePoint now, std::int64_t unix_ms, TimePoint sent, HeartbeatNumber number,
-                      const std::vector<Entry>& shown, const Agent& agent);
+                      const std::vector<KeyValue>& shown, const Agent& agent);
     void on_written(const Key& key);
     void advance(TimePoint now, Agent& agent);
 
 private:
-    void write_due(TimePoint now, Agent& agent);
+    void write_due_records(TimePoint now, Agent& agent);
 
     Settings settings_;
     TimePoint serving_allowed_at_;
--- a/src/fleet/transaction_client.cpp
+++ b/src/fleet/transaction_client.cpp
@@ -37,14 +37,14 @@
     member_ = registry::MemberIndex{(member_.raw() + 1) % settings_.members.size()};
 }
 
-std::vector<Entry> TransactionClient::records_shown(const Transaction& transaction,
-                                                    const etcd::TransactionResult& result) const {
-    std::vector<Entry> shown;
+std::vector<KeyValue> TransactionClient::records_shown(const Transaction& transaction,
+                                                       const etcd::TransactionResult& result) const {
+    std::vector<KeyValue> shown;
     const auto show = [&](const Key& key) {
         const std::string path = path_of(key, site_);
         const auto it = std::find_if(result.records.begin(), result.records.end(),
                                      [&](const auto& record) { return record.key.raw() == path; });
-        shown.emplace_back(key, it == result.records.end() ? Text{} : Text{it->value});
+        shown.emplace_back(key, it == result.records.end() ? RecordValue{} : RecordValue{it->value});
     };
     if (result.succeeded)
         for (const Key& key : transaction.reads) show(key);
--- a/src/fleet/transaction_client.hpp
+++ b/src/fleet/transaction_client.hpp
@@ -16,7 +16,7 @@
     virtual ~TransactionObserver() = default;
     /// The registry's answer, as of a revision. `records`: see Transaction.
     virtual void on_transaction_result(registry::Revision, bool succeeded,
-                                       const std::vector<Entry>& records) = 0;
+                                       const std::vector<KeyValue>& records) = 0;
     /// There will be no answer: the transaction may have landed, may still land, or never.
     virtual void on_transaction_lost() = 0;
 };
@@ -39,8 +39,8 @@
     void on_request_failed(const registry::RequestFailure&) override;
 
     void use_next_member();
-    std::vector<Entry> records_shown(const Transaction& transaction,
-                                     const registry::etcd::TransactionResult& result) const;
+    std::vector<KeyValue> records_shown(const Transaction& transaction,
+                                        const registry::etcd::TransactionResult& result) const;
 
     TransactionObserver& observer_;
     const registry::Settings& settings_;
--- a/testing/fleet_simulation.cpp
+++ b/testing/fleet_simulation.cpp
@@ -202,7 +202,7 @@
     check_writes(transaction, o.held);
     // Heartbeats are not watched.
     const bool watched = std::any_of(transaction.writes.begin(), transaction.writes.end(),
-                                     [](const Entry& e) { return e.first.raw().rfind("beat/", 0) != 0; });
+                                     [](const KeyValue& e) { return e.first.raw().rfind("beat/", 0) != 0; });
     if (watched && o.held)
         for (const auto& n : nodes_) deliver_records(*n);
     Node& n = *nodes_[member];
@@ -221,7 +221,7 @@
 void FleetSimulation::order(const DutyName& duty, const LeaseHolder& holder) {
     Node& n = *nodes_[chance_() % nodes_.size()];
     at(now_ + shared_config_.term * (3 * random_fraction()), [this, &n, duty, holder] {
-        if (!n.agent || n.stopped || !n.agent->accepts_order_of(duty, holder)) return;
+        if (!n.agent || n.stopped || !n.agent->accepts_holder(duty, holder)) return;
         FencingToken& heeded = heeded_[{n.no, duty}];
         if (holder.token < heeded)
             broken.push_back(n.name.raw() + " heeds epoch " + std::to_string(holder.token.raw()) + " after " +
@@ -244,7 +244,7 @@
         }
         n.when_running([this, &n] {
             const bool whole = n.history != histories_ + 1 || ledger_.forgotten(n.told);
-            const std::vector<Entry> list =
+            const std::vector<KeyValue> list =
                 whole ? ledger_.all() : ledger_.changes(n.told, ledger_.revision());
             n.history = histories_ + 1;
             n.told = ledger_.revision();
--- a/testing/interleaving_explorer.cpp
+++ b/testing/interleaving_explorer.cpp
@@ -213,7 +213,7 @@
         }
         for (const auto& [key, value] : ledger.records()) all += key.raw() + value;
         for (const Transaction& d : late)
-            for (const Entry& e : d.writes) all += "late " + e.first.raw() + e.second.value_or("-");
+            for (const KeyValue& e : d.writes) all += "late " + e.first.raw() + e.second.value_or("-");
         for (const auto& b : backups)
             all += std::to_string(b->taken) + ',' + std::to_string(b->revision.raw());
         return XXH64(all.data(), all.size(), 0);
--- a/testing/site_simulation.cpp
+++ b/testing/site_simulation.cpp
@@ -68,7 +68,7 @@
         if (reporter) reporter->applied().on_history_lost();
     }
     void on_heartbeat_result(TimePoint sent, HeartbeatNumber number,
-                             const std::vector<Entry>& shown) override {
+                             const std::vector<KeyValue>& shown) override {
         if (reporter) reporter->on_heartbeat(clock(), unix_ms(), sent, number, shown, *agent);
     }
     void when_running(std::function<void()> then) {
@@ -251,7 +251,7 @@
     TransactionLedger::Outcome o = ledger_.settle(placed);
     for (std::size_t n = 0; n < o.shown.size(); ++n)
         o.shown[n].first = o.held ? deal.reads[n] : deal.compares[n].first;
-    const bool watched = std::any_of(placed.writes.begin(), placed.writes.end(), [&](const Entry& e) {
+    const bool watched = std::any_of(placed.writes.begin(), placed.writes.end(), [&](const KeyValue& e) {
         return e.first.raw().rfind(p.site + '/', 0) == 0;
     });
     if (watched && o.held)
@@ -279,7 +279,7 @@
         if (p.cut_in) return;
         p.when_running([this, &p] {
             const bool whole = p.history != histories_ + 1 || ledger_.forgotten(p.told);
-            std::vector<Entry> list;
+            std::vector<KeyValue> list;
             for (const auto& [key, text] :
                  whole ? ledger_.all() : ledger_.changes(p.told, ledger_.revision()))
                 if (key.raw().rfind(p.site + '/', 0) == 0)
@@ -391,22 +391,23 @@
     at(now_ + delay(fault_rates_.late), [this, &r, asked] {
         FleetStatus::RegistryReading reading;
         reading.requested_at = asked;
-        const auto text = [&](const std::string& key) -> Text {
+        const auto text = [&](const std::string& key) -> RecordValue {
             const auto it = ledger_.records().find(Key{key});
-            return it == ledger_.records().end() ? Text{} : Text{it->second};
+            return it == ledger_.records().end() ? RecordValue{} : RecordValue{it->second};
         };
         reading.generation = text(generation_key().raw());
         const auto owners = r.status.owners();
         for (const std::string& site : site_names_) {
-            if (const Text digest = text(where(site, digest_key())))
+            if (const RecordValue digest = text(where(site, digest_key())))
                 reading.digests[SiteName{site}] = *digest;
             if (const auto owner = owners.find(SiteName{site}); owner != owners.end())
-                if (const Text beat = text(where(site, heartbeat_key(owner->second))))
+                if (const RecordValue beat = text(where(site, heartbeat_key(owner->second))))
                     reading.owner_heartbeats[SiteName{site}] = *beat;
         }
         const std::string members = std::string(outside) + "/member/";
         for (const auto& [key, record] : ledger_.records())
-            if (key.raw().rfind(members, 0) == 0) reading.old_form.emplace(key.raw().substr(members.size()));
+            if (key.raw().rfind(members, 0) == 0)
+                reading.members_outside_sites.emplace(key.raw().substr(members.size()));
         at(now_ + delay(fault_rates_.late), [this, &r, reading] {
             r.status.on_reading(reading);
             r.status.on_newest_event(EventNumber{newest()});
--- a/testing/transaction_ledger.cpp
+++ b/testing/transaction_ledger.cpp
@@ -12,11 +12,11 @@
 TransactionLedger::Outcome TransactionLedger::settle(const Transaction& transaction) {
     const auto text = [&](const Key& key) {
         const auto it = records_.find(key);
-        return it == records_.end() ? fleet::Text{} : fleet::Text{it->second};
+        return it == records_.end() ? fleet::RecordValue{} : fleet::RecordValue{it->second};
     };
     Outcome o;
     o.held = std::all_of(transaction.compares.begin(), transaction.compares.end(),
-                         [&](const Entry& e) { return text(e.first) == e.second; });
+                         [&](const KeyValue& e) { return text(e.first) == e.second; });
     if (o.held && !transaction.writes.empty()) {
         revision_ = Revision{revision_.raw() + 1};
         for (const auto& [key, value] : transaction.writes) {
@@ -32,22 +32,22 @@
         }
     }
     if (!o.held)
-        for (const Entry& e : transaction.compares) o.shown.emplace_back(e.first, text(e.first));
+        for (const KeyValue& e : transaction.compares) o.shown.emplace_back(e.first, text(e.first));
     else
         for (const Key& key : transaction.reads) o.shown.emplace_back(key, text(key));
     o.at = revision_;
     return o;
 }
 
-std::vector<Entry> TransactionLedger::all() const {
-    std::vector<Entry> list;
+std::vector<KeyValue> TransactionLedger::all() const {
+    std::vector<KeyValue> list;
     for (const auto& [key, value] : records_)
         if (watched(key)) list.emplace_back(key, value);
     return list;
 }
 
-std::vector<Entry> TransactionLedger::changes(Revision told, Revision upto) const {
-    std::vector<Entry> list;
+std::vector<KeyValue> TransactionLedger::changes(Revision told, Revision upto) const {
+    std::vector<KeyValue> list;
     for (auto it = history_.upper_bound(told); it != history_.end() && it->first <= upto; ++it)
         list.insert(list.end(), it->second.begin(), it->second.end());
     return list;
--- a/testing/transaction_ledger.hpp
+++ b/testing/transaction_ledger.hpp
@@ -10,8 +10,8 @@
 
 namespace irismux::stand_ins {
 
-using fleet::Entry;
 using fleet::Key;
+using fleet::KeyValue;
 using fleet::Transaction;
 using registry::Revision;
 
@@ -24,15 +24,15 @@
     struct Outcome {
         Revision at;
         bool held = false;
-        std::vector<Entry> shown;
+        std::vector<KeyValue> shown;
     };
     Outcome settle(const Transaction& transaction);
 
     const Records& records() const { return records_; }
     Revision revision() const { return revision_; }
-    std::vector<Entry> all() const;  // what a new watch delivers: no heartbeats
+    std::vector<KeyValue> all() const;  // what a new watch delivers: no heartbeats
     // Changes that a watch tells, those up to `told` left out; a watch has all of one revision or none.
-    std::vector<Entry> changes(Revision told, Revision upto) const;
+    std::vector<KeyValue> changes(Revision told, Revision upto) const;
     bool forgotten(Revision told) const { return told < oldest_; }
     // Back to what a backup held.
     void restore(const Records& backup, Revision at);
@@ -41,7 +41,7 @@
     std::size_t most_history_;  // changes older than so many revisions are compacted
     Records records_;
     Revision revision_{1}, oldest_;
-    std::map<Revision, std::vector<Entry>> history_;
+    std::map<Revision, std::vector<KeyValue>> history_;
 };
 
 }  // namespace irismux::stand_ins
--- a/tests/fleet_digest_test.cpp
+++ b/tests/fleet_digest_test.cpp
@@ -383,7 +383,7 @@
     TimePoint now = TimePoint::at_seconds(100);
     std::map<SiteName, Digest> sites;
     std::optional<std::string> generation = serialize(first);
-    std::set<MemberName> old_form;
+    std::set<MemberName> members_outside_sites;
     EventNumber board = event(10);
 
     void SetUp() override {
@@ -406,7 +406,7 @@
         FleetStatus::RegistryReading r;
         r.requested_at = now;
         r.generation = generation;
-        r.old_form = old_form;
+        r.members_outside_sites = members_outside_sites;
         for (auto& [name, d] : sites) {
             if (moves) ++d.as_of_heartbeat;
             r.digests[name] = serialize(d);
@@ -444,7 +444,7 @@
     for (int n = 0; n < 45; ++n) read(false);
     const auto v = status->judge(now, {event(10), {}});
     EXPECT_EQ(v.reach, Reach::all_but);
-    EXPECT_EQ(reasons_of(v), (std::vector{Reason::site_silent, Reason::site_silent}));
+    EXPECT_EQ(reasons_of(v), (std::vector{Reason::stale_digest, Reason::stale_digest}));
 }
 
 // Its heartbeat had landed long before; the digest itself was under way for long.
@@ -503,10 +503,10 @@
     EXPECT_EQ(reasons_of(verdict()), std::vector{Reason::never_reported});
     sites[SiteName{"b"}] = site("b0", 1);
     sites[SiteName{"c"}] = site("c0", 1);  // not in the inventory
-    EXPECT_EQ(reasons_of(verdict()), std::vector{Reason::too_few});
+    EXPECT_EQ(reasons_of(verdict()), std::vector{Reason::too_few_members});
     sites.erase(SiteName{"c"});
     sites[SiteName{"a"}].known_count = 1;
-    EXPECT_EQ(reasons_of(verdict()), std::vector{Reason::too_few});
+    EXPECT_EQ(reasons_of(verdict()), std::vector{Reason::too_few_members});
     status.emplace(term, std::map<SiteName, std::size_t>{});
     sites.clear();
     EXPECT_EQ(reasons_of(verdict()), std::vector{Reason::no_inventory});
@@ -517,7 +517,7 @@
 }
 
 TEST_F(FleetStatusReader, AGatewayOutsideOfAllSitesIsNotYet) {
-    old_form.insert(MemberName{"o"});
+    members_outside_sites.insert(MemberName{"o"});
     const auto v = verdict();
     EXPECT_EQ(v.reach, Reach::not_yet);
     EXPECT_EQ(v.missing[0].member, MemberName{"o"});
@@ -537,14 +537,14 @@
 // Nobody has noticed yet that the board was restored.
 TEST_F(FleetStatusReader, ABoardBelowAReportedEventIsNotYet) {
     board = event(9);
-    EXPECT_EQ(reasons_of(verdict(8)), std::vector{Reason::board_unknown});
+    EXPECT_EQ(reasons_of(verdict(8)), std::vector{Reason::newest_event_unknown});
     board = event(10);
     EXPECT_EQ(verdict(8).reach, Reach::everywhere);
     read();
     FleetStatus::RegistryReading r;
     r.requested_at = now;
     status->on_reading(r);  // what the board said before is no answer to what was read after
-    EXPECT_EQ(reasons_of(status->judge(now, {event(8), {}})).front(), Reason::board_unknown);
+    EXPECT_EQ(reasons_of(status->judge(now, {event(8), {}})).front(), Reason::newest_event_unknown);
 }
 
 TEST_F(FleetStatusReader, AConfigurationIsAskedForAsAnEventIs) {
--- a/tests/fleet_in_force_test.cpp
+++ b/tests/fleet_in_force_test.cpp
@@ -279,7 +279,7 @@
     // Nobody of that site is left to say so: the whole site is named.
     ASSERT_EQ(reach_at_rest(one), Reach::all_but);
     EXPECT_EQ(one.said().verdict.missing[0].site.raw(), "s0");
-    EXPECT_EQ(one.said().verdict.missing[0].reason, FleetStatus::MissingReason::site_silent);
+    EXPECT_EQ(one.said().verdict.missing[0].reason, FleetStatus::MissingReason::stale_digest);
 
     AtRest empty(2, {.sites = {2}, .inventory = {{"planned", 0}}});
     expect_everywhere(empty, settled);
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -223,7 +223,7 @@
 // reports and publishes 40, and the duty is claimed under 41.
 TEST_F(SingleMember, ATokenBelowASeenOneIsRefusedUntilTheOwnerTakesAHigherOne) {
     start("m", shared_config());
-    EXPECT_TRUE(agent->accepts_order_of(DutyName{"d"}, {FencingToken{40}, MemberName{"x"}, Incarnation{1}}));
+    EXPECT_TRUE(agent->accepts_holder(DutyName{"d"}, {FencingToken{40}, MemberName{"x"}, Incarnation{1}}));
     put("duty/d", serialize(DutyRecord{FencingToken{7}, MemberName{"y"}, Incarnation{1}}));
     run(ms * 2'000);
     EXPECT_TRUE(reported(FencingTokenRegressed{DutyName{"d"}, FencingToken{7}, FencingToken{40}}));
@@ -386,16 +386,16 @@
 
 TEST_F(HealthMonitoring, AResultPostponesRecoveryProbesOrBringsThemForwardOneAfterTheOther) {
     start("m", shared_config());
-    health_monitor.on_probe_result(now, c, {FencingToken{1}, {MemberName{"x"}, Incarnation{1}}, false, 1},
-                                   *agent);
+    health_monitor.on_published_result(now, c, {FencingToken{1}, {MemberName{"x"}, Incarnation{1}}, false, 1},
+                                       *agent);
     EXPECT_TRUE(postponements.empty()) << "it is not marked here";
     health_monitor.on_ejection_changed(c, true);
-    health_monitor.on_probe_result(now, c, {FencingToken{1}, {MemberName{"x"}, Incarnation{1}}, false, 1},
-                                   *agent);
+    health_monitor.on_published_result(now, c, {FencingToken{1}, {MemberName{"x"}, Incarnation{1}}, false, 1},
+                                       *agent);
     ASSERT_EQ(postponements.size(), 1u);
     EXPECT_EQ(postponements[0].second - postponements[0].first, ms * 1250);
     for (std::int64_t streak = 1; streak < 5; ++streak) {
-        health_monitor.on_probe_result(
+        health_monitor.on_published_result(
             now, c, {FencingToken{1}, {MemberName{"x"}, Incarnation{1}}, true, streak}, *agent);
         EXPECT_EQ(postponements.size(), streak < 2 ? 1u : 2u) << "at the second answer, and once";
     }
@@ -410,8 +410,8 @@
         for (const char* other : {"a", "b", "m"})
             if (std::string(other) != name) set_ejected_by_other(other, true);
         put("member/" + std::string(name), "");
-        health_monitor.on_probe_result(now, c, {FencingToken{1}, {MemberName{"x"}, Incarnation{1}}, true, 2},
-                                       *agent);
+        health_monitor.on_published_result(
+            now, c, {FencingToken{1}, {MemberName{"x"}, Incarnation{1}}, true, 2}, *agent);
         instants.insert(postponements.back().second - now);
     }
     EXPECT_EQ(instants.size(), 3u);
