--- a/src/fleet/agent.cpp
+++ b/src/fleet/agent.cpp
@@ -8,13 +8,14 @@
 namespace {
 
 constexpr double start_spread_intervals = 0.25;
-// The pause after a missing answer doubles with each in a row, up to a heartbeat interval.
+// The pause after a missing reply doubles with each consecutive one, up to a heartbeat interval.
 constexpr int max_retry_doublings = 4;
 
 }  // namespace
 
-// At worst the owner's last heartbeat is read one interval late, and found unchanged for the eviction timeout
-// one interval late again; then follow an eviction, a claim, and the sleeps before either is found due.
+// In the worst case the owner's last heartbeat is first read one interval late, and is found unchanged for
+// the eviction timeout another interval late. An eviction and a claim follow, each after a sleep of the
+// agent.
 Duration longest_without_owner(const SharedConfig& shared_config, Duration reply_time,
                                std::size_t ranks_ahead) {
     const Membership membership(shared_config, MemberName{});
@@ -39,7 +40,8 @@
 
 // --- events
 
-// Members that start at the same time, as after a power failure, do not all send at the same time.
+// The random delay spreads the first transactions of members that start at the same time, for example after a
+// power failure.
 void Agent::start(TimePoint now) {
     started_ = true;
     if (identity_.randomized)
@@ -58,7 +60,7 @@
     std::vector<DutyName> finished;
     for (auto& [name, duty] : duties_.all()) {
         if (duty.wanted) continue;
-        // From here on nothing is done under its token; the record is given up later.
+        // From here on this member does nothing under the duty's token; it gives the record up later.
         if (owned_here(duty)) duty.given_up = std::max(duty.given_up, duty.record->token);
         if (duty.lease.state() != LeaseState::idle)
             observer_->on_lease_state(name, LeaseState::idle, FencingToken{});
@@ -89,7 +91,7 @@
     advance(now);
 }
 
-// Changes within the interval are sent together.
+// One heartbeat reports all changes within the acknowledgement interval.
 void Agent::acknowledge_soon(TimePoint now) {
     if (in_site())
         next_heartbeat_at_ =
@@ -112,7 +114,7 @@
     newest_revision_ = at;
     if (purpose == Purpose::write) finish_write(succeeded ? WriteOutcome::written : WriteOutcome::refused);
     if (purpose == Purpose::join) join_outcome_unknown_ = false;
-    // Before any duty: a heartbeat that has landed extends the term.
+    // This comes before duties are updated, since a committed heartbeat extends the term.
     if (succeeded && (purpose == Purpose::join || purpose == Purpose::heartbeat)) on_heartbeat_landed(now);
     if (succeeded && purpose != Purpose::read_own_records) apply_records(now, at, transaction_.writes);
     apply_records(now, at, records);
@@ -122,7 +124,8 @@
     if (purpose == Purpose::read_own_records) on_own_records(now, at, records);
     if (purpose == Purpose::publish && succeeded) record_text_ = transaction_.writes.front().second;
     if (purpose == Purpose::leave) drop_membership(now, MembershipEnd::left);
-    // The cause may be invisible here, such as a record in a newer form: not repeated at once.
+    // The failure may have a cause that this member can't see, such as a record in a newer format, so the
+    // transaction is not repeated at once.
     const bool may_fail_again =
         purpose == Purpose::claim || purpose == Purpose::evict || purpose == Purpose::publish;
     if (!succeeded && may_fail_again)
@@ -204,7 +207,7 @@
     }
 }
 
-// The first that is due; each returns whether it has submitted a transaction.
+// Submits the first transaction that is due. Each function returns whether it has submitted one.
 void Agent::submit_next_of_term(TimePoint now) {
     if (next_write(now)) return;
     if (next_duty(now)) return;
--- a/src/fleet/agent.hpp
+++ b/src/fleet/agent.hpp
@@ -1,22 +1,24 @@
 /// One gateway as a member of its fleet: it joins, sends heartbeats, evicts members that send none, claims
 /// and gives up duties, and writes on behalf of the fleet. It combines Membership, Lease, Fence and Duties.
-/// No I/O and no clock: each call passes the time of the gateway's steady clock (boot_time()).
+/// It does no I/O and reads no clock: each call passes the time of the gateway's steady clock (boot_time()).
 ///
-/// Who may write what, and what stops a former owner:
-///   member/ME, beat/ME   only the member itself; an eviction removes them if the heartbeat has not changed
-///   duty/NAME            a member that claims the duty; the transaction compares the record, its own newest
-///                        heartbeat and that the former owner's membership is gone
-///   any fenced write     the duty's owner; the transaction compares its newest heartbeat and the duty's
-///                        record as it was claimed: the write of an evicted or replaced owner fails
+/// The writer of each record, and the comparisons that reject a former owner:
+///   member/ME, beat/ME   written only by the member itself; an eviction removes them if the heartbeat has
+///   not
+///                        changed
+///   duty/NAME            written by a member that claims the duty; the transaction compares the record, the
+///                        claimant's newest heartbeat and that the former owner's membership is gone
+///   any fenced write     done by the duty's owner; the transaction compares its newest heartbeat and the
+///                        duty's record as it was claimed, so the write of an evicted or replaced owner fails
 ///
-/// Guarantees; docs/fleet.md has the premises. may_act() must be called right before acting.
+/// Guarantees, whose premises are in docs/fleet.md; may_act() must be called right before acting:
 ///   1  at no time may two members act on one duty
-///   2  a fenced write lands only while its writer owns the duty, in the registry's own order
+///   2  a fenced write is committed only while its writer owns the duty, in the registry's own order
 ///   3  no fencing token of a duty is given to two owners, also across restores of the registry
 ///
-/// One transaction is under way at a time. A missing answer is neither success nor failure: the transaction
-/// may have landed, may land later, or never. Each compares enough for a late one to do no harm, and the next
-/// read shows its outcome.
+/// One transaction is in flight at a time. A transaction without a reply has neither succeeded nor failed:
+/// the registry may have committed it, may still commit it, or never will. Each transaction compares enough
+/// records for a late commit to do no harm, and the next read shows its outcome.
 ///
 /// Source files: agent.cpp (events, one transaction at a time), agent_join.cpp, agent_heartbeat.cpp (with
 /// evictions), agent_leases.cpp, agent_writes.cpp (with publications), agent_debug.cpp.
@@ -40,57 +42,59 @@
 namespace irismux::fleet {
 
 /// The longest time for which a duty has no owner after its owner has stopped, if the registry answers within
-/// `reply_time` and `ranks_ahead` live members come before the first that can claim it. Holds for fleets
-/// whose heartbeats are all read in each interval; in larger ones each interval in which the stopped owner's
-/// is not read adds one.
+/// `reply_time` and `ranks_ahead` live members rank before the first member that can claim the duty. The
+/// bound holds for fleets whose heartbeats are all read in each interval; in larger fleets each interval in
+/// which the stopped owner's heartbeat is not read adds one interval.
 [[nodiscard]] Duration longest_without_owner(const SharedConfig& shared_config, Duration reply_time,
                                              std::size_t ranks_ahead);
 
 class Agent {
 public:
-    /// The transport and the observer must outlive it.
+    /// The transport and the observer must outlive the agent.
     Agent(AgentTransport& transport, AgentObserver& observer, const SharedConfig& shared_config,
           MemberIdentity identity, std::uint64_t seed);
-    /// A copy of the state with other callbacks, for exhaustive exploration.
+    /// Copies the state but uses other callbacks, for exhaustive exploration.
     Agent(const Agent& other, AgentTransport& transport, AgentObserver& observer);
 
     void start(TimePoint now);
     /// Stops acting at once, then removes this member's records.
     void leave(TimePoint now);
-    /// The duties that this member may own; one that is not named any more is given up. The records of duties
-    /// that are new here must be delivered again through on_records().
+    /// Sets the duties that this member may own. A duty that is no longer named is given up. The caller must
+    /// deliver the records of newly named duties again through on_records().
     void set_duties(TimePoint now, const std::set<DutyName>& names);
-    /// The caches that this gateway has ejected; published at most once a heartbeat interval.
+    /// Sets the caches that this gateway has ejected; they are published at most once a heartbeat interval.
     void set_ejected_caches(TimePoint now, std::set<CacheId> caches);
-    /// What this gateway has applied, for its heartbeats.
+    /// Sets the revisions that this gateway has applied; its heartbeats report them.
     void set_applied_revisions(TimePoint now, const std::optional<AppliedRevisions>& revisions);
     void set_heartbeat_reads(TimePoint now, HeartbeatReads reads);
 
-    /// Watched records as of a revision; they may lag behind transactions. `full_list`: there are no others.
-    /// Unknown kinds of keys are ignored.
+    /// Applies watched records as of revision `at`, which may lag behind transactions. With `full_list` there
+    /// are no other records. Unknown kinds of keys are ignored.
     void on_records(TimePoint now, registry::Revision at, const std::vector<KeyValue>& records,
                     bool full_list);
-    /// `succeeded`: the comparison succeeded and all is written. `records`: see Transaction.
+    /// `succeeded` is true if the comparisons held and all writes are committed. `records` are the records
+    /// shown by the result, see Transaction.
     void on_transaction_result(TimePoint now, registry::Revision at, bool succeeded,
                                const std::vector<KeyValue>& records);
-    /// There is no answer: the transaction may have landed, may still land, or never.
+    /// The transaction has no reply: it may be committed, may still be committed, or never will be.
     void on_transaction_timeout(TimePoint now);
     void on_wake(TimePoint now);
 
-    /// Whether this member owns the duty at that time.
+    /// Returns whether this member owns the duty at time `now`.
     [[nodiscard]] bool may_act(TimePoint now, const DutyName&) const;
-    /// As may_act(), and the lease runs for long enough to begin something new.
+    /// Returns whether may_act() holds and the lease lasts long enough to begin new work.
     [[nodiscard]] bool may_begin_work(TimePoint now, const DutyName&) const;
-    /// The token of the duty's newest known record; zero: none.
+    /// Returns the token of the duty's newest known record, or zero if there is none.
     [[nodiscard]] FencingToken token_of(const DutyName&) const;
-    /// Whether an order that another member gives as that holder is to be obeyed.
+    /// Returns whether a record or an instruction that names `holder` as the duty's owner is to be accepted.
     [[nodiscard]] bool accepts_holder(const DutyName& duty, const LeaseHolder& holder) {
         return fence_.accepts(duty, holder);
     }
-    /// Queues a write that lands only if the duty is still owned then; the observer is told the outcome.
-    /// False: the duty is not owned, or 64 writes wait already.
+    /// Queues a write that is committed only if this member still owns the duty at that time. The outcome is
+    /// passed to the observer.
+    /// @return false if this member does not own the duty or 64 writes are queued already.
     bool write_fenced(TimePoint now, const DutyName&, const Key&, const std::string& value);
-    /// As above; the outcome names `key`.
+    /// The same for a write of several records; the outcome passed to the observer names `key`.
     bool write_fenced(TimePoint now, const DutyName&, const Key& key, FencedWrite write_request);
 
     [[nodiscard]] const Membership& membership() const { return membership_; }
@@ -99,18 +103,19 @@
     [[nodiscard]] Incarnation incarnation() const { return incarnation_; }
     [[nodiscard]] const std::set<CacheId>& ejected_caches() const { return ejected_caches_; }
     [[nodiscard]] Instance self() const { return {identity_.name, incarnation_}; }
-    /// The record that holds the highest token of all removed duties, as last known.
+    /// The last known value of the record that holds the highest token of all removed duties.
     [[nodiscard]] const RecordValue& token_floor() const { return token_floor_; }
-    /// Whether that very instance is a member, as far as is known. One whose record can't be parsed counts.
+    /// Returns whether this exact instance is a member, according to the records received so far. A member
+    /// whose record can't be parsed counts as one.
     [[nodiscard]] bool is_member(const Instance&) const;
-    /// The whole state as text, times relative to `now`: equal texts, equal behaviour.
+    /// Returns the whole state as text with times relative to `now`. Agents with equal texts behave equally.
     [[nodiscard]] std::string debug_state(TimePoint now) const;
 
 private:
-    // Only for the copy with other callbacks.
+    // Used only by the constructor that copies the state and uses other callbacks.
     Agent(const Agent&) = default;
 
-    // What the transaction under way is for.
+    // The purpose of the transaction in flight.
     enum class Purpose {
         none,
         read_own_records,
@@ -182,8 +187,8 @@
     bool unowned(const Duties::Duty&) const;
     FencingToken next_token(const DutyName&, const Duties::Duty&) const;
     FencingToken highest_refused_by_others(const DutyName&) const;
-    // Live members that come before this one in the duty's order; `settled`: only those that have been
-    // members for long enough to be handed a duty.
+    // Returns the number of live members that rank before this one for the duty. With `settled`, only members
+    // that have been members for long enough to be handed a duty are counted.
     std::size_t rank(TimePoint now, const DutyName&, const Duties::Duty&, bool settled) const;
 
     // agent_writes.cpp
@@ -207,29 +212,30 @@
 
     Incarnation incarnation_;
     HeartbeatNumber last_heartbeat_;
-    RecordValue heartbeat_text_;                       // our newest that the registry is known to hold
-    RecordValue record_text_;                          // our member record, as last written
-    std::map<DutyName, FencingToken> refused_tokens_;  // to be published, or published already
+    RecordValue heartbeat_text_;  // this member's newest heartbeat that the registry is known to hold
+    RecordValue record_text_;     // this member's record as last written
+    std::map<DutyName, FencingToken> refused_tokens_;  // published, or to be published
     bool started_ = false;
     bool leaving_ = false;
 
     Purpose purpose_ = Purpose::none;
-    Transaction transaction_;  // the one under way
+    Transaction transaction_;  // the transaction in flight
     HeartbeatNumber heartbeat_in_transaction_;
-    TimePoint reply_deadline_;  // of the one under way
-    TimePoint next_submit_at_;  // nothing is submitted before
+    TimePoint reply_deadline_;  // of the transaction in flight
+    TimePoint next_submit_at_;  // no transaction is submitted before this time
     TimePoint next_heartbeat_at_;
-    TimePoint next_give_up_at_;     // no duty is handed over before
-    int consecutive_timeouts_ = 0;  // transactions in a row
+    TimePoint next_give_up_at_;     // no duty is handed over before this time
+    int consecutive_timeouts_ = 0;  // consecutive transactions without a reply
 
-    // Records written by transactions without an answer; read with the next heartbeat.
+    // Keys written by transactions without a reply; the next heartbeat reads them.
     std::set<Key> keys_of_unknown_outcome_;
 
-    bool join_outcome_unknown_ = false;  // a join went out, and its result is not known
-    // Member record and heartbeat of another instance that has our name, and since when they are unchanged.
+    bool join_outcome_unknown_ = false;  // a join was submitted and its result is not known
+    // Member record and heartbeat of another instance that uses this member's name, and the time since when
+    // they are unchanged.
     std::optional<std::pair<RecordValue, RecordValue>> name_holder_;
     TimePoint name_holder_unchanged_since_;
-    std::optional<JoinRefused> last_refusal_;  // reported once
+    std::optional<JoinRefused> last_refusal_;  // the last refusal that was reported
     std::deque<PendingWrite> pending_writes_;
     RecordValue token_floor_;
     registry::Revision token_floor_revision_;
@@ -238,8 +244,9 @@
     std::optional<AppliedRevisions> applied_revisions_;
     HeartbeatReads heartbeat_reads_;
     registry::Revision newest_revision_;
-    TimePoint heartbeat_sent_at_;     // the newest
-    TimePoint next_member_reads_at_;  // the next heartbeat that reads those of others for the membership
+    TimePoint heartbeat_sent_at_;  // of the newest heartbeat
+    // From this time on the next heartbeat reads heartbeats of other members for the membership.
+    TimePoint next_member_reads_at_;
 };
 
 }  // namespace irismux::fleet
--- a/src/fleet/agent_callbacks.hpp
+++ b/src/fleet/agent_callbacks.hpp
@@ -1,4 +1,5 @@
-/// What an Agent needs of whoever carries it: transactions, wake-ups, and who is told about its leases.
+/// Interfaces that an Agent needs from its environment: a transport for transactions and wake-ups, and an
+/// observer of its leases and writes.
 #pragma once
 
 #include <vector>
@@ -9,28 +10,32 @@
 
 namespace irismux::fleet {
 
-/// Carries an Agent's transactions to the registry. Results are never delivered from within a call.
+/// Sends an Agent's transactions to the registry. It never delivers a result from within one of its
+/// functions.
 class AgentTransport {
 public:
     virtual ~AgentTransport() = default;
-    /// Replaces the transaction before, whose result must not be delivered any more.
+    /// Submits a transaction. It replaces the previous one, whose result must no longer be delivered.
     virtual void submit(const Transaction&) = 0;
-    /// Calls Agent::on_wake() at that time of the agent's clock; replaces the time before.
+    /// Schedules a call of Agent::on_wake() at time `at` of the agent's clock; replaces the previous
+    /// schedule.
     virtual void schedule_wake(TimePoint at) = 0;
 };
 
-/// Who is told about an Agent's leases and writes; called from within calls to the Agent.
+/// Observer of an Agent's leases and writes. It is called from within calls to the Agent.
 class AgentObserver {
 public:
     virtual ~AgentObserver() = default;
     virtual void on_lease_state(const DutyName&, LeaseState, FencingToken) = 0;
-    /// Of a write that Agent::write_fenced() has accepted.
+    /// Reports the outcome of a write that Agent::write_fenced() has accepted.
     virtual void on_write_outcome(const DutyName&, const Key&, WriteOutcome) = 0;
-    /// For the log.
+    /// Reports an event for the log.
     virtual void on_event(const FleetEvent&) = 0;
-    /// A heartbeat has landed: when it was sent, its number, and the records that its transaction read.
+    /// Reports a committed heartbeat: the time at which it was sent, its number, and the records that its
+    /// transaction read.
     virtual void on_heartbeat_result(TimePoint, HeartbeatNumber, const std::vector<KeyValue>&) {}
-    /// An answer is of a lower revision than one before: the registry was restored from a backup.
+    /// Reports that a reply has a lower revision than an earlier one: the registry was restored from a
+    /// backup.
     virtual void on_registry_restored() {}
 };
 
--- a/src/fleet/agent_debug.cpp
+++ b/src/fleet/agent_debug.cpp
@@ -1,5 +1,5 @@
-// The Agent's state as text, for failures' reports and for telling states apart in exhaustive models. Ages
-// are cut off where they make no difference any more, so that equal behaviour gives equal text.
+// Formats the Agent's state as text, for failure reports and for distinguishing states in exhaustive models.
+// Ages are capped where they no longer affect behaviour, so that equal behaviour gives equal text.
 #include <algorithm>
 
 #include "fleet/agent.hpp"
@@ -9,7 +9,7 @@
 
 constexpr double max_shown_eviction_timeouts = 3;
 
-// Past instants are all alike.
+// All times in the past give the same text.
 std::string until(TimePoint now, TimePoint at) {
     return std::to_string(std::max((at - now).micros(), std::int64_t{-1})) + ' ';
 }
--- a/src/fleet/agent_heartbeat.cpp
+++ b/src/fleet/agent_heartbeat.cpp
@@ -1,4 +1,4 @@
-// Own heartbeats, reading those of others, and the eviction of members that send none.
+// Sends this member's heartbeats, reads those of other members and evicts members that send none.
 #include <algorithm>
 
 #include "fleet/agent.hpp"
@@ -7,7 +7,7 @@
 namespace irismux::fleet {
 namespace {
 
-// Heartbeats are sent earlier by up to this share of their interval, at random.
+// Each heartbeat is sent earlier by a random time of up to this share of the heartbeat interval.
 constexpr double heartbeat_spread = 0.2;
 
 }  // namespace
@@ -27,7 +27,8 @@
            {{own_heartbeat()}, {{heartbeat_key(identity_.name), heartbeat}}, std::move(reads)});
 }
 
-// A heartbeat that is sent early, to acknowledge, reads others' only if the site's digest needs them.
+// A heartbeat that is sent early as an acknowledgement reads other members' heartbeats only if the site's
+// digest needs them.
 std::vector<Key> Agent::keys_to_read(TimePoint now) {
     std::set<Key> keys(heartbeat_reads_.records.begin(), heartbeat_reads_.records.end());
     for (const MemberName& name : heartbeat_reads_.heartbeats)
@@ -51,8 +52,8 @@
     keys_of_unknown_outcome_.clear();
 }
 
-// A transaction failed. If it shows another heartbeat under our name, a later one of ours has landed without
-// an answer, or we are not a member any more.
+// Called after a failed transaction. If its records show another heartbeat under this member's name, either a
+// later heartbeat of this member was committed without a reply, or it is no longer a member.
 void Agent::check_own_heartbeat(TimePoint now, const std::vector<KeyValue>& records) {
     const Key own = heartbeat_key(identity_.name);
     const auto it =
@@ -90,7 +91,8 @@
     return {keys.begin(), keys.end()};
 }
 
-// Compares the very heartbeat that was found unchanged: one that has landed since makes the eviction fail.
+// The transaction compares the heartbeat that was found unchanged, so a heartbeat committed since then makes
+// the eviction fail.
 bool Agent::next_eviction(TimePoint now) {
     if (membership_.in_grace_period(now)) return false;
     for (const auto& [name, member] : membership_.members()) {
--- a/src/fleet/agent_join.cpp
+++ b/src/fleet/agent_join.cpp
@@ -1,4 +1,4 @@
-// Joining the fleet and leaving it.
+// Joins and leaves the fleet.
 #include <algorithm>
 
 #include "fleet/agent.hpp"
@@ -6,7 +6,7 @@
 namespace irismux::fleet {
 namespace {
 
-// Longest part of another fleet's shared configuration that a log line repeats.
+// Number of bytes of another fleet's shared configuration that a log line quotes at most.
 constexpr std::size_t max_quoted_bytes = 200;
 
 const RecordValue& value_of(const std::vector<KeyValue>& records, const Key& key) {
@@ -25,7 +25,8 @@
 }
 
 void Agent::on_own_records(TimePoint now, registry::Revision at, const std::vector<KeyValue>& records) {
-    // All earlier incarnations of that name are below the registry's revision, also those without a record.
+    // All earlier incarnations of this name are below the registry's revision, including those without a
+    // record.
     identity_.last_incarnation = std::max(identity_.last_incarnation, Incarnation{at.raw()});
     next_submit_at_ = now + membership_.heartbeat_interval();
     const std::string own_config = serialize(shared_config_);
@@ -47,8 +48,8 @@
     wait_for_name(now, member, heartbeat, roster);
 }
 
-// A join of ours has landed whose answer was lost, or the registry has been restored to a state with a former
-// join of ours.
+// Either a join of this instance was committed and its reply was lost, or the registry was restored to a
+// state that has an earlier join of this instance.
 void Agent::on_own_instance_found(TimePoint now, Incarnation incarnation, const RecordValue& member,
                                   const RecordValue& heartbeat, const RecordValue& roster) {
     const auto record = heartbeat ? parse_heartbeat(*heartbeat) : std::nullopt;
@@ -60,8 +61,9 @@
     membership_.on_heartbeat_confirmed(now, record->number);
 }
 
-// Another instance has the name: our former process, which is dead, or another gateway. Only its next
-// heartbeat, or none for the eviction timeout, shows which.
+// Another instance uses this member's name: either this gateway's former process, which is dead, or another
+// gateway. A new heartbeat shows that it is alive; no new heartbeat for the eviction timeout shows that it is
+// dead.
 void Agent::wait_for_name(TimePoint now, const RecordValue& member, const RecordValue& heartbeat,
                           const RecordValue& roster) {
     const std::pair<RecordValue, RecordValue> holder{member, heartbeat};
@@ -91,7 +93,7 @@
         {{shared_config_key(), serialize(shared_config_)}, {own, member}, {own_heartbeat, heartbeat}},
         {},
         {}};
-    // Guards against a digest without a member that serves: its name is in the roster from the first join on.
+    // The roster has the member's name from its first join on, so that no digest omits a member that serves.
     const SiteRoster known = roster ? parse_site_roster(*roster).value_or(SiteRoster{}) : SiteRoster{};
     if (const auto next = in_site() ? add_to_roster(known, identity_.name) : std::nullopt) {
         transaction.compares.emplace_back(roster_key(), roster);
@@ -120,7 +122,7 @@
     update_leases(now);
 }
 
-// The same refusal in a row is reported once.
+// Consecutive equal refusals are reported once.
 void Agent::refuse_to_join(JoinRefusal reason, std::string registry_config) {
     JoinRefused refused{reason, identity_.name, std::move(registry_config)};
     if (last_refusal_ == refused) return;
--- a/src/fleet/agent_leases.cpp
+++ b/src/fleet/agent_leases.cpp
@@ -1,4 +1,4 @@
-// Who owns which duty: claims, handovers, and the leases that follow from the records.
+// Claims and hands over duties, and derives this member's leases from the duties' records.
 #include <algorithm>
 
 #include "fleet/agent.hpp"
@@ -6,7 +6,7 @@
 
 namespace irismux::fleet {
 
-// --- questions
+// --- queries
 
 bool Agent::may_act(TimePoint now, const DutyName& name) const {
     const auto it = duties_.all().find(name);
@@ -30,19 +30,19 @@
     return !it->second.readable || it->second.member.incarnation == instance.incarnation;
 }
 
-// The record names this very instance.
+// Returns whether the record names this exact instance.
 bool Agent::owned_here(const Duties::Duty& duty) const {
     return membership_.joined() && duty.record && duty.record->owner == identity_.name &&
            duty.record->incarnation == incarnation_;
 }
 
-// The record names this instance, and is known to be current.
+// Returns whether the record names this instance and is known to be current.
 bool Agent::record_grants_lease(TimePoint now, const Duties::Duty& duty) const {
     return owned_here(duty) && duty.wanted && duty.record->token > duty.given_up &&
            !membership_.in_grace_period(now);
 }
 
-// It was never owned, was given up, or its owner is no member any more.
+// Returns whether the duty was never owned, was given up, or its owner is no longer a member.
 bool Agent::unowned(const Duties::Duty& duty) const {
     if (!duty.known || (duty.text && !duty.record)) return false;
     if (!duty.record || duty.record->owner.raw().empty()) return true;
@@ -71,7 +71,8 @@
     return highest;
 }
 
-// Above every token that this duty can have had: a removed record's is at most the floor.
+// Returns a token above every token that this duty can have had. The token of a removed record is at most the
+// floor.
 FencingToken Agent::next_token(const DutyName& name, const Duties::Duty& duty) const {
     FencingToken recorded;
     if (duty.record)
@@ -106,7 +107,8 @@
     refused_tokens_.erase(name);
 }
 
-// The registry was restored from a backup: the refusal is published, and the owner claims above it.
+// The registry was restored from a backup. This member publishes the refused token, and the owner claims the
+// duty again under a higher one.
 void Agent::on_lower_token(const DutyName& name, FencingToken shown, FencingToken seen) {
     if (refused_tokens_.size() < max_published_refusals || refused_tokens_.contains(name))
         refused_tokens_[name] = seen;
@@ -158,12 +160,13 @@
         return true;
     }
     if (!owned_here(duty)) return false;
-    // A token that others refuse is replaced by one above all that they have seen.
+    // Other members refuse this token: the owner replaces it by one above all tokens that they have seen.
     if (highest_refused_by_others(name) > duty.record->token) {
         claim_duty(now, name, duty);
         return true;
     }
-    // It is handed to the first in the order once that member has settled; one duty a heartbeat interval.
+    // The owner hands the duty to the first member in the order once that member has settled, at most one
+    // duty per heartbeat interval.
     if (now < next_give_up_at_ || rank(now, name, duty, true) == 0) return false;
     give_up_duty(now, name, duty);
     return true;
@@ -173,19 +176,19 @@
     const Key key = duty_key(name);
     const DutyRecord claim{next_token(name, duty), identity_.name, incarnation_};
     Transaction transaction{{own_heartbeat(), {key, duty.text}}, {{key, serialize(claim)}}, {}};
-    // The registry itself must confirm that the former owner is no member any more.
+    // The transaction itself checks that the former owner is no longer a member.
     if (duty.record && !duty.record->owner.raw().empty() && duty.record->owner != identity_.name) {
         const auto it = membership_.members().find(duty.record->owner);
         const RecordValue member =
             it == membership_.members().end() ? RecordValue{} : RecordValue{it->second.text};
         transaction.compares.emplace_back(member_key(duty.record->owner), member);
     }
-    // A removed record's tokens are at most the floor, which must still be as known.
+    // The tokens of a removed record are at most the floor, which must not have changed since it was read.
     if (!duty.text) transaction.compares.emplace_back(floor_key(), token_floor_);
     submit(now, Purpose::claim, std::move(transaction));
 }
 
-// From here on nothing is done under that token, whatever becomes of the transaction.
+// From here on this member does nothing under the token, whatever the outcome of the transaction.
 void Agent::give_up_duty(TimePoint now, const DutyName& name, Duties::Duty& duty) {
     duty.given_up = duty.record->token;
     if (duty.wanted) next_give_up_at_ = now + membership_.heartbeat_interval();
--- a/src/fleet/agent_timing.hpp
+++ b/src/fleet/agent_timing.hpp
@@ -1,20 +1,21 @@
-/// Constants of the Agent that more than one of its source files uses. Internal to it.
+/// Constants that more than one source file of the Agent uses. Internal to the Agent.
 #pragma once
 
 #include <cstddef>
 
 namespace irismux::fleet {
 
-/// Heartbeats of others that are read with each own one: some at random, and some more of members whose last
-/// one is older than a heartbeat interval. In a fleet no larger than both together all are read.
+/// Number of other members' heartbeats that each heartbeat transaction reads: some chosen at random, and some
+/// of members whose last heartbeat is older than a heartbeat interval. A fleet no larger than the sum of both
+/// has all its heartbeats read.
 constexpr std::size_t heartbeats_read_at_random = 4;
 constexpr std::size_t max_overdue_heartbeats_read = 12;
 
-/// How long each rank in a duty's order waits for the one before it.
+/// Delay of a claim for each member that ranks before the claimant in the duty's order.
 constexpr double claim_delay_intervals_per_rank = 0.5;
-/// The longest time until the agent wakes by itself.
+/// Longest time until the agent's next scheduled wake-up.
 constexpr double max_sleep_intervals = 0.25;
-/// The pause after a transaction that failed or had no answer.
+/// Pause after a transaction that failed or had no reply.
 constexpr double retry_pause_intervals = 1.0 / 16;
 
 }  // namespace irismux::fleet
--- a/src/fleet/agent_writes.cpp
+++ b/src/fleet/agent_writes.cpp
@@ -1,5 +1,4 @@
-// What a member writes besides its membership: publications of its own record, and fenced writes on behalf of
-// the fleet.
+// Publishes changes of this member's record, and does fenced writes on behalf of the fleet.
 #include <algorithm>
 
 #include "fleet/agent.hpp"
@@ -8,8 +7,8 @@
 namespace {
 
 constexpr std::size_t max_pending_writes = 64;
-// A publication is delivered to all members: one an interval in a fleet of up to so many, fewer in larger
-// ones.
+// The watch delivers a publication to all members. A member publishes once per heartbeat interval in a fleet
+// of up to this size, and proportionally less often in larger fleets.
 constexpr std::size_t members_per_publication_interval = 64;
 
 }  // namespace
@@ -42,7 +41,8 @@
     if (pending_writes_.empty()) return false;
     const PendingWrite& write = pending_writes_.front();
     const auto& [compares, writes] = write.write_request;
-    // The fence: our own newest heartbeat, and the duty's record as it was claimed.
+    // These comparisons are the fence: this member's newest heartbeat, and the duty's record as it was
+    // claimed.
     Transaction transaction{
         {own_heartbeat(), {duty_key(write.duty), duties_.all().at(write.duty).text}}, writes, {}};
     transaction.compares.insert(transaction.compares.end(), compares.begin(), compares.end());
--- a/src/fleet/applied_revisions.cpp
+++ b/src/fleet/applied_revisions.cpp
@@ -78,7 +78,8 @@
     event_ = {};
 }
 
-// After history was lost, numbers count again only in the next generation, so a read would show nothing.
+// After history was lost, event numbers count again only in the next generation, so a full read would be of
+// no use before.
 bool AppliedRevisionTracker::needs_full_history() const {
     if (full_history_poll_in_flight_ && generation_at_full_history_start_ == generation_) return false;
     return !has_full_history_ || (generation_.number > 0 && !event_known_in_generation_ && !history_lost_);
@@ -92,8 +93,8 @@
     generation_at_full_history_start_ = generation_;
 }
 
-// Guards against an answer to a poll from before the generation was known: it may be of the board's former
-// history, and events of the new one would be reported that were never applied.
+// Ignores the reply to a poll that was sent before the generation was known: the reply may belong to the
+// board's former history, and this process would report events of the new history that it has never applied.
 void AppliedRevisionTracker::on_poll_completed(EventNumber newest, EventNumber asked_from) {
     if (!std::exchange(poll_in_flight_, false)) return;
     const bool full_history = std::exchange(full_history_poll_in_flight_, false);
--- a/src/fleet/applied_revisions.hpp
+++ b/src/fleet/applied_revisions.hpp
@@ -1,15 +1,15 @@
-/// Which notices and which configuration one gateway has applied, and when it may report them. No I/O, no
-/// clock.
+/// Tracks the notices and the configuration that one gateway has applied, and when it may report them. Does
+/// no I/O and reads no clock.
 ///
-/// Events are those of the notice board, which numbers them in the order in which it delivers them; a purge
-/// is an event. The numbers may come again after the board was restored from a backup, so a number counts
-/// only together with its generation: a record of the registry that is replaced by a higher one once a
-/// gateway has seen the numbers go back, or by an operator's command.
+/// The notice board numbers its events in the order in which it delivers them; a purge is an event. The board
+/// may assign the same numbers again after it was restored from a backup, so a number counts only together
+/// with its generation. The generation is a record of the registry; it is replaced by a higher one once a
+/// gateway has seen the numbers decrease, or by an operator's command.
 ///
-/// Guarantee: applied_revisions() names an event only if this very process has applied every event of that
+/// Guarantee: applied_revisions() names an event only if this process itself has applied every event of that
 /// generation up to it. Premises: the board delivers its events in order; on_poll_completed() is called after
-/// the events were applied; a board that went back is seen as such by one gateway, or announced by an
-/// operator, before its numbers have come as far again.
+/// the events were applied; a gateway detects a restored board, or an operator announces it, before the board
+/// has again assigned the numbers that were lost.
 #pragma once
 
 #include <compare>
@@ -23,67 +23,69 @@
 namespace irismux::fleet {
 
 using SiteName = Id<struct SiteTag, std::string>;
-using EventNumber = Id<struct EventTag, std::int64_t>;  ///< of the notice board; zero: none
+using EventNumber = Id<struct EventTag, std::int64_t>;  ///< of the notice board; zero if none
 using ConfigurationNumber =
-    Id<struct ConfigurationTag, std::int64_t>;  ///< as its author numbers it; zero: none
+    Id<struct ConfigurationTag, std::int64_t>;  ///< assigned by the configuration's author; zero if none
 
-/// A period of the notice board's history. Two with one number and different ids come from registries that
-/// were restored; neither is newer than the other.
+/// A period of the notice board's history. Two generations with equal numbers and different ids come from
+/// restored registries; neither is newer than the other.
 struct Generation {
-    std::int64_t number = 0;  ///< zero: none is known
+    std::int64_t number = 0;  ///< zero if no generation is known
     std::string id;           ///< random
     bool operator==(const Generation&) const = default;
 };
 
-/// What a heartbeat reports of its sender.
+/// The revisions that a heartbeat reports for its sender.
 struct AppliedRevisions {
     Generation generation;
     EventNumber event;
     ConfigurationNumber configuration;
-    bool history_lost = false;  ///< the board or the registry went back in it: it is to be replaced
+    /// The board or the registry was restored during this generation, so the generation must be replaced.
+    bool history_lost = false;
     bool operator==(const AppliedRevisions&) const = default;
 };
 
 Key generation_key();
 std::string serialize(const Generation&);
 std::optional<Generation> parse_generation(std::string_view);
-/// The heartbeat's value with the revisions as one more field; without revisions, as it is.
+/// Returns the heartbeat's value with the revisions as an additional field, or unchanged without revisions.
 std::string with_applied_revisions(const std::string& heartbeat,
                                    const std::optional<AppliedRevisions>& revisions);
-/// None: the heartbeat has no such field, as those of older versions, or it can't be parsed.
+/// @return std::nullopt if the heartbeat has no such field, as in older versions, or can't be parsed.
 std::optional<AppliedRevisions> parse_applied_revisions(std::string_view heartbeat);
 
-/// The generation to be written in place of the one that the registry shows. None: that one may stay. It may
-/// not if there is none, it is below a known one, it has a known number under another id, or history was lost
-/// in it.
+/// Returns the generation that must replace the one in the registry, or std::nullopt if that one may stay. It
+/// must be replaced if the registry has none, if it is below a known one, if it has a known number with
+/// another id, or if history was lost during it.
 std::optional<Generation> next_generation(const std::optional<Generation>& shown, const Generation& known,
                                           bool history_lost, const std::string& new_id);
 
-/// Follows the polls of one process.
+/// Derives the applied revisions of one process from its polls of the notice board.
 class AppliedRevisionTracker {
 public:
-    /// The registry's record. A lower one than known, or another under the same number, is ignored.
+    /// Applies the registry's record. A lower generation than the known one, or another with the same number,
+    /// is ignored.
     void on_generation(const Generation& shown);
     void on_configuration(ConfigurationNumber number) { configuration_ = number; }
 
-    /// Whether the next poll must ask for all that the board has, since this process's position in the
-    /// generation is not known. True until such a read has begun; it may take several polls, each from where
-    /// the last ended.
+    /// Returns whether the next poll must request the board's full history because this process's position in
+    /// the generation is unknown. It is true until such a read has begun. The read may take several polls,
+    /// each of which continues where the last one ended.
     bool needs_full_history() const;
     void on_poll_started(bool from_start);
-    /// Each event up to `newest` that the board still has is applied; `asked_from`: the number that the last
-    /// poll named.
+    /// Called once every event up to `newest` that the board still has is applied. `asked_from` is the number
+    /// that the last poll named.
     void on_poll_completed(EventNumber newest, EventNumber asked_from);
-    /// An event could not be parsed: it is not applied, and none after it counts.
+    /// Called for an event that could not be parsed: it is not applied, and no later event counts.
     void on_notice_skipped() { notice_skipped_ = true; }
     void on_poll_failed();
-    /// The registry was restored: a higher generation may have been lost with it.
+    /// Called after the registry was restored: a higher generation may have been lost.
     void on_history_lost();
 
     std::optional<AppliedRevisions> applied_revisions() const;
     const Generation& generation() const { return generation_; }
-    /// Whether the board has delivered all that it had since the process began: from then on this process
-    /// lacks no event that a former process under its name had reported.
+    /// Returns whether the board has delivered its full history to this process. From then on this process
+    /// lacks no event that a former process with its name had reported.
     bool has_full_history() const { return has_full_history_; }
 
 private:
@@ -91,11 +93,11 @@
     EventNumber event_;
     ConfigurationNumber configuration_;
     bool event_known_in_generation_ = false;  // event_ is a position in generation_
-    bool history_lost_ = false;               // seen under generation_
+    bool history_lost_ = false;               // detected during generation_
     bool has_full_history_ = false, notice_skipped_ = false;
     bool poll_in_flight_ = false;
-    Generation generation_at_poll_start_;       // when the poll was sent
-    bool full_history_poll_in_flight_ = false;  // a read of the full history is under way
+    Generation generation_at_poll_start_;       // known when the poll was sent
+    bool full_history_poll_in_flight_ = false;  // a read of the full history has begun and not ended
     Generation generation_at_full_history_start_;
 };
 
--- a/src/fleet/clocks.hpp
+++ b/src/fleet/clocks.hpp
@@ -1,4 +1,4 @@
-/// The two clocks of a member's process.
+/// The clocks that a member uses.
 #pragma once
 
 #include <cstdint>
@@ -7,10 +7,10 @@
 
 namespace irismux::fleet {
 
-/// Steady, and also counts the time during which the machine is suspended (CLOCK_BOOTTIME). Terms and waits
-/// are judged by it. Its instants compare only with one another, not with those of the event loop.
+/// Steady clock that also counts the time during which the machine is suspended (CLOCK_BOOTTIME). Terms and
+/// waits are measured with it. Its times are comparable only with one another, not with the event loop's.
 [[nodiscard]] TimePoint boot_time();
-/// The wall clock, in milliseconds; for people only, since it may be stepped.
+/// Wall clock in milliseconds. Use it only for display, since it may be stepped.
 [[nodiscard]] std::int64_t unix_time_ms();
 
 }  // namespace irismux::fleet
--- a/src/fleet/digest.cpp
+++ b/src/fleet/digest.cpp
@@ -9,10 +9,11 @@
 
 using nlohmann::json;
 
-// Snapshots come once a quarter of a term. It takes three until two heartbeats in a row have been seen as
-// new; one more may be lost.
+// A snapshot is taken once a quarter of a term. Three snapshots are needed to see two consecutive new
+// heartbeats, and one more snapshot may be lost.
 constexpr double max_unseen_share_of_term = 1.25;
-// As the Agent's: its heartbeat interval, and its longest sleep between looking for what is due.
+// The Agent's heartbeat interval, and its longest sleep before it checks for due work again. Both must match
+// the Agent.
 constexpr double heartbeat_interval_share_of_term = 0.25, agent_sleep_share_of_interval = 0.25;
 
 std::optional<std::int64_t> non_negative_integer(const json& object, const char* key) {
@@ -31,7 +32,8 @@
     return it != object.end() && it->is_boolean() && it->get<bool>();
 }
 
-// Without what changes with each snapshot: a digest is news only if the content has changed.
+// Serializes the digest without the fields that change with each snapshot. A digest is written before its
+// refresh interval only if this content has changed.
 json content_of(const Digest& digest) {
     json object = {{"owner", digest.owner.raw()},
                    {"owner_id", digest.owner_id},
@@ -54,7 +56,8 @@
     return object;
 }
 
-// Calls `visit` with each entry of a list whose first part is text and whose others are numbers.
+// Calls `visit` with each entry of a list of arrays, each of one string and `numbers` integers.
+// Returns false if the list is malformed or longer than `most`.
 template <class Visit>
 bool for_each_entry(const json& object, const char* key, std::size_t numbers, std::size_t most, Visit visit) {
     const auto it = object.find(key);
@@ -69,8 +72,8 @@
     return true;
 }
 
-// The lowest revisions of the live members, and those below the site's highest event or configuration, the
-// lowest first.
+// Adds the lowest revisions of the live members, and the members below the site's highest event or
+// configuration, the lowest first.
 void add_lagging(Digest& digest, std::vector<Digest::LaggingMember> live) {
     if (live.empty()) return;
     std::sort(live.begin(), live.end(), [](const auto& a, const auto& b) {
@@ -90,7 +93,7 @@
     }
 }
 
-// False: a list is malformed. A list that is missing is empty.
+// Returns false if a list is malformed. A missing list counts as empty.
 bool parse_lists(const json& object, Digest& digest) {
     const auto append_absent = [&](const json& entry) {
         digest.absent.push_back({MemberName{entry[0].get<std::string>()}, entry[1].get<std::int64_t>()});
@@ -120,9 +123,9 @@
     return (max_unseen_time(term) + max_staleness(term)) * ((1 + drift) / (1 - drift));
 }
 
-// In this order: the gateway's heartbeat behind a transaction under way; the owner's next snapshot, at the
-// usual interval if it knew of no lagging member; the digest, at its own interval behind another transaction;
-// the reader's next read.
+// The delay adds up, in this order: the gateway's heartbeat, which waits for a transaction in flight; the
+// owner's next snapshot, at the usual interval if it knew of no lagging member; the digest, at its own
+// interval and after another transaction; the reader's next read.
 Duration max_report_delay(Duration term, double drift, Duration acknowledge_interval, Duration reply_time,
                           Duration read_interval) {
     const Duration heartbeat = acknowledge_interval + reply_time * 2;
@@ -201,17 +204,18 @@
     digest.lowest_configuration = ConfigurationNumber{*configuration};
     digest.absent_count = static_cast<std::size_t>(*absent);
     digest.lagging_count = static_cast<std::size_t>(*behind);
-    // A list may be shorter than its count, since only so many are named, but not longer.
+    // A list may be shorter than its count, since its length is limited, but not longer.
     if (!parse_lists(object, digest) || digest.absent.size() > digest.absent_count ||
         digest.lagging.size() > digest.lagging_count)
         return std::nullopt;
     return digest;
 }
 
-// --- what is known of the members' processes -------------------------------------------------------------
+// --- observations of the members' processes --------------------------------------------------------------
 
-// Guards against a restored registry, which shows old heartbeats again: the member would count as live though
-// its process has ended. A heartbeat below one seen before of the same process is no evidence.
+// A restored registry shows old heartbeats again, by which a member would count as live although its process
+// has ended. So a heartbeat with a lower number than an earlier one of the same process does not prove that
+// the process runs.
 void DigestBuilder::record_heartbeat(const MemberName& name, const std::optional<std::string>& text_shown,
                                      TimePoint requested_at) {
     const auto heartbeat = text_shown ? parse_heartbeat(*text_shown) : std::nullopt;
@@ -237,8 +241,8 @@
     observed_heartbeats_[name] = std::move(next);
 }
 
-// The sender of the heartbeat ran after the one before it had landed, and that one had not landed yet when
-// the snapshot of `last_snapshot_without_previous_text` was requested.
+// The sender of the heartbeat ran after its previous heartbeat was committed, and the previous one was not
+// yet committed at `last_snapshot_without_previous_text`.
 bool DigestBuilder::is_live(const MemberName& name, TimePoint received_at) const {
     const auto it = observed_heartbeats_.find(name);
     if (it == observed_heartbeats_.end() || it->second.instance_id.empty() ||
@@ -288,8 +292,9 @@
     digest.absent.push_back({name, since == absent_since_.end() ? now_unix_ms : since->second});
 }
 
-// Guards against a restored registry, which shows an old generation again: its numbers would count for those
-// of the newest one. Members that know a higher one, or another id under the same number, show that.
+// A restored registry shows an old generation again, and event numbers of that generation would be taken for
+// those of the newest one. Members that report a higher generation, or the same number with another id,
+// reveal the restore.
 void DigestBuilder::record_generations(const std::optional<AppliedRevisions>& own) {
     generation_ids_conflict_ = false;
     const auto record_generation = [&](const Generation& g) {
@@ -314,7 +319,7 @@
         if (roster_.names.contains(name)) record_heartbeat(name, text_shown, snapshot.requested_at);
     shown_generation_ = snapshot.generation ? parse_generation(*snapshot.generation) : std::nullopt;
     record_generations(own);
-    // Since when members are absent is passed on from owner to owner.
+    // The new owner takes the absence times over from the previous owner's digest.
     if (const auto previous = snapshot.former_digest ? parse_digest(*snapshot.former_digest) : std::nullopt)
         for (const auto& a : previous->absent) absent_since_.try_emplace(a.member, a.since_ms);
     Digest digest = merge(snapshot, own);
--- a/src/fleet/digest.hpp
+++ b/src/fleet/digest.hpp
@@ -1,14 +1,14 @@
-/// One record a site: what its members have applied, computed from their heartbeats by the owner of the
-/// site's duty `digest`. No I/O, no clock.
+/// The digest of a site: one record of the revisions that the site's members have applied. The owner of the
+/// site's duty `digest` computes it from their heartbeats. Does no I/O and reads no clock.
 ///
-///   roster    the names that have ever joined the site, until an operator removes them. A name's first join
-///             writes it in its own transaction, so that no member that may be serving is missing from it.
-///   digest    written by the duty's owner as of one heartbeat of its own, whose transaction read the roster
+///   roster    the names that have ever joined the site, until an operator removes them. The transaction of a
+///             name's first join adds it, so that the roster lacks no member that may be serving.
+///   digest    written by the duty's owner as of one of its own heartbeats, whose transaction read the roster
 ///             and all heartbeats at one revision.
 ///
-/// A member counts as live only while its process is shown to run: a heartbeat compares the one before, so
-/// its sender ran after that one had landed. A member that does not count is absent, with the time since
-/// when, until it counts again or is removed from the roster.
+/// A member counts as live only while its heartbeats prove that its process runs: a heartbeat compares the
+/// previous one, so its sender ran after that one was committed. A member that is not live is listed as
+/// absent, with the time since when, until it is live again or removed from the roster.
 ///
 /// Guarantee: each live member has applied a digest's `lowest` event, and its process ran at some time no
 /// earlier than max_unseen_time() before the heartbeat that the digest is as of.
@@ -26,23 +26,25 @@
 
 namespace irismux::fleet {
 
-/// With more names the roster is incomplete; a transaction of a registry may have 128 reads.
+/// A roster with more names is incomplete. The limit exists because a transaction of the registry may have at
+/// most 128 reads.
 constexpr std::size_t max_roster_names = 96;
-constexpr std::size_t max_named_members = 16;    ///< in each list of a digest; the counts include the others
-constexpr std::size_t max_reported_caches = 32;  ///< ejected ones in a digest, by falling number of members
+/// Longest list of members in a digest; the counts include members that are not listed.
+constexpr std::size_t max_named_members = 16;
+/// Number of ejected caches in a digest; caches that more members have ejected come first.
+constexpr std::size_t max_reported_caches = 32;
 
 struct SiteRoster {
     std::set<MemberName> names;
-    bool incomplete =
-        false;  ///< a name found no room: the site is never wholly known again until an operator
-                /// has mended it
+    /// A name did not fit: the site's members are not all known until an operator has repaired the roster.
+    bool incomplete = false;
     bool operator==(const SiteRoster&) const = default;
 };
 
 struct Digest {
     struct AbsentMember {
         MemberName member;
-        std::int64_t since_ms = 0;  ///< Unix time by the clock of the owner that saw it first; for people
+        std::int64_t since_ms = 0;  ///< Unix time by the clock of the owner that saw it first; for display
         bool operator==(const AbsentMember&) const = default;
     };
     struct LaggingMember {
@@ -54,22 +56,22 @@
 
     MemberName owner;
     std::string owner_id;              ///< of the owner's process
-    std::int64_t as_of_heartbeat = 0;  ///< the owner's heartbeat that showed it all this
-    std::int64_t as_of_unix_ms = 0;    ///< Unix time by the owner's clock; for people
+    std::int64_t as_of_heartbeat = 0;  ///< the owner's heartbeat whose transaction read the members' state
+    std::int64_t as_of_unix_ms = 0;    ///< Unix time by the owner's clock; for display
     Generation generation;
-    bool history_lost = false;    ///< as a member reports
+    bool history_lost = false;    ///< a member reports it
     std::size_t known_count = 0;  ///< names in the roster
     std::size_t live_count = 0;
-    EventNumber lowest, highest;  ///< of live members; the highest also of those that are not
+    EventNumber lowest, highest;  ///< lowest of the live members, highest of all members
     ConfigurationNumber lowest_configuration;
     std::vector<AbsentMember> absent;
     std::size_t absent_count = 0;
-    std::vector<LaggingMember>
-        lagging;  ///< live, and below the site's highest event or configuration; the lowest first
+    /// Live members below the site's highest event or configuration, the lowest first.
+    std::vector<LaggingMember> lagging;
     std::size_t lagging_count = 0;
-    bool roster_incomplete = false;  ///< the roster is
-    std::vector<std::pair<CacheId, std::size_t>>
-        ejected_caches;  ///< with the number of members that eject it
+    bool roster_incomplete = false;
+    /// Each ejected cache with the number of members that have ejected it.
+    std::vector<std::pair<CacheId, std::size_t>> ejected_caches;
 };
 
 Key roster_key();
@@ -79,25 +81,29 @@
 std::string serialize(const Digest&);
 std::optional<SiteRoster> parse_site_roster(std::string_view);
 std::optional<Digest> parse_digest(std::string_view);
-/// With that name in it. None: it is there already.
+/// Returns the roster with that name added.
+/// @return std::nullopt if nothing changes: the name is in the roster, or the roster is full and already
+/// marked incomplete.
 std::optional<SiteRoster> add_to_roster(const SiteRoster&, const MemberName&);
 
-/// How long a member counts as live after the last time at which its process is known to have run.
+/// Returns how long a member counts as live after the last time at which its process is known to have run.
 Duration max_unseen_time(Duration term);
-/// How long a reader takes a digest for fresh, by its own clock.
+/// Returns how long a reader regards a digest as fresh, by the reader's own clock.
 Duration max_staleness(Duration term);
-/// How long a process may still be counted after it last ran, with clocks off by `drift` either way. A new
-/// process whom the notice board has not answered must not serve until so long after its start.
+/// Returns how long a process may still be counted as live after it last ran, with clocks off by `drift`
+/// either way. A new process that has no reply from the notice board must not serve for this time after its
+/// start.
 Duration max_counted_time(Duration term, double drift);
-/// How late a reader that reads each `read_interval` may report an event as applied everywhere, after the
-/// last gateway has applied it: all members live, the registry answering within `reply_time`, the duty owned.
+/// Returns the longest time from when the last gateway has applied an event until a reader that reads every
+/// `read_interval` reports the event as applied everywhere. Premises: all members are live, the registry
+/// replies within `reply_time`, and the duty is owned.
 Duration max_report_delay(Duration term, double drift, Duration acknowledge_interval, Duration reply_time,
                           Duration read_interval);
 
-/// What the transaction of one of the owner's heartbeats read.
+/// The records that the transaction of one of the owner's heartbeats read.
 struct FleetSnapshot {
     TimePoint requested_at, received_at;  ///< by the owner's clock
-    std::int64_t heartbeat_number = 0;    ///< of that heartbeat, its own
+    std::int64_t heartbeat_number = 0;    ///< of the owner's heartbeat
     std::int64_t unix_ms = 0;
     std::optional<std::string> roster, former_digest, generation;
     std::map<MemberName, std::optional<std::string>> heartbeats;  ///< of other members
@@ -114,30 +120,32 @@
     };
     explicit DigestBuilder(Settings settings) : settings_(std::move(settings)) {}
 
-    /// Whose heartbeats the next snapshot must contain.
+    /// Returns the members whose heartbeats the next snapshot must contain.
     const std::set<MemberName>& member_names() const { return roster_.names; }
-    /// Each snapshot, whether or not this member owns the duty; `own` is what this member has applied.
+    /// Must be called with each snapshot, whether or not this member owns the duty. `own` are the revisions
+    /// that this member has applied.
     void on_snapshot(const FleetSnapshot& snapshot, const std::optional<AppliedRevisions>& own,
                      const std::map<CacheId, std::size_t>& ejections);
-    /// The digest to be written now, by the duty's owner. It is taken as written from here on; if it was not,
-    /// a later one is.
+    /// Returns the digest that the duty's owner must write now, if any. The builder assumes that it is
+    /// written; if the write fails, a later digest replaces it.
     std::optional<std::string> next_digest(TimePoint now);
-    /// Another member owns the duty: the digest so far is dropped.
+    /// Drops the current digest because another member owns the duty.
     void reset() { digest_.reset(); }
-    /// Whether a live member lacks what another has: snapshots should be frequent.
+    /// Returns whether a live member lacks a revision that another one has applied. Snapshots should be
+    /// frequent then.
     bool has_lagging_members() const { return digest_ && digest_->lagging_count > 0; }
     const std::optional<Digest>& digest() const { return digest_; }
-    /// The generation to be written in place of the registry's; none: that one may stay.
+    /// Returns the generation that must replace the registry's, or std::nullopt if that one may stay.
     std::optional<Generation> next_generation(const std::string& new_id) const;
 
 private:
-    // What is known of one member's process.
+    // The observations of one member's heartbeats, from which its process is known to have run.
     struct ObservedHeartbeat {
         std::string text, instance_id;  // of the heartbeat last shown, and of its sender's process
         std::int64_t number = 0;
         TimePoint last_shown_at;  // request time of the last snapshot with this member
-        // A snapshot requested then did not have this text yet; and so for the text before, of the same
-        // process.
+        // Request times of the last snapshots that did not have this text yet, and that did not have the
+        // previous text of the same process yet.
         std::optional<TimePoint> last_snapshot_without_text, last_snapshot_without_previous_text;
     };
 
@@ -155,10 +163,10 @@
     std::map<MemberName, ObservedHeartbeat> observed_heartbeats_;  // of names in the roster
     std::map<MemberName, std::int64_t> absent_since_;
     std::optional<Generation> shown_generation_;
-    Generation known_generation_;  // the highest that anybody was seen to have taken
+    Generation known_generation_;  // the highest in the registry's record or in any member's heartbeat
     bool generation_ids_conflict_ = false;
     std::optional<Digest> digest_;
-    std::string written_content_;  // the last one's content, without when and by whom
+    std::string written_content_;  // the last written digest without the fields that each snapshot changes
     TimePoint written_at_;
     bool ever_written_ = false;
 };
--- a/src/fleet/duties.cpp
+++ b/src/fleet/duties.cpp
@@ -7,7 +7,7 @@
 namespace irismux::fleet {
 namespace {
 
-// Both hashes are well mixed already; their mix is hashed once more, so that no two duties share an order.
+// The hashes of both names are hashed once more together, so that no two duties share an order.
 std::uint64_t score(const DutyName& duty, const MemberName& member) {
     const std::uint64_t both[] = {XXH64(duty.raw().data(), duty.raw().size(), 0),
                                   XXH64(member.raw().data(), member.raw().size(), 0)};
--- a/src/fleet/duties.hpp
+++ b/src/fleet/duties.hpp
@@ -1,5 +1,5 @@
-/// The duties of a fleet as one member knows them, and the order of the members for each: rendezvous hashing,
-/// so that the loss of one member moves only that member's duties. No I/O.
+/// The duties of a fleet as one member knows them, and the order of the members for each duty. The order uses
+/// rendezvous hashing, so that the loss of one member moves only that member's duties. Does no I/O.
 #pragma once
 
 #include <map>
@@ -15,7 +15,7 @@
 
 class Duties {
 public:
-    /// Followed at once, those given up among them.
+    /// Maximum number of duties followed at one time, including those given up.
     static constexpr std::size_t max_duties = 4096;
 
     /// One duty as this member knows it.
@@ -31,24 +31,25 @@
         Lease lease;            ///< of this member
     };
 
-    /// The duties that are wanted; records of any others are ignored. False: there are more than max_duties,
-    /// and some are not followed.
+    /// Sets the wanted duties; records of other duties are ignored.
+    /// @return false if there are more than max_duties, and some are not followed.
     bool set_names(const std::set<DutyName>& names);
-    /// The token given up is remembered, since a late record may still name us.
+    /// Stops following the duty but keeps the token given up, since a late record may still name this member.
     void remove(const DutyName&);
-    /// For a new incarnation: no record can name it with a token given up before.
+    /// Must be called for a new incarnation, which no record can name with a token given up earlier.
     void forget_given_up() { given_up_.clear(); }
     std::map<DutyName, Duty>& all() { return all_; }
     const std::map<DutyName, Duty>& all() const { return all_; }
-    /// A record as of that revision; older ones than known are ignored. True: the duty is followed, and its
-    /// record has changed or is known for the first time.
+    /// Applies a record as of that revision; a revision older than the known one is ignored.
+    /// @return true if the duty is followed and its record has changed or is known for the first time.
     bool on_record(registry::Revision at, const DutyName&, const std::optional<std::string>& text);
-    /// All records follow, of a possibly lower revision; duties that are not listed have no record.
+    /// Called before all records are delivered again, possibly as of a lower revision. Duties that are not
+    /// listed have no record.
     void on_full_list(const std::set<DutyName>& listed);
 
-    /// Whether one member comes before the other in the duty's order.
+    /// Returns whether one member ranks before the other in the duty's order.
     static bool ranks_before(const DutyName&, const MemberName& one, const MemberName& other);
-    /// Rank of `self` in the duty's order among itself and the others; 0 is the first.
+    /// Returns the rank of `self` in the duty's order among itself and the others; 0 is the first.
     static std::size_t rank(const DutyName&, const MemberName& self, const std::vector<MemberName>& others);
 
 private:
--- a/src/fleet/fence.hpp
+++ b/src/fleet/fence.hpp
@@ -1,13 +1,13 @@
-/// Refuses fencing tokens below one that has been seen. No I/O.
+/// Rejects fencing tokens that are lower than one already seen. Does no I/O.
 ///
-/// Duties whose records were removed from the registry are forgotten, so that the memory does not grow with
-/// names ever seen. An order for an unknown duty counts only above all forgotten tokens, until the registry
-/// itself shows the duty.
+/// The fence forgets duties whose records were removed from the registry, so that its size does not grow with
+/// every name ever seen. It accepts a holder of an unknown duty only with a token above all forgotten tokens,
+/// until the registry itself shows the duty.
 ///
 /// Guarantee: for one duty this member never accepts a token lower than one that it has accepted, nor one
-/// token under two owners; also after a restart, if restore() is given what serialize() returned. Premise:
-/// the stored state is not lost with the machine. Without it a member starts with no memory, which is safe
-/// for ownership (the registry's transactions ensure that) but does not refuse the old tokens of a restored
+/// token with two owners; this holds across a restart if restore() is given what serialize() returned.
+/// Premise: the stored state is not lost with the machine. A member without stored state is still safe for
+/// ownership, which the registry's transactions ensure, but does not reject the old tokens of a restored
 /// registry.
 #pragma once
 
@@ -20,7 +20,7 @@
 
 namespace irismux::fleet {
 
-/// Who holds a duty under which token.
+/// The owner of a duty and the fencing token of its lease.
 struct LeaseHolder {
     FencingToken token;
     MemberName owner;
@@ -30,27 +30,27 @@
 
 class Fence {
 public:
-    /// Tokens of more duties than `most` are refused.
+    /// Stores the tokens of at most `most` duties and rejects those of any others.
     explicit Fence(std::size_t most = 4096) : max_duties_(most) {}
 
-    /// Whether an order under that token is to be obeyed; if so, no lower one is ever again.
+    /// Returns whether the holder's token is valid. If it is, the fence never again accepts a lower one.
     bool accepts(const DutyName& duty, const LeaseHolder& holder);
-    /// As accepts(), for the registry's own record.
+    /// Like accepts(), for the registry's own record, which may also name an unknown duty.
     bool on_record(const DutyName& duty, const LeaseHolder& holder);
-    /// The duty's record has been removed: its next owner has a higher token.
+    /// Called after the duty's record has been removed; the duty's next owner has a higher token.
     void forget(const DutyName& duty);
-    /// The token seen because of which this holder is refused; zero: none.
+    /// Returns the token already seen because of which this holder is rejected, or zero if it is not.
     FencingToken conflicting_token(const DutyName& duty, const LeaseHolder& holder) const;
-    /// The highest token seen of that duty; zero: none.
+    /// Returns the highest token seen for the duty, or zero if there is none.
     FencingToken highest(const DutyName& duty) const;
 
     std::string serialize() const;
-    /// False: it can't be parsed, and nothing has changed.
+    /// @return false if the bytes can't be parsed; the fence is unchanged then.
     bool restore(std::string_view bytes);
 
 private:
     std::size_t max_duties_;
-    FencingToken highest_forgotten_;  // the highest of forgotten duties
+    FencingToken highest_forgotten_;  // the highest token of all forgotten duties
     std::map<DutyName, LeaseHolder> holders_;
 };
 
--- a/src/fleet/fleet_client.cpp
+++ b/src/fleet/fleet_client.cpp
@@ -61,7 +61,7 @@
             settings_.site.raw().empty() ? Duration{} : settings_.acknowledge_interval};
 }
 
-// Runs it after the current call has returned; never after this client has been destroyed.
+// Runs the callback after the current call has returned, but not if this client was destroyed meanwhile.
 void FleetClient::call_soon(std::function<void()> callback) {
     event_loop_.schedule_now([alive = std::weak_ptr<bool>(liveness_token_), callback = std::move(callback)] {
         if (alive.lock()) callback();
@@ -86,7 +86,7 @@
 
 void FleetClient::on_ejection_changed(const CacheId& cache, bool ejected) {
     health_monitor_.on_ejection_changed(cache, ejected);
-    // Where health checks are not permitted, the router's own recovery probe counts as one.
+    // Where health checks are not permitted, the router's own recovery probe counts as a health check.
     call_soon([this, cache, ejected] {
         if (!ejected) health_monitor_.on_health_check_done(boot_time(), cache, true, agent_);
         agent_.set_ejected_caches(boot_time(), health_monitor_.ejected_caches());
@@ -104,7 +104,7 @@
 
 void FleetClient::start_health_check(const CacheId& cache) {
     call_soon([this, cache] {
-        // Guards against a process that was stopped meanwhile: its lease may have ended.
+        // The process may have been stopped since the call was scheduled, so its lease may have ended.
         if (!may_check_health(cache)) return;
         if (!gateway_.start_health_check(cache))
             health_monitor_.on_check_not_permitted(boot_time(), cache, agent_);
@@ -175,7 +175,8 @@
 
 // --- duties
 
-// The records of duties that are new here have been delivered before, and must be so again.
+// The records of newly followed duties were delivered while the agent ignored them, so they are delivered
+// again.
 void FleetClient::update_duties() {
     std::set<DutyName> duties{garbage_collection_duty()};
     if (site_reporter_) duties.insert(digest_duty());
@@ -192,7 +193,7 @@
     if (!records.empty()) agent_.on_records(boot_time(), mirrored_revision_, records, false);
 }
 
-// Starts what is due, and schedules itself for the next.
+// Starts the tasks that are due and schedules the next call.
 void FleetClient::run_due_tasks() {
     due_tasks_timer_.cancel();
     const TimePoint now = boot_time();
@@ -203,7 +204,7 @@
         ScopedTimer(event_loop_, to_event_loop_time(next_task_at), [this] { run_due_tasks(); });
 }
 
-// Returns when the next task is due, this one's included.
+// Returns the time of the next task, which is `next_task_at` or the next pass of the garbage collector.
 TimePoint FleetClient::collect_garbage(TimePoint now, TimePoint next_task_at) {
     const DutyName duty = garbage_collection_duty();
     if (!agent_.may_begin_work(now, duty)) return next_task_at;
@@ -223,7 +224,7 @@
     if (duty == garbage_collection_duty()) garbage_collector_.on_written(boot_time(), outcome);
 }
 
-// --- what this member has applied
+// --- applied revisions
 
 bool FleetClient::needs_full_notice_history() const {
     return site_reporter_ && site_reporter_->applied().needs_full_history();
@@ -264,7 +265,7 @@
     if (site_reporter_) site_reporter_->applied().on_history_lost();
 }
 
-// --- what outlives the process
+// --- state that is kept over a restart
 
 // A crash loses the tokens seen since the last save.
 void FleetClient::save_tokens() {
--- a/src/fleet/fleet_client.hpp
+++ b/src/fleet/fleet_client.hpp
@@ -1,6 +1,6 @@
-/// One gateway's part in its fleet: connects the Agent, and the duties that it may own, to the registry and
-/// to the gateway, on the event loop. It decides nothing: Agent, HealthMonitor, GarbageCollector and
-/// SiteReporter say what is due and what an answer means.
+/// Connects one gateway to its fleet: it runs the Agent, and the duties that the agent may own, on the event
+/// loop with the registry and the gateway. It makes no decisions: Agent, HealthMonitor, GarbageCollector and
+/// SiteReporter determine what is due and how a reply is handled.
 #pragma once
 
 #include <functional>
@@ -24,7 +24,7 @@
 
 namespace irismux::fleet {
 
-/// The loop and the gateway must outlive it. Instants in the interface are of the event loop's clock.
+/// The loop and the gateway must outlive the client. Times in the interface are of the event loop's clock.
 class FleetClient final : private AgentTransport,
                           private AgentObserver,
                           private HealthCheckCallbacks,
@@ -39,18 +39,20 @@
     /// process may open it.
     void leave();
 
-    /// The router has ejected or readmitted that cache.
+    /// Called when the router has ejected or readmitted the cache.
     void on_ejection_changed(const CacheId&, bool ejected);
-    /// The cache has left the endpoint list.
+    /// Called when the cache is removed from the endpoint list.
     void on_endpoint_removed(const CacheId& cache) { on_ejection_changed(cache, false); }
-    /// The outcome of a health check that was started.
+    /// Called with the outcome of a health check that was started.
     void on_health_check_done(const CacheId&, bool answered);
-    /// Whether the lease still covers a health check; to be asked right before its first byte is sent.
+    /// Returns whether the lease still covers a health check. Must be called right before the check's first
+    /// byte is sent.
     [[nodiscard]] bool may_check_health(const CacheId& cache) const;
 
-    // --- of a site's member: which notices and configuration it has applied
+    // --- for a member of a site: the notices and the configuration that it has applied
 
-    /// Whether requests may be taken yet; if not, serves_from() says from when on at the latest.
+    /// Returns whether the gateway may accept requests yet. If not, it may at the latest from serves_from()
+    /// on.
     [[nodiscard]] bool may_serve() const { return !site_reporter_ || site_reporter_->may_serve(boot_time()); }
     [[nodiscard]] TimePoint serves_from() const {
         return to_event_loop_time(site_reporter_->serving_allowed_at());
@@ -99,10 +101,10 @@
     EventLoop& event_loop_;
     GatewayCallbacks& gateway_;
     Settings settings_;
-    TokenStore token_store_;  // before agent_, whose identity is read from it
+    TokenStore token_store_;  // declared before agent_, whose identity is read from it
     std::string instance_id_;
     Agent agent_;
-    std::optional<SiteReporter> site_reporter_;  // none: of no site
+    std::optional<SiteReporter> site_reporter_;  // std::nullopt outside of a site
     HealthMonitor health_monitor_;
     GarbageCollector garbage_collector_;
     RecordMirror record_mirror_;
--- a/src/fleet/fleet_event.hpp
+++ b/src/fleet/fleet_event.hpp
@@ -1,5 +1,5 @@
-/// What a member reports about itself for the log: one type an event. docs/operations/fleet.md says what each
-/// means and what to do.
+/// Events that a member reports for the log, one type per event. docs/operations/fleet.md explains each event
+/// and the operator's response.
 #pragma once
 
 #include <cstddef>
@@ -16,7 +16,7 @@
 struct LeaseStateChanged {
     DutyName duty;
     LeaseState state = LeaseState::idle;
-    FencingToken token;  ///< of the duty's newest known record; zero: none
+    FencingToken token;  ///< of the duty's newest known record; zero if there is none
     bool operator==(const LeaseStateChanged&) const = default;
 };
 
@@ -30,37 +30,37 @@
 struct JoinRefused {
     JoinRefusal reason = JoinRefusal::shared_config_differs;
     MemberName member;
-    std::string registry_config;  ///< where that differs: its first 200 bytes
+    std::string registry_config;  ///< for shared_config_differs: its first 200 bytes
     bool operator==(const JoinRefused&) const = default;
 };
 
 enum class MembershipEnd {
-    left,               ///< by its own wish
-    evicted,            ///< others saw no heartbeat of it for a term
+    left,               ///< the member left by its own decision
+    evicted,            ///< other members saw no new heartbeat of it for a term
     registry_restored,  ///< the registry holds an older heartbeat than this member's newest
 };
 
-/// This member is out of the fleet and owns nothing any more; unless it left, it joins anew.
+/// This member is no longer in the fleet and owns no duties. Unless it left, it joins again.
 struct MembershipEnded {
     MembershipEnd reason = MembershipEnd::left;
     MemberName member;
     bool operator==(const MembershipEnded&) const = default;
 };
 
-/// There are more duties than a member follows; some are not taken up.
+/// There are more duties than a member follows; some are ignored.
 struct DutyLimitExceeded {
     std::size_t limit = 0;
     bool operator==(const DutyLimitExceeded&) const = default;
 };
 
-/// The record of that duty can't be parsed; nobody here claims the duty.
+/// The record of the duty can't be parsed; this member does not claim the duty.
 struct DutyRecordUnreadable {
     DutyName duty;
     bool operator==(const DutyRecordUnreadable&) const = default;
 };
 
-/// The registry shows a lower token of that duty than was seen: it was restored from a backup. The owner
-/// claims the duty again under a higher one.
+/// The registry shows a lower token for the duty than one already seen: it was restored from a backup. The
+/// owner claims the duty again under a higher token.
 struct FencingTokenRegressed {
     DutyName duty;
     FencingToken recorded;
@@ -68,23 +68,23 @@
     bool operator==(const FencingTokenRegressed&) const = default;
 };
 
-/// No watch of the registry delivers anything, or one does again.
+/// The watch of the registry has been disconnected or connected again.
 struct RegistryConnectionChanged {
     bool connected = false;
     bool operator==(const RegistryConnectionChanged&) const = default;
 };
 
-/// What the watch over the fleet's records reports of its own.
+/// A warning of the watch that delivers the fleet's records.
 struct RegistryWatchWarning {
     registry::WatchWarningKind kind = registry::WatchWarningKind::request_failed;
-    std::string failure;  ///< the RequestFailureReason by name; empty: not a failed request
+    std::string failure;  ///< the RequestFailureReason by name; empty if no request failed
     std::string detail;   ///< of a failed request; may be empty
     bool operator==(const RegistryWatchWarning&) const = default;
 };
 
 enum class TokenStoreOperation { open, parse, write };
 
-/// Tokens seen are not kept over a restart, or were not read back from an earlier one.
+/// The fencing tokens seen can't be saved for the next start, or could not be restored at this start.
 struct TokenStoreFailed {
     TokenStoreOperation operation = TokenStoreOperation::open;
     std::string reason;  ///< in snake_case
@@ -96,7 +96,7 @@
     std::variant<LeaseStateChanged, JoinRefused, MembershipEnded, DutyLimitExceeded, DutyRecordUnreadable,
                  FencingTokenRegressed, RegistryConnectionChanged, RegistryWatchWarning, TokenStoreFailed>;
 
-/// Writes it as one record of the log.
+/// Writes the event as one record of the log.
 void write_to_log(const FleetEvent& event);
 
 }  // namespace irismux::fleet
--- a/src/fleet/fleet_status.cpp
+++ b/src/fleet/fleet_status.cpp
@@ -31,7 +31,8 @@
     }
 }
 
-// The heartbeat that the digest is as of landed after a reading was requested that still showed a lower one.
+// The digest is fresh if a recently requested reading still showed a lower heartbeat of its owner: the
+// heartbeat that the digest is as of was committed after that request.
 bool FleetStatus::fresh(TimePoint now, const SiteName& site) const {
     const auto digest = digests_.find(site);
     const auto shown = heartbeat_readings_.find(site);
@@ -68,7 +69,7 @@
             missing.push_back({MissingReason::lagging, site, lagging.member, 0});
             named = true;
         }
-    // All of the site are equally behind, or not all of those behind are named in the digest.
+    // Either all members of the site lag equally, or the digest does not name all lagging members.
     if (!named || digest.lagging_count > digest.lagging.size())
         missing.push_back({MissingReason::lagging, site, {}, 0});
 }
@@ -76,8 +77,8 @@
 FleetStatus::Verdict FleetStatus::judge(TimePoint now, const Query& query) const {
     Verdict verdict;
     if (inventory_.empty()) verdict.missing.push_back({MissingReason::no_inventory, {}, {}, 0});
-    // Guards against a restored notice board: members still report numbers of its former history, which would
-    // count as applied. Its newest event is then below what they report.
+    // After a restore of the notice board, members still report numbers of its former history, which would
+    // count as applied. The board's newest event is then lower than the reported ones.
     if (query.event > EventNumber{} &&
         (!newest_event_ || *newest_event_ < query.event || *newest_event_ < highest_claimed_event()))
         verdict.missing.push_back({MissingReason::newest_event_unknown, {}, {}, 0});
--- a/src/fleet/fleet_status.hpp
+++ b/src/fleet/fleet_status.hpp
@@ -1,15 +1,16 @@
-/// Answers whether an event or a configuration is in force everywhere, at all gateways but some that are
-/// named, or not yet: from the digests of all sites, the inventory of sites, and the notice board's newest
-/// event. No I/O, no clock.
+/// Determines whether an event or a configuration is in force everywhere, at all gateways but some that are
+/// named, or not yet. It uses the digests of all sites, the inventory of sites, and the notice board's newest
+/// event. Does no I/O and reads no clock.
 ///
-/// A digest counts only while it is fresh: the reader has itself seen the owner's heartbeat below the one
-/// that the digest is as of, no longer ago than max_staleness(). So several reads are needed before anything
-/// can be answered, and neither a stopped owner nor a late message can make an old digest count as new.
+/// A digest counts only while it is fresh: no longer than max_staleness() ago, the reader itself has seen a
+/// heartbeat of the owner with a lower number than the one that the digest is as of. So several reads are
+/// needed before any verdict is possible, and neither a stopped owner nor a late message can make an old
+/// digest count as new.
 ///
 /// Guarantee: when judge() returns `everywhere`, no gateway acts without the event. Premises: those of
 /// AppliedRevisionTracker and DigestBuilder; the inventory names every site with the number of its gateways;
-/// no clock's rate is off by more than `drift`; a process that the notice board has not answered yet does not
-/// serve for max_counted_time() after its start; one process a name.
+/// no clock's rate is off by more than `drift`; a process without a reply from the notice board does not
+/// serve for max_counted_time() after its start; each name has one process.
 #pragma once
 
 #include <deque>
@@ -27,13 +28,13 @@
 public:
     enum class Reach {
         everywhere,
-        all_but,  ///< only absent members and silent sites are missing, and all of them are named
+        all_but,  ///< only absent members and sites with stale digests are missing, and all of them are named
         not_yet,
     };
     enum class MissingReason {
         absent,                ///< a member whose heartbeats do not show that it runs: cut off, dead or left
         stale_digest,          ///< the site has no fresh digest
-        lagging,               ///< live, and has not applied it
+        lagging,               ///< a live member that has not applied the event or configuration
         never_reported,        ///< an expected site without a digest
         too_few_members,       ///< fewer names than in the inventory
         too_many_members,      ///< more members than a digest or a roster can name
@@ -45,36 +46,36 @@
     struct Missing {
         MissingReason reason;
         SiteName site;      ///< may be empty
-        MemberName member;  ///< empty: the whole site
+        MemberName member;  ///< empty for the whole site
         std::int64_t since_ms = 0;
         bool operator==(const Missing&) const = default;
     };
     struct Verdict {
         Reach reach = Reach::not_yet;
-        std::vector<Missing>
-            missing;  ///< at most so many as digests name; if more are known of, it is not yet
+        /// Limited to the members that digests name; if more members are missing, the verdict is `not_yet`.
+        std::vector<Missing> missing;
     };
     struct Query {
-        EventNumber event;                  ///< zero: not asked
-        ConfigurationNumber configuration;  ///< zero: not asked
+        EventNumber event;                  ///< zero if the query has no event
+        ConfigurationNumber configuration;  ///< zero if the query has no configuration
     };
     /// The records of one read of the registry, all at one revision.
     struct RegistryReading {
         TimePoint requested_at;
         std::optional<std::string> generation;
         std::map<SiteName, std::string> digests;
-        std::map<SiteName, std::string> owner_heartbeats;  ///< of those that owners() returned
-        std::set<MemberName> members_outside_sites;        ///< members outside of all sites
+        std::map<SiteName, std::string> owner_heartbeats;  ///< of the members that owners() returned
+        std::set<MemberName> members_outside_sites;
     };
 
-    /// The inventory: each site with the least number of its gateways.
+    /// The inventory gives each site with the minimum number of its gateways.
     FleetStatus(Duration term, std::map<SiteName, std::size_t> inventory)
         : term_(term), inventory_(std::move(inventory)) {}
 
-    /// Whose heartbeats the next reading must show.
+    /// Returns the digest owners, whose heartbeats the next reading must contain.
     std::map<SiteName, MemberName> owners() const;
     void on_reading(const RegistryReading&);
-    /// The notice board's newest event, requested after the last reading.
+    /// Sets the notice board's newest event, which must have been requested after the last reading.
     void on_newest_event(EventNumber newest) { newest_event_ = newest; }
 
     [[nodiscard]] Verdict judge(TimePoint now, const Query&) const;
@@ -82,7 +83,7 @@
     const std::map<SiteName, Digest>& digests() const { return digests_; }
 
 private:
-    static constexpr std::size_t max_readings = 256;  // of a site; beyond, the oldest is dropped
+    static constexpr std::size_t max_readings = 256;  // per site; beyond this the oldest is dropped
 
     struct HeartbeatReading {
         TimePoint requested_at;
--- a/src/fleet/garbage_collector.cpp
+++ b/src/fleet/garbage_collector.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-// A comparison that succeeds only while that instance is no member; none: it is one, as far as is known.
+// Returns a comparison that holds only while the instance is not a member, or std::nullopt if it is a member
+// according to the records received so far.
 std::optional<KeyValue> absence_of(const Instance& instance, const RecordMirror& record_mirror,
                                    const Agent& agent) {
     if (agent.is_member(instance)) return std::nullopt;
@@ -16,7 +17,8 @@
 
 }  // namespace
 
-// The write that removes the record if it is garbage, comparing what makes it garbage.
+// Returns the write that removes the record if it is garbage. The write compares the records that make it
+// garbage.
 std::optional<FencedWrite> GarbageCollector::removal(const Key& key, const std::string& text,
                                                      const RecordMirror& record_mirror,
                                                      const Agent& agent) const {
@@ -37,7 +39,7 @@
     return std::nullopt;
 }
 
-// The token of a removed duty goes into the floor, so that no later owner gets it again.
+// The write stores the token of the removed duty in the floor, so that no later owner gets it again.
 std::optional<FencedWrite> GarbageCollector::duty_removal(const Key& key, const std::string& text,
                                                           const DutyName& duty,
                                                           const RecordMirror& record_mirror,
@@ -55,7 +57,7 @@
     return write;
 }
 
-// Once a pass: finds the records that have been garbage for long enough.
+// Finds the records that have been garbage for the minimum age. Runs once per pass.
 void GarbageCollector::scan(TimePoint now, const RecordMirror& record_mirror, const Agent& agent) {
     std::map<Key, Candidate> candidates;
     ready_removals_.clear();
@@ -99,7 +101,8 @@
     return write_request;
 }
 
-// A write that was refused, or may not have landed, is tried again in the next pass from the records of then.
+// A write that was refused or has an unknown outcome is retried in the next pass with the records of that
+// time.
 void GarbageCollector::on_written(TimePoint now, WriteOutcome) {
     write_under_way_ = false;
     if (!write_ends_pass_) return;
--- a/src/fleet/garbage_collector.hpp
+++ b/src/fleet/garbage_collector.hpp
@@ -1,13 +1,15 @@
-/// Removes records that dead members left behind. It is a duty of the fleet, so one member at a time does it.
-/// No I/O.
+/// Removes records that dead members left behind. Garbage collection is a duty of the fleet, so one member at
+/// a time does it. Does no I/O. These records are garbage:
 ///
-///   duty/watch/...  of an unowned health check that this member does not want; its token goes into the floor
-///   aside/...       a release that names an instance which is no member any more
+///   duty/watch/...  the duty of an unowned health check that this member does not want; its token is stored
+///   in
+///                   the floor
+///   aside/...       a release that names an instance that is no longer a member
 ///   seen/...        a health check's result whose duty has no record
 ///
 /// A record is removed only after it has been garbage, unchanged, for a minimum age by this owner's clock.
-/// Each removal is one transaction together with the position reached in the pass, so that the next owner
-/// continues behind it. Records of other duties stay: their names are few.
+/// Each removal is one transaction that also stores the position reached in the pass, so that the next owner
+/// continues after it. Records of other duties stay, since the number of their names is small.
 #pragma once
 
 #include <map>
@@ -28,16 +30,16 @@
     GarbageCollector(Duration interval, Duration minimum_age)
         : interval_(interval), minimum_age_(minimum_age) {}
 
-    /// The next write, if one is due. One is under way at a time.
+    /// Returns the next write if one is due. One write is in flight at a time.
     std::optional<FencedWrite> next_write(TimePoint now, const RecordMirror& record_mirror,
                                           const Agent& agent);
-    /// The outcome of that write.
+    /// Called with the outcome of that write.
     void on_written(TimePoint now, WriteOutcome outcome);
-    /// When next_write() is to be called again, if no write is under way.
+    /// Returns when next_write() must be called again if no write is in flight.
     TimePoint next_pass_at() const { return next_pass_at_; }
 
 private:
-    // Garbage as it was first seen.
+    // A record that is garbage, as it was first seen.
     struct Candidate {
         std::string text;
         TimePoint since;
@@ -54,8 +56,8 @@
     bool write_under_way_ = false;
     bool write_ends_pass_ = false;
     TimePoint next_pass_at_;
-    std::set<Key> ready_removals_;         // to be removed in this pass
-    bool scanned_ = false;                 // in this pass
+    std::set<Key> ready_removals_;         // records still to be removed in this pass
+    bool scanned_ = false;                 // the scan of this pass is done
     std::map<Key, Candidate> candidates_;  // at most as many as there are records
 };
 
--- a/src/fleet/gateway_callbacks.hpp
+++ b/src/fleet/gateway_callbacks.hpp
@@ -1,4 +1,4 @@
-/// What a FleetClient needs of the gateway that it belongs to.
+/// Functions of the gateway that its FleetClient calls.
 #pragma once
 
 #include "fleet/fleet_event.hpp"
@@ -7,16 +7,18 @@
 
 namespace irismux::fleet {
 
-/// The first two are never called from within a call to the FleetClient.
+/// The first two functions are never called from within a call to the FleetClient.
 class GatewayCallbacks {
 public:
     virtual ~GatewayCallbacks() = default;
     /// Starts a health check of the cache if the settings permit it; its outcome is passed to
-    /// FleetClient::on_health_check_done(). False: not permitted.
+    /// FleetClient::on_health_check_done().
+    /// @return false if health checks are not permitted.
     [[nodiscard]] virtual bool start_health_check(const CacheId&) = 0;
-    /// The router's own recovery probe of the ejected cache is due at that time of the event loop's clock.
+    /// Moves the router's own recovery probe of the ejected cache to time `at` of the event loop's clock.
     virtual void postpone_recovery_probe(const CacheId&, TimePoint at) = 0;
-    /// For the log; also called from within calls to the FleetClient and its constructor.
+    /// Reports an event for the log; also called from within calls to the FleetClient and from its
+    /// constructor.
     virtual void on_fleet_event(const FleetEvent&) = 0;
 };
 
--- a/src/fleet/health_monitor.cpp
+++ b/src/fleet/health_monitor.cpp
@@ -6,9 +6,9 @@
 namespace {
 
 constexpr std::size_t min_ejecting_members = 2;
-// One result may be lost and the next be late.
+// Allows for one lost result and a late next one.
 constexpr double result_lifetime_intervals = 2.5;
-// A process that has just started may fail again after its first answer.
+// One answer is not enough, since a process that has just started may fail again after it.
 constexpr std::int64_t min_healthy_streak = 2;
 constexpr std::int64_t max_streak = 1'000'000;
 constexpr std::size_t max_monitored_caches = 1024;
@@ -46,7 +46,8 @@
         return callbacks_.postpone_recovery_probe(cache, now + interval_ * result_lifetime_intervals);
     }
     if (result.streak < min_healthy_streak || !healthy_.insert(cache).second) return;
-    // One gateway after the other, so that a cache that comes back does not meet all of them at once.
+    // The gateways probe one after the other, so that a recovering cache does not get all their probes at
+    // once.
     std::vector<MemberName> others;
     for (const auto& [name, member] : agent.membership().members())
         if (member.member.ejected_caches.contains(cache)) others.push_back(name);
@@ -86,7 +87,7 @@
     }
 }
 
-// The result is written under the lease as it is now, not as it was when the check was sent.
+// The result is written under the current lease, not under the lease at the time when the check was sent.
 void HealthMonitor::on_health_check_done(TimePoint now, const CacheId& cache, bool healthy, Agent& agent) {
     const auto it = checks_.find(cache);
     if (it == checks_.end() || !it->second.under_way) return;
--- a/src/fleet/health_monitor.hpp
+++ b/src/fleet/health_monitor.hpp
@@ -1,15 +1,16 @@
 /// Shared health checks of caches that several gateways have ejected: the owner of a cache's duty checks it
-/// on behalf of all and publishes the result; the others postpone their own recovery probes meanwhile. No
-/// I/O.
+/// on behalf of all and publishes the result; the others postpone their own recovery probes meanwhile. Does
+/// no I/O.
 ///
-/// A cache is monitored from when two members have ejected it until none has. A published result only moves
-/// the time of a gateway's own recovery probe: later, by a time that the router bounds, while the cache does
-/// not answer; at once, one gateway after the other, after two answers in a row. A check shows only that the
-/// process runs; the recovery probe decides whether the cache is readmitted.
+/// A cache is monitored from when two members have ejected it until no member ejects it. A published result
+/// only moves the time of a gateway's own recovery probe. While the cache does not answer, the probe is
+/// postponed by a time that the router bounds. After two consecutive answers the gateways probe at once, one
+/// after the other. A check shows only that the process runs; the recovery probe decides whether the cache is
+/// readmitted.
 ///
-/// Premises: a check is harmless at any time, also a late one from an owner that had been stopped. A result
-/// counts for two and a half check intervals after it was received, by the receiver's clock; then recovery
-/// probes go on as they would without it.
+/// Premises: a check is harmless at any time, even a late one from an owner that had been stopped. A result
+/// is valid for two and a half check intervals after it was received, by the receiver's clock; then recovery
+/// probes continue as they would without it.
 #pragma once
 
 #include <map>
@@ -21,38 +22,40 @@
 
 namespace irismux::fleet {
 
-/// What a HealthMonitor needs of the fleet client.
+/// Functions of the fleet client that a HealthMonitor calls.
 class HealthCheckCallbacks {
 public:
     virtual ~HealthCheckCallbacks() = default;
-    /// The outcome is passed to on_health_check_done().
+    /// Starts a health check; its outcome is passed to HealthMonitor::on_health_check_done().
     virtual void start_health_check(const CacheId&) = 0;
-    /// The gateway's own recovery probe of the ejected cache is due at that time of the monitor's clock.
+    /// Moves the gateway's own recovery probe of the ejected cache to that time of the monitor's clock.
     virtual void postpone_recovery_probe(const CacheId&, TimePoint) = 0;
 };
 
 class HealthMonitor {
 public:
-    /// `interval`: between two checks of one cache; `idle_interval`: the longest until next_check_at().
+    /// `interval` is the time between two checks of one cache, `idle_interval` the longest time until
+    /// next_check_at().
     HealthMonitor(HealthCheckCallbacks& callbacks, Duration interval, Duration idle_interval)
         : callbacks_(callbacks), interval_(interval), idle_interval_(idle_interval) {}
 
-    /// The gateway's own router has ejected or readmitted that cache.
+    /// Called when the gateway's own router has ejected or readmitted the cache.
     void on_ejection_changed(const CacheId&, bool ejected);
     const std::set<CacheId>& ejected_caches() const { return ejected_caches_; }
-    /// Updates and returns the caches to be monitored, by the ejections that the members publish.
+    /// Updates the monitored caches by the ejections that the members publish, and returns them.
     const std::set<CacheId>& update_monitored(const Agent& agent);
-    /// A result that the owner of a cache's duty has published.
+    /// Applies a result that the owner of a cache's duty has published.
     void on_published_result(TimePoint now, const CacheId&, const HealthRecord&, const Agent& agent);
-    /// The outcome of this member's own check; ignored if none is under way.
+    /// Called with the outcome of this member's own check; ignored if no check is in flight.
     void on_health_check_done(TimePoint now, const CacheId&, bool healthy, Agent& agent);
-    /// Whether a check that was started may still be sent.
+    /// Returns whether a check that was started may still be sent.
     bool may_check(TimePoint now, const CacheId&, const Agent& agent) const;
-    /// Checks of that cache are not permitted: the gateway's own recovery probe takes their place.
+    /// Called if checks of the cache are not permitted; the gateway's own recovery probe replaces the check.
     void on_check_not_permitted(TimePoint now, const CacheId&, Agent& agent);
-    /// Starts the checks that are due. One without an outcome by its next time was not answered.
+    /// Starts the checks that are due. A check without an outcome by the time of the next one counts as not
+    /// answered.
     void run_due_checks(TimePoint now, Agent& agent);
-    /// When run_due_checks() is to be called again.
+    /// Returns when run_due_checks() must be called again.
     TimePoint next_check_at() const { return next_check_at_; }
 
 private:
@@ -67,7 +70,8 @@
     std::set<CacheId> ejected_caches_;
     std::set<CacheId> monitored_;
     std::map<CacheId, HealthCheck> checks_;  // of duties that this member owns
-    std::set<CacheId> healthy_;  // ejected here, published as healthy, and the own probe was moved
+    // Caches that this gateway ejects, that are published as healthy and whose recovery probe was moved.
+    std::set<CacheId> healthy_;
     TimePoint next_check_at_;
 };
 
--- a/src/fleet/lease.hpp
+++ b/src/fleet/lease.hpp
@@ -1,5 +1,5 @@
-/// The lease of one duty as one member sees its own. Lease::update() is the one function that changes its
-/// state; docs/fleet.md has the table. No I/O.
+/// A member's own lease of one duty. Only Lease::update() changes its state; docs/fleet.md has the state
+/// table. Does no I/O.
 #pragma once
 
 #include <string_view>
@@ -9,20 +9,20 @@
 namespace irismux::fleet {
 
 enum class LeaseState {
-    idle,      ///< another member owns the duty, or is to have it
-    seeking,   ///< this member should own it: a claim is due or under way
-    owning,    ///< the record names this member, and its term runs
-    expiring,  ///< as owning, but too near the end of the term to begin anything
-    lost,      ///< it was owned, and the term has ended or the record names another: nothing may be done
+    idle,      ///< another member owns the duty, or should own it
+    seeking,   ///< this member should own the duty: a claim is due or in flight
+    owning,    ///< the record names this member, and its term has not ended
+    expiring,  ///< like owning, but too near the end of the term to begin new work
+    lost,  ///< the duty was owned, and the term has ended or the record names another: acting is forbidden
 };
-/// As the log names it.
+/// Returns the state's name in the log.
 std::string_view to_string(LeaseState);
 
-/// What decides the state, all at one time of the member's own clock.
+/// The conditions that determine the state, all as of one time of the member's own clock.
 struct LeaseConditions {
-    bool record_names_us = false;  ///< the newest record known names this very instance
-    bool in_term = false;          ///< a heartbeat has landed so recently that this member may act
-    bool near_term_end = false;    ///< of that term
+    bool record_names_us = false;  ///< the newest record known names this exact instance
+    bool in_term = false;          ///< a heartbeat was committed so recently that this member may act
+    bool near_term_end = false;    ///< that term ends soon
     bool should_claim = false;     ///< the duty is unowned, and this member is the first in its order
 };
 
--- a/src/fleet/member_identity.hpp
+++ b/src/fleet/member_identity.hpp
@@ -1,4 +1,4 @@
-/// What tells a member apart from all others, and what its heartbeats read.
+/// The identity of a member, and the records that its heartbeats read.
 #pragma once
 
 #include <set>
@@ -9,21 +9,22 @@
 
 namespace irismux::fleet {
 
-/// Fixed for the life of an Agent, but for the number of its last join.
+/// Does not change during the life of an Agent, except for the number of its last join.
 struct MemberIdentity {
     MemberName name;
     InstanceId instance_id;
     std::string version;           ///< of the program
-    Incarnation last_incarnation;  ///< the highest known of that name; zero: none
+    Incarnation last_incarnation;  ///< the highest known for that name; zero if none
     Duration reply_timeout = Duration::micros(1'000'000);
-    bool randomized = true;  ///< heartbeats go out, and are read, at random; false in exhaustive models
-    /// Of a site's member: a heartbeat goes out so soon after a change of what it reports, and the first join
-    /// enters the name in the site's roster. Zero: of no site.
+    /// Heartbeats are sent at random times and read at random; false in exhaustive models.
+    bool randomized = true;
+    /// For a member of a site: the time within which a heartbeat reports a change. The first join of such a
+    /// member adds its name to the site's roster. Zero for a member outside of all sites.
     Duration acknowledge_interval = {};
 };
 
-/// What each heartbeat of a site's member reads besides, and whether they go out as often as
-/// acknowledgements.
+/// Additional records that each heartbeat of a site's member reads, and whether its heartbeats are sent at
+/// the acknowledgement interval.
 struct HeartbeatReads {
     std::set<MemberName> heartbeats;
     std::vector<Key> records;
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -3,9 +3,9 @@
 namespace irismux::fleet {
 namespace {
 
-// Two heartbeats in a row may be lost and one more be late.
+// With this interval two consecutive heartbeats may be lost and the next one may be late.
 constexpr double heartbeat_interval_share_of_term = 0.25;
-// At the end of a term nothing is begun, since the next heartbeat is overdue by then.
+// No work is begun in this last share of a term, since the next heartbeat is overdue by then.
 constexpr double renewal_margin_share_of_term = 0.25;
 constexpr double suspected_after_intervals = 2.5;
 
--- a/src/fleet/membership.hpp
+++ b/src/fleet/membership.hpp
@@ -1,9 +1,11 @@
-/// Who is alive, as one member sees it: its own term, and the heartbeats of the others. No I/O. Times are of
-/// this member's steady clock, which must also count the time during which the machine is suspended.
+/// The live members as one member sees them: its own term, and the heartbeats of the others. Does no I/O.
+/// Times are of this member's steady clock, which must also count the time during which the machine is
+/// suspended.
 ///
-/// Guarantee: while in_term() holds at a member, no other evicts it. Premises: no clock's rate is off by more
-/// than `drift`; a heartbeat is confirmed only once the registry has it, and counts from the time at which it
-/// was sent; an eviction is a transaction that compares the very heartbeat that was found unchanged.
+/// Guarantee: while in_term() holds at a member, no other member evicts it. Premises: no clock's rate is off
+/// by more than `drift`; a heartbeat is confirmed only once the registry has committed it, and counts from
+/// the time at which it was sent; an eviction is a transaction that compares the heartbeat that was found
+/// unchanged.
 ///
 ///   own term: sent + term * (1 - drift)       eviction timeout: first shown + term * (1 + drift)
 #pragma once
@@ -19,12 +21,12 @@
 
 namespace irismux::fleet {
 
-/// A member as another sees it.
+/// The status of a member as another member sees it.
 enum class MemberStatus {
     joined,
     suspected,  ///< its heartbeat is overdue
     removed,
-    rejoined,  ///< it was removed, has joined anew and is not settled yet
+    rejoined,  ///< it was removed, has joined again and is not settled yet
 };
 
 class Membership {
@@ -33,9 +35,9 @@
 
     // --- this member's own term
     void on_heartbeat_sent(TimePoint now, HeartbeatNumber heartbeat);
-    /// The registry has that heartbeat. If the term had ended before it was sent, the new one begins with a
-    /// grace period of one eviction timeout in which nothing is owned: until then all terms that the
-    /// registry's former state granted have ended.
+    /// Called when the registry has committed the heartbeat. If the term had ended before the heartbeat was
+    /// sent, the new term begins with a grace period of one eviction timeout, during which this member owns
+    /// nothing: by its end all terms that the registry's former state granted have ended.
     void on_heartbeat_confirmed(TimePoint now, HeartbeatNumber heartbeat);
     void on_removed() { joined_ = false; }
     bool joined() const { return joined_; }
@@ -46,52 +48,56 @@
     TimePoint grace_period_end() const { return grace_period_end_; }
     HeartbeatNumber last_confirmed() const { return last_confirmed_; }
 
-    // --- the others
-    /// A member's record as of that revision; no text: there is none. Older revisions than known are ignored.
-    /// True: the member is new, has another instance, or is removed.
+    // --- the other members
+    /// Applies a member's record as of that revision; `text` is empty if there is no record. A revision older
+    /// than the known one is ignored.
+    /// @return true if the member is new, has another instance, or is removed.
     bool on_member_record(TimePoint now, registry::Revision at, const MemberName&,
                           const std::optional<std::string>& text);
-    /// All records follow, of a possibly lower revision; members that are not listed are removed.
+    /// Called before all records are delivered again, possibly as of a lower revision. Members that are not
+    /// listed are removed.
     void on_full_list(TimePoint now, const std::set<MemberName>& listed);
-    /// A heartbeat as the registry shows it. The same one again counts towards the eviction timeout; a new
-    /// one restarts it or, unless `keep_observing`, ends it until that member is observed anew.
+    /// Applies a heartbeat as the registry shows it. An unchanged heartbeat counts towards the eviction
+    /// timeout. A new one restarts the timeout or, unless `keep_observing`, ends it until the member is
+    /// observed again.
     void on_heartbeat(TimePoint now, const MemberName&, const std::optional<std::string>& text,
                       bool keep_observing);
-    /// The registry was restored: heartbeats observed before do not count.
+    /// Called after the registry was restored: heartbeats observed before no longer count.
     void restart_observations();
 
     /// Another member.
     struct Member {
-        std::string text;       ///< of its record
-        bool readable = true;   ///< false: a newer form; the member counts, and keeps what it owns
+        std::string text;  ///< of its record
+        /// False if the record has a newer format. The member counts nevertheless and keeps its duties.
+        bool readable = true;
         MemberRecord member;    ///< its record
         TimePoint first_seen;   ///< first seen with this incarnation
         bool returned = false;  ///< it was a member before
         bool observed = false;  ///< its heartbeats are being observed
         std::optional<std::string> heartbeat_text;
-        TimePoint unchanged_since;    ///< that heartbeat was first shown
-        TimePoint last_seen;          ///< that heartbeat was last shown
+        TimePoint unchanged_since;    ///< when that heartbeat was first read
+        TimePoint last_seen;          ///< when that heartbeat was last read
         registry::Revision revision;  ///< of its record
     };
     const std::map<MemberName, Member>& members() const { return members_; }
     MemberStatus status_of(TimePoint now, const MemberName&) const;
-    /// Its heartbeat was unchanged for the whole eviction timeout.
+    /// Returns whether the member's heartbeat was unchanged for the whole eviction timeout.
     bool evictable(const Member& member) const {
         return member.observed && member.last_seen - member.unchanged_since >= eviction_timeout_;
     }
     bool suspected(const Member& member) const;
-    /// It has been a member for long enough to be handed a duty.
+    /// Returns whether it has been a member for long enough to be handed a duty.
     bool settled(TimePoint now, const Member& member) const {
         return now - member.first_seen >= eviction_timeout_ + eviction_timeout_;
     }
 
-    /// The time between two heartbeats.
+    /// Returns the time between two heartbeats.
     Duration heartbeat_interval() const { return heartbeat_interval_; }
-    /// How long a heartbeat must have been unchanged before an eviction.
+    /// Returns how long a heartbeat must have been unchanged before an eviction.
     Duration eviction_timeout() const { return eviction_timeout_; }
 
 private:
-    // Heartbeats without an answer that are remembered; beyond, the oldest is forgotten.
+    // Maximum number of remembered heartbeats without a reply; beyond this the oldest is dropped.
     static constexpr std::size_t max_unconfirmed = 16;
     static constexpr std::size_t max_members = 1024;
 
@@ -102,8 +108,9 @@
     HeartbeatNumber last_confirmed_;
     TimePoint term_end_, grace_period_end_;
     std::map<MemberName, Member> members_;
-    std::map<MemberName, registry::Revision>
-        removed_;  // with the revision; max_members at most, then all are forgotten
+    // Removed members with the revision of the removal. All are dropped when there would be more than
+    // max_members.
+    std::map<MemberName, registry::Revision> removed_;
 };
 
 }  // namespace irismux::fleet
--- a/src/fleet/record_mirror.hpp
+++ b/src/fleet/record_mirror.hpp
@@ -1,5 +1,5 @@
-/// A local copy of all watched records (all but heartbeats). It may lag behind what this member's own
-/// transactions have shown. No I/O.
+/// A local copy of all watched records, which are all records except heartbeats. It may lag behind the
+/// results of this member's own transactions. Does no I/O.
 #pragma once
 
 #include <map>
@@ -15,7 +15,7 @@
 public:
     using Records = std::map<Key, std::string>;
 
-    /// `all`: the changes are the whole content.
+    /// Applies the changes. With `all` they are the whole content.
     void apply(const std::vector<KeyValue>& changes, bool all) {
         if (all) records_.clear();
         for (const auto& [key, text] : changes)
@@ -25,7 +25,7 @@
                 records_.erase(key);
     }
     const Records& records() const { return records_; }
-    /// None: there is no such record.
+    /// @return std::nullopt if there is no such record.
     RecordValue at(const Key& key) const {
         const auto it = records_.find(key);
         return it == records_.end() ? RecordValue{} : RecordValue{it->second};
--- a/src/fleet/records.cpp
+++ b/src/fleet/records.cpp
@@ -12,7 +12,7 @@
 constexpr std::string_view duty_prefix = "duty/";
 constexpr std::string_view release_prefix = "aside/";
 constexpr std::string_view health_record_prefix = "seen/";
-constexpr std::string_view health_check_duty_prefix = "watch/";  // of a duty's name
+constexpr std::string_view health_check_duty_prefix = "watch/";  // prefix of a duty's name, not of a key
 
 template <class Name>
 std::optional<Name> name_after(std::string_view prefix, const Key& key) {
@@ -21,7 +21,7 @@
     return Name{all.substr(prefix.size())};
 }
 
-// A number of at least one; none: the field is missing or something else.
+// Returns std::nullopt if the field is missing or is not an integer of at least one.
 std::optional<std::int64_t> positive_integer(const json& object, const char* key) {
     const auto it = object.find(key);
     if (it == object.end() || !it->is_number_integer() || *it < 1) return std::nullopt;
--- a/src/fleet/settings.hpp
+++ b/src/fleet/settings.hpp
@@ -1,4 +1,4 @@
-/// A gateway's own settings of its fleet: the table [fleet] of the parts file.
+/// A gateway's settings for its fleet: the table [fleet] of the parts file.
 #pragma once
 
 #include <map>
@@ -13,17 +13,18 @@
     SharedConfig shared_config;
     MemberName name;              ///< of this gateway as a member
     registry::Settings registry;  ///< with the fleet's own prefix
-    /// Between two health checks of one cache.
+    /// Time between two health checks of one cache.
     Duration health_check_interval = Duration::micros(2'000'000);
-    /// Between the end of a garbage collector's pass and the next one.
+    /// Time between the end of a garbage collector's pass and the start of the next one.
     Duration collection_interval = Duration::micros(60'000'000);
-    /// Of the tokens seen; empty: they are not kept over a restart.
+    /// Folder in which the tokens seen are stored; empty if they are not kept over a restart.
     std::string token_store_folder;
-    /// A site's members know only one another, and report what they have applied. Empty: of the whole fleet.
+    /// Site of the gateway. Members of a site watch only one another, and report their applied revisions.
+    /// Empty for a member of the whole fleet.
     SiteName site = {};
-    /// The least time between two acknowledgements, and between two digests.
+    /// Minimum time between two acknowledgements, and between two digests.
     Duration acknowledge_interval = Duration::micros(500'000);
-    /// As its author numbers it; zero: not numbered.
+    /// Number that the configuration's author assigned; zero if it has none.
     ConfigurationNumber configuration = {};
     /// Each site with the number of its gateways; for `irismux fleet in-force`.
     std::map<SiteName, std::size_t> inventory = {};
--- a/src/fleet/site_reporter.cpp
+++ b/src/fleet/site_reporter.cpp
@@ -5,7 +5,7 @@
 namespace irismux::fleet {
 namespace {
 
-// As often as heartbeats are sent while nothing changes.
+// While nothing changes, a digest is written as often as a heartbeat is sent.
 constexpr double refresh_share_of_term = 0.25;
 
 std::map<CacheId, std::size_t> ejections_by_cache(const Agent& agent) {
@@ -40,7 +40,7 @@
     if (generation) applied_.on_generation(*generation);
     if (!roster_shown) return;
     digest_builder_.on_snapshot(snapshot, applied_.applied_revisions(), ejections_by_cache(agent));
-    generation_write_pending_ = false;  // its outcome is in this snapshot
+    generation_write_pending_ = false;  // the write's outcome is in this snapshot
 }
 
 void SiteReporter::on_written(const Key& key) {
--- a/src/fleet/site_reporter.hpp
+++ b/src/fleet/site_reporter.hpp
@@ -1,5 +1,5 @@
-/// One member's part in its site's digest: the applied revisions that its heartbeats report and, while it
-/// owns the site's duty `digest`, the digest itself. No I/O, no clock.
+/// Maintains the applied revisions that a member's heartbeats report and, while the member owns the site's
+/// duty `digest`, the site's digest. Does no I/O and reads no clock.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace irismux::fleet {
 
-/// advance() must be called after each call that changes it or the Agent.
+/// advance() must be called after each call that changes the reporter or the Agent.
 class SiteReporter {
 public:
     struct Settings {
@@ -17,18 +17,18 @@
         Duration term, acknowledge_interval;
         double drift = 0;
     };
-    /// `process_start`: by the agent's clock.
+    /// `process_start` is a time of the agent's clock.
     SiteReporter(Settings settings, TimePoint process_start);
 
-    /// To be told of the notice board's polls and of configurations.
+    /// The caller must report the notice board's polls and new configurations to the tracker.
     AppliedRevisionTracker& applied() { return applied_; }
     const AppliedRevisionTracker& applied() const { return applied_; }
-    /// Until then requests must not be taken: digests may still count a former process under this name as
-    /// having applied what this one has not.
+    /// Returns whether the gateway may accept requests. Before that, digests may still count a former process
+    /// with this name as having applied events that this process has not.
     bool may_serve(TimePoint now) const { return applied_.has_full_history() || now >= serving_allowed_at_; }
     TimePoint serving_allowed_at() const { return serving_allowed_at_; }
 
-    /// As AgentObserver::on_heartbeat_result().
+    /// Must be called for each AgentObserver::on_heartbeat_result().
     void on_heartbeat(TimePoint now, std::int64_t unix_ms, TimePoint sent, HeartbeatNumber number,
                       const std::vector<KeyValue>& shown, const Agent& agent);
     void on_written(const Key& key);
--- a/src/fleet/transaction.hpp
+++ b/src/fleet/transaction.hpp
@@ -1,4 +1,4 @@
-/// Transactions on the registry, as the fleet's cores ask for them.
+/// Transactions on the registry, independent of the registry's protocol.
 #pragma once
 
 #include <optional>
@@ -10,25 +10,28 @@
 
 namespace irismux::fleet {
 
-/// A record's value; none: there is no such record.
+/// A record's value, or std::nullopt if there is no such record.
 using RecordValue = std::optional<std::string>;
+/// A record's key and value.
 using KeyValue = std::pair<Key, RecordValue>;
 
-/// Writes only if all records compared are as given. Its result shows the records in `reads` as they are
-/// after it or, where the comparison failed, all those in `compares`.
+/// Does its writes only if all records in `compares` have the given values. The result shows the records in
+/// `reads` as of after the transaction or, if a comparison failed, all records in `compares`.
 struct Transaction {
     std::vector<KeyValue> compares;
     std::vector<KeyValue> writes;
     std::vector<Key> reads;
 };
 
-/// A write that lands only while its writer owns a duty and the further records compared are as given.
+/// A write that is committed only while its writer owns a duty and the records in `compares` have the given
+/// values.
 struct FencedWrite {
     std::vector<KeyValue> compares;
     std::vector<KeyValue> writes;
 };
 
-/// `refused`: the comparison failed, or the duty was lost before it was sent. `unknown`: there was no answer.
+/// `refused` means that a comparison failed or that the duty was lost before the write was sent, `unknown`
+/// that there was no reply.
 enum class WriteOutcome { written, refused, unknown };
 
 }  // namespace irismux::fleet
--- a/src/fleet/transaction_client.hpp
+++ b/src/fleet/transaction_client.hpp
@@ -1,4 +1,4 @@
-/// Sends transactions to the registry, one at a time, over a connection of its own.
+/// Sends transactions to the registry, one at a time, over its own connection.
 #pragma once
 
 #include <optional>
@@ -10,25 +10,28 @@
 
 namespace irismux::fleet {
 
-/// Who is told about a TransactionClient's transactions. Never called from within submit().
+/// Observer of a TransactionClient's transactions. It is never called from within submit().
 class TransactionObserver {
 public:
     virtual ~TransactionObserver() = default;
-    /// The registry's answer, as of a revision. `records`: see Transaction.
+    /// Called with the registry's reply as of a revision. `records` are the records shown by the result, see
+    /// Transaction.
     virtual void on_transaction_result(registry::Revision, bool succeeded,
                                        const std::vector<KeyValue>& records) = 0;
-    /// There will be no answer: the transaction may have landed, may still land, or never.
+    /// Called if there will be no reply: the transaction may be committed, may still be committed, or never
+    /// will be.
     virtual void on_transaction_lost() = 0;
 };
 
-/// After a lost connection or a missing answer the next transaction goes to the registry's next member.
+/// After a lost connection or a missing reply the next transaction is sent to the registry's next member.
 class TransactionClient final : private registry::ReplyHandler {
 public:
-    /// The settings and the observer must outlive it. `first_member`: of the registry, to be asked first.
+    /// The settings and the observer must outlive the client. `first_member` is the member of the registry
+    /// that gets the first transaction.
     TransactionClient(EventLoop& loop, TransactionObserver& observer, const registry::Settings& settings,
                       SiteName site, registry::MemberIndex first_member);
 
-    /// Replaces the transaction under way, whose result is not delivered any more.
+    /// Submits a transaction. It replaces the one in flight, whose result is no longer delivered.
     void submit(const Transaction& transaction);
 
 private:
