--- a/tests/fleet_digest_test.cpp
+++ b/tests/fleet_digest_test.cpp
@@ -1,5 +1,5 @@
-// Applied revisions of one member, the digest of a site, and the answer of a reader. Whole installations are
-// in fleet_in_force_test.cpp.
+// Tests the applied revisions of one member, the digest of a site, and the verdict of a reader. Whole
+// installations are tested in fleet_in_force_test.cpp.
 #include <gtest/gtest.h>
 
 #include "fleet/fleet_status.hpp"
@@ -17,130 +17,131 @@
 
 // --- applied revisions of one member ---------------------------------------------------------------------
 
-// The board has answered a poll; `asked_from`: the last event that it named, or none.
-void poll_completed(AppliedRevisionTracker& a, std::int64_t newest, std::int64_t asked_from = 0) {
-    a.on_poll_completed(event(newest), event(asked_from));
+// Completes a poll with the board's newest event. `asked_from` is the last event that the poll named, or
+// zero.
+void poll_completed(AppliedRevisionTracker& tracker, std::int64_t newest, std::int64_t asked_from = 0) {
+    tracker.on_poll_completed(event(newest), event(asked_from));
 }
 
-// A process that has read the full history in that generation.
-AppliedRevisionTracker poll_completed(const Generation& g, std::int64_t newest) {
-    AppliedRevisionTracker a;
-    a.on_generation(g);
-    a.on_poll_started(true);
-    poll_completed(a, newest);
-    return a;
+// Returns the tracker of a process that has read the full history in that generation.
+AppliedRevisionTracker tracker_at(const Generation& generation, std::int64_t newest) {
+    AppliedRevisionTracker tracker;
+    tracker.on_generation(generation);
+    tracker.on_poll_started(true);
+    poll_completed(tracker, newest);
+    return tracker;
 }
 
 TEST(AppliedRevisionTracking, ReportsNothingBeforeTheGenerationIsKnownAndTheFullHistoryIsApplied) {
-    AppliedRevisionTracker a;
-    EXPECT_FALSE(a.applied_revisions());
-    EXPECT_TRUE(a.needs_full_history());
-    a.on_poll_started(true);
-    EXPECT_FALSE(a.needs_full_history());
-    a.on_generation(first);
-    // Asked before the generation was shown: it may be of the board's former history.
-    poll_completed(a, 9);
-    EXPECT_EQ(a.applied_revisions()->event, event(0));
-    EXPECT_TRUE(a.has_full_history());
-    EXPECT_TRUE(a.needs_full_history());
-    // Only what is new since it started: events between are not known.
-    a.on_poll_started(false);
-    poll_completed(a, 12);
-    EXPECT_EQ(a.applied_revisions()->event, event(0));
-    a.on_poll_started(true);
-    poll_completed(a, 13);
-    EXPECT_EQ(a.applied_revisions()->event, event(13));
-    EXPECT_FALSE(a.needs_full_history());
-    a.on_poll_started(false);
-    poll_completed(a, 14);
-    EXPECT_EQ(a.applied_revisions()->event, event(14));
+    AppliedRevisionTracker tracker;
+    EXPECT_FALSE(tracker.applied_revisions());
+    EXPECT_TRUE(tracker.needs_full_history());
+    tracker.on_poll_started(true);
+    EXPECT_FALSE(tracker.needs_full_history());
+    tracker.on_generation(first);
+    // The poll was sent before the generation was known, so its reply may belong to the board's former
+    // history.
+    poll_completed(tracker, 9);
+    EXPECT_EQ(tracker.applied_revisions()->event, event(0));
+    EXPECT_TRUE(tracker.has_full_history());
+    EXPECT_TRUE(tracker.needs_full_history());
+    // This poll returns only events since the process started; the ones before are unknown.
+    tracker.on_poll_started(false);
+    poll_completed(tracker, 12);
+    EXPECT_EQ(tracker.applied_revisions()->event, event(0));
+    tracker.on_poll_started(true);
+    poll_completed(tracker, 13);
+    EXPECT_EQ(tracker.applied_revisions()->event, event(13));
+    EXPECT_FALSE(tracker.needs_full_history());
+    tracker.on_poll_started(false);
+    poll_completed(tracker, 14);
+    EXPECT_EQ(tracker.applied_revisions()->event, event(14));
 }
 
 TEST(AppliedRevisionTracking, AFailedPollChangesNothing) {
-    AppliedRevisionTracker a = poll_completed(first, 5);
-    a.on_poll_started(false);
-    a.on_poll_failed();
-    poll_completed(a, 8);
-    EXPECT_EQ(a.applied_revisions()->event, event(5));
+    AppliedRevisionTracker tracker = tracker_at(first, 5);
+    tracker.on_poll_started(false);
+    tracker.on_poll_failed();
+    poll_completed(tracker, 8);
+    EXPECT_EQ(tracker.applied_revisions()->event, event(5));
 }
 
-// Given: a process that has applied event 100. When: the board answers with 85, and its numbers come as
-// far again. Then: no event is reported until the next generation, and then only after a full read.
+// A process has applied event 100. The board is restored to event 85 and later assigns the lost numbers
+// again. No event is reported until the next generation, and then only after a read of the full history.
 TEST(AppliedRevisionTracking, AfterTheBoardIsRestoredEventsCountAgainOnlyInTheNextGeneration) {
-    AppliedRevisionTracker a = poll_completed(first, 100);
-    a.on_poll_started(false);
-    poll_completed(a, 85);
-    EXPECT_TRUE(a.applied_revisions()->history_lost);
-    EXPECT_EQ(a.applied_revisions()->event, event(0));
-    EXPECT_FALSE(a.needs_full_history());
-    // Its numbers come as far again: they are others.
-    a.on_poll_started(false);
-    poll_completed(a, 120);
-    EXPECT_EQ(a.applied_revisions()->event, event(0));
-    a.on_generation(second);
-    EXPECT_FALSE(a.applied_revisions()->history_lost);
-    EXPECT_EQ(a.applied_revisions()->event, event(0));
-    EXPECT_TRUE(a.needs_full_history());
-    a.on_poll_started(true);
-    poll_completed(a, 121);
-    EXPECT_EQ(a.applied_revisions(), (AppliedRevisions{second, event(121), {}, false}));
+    AppliedRevisionTracker tracker = tracker_at(first, 100);
+    tracker.on_poll_started(false);
+    poll_completed(tracker, 85);
+    EXPECT_TRUE(tracker.applied_revisions()->history_lost);
+    EXPECT_EQ(tracker.applied_revisions()->event, event(0));
+    EXPECT_FALSE(tracker.needs_full_history());
+    // The board assigns the lost numbers again, to other events.
+    tracker.on_poll_started(false);
+    poll_completed(tracker, 120);
+    EXPECT_EQ(tracker.applied_revisions()->event, event(0));
+    tracker.on_generation(second);
+    EXPECT_FALSE(tracker.applied_revisions()->history_lost);
+    EXPECT_EQ(tracker.applied_revisions()->event, event(0));
+    EXPECT_TRUE(tracker.needs_full_history());
+    tracker.on_poll_started(true);
+    poll_completed(tracker, 121);
+    EXPECT_EQ(tracker.applied_revisions(), (AppliedRevisions{second, event(121), {}, false}));
 }
 
 TEST(AppliedRevisionTracking, AnAnswerToAPollFromBeforeTheGenerationDoesNotCountInIt) {
-    AppliedRevisionTracker a = poll_completed(first, 100);
-    a.on_poll_started(true);
-    a.on_generation(second);
-    poll_completed(a, 101);
-    EXPECT_EQ(a.applied_revisions()->event, event(0));
+    AppliedRevisionTracker tracker = tracker_at(first, 100);
+    tracker.on_poll_started(true);
+    tracker.on_generation(second);
+    poll_completed(tracker, 101);
+    EXPECT_EQ(tracker.applied_revisions()->event, event(0));
 }
 
-// Given: a read of the full history whose first poll breaks off. When: the next poll goes on behind it; or
-// the board is restored, or a new generation begins in between. Then: the first counts as one read; the
-// others do not.
+// The first poll of a read of the full history breaks off. If the next poll continues after it, both count as
+// one full read; if the board is restored or a new generation begins in between, they do not.
 TEST(AppliedRevisionTracking, AReadOfTheFullHistoryMayTakeSeveralPolls) {
-    AppliedRevisionTracker a;
-    a.on_generation(first);
-    a.on_poll_started(a.needs_full_history());
-    a.on_poll_failed();
-    EXPECT_FALSE(a.needs_full_history());
-    EXPECT_FALSE(a.has_full_history());
-    a.on_poll_started(false);
-    poll_completed(a, 30, 20);
-    EXPECT_TRUE(a.has_full_history());
-    EXPECT_EQ(a.applied_revisions()->event, event(30));
-    // Restored in between: its numbers are below what has come.
-    AppliedRevisionTracker b;
-    b.on_generation(first);
-    b.on_poll_started(true);
-    b.on_poll_failed();
-    b.on_poll_started(false);
-    poll_completed(b, 18, 20);
-    EXPECT_TRUE(b.applied_revisions()->history_lost);
-    // A new generation in between: it begins anew.
-    AppliedRevisionTracker c;
-    c.on_generation(first);
-    c.on_poll_started(true);
-    c.on_poll_failed();
-    c.on_generation(second);
-    EXPECT_TRUE(c.needs_full_history());
-    c.on_poll_started(false);
-    poll_completed(c, 30, 20);
-    EXPECT_EQ(c.applied_revisions()->event, event(0));
+    AppliedRevisionTracker tracker;
+    tracker.on_generation(first);
+    tracker.on_poll_started(tracker.needs_full_history());
+    tracker.on_poll_failed();
+    EXPECT_FALSE(tracker.needs_full_history());
+    EXPECT_FALSE(tracker.has_full_history());
+    tracker.on_poll_started(false);
+    poll_completed(tracker, 30, 20);
+    EXPECT_TRUE(tracker.has_full_history());
+    EXPECT_EQ(tracker.applied_revisions()->event, event(30));
+    // The board is restored in between: its newest event is below one already received.
+    AppliedRevisionTracker restored;
+    restored.on_generation(first);
+    restored.on_poll_started(true);
+    restored.on_poll_failed();
+    restored.on_poll_started(false);
+    poll_completed(restored, 18, 20);
+    EXPECT_TRUE(restored.applied_revisions()->history_lost);
+    // A new generation begins in between: the full history must be read again.
+    AppliedRevisionTracker renewed;
+    renewed.on_generation(first);
+    renewed.on_poll_started(true);
+    renewed.on_poll_failed();
+    renewed.on_generation(second);
+    EXPECT_TRUE(renewed.needs_full_history());
+    renewed.on_poll_started(false);
+    poll_completed(renewed, 30, 20);
+    EXPECT_EQ(renewed.applied_revisions()->event, event(0));
 }
 
 TEST(AppliedRevisionTracking, AnEventThatCouldNotBeParsedIsNotReportedNorAnyAfterIt) {
-    AppliedRevisionTracker a = poll_completed(first, 5);
-    a.on_notice_skipped();
-    a.on_poll_started(false);
-    poll_completed(a, 9, 5);
-    EXPECT_EQ(a.applied_revisions()->event, event(0));
+    AppliedRevisionTracker tracker = tracker_at(first, 5);
+    tracker.on_notice_skipped();
+    tracker.on_poll_started(false);
+    poll_completed(tracker, 9, 5);
+    EXPECT_EQ(tracker.applied_revisions()->event, event(0));
 }
 
 TEST(AppliedRevisionTracking, ALowerGenerationOrAnotherOfTheSameNumberIsIgnored) {
-    AppliedRevisionTracker a = poll_completed(second, 7);
-    a.on_generation(first);
-    a.on_generation({2, "other"});
-    EXPECT_EQ(a.applied_revisions(), (AppliedRevisions{second, event(7), {}, false}));
+    AppliedRevisionTracker tracker = tracker_at(second, 7);
+    tracker.on_generation(first);
+    tracker.on_generation({2, "other"});
+    EXPECT_EQ(tracker.applied_revisions(), (AppliedRevisions{second, event(7), {}, false}));
 }
 
 TEST(AppliedRevisionTracking, TheNextGenerationIsAboveAllThatIsKnown) {
@@ -154,10 +155,10 @@
 
 TEST(AppliedRevisionTracking, AHeartbeatWithRevisionsIsParsedByFormerVersions) {
     const std::string plain = serialize(HeartbeatRecord{Incarnation{3}, InstanceId{"k"}, HeartbeatNumber{9}});
-    const AppliedRevisions claim{first, event(12), ConfigurationNumber{4}, true};
-    const std::string with = with_applied_revisions(plain, claim);
+    const AppliedRevisions revisions{first, event(12), ConfigurationNumber{4}, true};
+    const std::string with = with_applied_revisions(plain, revisions);
     EXPECT_EQ(parse_heartbeat(with)->number, HeartbeatNumber{9});
-    EXPECT_EQ(parse_applied_revisions(with), claim);
+    EXPECT_EQ(parse_applied_revisions(with), revisions);
     EXPECT_EQ(with_applied_revisions(plain, std::nullopt), plain);
     EXPECT_FALSE(parse_applied_revisions(plain));
     for (std::size_t n = 0; n < with.size(); ++n)
@@ -170,7 +171,7 @@
 
 // --- the digest ------------------------------------------------------------------------------------------
 
-// A site whose heartbeats the test writes; one snapshot a heartbeat interval.
+// A site whose heartbeats the test writes, with one snapshot per heartbeat interval.
 class SiteDigest : public ::testing::Test {
 protected:
     DigestBuilder builder{{MemberName{"m0"}, "k0", term, ms * 250, heartbeat_interval}};
@@ -188,12 +189,12 @@
     std::int64_t own_event = 0;
     std::optional<std::string> former;
 
-    void join(const std::string& name, std::int64_t in_force) {
-        members[MemberName{name}] = {true, 0, in_force, "id-" + name, first};
+    void join(const std::string& name, std::int64_t event_number) {
+        members[MemberName{name}] = {true, 0, event_number, "id-" + name, first};
         roster.names.insert(MemberName{name});
     }
     void SetUp() override { roster.names.insert(MemberName{"m0"}); }
-    std::string text(Member& m) {
+    std::string next_heartbeat(Member& m) {
         if (m.runs) ++m.heartbeat;
         std::string plain =
             serialize(HeartbeatRecord{Incarnation{1}, InstanceId{m.id}, HeartbeatNumber{m.heartbeat}});
@@ -209,7 +210,7 @@
         snapshot.roster = serialize(roster);
         snapshot.former_digest = former;
         snapshot.generation = generation;
-        for (auto& [name, m] : members) snapshot.heartbeats[name] = text(m);
+        for (auto& [name, m] : members) snapshot.heartbeats[name] = next_heartbeat(m);
         builder.on_snapshot(snapshot, AppliedRevisions{first, event(own_event), {}, false}, {});
         now = now + std::max(heartbeat_interval, took);
         return *builder.digest();
@@ -224,16 +225,16 @@
     join("m1", 10);
     join("m2", 8);
     own_event = 9;
-    const Digest& d = take_snapshots(5);
-    EXPECT_EQ(d.live_count, 3u);
-    EXPECT_EQ(d.lowest, event(8));
-    EXPECT_EQ(d.highest, event(10));
-    ASSERT_EQ(d.lagging.size(), 2u);
-    EXPECT_EQ(d.lagging[0].member, MemberName{"m2"});
+    const Digest& digest = take_snapshots(5);
+    EXPECT_EQ(digest.live_count, 3u);
+    EXPECT_EQ(digest.lowest, event(8));
+    EXPECT_EQ(digest.highest, event(10));
+    ASSERT_EQ(digest.lagging.size(), 2u);
+    EXPECT_EQ(digest.lagging[0].member, MemberName{"m2"});
     EXPECT_TRUE(builder.has_lagging_members());
 }
 
-// One heartbeat may have been sent by a process that has long ended, and have come late.
+// A single heartbeat may arrive late, from a process that ended long ago.
 TEST_F(SiteDigest, AMemberCountsOnceTwoNewHeartbeatsOfItWereSeen) {
     join("m1", 10);
     EXPECT_EQ(take_snapshot().live_count, 1u);
@@ -241,31 +242,29 @@
     EXPECT_EQ(take_snapshot().live_count, 2u);
 }
 
-// Given: a live member. When: its process sends no more heartbeats. Then: it is absent, with the time
-// since when, which stays the same.
+// A live member whose process sends no more heartbeats is listed as absent, with the time since when; that
+// time does not change later.
 TEST_F(SiteDigest, AMemberWithoutNewHeartbeatsIsAbsentSinceThen) {
     join("m1", 10);
     take_snapshots(5);
     members[MemberName{"m1"}].runs = false;
-    const Digest& d = take_snapshots(7);
-    EXPECT_EQ(d.live_count, 1u);
-    ASSERT_EQ(d.absent.size(), 1u);
-    EXPECT_EQ(d.absent[0].member, MemberName{"m1"});
-    const std::int64_t since = d.absent[0].since_ms;
+    const Digest& digest = take_snapshots(7);
+    EXPECT_EQ(digest.live_count, 1u);
+    ASSERT_EQ(digest.absent.size(), 1u);
+    EXPECT_EQ(digest.absent[0].member, MemberName{"m1"});
+    const std::int64_t since = digest.absent[0].since_ms;
     EXPECT_EQ(take_snapshots(10).absent[0].since_ms, since);
-    EXPECT_EQ(take_snapshots(1).highest, event(10));  // what it last claimed is still a number of the board
+    EXPECT_EQ(take_snapshots(1).highest, event(10));  // its last reported event still counts for the highest
 }
 
-// Given: an owner that knows a live member. When: its next snapshot takes twice a term. Then: the member
-// does not count.
+// The owner's next snapshot takes two terms, so the member's heartbeats are too old to count.
 TEST_F(SiteDigest, AnOwnerThatWasStoppedCountsNoMemberByOldSnapshots) {
     join("m1", 10);
     take_snapshots(5);
     EXPECT_EQ(take_snapshot(term * 2).live_count, 1u);
 }
 
-// Given: a member whose process has ended. When: a restored registry shows one of its earlier heartbeats.
-// Then: it is not live.
+// A restored registry shows an earlier heartbeat of a member whose process has ended; the member is not live.
 TEST_F(SiteDigest, AHeartbeatOfARestoredRegistryDoesNotCount) {
     join("m1", 10);
     take_snapshots(5);
@@ -287,10 +286,10 @@
     join("m1", 10);
     members[MemberName{"m1"}].generation.reset();
     own_event = 10;
-    const Digest& d = take_snapshots(5);
-    EXPECT_EQ(d.live_count, 2u);
-    EXPECT_EQ(d.lowest, event(0));
-    EXPECT_EQ(d.lagging[0].member, MemberName{"m1"});
+    const Digest& digest = take_snapshots(5);
+    EXPECT_EQ(digest.live_count, 2u);
+    EXPECT_EQ(digest.lowest, event(0));
+    EXPECT_EQ(digest.lagging[0].member, MemberName{"m1"});
 }
 
 TEST_F(SiteDigest, RevisionsOfAnotherGenerationDoNotCount) {
@@ -307,9 +306,9 @@
 
 TEST_F(SiteDigest, AMemberOfTheRosterThatWasNeverSeenIsAbsent) {
     roster.names.insert(MemberName{"m9"});
-    const Digest& d = take_snapshots(5);
-    EXPECT_EQ(d.known_count, 2u);
-    ASSERT_EQ(d.absent.size(), 1u);
+    const Digest& digest = take_snapshots(5);
+    EXPECT_EQ(digest.known_count, 2u);
+    ASSERT_EQ(digest.absent.size(), 1u);
 }
 
 TEST_F(SiteDigest, ASuccessorKeepsTheTimeSinceWhenAMemberIsAbsent) {
@@ -324,11 +323,11 @@
 TEST_F(SiteDigest, MoreThanADigestCanNameAreCounted) {
     for (int n = 1; n <= 40; ++n) join("x" + std::to_string(n), n);
     own_event = 40;
-    const Digest& d = take_snapshots(5);
-    EXPECT_EQ(d.live_count, 41u);
-    EXPECT_EQ(d.lagging_count, 39u);
-    EXPECT_EQ(d.lagging.size(), max_named_members);
-    EXPECT_EQ(d.lagging[0].event, event(1));
+    const Digest& digest = take_snapshots(5);
+    EXPECT_EQ(digest.live_count, 41u);
+    EXPECT_EQ(digest.lagging_count, 39u);
+    EXPECT_EQ(digest.lagging.size(), max_named_members);
+    EXPECT_EQ(digest.lagging[0].event, event(1));
     for (auto& [name, m] : members) m.runs = false;
     const Digest& still = take_snapshots(8);
     EXPECT_EQ(still.absent_count, 40u);
@@ -372,7 +371,7 @@
     EXPECT_FALSE(add_to_roster(*over, MemberName{"another"}));
 }
 
-// --- the answer of a reader --------------------------------------------------------------------------
+// --- the verdict of a reader -------------------------------------------------------------------------
 
 class FleetStatusReader : public ::testing::Test {
 protected:
@@ -384,7 +383,7 @@
     std::map<SiteName, Digest> sites;
     std::optional<std::string> generation = serialize(first);
     std::set<MemberName> members_outside_sites;
-    EventNumber board = event(10);
+    EventNumber newest_event = event(10);
 
     void SetUp() override {
         sites[SiteName{"a"}] = site("a0", 2);
@@ -392,30 +391,31 @@
         status.emplace(term, inventory);
     }
     static Digest site(const std::string& owner, std::size_t live) {
-        Digest d;
-        d.owner = MemberName{owner};
-        d.owner_id = "id-" + owner;
-        d.as_of_heartbeat = 1;
-        d.generation = first;
-        d.known_count = d.live_count = live;
-        d.lowest = d.highest = event(10);
-        return d;
+        Digest digest;
+        digest.owner = MemberName{owner};
+        digest.owner_id = "id-" + owner;
+        digest.as_of_heartbeat = 1;
+        digest.generation = first;
+        digest.known_count = digest.live_count = live;
+        digest.lowest = digest.highest = event(10);
+        return digest;
     }
-    // Owners' heartbeats are one ahead of their digests, unless they stand still.
+    // Reads the registry. With `moves`, each owner has sent a new heartbeat and written a new digest since
+    // the last reading.
     void read(bool moves = true) {
-        FleetStatus::RegistryReading r;
-        r.requested_at = now;
-        r.generation = generation;
-        r.members_outside_sites = members_outside_sites;
-        for (auto& [name, d] : sites) {
-            if (moves) ++d.as_of_heartbeat;
-            r.digests[name] = serialize(d);
-            r.owner_heartbeats[name] = serialize(
-                HeartbeatRecord{Incarnation{1}, InstanceId{d.owner_id}, HeartbeatNumber{d.as_of_heartbeat}});
+        FleetStatus::RegistryReading reading;
+        reading.requested_at = now;
+        reading.generation = generation;
+        reading.members_outside_sites = members_outside_sites;
+        for (auto& [name, digest] : sites) {
+            if (moves) ++digest.as_of_heartbeat;
+            reading.digests[name] = serialize(digest);
+            reading.owner_heartbeats[name] = serialize(HeartbeatRecord{
+                Incarnation{1}, InstanceId{digest.owner_id}, HeartbeatNumber{digest.as_of_heartbeat}});
         }
-        status->on_reading(r);
+        status->on_reading(reading);
         now = now + ms * 100;
-        status->on_newest_event(board);
+        status->on_newest_event(newest_event);
     }
     FleetStatus::Verdict verdict(std::int64_t n = 10) {
         read();
@@ -447,25 +447,25 @@
     EXPECT_EQ(reasons_of(v), (std::vector{Reason::stale_digest, Reason::stale_digest}));
 }
 
-// Its heartbeat had landed long before; the digest itself was under way for long.
+// The digest arrives long after the heartbeat that it is as of was committed.
 TEST_F(FleetStatusReader, ADigestThatComesLateIsNotFresh) {
     ASSERT_EQ(verdict().reach, Reach::everywhere);
-    for (auto& [name, d] : sites) ++d.as_of_heartbeat;
-    FleetStatus::RegistryReading r;
-    r.generation = generation;
+    for (auto& [name, digest] : sites) ++digest.as_of_heartbeat;
+    FleetStatus::RegistryReading reading;
+    reading.generation = generation;
     for (int n = 0; n < 45; ++n) {
-        r.requested_at = now;
-        for (const auto& [name, d] : sites) {
-            r.owner_heartbeats[name] = serialize(
-                HeartbeatRecord{Incarnation{1}, InstanceId{d.owner_id}, HeartbeatNumber{d.as_of_heartbeat}});
-            Digest former = d;
+        reading.requested_at = now;
+        for (const auto& [name, digest] : sites) {
+            reading.owner_heartbeats[name] = serialize(HeartbeatRecord{
+                Incarnation{1}, InstanceId{digest.owner_id}, HeartbeatNumber{digest.as_of_heartbeat}});
+            Digest former = digest;
             --former.as_of_heartbeat;
-            r.digests[name] = serialize(n < 44 ? former : d);
+            reading.digests[name] = serialize(n < 44 ? former : digest);
         }
-        status->on_reading(r);
+        status->on_reading(reading);
         now = now + ms * 100;
     }
-    status->on_newest_event(board);
+    status->on_newest_event(newest_event);
     EXPECT_EQ(status->judge(now, {event(10), {}}).reach, Reach::all_but);
 }
 
@@ -510,7 +510,7 @@
     status.emplace(term, std::map<SiteName, std::size_t>{});
     sites.clear();
     EXPECT_EQ(reasons_of(verdict()), std::vector{Reason::no_inventory});
-    // A site that is to be empty, and is.
+    // The inventory has a site with no gateways, and that site has no digest.
     sites[SiteName{"a"}] = site("a0", 2);
     status.emplace(term, std::map<SiteName, std::size_t>{{SiteName{"a"}, 2}, {SiteName{"e"}, 0}});
     EXPECT_EQ(verdict().reach, Reach::everywhere);
@@ -534,21 +534,21 @@
     EXPECT_EQ(verdict().reach, Reach::not_yet);
 }
 
-// Nobody has noticed yet that the board was restored.
+// The board was restored, and no gateway has detected it yet.
 TEST_F(FleetStatusReader, ABoardBelowAReportedEventIsNotYet) {
-    board = event(9);
+    newest_event = event(9);
     EXPECT_EQ(reasons_of(verdict(8)), std::vector{Reason::newest_event_unknown});
-    board = event(10);
+    newest_event = event(10);
     EXPECT_EQ(verdict(8).reach, Reach::everywhere);
     read();
-    FleetStatus::RegistryReading r;
-    r.requested_at = now;
-    status->on_reading(r);  // what the board said before is no answer to what was read after
+    FleetStatus::RegistryReading reading;
+    reading.requested_at = now;
+    status->on_reading(reading);  // the newest event from before this reading no longer counts
     EXPECT_EQ(reasons_of(status->judge(now, {event(8), {}})).front(), Reason::newest_event_unknown);
 }
 
 TEST_F(FleetStatusReader, AConfigurationIsAskedForAsAnEventIs) {
-    for (auto& [name, d] : sites) d.lowest_configuration = ConfigurationNumber{4};
+    for (auto& [name, digest] : sites) digest.lowest_configuration = ConfigurationNumber{4};
     verdict();
     EXPECT_EQ(status->judge(now, {{}, ConfigurationNumber{4}}).reach, Reach::everywhere);
     EXPECT_EQ(status->judge(now, {{}, ConfigurationNumber{5}}).reach, Reach::not_yet);
--- a/tests/fleet_event_test.cpp
+++ b/tests/fleet_event_test.cpp
@@ -1,4 +1,4 @@
-// The records that the fleet writes to the log, as docs/operations/fleet.md lists them.
+// Tests the log records of the fleet's events, as docs/operations/fleet.md lists them.
 #include "fleet/fleet_event.hpp"
 
 #include <gtest/gtest.h>
@@ -12,8 +12,8 @@
     return ::testing::internal::GetCapturedStderr();
 }
 
-// Given: each event that an operator acts on. When: it is logged. Then: it is a warning with the name and the
-// fields of the operators' page.
+// Each event that needs an operator's action is logged as a warning with the name and the fields of that
+// page.
 TEST(FleetEvents, WarningsHaveTheNamesAndFieldsOfThePage) {
     const MemberName member{"g1"};
     const DutyName duty{"sweep"};
@@ -43,7 +43,7 @@
               "warning: fleet_token_store_failed operation=write reason=write_failed detail=/store: full\n");
 }
 
-// Given: an event that needs no action. When: it is logged. Then: its level is info.
+// Events that need no action are logged with level info.
 TEST(FleetEvents, EventsThatNeedNoActionAreOfLevelInfo) {
     EXPECT_EQ(logged(LeaseStateChanged{DutyName{"sweep"}, LeaseState::expiring, FencingToken{5}}),
               "info: fleet_lease_changed duty=sweep state=expiring token=5\n");
--- a/tests/fleet_in_force_test.cpp
+++ b/tests/fleet_in_force_test.cpp
@@ -1,4 +1,5 @@
-// An answer `everywhere` is true whatever happens: all sites of an installation in virtual time.
+// Simulates all sites of an installation in virtual time and tests that the verdict `everywhere` is never
+// given while a gateway acts without the event, whatever faults occur.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -40,14 +41,14 @@
             .board_back = 0.02};
 }
 
-// The newest event is answered to be everywhere within that time.
+// Expects the verdict `everywhere` for the newest event within the given time.
 void expect_everywhere(SiteSimulation& w, Duration within) {
     const TimePoint by = w.now() + within;
     const std::int64_t event = w.newest();
     while (w.said_of(event).reach != Reach::everywhere && w.now() < by) w.run(ms * 500);
     ASSERT_EQ(w.said_of(event).reach, Reach::everywhere) << event << '\n' << w.picture();
 }
-// Of an event that was published a while ago, and the last one.
+// Returns the verdict after a pause in publishing, so that the newest event was published a while ago.
 Reach reach_at_rest(SiteSimulation& w) {
     w.publishes(false);
     w.run(ms * 6'000);
@@ -56,7 +57,8 @@
 }
 const Duration settled = ms * 40'000;
 
-void play(std::uint32_t seed, const SiteSimulation::Shape& shape, const SiteSimulation::FaultRates& faults) {
+void run_with_faults(std::uint32_t seed, const SiteSimulation::Shape& shape,
+                     const SiteSimulation::FaultRates& faults) {
     SCOPED_TRACE(seed);
     SiteSimulation w(seed, shape, shared_config(shape.drift));
     w.start_all();
@@ -71,17 +73,18 @@
     }
 }
 
-// More of them by the environment.
+// The environment variable IRISMUX_SEEDS sets the number of seeds.
 TEST(SimulatedSites, ManySeedsOfAllFaultsAnswerNothingUntrue) {
-    const char* asked = std::getenv("IRISMUX_SEEDS");
-    const std::uint32_t last = asked == nullptr ? 20 : static_cast<std::uint32_t>(std::atoi(asked));
+    const char* seed_count = std::getenv("IRISMUX_SEEDS");
+    const std::uint32_t last = seed_count == nullptr ? 20 : static_cast<std::uint32_t>(std::atoi(seed_count));
     for (std::uint32_t seed = 1; seed <= last; ++seed) {
-        play(seed, {.sites = {2 + seed % 4, 3, 1}, .drift = seed % 2 == 0 ? 0.2 : 0.05}, all_faults());
+        run_with_faults(seed, {.sites = {2 + seed % 4, 3, 1}, .drift = seed % 2 == 0 ? 0.2 : 0.05},
+                        all_faults());
         if (::testing::Test::HasFailure()) return;
     }
 }
 
-// All is in force everywhere, and that has been said.
+// A simulation in which every event is in force everywhere and has been reported so.
 struct AtRest : SiteSimulation {
     AtRest(std::uint32_t seed, const Shape& shape) : SiteSimulation(seed, shape, shared_config(shape.drift)) {
         start_all();
@@ -90,15 +93,15 @@
     }
 };
 
-// Given: a site at rest. When: the digest's owner, which lacks the newest events as another member does,
-// is stopped and resumed. Then: everywhere is not answered until all have applied them.
+// The digest's owner and another member lack the newest events, and the owner is stopped and resumed. The
+// verdict is not `everywhere` until all members have applied the events.
 TEST(SimulatedSites, ADigestOwnerThatIsStoppedAndResumedAnswersNothingUntrue) {
     for (std::uint32_t seed = 1; seed <= 20; ++seed) {
         SCOPED_TRACE(seed);
         AtRest w(seed, {.sites = {3, 1, 2}});
         for (const std::size_t site : {0u, 1u}) {
-            // It hears nothing of the board either, so that it lacks what comes while it stands still;
-            // another of its site lacks it, too.
+            // The owner gets no events of the board, so it lacks those published while it is stopped; another
+            // member lacks them too.
             const std::size_t owner = w.owner(site);
             ASSERT_LT(owner, w.members()) << w.picture();
             w.cut_board(owner, true);
@@ -117,8 +120,8 @@
     }
 }
 
-// Given: a site at rest. When: the link of the digest's owner to the registry is cut, one way or both.
-// Then: the answer is all but that member, by name.
+// The link between the digest's owner and the registry is cut in one or both directions. The verdict is
+// `all_but` and names that member.
 TEST(SimulatedSites, ADigestOwnerThatIsCutOffIsNamed) {
     enum { out, in, both };
     for (const int ways : {out, in, both})
@@ -130,7 +133,7 @@
             w.cut(owner, ways != out, ways != in);
             w.cut_board(owner, true);
             w.run(ms * 30'000);
-            // Where another of its site has the duty, the one that is cut off is named.
+            // Another member of the site owns the duty by now and names the one that is cut off.
             ASSERT_EQ(w.said().verdict.reach, Reach::all_but) << w.picture();
             ASSERT_EQ(w.said().verdict.missing.size(), 1u);
             EXPECT_EQ(w.said().verdict.missing[0].member.raw(), "m" + std::to_string(owner));
@@ -141,15 +144,15 @@
         }
 }
 
-// Given: a site that is cut off from the registry and the board while an event is under way. When: its
-// gateways are restarted with old state, and return. Then: everywhere is not answered until they have
+// A site is cut off from the registry and the board while an event is published, and its gateways are
+// restarted with old state. After the links return, the verdict is not `everywhere` until the gateways have
 // applied the event.
 TEST(SimulatedSites, ASiteThatReturnsWithOldStateDoesNotCount) {
     for (std::uint32_t seed = 1; seed <= 20; ++seed) {
         SCOPED_TRACE(seed);
         AtRest w(seed, {.sites = {3, 3}, .publish_every = ms * 300});
-        const auto site = [&](auto what) {
-            for (std::size_t n = 0; n < 3; ++n) what(w.member(0, n));
+        const auto site = [&](auto action) {
+            for (std::size_t n = 0; n < 3; ++n) action(w.member(0, n));
         };
         w.run(ms * (100 + 37 * seed));
         site([&](std::size_t m) {
@@ -168,7 +171,7 @@
         site([&](std::size_t m) { w.cut(m, seed % 2 == 0, seed % 2 == 0); });
         w.run(ms * 60'000);
         EXPECT_NE(reach_at_rest(w), Reach::everywhere);
-        site([&](std::size_t m) { w.cut(m, false, false); });  // the board still says nothing
+        site([&](std::size_t m) { w.cut(m, false, false); });  // the board is still cut off
         w.run(ms * 20'000);
         EXPECT_EQ(reach_at_rest(w), Reach::not_yet);
         site([&](std::size_t m) { w.revive(m); });
@@ -177,8 +180,8 @@
     }
 }
 
-// Given: a member that has reported an event. When: it dies and is restarted at once with older state, at
-// any time of an interval. Then: everywhere is not answered any more once its report has expired.
+// A member that has reported an event dies and is restarted at once with older state, at any time of a
+// heartbeat interval. The verdict is no longer `everywhere` once its report has expired.
 TEST(SimulatedSites, AMemberThatReturnsWithOldStateAfterItsReportDoesNotCount) {
     for (std::uint32_t seed = 1; seed <= 40; ++seed) {
         SCOPED_TRACE(seed);
@@ -191,7 +194,7 @@
         if (seed % 2 == 0) w.cut(victim, true, true);
         w.run(ms * (seed % 7));
         w.start(victim, 5);
-        w.run(ms * 40'000);  // longer than what it claimed may be counted
+        w.run(ms * 40'000);  // longer than its former report may be counted
         EXPECT_NE(w.said().verdict.reach, Reach::everywhere) << w.picture();
         EXPECT_FALSE(w.in_force_everywhere());
         w.revive(victim);
@@ -200,8 +203,8 @@
     }
 }
 
-// Given: a member that has left. When: a process under its name starts that can't join. Then: it is named
-// until an operator removes it from the roster or it joins.
+// A member has left, and a process with its name starts but can't join. The verdict names the member until an
+// operator removes it from the roster or it joins.
 TEST(SimulatedSites, AMemberThatLeftIsNamedUntilItReturnsOrIsForgotten) {
     AtRest w(3, {.sites = {3, 2}});
     const std::size_t gone = w.member(0, 1);
@@ -218,21 +221,21 @@
     EXPECT_EQ(reach_at_rest(w), Reach::all_but);
     w.kill(gone);
     w.forget(gone);
-    // Fewer than the inventory has: until that is lowered it could be one that has not joined yet.
+    // The site has fewer members than the inventory, so a gateway may exist that has not joined yet.
     EXPECT_EQ(reach_at_rest(w), Reach::not_yet);
     w.revive(gone);
     expect_everywhere(w, settled);
     EXPECT_EQ(w.broken, std::vector<std::string>{});
 }
 
-// Given: a gateway that misses the board's last events. When: the board is restored and other events take
-// their numbers. Then: everywhere is not answered until that gateway has read the board anew.
+// A gateway lacks the board's last events when the board is restored and assigns their numbers to other
+// events. The verdict is not `everywhere` until that gateway has read the board's full history again.
 TEST(SimulatedSites, ARestoredBoardBeginsANewGeneration) {
     for (const bool announced : {true, false})
         for (std::uint32_t seed = 1; seed <= 20; ++seed) {
             SCOPED_TRACE(seed);
             AtRest w(seed, {.sites = {3, 2}, .publish_every = ms * 200});
-            // One has not been told of the board's last events, and of none of those that take their numbers.
+            // This gateway gets neither the board's last events nor the events that reuse their numbers.
             const std::size_t cut_off_gateway = w.member(0, seed % 3);
             w.cut_board(cut_off_gateway, true);
             w.run(ms * 4'000);
@@ -246,9 +249,8 @@
         }
 }
 
-// Given: a member that was restarted with old state and is cut off, and a restored board. When: the
-// registry is restored to before that. Then: everywhere is not answered until the member has applied the
-// newest event.
+// A member is restarted with old state and is cut off, the board is restored, and then the registry is
+// restored to before that. The verdict is not `everywhere` until the member has applied the newest event.
 TEST(SimulatedSites, ARestoredRegistryAnswersNothingUntrue) {
     for (std::uint32_t seed = 1; seed <= 20; ++seed) {
         SCOPED_TRACE(seed);
@@ -276,7 +278,7 @@
     expect_everywhere(one, settled);
     one.kill(0);
     one.run(ms * 15'000);
-    // Nobody of that site is left to say so: the whole site is named.
+    // No member of the site is left to write its digest, so the verdict names the whole site.
     ASSERT_EQ(reach_at_rest(one), Reach::all_but);
     EXPECT_EQ(one.said().verdict.missing[0].site.raw(), "s0");
     EXPECT_EQ(one.said().verdict.missing[0].reason, FleetStatus::MissingReason::stale_digest);
@@ -300,14 +302,14 @@
         EXPECT_EQ(w->broken, std::vector<std::string>{});
 }
 
-// Given: four sites. When: two are cut off from the registry and the board for an hour while events go on
-// and some of their gateways are restarted. Then: the two sites are named all the while, and everywhere is
-// answered after the return.
+// Two of four sites are cut off from the registry and the board for an hour, while events are published and
+// some of their gateways are restarted. The verdict names the two sites all that time, and is `everywhere`
+// after they return.
 TEST(SimulatedSites, ARegionCutOffForAnHourIsNamedAndReturns) {
     AtRest w(6, {.sites = {2, 3, 2, 3}, .publish_every = ms * 5'000});
-    const auto region = [&](auto what) {
+    const auto region = [&](auto action) {
         for (const std::size_t site : {0u, 1u})
-            for (std::size_t n = 0; n < 2 + site; ++n) what(w.member(site, n));
+            for (std::size_t n = 0; n < 2 + site; ++n) action(w.member(site, n));
     };
     region([&](std::size_t m) {
         w.cut(m, true, true);
@@ -339,7 +341,8 @@
     for (std::size_t n = 0; n < w.members(); ++n) w.start(n, n % 5);
     w.run(ms * 20'000);
     expect_everywhere(w, settled);
-    // Nobody is told of other sites: all that goes out grows with the sites' sizes, not the installation's.
+    // Members get no records of other sites, so deliveries grow with the size of a site, not of the
+    // installation.
     EXPECT_LE(w.deliveries - before, 570u * 15 * 12);
     EXPECT_EQ(w.broken, std::vector<std::string>{});
 }
--- a/tests/fleet_process_test.cpp
+++ b/tests/fleet_process_test.cpp
@@ -1,4 +1,5 @@
-// Fleets of processes of the real program with faults between them; what is broken is found at the far ends.
+// Tests fleets of processes of the real program with faults between them. Violations are detected at the fake
+// registry, boards, caches and clients.
 #include <gtest/gtest.h>
 
 #include <signal.h>
@@ -48,7 +49,7 @@
         a.reset();
         fs::remove_all(root);
     }
-    // Of all gateways, in that duty's order.
+    // Returns the first of all gateways in the duty's order.
     std::size_t first_of(const std::string& duty) const {
         std::vector<MemberName> names;
         for (const auto& g : a->gateways) names.emplace_back(g.name);
@@ -59,7 +60,7 @@
         }
         return 0;
     }
-    // The sweeping has an owner whose writes land.
+    // Returns whether garbage collection has an owner whose writes are accepted.
     bool working() const {
         const auto n = a->owner(sweep);
         return n && a->accepted(sweep, *n, a->member(*n)->incarnation) > 0;
@@ -74,8 +75,8 @@
     }
 };
 
-// Given: an owner of the garbage collection. When: it is killed, and started again. Then: another one owns
-// it, and hands it back to the first in the order under a higher token and number of its join.
+// The owner of garbage collection is killed, another member takes the duty over, and hands it back to the
+// restarted first member, which owns it with a higher token and incarnation.
 TEST_F(FleetOfProcesses, AKilledOwnerIsReplacedAndGetsItsDutyBack) {
     begin();
     const std::size_t first = *a->owner(sweep);
@@ -83,18 +84,17 @@
     a->kill(first);
     EXPECT_TRUE(a->until([&] { return another_works(first); }));
     a->start(first);
-    // It is the first in the order: it has it back in a stated step, under a higher epoch and start.
+    // The restarted gateway is the first in the order, so the duty is handed back to its new incarnation.
     EXPECT_TRUE(a->until([&] { return works(first, Incarnation{former.raw() + 1}); }));
 }
 
-// An owner stopped at each point in turn: as its n-th piece to the registry, or from there, is on its way.
-// That piece is kept back until a successor has written, and goes on when the process does.
+// Stops the owner while its n-th message to or from the registry is in flight. The message is held back until
+// a successor has written, and is delivered when the process is resumed.
 class OwnerStoppedAtAMessage : public FleetOfProcesses,
                                public ::testing::WithParamInterface<std::pair<stand_ins::Direction, int>> {};
 
-// Given: an owner that is stopped as its n-th message to or from the registry is on its way; that message
-// is delayed. When: a successor has written, the message arrives and the process is resumed. Then: nothing
-// of the former owner is written.
+// After a successor has written, the delayed message arrives and the former owner is resumed: the registry
+// accepts no write of the former owner.
 TEST_P(OwnerStoppedAtAMessage, WritesNothingAfterItIsResumed) {
     begin();
     const std::size_t first = *a->owner(sweep);
@@ -104,7 +104,7 @@
     bool stopped = false;
     for (const auto& r : a->gateways[first].to_registry)
         r->seen = [&, way = way, nth = nth](stand_ins::Direction w, std::string_view bytes) {
-            // Of transactions, and not of the watch.
+            // Only messages of transactions count, not those of the watch.
             if (w != way ||
                 (w == stand_ins::Direction::to_server ? bytes.find("/kv/txn") : bytes.find("responses")) ==
                     std::string_view::npos)
@@ -117,7 +117,8 @@
     ASSERT_TRUE(a->until([&] { return stopped; }));
     ASSERT_TRUE(a->until([&] { return another_works(first); }));
     const std::size_t before = a->accepted(sweep, first, former);
-    // What it had sent comes first, then it wakes up, then it hears.
+    // The held messages to the registry are delivered first, then the process is resumed, then it gets
+    // replies.
     for (const auto& r : a->gateways[first].to_registry) r->hold(stand_ins::Direction::to_server, false);
     a->pass(ms * 50);
     a->resume(first);
@@ -137,8 +138,7 @@
                                            std::pair{stand_ins::Direction::to_client, 3},
                                            std::pair{stand_ins::Direction::to_client, 4}));
 
-// Given: an owner that is killed. When: the answer to the claim that lands is lost, twice. Then: the duty
-// has one owner.
+// The reply to a committed claim is lost, twice. The duty has one owner nevertheless.
 TEST_F(FleetOfProcesses, ALostAnswerToTheWinningClaimLeavesOneOwner) {
     begin();
     const std::size_t first = *a->owner(sweep);
@@ -156,8 +156,8 @@
     EXPECT_TRUE(a->until([&] { return lost > 1 && a->owner(sweep) == first && working(); }));
 }
 
-// Given: an owner that is killed. When: the next two claimants are killed as their claims land. Then: a
-// third one owns the duty.
+// After the owner is killed, the next two claimants are killed as their claims are committed. A third member
+// owns the duty.
 TEST_F(FleetOfProcesses, ASuccessorKilledAsItsClaimLandsIsReplaced) {
     shape.gateways = 4;
     begin();
@@ -182,12 +182,13 @@
     EXPECT_TRUE(a->until([&] { return working(); }));
 }
 
-// Cut off from the registry while its clients and caches are not: it acts no more, and serves on.
+// The owner is cut off from the registry but not from its clients and caches: it stops acting and goes on
+// serving.
 class OwnerCutOffFromTheRegistry : public FleetOfProcesses,
                                    public ::testing::WithParamInterface<std::pair<bool, bool>> {};
 
-// Given: an owner with clients. When: its link to the registry is cut, one way or both, and its others are
-// not. Then: another owns the duty, the former owner writes nothing, and all its clients are served.
+// The owner's link to the registry is cut in one or both directions. Another member owns the duty, the former
+// owner writes nothing, and all its clients are served.
 TEST_P(OwnerCutOffFromTheRegistry, StopsActingAndServesOn) {
     begin();
     const std::size_t first = *a->owner(sweep);
@@ -209,8 +210,8 @@
                          ::testing::Values(std::pair{true, true}, std::pair{true, false},
                                            std::pair{false, true}));
 
-// Given: gateways with clients. When: the registry is away for longer than every term, and returns. Then:
-// all clients are served, the registry gets a bounded number of requests, and the duty has an owner.
+// The registry is down for longer than every term. All clients are served meanwhile. After its return the
+// registry gets a bounded number of requests, and the duty has an owner.
 TEST_F(FleetOfProcesses, ARegistryAwayForLongerThanEveryTermCostsNoRequest) {
     begin();
     for (std::size_t n = 0; n < a->gateways.size(); ++n) a->serve(n);
@@ -222,7 +223,7 @@
     const std::size_t asked = a->registry.ledger.asked.size(), writes = a->written.size();
     for (std::size_t m = 0; m < shape.members; ++m) a->registry.up(m);
     EXPECT_TRUE(a->until([&] { return a->written.size() > writes && a->owner(sweep) && working(); }));
-    // The most in any tenth of a term after the return.
+    // The highest number of requests in any eighth of a term after the return.
     const auto& all = a->registry.ledger.asked;
     std::size_t most = 0;
     for (std::size_t n = asked, from = asked; n < all.size(); ++n) {
@@ -244,12 +245,13 @@
         EXPECT_TRUE(a->until(
             [&] { return a->written.size() > before && a->owner(sweep) == first_of(sweep) && working(); }));
     }
-    // From the first start on: it went to somebody, perhaps on to the first in the order, and not to and fro.
+    // Counted from the first start: each start gives the duty to some member and may hand it on to the first
+    // in the order, but the duty does not move back and forth.
     EXPECT_LE(a->ownership_changes.size(), 3u * 4u);
 }
 
-// Given: six gateways. When: four are killed at once, the owner among them, and started one after the
-// other. Then: the duty has one owner, and changes it at most once for each.
+// Four of six gateways are killed at once, the owner among them, and restarted one after the other. The duty
+// has one owner, and the number of owner changes is bounded by the number of restarts.
 TEST_F(FleetOfProcesses, MostKilledAndStartedOneByOneHaveOneOwner) {
     shape.gateways = 6;
     begin();
@@ -266,11 +268,11 @@
         }
     EXPECT_TRUE(a->until([&] { return a->all_joined() && a->owner(sweep) == first_of(sweep) && working(); }));
     EXPECT_LE(a->ownership_changes.size() - claims,
-              1u + 2u * 4u);  // at most a hand-back, in two steps, for each that came
+              1u + 2u * 4u);  // at most one handover, of two steps, for each restarted gateway
 }
 
-// Given: three gateways, two of which are cut off from a cache. When: one of these owns the cache's health
-// checks. Then: the third one goes on using the cache without an error.
+// Two of three gateways are cut off from a cache, and one of these owns the cache's health checks. The third
+// gateway goes on using the cache without an error.
 TEST_F(FleetOfProcesses, AnOwnerCutOffFromACacheHarmsNoOtherGateway) {
     shape.caches = 3;
     begin();
@@ -290,8 +292,8 @@
     a->all_answered();
 }
 
-// Given: records of a newer version and unreadable ones. When: the owner of the garbage collection is
-// killed and its successor makes a pass. Then: they are unchanged, but for a health check's result without
+// The registry has records of a newer version and unreadable ones. After the owner of garbage collection is
+// killed and its successor has made a pass, they are unchanged, except for a health check's result without
 // its duty.
 TEST_F(FleetOfProcesses, UnknownAndUnreadableRecordsStay) {
     begin();
@@ -307,16 +309,17 @@
     const std::size_t first = *a->owner(sweep);
     a->kill(first);
     EXPECT_TRUE(a->until([&] { return another_works(first); }));
-    a->pass(shape.term * 4);  // two waits and a pass of the sweeping
+    a->pass(shape.term * 4);  // two eviction timeouts and a garbage collection pass
     for (const auto& [key, value] : odd) EXPECT_TRUE(key == "seen/c9" || a->record(key) == value) << key;
-    EXPECT_FALSE(a->record("seen/c9")) << "a finding without its watch";
+    EXPECT_FALSE(a->record("seen/c9")) << "a health check result without its duty";
 }
 
-// Back to a backup: epochs come again. Whoever has seen the higher one refuses, and the owner takes a higher.
+// The registry is restored from a backup, so it shows lower tokens again. Members that have seen the higher
+// token refuse the lower one, and the owner claims the duty again under a higher token.
 class RestoredRegistry : public FleetOfProcesses, public ::testing::WithParamInterface<bool> {};
 
-// Given: an owner that was killed and replaced. When: the registry is restored to before that. Then: the
-// duty is owned under a token above all that were seen, and the log has the event.
+// An owner is killed and replaced, and the registry is restored to before that. The duty is then owned under
+// a token above all that were seen, and the log has the event.
 TEST_P(RestoredRegistry, GivesNoTokenToTwoOwnersAndIsLogged) {
     begin();
     const std::size_t first = *a->owner(sweep);
@@ -326,7 +329,7 @@
     ASSERT_TRUE(a->until([&] { return another_works(first); }));
     const FencingToken higher = a->duty(sweep)->token;
     EXPECT_GT(higher, old);
-    a->pass(shape.term * 2);  // the backup is more than a term old: a premise
+    a->pass(shape.term * 2);  // premise: the backup is more than a term old
     a->registry.model.restore(backup, GetParam());
     for (std::size_t m = 0; m < shape.members; ++m) a->registry.break_connections(m);
     const std::size_t before = a->written.size();
@@ -341,8 +344,8 @@
 
 INSTANTIATE_TEST_SUITE_P(ClusterIds, RestoredRegistry, ::testing::Values(false, true));
 
-// Given: all members of the registry but one lag by 40 revisions. When: an owner is stopped, replaced and
-// resumed. Then: it writes nothing until it has joined anew.
+// All members of the registry but one lag by 40 revisions. An owner that is stopped, replaced and resumed
+// writes nothing until it has joined again.
 TEST_F(FleetOfProcesses, LaggingRegistryMembersRenewNoLease) {
     begin();
     const std::size_t first = *a->owner(sweep);
@@ -356,8 +359,8 @@
     EXPECT_EQ(a->accepted(sweep, first, former), before);
 }
 
-// Given: slow links that are reset in the middle of messages, and a registry member that never answers.
-// When: an owner is killed. Then: another one owns the duty.
+// Links are slow and reset in the middle of messages, and one registry member never answers. Another member
+// owns the duty after its owner is killed.
 TEST_F(FleetOfProcesses, SlowLinksResetsAndAHangingRegistryMemberDelayNoTakeover) {
     begin();
     const std::size_t first = *a->owner(sweep);
@@ -373,8 +376,8 @@
     EXPECT_TRUE(a->until([&] { return another_works(first); }));
 }
 
-// Given: clocks that are off by as much as is allowed, the owner's slow and the others' fast. When: the
-// owner is cut off from the registry. Then: a successor checks the cache, and never both at one time.
+// The clocks are off by as much as is allowed: the owner's is slow, the others' are fast. After the owner is
+// cut off from the registry, a successor checks the cache, and both never do so at the same time.
 TEST_F(FleetOfProcesses, ClocksAtTheLimitOfTheirDriftNeverHaveTwoOwners) {
     shape.drift = 0.25;
     shape.clock = IRISMUX_SKEWED_CLOCK;
@@ -402,19 +405,20 @@
     a->all_answered();
 }
 
-// Given: an owner whose machine is suspended for an hour. When: it is resumed. Then: its lease is lost at
-// once, and it writes nothing for a term.
+// The owner's machine is suspended for an hour. On resume it loses its lease at once, and it writes nothing
+// for a term.
 TEST_F(FleetOfProcesses, AMachineSuspendedForAnHourLosesItsLeaseAtOnce) {
     shape.clock = IRISMUX_SKEWED_CLOCK;
     begin();
     const std::size_t first = *a->owner(sweep);
     const Incarnation former = a->member(first)->incarnation;
     a->stop(first);
-    a->pass(ms * 50);  // what it had sent has landed
+    a->pass(ms * 50);  // messages already sent are processed by then
     a->clock(first, 1, ms * 3'600'000);
     const TimePoint woke = a->loop.now();
     a->resume(first);
-    // Its sleep took no time here: nobody has followed it yet. Still it acts no more until it has listened.
+    // The suspension takes no real time here, so no successor owns the duty yet. The owner must stop acting
+    // nevertheless until it has waited for a term.
     EXPECT_TRUE(a->until([&] { return a->logged(first, "warning: fleet_lease_lost duty=sweep token="); }));
     const std::size_t all = a->written.size();
     EXPECT_TRUE(a->until([&] { return a->owner(sweep) && a->written.size() > all + 5; }));
@@ -443,17 +447,16 @@
     EXPECT_NE(run({"release", "nonesuch"}).find("nobody owns nonesuch"), std::string::npos);
     EXPECT_NE(run({"release", sweep}).find("sweep is now owned by"), std::string::npos);
     EXPECT_TRUE(a->until([&] { return another_works(first); }));
-    a->pass(shape.term * 4);  // it does not go back by itself
+    a->pass(shape.term * 4);  // the duty does not go back until the release is withdrawn
     EXPECT_TRUE(another_works(first));
     EXPECT_EQ(run({"restore", sweep}), "restored\n");
     EXPECT_TRUE(a->until([&] { return a->owner(sweep) == first; }));
 }
 
-// --- the watch over a cache ------------------------------------------------------------------------------
+// --- health checks of a cache ----------------------------------------------------------------------------
 
-// Given: a dead cache that all gateways have ejected. When: the owner of its health checks is stopped, and
-// the cache returns. Then: a successor continues the checks, the cache is readmitted, and the records of
-// its checks are removed.
+// All gateways have ejected a dead cache. The owner of its health checks is stopped, and the cache recovers.
+// A successor continues the checks, the cache is readmitted, and the records of its checks are removed.
 TEST_F(FleetOfProcesses, OneGatewayChecksACacheThatSeveralEjectedAndASuccessorContinues) {
     shape.caches = 3;
     begin();
@@ -466,7 +469,7 @@
     };
     ASSERT_TRUE(a->until([&] { return a->owner(watch) && finding() && finding()->streak > 2; }));
     EXPECT_FALSE(finding()->healthy);
-    // Its process hangs from now on, and does not refuse: looks are seen at the far end.
+    // From now on the cache hangs instead of refusing connections, so that the test sees the health checks.
     for (auto& g : a->gateways) g.to_caches[0]->cut(true);
     a->set_cache_dead(0, false);
     ASSERT_TRUE(a->until([&] { return a->health_checks.size() > 3; }));
@@ -478,19 +481,19 @@
     }));
     a->resume(owner);
     a->pass(shape.term);
-    // It answers again: it is well for all, no mark is left, and nobody watches any more.
+    // The cache answers again: no gateway ejects it any more, and its health checks have no owner.
     for (auto& g : a->gateways) g.to_caches[0]->cut(false);
     EXPECT_TRUE(a->until([&] {
         const auto d = a->duty(watch);
         return (!d || d->owner.raw().empty()) && a->caches[0]->total > 0;
     }));
-    // What is left of it is swept; its epochs don't come again.
+    // Garbage collection removes the remaining records; the floor keeps their tokens from being given again.
     EXPECT_TRUE(a->until([&] { return !a->record("duty/" + watch) && !a->record("seen/c1"); }));
     EXPECT_TRUE(a->record("floor"));
     a->all_answered();
 }
 
-// Where probes are not permitted the owner's own lookups are the look.
+// Where health checks are not permitted, the owner's own recovery probe replaces them.
 TEST_F(FleetOfProcesses, WithoutProbesTheOwnersRecoveryProbeIsTheCheck) {
     shape.caches = 3;
     shape.probes = false;
@@ -513,10 +516,10 @@
     a->all_answered();
 }
 
-// --- who may be in ---------------------------------------------------------------------------------------
+// --- refused joins and reloads ---------------------------------------------------------------------------
 
-// Given: a fleet. When: a gateway starts under another's name, and one of another installation. Then:
-// neither joins, and the log of each has the reason.
+// A gateway with another's name and one of another installation do not join, and the log of each has the
+// reason.
 TEST_F(FleetOfProcesses, ANameInUseAndAnotherInstallationStayOutAndAreLogged) {
     begin();
     const std::size_t owner = *a->owner(sweep), n = (owner + 1) % 3, m = (n + 1) % 3;
@@ -544,7 +547,8 @@
     EXPECT_TRUE(working());
 }
 
-// SIGHUP with a table that has gone, and one that has come back: the same process leaves, and joins anew.
+// On SIGHUP the process leaves the fleet if the table [fleet] has been removed, and joins again if it is
+// back.
 TEST_F(FleetOfProcesses, AReloadWithoutAndWithTheTableLeavesAndJoinsAnew) {
     shape.stores_tokens = true;
     begin();
@@ -559,7 +563,7 @@
     fs::rename(kept, g.parts);
     g.process->signal(SIGHUP);
     EXPECT_TRUE(a->until([&] { return works(first, Incarnation{former.raw() + 1}); }));
-    // And a changed one: it leaves and joins in one step, though its former self has just gone.
+    // With a changed table it leaves and joins in one step, although its former instance has only just left.
     const Incarnation again = a->member(first)->incarnation;
     std::ofstream(g.parts, std::ios::app) << "\n# changed\n";
     std::ifstream in(g.parts);
@@ -571,8 +575,8 @@
     EXPECT_TRUE(a->until([&] { return works(first, Incarnation{again.raw() + 1}); }));
 }
 
-// Given: gateways that store the tokens seen. When: all are killed, the registry is restored to a lower
-// token, and they start. Then: the duty is owned under a token above all that were seen.
+// The gateways store the tokens seen. All are killed, the registry is restored to a lower token, and they
+// start again. The duty is owned under a token above all that were seen.
 TEST_F(FleetOfProcesses, TokensSeenBeforeARestartAreRefusedAfterIt) {
     shape.stores_tokens = true;
     begin();
@@ -592,7 +596,7 @@
     }));
 }
 
-// The table counts only where the command line names the file.
+// The table [fleet] applies only if the command line names its file with --parts.
 TEST_F(FleetOfProcesses, TheTableCountsOnlyWithPartsOnTheCommandLine) {
     begin();
     auto& g = a->gateways[0];
--- a/tests/fleet_sites_test.cpp
+++ b/tests/fleet_sites_test.cpp
@@ -1,5 +1,5 @@
-// What `irismux fleet in-force` says of processes of the program with faults between them: two sites, g1 and
-// g2 in `a`, g3 alone in `b`. The boards' ledgers tell what each gateway has taken.
+// Tests `irismux fleet in-force` with gateway processes and faults between them. There are two sites: g1 and
+// g2 are in `a`, g3 is alone in `b`. The polls at the boards show which events each gateway has applied.
 #include <gtest/gtest.h>
 
 #include <sys/wait.h>
@@ -31,7 +31,7 @@
     fs::path root = fs::temp_directory_path() / ("irismux_sites." + std::to_string(::getpid()));
     std::unique_ptr<stand_ins::ProcessFleet> a;
     std::string parts;
-    std::string said;  // by the command line, last
+    std::string output;  // output of the last command
 
     void SetUp() override {
         fs::create_directories(root);
@@ -66,21 +66,21 @@
         stand_ins::Process p({all, {"PATH=/usr/bin:/bin"}, "", out});
         EXPECT_TRUE(a->until([&] { return !p.running(); }, ms * 60'000));
         std::ifstream in(out);
-        said.assign((std::istreambuf_iterator<char>(in)), {});
+        output.assign((std::istreambuf_iterator<char>(in)), {});
         return WEXITSTATUS(p.status().value_or(0xff00));
     }
     int in_force(std::int64_t event, double wait_s = 0) {
         return run({"in-force", "--event", std::to_string(event), "--board", a->gateways[0].board->address(),
                     "--wait", std::to_string(wait_s)});
     }
-    // Asks again until the answer is that one, in those words. None on the way may be `everywhere`. How long
-    // it takes until digests are fresh depends on the machine; the verdict must not.
-    bool comes_to(int answer, const std::string& words, const std::vector<std::string>& question) {
+    // Repeats the command until its verdict is `answer` and its output contains `words`. Fails if any verdict
+    // before is `everywhere`. The time until digests are fresh depends on the machine; the verdict must not.
+    bool eventually_answers(int answer, const std::string& words, const std::vector<std::string>& question) {
         const TimePoint by = a->loop.now() + ms * 60'000;
         while (a->loop.now() < by) {
             const int given = run(question);
             if (given == everywhere) return false;
-            if (given == answer && said.find(words) != std::string::npos) return true;
+            if (given == answer && output.find(words) != std::string::npos) return true;
         }
         return false;
     }
@@ -93,21 +93,21 @@
                 "--wait",
                 std::to_string(some_terms)};
     }
-    // A purge, told by each gateway's board under one number.
+    // Publishes a purge with the same event number at each gateway's board.
     std::int64_t purge() {
         std::int64_t number = 0;
         for (const auto& g : a->gateways)
             number = g.board->post({{"flush", {{"ms", 1'000}, {"asset", "x"}}}});
         return number;
     }
-    // It asks for what comes after that event: it has taken it.
-    bool has(std::size_t n, std::int64_t event) const {
+    // Returns whether the gateway has applied the event: it polls its board for later events.
+    bool has_applied(std::size_t n, std::int64_t event) const {
         return a->gateways[n].board->waiting_from() >= event;
     }
-    void deaf(std::size_t n, bool is) {
+    void set_board_cut_off(std::size_t n, bool cut_off) {
         for (const stand_ins::Direction way :
              {stand_ins::Direction::to_server, stand_ins::Direction::to_client})
-            a->gateways[n].to_board->hold(way, is);
+            a->gateways[n].to_board->hold(way, cut_off);
     }
     bool listens(std::size_t n) const {
         const auto seen = stand_ins::sockets_of(a->gateways[n].process->id());
@@ -127,84 +127,86 @@
 };
 
 TEST_F(SitesOfProcesses, AnswersEverywhereOnceItIsAndNamesTheMemberThatLacksIt) {
-    ASSERT_EQ(in_force(1, 30), everywhere) << said;
-    EXPECT_EQ(run({"in-force", "--configuration", "7", "--wait", "20"}), everywhere) << said;
-    EXPECT_TRUE(comes_to(not_yet, "", {"in-force", "--configuration", "8"})) << said;
-    deaf(1, true);
+    ASSERT_EQ(in_force(1, 30), everywhere) << output;
+    EXPECT_EQ(run({"in-force", "--configuration", "7", "--wait", "20"}), everywhere) << output;
+    EXPECT_TRUE(eventually_answers(not_yet, "", {"in-force", "--configuration", "8"})) << output;
+    set_board_cut_off(1, true);
     const std::int64_t event = purge();
-    EXPECT_TRUE(comes_to(not_yet, "site a g2 live, and without it", question_of(event))) << said;
-    EXPECT_FALSE(has(1, event));
-    deaf(1, false);
-    EXPECT_EQ(in_force(event, 30), everywhere) << said;
-    for (std::size_t n = 0; n < 3; ++n) EXPECT_TRUE(has(n, event)) << n;
+    EXPECT_TRUE(eventually_answers(not_yet, "site a g2 live, and without it", question_of(event))) << output;
+    EXPECT_FALSE(has_applied(1, event));
+    set_board_cut_off(1, false);
+    EXPECT_EQ(in_force(event, 30), everywhere) << output;
+    for (std::size_t n = 0; n < 3; ++n) EXPECT_TRUE(has_applied(n, event)) << n;
 }
 
-// Given: a purge that the digest's owner does not receive. When: the owner is stopped and resumed. Then:
-// everywhere is not answered until it has applied the purge.
+// The digest's owner does not receive a purge and is stopped and resumed. The verdict is not `everywhere`
+// until the owner has applied the purge.
 TEST_F(SitesOfProcesses, ADigestOwnerThatIsStoppedAndResumedAnswersNothingUntrue) {
-    ASSERT_EQ(in_force(1, 30), everywhere) << said;
+    ASSERT_EQ(in_force(1, 30), everywhere) << output;
     const std::size_t first = owner();
-    deaf(first, true);
+    set_board_cut_off(first, true);
     a->stop(first);
     const std::int64_t event = purge();
-    EXPECT_NE(in_force(event, some_terms), everywhere) << said;
+    EXPECT_NE(in_force(event, some_terms), everywhere) << output;
     a->resume(first);
-    EXPECT_NE(in_force(event, some_terms), everywhere) << said;
-    EXPECT_FALSE(has(first, event));
-    deaf(first, false);
-    EXPECT_EQ(in_force(event, 30), everywhere) << said;
+    EXPECT_NE(in_force(event, some_terms), everywhere) << output;
+    EXPECT_FALSE(has_applied(first, event));
+    set_board_cut_off(first, false);
+    EXPECT_EQ(in_force(event, 30), everywhere) << output;
 }
 
 class DigestOwnerCutOff : public SitesOfProcesses,
                           public ::testing::WithParamInterface<std::pair<bool, bool>> {};
 
-// Given: a purge that the digest's owner does not receive. When: its link to the registry is cut, one way
-// or both. Then: the answer names it, and is not everywhere until it has applied the purge.
+// The digest's owner does not receive a purge, and its link to the registry is cut in one or both directions.
+// The verdict names the owner, and is not `everywhere` until the owner has applied the purge.
 TEST_P(DigestOwnerCutOff, IsNamedAndNothingUntrueIsAnswered) {
-    ASSERT_EQ(in_force(1, 30), everywhere) << said;
+    ASSERT_EQ(in_force(1, 30), everywhere) << output;
     const std::size_t first = owner();
-    deaf(first, true);
+    set_board_cut_off(first, true);
     a->cut_registry(first, GetParam().first, GetParam().second);
     const std::int64_t event = purge();
-    EXPECT_NE(in_force(event, some_terms), everywhere) << said;
-    // The other one of its site has the duty by and by, and names it.
-    EXPECT_TRUE(comes_to(all_but, "site a g" + std::to_string(first + 1) + " cut off, dead or left, since ",
-                         question_of(event)))
-        << said;
+    EXPECT_NE(in_force(event, some_terms), everywhere) << output;
+    // The other member of the site takes the duty over after a while and names this one as absent.
+    EXPECT_TRUE(eventually_answers(all_but,
+                                   "site a g" + std::to_string(first + 1) + " cut off, dead or left, since ",
+                                   question_of(event)))
+        << output;
     a->cut_registry(first, false, false);
-    EXPECT_NE(in_force(event, some_terms), everywhere) << said;
-    EXPECT_FALSE(has(first, event));
-    deaf(first, false);
-    EXPECT_EQ(in_force(event, 30), everywhere) << said;
+    EXPECT_NE(in_force(event, some_terms), everywhere) << output;
+    EXPECT_FALSE(has_applied(first, event));
+    set_board_cut_off(first, false);
+    EXPECT_EQ(in_force(event, 30), everywhere) << output;
 }
 
 INSTANTIATE_TEST_SUITE_P(Ways, DigestOwnerCutOff,
                          ::testing::Values(std::pair{true, true}, std::pair{true, false},
                                            std::pair{false, true}));
 
-// Given: a site cut off while a purge is under way. When: its gateway is restarted with old state, and
-// returns. Then: everywhere is not answered until it has applied the purge.
+// A site is cut off while a purge is published, and its gateway is restarted with old state. After the link
+// returns, the verdict is not `everywhere` until the gateway has applied the purge.
 TEST_F(SitesOfProcesses, ASiteThatReturnsWithOldStateDoesNotCount) {
-    ASSERT_EQ(in_force(1, 30), everywhere) << said;
-    deaf(2, true);
+    ASSERT_EQ(in_force(1, 30), everywhere) << output;
+    set_board_cut_off(2, true);
     a->cut_registry(2, true, true);
     const std::int64_t event = purge();
     a->kill(2);
-    a->start(2);  // its configuration's state is that of the first event
-    EXPECT_TRUE(comes_to(all_but, "site b nothing new is heard of that site", question_of(event))) << said;
+    a->start(2);  // its configuration has the state of the first event
+    EXPECT_TRUE(eventually_answers(all_but, "site b nothing new is heard of that site", question_of(event)))
+        << output;
     a->cut_registry(2, false, false);
-    EXPECT_NE(in_force(event, some_terms), everywhere) << said;
-    EXPECT_FALSE(has(2, event));
-    deaf(2, false);
-    EXPECT_EQ(in_force(event, 30), everywhere) << said;
+    EXPECT_NE(in_force(event, some_terms), everywhere) << output;
+    EXPECT_FALSE(has_applied(2, event));
+    set_board_cut_off(2, false);
+    EXPECT_EQ(in_force(event, 30), everywhere) << output;
 }
 
-// Given: a member that has reported a purge. When: it dies and is restarted at once without it. Then: it
-// takes no requests while its former report may still count.
+// A member that has reported a purge dies and is restarted at once without it. It accepts no requests while
+// its former report may still count.
 TEST_F(SitesOfProcesses, AMemberThatDiesAfterItsReportTakesNoRequestsWithOldState) {
     const std::int64_t event = purge();
-    ASSERT_EQ(in_force(event, 30), everywhere) << said;
-    deaf(1, true);
+    ASSERT_EQ(in_force(event, 30), everywhere) << output;
+    set_board_cut_off(1, true);
     a->kill(1);
     a->start(1);
     const TimePoint started = a->loop.now();
@@ -213,23 +215,24 @@
     EXPECT_FALSE(listens(1));
     EXPECT_TRUE(a->until([&] { return listens(1); }));
     EXPECT_GE(a->loop.now() - started, counted * 0.95);
-    EXPECT_TRUE(comes_to(not_yet, "site a", question_of(event))) << said;
-    deaf(1, false);
-    EXPECT_EQ(in_force(event, 30), everywhere) << said;
+    EXPECT_TRUE(eventually_answers(not_yet, "site a", question_of(event))) << output;
+    set_board_cut_off(1, false);
+    EXPECT_EQ(in_force(event, 30), everywhere) << output;
 }
 
 TEST_F(SitesOfProcesses, AForgottenMemberIsNotWaitedForAndAGenerationBeginsAnew) {
-    ASSERT_EQ(in_force(1, 30), everywhere) << said;
-    EXPECT_EQ(run({"forget", "a", "g2"}), 1) << said;  // it lives
+    ASSERT_EQ(in_force(1, 30), everywhere) << output;
+    EXPECT_EQ(run({"forget", "a", "g2"}), 1) << output;  // refused, since the member is live
     a->kill(1);
     ASSERT_TRUE(a->until([&] { return !record("site/a/roll/member/g2"); }));
-    EXPECT_TRUE(comes_to(all_but, "site a g2", question_of(1))) << said;
-    EXPECT_EQ(run({"forget", "a", "g2"}), 0) << said;
-    EXPECT_TRUE(comes_to(not_yet, "", question_of(1))) << said;  // fewer than the inventory has
+    EXPECT_TRUE(eventually_answers(all_but, "site a g2", question_of(1))) << output;
+    EXPECT_EQ(run({"forget", "a", "g2"}), 0) << output;
+    EXPECT_TRUE(eventually_answers(not_yet, "", question_of(1)))
+        << output;  // the site has fewer members than the inventory
     a->start(1);
-    EXPECT_EQ(in_force(1, 30), everywhere) << said;
-    EXPECT_EQ(run({"new-generation"}), 0) << said;
-    EXPECT_EQ(in_force(1, 30), everywhere) << said;
+    EXPECT_EQ(in_force(1, 30), everywhere) << output;
+    EXPECT_EQ(run({"new-generation"}), 0) << output;
+    EXPECT_EQ(in_force(1, 30), everywhere) << output;
 }
 
 }  // namespace
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,5 +1,5 @@
-// One owner a duty: fences, leases, single members, transactions that land late, and whole fleets in virtual
-// time.
+// Tests that each duty has at most one owner: fences, leases, single members, transactions that are committed
+// late, and whole fleets in virtual time.
 #include <gtest/gtest.h>
 
 #include "fleet/garbage_collector.hpp"
@@ -17,10 +17,10 @@
 
 SharedConfig shared_config(double drift = 0.05) { return {"test", ms * 4000, drift}; }
 
-// --- the parts by themselves -----------------------------------------------------------------------------
+// --- single classes --------------------------------------------------------------------------------------
 
-// Given: a fence that has accepted tokens 4 and 5 of a duty. When: lower tokens, other owners and damaged
-// stored states come, also after a restart. Then: none is accepted.
+// A fence that has accepted tokens 4 and 5 of a duty accepts no lower token, no other owner of a token and no
+// damaged stored state, also after a restart.
 TEST(Fleet, AFenceRefusesLowerTokensAlsoAfterARestart) {
     const DutyName d{"d"};
     const LeaseHolder a{FencingToken{4}, MemberName{"a"}, Incarnation{1}},
@@ -30,7 +30,8 @@
     EXPECT_TRUE(f.accepts(d, a));
     EXPECT_TRUE(f.accepts(d, b));
     EXPECT_FALSE(f.accepts(d, a));
-    EXPECT_FALSE(f.accepts(d, {FencingToken{5}, MemberName{"c"}, Incarnation{1}}));  // one number, two owners
+    EXPECT_FALSE(f.accepts(
+        d, {FencingToken{5}, MemberName{"c"}, Incarnation{1}}));  // the same token with another owner
     EXPECT_FALSE(f.accepts(d, {FencingToken{0}, MemberName{"c"}, Incarnation{1}}));
     Fence again(2);
     EXPECT_TRUE(again.restore(f.serialize()));
@@ -40,20 +41,20 @@
     const std::string stored = f.serialize();
     for (std::size_t n = 0; n < stored.size(); ++n) {
         EXPECT_FALSE(Fence().restore(stored.substr(0, n))) << n;
-        std::string torn = stored;
-        torn[n] = '\x01';
+        std::string damaged = stored;
+        damaged[n] = '\x01';
         Fence g;
         g.accepts(d, {FencingToken{9}, MemberName{"b"}, Incarnation{2}});
-        g.restore(torn);
+        g.restore(damaged);
         EXPECT_EQ(g.highest(d), FencingToken{9});
     }
     EXPECT_TRUE(f.accepts(DutyName{"e"}, a));
-    EXPECT_FALSE(f.accepts(DutyName{"f"}, a));  // the bound
+    EXPECT_FALSE(f.accepts(DutyName{"f"}, a));  // more duties than the limit
     EXPECT_FALSE(f.accepts(d, a));
 }
 
-// Given: a duty with token 7 whose record was removed. When: orders under 7 and lower come. Then: they are
-// refused until the registry shows the duty again.
+// The record of a duty with token 7 was removed. Holders with token 7 or lower are refused until the registry
+// shows the duty again.
 TEST(Fleet, AFenceForgetsARemovedDutyAndAcceptsNoneOfItsTokens) {
     const DutyName d{"d"}, other{"o"};
     const auto by = [](std::int64_t e) {
@@ -128,7 +129,7 @@
               MemberName{});
 }
 
-// One gateway at a registry that answers at once, in steps of a tenth of a round.
+// One gateway with a registry that replies at once, in steps of a tenth of a heartbeat interval.
 class SingleMember : public ::testing::Test, public AgentTransport, public AgentObserver {
 protected:
     stand_ins::TransactionLedger ledger;
@@ -139,9 +140,9 @@
     std::function<void(WriteOutcome)> on_outcome = [](WriteOutcome) {};
     std::unique_ptr<Agent> agent;
 
-    void start(const std::string& name, const SharedConfig& a, const std::string& mark = "k") {
-        agent = std::make_unique<Agent>(*this, *this, a,
-                                        MemberIdentity{MemberName{name}, InstanceId{mark}, "1", {}}, 5);
+    void start(const std::string& name, const SharedConfig& a, const std::string& instance_id = "k") {
+        agent = std::make_unique<Agent>(
+            *this, *this, a, MemberIdentity{MemberName{name}, InstanceId{instance_id}, "1", {}}, 5);
         agent->set_duties(now, {DutyName{"d"}});
         agent->start(now);
     }
@@ -173,8 +174,8 @@
     void on_event(const FleetEvent& event) override { events.push_back(event); }
 };
 
-// Given: a registry with the shared configuration of another installation. When: a member starts. Then: it
-// writes nothing, owns nothing and reports why, once.
+// The registry has the shared configuration of another installation. A member that starts writes nothing,
+// owns nothing and reports the reason once.
 TEST_F(SingleMember, ARegistryOfAnotherInstallationIsNotWritten) {
     put("about", serialize(SharedConfig{"other", ms * 4000, 0.05}));
     const auto before = ledger.records();
@@ -187,16 +188,16 @@
     EXPECT_FALSE(agent->may_act(now, DutyName{"d"}));
 }
 
-// Given: another living gateway with the same name. When: a member starts. Then: it stays out and reports
-// that, until the other sends no heartbeats any more.
+// Another live gateway has the member's name. The member does not join and reports that, until the other
+// sends no more heartbeats.
 TEST_F(SingleMember, ANameInUseIsReportedAndTakenOnceItsHolderIsGone) {
     put("about", serialize(shared_config()));
     put("member/m", serialize(MemberRecord{Incarnation{4}, InstanceId{"other"}, "1", {}}));
-    std::int64_t beats = 1;
+    std::int64_t heartbeat_number = 1;
     start("m", shared_config());
     run(ms * 20'000, [&] {
-        put("beat/m",
-            serialize(HeartbeatRecord{Incarnation{4}, InstanceId{"other"}, HeartbeatNumber{++beats}}));
+        put("beat/m", serialize(HeartbeatRecord{Incarnation{4}, InstanceId{"other"},
+                                                HeartbeatNumber{++heartbeat_number}}));
     });
     EXPECT_FALSE(agent->membership().joined());
     EXPECT_TRUE(reported(JoinRefused{JoinRefusal::name_in_use, MemberName{"m"}, ""}));
@@ -205,8 +206,8 @@
     EXPECT_GT(agent->incarnation(), Incarnation{4});
 }
 
-// Given: a duty's record in a newer form, and one of an unknown duty. When: a member starts. Then: it
-// reports the first, and writes neither.
+// The registry has a duty's record in a newer format, and one of an unknown duty. A member reports the first
+// and writes neither.
 TEST_F(SingleMember, AnUnreadableDutyRecordIsNotClaimedAndUnknownDutiesStay) {
     put("duty/d", "{\"format\":9}");
     put("duty/newer", serialize(DutyRecord{FencingToken{3}, MemberName{"gone"}, Incarnation{1}}));
@@ -219,8 +220,8 @@
     EXPECT_EQ(parse_duty(ledger.records().at(Key{"duty/newer"}))->owner, MemberName{"gone"});
 }
 
-// Given: a member that has seen token 40 of a duty. When: a restored registry shows token 7. Then: it
-// reports and publishes 40, and the duty is claimed under 41.
+// A member has seen token 40 of a duty when a restored registry shows token 7. It reports and publishes 40,
+// and the duty is claimed under 41.
 TEST_F(SingleMember, ATokenBelowASeenOneIsRefusedUntilTheOwnerTakesAHigherOne) {
     start("m", shared_config());
     EXPECT_TRUE(agent->accepts_holder(DutyName{"d"}, {FencingToken{40}, MemberName{"x"}, Incarnation{1}}));
@@ -234,8 +235,8 @@
     EXPECT_EQ(agent->token_of(DutyName{"d"}), FencingToken{41});
 }
 
-// Given: an owner whose member record can't be parsed here. When: it sends heartbeats, and then none.
-// Then: it keeps its duty while it sends them, and is evicted as any other afterwards.
+// An owner whose member record can't be parsed keeps its duty while it sends heartbeats, and is evicted like
+// any other member afterwards.
 TEST_F(SingleMember, AnOwnerWithARecordInANewerFormKeepsItsDutyWhileItSendsHeartbeats) {
     put("member/x", "{\"format\":9}");
     put("duty/d", serialize(DutyRecord{FencingToken{3}, MemberName{"x"}, Incarnation{1}}));
@@ -245,7 +246,8 @@
         put("beat/x", "newer " + std::to_string(++heartbeat));
         EXPECT_FALSE(agent->may_act(now, DutyName{"d"}));
     });
-    EXPECT_LT(submitted.size(), 400u);  // one a step of the clock at most, and one a sixteenth of a round
+    EXPECT_LT(submitted.size(),
+              400u);  // at most one per clock step and per sixteenth of a heartbeat interval
     run(ms * 12'000);
     EXPECT_TRUE(agent->may_act(now, DutyName{"d"}));
     EXPECT_EQ(agent->token_of(DutyName{"d"}), FencingToken{4});
@@ -263,9 +265,9 @@
     EXPECT_FALSE(ledger.records().contains(Key{"beat/m"}));
 }
 
-// Given: a member that owns the health checks of a cache. When: they are not wanted any more, and later
-// are again; a lagging watch shows the former record meanwhile. Then: the duty is given up, removed after
-// two eviction timeouts, and claimed above its former token.
+// A member owns the health checks of a cache, which are then no longer wanted, and later wanted again, while
+// a lagging watch shows the former record. The duty is given up, removed after two eviction timeouts, and
+// claimed again above its former token.
 TEST_F(SingleMember, AnUnwantedDutyIsGivenUpAndRemovedAndItsTokensDoNotComeAgain) {
     const DutyName w = health_check_duty(CacheId{"c"});
     start("m", shared_config());
@@ -304,7 +306,7 @@
     EXPECT_FALSE(ledger.records().contains(release_key(w)));
     EXPECT_GE(parse_floor(ledger.records().at(floor_key())), before);
     EXPECT_EQ(parse_collection_progress(ledger.records().at(collection_progress_key()))->removed_records, 3);
-    // Nobody who claims it remembers: only the registry does.
+    // The new claimant has no memory of the former token; only the registry has it.
     on_outcome = [](WriteOutcome) {};
     start("n", shared_config());
     agent->set_duties(now, {garbage_collection_duty(), w});
@@ -320,7 +322,7 @@
     const CacheId c{"c"};
     HealthMonitor health_monitor{*this, ms * 500, ms * 1000};
     std::vector<TimePoint> checks;
-    std::vector<std::pair<TimePoint, TimePoint>> postponements;  // when it was called, and with which time
+    std::vector<std::pair<TimePoint, TimePoint>> postponements;  // time of the call and requested time
 
     void start_health_check(const CacheId&) override { checks.push_back(now); }
     void postpone_recovery_probe(const CacheId&, TimePoint at) override {
@@ -354,7 +356,7 @@
     health_monitor.on_ejection_changed(c, true);
     agent->set_duties(now, {health_check_duty(c)});
     int step = 0;
-    const auto finding = [&] { return parse_health_record(ledger.records().at(health_record_key(c))); };
+    const auto health_record = [&] { return parse_health_record(ledger.records().at(health_record_key(c))); };
     run(ms * 20'000, [&] {
         set_ejected_by_other("x", true);
         health_monitor.update_monitored(*agent);
@@ -363,19 +365,19 @@
     });
     ASSERT_TRUE(agent->may_act(now, health_check_duty(c)));
     for (std::size_t n = 1; n < checks.size(); ++n) EXPECT_GE(checks[n] - checks[n - 1], ms * 500);
-    // Never answered.
-    EXPECT_FALSE(finding()->healthy);
-    EXPECT_GT(finding()->streak, 5);
-    EXPECT_EQ(finding()->token, agent->token_of(health_check_duty(c)));
+    // No check was answered.
+    EXPECT_FALSE(health_record()->healthy);
+    EXPECT_GT(health_record()->streak, 5);
+    EXPECT_EQ(health_record()->token, agent->token_of(health_check_duty(c)));
     const std::size_t before = checks.size();
     run(ms * 3'000, [&] {
         set_ejected_by_other("x", true);
         health_monitor.run_due_checks(now, *agent);
         if (checks.size() > before) health_monitor.on_health_check_done(now, c, true, *agent);
     });
-    EXPECT_TRUE(finding()->healthy);
-    EXPECT_GE(finding()->streak, 2);
-    // One that was asked for within the term, and would go out after a stop that outlasted it.
+    EXPECT_TRUE(health_record()->healthy);
+    EXPECT_GE(health_record()->streak, 2);
+    // A check that was started within the term must not be sent after a stop that lasted beyond the term.
     health_monitor.run_due_checks(now + ms * 500, *agent);
     EXPECT_TRUE(health_monitor.may_check(now + ms * 500, c, *agent));
     EXPECT_FALSE(health_monitor.may_check(now + ms * 5'000, c, *agent));
@@ -388,7 +390,7 @@
     start("m", shared_config());
     health_monitor.on_published_result(now, c, {FencingToken{1}, {MemberName{"x"}, Incarnation{1}}, false, 1},
                                        *agent);
-    EXPECT_TRUE(postponements.empty()) << "it is not marked here";
+    EXPECT_TRUE(postponements.empty()) << "this gateway has not ejected the cache";
     health_monitor.on_ejection_changed(c, true);
     health_monitor.on_published_result(now, c, {FencingToken{1}, {MemberName{"x"}, Incarnation{1}}, false, 1},
                                        *agent);
@@ -401,7 +403,7 @@
     }
     ASSERT_EQ(postponements.size(), 2u);
     EXPECT_LE(postponements[1].second - now, ms * 500);
-    // Of three that mark it each has an instant of its own.
+    // Each of three gateways that eject the cache probes it at a different time.
     std::set<Duration> instants;
     for (const char* name : {"a", "b", "m"}) {
         start(name, shared_config());
@@ -417,32 +419,33 @@
     EXPECT_EQ(instants.size(), 3u);
 }
 
-// Transactions land late: what they compare has changed meanwhile, by a heartbeat, an owner who is back, or a
-// registry that has gone back to before our own last sign. None may be done.
+// A transaction arrives late, after a record that it compares has changed: by a heartbeat, by an owner that
+// is back, or by a restore of the registry to before this member's last heartbeat. It must not be committed.
 class LateTransaction : public SingleMember {
 protected:
-    const std::string sign = serialize(HeartbeatRecord{Incarnation{4}, InstanceId{"x"}, HeartbeatNumber{1}});
+    const std::string heartbeat_value =
+        serialize(HeartbeatRecord{Incarnation{4}, InstanceId{"x"}, HeartbeatNumber{1}});
     const std::string member = serialize(MemberRecord{Incarnation{4}, InstanceId{"x"}, "1", {}});
 
-    // A member "x" that owns "d" and sends no heartbeat; and the transaction that wrote that key.
-    Transaction caught(const std::string& key) {
+    // Lets member "x" own "d" and send no heartbeat, and returns the transaction that wrote the key.
+    Transaction captured_transaction(const std::string& key) {
         put("member/x", member);
-        put("beat/x", sign);
+        put("beat/x", heartbeat_value);
         put("duty/d", serialize(DutyRecord{FencingToken{3}, MemberName{"x"}, Incarnation{4}}));
         start("m", shared_config());
         run(ms * 40'000);
-        return last(key);
+        return last_transaction(key);
     }
-    // The last transaction that wrote that key.
-    Transaction last(const std::string& key) const {
+    // Returns the last transaction that wrote the key.
+    Transaction last_transaction(const std::string& key) const {
         const auto it = std::find_if(submitted.rbegin(), submitted.rend(), [&](const Transaction& d) {
             return !d.writes.empty() && d.writes.back().first == Key{key};
         });
         EXPECT_NE(it, submitted.rend());
         return it == submitted.rend() ? Transaction{} : *it;
     }
-    // Whether it lands when one of the records that it compares has changed; without that change it must
-    // land.
+    // Returns whether the transaction is committed after one of the records that it compares has changed.
+    // Expects that it is committed without that change.
     bool lands(const Transaction& transaction, const std::string& but, const std::string& now_is) {
         stand_ins::TransactionLedger then;
         for (const auto& [key, value] : transaction.compares)
@@ -455,7 +458,7 @@
 };
 
 TEST_F(LateTransaction, AnEvictionFailsIfTheMemberHasSentAHeartbeatSince) {
-    const Transaction evict = caught("beat/x");
+    const Transaction evict = captured_transaction("beat/x");
     EXPECT_FALSE(lands(evict, "beat/x",
                        serialize(HeartbeatRecord{Incarnation{4}, InstanceId{"x"}, HeartbeatNumber{2}})));
     EXPECT_FALSE(
@@ -465,7 +468,7 @@
 }
 
 TEST_F(LateTransaction, AClaimFailsIfTheOwnerIsAMemberOrAnotherHasClaimed) {
-    const Transaction claim = caught("duty/d");
+    const Transaction claim = captured_transaction("duty/d");
     EXPECT_FALSE(lands(claim, "member/x", member));
     EXPECT_FALSE(
         lands(claim, "duty/d", serialize(DutyRecord{FencingToken{4}, MemberName{"y"}, Incarnation{1}})));
@@ -474,11 +477,11 @@
 }
 
 TEST_F(LateTransaction, AFencedWriteFailsOnceTheDutyOrTheMembershipIsLost) {
-    caught("duty/d");
+    captured_transaction("duty/d");
     run(ms * 1'000);
     ASSERT_TRUE(agent->write_fenced(now, DutyName{"d"}, Key{"work/1"}, "w"));
     run(ms * 2'000);
-    const Transaction work = last("work/1");
+    const Transaction work = last_transaction("work/1");
     EXPECT_FALSE(
         lands(work, "duty/d", serialize(DutyRecord{FencingToken{5}, MemberName{"y"}, Incarnation{1}})));
     EXPECT_FALSE(lands(work, "beat/m",
@@ -512,10 +515,11 @@
             .restore = 0.02};
 }
 
-// Whatever happens, never two owners and no late write; and once it is calm, one owner a duty that stays.
+// Expects never two owners and no late write while faults occur and, after they end, one stable owner per
+// duty.
 void play(std::uint32_t seed, std::size_t members, const FleetSimulation::FaultRates& faults) {
     SCOPED_TRACE(seed);
-    // Half of them with clocks so far off that a term without its allowance shows.
+    // Half of the seeds use a drift so large that a term without its allowance for drift would fail the test.
     const double drift = seed % 2 == 0 ? 0.25 : 0.05;
     FleetSimulation w(seed, {.members = members, .duties = 3, .drift = drift}, shared_config(drift));
     w.start_all();
@@ -541,7 +545,7 @@
     }
 }
 
-// A fleet at rest, and who owns the first duty.
+// A simulation at rest, with the owner of the first duty.
 struct AtRest : FleetSimulation {
     AtRest(std::uint32_t seed, std::size_t members, std::size_t duty_count)
         : FleetSimulation(seed, {.members = members, .duties = duty_count, .drift = 0.05}, shared_config()) {
@@ -554,8 +558,8 @@
 };
 Duration without(std::size_t members) { return longest_without_owner(shared_config(), ms * 300, members); }
 
-// Given: a fleet at rest. When: the owner of a duty is stopped for longer than its term, and resumed.
-// Then: another owns the duty within the stated time, and the former owner writes nothing.
+// The owner of a duty is stopped for longer than its term and resumed. Another member owns the duty within
+// the stated time, and the former owner writes nothing.
 TEST(SimulatedFleet, AnOwnerStoppedPastItsTermIsReplacedAndHarmlessWhenResumed) {
     for (std::uint32_t seed = 1; seed <= 20; ++seed) {
         AtRest w(seed, 3, 2);
@@ -572,8 +576,8 @@
     }
 }
 
-// Given: a fleet at rest. When: an owner is killed, or its link to the registry is cut one way or both.
-// Then: its duties, and no others, have new owners within the stated time, and go back once it returns.
+// An owner is killed, or its link to the registry is cut in one or both directions. Its duties, and no
+// others, have new owners within the stated time, and go back once it returns.
 TEST(SimulatedFleet, ALostOwnerIsReplacedWithinTheStatedTime) {
     enum { killed, cut_out, cut_in, cut_both };
     for (const int fault : {killed, cut_out, cut_in, cut_both})
@@ -586,16 +590,16 @@
             for (std::size_t d = 0; d < 3; ++d) EXPECT_TRUE(w.owner(d));
             EXPECT_NE(w.owner(0), w.first);
             EXPECT_LE(w.longest_without, without(4));
-            EXPECT_LE(w.owners - owners, 3u);  // only what it owned has moved, and once
+            EXPECT_LE(w.owners - owners, 3u);  // only its own duties have moved, once each
             w.revive(w.first);
             w.run(ms * 40'000, {});
-            EXPECT_EQ(w.owner(0), w.first);  // its own are back
+            EXPECT_EQ(w.owner(0), w.first);  // its own duties are back
             EXPECT_EQ(w.broken, std::vector<std::string>{});
         }
 }
 
-// Given: a fleet of 30. When: the registry is away for longer than every term, and returns. Then: no duty
-// has an owner meanwhile, each has one afterwards, and the requests stay bounded.
+// The registry is down for longer than every term of a fleet of 30. No duty has an owner meanwhile, each has
+// one afterwards, and the number of requests stays bounded.
 TEST(SimulatedFleet, ARegistryAwayForLongerThanEveryTermReturnsWithoutALoadPeak) {
     AtRest w(3, 30, 6);
     w.run(ms * 5'000, {});
@@ -611,8 +615,8 @@
     EXPECT_EQ(w.broken, std::vector<std::string>{});
 }
 
-// Given: a fleet of 30. When: all are killed and started, then seven in ten are killed and started one a
-// second. Then: each duty has an owner, which changes at most twice a duty.
+// All members of a fleet of 30 are killed and started, then seven in ten are killed and started one per
+// second. Each duty has an owner, which changes at most twice per duty.
 TEST(SimulatedFleet, DutiesHaveOwnersAfterAllOrMostMembersAreKilledAndRestarted) {
     AtRest w(4, 30, 6);
     const auto owned = [&] {
@@ -636,21 +640,21 @@
     }
     w.run(ms * 60'000, {});
     EXPECT_EQ(owned(), 6u);
-    EXPECT_LE(w.owners - owners, 2 * 6u);  // handed back, not fought over
+    EXPECT_LE(w.owners - owners, 2 * 6u);  // handed back once, not moved repeatedly
     owners = w.owners;
     w.run(ms * 60'000, {});
     EXPECT_EQ(w.owners, owners);
     EXPECT_EQ(w.broken, std::vector<std::string>{});
 }
 
-// Given: an owner that was killed and replaced. When: the registry is restored to a time at which the
-// killed one owned the duty. Then: never two own it, and one does in the end.
+// An owner is killed and replaced, and the registry is restored to a time at which the killed one owned the
+// duty. There are never two owners, and there is one in the end.
 TEST(SimulatedFleet, ARestoredRegistryNeverHasTwoOwners) {
     for (std::uint32_t seed = 1; seed <= 20; ++seed) {
         AtRest w(seed, 4, 2);
         w.kill(w.first);
         w.run(ms * 12'000, {});
-        w.restore_backup(ms * 9'000);  // to when the killed one owned it
+        w.restore_backup(ms * 9'000);  // to a time at which the killed member owned it
         w.run(ms * 25'000, {});
         EXPECT_TRUE(w.owner(0));
         EXPECT_EQ(w.broken, std::vector<std::string>{});
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -1,5 +1,5 @@
-// What the program stores, in its own folders and in the key-value registry: files of it, written by the
-// program, are read back value by value, and are written again byte by byte.
+// Tests the data that the program stores in its own folders and in the key-value registry. Files written by
+// an earlier program are read back and compared by value, and are written again and compared by byte.
 #include <nlohmann/json.hpp>
 
 #include "fleet/applied_revisions.hpp"
@@ -72,10 +72,10 @@
     EXPECT_TRUE(later.accepts(DutyName{"new"}, {FencingToken{9}, MemberName{"g1"}, Incarnation{101}}));
 }
 
-// --- the list of endpoints that is kept for the next start
+// --- the endpoint list that is saved for the next start
 
-// Given: a file with the list of two endpoints, kept by an earlier program. When: it is read. Then: each
-// value is as it was; the record that could not be read is not there.
+// Reads a file with two endpoints saved by an earlier program. Each value is unchanged, and the record that
+// could not be parsed is omitted.
 TEST(StoredData, AKeptListIsReadBack) {
     const auto read =
         registry::parse_snapshot(golden("stored/kept_list.bin"), kept_owner, kept_at + hour, hour);
@@ -95,15 +95,15 @@
     EXPECT_EQ(kept->records[1].modified, registry::Revision{9});
 }
 
-// Given: the same list. When: it is kept again. Then: it is the same bytes.
+// Saving the same list writes the same bytes.
 TEST(StoredData, AKeptListIsWrittenAsBefore) {
     expect_golden("stored/kept_list.bin",
                   registry::serialize_snapshot(view_to_keep(), registry::ClusterId{"14841639068965178418"},
                                                kept_at, kept_owner));
 }
 
-// Given: the file with one byte changed, or asked for by another owner, too late or too early. When: it is
-// read. Then: it is refused.
+// The file is refused if one byte has changed, for another owner, if it is too old, and if it is from the
+// future.
 TEST(StoredData, AKeptListThatIsDamagedOrAnothersIsRefused) {
     const std::string bytes = golden("stored/kept_list.bin");
     for (std::size_t n = 0; n < bytes.size(); ++n) {
@@ -123,10 +123,10 @@
     EXPECT_EQ(why(kept_owner, kept_at - Duration::micros(1)), registry::SnapshotError::from_future);
 }
 
-// --- the fencing tokens that were seen
+// --- the fencing tokens seen
 
-// Given: the stored tokens of three duties, and of one that was forgotten. When: they are restored. Then:
-// each is refused or accepted as before; and they are written as the same bytes.
+// Restores the stored tokens of three duties and of a forgotten one. Holders are refused or accepted as
+// before, and the tokens are written as the same bytes.
 TEST(StoredData, TheTokensSeenAreReadBackAndWrittenAsBefore) {
     expect_golden("stored/fleet_tokens_seen.json", fence_to_store().serialize());
     Fence fence;
@@ -138,8 +138,8 @@
 
 // --- the embedded store
 
-// Given: store folders of an earlier program. When: copies of them are opened. Then: the values lie under
-// the names that the gateway uses, and they can be written over.
+// Opens copies of an earlier program's store folders. The values have the names that the gateway uses, and
+// can be overwritten.
 TEST(StoredData, AStoreOfAnEarlierProgramIsReadBack) {
     Folder folder;
     fs::copy(golden_path("stored/store_list"), folder.path() + "/list", fs::copy_options::recursive);
@@ -167,7 +167,7 @@
                           {CacheId{"c1"}, CacheId{"c2"}}};
 const MemberRecord plain_member{Incarnation{102}, InstanceId{"5.6.7.8"}, "0.3.0", {}, {}};
 const HeartbeatRecord heartbeat{Incarnation{101}, InstanceId{"11.22.33.44"}, HeartbeatNumber{77}};
-const AppliedRevisions claim{{4, "12.34"}, EventNumber{2049}, ConfigurationNumber{17}};
+const AppliedRevisions applied_revisions{{4, "12.34"}, EventNumber{2049}, ConfigurationNumber{17}};
 const Instance owner{MemberName{"g1"}, Incarnation{101}};
 
 Digest digest_to_write() {
@@ -199,12 +199,12 @@
     return d;
 }
 
-// Each kind of record under its path behind the fleet's prefix.
+// Each kind of record with its path after the fleet's prefix.
 Named fleet_records() {
     const SiteName none, site{"north-1"};
     const MemberName g1{"g1"}, g2{"g2"};
-    AppliedRevisions worn = claim;
-    worn.history_lost = true;
+    AppliedRevisions with_lost_history = applied_revisions;
+    with_lost_history.history_lost = true;
     return {
         {path_of(shared_config_key(), none),
          serialize(SharedConfig{"north", Duration::micros(12'000'000), 0.01})},
@@ -221,14 +221,14 @@
          serialize(CollectionProgress{FencingToken{5}, owner, 12, 34, "duty/watch/c1"})},
         {path_of(health_record_key(CacheId{"c1"}), none),
          serialize(HealthRecord{FencingToken{9}, owner, true, 6})},
-        {path_of(generation_key(), site), serialize(claim.generation)},
+        {path_of(generation_key(), site), serialize(applied_revisions.generation)},
         {path_of(digest_key(), site), serialize(digest_to_write())},
         {path_of(digest_key(), SiteName{"north-2"}), serialize(plain_digest())},
         {path_of(roster_key(), site), serialize(SiteRoster{{g1, g2}, false})},
         {path_of(roster_key(), SiteName{"north-2"}), serialize(SiteRoster{{g1}, true})},
         {path_of(member_key(g1), site), serialize(member)},
-        {path_of(heartbeat_key(g1), site), with_applied_revisions(serialize(heartbeat), claim)},
-        {path_of(heartbeat_key(g2), site), with_applied_revisions(serialize(heartbeat), worn)},
+        {path_of(heartbeat_key(g1), site), with_applied_revisions(serialize(heartbeat), applied_revisions)},
+        {path_of(heartbeat_key(g2), site), with_applied_revisions(serialize(heartbeat), with_lost_history)},
         {path_of(duty_key(digest_duty()), site),
          serialize(DutyRecord{FencingToken{3}, g1, Incarnation{101}})},
     };
@@ -236,8 +236,7 @@
 
 std::string fleet_record(const std::string& path) { return golden_value("stored/fleet_records.txt", path); }
 
-// Given: the records of a fleet as files. When: the same ones are written. Then: they have the same paths and
-// the same bytes.
+// The fleet's records are written with the same paths and the same bytes as in the files.
 TEST(StoredData, FleetRecordsAreWrittenAsBefore) {
     expect_golden("stored/fleet_records.txt", text_of(fleet_records()));
     const std::string prefixes = watched_prefix("/fleet/") + '\n' + digest_prefix("/fleet/") + '\n' +
@@ -245,7 +244,7 @@
     EXPECT_EQ(prefixes, "/fleet/roll/\n/fleet/digest/\n/fleet/site/north-1/\n");
 }
 
-// Given: the same files. When: their paths are read. Then: each names what it named before.
+// The paths in the files are parsed to the same names as before.
 TEST(StoredData, FleetPathsAreReadBack) {
     EXPECT_EQ(member_of(key_at("roll/member/g1")), MemberName{"g1"});
     EXPECT_EQ(heartbeat_owner(key_at("beat/g1")), MemberName{"g1"});
@@ -255,7 +254,7 @@
     EXPECT_EQ(health_record_cache(key_at("roll/seen/c1")), CacheId{"c1"});
 }
 
-// Given: the records of members and heartbeats as files. When: they are read. Then: each value is as it was.
+// Member and heartbeat records in the files are parsed to the same values as before.
 TEST(StoredData, MembersAndHeartbeatsAreReadBack) {
     const auto m = parse_member(fleet_record("roll/member/g1"));
     ASSERT_TRUE(m);
@@ -277,23 +276,23 @@
     }
 }
 
-// Given: heartbeats with and without an acknowledgement. When: they are read. Then: it is as it was.
+// The applied revisions of heartbeats with and without them are parsed to the same values as before.
 TEST(StoredData, AcknowledgementsAreReadBack) {
     EXPECT_EQ(parse_applied_revisions(fleet_record("beat/g1")), std::nullopt);
-    EXPECT_EQ(parse_applied_revisions(fleet_record("site/north-1/beat/g1")), claim);
-    AppliedRevisions worn = claim;
-    worn.history_lost = true;
-    EXPECT_EQ(parse_applied_revisions(fleet_record("site/north-1/beat/g2")), worn);
-    EXPECT_EQ(parse_generation(fleet_record("generation")), claim.generation);
+    EXPECT_EQ(parse_applied_revisions(fleet_record("site/north-1/beat/g1")), applied_revisions);
+    AppliedRevisions with_lost_history = applied_revisions;
+    with_lost_history.history_lost = true;
+    EXPECT_EQ(parse_applied_revisions(fleet_record("site/north-1/beat/g2")), with_lost_history);
+    EXPECT_EQ(parse_generation(fleet_record("generation")), applied_revisions.generation);
 }
 
-// Given: the records of duties as files. When: they are read. Then: each value is as it was.
+// Duty records in the files are parsed to the same values as before.
 TEST(StoredData, DutiesAreReadBack) {
-    const auto held = parse_duty(fleet_record("roll/duty/sweep"));
-    ASSERT_TRUE(held);
-    EXPECT_EQ(held->token, FencingToken{5});
-    EXPECT_EQ(held->owner, MemberName{"g1"});
-    EXPECT_EQ(held->incarnation, Incarnation{101});
+    const auto owned = parse_duty(fleet_record("roll/duty/sweep"));
+    ASSERT_TRUE(owned);
+    EXPECT_EQ(owned->token, FencingToken{5});
+    EXPECT_EQ(owned->owner, MemberName{"g1"});
+    EXPECT_EQ(owned->incarnation, Incarnation{101});
     const auto given_up = parse_duty(fleet_record("roll/duty/watch/c1"));
     ASSERT_TRUE(given_up);
     EXPECT_EQ(given_up->token, FencingToken{9});
@@ -302,8 +301,7 @@
     EXPECT_EQ(parse_release(fleet_record("roll/aside/sweep")), owner);
 }
 
-// Given: the records that owners of duties write, as files. When: they are read. Then: each value is as it
-// was.
+// The records that owners of duties write are parsed to the same values as before.
 TEST(StoredData, ResultsOfDutiesAreReadBack) {
     const auto progress = parse_collection_progress(fleet_record("roll/swept"));
     ASSERT_TRUE(progress);
@@ -320,7 +318,7 @@
     EXPECT_EQ(probed->streak, 6);
 }
 
-// Given: digests and rosters of two sites as files. When: they are read. Then: each value is as it was.
+// Digests and rosters of two sites are parsed to the same values as before.
 TEST(StoredData, DigestsAndRostersAreReadBack) {
     const Digest is = digest_to_write();
     const auto d = parse_digest(fleet_record("digest/north-1"));
@@ -351,8 +349,7 @@
 
 // --- records of endpoints in the registry
 
-// Given: lines of the list as files, one with every field. When: they are read. Then: each value is as it
-// was.
+// Endpoint records in the files, one of them with every field, are parsed to the same values as before.
 TEST(StoredData, LinesOfTheListAreReadBack) {
     const auto line = [](const std::string& id) {
         return registry::parse_endpoint(
@@ -378,9 +375,9 @@
     EXPECT_EQ(gone->first.status, EndpointStatus::removed);
 }
 
-// --- by processes of the program
+// --- data stored by processes of the program
 
-// A registry of one member, and a folder with the files that a process needs.
+// Provides a registry of one member, and a folder with the files that a process needs.
 class StoredByProcess : public ::testing::Test {
 protected:
     EventLoop loop;
@@ -388,7 +385,8 @@
     stand_ins::NoticeBoard board{loop};
     Folder folder;
     std::unique_ptr<stand_ins::Process> gateway;
-    stand_ins::Intervals stretches{loop};  // the last: nothing of the above may go while the loop runs
+    stand_ins::Intervals stretches{
+        loop};  // declared last: no member above may be destroyed while the loop runs
 
     std::string value(const std::string& key) const {
         const auto* state = registry_.model.at(registry_.model.newest());
@@ -446,8 +444,7 @@
     }
 };
 
-// Given: an empty list. When: the program is told to put three records and to drain one. Then: the registry
-// holds the bytes of the file.
+// The commands that put three records and drain one write the same bytes to the registry as in the file.
 TEST_F(StoredByProcess, RecordsOfTheListAreWrittenAsBefore) {
     EXPECT_EQ(run({"put", full_line}), 0);
     EXPECT_EQ(run({"put", R"({"state": "Ready", "id": "c2"})"}), 0);
@@ -458,15 +455,15 @@
         text_of({{"c1", value("/caches/c1")}, {"c2", value("/caches/c2")}, {"c4", value("/caches/c4")}}));
 }
 
-// Given: the store of an earlier program, which had seen token 5 of a duty. When: a gateway joins a registry
-// that knows nothing. Then: it takes the duty under token 6; and it stores the tokens seen, its own number
-// and the list under the same names.
+// A gateway with the store of an earlier program, which had seen token 5 of a duty, joins an empty registry.
+// It claims the duty under token 6, and stores the tokens seen, its incarnation and the endpoint list with
+// the same names.
 TEST_F(StoredByProcess, AGatewayReadsTheTokensOfAnEarlierOneAndWritesItsOwn) {
     start_in_place_of_an_earlier_one();
     ASSERT_TRUE(stretches.until([&] { return !value("/fleet/roll/duty/sweep").empty(); }));
     EXPECT_EQ(parse_duty(value("/fleet/roll/duty/sweep"))->token, FencingToken{6});
     const auto start = std::to_string(parse_member(value("/fleet/roll/member/g1"))->incarnation.raw());
-    // Each is stored within a few seconds.
+    // Both are stored within a few seconds.
     ASSERT_TRUE(stretches.until([&] {
         return stored("fleet", R"("sweep":[6,"g1",)" + start) && stored("list", "as_of_us");
     })) << bytes_of_file(folder.path() + "/log");
@@ -480,8 +477,8 @@
     expect_kept_list(read_store("list", "registry list"));
 }
 
-// Given: the store of an earlier program, which had joined under number 5000000. When: a gateway joins a
-// registry that knows nothing. Then: its number is the next one.
+// A gateway with the store of an earlier program, which had joined with incarnation 5000000, joins an empty
+// registry. Its incarnation is the next one.
 TEST_F(StoredByProcess, AGatewayReadsTheNumberOfAnEarlierOne) {
     start_in_place_of_an_earlier_one();
     ASSERT_TRUE(stretches.until([&] { return !value("/fleet/roll/member/g1").empty(); }));
