--- a/src/fleet/garbage_collector.cpp
+++ b/src/fleet/garbage_collector.cpp
@@ -6,21 +6,23 @@
 
 namespace {
 
-// A comparison that succeeds only while that instance is no member; none: it is one, as far as is known.
-std::optional<Entry> absence_of(const Instance& instance, const RecordMirror& record_mirror,
-                                const Agent& agent) {
+// Returns a comparison that holds only while the instance is not a member, or std::nullopt if it is a member
+// according to the records received so far.
+std::optional<KeyValue> absence_of(const Instance& instance, const RecordMirror& record_mirror,
+                                   const Agent& agent) {
     if (agent.is_member(instance)) return std::nullopt;
     const Key member = member_key(instance.name);
-    return Entry{member, record_mirror.at(member)};
+    return KeyValue{member, record_mirror.at(member)};
 }
 
 }  // namespace
 
-// The write that removes the record if it is garbage, comparing what makes it garbage.
+// Returns the write that removes the record if it is garbage. The write compares the records that make it
+// garbage.
 std::optional<FencedWrite> GarbageCollector::removal(const Key& key, const std::string& text,
                                                      const RecordMirror& record_mirror,
                                                      const Agent& agent) const {
-    const Entry unchanged{key, text}, removed{key, std::nullopt};
+    const KeyValue unchanged{key, text}, removed{key, std::nullopt};
     if (const auto duty = duty_of(key); duty && health_check_cache(*duty))
         return duty_removal(key, text, *duty, record_mirror, agent);
     if (released_duty_of(key)) {
@@ -37,7 +39,7 @@
     return std::nullopt;
 }
 
-// The token of a removed duty goes into the floor, so that no later owner gets it again.
+// The write stores the token of the removed duty in the floor, so that no later owner gets it again.
 std::optional<FencedWrite> GarbageCollector::duty_removal(const Key& key, const std::string& text,
                                                           const DutyName& duty,
                                                           const RecordMirror& record_mirror,
@@ -55,7 +57,7 @@
     return write;
 }
 
-// Once a pass: finds the records that have been garbage for long enough.
+// Finds the records that have been garbage for the minimum age. Runs once per pass.
 void GarbageCollector::scan(TimePoint now, const RecordMirror& record_mirror, const Agent& agent) {
     std::map<Key, Candidate> candidates;
     ready_removals_.clear();
@@ -74,7 +76,7 @@
 std::optional<FencedWrite> GarbageCollector::next_write(TimePoint now, const RecordMirror& record_mirror,
                                                         const Agent& agent) {
     if (write_under_way_ || now < next_pass_at_) return std::nullopt;
-    const Text former = record_mirror.at(collection_progress_key());
+    const RecordValue former = record_mirror.at(collection_progress_key());
     CollectionProgress progress =
         former ? parse_collection_progress(*former).value_or(CollectionProgress{}) : CollectionProgress{};
     // A new owner continues the pass that it finds in the registry.
@@ -84,7 +86,7 @@
     while (!ready_removals_.empty() && !write_request) {
         at = *ready_removals_.begin();
         ready_removals_.erase(ready_removals_.begin());
-        const Text text = record_mirror.at(at);
+        const RecordValue text = record_mirror.at(at);
         if (text && at.raw() > progress.last_key) write_request = removal(at, *text, record_mirror, agent);
     }
     write_ends_pass_ = !write_request;
@@ -99,7 +101,8 @@
     return write_request;
 }
 
-// A write that was refused, or may not have landed, is tried again in the next pass from the records of then.
+// A write that was refused or has an unknown outcome is retried in the next pass with the records of that
+// time.
 void GarbageCollector::on_written(TimePoint now, WriteOutcome) {
     write_under_way_ = false;
     if (!write_ends_pass_) return;
--- a/testing/fleet_simulation.cpp
+++ b/testing/fleet_simulation.cpp
@@ -205,7 +205,7 @@
     check_writes(transaction, o.succeeded);
     // Watches do not deliver heartbeats.
     const bool watched = std::any_of(transaction.writes.begin(), transaction.writes.end(),
-                                     [](const Entry& e) { return e.first.raw().rfind("beat/", 0) != 0; });
+                                     [](const KeyValue& e) { return e.first.raw().rfind("beat/", 0) != 0; });
     if (watched && o.succeeded)
         for (const auto& n : nodes_) deliver_records(*n);
     Node& n = *nodes_[member];
@@ -226,7 +226,7 @@
 void FleetSimulation::send_order(const DutyName& duty, const LeaseHolder& holder) {
     Node& n = *nodes_[random_() % nodes_.size()];
     schedule(now_ + shared_config_.term * (3 * random_fraction()), [this, &n, duty, holder] {
-        if (!n.agent || n.stopped || !n.agent->accepts_order_of(duty, holder)) return;
+        if (!n.agent || n.stopped || !n.agent->accepts_holder(duty, holder)) return;
         FencingToken& heeded = accepted_tokens_[{n.number, duty}];
         if (holder.token < heeded)
             violations.push_back(n.name.raw() + " accepts an order with token " +
@@ -250,7 +250,7 @@
         }
         n.when_running([this, &n] {
             const bool complete = n.restores_seen != restores_ + 1 || ledger_.compacted(n.delivered);
-            const std::vector<Entry> list =
+            const std::vector<KeyValue> list =
                 complete ? ledger_.watched_records() : ledger_.changes(n.delivered, ledger_.revision());
             n.restores_seen = restores_ + 1;
             n.delivered = ledger_.revision();
--- a/testing/site_simulation.cpp
+++ b/testing/site_simulation.cpp
@@ -70,7 +70,7 @@
         if (reporter) reporter->applied().on_history_lost();
     }
     void on_heartbeat_result(TimePoint sent, HeartbeatNumber heartbeat,
-                             const std::vector<Entry>& shown) override {
+                             const std::vector<KeyValue>& shown) override {
         if (reporter) reporter->on_heartbeat(clock(), unix_ms(), sent, heartbeat, shown, *agent);
     }
     void when_running(std::function<void()> then) {
@@ -260,7 +260,7 @@
     TransactionLedger::Outcome o = ledger_.settle(mapped);
     for (std::size_t n = 0; n < o.values.size(); ++n)
         o.values[n].first = o.succeeded ? transaction.reads[n] : transaction.compares[n].first;
-    const bool watched = std::any_of(mapped.writes.begin(), mapped.writes.end(), [&](const Entry& e) {
+    const bool watched = std::any_of(mapped.writes.begin(), mapped.writes.end(), [&](const KeyValue& e) {
         return e.first.raw().rfind(p.site + '/', 0) == 0;
     });
     if (watched && o.succeeded)
@@ -292,7 +292,7 @@
         if (p.inbound_blocked) return;
         p.when_running([this, &p] {
             const bool complete = p.restores_seen != restores_ + 1 || ledger_.compacted(p.delivered);
-            std::vector<Entry> list;
+            std::vector<KeyValue> list;
             for (const auto& [key, text] :
                  complete ? ledger_.watched_records() : ledger_.changes(p.delivered, ledger_.revision()))
                 if (key.raw().rfind(p.site + '/', 0) == 0)
@@ -405,22 +405,23 @@
     schedule(now_ + delay(fault_rates_.late), [this, &r, asked] {
         FleetStatus::RegistryReading reading;
         reading.requested_at = asked;
-        const auto text = [&](const std::string& key) -> Text {
+        const auto text = [&](const std::string& key) -> RecordValue {
             const auto it = ledger_.records().find(Key{key});
-            return it == ledger_.records().end() ? Text{} : Text{it->second};
+            return it == ledger_.records().end() ? RecordValue{} : RecordValue{it->second};
         };
         reading.generation = text(generation_key().raw());
         const auto owners = r.status.owners();
         for (const std::string& site : site_names_) {
-            if (const Text digest = text(ledger_key(site, digest_key())))
+            if (const RecordValue digest = text(ledger_key(site, digest_key())))
                 reading.digests[SiteName{site}] = *digest;
             if (const auto owner = owners.find(SiteName{site}); owner != owners.end())
-                if (const Text beat = text(ledger_key(site, heartbeat_key(owner->second))))
+                if (const RecordValue beat = text(ledger_key(site, heartbeat_key(owner->second))))
                     reading.owner_heartbeats[SiteName{site}] = *beat;
         }
         const std::string members = std::string(outside) + "/member/";
         for (const auto& [key, record] : ledger_.records())
-            if (key.raw().rfind(members, 0) == 0) reading.old_form.emplace(key.raw().substr(members.size()));
+            if (key.raw().rfind(members, 0) == 0)
+                reading.members_outside_sites.emplace(key.raw().substr(members.size()));
         schedule(now_ + delay(fault_rates_.late), [this, &r, reading] {
             r.status.on_reading(reading);
             r.status.on_newest_event(EventNumber{newest()});
--- a/testing/transaction_ledger.hpp
+++ b/testing/transaction_ledger.hpp
@@ -10,8 +10,8 @@
 
 namespace irismux::test_support {
 
-using fleet::Entry;
 using fleet::Key;
+using fleet::KeyValue;
 using fleet::Transaction;
 using registry::Revision;
 
@@ -24,16 +24,17 @@
     struct Outcome {
         Revision revision;
         bool succeeded = false;
-        std::vector<Entry> values;
+        std::vector<KeyValue> values;
     };
     Outcome settle(const Transaction& transaction);
 
     const Records& records() const { return records_; }
     Revision revision() const { return revision_; }
-    std::vector<Entry> watched_records() const;  // all records that a new watch delivers, without heartbeats
+    std::vector<KeyValue> watched_records()
+        const;  // all records that a new watch delivers, without heartbeats
     // The changes that a watch delivers with revisions in (after, upto]. A watch delivers all changes of a
     // revision or none.
-    std::vector<Entry> changes(Revision after, Revision upto) const;
+    std::vector<KeyValue> changes(Revision after, Revision upto) const;
     bool compacted(Revision after) const { return after < oldest_; }
     // Restores the records and the revision of a backup and drops the history.
     void restore(const Records& backup, Revision at);
@@ -42,7 +43,7 @@
     std::size_t max_history_;  // number of revisions with changes that are kept
     Records records_;
     Revision revision_{1}, oldest_;
-    std::map<Revision, std::vector<Entry>> history_;
+    std::map<Revision, std::vector<KeyValue>> history_;
 };
 
 }  // namespace irismux::test_support
