--- a/src/fleet/agent.hpp
+++ b/src/fleet/agent.hpp
@@ -4,8 +4,7 @@
 ///
 /// The writer of each record, and the comparisons that reject a former owner:
 ///   member/ME, beat/ME   written only by the member itself; an eviction removes them if the heartbeat has
-///   not
-///                        changed
+///                        not changed
 ///   duty/NAME            written by a member that claims the duty; the transaction compares the record, the
 ///                        claimant's newest heartbeat and that the former owner's membership is gone
 ///   any fenced write     done by the duty's owner; the transaction compares its newest heartbeat and the
@@ -94,7 +93,7 @@
     /// passed to the observer.
     /// @return false if this member does not own the duty or 64 writes are queued already.
     bool write_fenced(TimePoint now, const DutyName&, const Key&, const std::string& value);
-    /// The same for a write of several records; the outcome passed to the observer names `key`.
+    /// Queues a fenced write of several records like above; the outcome passed to the observer names `key`.
     bool write_fenced(TimePoint now, const DutyName&, const Key& key, FencedWrite write_request);
 
     [[nodiscard]] const Membership& membership() const { return membership_; }
--- a/src/fleet/garbage_collector.hpp
+++ b/src/fleet/garbage_collector.hpp
@@ -2,8 +2,7 @@
 /// a time does it. Does no I/O. These records are garbage:
 ///
 ///   duty/watch/...  the duty of an unowned health check that this member does not want; its token is stored
-///   in
-///                   the floor
+///                   in the floor
 ///   aside/...       a release that names an instance that is no longer a member
 ///   seen/...        a health check's result whose duty has no record
 ///
--- a/src/fleet/record_paths.hpp
+++ b/src/fleet/record_paths.hpp
@@ -2,8 +2,7 @@
 ///
 ///   PREFIX roll/KEY               records that every member watches
 ///   PREFIX beat/NAME              heartbeats; not watched, so that the watch does not deliver each heartbeat
-///   to
-///                                 every member
+///                                 to every member
 ///   PREFIX site/SITE/...          both of these for the members of one site
 ///   PREFIX digest/SITE            the digests of all sites
 ///   PREFIX generation             the generation of the notice board, for all sites
--- a/src/fleet/records.hpp
+++ b/src/fleet/records.hpp
@@ -2,8 +2,7 @@
 ///
 ///   about          the shared configuration; a member whose own differs stays out
 ///   member/NAME    the live instance of that name: written at its join, removed at its leave or eviction,
-///   and
-///                  rewritten only to publish refused tokens and ejected caches
+///                  and rewritten only to publish refused tokens and ejected caches
 ///   beat/NAME      the last heartbeat of that instance; no two heartbeats ever written are equal
 ///   duty/NAME      the owner of a duty and its fencing token; the owner is empty if the duty was given up
 ///   floor          the highest token of any removed duty record; a duty without a record starts above it
