--- a/testing/soak.cpp
+++ b/testing/soak.cpp
@@ -206,7 +206,7 @@
             if (!e.seen && gateway_->notice_board->last_poll_since() >= e.revision)
                 e.seen = gateway_->loop.now();
         if (!gateway_->process->running() && !leaving_ && !std::exchange(died_, true))
-            violation("the process ended without a signal");
+            violation("the process ended before SIGTERM");
         if (descriptors_of(gateway_->process->id()) > max_descriptors)
             violation("more open descriptors than the limit");
     }
--- a/tests/event_order_test.cpp
+++ b/tests/event_order_test.cpp
@@ -33,7 +33,8 @@
     solo.process->signal(SIGSTOP);
     for (int n = 0; n < resting; ++n) rest[static_cast<std::size_t>(n)]->send(2, {.id = id_of(200 + n)});
     ASSERT_TRUE(solo.wait_until([&] {
-        return std::all_of(rest.begin(), rest.end(), [](const auto& a) { return a->connection->all_written(); });
+        return std::all_of(rest.begin(), rest.end(),
+                           [](const auto& a) { return a->connection->all_written(); });
     }));
     Raw one_more(solo.listen);
     solo.process->signal(SIGCONT);
