--- a/example/stub_cache.cpp
+++ b/example/stub_cache.cpp
@@ -28,136 +28,142 @@
 const std::map<std::string, std::string> addresses = {
     {"c1", "127.0.0.1:7101"}, {"c2", "127.0.0.1:7102"}, {"c3", "127.0.0.1:7103"}};
 
-void send_all(StreamSocket& to, Buffer& out) {
+void send_all(StreamSocket& socket, Buffer& out) {
     while (!out.empty())
-        out.consume(static_cast<std::size_t>(to.sendBytes(out.view().data(), static_cast<int>(out.size()))));
+        out.consume(
+            static_cast<std::size_t>(socket.sendBytes(out.view().data(), static_cast<int>(out.size()))));
 }
 
-bool receive(StreamSocket& from, Buffer& in) {
-    const int n = from.receiveBytes(in.prepare(4096), 4096);
+bool receive(StreamSocket& socket, Buffer& in) {
+    const int n = socket.receiveBytes(in.prepare(4096), 4096);
     if (n > 0) in.commit(static_cast<std::size_t>(n));
     return n > 0;
 }
 
 // What a cache keeps; all that it lacks its sources have.
-struct Store {
+struct CacheState {
     std::mutex mutex;
-    std::set<std::string> kept;
-    std::vector<StreamSocket> links;
+    std::set<std::string> objects;
+    std::vector<StreamSocket> connections;
 };
 
-void serve_cache(StreamSocket& link, const std::string& name, Store& store) {
+void serve_cache(StreamSocket& connection, const std::string& name, CacheState& state) {
     Buffer in, out;
-    resp::Arguments w;
+    resp::Arguments arguments;
     std::size_t used = 0;
     {
-        const std::lock_guard lock(store.mutex);
-        store.links.push_back(link);
+        const std::lock_guard lock(state.mutex);
+        state.connections.push_back(connection);
     }
-    while (receive(link, in)) {
-        ParseStatus p;
-        while ((p = resp::parse_array(in.view(), w, used)) == ParseStatus::complete) {
-            if (w[0] == "ECHO") resp::write_array(out, {w[1], "PONG", "-", ""});
-            if (w[0] == "PULL" && w.size() > 2) {
-                const std::string object(resp::field(w[2], "asset")), via(resp::field(w[2], "via"));
-                const std::lock_guard lock(store.mutex);
-                const bool held = store.kept.contains(object);
-                const std::string how = held ? "was kept here" : "came from " + via;
-                std::cout << name << ": object " << object << ' ' << how << std::endl;
-                const std::string minted =
+    while (receive(connection, in)) {
+        ParseStatus status;
+        while ((status = resp::parse_array(in.view(), arguments, used)) == ParseStatus::complete) {
+            if (arguments[0] == "ECHO") resp::write_array(out, {arguments[1], "PONG", "-", ""});
+            if (arguments[0] == "PULL" && arguments.size() > 2) {
+                const std::string object(resp::field(arguments[2], "asset")),
+                    via(resp::field(arguments[2], "via"));
+                const std::lock_guard lock(state.mutex);
+                const bool held = state.objects.contains(object);
+                const std::string source = held ? "was in the cache" : "was fetched from " + via;
+                std::cout << name << ": object " << object << ' ' << source << std::endl;
+                const std::string created_ms =
                     std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(
                                        std::chrono::system_clock::now().time_since_epoch())
                                        .count());
                 const std::string fields =
-                    "tag=t1,minted=" + minted + (held ? ",n=cached" : ",n=fetched,lag=5");
+                    "tag=t1,minted=" + created_ms + (held ? ",n=cached" : ",n=fetched,lag=5");
                 std::string body = "object " + object;
                 body += " by " + name;
-                body += ", " + how;
+                body += ", " + source;
                 body += '\n';
                 if (held || !via.empty())
-                    resp::write_array(out, {w[1], "HIT", fields, body});
+                    resp::write_array(out, {arguments[1], "HIT", fields, body});
                 else
-                    resp::write_array(out, {w[1], "NONE", "-", ""});
-                if (!via.empty() && !resp::field(w[2], "tier").empty()) store.kept.insert(object);
+                    resp::write_array(out, {arguments[1], "NONE", "-", ""});
+                if (!via.empty() && !resp::field(arguments[2], "tier").empty()) state.objects.insert(object);
             }
             in.consume(used);
         }
-        if (p == ParseStatus::invalid) return;
-        send_all(link, out);
+        if (status == ParseStatus::invalid) return;
+        send_all(connection, out);
     }
 }
 
 // Nothing ever changes on this board: each poll is answered when it has lingered.
-void serve_board(StreamSocket& link) {
+void serve_board(StreamSocket& connection) {
     Buffer in, out;
-    while (receive(link, in)) {
+    while (receive(connection, in)) {
         if (in.view().find("\r\n\r\n") == std::string_view::npos) continue;
         in.consume(in.size());
         std::this_thread::sleep_for(std::chrono::seconds(1));
         const std::string body = R"({"rev":1,"notices":[]})";
         out.append("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
-        send_all(link, out);
+        send_all(connection, out);
     }
 }
 
-class Serving final : public TCPServerConnection {
+class HandlerConnection final : public TCPServerConnection {
 public:
-    Serving(const StreamSocket& s, std::function<void(StreamSocket&)> serve)
-        : TCPServerConnection(s), serve_(std::move(serve)) {}
+    HandlerConnection(const StreamSocket& socket, std::function<void(StreamSocket&)> handler)
+        : TCPServerConnection(socket), handler_(std::move(handler)) {}
     void run() override {
         try {
-            serve_(socket());
+            handler_(socket());
         } catch (const Poco::Exception&) {
             // The other side has gone.
         }
     }
 
 private:
-    std::function<void(StreamSocket&)> serve_;
+    std::function<void(StreamSocket&)> handler_;
 };
 
-class Factory final : public TCPServerConnectionFactory {
+class HandlerConnectionFactory final : public TCPServerConnectionFactory {
 public:
-    explicit Factory(std::function<void(StreamSocket&)> serve) : serve_(std::move(serve)) {}
-    TCPServerConnection* createConnection(const StreamSocket& s) override { return new Serving(s, serve_); }
+    explicit HandlerConnectionFactory(std::function<void(StreamSocket&)> handler)
+        : handler_(std::move(handler)) {}
+    TCPServerConnection* createConnection(const StreamSocket& socket) override {
+        return new HandlerConnection(socket, handler_);
+    }
 
 private:
-    std::function<void(StreamSocket&)> serve_;
+    std::function<void(StreamSocket&)> handler_;
 };
 
-std::unique_ptr<TCPServer> listen(const std::string& at, std::function<void(StreamSocket&)> serve) {
-    auto server = std::make_unique<TCPServer>(new Factory(std::move(serve)), ServerSocket(SocketAddress(at)));
+std::unique_ptr<TCPServer> listen(const std::string& address, std::function<void(StreamSocket&)> handler) {
+    auto server = std::make_unique<TCPServer>(new HandlerConnectionFactory(std::move(handler)),
+                                              ServerSocket(SocketAddress(address)));
     server->start();
     return server;
 }
 
 int serve() {
-    std::map<std::string, Store> stores;
+    std::map<std::string, CacheState> states;
     std::map<std::string, std::unique_ptr<TCPServer>> running;
     const auto start = [&](const std::string& name) {
-        running[name] = listen(addresses.at(name), [name, &store = stores[name]](StreamSocket& s) {
-            serve_cache(s, name, store);
+        running[name] = listen(addresses.at(name), [name, &state = states[name]](StreamSocket& socket) {
+            serve_cache(socket, name, state);
         });
     };
     for (const auto& [name, address] : addresses) start(name);
     const auto board = listen("127.0.0.1:7190", serve_board);
     std::cout << "serving c1, c2, c3 and the board; type \"stop c1\", \"start c1\" or \"end\"" << std::endl;
-    std::string what, name;
-    while (std::cin >> what && what != "end" && std::cin >> name) {
+    std::string command, name;
+    while (std::cin >> command && command != "end" && std::cin >> name) {
         if (!addresses.contains(name))
             std::cout << "there is no " << name << std::endl;
-        else if (what == "stop") {
+        else if (command == "stop") {
             running.erase(name);
-            const std::lock_guard lock(stores[name].mutex);
-            for (StreamSocket& link : stores[name].links) link.impl()->shutdown();
-            stores[name].links.clear();
-            stores[name].kept.clear();
+            const std::lock_guard lock(states[name].mutex);
+            for (StreamSocket& connection : states[name].connections) connection.impl()->shutdown();
+            states[name].connections.clear();
+            states[name].objects.clear();
             std::cout << name << " has died" << std::endl;
-        } else if (what == "start")
+        } else if (command == "start")
             start(name), std::cout << name << " serves" << std::endl;
     }
     // Started without a terminal it goes on serving.
-    while (what != "end") std::this_thread::sleep_for(std::chrono::hours(1));
+    while (command != "end") std::this_thread::sleep_for(std::chrono::hours(1));
     std::_Exit(0);  // connections that are still served end with the program
 }
 
@@ -178,12 +184,12 @@
     fastcgi::write_record(out, fastcgi::Type::params, 1, {});
     fastcgi::write_record(out, fastcgi::Type::std_in, 1, {});
     send_all(gateway, out);
-    fastcgi::Record r;
+    fastcgi::Record record;
     std::size_t used = 0;
     while (receive(gateway, in))
-        while (fastcgi::parse_record(in.view(), r, used) == ParseStatus::complete) {
-            if (r.type == fastcgi::Type::std_out) std::cout << r.content;
-            if (r.type == fastcgi::Type::end_request) return 0;
+        while (fastcgi::parse_record(in.view(), record, used) == ParseStatus::complete) {
+            if (record.type == fastcgi::Type::std_out) std::cout << record.content;
+            if (record.type == fastcgi::Type::end_request) return 0;
             in.consume(used);
         }
     return 1;
@@ -192,10 +198,10 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    const std::string what = argc > 1 ? argv[1] : "";
+    const std::string command = argc > 1 ? argv[1] : "";
     try {
-        if (what == "serve" && argc == 2) return serve();
-        if (what == "ask" && argc == 4) return ask(argv[2], argv[3]);
+        if (command == "serve" && argc == 2) return serve();
+        if (command == "ask" && argc == 4) return ask(argv[2], argv[3]);
     } catch (const Poco::Exception& e) {
         std::cerr << "toy: " << e.displayText() << '\n';
         return 1;
--- a/sim/request_names.hpp
+++ b/sim/request_names.hpp
@@ -34,7 +34,7 @@
         if (request.attempts_in_flight > 0) --request.attempts_in_flight;
     }
     void on_request_finished(RequestId id) { requests_.at(id).finished = true; }
-    void drop_if_over(RequestId id) {
+    void remove_if_finished(RequestId id) {
         const auto it = requests_.find(id);
         if (it == requests_.end() || !it->second.finished || it->second.attempts_in_flight > 0) return;
         const auto named = by_name_.find(it->second.name);
--- a/sim/simulator_host.cpp
+++ b/sim/simulator_host.cpp
@@ -74,7 +74,7 @@
         request.kind = index->second;
         request.id = writer_.names.add(get<std::string>(message, "xid"));
         router_->on_request(now, request);
-        writer_.names.drop_if_over(request.id);
+        writer_.names.remove_if_finished(request.id);
     }
 
     void on_attempt_result(TimePoint now, const json& message) {
@@ -85,7 +85,7 @@
         if (result.request_finished || result.outcome == Outcome::completed)
             writer_.names.on_request_finished(*id);
         router_->on_attempt_result(now, result);
-        writer_.names.drop_if_over(*id);
+        writer_.names.remove_if_finished(*id);
     }
 
     void on_client_closed(TimePoint now, const json& message) {
@@ -93,7 +93,7 @@
         if (!id) return;
         writer_.names.on_request_finished(*id);
         router_->on_client_closed(now, *id);
-        writer_.names.drop_if_over(*id);
+        writer_.names.remove_if_finished(*id);
     }
 
     void on_timer(TimePoint now, const json& message) {
--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -69,8 +69,8 @@
         for (const auto& [key, text] : conditions_) compares.emplace_back(path(key), text);
         const etcd::Request write = etcd::transaction(compares, {{path(key_), after_}}, {});
         for (int n = 0; n < max_writes; ++n) {
-            const auto sent = session_.request_once(write);
-            if (const auto* reply = std::get_if<Reply>(&sent)) return on_reply(*reply, n > 0);
+            const auto outcome = session_.request_once(write);
+            if (const auto* reply = std::get_if<Reply>(&outcome)) return on_reply(*reply, n > 0);
             if (const auto exit_code = on_no_reply()) return *exit_code;
         }
         return print_error("no answer to " + std::to_string(max_writes) +
--- a/src/cli/fleet_in_force_command.cpp
+++ b/src/cli/fleet_in_force_command.cpp
@@ -155,7 +155,7 @@
     // All gateways of a site report within a quarter of a term; every live site has then been read.
     constexpr double min_wait_per_term = 0.75;
     constexpr double poll_interval_per_term = 1.0 / 24;
-    const FleetStatus::Query asked{EventNumber{query.event}, ConfigurationNumber{query.configuration}};
+    const FleetStatus::Query status_query{EventNumber{query.event}, ConfigurationNumber{query.configuration}};
     const Duration term = settings.shared_config.term;
     const TimePoint end = steady_now() + std::max(Duration::seconds(query.wait_s), term * min_wait_per_term);
     FleetStatus status(term, settings.inventory);
@@ -163,7 +163,7 @@
         status.on_reading(read_status(session, settings, status));
         if (query.event > 0)
             if (const auto newest = read_newest_event(query.board)) status.on_newest_event(*newest);
-        auto verdict = status.judge(steady_now(), asked);
+        auto verdict = status.judge(steady_now(), status_query);
         if (verdict.reach == FleetStatus::Reach::everywhere || steady_now() >= end) return verdict;
         std::this_thread::sleep_for(std::chrono::microseconds((term * poll_interval_per_term).micros()));
     }
--- a/src/cli/fleet_repair_commands.cpp
+++ b/src/cli/fleet_repair_commands.cpp
@@ -17,8 +17,8 @@
 int write_once(RegistrySession& session, const registry::Settings& settings,
                const std::vector<etcd::KeyValue>& compares, const std::vector<etcd::KeyValue>& writes,
                const std::string& success) {
-    const auto sent = session.request_once(etcd::transaction(compares, writes, {}));
-    const auto* reply = std::get_if<Reply>(&sent);
+    const auto outcome = session.request_once(etcd::transaction(compares, writes, {}));
+    const auto* reply = std::get_if<Reply>(&outcome);
     if (!reply) return print_error("no answer: whether it is written can't be told, look again");
     const auto result =
         value_or_throw(etcd::read_transaction_result(reply->status, reply->body, settings.prefix));
--- a/src/cli/registry_commands.cpp
+++ b/src/cli/registry_commands.cpp
@@ -29,9 +29,9 @@
     // Returns the exit code, and prints what came of it.
     int write(const std::string& value, Revision unchanged_since) {
         for (int n = 0; n < max_writes; ++n) {
-            const auto sent =
+            const auto result =
                 session_.request_once(etcd::put_if(settings_.prefix + id_, value, unchanged_since, 0));
-            if (const auto* reply = std::get_if<Reply>(&sent)) return on_reply(*reply, value);
+            if (const auto* reply = std::get_if<Reply>(&result)) return on_reply(*reply, value);
             reply_lost_ = true;
             if (const auto exit_code = on_no_reply(value, unchanged_since)) return *exit_code;
         }
--- a/src/cli/registry_queries.cpp
+++ b/src/cli/registry_queries.cpp
@@ -14,15 +14,15 @@
                                          const std::string& prefix,
                                          const std::function<void(const Record&)>& visit) {
     std::optional<RecordKey> after;
-    Revision at;
+    Revision revision;
     for (;;) {
-        const Reply reply = session.request(etcd::range(prefix, after, at, settings.page_size));
+        const Reply reply = session.request(etcd::range(prefix, after, revision, settings.page_size));
         const auto read = etcd::read_range(reply.status, reply.body, prefix);
         if (const auto* error = std::get_if<etcd::Error>(&read)) return *error;
         const registry::Page& page = std::get<etcd::Range>(read).page;
-        if (at == Revision{}) at = page.header.revision;
+        if (revision == Revision{}) revision = page.header.revision;
         for (const Record& record : page.records) visit(record);
-        if (!page.more || page.records.empty()) return at;
+        if (!page.more || page.records.empty()) return revision;
         after = page.records.back().key;
     }
 }
--- a/src/cli/registry_session.cpp
+++ b/src/cli/registry_session.cpp
@@ -67,15 +67,15 @@
 
 Reply RegistrySession::exchange(Poco::Net::HTTPClientSession& session, const etcd::Request& request) {
     session.setTimeout(Poco::Timespan(settings_.poll_policy.reply_timeout.micros()));
-    Poco::Net::HTTPRequest out(Poco::Net::HTTPRequest::HTTP_POST, request.target, "HTTP/1.1");
-    out.setContentType("application/json");
-    out.setContentLength(static_cast<std::streamsize>(request.body.size()));
-    if (!token_.empty()) out.set("Authorization", token_);
-    session.sendRequest(out) << request.body;
-    Poco::Net::HTTPResponse in;
+    Poco::Net::HTTPRequest http_request(Poco::Net::HTTPRequest::HTTP_POST, request.target, "HTTP/1.1");
+    http_request.setContentType("application/json");
+    http_request.setContentLength(static_cast<std::streamsize>(request.body.size()));
+    if (!token_.empty()) http_request.set("Authorization", token_);
+    session.sendRequest(http_request) << request.body;
+    Poco::Net::HTTPResponse http_response;
     std::string body;
-    Poco::StreamCopier::copyToString(session.receiveResponse(in), body);
-    return {in.getStatus(), body};
+    Poco::StreamCopier::copyToString(session.receiveResponse(http_response), body);
+    return {http_response.getStatus(), body};
 }
 
 }  // namespace irismux::cli
