--- a/example/stub_cache.cpp
+++ b/example/stub_cache.cpp
@@ -1,7 +1,8 @@
-// A toy to try a gateway with: three caches with a parent and an origin behind them, their notice board, and
-// a client. It decides nothing and measures nothing.
-//   toy serve              the caches and the board; "stop c2" and "start c2" on standard input
-//   toy ask KIND OBJECT    one lookup through the gateway
+// Stub services to try a gateway with: three caches, which answer as if a parent and an origin were behind
+// them, their notice board, and a client. Makes no routing decisions and measures nothing.
+//   irismux_stub_cache serve              runs the caches and the notice board; reads commands such as
+//                                         "stop c2" and "start c2" from standard input
+//   irismux_stub_cache ask KIND OBJECT    sends one lookup through the gateway
 #include <Poco/Net/ServerSocket.h>
 #include <Poco/Net/StreamSocket.h>
 #include <Poco/Net/TCPServer.h>
@@ -40,7 +41,7 @@
     return n > 0;
 }
 
-// What a cache keeps; all that it lacks its sources have.
+// The stored objects and open connections of one cache. The sources have all other objects.
 struct CacheState {
     std::mutex mutex;
     std::set<std::string> objects;
@@ -89,7 +90,7 @@
     }
 }
 
-// Nothing ever changes on this board: each poll is answered when it has lingered.
+// Answers each poll of the notice board after one second, always without events.
 void serve_board(StreamSocket& connection) {
     Buffer in, out;
     while (receive(connection, in)) {
@@ -110,7 +111,7 @@
         try {
             handler_(socket());
         } catch (const Poco::Exception&) {
-            // The other side has gone.
+            // The peer has closed the connection.
         }
     }
 
@@ -147,24 +148,25 @@
     };
     for (const auto& [name, address] : addresses) start(name);
     const auto board = listen("127.0.0.1:7190", serve_board);
-    std::cout << "serving c1, c2, c3 and the board; type \"stop c1\", \"start c1\" or \"end\"" << std::endl;
+    std::cout << "serving c1, c2, c3 and the notice board; type \"stop c1\", \"start c1\" or \"end\""
+              << std::endl;
     std::string command, name;
     while (std::cin >> command && command != "end" && std::cin >> name) {
         if (!addresses.contains(name))
-            std::cout << "there is no " << name << std::endl;
+            std::cout << "there is no cache " << name << std::endl;
         else if (command == "stop") {
             running.erase(name);
             const std::lock_guard lock(states[name].mutex);
             for (StreamSocket& connection : states[name].connections) connection.impl()->shutdown();
             states[name].connections.clear();
             states[name].objects.clear();
-            std::cout << name << " has died" << std::endl;
+            std::cout << name << " is stopped" << std::endl;
         } else if (command == "start")
-            start(name), std::cout << name << " serves" << std::endl;
+            start(name), std::cout << name << " is running" << std::endl;
     }
-    // Started without a terminal it goes on serving.
+    // If standard input ends without the command "end", the program keeps serving.
     while (command != "end") std::this_thread::sleep_for(std::chrono::hours(1));
-    std::_Exit(0);  // connections that are still served end with the program
+    std::_Exit(0);  // also ends the connections that are still served
 }
 
 int ask(const std::string& kind, const std::string& object) {
@@ -203,9 +205,9 @@
         if (command == "serve" && argc == 2) return serve();
         if (command == "ask" && argc == 4) return ask(argv[2], argv[3]);
     } catch (const Poco::Exception& e) {
-        std::cerr << "toy: " << e.displayText() << '\n';
+        std::cerr << "irismux_stub_cache: " << e.displayText() << '\n';
         return 1;
     }
-    std::cerr << "usage: toy serve | toy ask KIND OBJECT (16 hex digits)\n";
+    std::cerr << "usage: irismux_stub_cache serve | irismux_stub_cache ask KIND OBJECT (16 hex digits)\n";
     return 2;
 }
--- a/sim/request_names.hpp
+++ b/sim/request_names.hpp
@@ -1,4 +1,4 @@
-// The simulator's names of requests, and the ids that the router knows them by.
+// Maps the simulator's names of requests to the router's request ids.
 #pragma once
 
 #include <cstddef>
@@ -11,11 +11,11 @@
 
 namespace irismux::sim {
 
-/// A name is dropped once its request has its final response and no attempt is in flight. A message that
-/// names it later finds nothing, and the name may be used again.
+/// A name is removed once its request has its final response and no attempt is in flight. find() then returns
+/// std::nullopt for the name, and a new request may use the name again.
 class RequestNames {
 public:
-    /// A new request. An earlier one of that name is no longer found by it.
+    /// Adds a request and returns its id. find() no longer returns an earlier request of the same name.
     [[nodiscard]] RequestId add(const std::string& name) {
         const RequestId id{++last_id_};
         by_name_[name] = id;
--- a/sim/simulator_codec.hpp
+++ b/sim/simulator_codec.hpp
@@ -1,4 +1,4 @@
-// The simulator's messages: JSON whose words are fixed, and the router's types that they stand for.
+// Converts between the simulator's messages, which are JSON with fixed words, and the router's types.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -8,13 +8,13 @@
 
 namespace irismux::sim {
 
-// What the simulator sends. Each throws std::runtime_error if a field is missing or not as it must be.
+// Messages from the simulator. Each function throws std::runtime_error if a field is missing or invalid.
 [[nodiscard]] EndpointUpdate read_endpoint_update(const nlohmann::json& message);
-/// Without id and kind, which the caller knows.
+/// Leaves `id` and `kind` unset; the caller sets them.
 [[nodiscard]] Request read_request(const nlohmann::json& message);
 [[nodiscard]] AttemptResult read_attempt_result(RequestId request, const nlohmann::json& message);
 
-// What the simulator is sent. `request` is its name there.
+// Messages to the simulator. `request` is the simulator's name of the request.
 [[nodiscard]] nlohmann::json start_direct_attempt_message(const std::string& request, const CacheId& origin,
                                                           Duration timeout);
 [[nodiscard]] nlohmann::json start_attempt_message(const std::string& request, const AttemptPlan& plan);
--- a/sim/simulator_host.cpp
+++ b/sim/simulator_host.cpp
@@ -1,5 +1,5 @@
-// irismux_simhost: runs routers for the simulator. Reads batches of messages from standard input, a line
-// each, and writes what the routers decide to standard output.
+// irismux_simhost: runs routers for the simulator. Reads batches of messages from standard input, one batch
+// per line, and writes the routers' decisions to standard output.
 #include <algorithm>
 #include <iostream>
 #include <map>
@@ -123,10 +123,10 @@
 private:
     MessageWriter writer_;
     std::map<std::string, ObjectKindIndex> kind_indexes_;
-    std::optional<Router> router_;  // built after the writer that it calls
+    std::optional<Router> router_;  // constructed after writer_, which it calls
 };
 
-// No decision depends on these.
+// Returns whether messages of this type are ignored: no decision of a router depends on them.
 bool is_ignored(std::string_view type) {
     return type == "Opened" || type == "ProbeDone" || type == "NoteFrom";
 }
--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -18,7 +18,7 @@
 using namespace fleet;
 using Records = std::map<Key, std::string>;
 
-// All records of the site, at one revision.
+// Reads all records of the site at one revision.
 etcd::ReadResult<Records> read_records(RegistrySession& session, const registry::Settings& settings) {
     const auto read = read_all(session, settings, settings.prefix);
     if (const auto* error = std::get_if<etcd::Error>(&read)) return *error;
@@ -38,7 +38,9 @@
         const Records records = value_or_throw(read_records(session, settings.registry));
         const Text shared_config = text_of(records, shared_config_key());
         if (shared_config && *shared_config != serialize(settings.shared_config))
-            std::cerr << "irismux: the fleet there goes by other articles: " << *shared_config << '\n';
+            std::cerr
+                << "irismux: the shared configuration recorded in the registry differs from the settings: "
+                << *shared_config << '\n';
         return run(session, records);
     });
 }
@@ -50,8 +52,8 @@
     return !member || member->incarnation == instance.incarnation;
 }
 
-// Replaces one record if it and those of `conditions` are as they were. After a lost reply the record is
-// read: it shows whether the write was carried out.
+// Replaces one record if this record and those of `conditions` still have the given values. If the reply to
+// the write is lost, the record is read again, which shows whether the write was carried out.
 class RecordUpdate {
 public:
     RecordUpdate(RegistrySession& session, const registry::Settings& settings, Key key, Text before,
@@ -63,7 +65,7 @@
           after_(std::move(after)),
           conditions_(std::move(conditions)) {}
 
-    // Returns the exit code: 0, or 1 after an error line.
+    // Returns the exit code: 0, or 1 after printing an error.
     int run() {
         std::vector<etcd::KeyValue> compares{{path(key_), before_}};
         for (const auto& [key, text] : conditions_) compares.emplace_back(path(key), text);
@@ -73,8 +75,8 @@
             if (const auto* reply = std::get_if<Reply>(&outcome)) return on_reply(*reply, n > 0);
             if (const auto exit_code = on_no_reply()) return *exit_code;
         }
-        return print_error("no answer to " + std::to_string(max_writes) +
-                           " writes; it was not written when last looked at");
+        return print_error("no reply to " + std::to_string(max_writes) +
+                           " writes; the last read showed that none had taken effect");
     }
 
 private:
@@ -86,18 +88,23 @@
         if (result.succeeded) return 0;
         for (const auto& record : result.records)
             if (reply_lost_before && record.key.raw() == path_of(key_) && after_ == record.value) return 0;
-        return print_error("the records have changed meanwhile: nothing is written, look again");
+        return print_error(
+            "the records changed after they were read; nothing was written, check them and try again");
     }
 
-    // The exit code; none if the record is unchanged and can be written again.
+    // Reads the record after a lost reply. Returns std::nullopt if the record is unchanged and can be written
+    // again, and otherwise the exit code.
     std::optional<int> on_no_reply() {
         const auto read = read_records(session_, settings_);
         if (const auto* error = std::get_if<etcd::Error>(&read))
-            return print_error("no answer, and " + error->message + "; whether it is written can't be told");
+            return print_error("no reply to the write, and the record could not be read: " + error->message +
+                               "; the write may or may not have taken effect");
         const Text now = text_of(std::get<Records>(read), key_);
         if (now == after_) return 0;
         if (now == before_) return std::nullopt;
-        return print_error("changed meanwhile; whether ours was written before that can't be told");
+        return print_error(
+            "no reply to the write, and another writer changed the record; the write may or may not have "
+            "taken effect before that");
     }
 
     std::string path(const Key& key) const { return settings_.prefix + path_of(key); }
@@ -109,7 +116,7 @@
     std::vector<Entry> conditions_;
 };
 
-// Prints a line for each record of one kind, by name.
+// Prints one line for each record of one kind, in the order of their names.
 template <class NameOf, class Parse, class Print>
 void print_each(const Records& records, NameOf name_of, Parse parse, Print print) {
     for (const auto& [key, text] : records) {
@@ -119,7 +126,7 @@
         if (const auto record = parse(text))
             print(*name, *record);
         else
-            std::cout << "   (in a form that this version can't read)";
+            std::cout << "   (this version cannot read the record)";
         std::cout << '\n';
     }
 }
@@ -128,9 +135,9 @@
     const Text text = text_of(records, heartbeat_key(name));
     const auto heartbeat = text ? parse_heartbeat(*text) : std::nullopt;
     const bool own_heartbeat = heartbeat && heartbeat->instance_id == member.instance_id;
-    std::cout << " start " << member.incarnation.raw() << " version " << member.version << " sign "
+    std::cout << " start " << member.incarnation.raw() << " version " << member.version << " heartbeat "
               << (own_heartbeat ? std::to_string(heartbeat->number.raw()) : "none");
-    for (const CacheId& cache : member.ejected_caches) std::cout << " marks " << cache.raw();
+    for (const CacheId& cache : member.ejected_caches) std::cout << " ejected " << cache.raw();
     for (const auto& [duty, token] : member.refused_tokens)
         std::cout << " refuses " << duty.raw() << " up to " << token.raw();
 }
@@ -139,7 +146,7 @@
     const Text text = text_of(records, release_key(duty));
     const auto owner = text ? parse_release(*text) : std::nullopt;
     if (owner)
-        std::cout << " left to others by " << owner->name.raw() << " start " << owner->incarnation.raw();
+        std::cout << " release requested from " << owner->name.raw() << " start " << owner->incarnation.raw();
 }
 
 void print_health(const Records& records, const DutyName& duty) {
@@ -147,13 +154,14 @@
     const Text text = cache ? text_of(records, health_record_key(*cache)) : Text{};
     const auto health = text ? parse_health_record(*text) : std::nullopt;
     if (health)
-        std::cout << (health->healthy ? " answered " : " silent ") << health->streak << " times in a row";
+        std::cout << (health->healthy ? " passed " : " failed ") << health->streak
+                  << " consecutive health checks";
 }
 
 void print_duty(const Records& records, const DutyName& name, const DutyRecord& duty) {
     std::cout << " epoch " << duty.token.raw();
     if (duty.owner.raw().empty())
-        std::cout << " nobody's";
+        std::cout << " unowned";
     else
         std::cout << " owner " << duty.owner.raw() << " start " << duty.incarnation.raw()
                   << (is_live(records, {duty.owner, duty.incarnation}) ? "" : " (gone)");
@@ -161,7 +169,7 @@
     print_health(records, name);
 }
 
-// Waits until another member than `owner` has the duty. The owner hands on one duty a round.
+// Waits until a member other than the owner in `former` owns the duty. An owner releases one duty per round.
 int wait_for_next_owner(RegistrySession& session, const Settings& settings, const DutyName& name,
                         const DutyRecord& former) {
     constexpr double wait_per_term = 3;
@@ -179,9 +187,10 @@
         }
         std::this_thread::sleep_for(std::chrono::microseconds((term * poll_interval_per_term).micros()));
     }
-    return print_error("asked of " + former.owner.raw() +
-                       ", and not taken by another yet: is there one that has been in "
-                       "for two terms? The word stands until it is restored");
+    return print_error(
+        "release requested from " + former.owner.raw() +
+        ", but no other member has taken the duty yet; check that another member has been in the "
+        "fleet for two terms. The request stays until it is withdrawn with 'restore'");
 }
 
 }  // namespace
@@ -202,8 +211,8 @@
         const Text text = text_of(records, collection_progress_key());
         const auto progress = text ? parse_collection_progress(*text) : std::nullopt;
         if (progress)
-            std::cout << "swept " << progress->removed_records << " records in " << progress->pass
-                      << " passes\n";
+            std::cout << "garbage collection removed " << progress->removed_records << " records in "
+                      << progress->pass << " passes\n";
         return 0;
     });
 }
@@ -213,10 +222,11 @@
     return with_records(settings, [&](RegistrySession& session, const Records& records) {
         const Text text = text_of(records, duty_key(duty_name));
         const auto duty = text ? parse_duty(*text) : std::nullopt;
-        if (!duty || duty->owner.raw().empty()) return print_error("nobody owns " + name);
+        if (!duty || duty->owner.raw().empty()) return print_error("no member owns " + name);
         const Instance owner{duty->owner, duty->incarnation};
         if (!is_live(records, owner))
-            return print_error(name + " is owned by one that has gone: another takes it by itself");
+            return print_error(
+                name + " is owned by a member that is gone; another member takes it without a release");
         const Key key = release_key(duty_name);
         RecordUpdate update(session, settings.registry, key, text_of(records, key), serialize(owner),
                             {{duty_key(duty_name), text}});
@@ -229,7 +239,7 @@
     const Key key = release_key(DutyName{name});
     return with_records(settings, [&](RegistrySession& session, const Records& records) {
         const Text release = text_of(records, key);
-        if (!release) return print_error("nobody was asked to leave " + name);
+        if (!release) return print_error("there is no release request for " + name);
         RecordUpdate update(session, settings.registry, key, release, std::nullopt, {});
         if (const int exit_code = update.run(); exit_code != 0) return exit_code;
         std::cout << "restored\n";
--- a/src/cli/fleet_commands.hpp
+++ b/src/cli/fleet_commands.hpp
@@ -1,4 +1,4 @@
-// `irismux fleet ...`: an operator's view of the fleet, and changes of its records.
+// The sub-commands of `irismux fleet`, with which an operator shows and changes the records of the fleet.
 #pragma once
 
 #include <cstdint>
@@ -8,34 +8,39 @@
 
 namespace irismux::cli {
 
-// Each returns the exit code: 0, or 1 with one line on standard error.
+// Each function returns the exit code: 0, or 1 after printing one line on standard error.
 
 // --- records of one site (fleet_commands.cpp)
 
 /// Prints the live members, one per line.
 int fleet_members(const fleet::Settings& settings);
-/// Prints the duties with their owners and epochs, one per line, and what else is recorded.
+/// Prints the duties, one per line, with their epochs, owners, release requests and health check results, and
+/// then the progress of the garbage collection.
 int fleet_duties(const fleet::Settings& settings);
-/// Asks the owner of a duty to release it until it is started anew, and waits for the next owner. The owner
-/// itself gives it up, so at no time two may act.
+/// Asks the owner of a duty to release the duty, and waits for the next owner. The request holds until
+/// that owner is restarted. The owner itself gives up the duty, so two members never act on it at one time.
 int fleet_release(const fleet::Settings& settings, const std::string& duty);
-/// Withdraws such a request.
+/// Withdraws the request to release a duty.
 int fleet_restore(const fleet::Settings& settings, const std::string& duty);
 
 // --- records of all sites (fleet_in_force_command.cpp, fleet_repair_commands.cpp)
 
 struct InForceQuery {
-    std::int64_t event = 0;          ///< number of an event; zero: not asked for
-    std::int64_t configuration = 0;  ///< number of a configuration; zero: not asked for
-    std::string board;               ///< address of the notice board, for its newest event
-    double wait_s = 0;               ///< longest wait until it is in force everywhere, in seconds
+    /// Number of the queried event; zero: no event is queried.
+    std::int64_t event = 0;
+    /// Number of the queried configuration; zero: no configuration is queried.
+    std::int64_t configuration = 0;
+    /// Address of the notice board that reports the newest event.
+    std::string board;
+    /// Longest wait, in seconds, until the event and the configuration are in force everywhere.
+    double wait_s = 0;
 };
-/// Prints whether that is in force. Exit code 0: everywhere; 3: at all gateways but those printed; 4: not
-/// yet.
+/// Prints whether the queried event and configuration are in force. Exit code 0: everywhere; 3: at all
+/// gateways but those printed; 4: not yet.
 int fleet_in_force(const fleet::Settings& settings, const InForceQuery& query);
-/// Removes a gateway that will not come back from the roster of its site.
+/// Removes a permanently stopped gateway from the roster of its site.
 int fleet_forget(const fleet::Settings& settings, const std::string& site, const std::string& member);
-/// Begins a new generation of the board's event numbers, before a restored board is started.
+/// Begins a new generation of the notice board's event numbers. Must run before a restored board is started.
 int fleet_new_generation(const fleet::Settings& settings);
 
 }  // namespace irismux::cli
--- a/src/cli/fleet_in_force_command.cpp
+++ b/src/cli/fleet_in_force_command.cpp
@@ -25,7 +25,7 @@
 constexpr int exit_all_but = 3;
 constexpr int exit_not_yet = 4;
 
-// CLOCK_BOOTTIME, since it counts the time during which the machine sleeps.
+// Reads CLOCK_BOOTTIME, which also counts the time during which the machine is suspended.
 TimePoint steady_now() {
     timespec now{};
     ::clock_gettime(CLOCK_BOOTTIME, &now);
@@ -49,7 +49,7 @@
         reading.owner_heartbeats[sites.at(path)] = text;
 }
 
-// The generation is read last, so that digests of a former one can be told from it.
+// Reads the generation last, so that digests of a former generation can be told from those of this one.
 FleetStatus::RegistryReading read_status(RegistrySession& session, const Settings& settings,
                                          const FleetStatus& status) {
     FleetStatus::RegistryReading reading;
@@ -67,10 +67,11 @@
     return reading;
 }
 
-// The number of the board's newest event; none if its reply has none. Throws Poco::Exception.
+// Returns the number of the notice board's newest event, or std::nullopt if the reply has no such number.
+// Throws Poco::Exception if the notice board does not reply.
 std::optional<EventNumber> read_newest_event(const std::string& address) {
     constexpr Duration reply_timeout = Duration::micros(2'000'000);
-    // A poll from a number above all: the reply has the newest number and no events.
+    // Polls from a number above those of all events: the reply has the newest number and no events.
     constexpr const char* target = "/board/poll?watch=9007199254740991&linger=0";
     const Poco::Net::SocketAddress board(address);
     Poco::Net::HTTPClientSession session(board.host().toString(), board.port());
@@ -90,25 +91,26 @@
     using Reason = FleetStatus::MissingReason;
     switch (reason) {
         case Reason::absent:
-            return "cut off, dead or left";
+            return "absent: cut off from the registry, dead or has left the fleet";
         case Reason::site_silent:
-            return "nothing new is heard of that site";
+            return "has no recent digest";
         case Reason::behind:
-            return "live, and without it";
+            return "live, but has not applied the event or configuration";
         case Reason::never_reported:
-            return "expected, and has no digest that can be read";
+            return "expected, but has no readable digest";
         case Reason::too_few:
-            return "fewer gateways are known than 'sites' has";
+            return "has fewer known gateways than 'sites' states";
         case Reason::too_many:
-            return "more gateways than can be named";
+            return "has more gateways than its records can name";
         case Reason::other_generation:
-            return "numbers of another history of the board";
+            return "reports event numbers of another generation of the notice board";
         case Reason::old_form:
-            return "a gateway without 'site'";
+            return "a gateway without the setting 'site'";
         case Reason::no_inventory:
             return "[fleet] has no 'sites'";
         case Reason::board_unknown:
-            return "the board has not that event, or fewer than gateways claim";
+            return "the newest event of the notice board is unknown, or older than the queried event or one "
+                   "that a gateway reports";
     }
     return "";
 }
@@ -149,10 +151,11 @@
     }
 }
 
-// Reads until it is in force everywhere, or the wait is over.
+// Reads the status repeatedly until the query is in force everywhere or the wait is over.
 FleetStatus::Verdict poll_status(RegistrySession& session, const Settings& settings,
                                  const InForceQuery& query) {
-    // All gateways of a site report within a quarter of a term; every live site has then been read.
+    // All gateways of a site report within a quarter of a term; after this wait every live site has been
+    // read.
     constexpr double min_wait_per_term = 0.75;
     constexpr double poll_interval_per_term = 1.0 / 24;
     const FleetStatus::Query status_query{EventNumber{query.event}, ConfigurationNumber{query.configuration}};
@@ -173,8 +176,8 @@
 
 int fleet_in_force(const Settings& settings, const InForceQuery& query) {
     if (query.event <= 0 && query.configuration <= 0)
-        return print_error("ask for --event or --configuration");
-    if (query.event > 0 && query.board.empty()) return print_error("--event needs --board");
+        return print_error("--event or --configuration is required");
+    if (query.event > 0 && query.board.empty()) return print_error("--event requires --board");
     return with_session(settings.registry, [&](RegistrySession& session) {
         const auto verdict = poll_status(session, settings, query);
         print(verdict);
--- a/src/cli/fleet_repair_commands.cpp
+++ b/src/cli/fleet_repair_commands.cpp
@@ -13,17 +13,20 @@
 namespace etcd = registry::etcd;
 using namespace fleet;
 
-// Writes if all compared records are as given, once. Prints `success` or an error; returns the exit code.
+// Writes once, if all compared records have the given values. Prints `success` or an error, and returns the
+// exit code.
 int write_once(RegistrySession& session, const registry::Settings& settings,
                const std::vector<etcd::KeyValue>& compares, const std::vector<etcd::KeyValue>& writes,
                const std::string& success) {
     const auto outcome = session.request_once(etcd::transaction(compares, writes, {}));
     const auto* reply = std::get_if<Reply>(&outcome);
-    if (!reply) return print_error("no answer: whether it is written can't be told, look again");
+    if (!reply)
+        return print_error("no reply to the write; it may or may not have taken effect, check the records");
     const auto result =
         value_or_throw(etcd::read_transaction_result(reply->status, reply->body, settings.prefix));
     if (!result.succeeded)
-        return print_error("the records have changed meanwhile: nothing is written, look again");
+        return print_error(
+            "the records changed after they were read; nothing was written, check them and try again");
     std::cout << success << '\n';
     return 0;
 }
@@ -38,7 +41,8 @@
         const auto known = found.contains(roster) ? parse_site_roster(found.at(roster)) : std::nullopt;
         if (!known || !known->names.contains(MemberName{member}))
             return print_error("no gateway " + member + " is known in site " + site);
-        if (found.contains(record)) return print_error(member + " is a member: stop it first");
+        if (found.contains(record))
+            return print_error(member + " is still a member of the fleet; stop it first");
         SiteRoster remaining = *known;
         remaining.names.erase(MemberName{member});
         const bool site_empty = remaining.names.empty() && !remaining.incomplete;
--- a/src/cli/registry_commands.cpp
+++ b/src/cli/registry_commands.cpp
@@ -19,14 +19,14 @@
 using registry::Record;
 using registry::Revision;
 
-// Writes one record if it was last changed by a given revision. A write is not sent again before a read has
-// shown that the one before was not carried out.
+// Writes one record if it was last changed by a given revision. A write is sent again only after a read has
+// shown that the previous write was not carried out.
 class RecordWriter {
 public:
     RecordWriter(RegistrySession& session, const registry::Settings& settings, const std::string& id)
         : session_(session), settings_(settings), id_(id) {}
 
-    // Returns the exit code, and prints what came of it.
+    // Prints the outcome of the write and returns the exit code.
     int write(const std::string& value, Revision unchanged_since) {
         for (int n = 0; n < max_writes; ++n) {
             const auto result =
@@ -35,8 +35,8 @@
             reply_lost_ = true;
             if (const auto exit_code = on_no_reply(value, unchanged_since)) return *exit_code;
         }
-        return print_error("no answer to " + std::to_string(max_writes) + " writes of " + id_ +
-                           "; it was not written when last looked at");
+        return print_error("no reply to " + std::to_string(max_writes) + " writes of " + id_ +
+                           "; the last read showed that none had taken effect");
     }
 
 private:
@@ -45,31 +45,33 @@
     int on_reply(const Reply& reply, const std::string& value) const {
         const auto result = value_or_throw(etcd::read_conditional_write_result(reply.status, reply.body));
         if (result.succeeded) return print_written("");
-        if (reply_lost_ && result.conflicting_value == value) return print_written("; its answer was lost");
+        if (reply_lost_ && result.conflicting_value == value)
+            return print_written("; the reply to the write was lost");
         const char* const outcome =
-            reply_lost_ ? "whether ours was written before that can't be told" : "nothing is written";
-        return print_error(id_ + " was changed by somebody else meanwhile; " + outcome);
+            reply_lost_ ? "the write may or may not have taken effect before that" : "nothing was written";
+        return print_error(id_ + " was changed by another writer; " + outcome);
     }
 
-    // The exit code; none if the record is unchanged and can be written again.
+    // Reads the record after a lost reply. Returns std::nullopt if the record is unchanged and can be written
+    // again, and otherwise the exit code.
     std::optional<int> on_no_reply(const std::string& value, Revision unchanged_since) {
         etcd::ReadResult<Record> found;
         try {
             found = read_record(session_, settings_, id_);
         } catch (const Poco::Exception& e) {
-            return print_unknown("it can't be looked at: " + e.displayText());
+            return print_unknown("the registry cannot be reached: " + e.displayText());
         }
         if (const auto* error = std::get_if<etcd::Error>(&found)) return print_unknown(error->message);
         const Record& record = std::get<Record>(found);
         if (record.modified == unchanged_since) return std::nullopt;
-        if (record.value == value) return print_written("; its answer was lost");
-        return print_error(id_ +
-                           " was changed meanwhile; whether ours was written before that can't be told");
+        if (record.value == value) return print_written("; the reply to the write was lost");
+        return print_error(
+            id_ + " was changed by another writer; the write may or may not have taken effect before that");
     }
 
     int print_unknown(const std::string& why) const {
-        return print_error("no answer to the write of " + id_ + ", and " + why +
-                           "; whether it is written can't be told");
+        return print_error("no reply to the write of " + id_ + ", and the record could not be read: " + why +
+                           "; the write may or may not have taken effect");
     }
     static int print_written(const char* how) {
         std::cout << "written" << how << '\n';
@@ -82,14 +84,14 @@
     bool reply_lost_ = false;
 };
 
-// Prints what a gateway would receive, each line with the Unix time in seconds.
+// Prints what a gateway receives from the registry: each line begins with the Unix time in seconds.
 class PrintingObserver final : public registry::WatchObserver {
 public:
     explicit PrintingObserver(EventLoop& loop) : loop_(loop) {}
 
     void on_endpoints(TimePoint, const std::vector<EndpointRecord>& updates, bool complete) override {
         constexpr const char* status_names[] = {"in service", "draining", "gone"};
-        if (complete) print("the list, " + std::to_string(updates.size()) + " caches");
+        if (complete) print("endpoint list, " + std::to_string(updates.size()) + " caches");
         for (const auto& [update, address] : updates)
             print(update.cache.raw() + ' ' + status_names[static_cast<std::size_t>(update.status)] + " at " +
                   update.location.raw() + ' ' + address);
@@ -111,7 +113,7 @@
     EventLoop& loop_;
 };
 
-// A reactor without sockets runs no timers: this one has a socket that nobody connects to.
+// Registers a listening socket that no client connects to, since a reactor without sockets runs no timers.
 class ReactorKeepAlive {
 public:
     explicit ReactorKeepAlive(EventLoop& loop) : socket_(Poco::Net::SocketAddress("127.0.0.1:0")) {
@@ -131,7 +133,8 @@
     return with_session(settings, [&](RegistrySession& session) {
         const auto print = [](const Record& record) {
             std::cout << record.key.raw() << ' ' << record.value
-                      << (registry::parse_endpoint(record) ? "" : "   (a gateway can't read it)") << '\n';
+                      << (registry::parse_endpoint(record) ? "" : "   (gateways cannot read the record)")
+                      << '\n';
         };
         const Revision revision = value_or_throw(visit_records(session, settings, settings.prefix, print));
         std::cout << "at revision " << revision.raw() << '\n';
@@ -155,10 +158,10 @@
 int registry_put(const registry::Settings& settings, const std::string& line) {
     const auto record = nlohmann::json::parse(line, nullptr, false);
     if (!record.is_object() || !record.contains("id") || !record["id"].is_string())
-        return print_error("the line must be a JSON object with an \"id\"");
+        return print_error("the record must be a JSON object with a string \"id\"");
     const auto id = record["id"].get<std::string>();
     if (!registry::parse_endpoint({registry::RecordKey{id}, line, {}, {}}))
-        return print_error("no gateway could read that line");
+        return print_error("the record is not an endpoint record that gateways can read");
     return with_session(settings, [&](RegistrySession& session) {
         const Record present = value_or_throw(read_record(session, settings, id));
         return RecordWriter(session, settings, id).write(line, present.modified);
@@ -170,7 +173,7 @@
         const Record present = value_or_throw(read_record(session, settings, id));
         auto fields = nlohmann::json::parse(present.value, nullptr, false);
         if (present.created == Revision{} || !fields.is_object())
-            return print_error("there is no readable record of " + id);
+            return print_error("there is no record that is a JSON object for " + id);
         fields["state"] = state;
         return RecordWriter(session, settings, id).write(fields.dump(), present.modified);
     });
--- a/src/cli/registry_queries.hpp
+++ b/src/cli/registry_queries.hpp
@@ -1,4 +1,4 @@
-// Reads of a registry by the command line.
+// Functions with which the command line reads a registry.
 #pragma once
 
 #include <functional>
@@ -12,26 +12,26 @@
 
 namespace irismux::cli {
 
-/// Values by key.
 using ValuesByKey = std::map<std::string, std::string>;
 
-/// Calls `visit` with each record under a prefix, by key, all at one revision. Returns that revision. On an
-/// error some records may have been visited.
+/// Calls `visit` with each record under a prefix, ordered by key, all at one revision. Returns that revision.
+/// If an error is returned, `visit` may have been called for some of the records.
 [[nodiscard]] registry::etcd::ReadResult<registry::Revision> visit_records(
     RegistrySession& session, const registry::Settings& settings, const std::string& prefix,
     const std::function<void(const registry::Record&)>& visit);
 
-/// All records under a prefix, at one revision; the keys without the prefix.
+/// Returns all records under a prefix at one revision; their keys are without the prefix.
 [[nodiscard]] registry::etcd::ReadResult<ValuesByKey> read_all(RegistrySession& session,
                                                                const registry::Settings& settings,
                                                                const std::string& prefix);
 
-/// Those records that exist, up to 120 of them at one revision; the keys without the settings' prefix.
-/// Throws RegistryError.
+/// Returns the records of `keys` that exist. `keys` and the returned keys are without the settings' prefix.
+/// Each group of up to 120 keys is read at one revision. Throws RegistryError.
 [[nodiscard]] ValuesByKey read_keys(RegistrySession& session, const registry::Settings& settings,
                                     const std::vector<std::string>& keys);
 
-/// The record of a key without the prefix; one created at revision zero if there is none.
+/// Returns the record of a key, which is without the prefix, or a record created at revision zero if there is
+/// none.
 [[nodiscard]] registry::etcd::ReadResult<registry::Record> read_record(RegistrySession& session,
                                                                        const registry::Settings& settings,
                                                                        const std::string& key);
--- a/src/cli/registry_session.cpp
+++ b/src/cli/registry_session.cpp
@@ -42,7 +42,7 @@
             last_error = address + ": " + e.displayText();
             continue;
         }
-        // A session sets no timeouts on a socket that it is given.
+        // HTTPClientSession sets no timeouts on a socket that is passed to it.
         socket.setReceiveTimeout(timeout);
         socket.setSendTimeout(timeout);
         Poco::Net::HTTPClientSession session(socket);
--- a/src/cli/registry_session.hpp
+++ b/src/cli/registry_session.hpp
@@ -23,10 +23,10 @@
     std::string body;
 };
 
-/// The request was sent, and no reply came: it may have been carried out or not.
+/// The request was sent, but there was no reply: the registry may or may not have carried out the request.
 struct NoReply {};
 
-/// The registry answered with an error, or in a form that cannot be parsed.
+/// The registry replied with an error, or its reply cannot be parsed.
 class RegistryError : public std::runtime_error {
 public:
     explicit RegistryError(const registry::etcd::Error& error) : std::runtime_error(error.message) {}
@@ -34,14 +34,14 @@
 
 class RegistrySession {
 public:
-    /// The settings must outlive it.
+    /// `settings` must outlive the session.
     explicit RegistrySession(const registry::Settings& settings) : settings_(settings) {}
 
-    /// Sends a request to the first member that replies; only for requests that may be sent more than once.
-    /// Throws Poco::Exception if there is none.
+    /// Sends a request to one member after the other until one replies; only for requests that may be sent
+    /// more than once. Throws Poco::Exception if no member replies.
     [[nodiscard]] Reply request(const registry::etcd::Request& request);
-    /// Sends a request to the first member that can be reached, once. Throws Poco::Exception if there is
-    /// none.
+    /// Sends a request once, to the first member that can be reached. Throws Poco::Exception if no member can
+    /// be reached.
     [[nodiscard]] std::variant<Reply, NoReply> request_once(const registry::etcd::Request& request);
 
 private:
@@ -52,7 +52,7 @@
     std::string token_;
 };
 
-/// The value; throws RegistryError if there is none.
+/// Returns the value; throws RegistryError if `result` is an error.
 template <class T>
 T value_or_throw(registry::etcd::ReadResult<T> result) {
     if (const auto* error = std::get_if<registry::etcd::Error>(&result)) throw RegistryError(*error);
@@ -62,7 +62,7 @@
 /// Prints one line on standard error. Returns exit code 1.
 int print_error(const std::string& message);
 
-/// Returns the exit code of `run(session)`, or prints why the registry could not be asked.
+/// Returns the exit code of `run(session)`, or prints why the registry could not be queried and returns 1.
 template <class Run>
 int with_session(const registry::Settings& settings, Run run) {
     try {
--- a/tests/fleet_process_test.cpp
+++ b/tests/fleet_process_test.cpp
@@ -446,7 +446,7 @@
     for (const auto& g : a->gateways)
         EXPECT_NE(members.find(g.name + " start "), std::string::npos) << members;
     EXPECT_NE(duties.find("owner " + a->gateways[first].name), std::string::npos) << duties;
-    EXPECT_NE(run({"release", "nonesuch"}).find("nobody owns nonesuch"), std::string::npos);
+    EXPECT_NE(run({"release", "nonesuch"}).find("no member owns nonesuch"), std::string::npos);
     EXPECT_NE(run({"release", sweep}).find("sweep is now owned by"), std::string::npos);
     EXPECT_TRUE(a->wait_until([&] { return another_works(first); }));
     a->run_for(shape.term * 4);  // it does not go back by itself
--- a/tests/fleet_sites_test.cpp
+++ b/tests/fleet_sites_test.cpp
@@ -132,7 +132,9 @@
     EXPECT_TRUE(comes_to(not_yet, "", {"in-force", "--configuration", "8"})) << said;
     deaf(1, true);
     const std::int64_t event = purge();
-    EXPECT_TRUE(comes_to(not_yet, "site a g2 live, and without it", question_of(event))) << said;
+    EXPECT_TRUE(comes_to(not_yet, "site a g2 live, but has not applied the event or configuration",
+                         question_of(event)))
+        << said;
     EXPECT_FALSE(has(1, event));
     deaf(1, false);
     EXPECT_EQ(in_force(event, 30), everywhere) << said;
@@ -168,7 +170,9 @@
     const std::int64_t event = purge();
     EXPECT_NE(in_force(event, some_terms), everywhere) << said;
     // The other one of its site has the duty by and by, and names it.
-    EXPECT_TRUE(comes_to(all_but, "site a g" + std::to_string(first + 1) + " cut off, dead or left, since ",
+    EXPECT_TRUE(comes_to(all_but,
+                         "site a g" + std::to_string(first + 1) +
+                             " absent: cut off from the registry, dead or has left the fleet, since ",
                          question_of(event)))
         << said;
     a->partition_registry(first, false, false);
@@ -191,7 +195,7 @@
     const std::int64_t event = purge();
     a->kill(2);
     a->start(2);  // its configuration's state is that of the first event
-    EXPECT_TRUE(comes_to(all_but, "site b nothing new is heard of that site", question_of(event))) << said;
+    EXPECT_TRUE(comes_to(all_but, "site b has no recent digest", question_of(event))) << said;
     a->partition_registry(2, false, false);
     EXPECT_NE(in_force(event, some_terms), everywhere) << said;
     EXPECT_FALSE(has(2, event));
--- a/tests/registry_cli_test.cpp
+++ b/tests/registry_cli_test.cpp
@@ -72,7 +72,8 @@
 TEST_F(RegistryCommands, AWriteWithALostReplyIsNotRepeated) {
     registry.faults(0).drop_write_response = true;
     const auto newest = registry.model.newest();
-    EXPECT_EQ(run({"drain", "c1"}), (std::pair{0, std::string("written; its answer was lost\n")}));
+    EXPECT_EQ(run({"drain", "c1"}),
+              (std::pair{0, std::string("written; the reply to the write was lost\n")}));
     EXPECT_TRUE(draining("c1"));
     EXPECT_EQ(registry.model.newest().raw(), newest.raw() + 1);
 }
@@ -84,7 +85,7 @@
     registry.faults(0).unresponsive = true;
     const auto [code, output] = run({"drain", "c1"});
     EXPECT_EQ(code, 1);
-    EXPECT_NE(output.find("it was not written when last looked at"), std::string::npos) << output;
+    EXPECT_NE(output.find("the last read showed that none had taken effect"), std::string::npos) << output;
     EXPECT_FALSE(draining("c1"));
     registry.faults(0).unresponsive = false;
     registry.stop_member(0);
