--- a/sim/request_names.hpp
+++ b/sim/request_names.hpp
@@ -1,4 +1,4 @@
-// The simulator's names of requests, and the ids that the router knows them by.
+// Maps the simulator's names of requests to the router's request ids.
 #pragma once
 
 #include <cstddef>
@@ -11,11 +11,11 @@
 
 namespace irismux::sim {
 
-/// A name is dropped once its request has its final response and no attempt is in flight. A message that
-/// names it later finds nothing, and the name may be used again.
+/// A name is removed once its request has its final response and no attempt is in flight. find() then returns
+/// std::nullopt for the name, and a new request may use the name again.
 class RequestNames {
 public:
-    /// A new request. An earlier one of that name is no longer found by it.
+    /// Adds a request and returns its id. find() no longer returns an earlier request of the same name.
     [[nodiscard]] RequestId add(const std::string& name) {
         const RequestId id{++last_id_};
         by_name_[name] = id;
@@ -34,7 +34,7 @@
         if (request.attempts_in_flight > 0) --request.attempts_in_flight;
     }
     void on_request_finished(RequestId id) { requests_.at(id).finished = true; }
-    void drop_if_over(RequestId id) {
+    void remove_if_finished(RequestId id) {
         const auto it = requests_.find(id);
         if (it == requests_.end() || !it->second.finished || it->second.attempts_in_flight > 0) return;
         const auto named = by_name_.find(it->second.name);
--- a/tests/fleet_sites_test.cpp
+++ b/tests/fleet_sites_test.cpp
@@ -132,7 +132,9 @@
     EXPECT_TRUE(eventually_answers(not_yet, "", {"in-force", "--configuration", "8"})) << output;
     set_board_cut_off(1, true);
     const std::int64_t event = purge();
-    EXPECT_TRUE(eventually_answers(not_yet, "site a g2 live, and without it", question_of(event))) << output;
+    EXPECT_TRUE(eventually_answers(not_yet, "site a g2 live, but has not applied the event or configuration",
+                                   question_of(event)))
+        << output;
     EXPECT_FALSE(has_applied(1, event));
     set_board_cut_off(1, false);
     EXPECT_EQ(in_force(event, 30), everywhere) << output;
@@ -168,9 +170,11 @@
     const std::int64_t event = purge();
     EXPECT_NE(in_force(event, some_terms), everywhere) << output;
     // The other member of the site takes the duty over after a while and names this one as absent.
-    EXPECT_TRUE(eventually_answers(all_but,
-                                   "site a g" + std::to_string(first + 1) + " cut off, dead or left, since ",
-                                   question_of(event)))
+    EXPECT_TRUE(
+        eventually_answers(all_but,
+                           "site a g" + std::to_string(first + 1) +
+                               " absent: cut off from the registry, dead or has left the fleet, since ",
+                           question_of(event)))
         << output;
     a->partition_registry(first, false, false);
     EXPECT_NE(in_force(event, some_terms), everywhere) << output;
@@ -192,8 +196,7 @@
     const std::int64_t event = purge();
     a->kill(2);
     a->start(2);  // its configuration has the state of the first event
-    EXPECT_TRUE(eventually_answers(all_but, "site b nothing new is heard of that site", question_of(event)))
-        << output;
+    EXPECT_TRUE(eventually_answers(all_but, "site b has no recent digest", question_of(event))) << output;
     a->partition_registry(2, false, false);
     EXPECT_NE(in_force(event, some_terms), everywhere) << output;
     EXPECT_FALSE(has_applied(2, event));
