--- a/src/registry/etcd_codec.cpp
+++ b/src/registry/etcd_codec.cpp
@@ -40,19 +40,19 @@
     return std::string(1, '\0');  // all keys
 }
 
-json key_of(const std::string& key) { return {{"key", encode_base64(key)}}; }
+json encode_key(const std::string& key) { return {{"key", encode_base64(key)}}; }
 
-json keys_with(const std::string& prefix) {
+json encode_prefix_range(const std::string& prefix) {
     return {{"key", encode_base64(prefix)}, {"range_end", encode_base64(end_of_prefix(prefix))}};
 }
 
-json put_of(const std::string& key, const std::string& value, std::int64_t lease) {
+json encode_put(const std::string& key, const std::string& value, std::int64_t lease) {
     json put = {{"key", encode_base64(key)}, {"value", encode_base64(value)}};
     if (lease != 0) put["lease"] = std::to_string(lease);
     return put;
 }
 
-json compare_of(const KeyValue& compared) {
+json encode_compare(const KeyValue& compared) {
     const auto& [key, value] = compared;
     json compare = {{"key", encode_base64(key)}, {"result", "EQUAL"}};
     if (value) {
@@ -65,13 +65,13 @@
     return compare;
 }
 
-json write_of(const KeyValue& write) {
+json encode_write(const KeyValue& write) {
     const auto& [key, value] = write;
-    if (!value) return {{"request_delete_range", key_of(key)}};
-    return {{"request_put", put_of(key, *value, 0)}};
+    if (!value) return {{"request_delete_range", encode_key(key)}};
+    return {{"request_put", encode_put(key, *value, 0)}};
 }
 
-json read_of(const std::string& key) { return {{"request_range", key_of(key)}}; }
+json encode_read(const std::string& key) { return {{"request_range", encode_key(key)}}; }
 
 // --- parsing. These throw std::exception on what is not as the interface says.
 
@@ -192,7 +192,7 @@
 
 Request range(const std::string& prefix, const std::optional<RecordKey>& after, Revision at,
               std::size_t limit) {
-    json body = keys_with(prefix);
+    json body = encode_prefix_range(prefix);
     if (after) body["key"] = encode_base64(prefix + after->raw() + '\0');
     if (at > Revision{}) body["revision"] = std::to_string(at.raw());
     body["limit"] = std::to_string(limit);
@@ -200,7 +200,7 @@
 }
 
 Request most_recently_changed(const std::string& prefix, Revision at, std::size_t limit) {
-    json body = keys_with(prefix);
+    json body = encode_prefix_range(prefix);
     body["revision"] = std::to_string(at.raw());
     body["limit"] = std::to_string(limit);
     body["sort_order"] = "DESCEND";
@@ -209,7 +209,7 @@
 }
 
 Request watch(const std::string& prefix, Revision from) {
-    json create = keys_with(prefix);
+    json create = encode_prefix_range(prefix);
     create["start_revision"] = std::to_string(from.raw());
     create["progress_notify"] = true;
     create["fragment"] = true;
@@ -217,7 +217,7 @@
 }
 
 Request put(const std::string& key, const std::string& value, std::int64_t lease) {
-    return {"/v3/kv/put", put_of(key, value, lease).dump()};
+    return {"/v3/kv/put", encode_put(key, value, lease).dump()};
 }
 
 Request put_if(const std::string& key, const std::string& value, Revision unchanged_since,
@@ -228,8 +228,8 @@
                             {"result", "EQUAL"},
                             {"mod_revision", std::to_string(unchanged_since.raw())}};
     return {"/v3/kv/txn", json{{"compare", {unchanged}},
-                               {"success", {{{"request_put", put_of(key, value, lease)}}}},
-                               {"failure", {read_of(key)}}}
+                               {"success", {{{"request_put", encode_put(key, value, lease)}}}},
+                               {"failure", {encode_read(key)}}}
                               .dump()};
 }
 
@@ -239,17 +239,17 @@
     json success = json::array();
     json failure = json::array();
     for (const KeyValue& compared : compares) {
-        compare.push_back(compare_of(compared));
-        failure.push_back(read_of(compared.first));
+        compare.push_back(encode_compare(compared));
+        failure.push_back(encode_read(compared.first));
     }
-    for (const KeyValue& write : writes) success.push_back(write_of(write));
-    for (const std::string& key : reads) success.push_back(read_of(key));
+    for (const KeyValue& write : writes) success.push_back(encode_write(write));
+    for (const std::string& key : reads) success.push_back(encode_read(key));
     return {"/v3/kv/txn", json{{"compare", compare}, {"success", success}, {"failure", failure}}.dump()};
 }
 
-Request get(const std::string& key) { return {"/v3/kv/range", key_of(key).dump()}; }
+Request get(const std::string& key) { return {"/v3/kv/range", encode_key(key).dump()}; }
 
-Request erase(const std::string& key) { return {"/v3/kv/deleterange", key_of(key).dump()}; }
+Request erase(const std::string& key) { return {"/v3/kv/deleterange", encode_key(key).dump()}; }
 
 Request authenticate(const std::string& name, const std::string& password) {
     return {"/v3/auth/authenticate", json{{"name", name}, {"password", password}}.dump()};
--- a/src/registry/registry_socket.cpp
+++ b/src/registry/registry_socket.cpp
@@ -53,7 +53,7 @@
         return Progress::needs_input;
     }
     input_.consumed(used);
-    text_.clear();
+    body_.clear();
     body_reader_.emplace(head_);
     state_ = State::reading_body;
     return Progress::parsed;
@@ -68,7 +68,7 @@
         fail(RequestFailureReason::malformed_http);
         return Progress::needs_input;
     }
-    text_.append(piece);
+    body_.append(piece);
     input_.consumed(used);
     const bool complete = status == ParseStatus::complete;
     if (form_ == ReplyForm::stream) {
@@ -77,7 +77,7 @@
             fail(RequestFailureReason::watch_ended);
             return Progress::needs_input;
         }
-    } else if (text_.size() > max_reply_bytes) {
+    } else if (body_.size() > max_reply_bytes) {
         reject_long_reply();
         return Progress::needs_input;
     } else if (complete) {
@@ -90,7 +90,7 @@
     state_ = State::idle;
     body_reader_.reset();
     if (head_.close) close();
-    const std::string text = std::exchange(text_, {});
+    const std::string text = std::exchange(body_, {});
     handler_->on_reply(head_.status, text);
 }
 
@@ -98,13 +98,13 @@
 void RegistrySocket::deliver_messages() {
     std::size_t begin = 0;
     while (handler_) {
-        const std::size_t end = text_.find('\n', begin);
+        const std::size_t end = body_.find('\n', begin);
         if (end == std::string::npos) break;
-        if (end > begin) handler_->on_stream_message(std::string_view(text_).substr(begin, end - begin));
+        if (end > begin) handler_->on_stream_message(std::string_view(body_).substr(begin, end - begin));
         begin = end + 1;
     }
-    text_.erase(0, begin);
-    if (handler_ && text_.size() > max_reply_bytes) handler_->on_message_too_long();
+    body_.erase(0, begin);
+    if (handler_ && body_.size() > max_reply_bytes) handler_->on_message_too_long();
 }
 
 void RegistrySocket::reject_long_reply() {
--- a/src/registry/registry_socket.hpp
+++ b/src/registry/registry_socket.hpp
@@ -55,7 +55,7 @@
     ReplyForm form_ = ReplyForm::whole;
     http::Head head_;
     std::optional<http::BodyReader> body_reader_;
-    std::string text_;  // of the reply, or of the stream's next message, so far
+    std::string body_;  // of the reply, or of the stream's next message, so far
 };
 
 }  // namespace irismux::registry
--- a/src/registry/rollback_detector.hpp
+++ b/src/registry/rollback_detector.hpp
@@ -14,9 +14,9 @@
 class RollbackDetector {
 public:
     enum class Verdict {
-        member_lags,  ///< other members may be current
-        most_lag,     ///< most members, but not for long enough: wait until confirmation_time()
-        rolled_back,  ///< first time
+        member_lags,       ///< other members may be current
+        most_members_lag,  ///< most members, but not for long enough: wait until confirmation_time()
+        rolled_back,       ///< first time
         still_rolled_back
     };
 
@@ -25,10 +25,10 @@
 
     /// A member replied with a revision below the one seen, or from another cluster.
     [[nodiscard]] Verdict on_older_reply(TimePoint now, MemberIndex member) {
-        if (older_members_.empty()) first_seen_at_ = now;
+        if (older_members_.empty()) first_older_reply_at_ = now;
         older_members_.insert(member);
         if (older_members_.size() * 2 <= members_) return Verdict::member_lags;
-        if (now < confirmation_time()) return Verdict::most_lag;
+        if (now < confirmation_time()) return Verdict::most_members_lag;
         const Verdict verdict = confirmed_ ? Verdict::still_rolled_back : Verdict::rolled_back;
         confirmed_ = true;
         return verdict;
@@ -41,13 +41,13 @@
     }
 
     /// When most members will have shown less for long enough.
-    TimePoint confirmation_time() const { return first_seen_at_ + confirmation_delay_; }
+    TimePoint confirmation_time() const { return first_older_reply_at_ + confirmation_delay_; }
 
 private:
     std::size_t members_;
     Duration confirmation_delay_;
     std::set<MemberIndex> older_members_;
-    TimePoint first_seen_at_;
+    TimePoint first_older_reply_at_;
     bool confirmed_ = false;
 };
 
--- a/src/registry/watch.cpp
+++ b/src/registry/watch.cpp
@@ -36,7 +36,7 @@
 }
 
 void Watch::start(TimePoint now) {
-    last_seen_ = now;
+    last_contact_at_ = now;
     request_next(now);
 }
 
@@ -53,19 +53,19 @@
 
 void Watch::expect(TimePoint now, PendingOperation operation, Duration timeout) {
     pending_operation_ = operation;
-    due_ = now + timeout;
+    operation_deadline_ = now + timeout;
     // A disconnection is reported in time, whatever operation is pending.
-    const TimePoint disconnected_at = last_seen_ + policy_.watch_timeout;
+    const TimePoint disconnected_at = last_contact_at_ + policy_.watch_timeout;
     if (sync_state_ == SyncState::disconnected || disconnected_at <= now)
-        transport_.schedule_wake(due_);
+        transport_.schedule_wake(operation_deadline_);
     else
-        transport_.schedule_wake(std::min(due_, disconnected_at));
+        transport_.schedule_wake(std::min(operation_deadline_, disconnected_at));
 }
 
 void Watch::on_wake(TimePoint now) {
     if (pending_operation_ == PendingOperation::nothing) return;
-    if (now - last_seen_ >= policy_.watch_timeout) enter(now, SyncState::disconnected);
-    if (now < due_) return expect(now, pending_operation_, due_ - now);
+    if (now - last_contact_at_ >= policy_.watch_timeout) enter(now, SyncState::disconnected);
+    if (now < operation_deadline_) return expect(now, pending_operation_, operation_deadline_ - now);
     if (pending_operation_ == PendingOperation::pause) return request_next(now);
     const bool watching = pending_operation_ == PendingOperation::watch_message;
     on_request_failed(
@@ -156,7 +156,7 @@
     const RollbackDetector::Verdict verdict = rollback_detector_.on_older_reply(now, member_);
     switch (verdict) {
         case RollbackDetector::Verdict::member_lags:
-        case RollbackDetector::Verdict::most_lag:
+        case RollbackDetector::Verdict::most_members_lag:
             leave_lagging_member(now, verdict);
             return false;
         case RollbackDetector::Verdict::rolled_back:
@@ -259,7 +259,7 @@
     if (!read.header.cluster.raw().empty()) cluster_ = read.header.cluster;
     const std::vector<EndpointRecord> updates = view_.replace(read.header.revision, read.records, now);
     resume_revision_ = read.header.revision;
-    last_seen_ = last_complete_at_ = now;
+    last_contact_at_ = last_complete_at_ = now;
     const bool first_list = !std::exchange(list_reported_, true);
     if (first_list || !updates.empty()) observer_.on_endpoints(now, updates, first_list);
     std::vector<Change> all;
@@ -277,10 +277,10 @@
                             const std::vector<Record>& newest) {
     if (pending_operation_ != PendingOperation::check) return;
     if (!accept_header(now, header)) return;
-    const bool must_read = recovery_ == Recovery::full_read;
+    const bool full_read_required = recovery_ == Recovery::full_read;
     const bool same_history = is_same_history(records, newest);
     if (!same_history) warn(WatchWarningKind::history_diverged);
-    recovery_ = same_history && !must_read ? Recovery::watch : Recovery::full_read;
+    recovery_ = same_history && !full_read_required ? Recovery::watch : Recovery::full_read;
     request_next(now);
 }
 
@@ -317,7 +317,7 @@
         return reject_long_change(now);
     pending_changes_.insert(pending_changes_.end(), changes.begin(), changes.end());
     if (fragment) {
-        last_seen_ = now;
+        last_contact_at_ = now;
         return expect(now, PendingOperation::watch_message, policy_.watch_timeout);
     }
     apply_pending_changes(now, header);
@@ -348,7 +348,7 @@
     // A watch that has lasted for this share of the cap ends a row of failures. Much less, and a registry
     // that accepts and drops connections would be polled at the base pause.
     constexpr double stable_share_of_cap = 0.02;
-    last_seen_ = last_complete_at_ = now;
+    last_contact_at_ = last_complete_at_ = now;
     if (pending_operation_ == PendingOperation::watch_opening) watch_opened_at_ = now;
     if (now - watch_opened_at_ >= policy_.backoff_cap * stable_share_of_cap) consecutive_failures_ = 0;
     enter(now, SyncState::following);
--- a/src/registry/watch.hpp
+++ b/src/registry/watch.hpp
@@ -113,10 +113,10 @@
     SyncState sync_state_ = SyncState::reading;
     Recovery recovery_ = Recovery::full_read;
     bool list_reported_ = false;  // the observer has had a first list
-    TimePoint last_seen_, last_complete_at_;
+    TimePoint last_contact_at_, last_complete_at_;
 
     PendingOperation pending_operation_ = PendingOperation::nothing;
-    TimePoint due_;
+    TimePoint operation_deadline_;
     TimePoint watch_opened_at_;
     int consecutive_failures_ = 0;
     int read_restarts_ = 0;  // in a row
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -8,7 +8,7 @@
 namespace irismux {
 namespace {
 
-MDB_val bytes_of(std::string_view bytes) { return {bytes.size(), const_cast<char*>(bytes.data())}; }
+MDB_val to_mdb_val(std::string_view bytes) { return {bytes.size(), const_cast<char*>(bytes.data())}; }
 
 // Guards against a file that was cut short: reading one of its missing pages would end the process (SIGBUS).
 // So the file must have all pages that its own header counts.
@@ -75,8 +75,8 @@
     int put(std::string_view name, std::string_view value) {
         Transaction transaction;
         if (const int error = transaction.begin(env_, 0)) return error;
-        MDB_val key = bytes_of(name);
-        MDB_val data = bytes_of(value);
+        MDB_val key = to_mdb_val(name);
+        MDB_val data = to_mdb_val(value);
         if (const int error = mdb_put(transaction.handle(), database_, &key, &data, 0)) return error;
         return transaction.commit();
     }
@@ -84,7 +84,7 @@
     std::optional<std::string> get(std::string_view name) const {
         Transaction transaction;
         if (transaction.begin(env_, MDB_RDONLY) != 0) return std::nullopt;
-        MDB_val key = bytes_of(name);
+        MDB_val key = to_mdb_val(name);
         MDB_val data{};
         if (mdb_get(transaction.handle(), database_, &key, &data) != 0) return std::nullopt;
         return std::string(static_cast<const char*>(data.mv_data), data.mv_size);
