--- a/src/registry/endpoint_snapshot.hpp
+++ b/src/registry/endpoint_snapshot.hpp
@@ -1,4 +1,5 @@
-// The endpoint list as stored for the next start. It has a checksum and is used whole or not at all.
+// Stored form of the endpoint list, for the next start of the process. It has a checksum and is used whole or
+// not at all.
 //
 // Format: 8 bytes of XXH64 over the rest, then CBOR (RFC 8949) of an object with "format" 1, "owner",
 // "cluster", "revision", "as_of_us" (Unix clock, microseconds) and "records", each [key, value, created,
@@ -26,16 +27,16 @@
 enum class SnapshotError {
     checksum_mismatch,
     unsupported_format,
-    other_owner,  ///< of another deployment or prefix
-    from_future,  ///< later than the clock
+    other_owner,  ///< from another deployment or prefix
+    from_future,  ///< `as_of` is later than the current time
     too_old,
-    malformed  ///< the checksum holds, the content is not as described above
+    malformed  ///< the checksum matches, but the content does not have the format above
 };
 
 /// The error in snake_case, for the log.
 std::string_view to_string(SnapshotError error);
 
-/// Leaves out records that have never been readable.
+/// Serializes the view without the records that have never been readable.
 /// @param owner the deployment's location and the prefix of the keys.
 [[nodiscard]] std::string serialize_snapshot(const EndpointView& view, const ClusterId& cluster,
                                              TimePoint as_of, const std::string& owner);
--- a/src/registry/endpoint_view.cpp
+++ b/src/registry/endpoint_view.cpp
@@ -48,9 +48,9 @@
 
 void EndpointView::update_endpoint(Entry& entry, const Record& record, EndpointRecord endpoint, TimePoint now,
                                    std::vector<EndpointRecord>& updates) {
-    // Nothing is known to be new in the first list.
+    // For endpoints of the first list it is unknown whether they are new, so their start times stay.
     if (complete_ && !entry.endpoint) set_start_of_new_endpoint(record.key, endpoint.first, now);
-    // A start that was set then stays.
+    // A later value of the record does not undo the start time set by set_start_of_new_endpoint().
     if (entry.endpoint)
         endpoint.first.started_at = std::max(endpoint.first.started_at, entry.endpoint->first.started_at);
     entry.value = record.value;
@@ -59,8 +59,8 @@
     updates.push_back(std::move(endpoint));
 }
 
-// A record created anew is another process: if it has no start, or one not later than its predecessor's, it
-// counts as started now, and so as cold.
+// A record that was created again describes another process. If it has no start time, or one that is not
+// later than its predecessor's, the process counts as started now, and therefore as cold.
 void EndpointView::set_start_of_new_endpoint(const RecordKey& key, EndpointUpdate& update, TimePoint now) {
     const auto predecessor = started_at_of_removed_.find(key);
     if (predecessor == started_at_of_removed_.end()) {
--- a/src/registry/endpoint_view.hpp
+++ b/src/registry/endpoint_view.hpp
@@ -1,7 +1,9 @@
-// The endpoint list at one revision of a registry. No I/O; the time comes with each call.
+// The endpoint list at one revision of a registry. Performs no I/O; the caller passes the time with each
+// call.
 //
-// Each change of the view returns the updates for a Router; one that applies them all, in order, has the same
-// list. A record that cannot be parsed does not delay the others: its last good form stays in force.
+// Each change of the view returns the updates for a Router. A Router that applies all updates in order has
+// the same list. A record that cannot be parsed does not delay the others: its last readable value stays in
+// use.
 #pragma once
 
 #include <map>
@@ -14,29 +16,31 @@
 
 namespace irismux::registry {
 
-/// The endpoint that a record describes; none if it cannot be parsed or its id is not its key.
+/// Parses the endpoint that a record describes.
+/// @return std::nullopt if the value cannot be parsed or its id differs from the record's key.
 std::optional<EndpointRecord> parse_endpoint(const Record& record);
 
 class EndpointView {
 public:
     struct Entry {
         Revision created, modified;
-        std::string value;  ///< the last good form, as the registry has it; empty: none so far
-        std::optional<EndpointRecord> endpoint;  ///< as in the last update returned
-        bool unreadable = false;                 ///< the newest form cannot be parsed
+        std::string value;  ///< the last readable value, as the registry has it; empty: none so far
+        std::optional<EndpointRecord> endpoint;  ///< the endpoint in the last returned update
+        bool unreadable = false;                 ///< the newest value cannot be parsed
     };
 
     Revision revision() const { return revision_; }
     const std::map<RecordKey, Entry>& entries() const { return entries_; }
-    /// Records whose newest form cannot be parsed.
+    /// Number of records whose newest value cannot be parsed.
     std::size_t unreadable() const { return unreadable_; }
 
-    /// Replaces the list by a full one. A record that is missing is reported as removed; one deleted and
-    /// created anew as removed and then as new; one that only changed, once; an equal one not at all.
+    /// Replaces the list with a full one. Returns a missing record as removed, a record that was deleted and
+    /// created again as removed and then as new, a changed record once, and an unchanged record not at all.
     std::vector<EndpointRecord> replace(Revision at, const std::vector<Record>& records, TimePoint now);
 
-    /// Applies changes in order of their revisions; those not newer than the view are repeats and ignored.
-    /// @param covered all changes up to this revision are known; zero: only those given.
+    /// Applies changes, which are in order of their revisions. Changes that are not newer than the view are
+    /// repeats and are ignored.
+    /// @param covered the revision up to which all changes are known; zero: only the given changes are known.
     std::vector<EndpointRecord> apply(Revision covered, const std::vector<Change>& changes, TimePoint now);
 
 private:
--- a/src/registry/etcd_codec.cpp
+++ b/src/registry/etcd_codec.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr int http_ok = 200, http_unauthorized = 401;
-// gRPC status codes, as they stand in an error's "code".
+// gRPC status codes, which the field "code" of an error contains.
 constexpr int grpc_permission_denied = 7, grpc_out_of_range = 11, grpc_unauthenticated = 16;
 
 // --- encoding
@@ -28,7 +28,7 @@
     return out.str();
 }
 
-// The first key behind all those with the prefix.
+// Returns the first key after all keys with the prefix.
 std::string end_of_prefix(std::string prefix) {
     while (!prefix.empty()) {
         if (static_cast<unsigned char>(prefix.back()) != 0xff) {
@@ -73,19 +73,19 @@
 
 json encode_read(const std::string& key) { return {{"request_range", encode_key(key)}}; }
 
-// --- parsing. These throw std::exception on what is not as the interface says.
+// --- parsing. These functions throw std::exception if the reply does not follow the API.
 
 std::string decode_base64(const std::string& text) {
     std::istringstream in(text);
     Poco::Base64Decoder decoder(in);
     std::string bytes(text.size(), '\0');
     decoder.read(bytes.data(), static_cast<std::streamsize>(bytes.size()));
-    if (decoder.bad()) throw_parse_error("bytes that are no base64");
+    if (decoder.bad()) throw_parse_error("invalid base64");
     bytes.resize(static_cast<std::size_t>(decoder.gcount()));
     return bytes;
 }
 
-// Zeros are left out of replies.
+// Returns 0 for a missing field: etcd omits zeros from its replies.
 std::int64_t parse_number(const json& object, const char* key) {
     const auto it = object.find(key);
     if (it == object.end() || it->is_null()) return 0;
@@ -112,13 +112,13 @@
 
 Record parse_record(const json& key_value, const std::string& prefix) {
     const std::string key = decode_base64(irismux::get<std::string>(key_value, "key"));
-    if (key.compare(0, prefix.size(), prefix) != 0) throw_parse_error("a key outside the prefix");
+    if (key.compare(0, prefix.size(), prefix) != 0) throw_parse_error("key is outside the prefix");
     return {RecordKey{key.substr(prefix.size())}, decode_base64(get_or<std::string>(key_value, "value", "")),
             Revision{parse_number(key_value, "create_revision")},
             Revision{parse_number(key_value, "mod_revision")}};
 }
 
-// The records that a transaction's reads have found, in the form of the interface.
+// Returns the records that the reads of a transaction found, as etcd's JSON objects.
 std::vector<json> key_values_of_transaction(const json& reply) {
     std::vector<json> found;
     if (!reply.contains("responses")) return found;
@@ -131,7 +131,7 @@
 
 Change parse_change(const json& event, const std::string& prefix) {
     const std::string type = get_or<std::string>(event, "type", "PUT");
-    if (type != "PUT" && type != "DELETE") throw_parse_error("an event that is neither PUT nor DELETE");
+    if (type != "PUT" && type != "DELETE") throw_parse_error("event type is neither PUT nor DELETE");
     return {parse_record(require(event, "kv"), prefix), type == "DELETE"};
 }
 
@@ -156,7 +156,7 @@
     return ErrorCode::other;
 }
 
-// An error reply, in any of its published forms.
+// Parses an error reply in any of its published forms.
 Error parse_error(const json& reply, int status) {
     const bool nested = reply.contains("error") && reply["error"].is_object();
     const json& error = nested ? reply["error"] : reply;
@@ -171,7 +171,7 @@
     return make_error(error_code(status, grpc_code, message), message);
 }
 
-// Parses a reply by `parse(json)`, which may throw; error replies and exceptions become an Error.
+// Parses a reply with `parse(json)`, which may throw. Error replies and exceptions are returned as an Error.
 template <class T, class Parse>
 ReadResult<T> read_reply(int status, std::string_view body, Parse parse) {
     const json reply = json::parse(body, nullptr, false);
--- a/src/registry/etcd_codec.hpp
+++ b/src/registry/etcd_codec.hpp
@@ -1,7 +1,8 @@
-// etcd's interface, version 3, by its HTTP/JSON gateway: requests encoded, replies parsed. No I/O.
+// Encodes requests to the HTTP/JSON gateway of etcd's API, version 3, and parses its replies. No I/O.
 //
 // Source: the published API of etcd 3.4 and later (services KV, Watch, Lease, Auth; paths under /v3/). 64-bit
-// numbers travel as text, bytes as base64. A reply that cannot be parsed is an Error, never an exception.
+// numbers are encoded as text, bytes as base64. A reply that cannot be parsed is returned as an Error, never
+// thrown as an exception.
 #pragma once
 
 #include <cstdint>
@@ -23,9 +24,9 @@
 };
 
 enum class ErrorCode {
-    unreadable,            ///< not as the interface says
-    compacted,             ///< the revision requested is gone
-    revision_not_reached,  ///< the member has not reached the revision requested
+    unreadable,            ///< the reply does not follow the API
+    compacted,             ///< the requested revision has been compacted
+    revision_not_reached,  ///< the member has not reached the requested revision
     unauthenticated,       ///< credentials are missing, wrong or expired
     other
 };
@@ -38,25 +39,26 @@
 template <class T>
 using ReadResult = std::variant<T, Error>;
 
-// --- requests. Keys are whole, prefixes are those of the settings.
+// --- requests. Keys include the prefix; prefixes are those of the settings.
 
-/// Records under a prefix, by key.
-/// @param after only those behind it; none: from the first.
-/// @param at the revision; zero: the newest.
+/// Reads records under a prefix, in order of their keys.
+/// @param after read only records whose keys follow this one; std::nullopt: from the first record on.
+/// @param at the revision to read; zero: the newest.
 Request range(const std::string& prefix, const std::optional<RecordKey>& after, Revision at,
               std::size_t limit);
-/// The number of records at a revision, with up to `limit` of them, the most recently changed ones.
+/// Reads the number of records at a revision, and up to `limit` of them, the most recently changed ones.
 Request most_recently_changed(const std::string& prefix, Revision at, std::size_t limit);
 Request watch(const std::string& prefix, Revision from);
-/// @param lease zero: none.
+/// @param lease the id of the lease to attach; zero: none.
 Request put(const std::string& key, const std::string& value, std::int64_t lease);
-/// A put, only if the record was last changed by that revision; zero: only if there is none.
+/// Puts a record only if it was last changed at revision `unchanged_since`; zero: only if it does not exist.
 Request put_if(const std::string& key, const std::string& value, Revision unchanged_since,
                std::int64_t lease);
 
-using KeyValue = std::pair<std::string, std::optional<std::string>>;  ///< no value: no such record
-/// Writes only if all records compared have the values given. The reply has the records read, or, if a
-/// comparison failed, those compared.
+/// A key and its value. Without a value, a comparison expects no such record, and a write deletes the record.
+using KeyValue = std::pair<std::string, std::optional<std::string>>;
+/// Writes only if all compared records have the given values. The reply contains the records of `reads`, or,
+/// if a comparison failed, the compared records.
 Request transaction(const std::vector<KeyValue>& compares, const std::vector<KeyValue>& writes,
                     const std::vector<std::string>& reads);
 Request get(const std::string& key);
@@ -70,7 +72,7 @@
 
 struct Range {
     Page page;
-    std::size_t count = 0;  ///< of all records, also those beyond the page
+    std::size_t count = 0;  ///< number of all records, including those beyond the page
 };
 [[nodiscard]] ReadResult<Range> read_range(int status, std::string_view body, const std::string& prefix);
 
@@ -79,10 +81,10 @@
     ReplyHeader header;
     bool created = false;   ///< the watch is open
     bool fragment = false;  ///< more changes of the last revision follow
-    bool canceled = false;  ///< the watch is over
+    bool canceled = false;  ///< the watch has ended
     std::vector<Change> changes;
 };
-/// ErrorCode::compacted if the watch begins at a revision that is gone.
+/// @return ErrorCode::compacted if the watch begins at a revision that has been compacted.
 [[nodiscard]] ReadResult<WatchMessage> read_watch(std::string_view message, const std::string& prefix);
 
 [[nodiscard]] ReadResult<std::string> read_token(int status, std::string_view body);
@@ -95,7 +97,7 @@
 
 struct ConditionalWriteResult {
     bool succeeded = false;
-    std::string conflicting_value;  ///< of the record, if the condition did not hold
+    std::string conflicting_value;  ///< the record's value if the condition did not hold
 };
 [[nodiscard]] ReadResult<ConditionalWriteResult> read_conditional_write_result(int status,
                                                                                std::string_view body);
@@ -103,7 +105,7 @@
 struct TransactionResult {
     ReplyHeader header;
     bool succeeded = false;
-    std::vector<Record> records;  ///< those that exist
+    std::vector<Record> records;  ///< the records read, or compared, that exist
 };
 [[nodiscard]] ReadResult<TransactionResult> read_transaction_result(int status, std::string_view body,
                                                                     const std::string& prefix);
--- a/src/registry/poll_policy.hpp
+++ b/src/registry/poll_policy.hpp
@@ -1,4 +1,4 @@
-// Timeouts, pauses and limits of following a registry.
+// Timeouts, retry pauses and limits of a Watch.
 #pragma once
 
 #include <cstddef>
@@ -8,18 +8,21 @@
 namespace irismux::registry {
 
 struct PollPolicy {
-    std::size_t members = 1;  ///< of the registry
-    /// The pause after the n-th failure in a row is drawn evenly from zero to backoff_base * 2^n ...
+    std::size_t members = 1;  ///< number of registry members
+    /// The pause after a failure is drawn uniformly from zero to backoff_base * 2^n, where n is the number of
+    /// consecutive failures before it.
     Duration backoff_base = Duration::micros(50'000);
-    /// ... and is never longer than this.
+    /// Upper limit of this pause.
     Duration backoff_cap = Duration::micros(5'000'000);
-    /// A member that has not replied by then is left for the next one.
+    /// After a member has not replied for this long, the next member is used.
     Duration reply_timeout = Duration::micros(1'000'000);
-    /// An open watch that brings neither a change nor a progress notice for so long counts as broken.
+    /// An open watch counts as broken once it has delivered neither a change nor a progress notice for this
+    /// long.
     Duration watch_timeout = Duration::micros(2'000'000);
-    std::size_t max_records = 16'384;          ///< a longer list is refused, and the present one stays
-    std::size_t max_pending_changes = 16'384;  ///< of one revision in fragments; beyond: a full read
-    int max_read_restarts = 4;                 ///< of full reads in a row before a pause of backoff_cap
+    std::size_t max_records = 16'384;  ///< a longer list is rejected, and the present one stays
+    /// Limit of the changes of one revision that arrive in fragments. More lead to a full read.
+    std::size_t max_pending_changes = 16'384;
+    int max_read_restarts = 4;  ///< consecutive restarts of the full read before a pause of backoff_cap
     bool operator==(const PollPolicy&) const = default;
 };
 
--- a/src/registry/record.hpp
+++ b/src/registry/record.hpp
@@ -23,9 +23,10 @@
     Revision created, modified;
 };
 
-/// A record as one transaction left it, or its deletion.
+/// The state of a record after one transaction, or its deletion.
 struct Change {
-    Record record;  ///< deleted: only its key, and in `modified` the revision of the deletion
+    /// For a deletion only the key is set, and `modified`, the revision of the deletion.
+    Record record;
     bool deleted = false;
 };
 
@@ -39,7 +40,7 @@
 struct Page {
     ReplyHeader header;
     std::vector<Record> records;  ///< in ascending order of keys
-    bool more = false;            ///< there are records behind the last one
+    bool more = false;            ///< more records follow the last one
 };
 
 }  // namespace irismux::registry
--- a/src/registry/registry_client.cpp
+++ b/src/registry/registry_client.cpp
@@ -77,7 +77,7 @@
     const Page& page = range.page;
     if (operation == Operation::check_revision)
         return watch_.on_check_result(event_loop_.now(), page.header, range.count, page.records);
-    // Pages that were halved by on_reply_too_long() grow again once they are far below the limit.
+    // Pages that on_reply_too_long() halved grow again once the replies are far below the limit.
     constexpr std::size_t small_reply_bytes = max_reply_bytes / 4;
     if (reply_bytes < small_reply_bytes) page_size_ = std::min(page_size_ * 2, settings_.page_size);
     watch_.on_page(event_loop_.now(), page);
@@ -107,11 +107,11 @@
     }
 }
 
-// A full read in pages that fit has the same changes.
+// Handled like a compaction: a full read, in pages below the limit, delivers the same changes.
 void RegistryClient::on_message_too_long() { watch_.on_compacted(event_loop_.now()); }
 
-// Guards against the same long reply again and again: a page is requested anew with half the records, and a
-// history that does not fit is replaced by a full read.
+// Guards against an endless repetition of the same long reply: a page is requested again with half the
+// records, and a history check whose reply is too long is replaced by a full read.
 void RegistryClient::on_reply_too_long() {
     if (pending_request_.operation == Operation::check_revision)
         return watch_.on_compacted(event_loop_.now());
--- a/src/registry/registry_client.hpp
+++ b/src/registry/registry_client.hpp
@@ -1,4 +1,4 @@
-// Runs a Watch against a registry: its requests go out as etcd requests, the replies come back parsed.
+// Runs a Watch against a registry: sends its requests as etcd requests and passes the parsed replies to it.
 #pragma once
 
 #include <cstdint>
@@ -17,12 +17,12 @@
 
 class RegistryClient final : private WatchTransport, private ReplyHandler {
 public:
-    /// The loop and the observer must outlive it.
+    /// The loop and the observer must outlive the client.
     RegistryClient(EventLoop& loop, WatchObserver& observer, Settings settings, std::uint64_t seed,
                    RecordKind kind = RecordKind::endpoints);
 
     void start() { watch_.start(event_loop_.now()); }
-    /// As Watch::start_from.
+    /// Restores a stored view, see Watch::start_from().
     void start_from(const ClusterId& cluster, Revision at, const std::vector<Record>& records,
                     TimePoint as_of) {
         watch_.start_from(event_loop_.now(), cluster, at, records, as_of);
@@ -63,7 +63,7 @@
     Settings settings_;
     Watch watch_;
     PendingRequest pending_request_;
-    std::size_t page_size_;  // records per page, as many as fit into a reply
+    std::size_t page_size_;  // records per page, reduced if a reply is too long
     RegistryConnection connection_;
     ScopedTimer wake_timer_;
 };
--- a/src/registry/registry_connection.cpp
+++ b/src/registry/registry_connection.cpp
@@ -50,14 +50,14 @@
     socket_->write_request(address, request_, token_, reply_form_);
 }
 
-// A failure is reported from the event loop: the handler must not be called from within its own calls.
+// Reports a failure from the event loop, since the handler must not be called from within a call that sends.
 bool RegistryConnection::connect(const std::string& address) {
     ReplyHandler& replies = *this;
     socket_ = std::make_shared<RegistrySocket>(event_loop_, replies, member_);
     try {
         if (socket_->start(address)) return true;
     } catch (const Poco::Exception&) {
-        // Reported below, as any connection that cannot be opened.
+        // Reported below like any other connection that cannot be opened.
     }
     close_socket();
     failure_timer_ = ScopedTimer(event_loop_, event_loop_.now(), [this] {
--- a/src/registry/registry_connection.hpp
+++ b/src/registry/registry_connection.hpp
@@ -1,5 +1,5 @@
-// One request at a time to one member of a registry, with its connection and its authentication token. Which
-// request goes to which member is up to the caller.
+// Sends one request at a time to a member of a registry, and manages the connection and the authentication
+// token. The caller chooses the member for each request.
 #pragma once
 
 #include <memory>
@@ -17,18 +17,18 @@
 
 class RegistryConnection final : private ReplyHandler {
 public:
-    /// All three must outlive it.
+    /// All three arguments must outlive the connection.
     RegistryConnection(EventLoop& loop, ReplyHandler& handler, const Settings& settings);
     ~RegistryConnection() override;
     RegistryConnection(const RegistryConnection&) = delete;
     RegistryConnection& operator=(const RegistryConnection&) = delete;
 
-    /// Replaces the pending request, whose reply is not passed on any more.
+    /// Sends a request in place of the pending one, whose reply is no longer passed on.
     void send_request(MemberIndex member, etcd::Request request, ReplyForm form);
     /// Drops the pending request and closes the connection.
     void close();
-    /// Repeats a request that was refused for its token, with a new one; at most once per request.
-    /// @return false if it cannot be repeated.
+    /// Repeats the request with a new token after the member refused the old one; at most once per request.
+    /// @return false if the request cannot be repeated.
     [[nodiscard]] bool retry_with_new_token();
 
 private:
@@ -52,7 +52,7 @@
     ReplyForm reply_form_ = ReplyForm::whole;
     Phase phase_ = Phase::idle;
     std::string token_;
-    bool token_renewed_ = false;  // for the pending request
+    bool token_renewed_ = false;  // whether the pending request has been repeated with a new token
     std::shared_ptr<RegistrySocket> socket_;
     ScopedTimer failure_timer_;
 };
--- a/src/registry/registry_log.hpp
+++ b/src/registry/registry_log.hpp
@@ -11,10 +11,11 @@
 /// The name of the warning's log event.
 std::string_view event_name(WatchWarningKind kind);
 
-/// Logs a warning with the member's address. The settings are those of the registry that it is about.
+/// Logs a warning with the member's address.
+/// @param settings the settings of the registry that the warning is about.
 void log_watch_warning(const WatchWarning& warning, const Settings& settings);
 
-/// Logs a new state: a warning if it is SyncState::disconnected.
+/// Logs a new state, SyncState::disconnected as a warning.
 /// @param complete_at when the view was last known to be complete; zero: never.
 void log_sync_state(TimePoint now, SyncState state, TimePoint complete_at);
 
--- a/src/registry/registry_socket.cpp
+++ b/src/registry/registry_socket.cpp
@@ -46,7 +46,7 @@
         fail(RequestFailureReason::malformed_http);
         return Progress::needs_input;
     }
-    // A stream that was refused gets a whole reply.
+    // A member that refuses a stream sends a whole reply instead.
     if (head_.status != 200 || !head_.chunked) form_ = ReplyForm::whole;
     if (head_.sized && head_.length > max_reply_bytes) {
         reject_long_reply();
@@ -59,7 +59,7 @@
     return Progress::parsed;
 }
 
-// The limit is on messages and replies, not on chunks, whose length is up to the sender.
+// The limit applies to messages and replies, not to chunks, whose length the sender chooses.
 RegistrySocket::Progress RegistrySocket::parse_body() {
     std::string_view piece;
     std::size_t used = 0;
--- a/src/registry/registry_socket.hpp
+++ b/src/registry/registry_socket.hpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 to one registry member: a request is written, its reply is read whole or as a stream.
+// HTTP/1.1 connection to one registry member. Writes a request and reads its reply, whole or as a stream.
 #pragma once
 
 #include <Poco/Net/SocketAddress.h>
@@ -16,14 +16,15 @@
 
 class RegistrySocket final : public Connection {
 public:
-    /// The handler must live until close_silently().
+    /// The handler must live until close_silently() is called.
     RegistrySocket(EventLoop& loop, ReplyHandler& handler, MemberIndex member);
 
-    /// @param address numeric, with a port. Throws Poco::Exception if it is neither.
+    /// @param address a numeric address with a port.
+    /// @throws Poco::Exception if the address is not numeric or has no port.
     /// @return false if no connection attempt was possible.
     [[nodiscard]] bool start(const std::string& address);
     MemberIndex member() const { return member_; }
-    /// Ready for a request.
+    /// Whether the socket can take a request.
     bool idle() const;
     void write_request(const std::string& host, const etcd::Request& request, const std::string& token,
                        ReplyForm form);
@@ -46,16 +47,16 @@
     void deliver_messages();
     void reject_long_reply();
     void fail(RequestFailureReason reason);
-    // Closes, and returns the handler, if there still is one.
+    // Closes the connection and returns the handler; null if the connection was closed before.
     ReplyHandler* detach();
 
-    ReplyHandler* handler_;  // null: closed
+    ReplyHandler* handler_;  // null after the connection was closed
     MemberIndex member_;
     State state_ = State::idle;
     ReplyForm form_ = ReplyForm::whole;
     http::Head head_;
     std::optional<http::BodyReader> body_reader_;
-    std::string body_;  // of the reply, or of the stream's next message, so far
+    std::string body_;  // received part of the reply, or of the stream's next message
 };
 
 }  // namespace irismux::registry
--- a/src/registry/rollback_detector.hpp
+++ b/src/registry/rollback_detector.hpp
@@ -1,7 +1,7 @@
 // Tells a lagging registry member from a registry that was rolled back.
 //
-// One member that shows less than was seen before may merely lag. The registry counts as rolled back once
-// most members have shown less for PollPolicy::watch_timeout.
+// A single member whose replies are older than the view may merely lag. The registry counts as rolled back
+// once the replies of most members have been older for PollPolicy::watch_timeout.
 #pragma once
 
 #include <set>
@@ -14,16 +14,16 @@
 class RollbackDetector {
 public:
     enum class Verdict {
-        member_lags,       ///< other members may be current
-        most_members_lag,  ///< most members, but not for long enough: wait until confirmation_time()
-        rolled_back,       ///< first time
-        still_rolled_back
+        member_lags,       ///< this member lags; others may be current
+        most_members_lag,  ///< most members lag, but not for long enough: wait until confirmation_time()
+        rolled_back,       ///< the registry counts as rolled back; returned once
+        still_rolled_back  ///< returned after rolled_back
     };
 
     explicit RollbackDetector(const PollPolicy& policy)
         : members_(policy.members), confirmation_delay_(policy.watch_timeout) {}
 
-    /// A member replied with a revision below the one seen, or from another cluster.
+    /// Call when a member replied with a revision below the newest one seen, or from another cluster.
     [[nodiscard]] Verdict on_older_reply(TimePoint now, MemberIndex member) {
         if (older_members_.empty()) first_older_reply_at_ = now;
         older_members_.insert(member);
@@ -34,13 +34,13 @@
         return verdict;
     }
 
-    /// A member is current, or a full read has replaced the view.
+    /// Call when a member is current or a full read has replaced the view.
     void reset() {
         older_members_.clear();
         confirmed_ = false;
     }
 
-    /// When most members will have shown less for long enough.
+    /// When the replies of most members will have been older for long enough.
     TimePoint confirmation_time() const { return first_older_reply_at_ + confirmation_delay_; }
 
 private:
--- a/src/registry/watch.cpp
+++ b/src/registry/watch.cpp
@@ -45,7 +45,7 @@
 void Watch::enter(TimePoint now, SyncState state) {
     if (state == SyncState::disconnected && recovery_ == Recovery::watch) recovery_ = Recovery::history_check;
     if (state == sync_state_) return;
-    // Only something current ends a disconnection.
+    // Only an open and current watch ends the state disconnected.
     if (sync_state_ == SyncState::disconnected && state != SyncState::following) return;
     sync_state_ = state;
     observer_.on_sync_state(now, state, last_complete_at_);
@@ -54,7 +54,7 @@
 void Watch::expect(TimePoint now, PendingOperation operation, Duration timeout) {
     pending_operation_ = operation;
     operation_deadline_ = now + timeout;
-    // A disconnection is reported in time, whatever operation is pending.
+    // Wakes in time to report a disconnection, even if the pending operation has a later deadline.
     const TimePoint disconnected_at = last_contact_at_ + policy_.watch_timeout;
     if (sync_state_ == SyncState::disconnected || disconnected_at <= now)
         transport_.schedule_wake(operation_deadline_);
@@ -100,7 +100,7 @@
     transport_.open_watch(member_, Revision{resume_revision_.raw() + 1});
 }
 
-// Full jitter: clients that lost a registry at the same time return spread over the whole pause.
+// Full jitter: clients that lose a registry at the same time spread their retries over the whole pause.
 void Watch::back_off(TimePoint now, PauseLimit limit) {
     constexpr int max_doublings = 16;
     const int doublings = std::min(consecutive_failures_, max_doublings);
@@ -129,7 +129,7 @@
     full_read_.records.clear();
     pending_changes_.clear();
     transport_.close();
-    // The first full read in a row begins without a pause: the changes missed may be urgent.
+    // The first of several consecutive full reads starts without a pause: the missed changes may be urgent.
     const bool immediate = recovery_ != Recovery::full_read && read_restarts_ == 0;
     recovery_ = Recovery::full_read;
     ++read_restarts_;
@@ -147,7 +147,8 @@
     return header.revision < resume_revision_;
 }
 
-// Whether to go on with this member: it is current, or the registry counts as rolled back.
+// Returns true if this member's replies can be used: either the member is current, or the registry counts as
+// rolled back and a full read is due.
 bool Watch::accept_header(TimePoint now, const ReplyHeader& header) {
     if (!is_older(header)) {
         rollback_detector_.reset();
@@ -178,7 +179,7 @@
     expect(now, PendingOperation::pause, rollback_detector_.confirmation_time() - now + jitter);
 }
 
-// The member's revision is not in the reply; it is at least one below the one requested.
+// The reply does not contain the member's revision, which is at least one below the requested revision.
 void Watch::on_revision_not_reached(TimePoint now) {
     if (!is_request_pending()) return;
     if (accept_header(now, {cluster_, Revision{resume_revision_.raw() - 1}})) request_next(now);
@@ -220,8 +221,8 @@
     apply_full_read(now);
 }
 
-// Guards against a member that lost its data: its list is empty or mostly unreadable, and taking it into
-// force would remove the fleet. Such a list needs a confirmation, see is_confirmed().
+// Guards against a member that lost its data and returns an empty or mostly unreadable list. Applying such a
+// list would remove the fleet, so it needs a confirmation, see is_confirmed().
 bool Watch::is_doubtful(const std::vector<Record>& records) const {
     constexpr double min_readable_share = 0.5;
     if (!list_reported_ || view_.entries().empty()) return false;
@@ -232,7 +233,8 @@
     return static_cast<double>(readable) < min_readable_share * static_cast<double>(records.size());
 }
 
-// By another member; in a registry of one, by the same member after watch_timeout.
+// A doubtful list is confirmed by a doubtful list from another member. In a registry with one member, the
+// same member confirms it once watch_timeout has passed.
 bool Watch::is_confirmed(TimePoint now) const {
     if (!doubtful_read_) return false;
     if (policy_.members == 1) return now - doubtful_read_->at >= policy_.watch_timeout;
@@ -271,8 +273,9 @@
 
 // --- history check ---------------------------------------------------------------------------------------
 
-// Guards against a registry that was restored and has since grown past our revision: no revision shows it,
-// and a watch alone would miss what the restore took away. Its history differs, so it is compared.
+// Guards against a registry that was restored and whose revision has since passed the view's. Its revision
+// does not reveal the restore, and a watch alone would not report the records that the restore removed. The
+// history of such a registry differs from the view's, so the two are compared.
 void Watch::on_check_result(TimePoint now, const ReplyHeader& header, std::size_t records,
                             const std::vector<Record>& newest) {
     if (pending_operation_ != PendingOperation::check) return;
@@ -334,7 +337,8 @@
 
 void Watch::apply_pending_changes(TimePoint now, const ReplyHeader& header) {
     std::vector<Change> changes = std::exchange(pending_changes_, {});
-    // A sender of changes may be ahead of what it has sent; a progress notice covers all up to its revision.
+    // A member's revision may be ahead of the changes that it has sent. Only a progress notice, which has no
+    // changes, covers all changes up to its revision.
     const Revision covered = changes.empty() ? header.revision : Revision{};
     const Revision before = view_.revision();
     const std::vector<EndpointRecord> updates = view_.apply(covered, changes, now);
@@ -345,8 +349,8 @@
 }
 
 void Watch::mark_current(TimePoint now) {
-    // A watch that has lasted for this share of the cap ends a row of failures. Much less, and a registry
-    // that accepts and drops connections would be polled at the base pause.
+    // A watch that has been open for this share of backoff_cap resets the count of consecutive failures. With
+    // a much smaller share, a registry that accepts and drops connections would be retried at the base pause.
     constexpr double stable_share_of_cap = 0.02;
     last_contact_at_ = last_complete_at_ = now;
     if (pending_operation_ == PendingOperation::watch_opening) watch_opened_at_ = now;
--- a/src/registry/watch.hpp
+++ b/src/registry/watch.hpp
@@ -1,8 +1,9 @@
-// Follows the records of a registry: full reads, watches, retries, and which replies to accept. No I/O; the
-// time comes with each call, randomness from the seed.
+// Keeps a view of a registry's records current: full reads, watches, retries, and the checks that decide
+// which replies to accept. Performs no I/O; the caller passes the time with each call, and the seed
+// determines all random numbers.
 //
-// SyncState lists the states, Watch::enter is the one function that moves between them, and docs/registry.md
-// has the table of transitions.
+// SyncState lists the states. Only Watch::enter changes the state, and docs/registry.md has the table of
+// transitions.
 #pragma once
 
 #include <cstdint>
@@ -18,33 +19,36 @@
 
 namespace irismux::registry {
 
-/// Endpoint records are parsed and may be unreadable; opaque ones are for a reader of on_records().
+/// Content of the records. With `endpoints`, a full read is also doubtful if most of its records cannot be
+/// parsed as endpoints. With `opaque`, only the observer interprets the records, in on_records().
 enum class RecordKind { endpoints, opaque };
 
-/// The functions on_* report what came of the request in force; others are ignored.
+/// The on_* functions receive the outcome of the pending request. Calls that do not fit the pending operation
+/// are ignored.
 class Watch {
 public:
-    /// The transport and the observer must outlive it.
+    /// The transport and the observer must outlive the Watch.
     Watch(WatchTransport& transport, WatchObserver& observer, const PollPolicy& policy, std::uint64_t seed,
           RecordKind kind = RecordKind::endpoints);
 
-    /// Takes a stored view into force, as old as it is. Before start().
+    /// Restores a stored view. Must be called before start().
+    /// @param as_of when the stored view was known to be complete; the age of the view counts from there.
     void start_from(TimePoint now, const ClusterId& cluster, Revision at, const std::vector<Record>& records,
                     TimePoint as_of);
     void start(TimePoint now);
 
     void on_page(TimePoint now, const Page& page);
-    /// @param records how many there are at the revision checked.
-    /// @param newest those changed last, max_checked_records at most.
+    /// @param records the number of records at the checked revision.
+    /// @param newest the most recently changed records, at most max_checked_records.
     void on_check_result(TimePoint now, const ReplyHeader& header, std::size_t records,
                          const std::vector<Record>& newest);
     void on_watch_opened(TimePoint now, const ReplyHeader& header);
-    /// @param fragment more changes of the last revision follow in the next message.
+    /// @param fragment true if the next message has more changes of the last revision.
     void on_changes(TimePoint now, const ReplyHeader& header, const std::vector<Change>& changes,
                     bool fragment);
-    /// The revision requested has been compacted.
+    /// The registry has compacted the requested revision.
     void on_compacted(TimePoint now);
-    /// The member has not reached the revision requested.
+    /// The member has not reached the requested revision.
     void on_revision_not_reached(TimePoint now);
     void on_request_failed(TimePoint now, const RequestFailure& failure);
     void on_wake(TimePoint now);
@@ -54,13 +58,13 @@
     const ClusterId& cluster() const { return cluster_; }
     /// When the view was last known to be complete.
     TimePoint last_complete_at() const { return last_complete_at_; }
-    /// Full reads that were completed and taken into force.
+    /// Number of full reads that were completed and applied.
     std::uint64_t full_reads() const { return full_reads_; }
 
 private:
     enum class PendingOperation { nothing, pause, page, check, watch_opening, watch_message };
-    /// What makes the view current again. A watch alone leaves a gap after a compaction or a rollback, and
-    /// misses a restored registry after a disconnection.
+    /// How the view becomes current again. A watch alone misses changes after a compaction or a rollback, and
+    /// after a disconnection it does not detect that the registry was restored.
     enum class Recovery { full_read, history_check, watch };
     enum class PauseLimit { growing, cap };
     struct FullRead {
@@ -104,26 +108,26 @@
     PollPolicy policy_;
     std::ranlux24_base random_;
     RecordKind record_kind_;
-    MemberIndex member_;  // in use
+    MemberIndex member_;  // the registry member in use
     RollbackDetector rollback_detector_;
 
     EndpointView view_;
     ClusterId cluster_;
-    Revision resume_revision_;  // nothing is missing up to here
+    Revision resume_revision_;  // all changes up to this revision are known
     SyncState sync_state_ = SyncState::reading;
     Recovery recovery_ = Recovery::full_read;
-    bool list_reported_ = false;  // the observer has had a first list
+    bool list_reported_ = false;  // the observer has received the first list
     TimePoint last_contact_at_, last_complete_at_;
 
     PendingOperation pending_operation_ = PendingOperation::nothing;
     TimePoint operation_deadline_;
     TimePoint watch_opened_at_;
     int consecutive_failures_ = 0;
-    int read_restarts_ = 0;  // in a row
+    int read_restarts_ = 0;  // consecutive restarts of the full read
 
     FullRead full_read_;
     std::uint64_t full_reads_ = 0;
-    std::vector<Change> pending_changes_;  // fragments of one revision
+    std::vector<Change> pending_changes_;  // received fragments of one revision
     std::optional<DoubtfulRead> doubtful_read_;
     bool long_list_reported_ = false;
 };
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -10,8 +10,8 @@
 
 MDB_val to_mdb_val(std::string_view bytes) { return {bytes.size(), const_cast<char*>(bytes.data())}; }
 
-// Guards against a file that was cut short: reading one of its missing pages would end the process (SIGBUS).
-// So the file must have all pages that its own header counts.
+// Guards against a truncated file: reading one of its missing pages would end the process with SIGBUS.
+// Therefore the file must have all pages that its own header counts.
 bool has_all_pages(MDB_env* env, const std::string& folder) {
     MDB_envinfo info{};
     MDB_stat stat{};
@@ -21,7 +21,7 @@
     return !failed && size >= (info.me_last_pgno + 1) * stat.ms_psize;
 }
 
-// Aborts unless committed.
+// Aborts on destruction unless it has been committed.
 class Transaction {
 public:
     Transaction() = default;
@@ -31,7 +31,7 @@
     Transaction(const Transaction&) = delete;
     Transaction& operator=(const Transaction&) = delete;
 
-    // These return LMDB's error code; 0: none.
+    // begin() and commit() return LMDB's error code, 0 on success.
     int begin(MDB_env* env, unsigned int flags) { return mdb_txn_begin(env, nullptr, flags, &handle_); }
     int commit() { return mdb_txn_commit(std::exchange(handle_, nullptr)); }
     MDB_txn* handle() const { return handle_; }
@@ -51,7 +51,7 @@
 public:
     static std::variant<std::unique_ptr<Environment>, StoreError> open(const std::string& folder,
                                                                        std::size_t max_bytes) {
-        // If this fails, LMDB reports it.
+        // LMDB reports the error if the folder could not be created.
         std::error_code ignored;
         std::filesystem::create_directories(folder, ignored);
         auto environment = std::make_unique<Environment>(folder);
@@ -71,7 +71,7 @@
     Environment(const Environment&) = delete;
     Environment& operator=(const Environment&) = delete;
 
-    // These return LMDB's error code; 0: none.
+    // Returns LMDB's error code, 0 on success.
     int put(std::string_view name, std::string_view value) {
         Transaction transaction;
         if (const int error = transaction.begin(env_, 0)) return error;
