--- a/src/registry/etcd_codec.cpp
+++ b/src/registry/etcd_codec.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr int http_ok = 200, http_unauthorized = 401;
-// gRPC status codes, as they stand in an error's "code".
+// gRPC status codes, which the field "code" of an error contains.
 constexpr int grpc_permission_denied = 7, grpc_out_of_range = 11, grpc_unauthenticated = 16;
 
 // --- encoding
@@ -28,7 +28,7 @@
     return out.str();
 }
 
-// The first key behind all those with the prefix.
+// Returns the first key after all keys with the prefix.
 std::string end_of_prefix(std::string prefix) {
     while (!prefix.empty()) {
         if (static_cast<unsigned char>(prefix.back()) != 0xff) {
@@ -40,19 +40,19 @@
     return std::string(1, '\0');  // all keys
 }
 
-json key_of(const std::string& key) { return {{"key", encode_base64(key)}}; }
+json encode_key(const std::string& key) { return {{"key", encode_base64(key)}}; }
 
-json keys_with(const std::string& prefix) {
+json encode_prefix_range(const std::string& prefix) {
     return {{"key", encode_base64(prefix)}, {"range_end", encode_base64(end_of_prefix(prefix))}};
 }
 
-json put_of(const std::string& key, const std::string& value, std::int64_t lease) {
+json encode_put(const std::string& key, const std::string& value, std::int64_t lease) {
     json put = {{"key", encode_base64(key)}, {"value", encode_base64(value)}};
     if (lease != 0) put["lease"] = std::to_string(lease);
     return put;
 }
 
-json compare_of(const KeyValue& compared) {
+json encode_compare(const KeyValue& compared) {
     const auto& [key, value] = compared;
     json compare = {{"key", encode_base64(key)}, {"result", "EQUAL"}};
     if (value) {
@@ -65,27 +65,27 @@
     return compare;
 }
 
-json write_of(const KeyValue& write) {
+json encode_write(const KeyValue& write) {
     const auto& [key, value] = write;
-    if (!value) return {{"request_delete_range", key_of(key)}};
-    return {{"request_put", put_of(key, *value, 0)}};
+    if (!value) return {{"request_delete_range", encode_key(key)}};
+    return {{"request_put", encode_put(key, *value, 0)}};
 }
 
-json read_of(const std::string& key) { return {{"request_range", key_of(key)}}; }
+json encode_read(const std::string& key) { return {{"request_range", encode_key(key)}}; }
 
-// --- parsing. These throw std::exception on what is not as the interface says.
+// --- parsing. These functions throw std::exception if the reply does not follow the API.
 
 std::string decode_base64(const std::string& text) {
     std::istringstream in(text);
     Poco::Base64Decoder decoder(in);
     std::string bytes(text.size(), '\0');
     decoder.read(bytes.data(), static_cast<std::streamsize>(bytes.size()));
-    if (decoder.bad()) throw_parse_error("bytes that are no base64");
+    if (decoder.bad()) throw_parse_error("invalid base64");
     bytes.resize(static_cast<std::size_t>(decoder.gcount()));
     return bytes;
 }
 
-// Zeros are left out of replies.
+// Returns 0 for a missing field: etcd omits zeros from its replies.
 std::int64_t parse_number(const json& object, const char* key) {
     const auto it = object.find(key);
     if (it == object.end() || it->is_null()) return 0;
@@ -112,13 +112,13 @@
 
 Record parse_record(const json& key_value, const std::string& prefix) {
     const std::string key = decode_base64(irismux::get<std::string>(key_value, "key"));
-    if (key.compare(0, prefix.size(), prefix) != 0) throw_parse_error("a key outside the prefix");
+    if (key.compare(0, prefix.size(), prefix) != 0) throw_parse_error("key is outside the prefix");
     return {RecordKey{key.substr(prefix.size())}, decode_base64(get_or<std::string>(key_value, "value", "")),
             Revision{parse_number(key_value, "create_revision")},
             Revision{parse_number(key_value, "mod_revision")}};
 }
 
-// The records that a transaction's reads have found, in the form of the interface.
+// Returns the records that the reads of a transaction found, as etcd's JSON objects.
 std::vector<json> key_values_of_transaction(const json& reply) {
     std::vector<json> found;
     if (!reply.contains("responses")) return found;
@@ -131,7 +131,7 @@
 
 Change parse_change(const json& event, const std::string& prefix) {
     const std::string type = get_or<std::string>(event, "type", "PUT");
-    if (type != "PUT" && type != "DELETE") throw_parse_error("an event that is neither PUT nor DELETE");
+    if (type != "PUT" && type != "DELETE") throw_parse_error("event type is neither PUT nor DELETE");
     return {parse_record(require(event, "kv"), prefix), type == "DELETE"};
 }
 
@@ -156,7 +156,7 @@
     return ErrorCode::other;
 }
 
-// An error reply, in any of its published forms.
+// Parses an error reply in any of its published forms.
 Error parse_error(const json& reply, int status) {
     const bool nested = reply.contains("error") && reply["error"].is_object();
     const json& error = nested ? reply["error"] : reply;
@@ -171,7 +171,7 @@
     return make_error(error_code(status, grpc_code, message), message);
 }
 
-// Parses a reply by `parse(json)`, which may throw; error replies and exceptions become an Error.
+// Parses a reply with `parse(json)`, which may throw. Error replies and exceptions are returned as an Error.
 template <class T, class Parse>
 ReadResult<T> read_reply(int status, std::string_view body, Parse parse) {
     const json reply = json::parse(body, nullptr, false);
@@ -192,7 +192,7 @@
 
 Request range(const std::string& prefix, const std::optional<RecordKey>& after, Revision at,
               std::size_t limit) {
-    json body = keys_with(prefix);
+    json body = encode_prefix_range(prefix);
     if (after) body["key"] = encode_base64(prefix + after->raw() + '\0');
     if (at > Revision{}) body["revision"] = std::to_string(at.raw());
     body["limit"] = std::to_string(limit);
@@ -200,7 +200,7 @@
 }
 
 Request most_recently_changed(const std::string& prefix, Revision at, std::size_t limit) {
-    json body = keys_with(prefix);
+    json body = encode_prefix_range(prefix);
     body["revision"] = std::to_string(at.raw());
     body["limit"] = std::to_string(limit);
     body["sort_order"] = "DESCEND";
@@ -209,7 +209,7 @@
 }
 
 Request watch(const std::string& prefix, Revision from) {
-    json create = keys_with(prefix);
+    json create = encode_prefix_range(prefix);
     create["start_revision"] = std::to_string(from.raw());
     create["progress_notify"] = true;
     create["fragment"] = true;
@@ -217,7 +217,7 @@
 }
 
 Request put(const std::string& key, const std::string& value, std::int64_t lease) {
-    return {"/v3/kv/put", put_of(key, value, lease).dump()};
+    return {"/v3/kv/put", encode_put(key, value, lease).dump()};
 }
 
 Request put_if(const std::string& key, const std::string& value, Revision unchanged_since,
@@ -228,8 +228,8 @@
                             {"result", "EQUAL"},
                             {"mod_revision", std::to_string(unchanged_since.raw())}};
     return {"/v3/kv/txn", json{{"compare", {unchanged}},
-                               {"success", {{{"request_put", put_of(key, value, lease)}}}},
-                               {"failure", {read_of(key)}}}
+                               {"success", {{{"request_put", encode_put(key, value, lease)}}}},
+                               {"failure", {encode_read(key)}}}
                               .dump()};
 }
 
@@ -239,17 +239,17 @@
     json success = json::array();
     json failure = json::array();
     for (const KeyValue& compared : compares) {
-        compare.push_back(compare_of(compared));
-        failure.push_back(read_of(compared.first));
+        compare.push_back(encode_compare(compared));
+        failure.push_back(encode_read(compared.first));
     }
-    for (const KeyValue& write : writes) success.push_back(write_of(write));
-    for (const std::string& key : reads) success.push_back(read_of(key));
+    for (const KeyValue& write : writes) success.push_back(encode_write(write));
+    for (const std::string& key : reads) success.push_back(encode_read(key));
     return {"/v3/kv/txn", json{{"compare", compare}, {"success", success}, {"failure", failure}}.dump()};
 }
 
-Request get(const std::string& key) { return {"/v3/kv/range", key_of(key).dump()}; }
+Request get(const std::string& key) { return {"/v3/kv/range", encode_key(key).dump()}; }
 
-Request erase(const std::string& key) { return {"/v3/kv/deleterange", key_of(key).dump()}; }
+Request erase(const std::string& key) { return {"/v3/kv/deleterange", encode_key(key).dump()}; }
 
 Request authenticate(const std::string& name, const std::string& password) {
     return {"/v3/auth/authenticate", json{{"name", name}, {"password", password}}.dump()};
