--- a/tests/random_seed_sweep.cpp
+++ b/tests/random_seed_sweep.cpp
@@ -1,8 +1,10 @@
-// Tries many seeds of the random runs, without shrinking, and prints each that breaks a rule.
+// Runs the random router scenarios with many seeds, without shrinking, and prints each seed that breaks a
+// rule.
 //
 //   irismux_seed_sweep FIRST LAST [narrow|wide] [RUNS] [SECONDS]     (1 200 wide 150 600)
 //
-// Exit code 1 if a seed fails, 2 if none was tried. To shrink a failing one, as each line says:
+// The values in parentheses are the defaults; SECONDS limits the whole run. The exit code is 1 if a seed
+// fails and 2 if none was tried. To shrink a failing seed, run the command that the output gives:
 //   RC_PARAMS="seed=N max_success=150" irismux_tests --gtest_filter=...
 #include <chrono>
 #include <cstdio>
@@ -13,12 +15,15 @@
 
 int main(int argc, char** argv) {
     using namespace rc::detail;
-    const auto figure = [&](int n, long usual) { return argc > n ? std::atol(argv[n]) : usual; };
-    const long first = figure(1, 1), last = figure(2, 200), runs = figure(4, 150), seconds = figure(5, 600);
+    const auto argument_or = [&](int position, long fallback) {
+        return argc > position ? std::atol(argv[position]) : fallback;
+    };
+    const long first = argument_or(1, 1), last = argument_or(2, 200), runs = argument_or(4, 150),
+               seconds = argument_or(5, 600);
     const bool narrow = argc > 3 && std::string(argv[3]) == "narrow";
-    const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(seconds);
+    const auto stop_at = std::chrono::steady_clock::now() + std::chrono::seconds(seconds);
     long tried = 0, failed = 0;
-    for (long seed = first; seed <= last && std::chrono::steady_clock::now() < end; ++seed) {
+    for (long seed = first; seed <= last && std::chrono::steady_clock::now() < stop_at; ++seed) {
         TestParams params;
         params.seed = static_cast<std::uint64_t>(seed);
         params.maxSuccess = static_cast<int>(runs);
@@ -33,9 +38,10 @@
         if (!result.match(violation)) continue;
         ++failed;
         std::printf(
-            "seed %ld: %s\n  RC_PARAMS=\"seed=%ld max_success=%ld\" irismux_tests --gtest_filter=Random.%s\n",
+            "seed %ld: %s\n  RC_PARAMS=\"seed=%ld max_success=%ld\" irismux_tests "
+            "--gtest_filter=RandomRouterScenario.%s\n",
             seed, violation.description.substr(violation.description.rfind('\n') + 1).c_str(), seed, runs,
-            narrow ? "EveryStepKeepsTheRules" : "EveryStepKeepsTheRulesWhateverTheListSaysOfStarts");
+            narrow ? "EveryStepKeepsTheRules" : "EveryStepKeepsTheRulesHoweverStartsAreListed");
     }
     std::printf("%ld seeds tried, %ld failed\n", tried, failed);
     return tried == 0 ? 2 : failed > 0 ? 1 : 0;
--- a/tests/router_fixture.hpp
+++ b/tests/router_fixture.hpp
@@ -1,4 +1,4 @@
-// A router in the usual deployment, and short ways to play a request.
+// Fixture with a router in the test deployment, and helpers that play whole requests.
 #pragma once
 
 #include "router_test_support.hpp"
@@ -15,7 +15,8 @@
     Request new_request(const std::string& object, std::size_t kind = 0) {
         return request_for("l" + std::to_string(made++), object, harness.now + second * 5, kind);
     }
-    // Plays a request whose first attempt ends like this, and after which the client has its final response.
+    // Plays a request whose first attempt ends with `outcome`, after which the client has its final response.
+    // @return the first attempt, or an empty one if the request is rejected
     StartedAttempt request_and_end(const std::string& object, Outcome outcome,
                                    CacheStatus status = CacheStatus::none) {
         const StartedAttempt* started = harness.request(new_request(object));
@@ -24,7 +25,8 @@
         harness.end_attempt(harness.callbacks.attempts.size() - 1, outcome, status, true);
         return copy;
     }
-    // Plays a request that no cache has a copy for. @return the attempt that fills
+    // Plays a request for an object of which no cache has a copy.
+    // @return the attempt that fills, or an empty one if the request is rejected
     StartedAttempt request_fill(const std::string& object, CacheStatus status = CacheStatus::filled) {
         std::vector<StartedAttempt>& attempts = harness.callbacks.attempts;
         if (!harness.request(new_request(object))) return {};
@@ -34,11 +36,11 @@
         harness.end_attempt(attempts.size() - 1, Outcome::completed, status);
         return copy;
     }
-    // An object that this cache serves first.
+    // @return the name of an object whose first attempt goes to this cache
     std::string object_of_cache(const std::string& cache) {
         return object_with([&](const AttemptPlan& plan) { return plan.cache == CacheId{cache}; });
     }
-    // An object that is filled from this parent first.
+    // @return the name of an object whose first attempt fills from this parent
     std::string object_of_parent(const std::string& parent) {
         return object_with([&](const AttemptPlan& plan) { return plan.source == CacheId{parent}; });
     }
@@ -53,7 +55,7 @@
             std::string name = "o" + std::to_string(n);
             if (is_wanted(request_and_end(name, Outcome::completed, CacheStatus::hit).plan)) return name;
         }
-        ADD_FAILURE() << "no such object";
+        ADD_FAILURE() << "none of 200 objects meets the condition";
         return "";
     }
 };
--- a/tests/router_random_test.cpp
+++ b/tests/router_random_test.cpp
@@ -1,4 +1,4 @@
-// Seeded random runs; many more seeds are tried by irismux_seed_sweep.
+// Runs the random router scenarios with one seed; irismux_seed_sweep tries many more seeds.
 #include "random_gateway_scenario.hpp"
 
 using namespace irismux;
@@ -6,11 +6,11 @@
 
 namespace {
 
-TEST(Random, EveryStepKeepsTheRules) {
+TEST(RandomRouterScenario, EveryStepKeepsTheRules) {
     EXPECT_TRUE(rc::check("every step keeps the rules", narrow_scenarios));
 }
 
-TEST(Random, EveryStepKeepsTheRulesWhateverTheListSaysOfStarts) {
+TEST(RandomRouterScenario, EveryStepKeepsTheRulesHoweverStartsAreListed) {
     EXPECT_TRUE(rc::check("every step keeps the rules, wider draws", wide_scenarios));
 }
 
