--- a/tests/routing/adaptive_limit_test.cpp
+++ b/tests/routing/adaptive_limit_test.cpp
@@ -20,22 +20,22 @@
 TEST(AdaptiveLimit, DoublesInItsDoublingTimeWithoutResults) {
     AdaptiveLimit limit{second * 6};
     limit.record(true, start);
-    const double cut = limit.share(start);
-    EXPECT_DOUBLE_EQ(limit.share(start + second * 6), 2 * cut);
+    const double reduced = limit.share(start);
+    EXPECT_DOUBLE_EQ(limit.share(start + second * 6), 2 * reduced);
     EXPECT_EQ(limit.share(start + second * 60), 1);
 }
 
-// Given two gateways, when one sees ten bad results at a time and the other sees one, then both are cut
-// alike.
-TEST(AdaptiveLimit, ResultsOfOneMomentCutOnce) {
-    AdaptiveLimit many;
-    AdaptiveLimit few;
-    for (int n = 0; n < 10; ++n) many.record(true, start);
-    few.record(true, start);
-    EXPECT_DOUBLE_EQ(many.share(start), few.share(start));
+// Guards against a limit that many bad results of one moment reduce more than once: ten bad results at the
+// same time reduce the share as much as one.
+TEST(AdaptiveLimit, BadResultsAtTheSameTimeReduceTheLimitOnce) {
+    AdaptiveLimit ten_results;
+    AdaptiveLimit one_result;
+    for (int n = 0; n < 10; ++n) ten_results.record(true, start);
+    one_result.record(true, start);
+    EXPECT_DOUBLE_EQ(ten_results.share(start), one_result.share(start));
 }
 
-TEST(AdaptiveLimit, NeverCutsToNothing) {
+TEST(AdaptiveLimit, BadResultsNeverReduceTheLimitToZero) {
     AdaptiveLimit limit;
     TimePoint now = start;
     for (int n = 0; n < 100; ++n, now = now + second * 0.5) limit.record(true, now);
--- a/tests/routing/congestion_test.cpp
+++ b/tests/routing/congestion_test.cpp
@@ -9,7 +9,7 @@
 
 class CongestionTest : public ::testing::Test {
 protected:
-    static constexpr double mean = 0.4;  // before any result: the latency objective
+    static constexpr double mean = 0.4;  // initial mean transfer time: the latency objective
     Deployment deployment_ = deployment();
     TimePoint now_ = TimePoint::at_seconds(100);
     EndpointSet endpoints_ = endpoint_set(deployment_, now_);
@@ -22,15 +22,15 @@
     std::vector<Attempt> attempts_ = std::vector<Attempt>(20, attempt_at("e1", now_));
 
     void start_attempts(int count, bool known_fill = false) {
-        for (int n = 0; n < count; ++n) {
-            Attempt& attempt = attempts_[static_cast<std::size_t>(n)];
+        for (int index = 0; index < count; ++index) {
+            Attempt& attempt = attempts_[static_cast<std::size_t>(index)];
             attempt.is_known_fill = known_fill;
             congestion_.on_attempt_started(attempt, cache_, &parent_, now_);
         }
     }
     void make_late(int count) {
-        for (int n = 0; n < count; ++n)
-            Congestion::count_as_late(attempts_[static_cast<std::size_t>(n)], cache_);
+        for (int index = 0; index < count; ++index)
+            Congestion::count_as_late(attempts_[static_cast<std::size_t>(index)], cache_);
         congestion_.recount_late_attempts(now_);
     }
 };
@@ -46,48 +46,50 @@
     EXPECT_EQ(cache_.load.late, 0);
 }
 
-// Links of three caches of 6 transfers each give the location 9; two gateways share it. More than 0.2 late
-// attempts for each transfer, so 1.8 over both, are congestion.
-TEST_F(CongestionTest, LateAttemptsShowCongestedFills) {
+// The location has three caches of weight 6, so its link carries 9 transfers, which two gateways share.
+// Congestion begins at more than 0.2 late attempts for each transfer, that is 1.8 over both gateways.
+TEST_F(CongestionTest, LateAttemptsIndicateCongestedFills) {
     start_attempts(2);
     EXPECT_FALSE(congestion_.fills_congested(mean));
     make_late(1);
     EXPECT_TRUE(congestion_.fills_congested(mean));
-    EXPECT_FALSE(congestion_.fills_congested(mean / 2)) << "small objects are let through for longer";
+    EXPECT_FALSE(congestion_.fills_congested(mean / 2))
+        << "small objects are allowed at a higher share of late attempts";
 }
 
-TEST_F(CongestionTest, ASilentCacheShowsNoCongestion) {
+TEST_F(CongestionTest, LateAttemptsAtAnUnresponsiveCacheAreNoCongestion) {
     start_attempts(4);
     now_ = now_ + one_second;
     make_late(4);
     EXPECT_FALSE(congestion_.fills_congested(mean));
 }
 
-TEST_F(CongestionTest, ACacheThatLosesAttemptsShowsNoCongestion) {
+TEST_F(CongestionTest, LateAttemptsAtACacheThatLosesAttemptsAreNoCongestion) {
     start_attempts(4);
     cache_.health.loses_attempts_until = now_ + one_second;
     make_late(4);
     EXPECT_FALSE(congestion_.fills_congested(mean));
-    EXPECT_EQ(congestion_.load(cache_, now_), 0) << "nor load";
+    EXPECT_EQ(congestion_.load(cache_, now_), 0) << "lost attempts count as load";
 }
 
-TEST_F(CongestionTest, KnownFillsExhaustWhatIsCongested) {
+TEST_F(CongestionTest, KnownFillsExhaustCongestedFills) {
     start_attempts(4, true);
-    EXPECT_FALSE(congestion_.fills_exhausted(mean)) << "nothing is late";
+    EXPECT_FALSE(congestion_.fills_exhausted(mean)) << "no attempt is late";
     make_late(1);
     EXPECT_TRUE(congestion_.fills_exhausted(mean));
     congestion_.on_attempt_ended(attempts_[3], cache_, &parent_);
     EXPECT_FALSE(congestion_.fills_exhausted(mean));
 }
 
-TEST_F(CongestionTest, LoadIsWhatAllGatewaysSendForEachTransferThatFits) {
+TEST_F(CongestionTest, LoadIsTransfersOfAllGatewaysPerUnitOfCapacity) {
     start_attempts(3);
     EXPECT_DOUBLE_EQ(congestion_.load(cache_, now_), 3 * 2 / 6.0);
 }
 
-// Given a cache of two gateways, when a hit takes three times its transfer alone, then the other gateway's
-// part is taken as three until that fades.
-TEST_F(CongestionTest, SlowHitsStandForTheOtherGateways) {
+// Guards against ignoring the load that other gateways put on a cache. Two gateways share the cache, and a
+// hit takes three times its transfer time; the load of the other gateway is estimated as three transfers, and
+// the estimate decays.
+TEST_F(CongestionTest, SlowHitsRaiseTheEstimatedLoadOfOtherGateways) {
     AttemptResult hit = result_of(Outcome::completed, CacheStatus::hit);
     attempts_[0].transfer_seconds = 0.4;
     hit.elapsed = Duration::seconds(1.2);
--- a/tests/routing/endpoint_set_test.cpp
+++ b/tests/routing/endpoint_set_test.cpp
@@ -33,9 +33,9 @@
 
 TEST_F(EndpointSetTest, DrainingAndRemovedEndpointsLeaveTheirRole) {
     for (const EndpointStatus status : {EndpointStatus::draining, EndpointStatus::removed}) {
-        EndpointUpdate leaves = endpoint_update("e1", edge_machine);
-        leaves.status = status;
-        update(leaves);
+        EndpointUpdate leaving = endpoint_update("e1", edge_machine);
+        leaving.status = status;
+        update(leaving);
         EXPECT_EQ(endpoints_.active(EndpointRole::edge).size(), 2u);
         update(endpoint_update("e1", edge_machine));
     }
@@ -48,7 +48,7 @@
     EXPECT_EQ(endpoints_.active(EndpointRole::edge)[0]->id, CacheId{"e2"});
 }
 
-TEST_F(EndpointSetTest, TellsOfAStartOnceAndOnlyWhileItWarmsUp) {
+TEST_F(EndpointSetTest, ReportsAStartOnceAndOnlyDuringTheWarmUp) {
     EndpointUpdate started = endpoint_update("e1", edge_machine);
     started.started_at = now_ - one_second;
     EXPECT_EQ(update(started), endpoints_.find(CacheId{"e1"}));
@@ -57,12 +57,13 @@
     EXPECT_EQ(update(started), nullptr);
 }
 
-// Given endpoints that come and go, when they have long been removed, then they are erased, but not while a
-// result of theirs is to come.
+// Guards against a set that grows without bound as endpoints come and go, and against the erasure of an
+// endpoint whose attempt has yet to end. A removed endpoint is erased after the slow-start window, once
+// nothing is in flight.
 TEST_F(EndpointSetTest, ErasesRemovedEndpointsOnceTheyAreIdle) {
-    EndpointUpdate leaves = endpoint_update("e1", edge_machine);
-    leaves.status = EndpointStatus::removed;
-    update(leaves);
+    EndpointUpdate leaving = endpoint_update("e1", edge_machine);
+    leaving.status = EndpointStatus::removed;
+    update(leaving);
     EndpointState* removed = endpoints_.find(CacheId{"e1"});
     ASSERT_TRUE(removed);
     removed->load.in_flight = 1;
@@ -74,9 +75,10 @@
     EXPECT_FALSE(endpoints_.find(CacheId{"e1"}));
 }
 
-// Guarded by EndpointSet::max_active_edges: a link divided by the caches that are left would give each of
-// them the others' part.
-TEST_F(EndpointSetTest, ACacheCanDoNoMoreWhenItsPeersLeave) {
+// Guards against a capacity estimate that grows when peers leave. Dividing the link by the number of
+// remaining caches would give each of them the part of the others; EndpointSet::max_active_edges prevents
+// this.
+TEST_F(EndpointSetTest, ACachesCapacityDoesNotGrowWhenItsPeersLeave) {
     deployment_.weights_known = false;
     deployment_.location_link_capacity_kb_per_s = 30 * deployment_.transfer_rate_kb_per_s;
     const LinkCapacity links{deployment_, endpoints_};
--- a/tests/routing/freshness_test.cpp
+++ b/tests/routing/freshness_test.cpp
@@ -14,7 +14,7 @@
     FreshnessPolicy freshness_{deployment_};
     ObjectKind ageing_ = ageing_kind();
     PendingRequest request_ = pending_request(deployment_.kinds[0], now_ + one_second);
-    PendingRequest of_ageing_kind_ = pending_request(ageing_, now_ + one_second);
+    PendingRequest ageing_request_ = pending_request(ageing_, now_ + one_second);
 
     static ObjectKind ageing_kind() {
         ObjectKind kind = kind_of(Effect::idempotent);
@@ -25,43 +25,45 @@
     void purge(Duration age) { freshness_.on_purge(age, PurgeGroupId{3}, ObjectName{"object"}, now_); }
 };
 
-// Given a purge of copies older than 0.2 s, when a second has passed, then copies of up to 1.2 s will do,
-// less the resolution of timers.
-TEST_F(FreshnessTest, APurgeBindsWhileOldCopiesMayBeLeft) {
+// Guards against serving copies from before a purge. One second after a purge of copies that were older than
+// 0.2 s, copies of up to 1.2 s, minus the resolution of timers, are allowed.
+TEST_F(FreshnessTest, APurgeLimitsTheAgeWhileOldCopiesMayRemain) {
     purge(Duration::seconds(0.2));
     EXPECT_EQ(freshness_.max_age(request_, false, now_ + one_second),
               Duration::seconds(1.2) - deployment_.timer_resolution);
     EXPECT_EQ(freshness_.max_age(request_, false, now_ + deployment_.purge_retention * 2), Duration{})
-        << "it is over";
+        << "the purge applies after its retention";
 }
 
-TEST_F(FreshnessTest, APurgeOfThisMomentStillBinds) {
+TEST_F(FreshnessTest, APurgeAtTheCurrentTimeLimitsTheAge) {
     purge(Duration{});
     EXPECT_EQ(freshness_.max_age(request_, false, now_), Duration::micros(1));
 }
 
 TEST_F(FreshnessTest, StaleCopiesAreAllowedWithinTheirWindowOnly) {
-    EXPECT_EQ(freshness_.max_age(of_ageing_kind_, false, now_), Duration{}) << "the kind's own";
-    EXPECT_EQ(freshness_.max_age(of_ageing_kind_, true, now_), one_second * 15);
-    EXPECT_EQ(freshness_.max_age(request_, true, now_), Duration{}) << "its copies never become stale";
+    EXPECT_EQ(freshness_.max_age(ageing_request_, false, now_), Duration{})
+        << "no limit beyond the freshness of the kind";
+    EXPECT_EQ(freshness_.max_age(ageing_request_, true, now_), one_second * 15);
+    EXPECT_EQ(freshness_.max_age(request_, true, now_), Duration{})
+        << "copies of this kind never become stale";
 }
 
-TEST_F(FreshnessTest, ThePurgeBindsStaleCopiesToo) {
+TEST_F(FreshnessTest, APurgeLimitsTheAgeOfStaleCopiesToo) {
     purge(one_second);
-    EXPECT_LT(freshness_.max_age(of_ageing_kind_, true, now_), one_second);
+    EXPECT_LT(freshness_.max_age(ageing_request_, true, now_), one_second);
     now_ = now_ + one_second * 11;
-    EXPECT_LT(freshness_.max_age(of_ageing_kind_, true, now_), one_second * 12);
+    EXPECT_LT(freshness_.max_age(ageing_request_, true, now_), one_second * 12);
 }
 
 TEST_F(FreshnessTest, AFailedSourceAllowsStaleCopiesFromTheNextAttemptOn) {
-    freshness_.begin_plan(of_ageing_kind_, now_);
-    EXPECT_EQ(of_ageing_kind_.plan.max_age, Duration{});
-    EXPECT_TRUE(of_ageing_kind_.plan.revalidate);
-    FreshnessPolicy::on_result(of_ageing_kind_, result_of(Outcome::overloaded, CacheStatus::no_fill_slot));
-    EXPECT_FALSE(of_ageing_kind_.allow_stale) << "the cache's own trouble";
-    FreshnessPolicy::on_result(of_ageing_kind_, result_of(Outcome::errored, CacheStatus::origin_failed));
-    freshness_.begin_plan(of_ageing_kind_, now_);
-    EXPECT_EQ(of_ageing_kind_.plan.max_age, one_second * 15);
+    freshness_.begin_plan(ageing_request_, now_);
+    EXPECT_EQ(ageing_request_.plan.max_age, Duration{});
+    EXPECT_TRUE(ageing_request_.plan.revalidate);
+    FreshnessPolicy::on_result(ageing_request_, result_of(Outcome::overloaded, CacheStatus::no_fill_slot));
+    EXPECT_FALSE(ageing_request_.allow_stale) << "the fault is the cache's, not the source's";
+    FreshnessPolicy::on_result(ageing_request_, result_of(Outcome::errored, CacheStatus::origin_failed));
+    freshness_.begin_plan(ageing_request_, now_);
+    EXPECT_EQ(ageing_request_.plan.max_age, one_second * 15);
 }
 
 TEST_F(FreshnessTest, RepeatedObjectsRankAboveNewOnesAndUncacheableOnesAreNotKept) {
--- a/tests/routing/object_statistics_test.cpp
+++ b/tests/routing/object_statistics_test.cpp
@@ -36,12 +36,13 @@
     EXPECT_FALSE(statistics_.record_request(object, now_));
 }
 
-TEST_F(ObjectStatisticsTest, ASizeGivesTheTransferTime) {
+TEST_F(ObjectStatisticsTest, TheSizeDeterminesTheTransferTime) {
     EXPECT_DOUBLE_EQ(statistics_.transfer_seconds(sized_.request), 0.1);
 }
 
-TEST_F(ObjectStatisticsTest, WithoutASizeTheShortestTransferIsLearnt) {
-    EXPECT_DOUBLE_EQ(statistics_.transfer_seconds(unsized_.request), 0.4) << "the mean of its kind";
+TEST_F(ObjectStatisticsTest, WithoutASizeTheShortestTransferTimeIsUsed) {
+    EXPECT_DOUBLE_EQ(statistics_.transfer_seconds(unsized_.request), 0.4)
+        << "without a hit, the mean of its kind is expected";
     hit(unsized_, 0.3);
     hit(unsized_, 0.2);
     hit(unsized_, 2);
--- a/tests/routing/outlier_detector_test.cpp
+++ b/tests/routing/outlier_detector_test.cpp
@@ -20,7 +20,7 @@
     EndpointState& parent_ = endpoints_.at(CacheId{"p1"});
     EndpointState& other_parent_ = endpoints_.at(CacheId{"p2"});
     PendingRequest idempotent_ = pending_request(deployment_.kinds[0], now_ + one_second);
-    PendingRequest with_effect_ = pending_request(deployment_.kinds[1], now_ + one_second);
+    PendingRequest non_idempotent_ = pending_request(deployment_.kinds[1], now_ + one_second);
 
     void wait(double seconds) { now_ = now_ + Duration::seconds(seconds); }
     void result(EndpointState& cache, Outcome outcome, CacheStatus status = CacheStatus::none) {
@@ -59,7 +59,7 @@
     }
 }
 
-TEST_F(OutlierDetectorTest, AnEndpointThatIsEjectedIsNotEjectedAgainBeforeItsProbe) {
+TEST_F(OutlierDetectorTest, AnEjectedEndpointIsNotEjectedAgainBeforeItsProbe) {
     result(cache_, Outcome::connection_refused);
     const TimePoint probe_at = cache_.health.next_probe_at;
     wait(1);
@@ -71,7 +71,7 @@
 TEST_F(OutlierDetectorTest, OneIdempotentRequestIsTheRecoveryProbe) {
     result(cache_, Outcome::connection_refused);
     wait(2);
-    EXPECT_FALSE(outliers_.may_choose(cache_, with_effect_, now_));
+    EXPECT_FALSE(outliers_.may_choose(cache_, non_idempotent_, now_));
     ASSERT_TRUE(OutlierDetector::recovery_probe_is_due(cache_, now_));
     OutlierDetector::begin_recovery_probe(cache_);
     EXPECT_FALSE(may_choose()) << "a second probe";
@@ -82,7 +82,7 @@
     EXPECT_EQ(callbacks_.ejection_changes.back(), (std::pair{cache_.id, false}));
 }
 
-TEST_F(OutlierDetectorTest, AProbeThatShowsNothingIsFollowedByAnother) {
+TEST_F(OutlierDetectorTest, AnInconclusiveProbeIsFollowedByAnother) {
     result(cache_, Outcome::connection_refused);
     wait(2);
     OutlierDetector::begin_recovery_probe(cache_);
@@ -95,22 +95,22 @@
 
 TEST_F(OutlierDetectorTest, AProbeIsPostponedByOneLongestBackoffAtMost) {
     OutlierDetector::postpone_recovery_probe(cache_, now_ + one_second * 100);
-    EXPECT_TRUE(may_choose()) << "it is not ejected";
+    EXPECT_TRUE(may_choose()) << "the cache is not ejected";
     result(cache_, Outcome::connection_refused);
     OutlierDetector::postpone_recovery_probe(cache_, now_ + one_second * 100);
     EXPECT_EQ(cache_.health.next_probe_at, now_ + one_second * 32);
     OutlierDetector::postpone_recovery_probe(cache_, now_);
-    EXPECT_TRUE(may_choose()) << "it may also be brought forward";
+    EXPECT_TRUE(may_choose()) << "the probe may also be brought forward";
 }
 
-TEST_F(OutlierDetectorTest, ErrorsThatStandOutEject) {
+TEST_F(OutlierDetectorTest, ErrorsAtOneCacheAloneEjectIt) {
     result(cache_, Outcome::errored);
     EXPECT_FALSE(cache_.health.ejected());
     result(cache_, Outcome::errored);
     EXPECT_TRUE(cache_.health.ejected());
 }
 
-TEST_F(OutlierDetectorTest, ErrorsThatAllShowEjectNone) {
+TEST_F(OutlierDetectorTest, ErrorsAtAllCachesEjectNone) {
     for (int n = 0; n < 20; ++n)
         for (const char* cache : {"e1", "e2", "e3"}) {
             result(endpoints_.at(CacheId{cache}),
@@ -132,9 +132,10 @@
     EXPECT_TRUE(cache_.health.ejected());
 }
 
-// Given a cache that responds every 20 ms, when it is silent for longer than the latency objective and a peer
-// has responded since, then it is unresponsive.
-TEST_F(OutlierDetectorTest, SilenceIsJudgedAgainstTheEndpointsOwnGapsAndItsPeers) {
+// Guards against taking a fault of all caches, or an idle cache, for a hung one. A cache responds every 20 ms
+// and then not for longer than the latency objective; it is unresponsive only if a peer has responded since
+// and an attempt waits for it.
+TEST_F(OutlierDetectorTest, SilenceIsComparedWithTheEndpointsOwnGapsAndItsPeers) {
     cache_.load.in_flight = 1;
     cache_.load.busy_since = now_;
     for (int n = 0; n < 100; ++n) {
@@ -146,14 +147,14 @@
     result(peer_, Outcome::completed);
     EXPECT_TRUE(outliers_.is_unresponsive(cache_, now_));
     cache_.load.in_flight = 0;
-    EXPECT_FALSE(outliers_.is_unresponsive(cache_, now_)) << "nobody waits for it";
+    EXPECT_FALSE(outliers_.is_unresponsive(cache_, now_)) << "no attempt waits for it";
 }
 
 TEST_F(OutlierDetectorTest, ADeadlineEjectsOnlyWhatHasBeenSilentWhilePeersResponded) {
     const Attempt attempt = attempt_at("e1", now_);
     wait(1);
     outliers_.on_cache_result(cache_, attempt, result_of(Outcome::deadline_exceeded), false, now_);
-    EXPECT_FALSE(cache_.health.ejected()) << "all are silent";
+    EXPECT_FALSE(cache_.health.ejected()) << "no endpoint has responded";
     result(peer_, Outcome::completed);
     outliers_.on_cache_result(cache_, attempt, result_of(Outcome::deadline_exceeded), false, now_);
     EXPECT_TRUE(cache_.health.ejected());
@@ -164,8 +165,9 @@
     EXPECT_TRUE(parent_.health.ejected());
 }
 
-// Given a slow origin, when the fills of all parents run out of time, then no parent is ejected.
-TEST_F(OutlierDetectorTest, FillsThatRunOutOfTimeEjectOnlyASilentParent) {
+// Guards against ejecting the parents for a slow origin. The fills of all parents time out, and no parent is
+// ejected; once another parent has completed a fill, a parent whose fill times out is ejected.
+TEST_F(OutlierDetectorTest, FillsThatTimeOutEjectOnlyASilentParent) {
     wait(1);
     for (int n = 0; n < 20; ++n)
         for (EndpointState* source : {&parent_, &other_parent_})
@@ -178,7 +180,7 @@
     EXPECT_TRUE(parent_.health.ejected());
 }
 
-TEST_F(OutlierDetectorTest, AHitSaysNothingOfTheSource) {
+TEST_F(OutlierDetectorTest, AHitDoesNotCountAsAResponseOfTheSource) {
     wait(1);
     source_result(parent_, Outcome::completed, CacheStatus::hit);
     EXPECT_LT(parent_.health.last_seen, now_);
@@ -186,20 +188,21 @@
     EXPECT_EQ(parent_.health.last_seen, now_);
 }
 
-// Given a cache that answers most attempts, when it leaves enough of them without an answer while its peers
-// lose none, then it counts as one that loses attempts, for two seconds.
+// Guards against waiting until the deadline for attempts that a cache loses. A cache responds to most
+// attempts but leaves some without a response, while its peers lose none; it is classified as losing attempts
+// for two seconds.
 TEST_F(OutlierDetectorTest, ACacheThatLosesAttemptsStandsOutAmongItsPeers) {
     Attempt attempt = attempt_at("e1", now_);
     wait(1);
     result(cache_, Outcome::completed);
     outliers_.on_late_attempt(cache_, attempt, now_);
-    EXPECT_FALSE(OutlierDetector::loses_attempts(cache_, now_)) << "one is chance";
+    EXPECT_FALSE(OutlierDetector::loses_attempts(cache_, now_)) << "a single late attempt is no pattern";
     outliers_.on_late_attempt(cache_, attempt, now_);
     EXPECT_TRUE(OutlierDetector::loses_attempts(cache_, now_));
     EXPECT_FALSE(OutlierDetector::loses_attempts(cache_, now_ + one_second * 2));
 }
 
-TEST_F(OutlierDetectorTest, ALateAnswerTakesBackWhatItsLatenessCountedFor) {
+TEST_F(OutlierDetectorTest, ALateResponseRevertsItsCountAsLost) {
     Attempt attempt = attempt_at("e1", now_);
     wait(1);
     result(cache_, Outcome::completed);
@@ -210,7 +213,7 @@
     EXPECT_EQ(cache_.health.lost_share, 0);
 }
 
-TEST_F(OutlierDetectorTest, ARestartMakesThePastVoid) {
+TEST_F(OutlierDetectorTest, ARestartClearsErrorsAndEjections) {
     for (int n = 0; n < 3; ++n) result(cache_, Outcome::errored);
     outliers_.on_restart(cache_);
     EXPECT_FALSE(cache_.health.ejected());
--- a/tests/routing/rendezvous_hash_test.cpp
+++ b/tests/routing/rendezvous_hash_test.cpp
@@ -28,7 +28,7 @@
     static ObjectName object(int n) { return ObjectName{"object" + std::to_string(n)}; }
 };
 
-// The FNV-1a offset basis and the hash of "a" are published; the finalizer follows them.
+// The expected values are the published FNV-1a offset basis and hash of "a", followed by the finalizer.
 TEST(RendezvousKey, IsFnv1aFinishedByMurmur3) {
     const auto finalizer = [](std::uint64_t h) { return rendezvous_score(h, 0); };
     EXPECT_EQ(rendezvous_key(""), finalizer(0xcbf29ce484222325ULL));
@@ -37,7 +37,7 @@
     EXPECT_EQ(finalizer(1), 0xb456bcfc34c2cb2cULL);
 }
 
-TEST(RendezvousKey, TakesBytesAsUnsigned) {
+TEST(RendezvousKey, TreatsBytesAsUnsigned) {
     const std::uint64_t fnv_of_0xff = (0xcbf29ce484222325ULL ^ 0xffULL) * 0x100000001b3ULL;
     EXPECT_EQ(rendezvous_key("\xff"), rendezvous_score(fnv_of_0xff, 0));
 }
@@ -49,7 +49,8 @@
         EXPECT_EQ(rank_by_rendezvous_hash(object(n), all()), rank_by_rendezvous_hash(object(n), reversed));
 }
 
-// Given five caches, when one leaves, then only its own objects move, each to the next in its order.
+// Guards against moving objects of other caches when one cache leaves: only its own objects move, each to the
+// next cache in its order.
 TEST_F(RendezvousHash, WhenACacheLeavesOnlyItsObjectsMove) {
     std::vector<EndpointState*> rest = all();
     rest.erase(rest.begin() + 2);
--- a/tests/routing/retry_policy_test.cpp
+++ b/tests/routing/retry_policy_test.cpp
@@ -21,16 +21,16 @@
     EXPECT_FALSE(retries_.may_attempt(request_, now_ + one_second - deployment_.timer_resolution));
 }
 
-TEST_F(RetryPolicyTest, ARequestHasOnlySoManyAttempts) {
+TEST_F(RetryPolicyTest, ARequestHasAtMostMaxAttempts) {
     request_.attempts.resize(static_cast<std::size_t>(deployment_.capabilities.max_attempts) - 1);
     EXPECT_TRUE(retries_.may_attempt(request_, now_));
     request_.attempts.emplace_back();
     EXPECT_FALSE(retries_.may_attempt(request_, now_));
 }
 
-// Given a fault that fails all attempts, when the reserve is used up, then only every fourth request is
-// retried.
-TEST_F(RetryPolicyTest, RetriesDrawOnABudgetThatRequestsFill) {
+// Guards against retries that multiply the load during a fault that fails all attempts: once the reserve is
+// used up, only every fourth request is retried.
+TEST_F(RetryPolicyTest, RetriesAreLimitedToAShareOfRequests) {
     const AttemptResult failed = result_of(Outcome::errored);
     int reserve = 0;
     while (retries_.next_step(request_, failed) == NextStep::try_again) ++reserve;
@@ -43,14 +43,14 @@
     EXPECT_EQ(retried, 25);
 }
 
-TEST_F(RetryPolicyTest, RefusedConnectionsAndCacheOnlyAttemptsAreFree) {
+TEST_F(RetryPolicyTest, RefusedConnectionsAndCacheOnlyAttemptsNeedNoRetryBudget) {
     while (retries_.next_step(request_, result_of(Outcome::errored)) == NextStep::try_again) continue;
     EXPECT_EQ(retries_.next_step(request_, result_of(Outcome::connection_refused)), NextStep::try_again);
     request_.on_miss = MissHandling::fill_next_time;
     EXPECT_EQ(retries_.next_step(request_, result_of(Outcome::cache_miss)), NextStep::try_again);
 }
 
-TEST_F(RetryPolicyTest, EndsWhereAnotherAttemptWouldShowNothing) {
+TEST_F(RetryPolicyTest, EndsRequestsThatAnotherAttemptCannotHelp) {
     request_.on_miss = MissHandling::reject;
     EXPECT_EQ(retries_.next_step(request_, result_of(Outcome::cache_miss)), NextStep::end_request);
     EXPECT_EQ(retries_.next_step(request_, result_of(Outcome::superseded)), NextStep::end_request);
@@ -58,7 +58,7 @@
     EXPECT_EQ(retries_.next_step(request_, result_of(Outcome::errored)), NextStep::none);
 }
 
-TEST_F(RetryPolicyTest, RejectedClientsAreSpread) {
+TEST_F(RetryPolicyTest, RetryAfterTimesAreSpread) {
     Duration shortest = deployment_.capabilities.max_retry_after;
     Duration longest;
     for (int n = 0; n < 100; ++n) {
@@ -71,10 +71,10 @@
     EXPECT_GT(longest, shortest * 4);
 }
 
-TEST_F(RetryPolicyTest, SaysNoTimeWhereClientsHeedNone) {
+TEST_F(RetryPolicyTest, NoRetryAfterTimeIfClientsIgnoreIt) {
     deployment_.capabilities.retry_after = false;
-    RetryPolicy silent{deployment_, random_};
-    EXPECT_EQ(silent.retry_after(), Duration{});
+    RetryPolicy without_retry_after{deployment_, random_};
+    EXPECT_EQ(without_retry_after.retry_after(), Duration{});
 }
 
 }  // namespace
--- a/tests/routing/routing_test_support.hpp
+++ b/tests/routing/routing_test_support.hpp
@@ -1,4 +1,4 @@
-// What the tests of single policies share: an endpoint set of the usual deployment, and a pending request.
+// Support for tests of single routing policies: builds endpoint sets, pending requests, attempts and results.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 
 inline const Duration one_second = Duration::seconds(1);
 
-/// The endpoints of a list, as of its arrival.
+/// @return the endpoint set after `list` has arrived at `now`
 inline routing::EndpointSet endpoint_set(const Deployment& deployment, TimePoint now,
                                          const std::vector<EndpointUpdate>& list = usual_endpoints()) {
     routing::EndpointSet endpoints{deployment};
--- a/tests/routing/slow_start_test.cpp
+++ b/tests/routing/slow_start_test.cpp
@@ -19,28 +19,30 @@
     EndpointState& cache_ = endpoints_.at(CacheId{"e1"});
     EndpointState& origin_ = endpoints_.at(CacheId{"o"});
 
-    // Transfer time that is sent to an endpoint that is asked as often as possible.
+    // Starts an attempt whenever the budget allows. @return the transfer time sent to the endpoint, in
+    // seconds
     double sent_to(EndpointState& endpoint, Duration during) {
-        double sent = 0;
+        double transferred = 0;
         const TimePoint end = now_ + during;
         for (; now_ < end; now_ = now_ + Duration::seconds(0.01)) {
             if (!slow_start_.has_budget(endpoint, transfer_seconds, now_)) continue;
             slow_start_.charge(endpoint, transfer_seconds, now_);
-            sent += transfer_seconds;
+            transferred += transfer_seconds;
         }
-        return sent;
+        return transferred;
     }
 };
 
-TEST_F(SlowStartTest, AnEndpointThatIsWarmHasNoBudget) {
+TEST_F(SlowStartTest, AWarmEndpointHasNoBudgetLimit) {
     for (int n = 0; n < 1000; ++n) {
         ASSERT_TRUE(slow_start_.has_budget(cache_, transfer_seconds, now_));
         slow_start_.charge(cache_, transfer_seconds, now_);
     }
 }
 
-// Given a cache that has just started, when it is asked as often as possible, then it gets no more than this
-// gateway's share of the overload multiple, and not much less than its present capacity.
+// Guards against overloading a cache that has just started, and against leaving it idle. Attempts start as
+// often as the budget allows; the cache gets at most this gateway's share of the overload multiple, and more
+// than half of its share of the present capacity.
 TEST_F(SlowStartTest, AWarmingEndpointGetsItsEvenShareOfPresentCapacity) {
     slow_start_.begin(cache_, now_, now_);
     const SlowStart& settings = deployment_.edge_slow_start;
@@ -53,16 +55,16 @@
     EXPECT_GT(sent, even_share * 0.5);
 }
 
-TEST_F(SlowStartTest, EndsWithTheWindow) {
+TEST_F(SlowStartTest, TheBudgetLimitEndsWithTheSlowStartWindow) {
     slow_start_.begin(cache_, now_, now_);
     EXPECT_FALSE(slow_start_.has_budget(cache_, 100, now_));
     EXPECT_TRUE(slow_start_.has_budget(cache_, 100, now_ + deployment_.edge_slow_start.window));
     EXPECT_FALSE(cache_.warm_up.warming_up_since.has_value());
 }
 
-// Given a restart that the list tells two seconds late, when much was sent meanwhile, then nothing more is
-// sent until it has left the overload window.
-TEST_F(SlowStartTest, WhatWasSentBeforeTheStartWasKnownCounts) {
+// Guards against a full budget on top of earlier transfers. A restart is listed a second late, after many
+// transfers to the cache; nothing more is sent until those have left the overload window.
+TEST_F(SlowStartTest, TransfersBeforeTheStartWasKnownAreCharged) {
     const TimePoint started_at = now_;
     for (int n = 0; n < 100; ++n) slow_start_.charge(cache_, transfer_seconds, now_);
     now_ = now_ + one_second;
@@ -72,26 +74,28 @@
     EXPECT_GT(sent_to(cache_, one_second * 2), 0);
 }
 
-// Given a cache that refuses with nothing in flight, when it responds again, then it is a new process, which
-// the list has yet to tell.
+// Guards against a full load on a restarted cache whose start is not yet listed. A cache that refuses a
+// connection with nothing in flight has stopped, so its first response comes from a new process.
 TEST_F(SlowStartTest, TheFirstResponseAfterAStopBeginsSlowStart) {
     slow_start_.on_cache_result(cache_, result_of(Outcome::connection_refused), now_);
     EXPECT_FALSE(cache_.warm_up.warming_up_since.has_value());
     slow_start_.on_cache_result(cache_, result_of(Outcome::overloaded), now_);
-    EXPECT_FALSE(cache_.warm_up.warming_up_since.has_value()) << "turned away without having worked";
+    EXPECT_FALSE(cache_.warm_up.warming_up_since.has_value())
+        << "a rejection is not a response of a working process";
     slow_start_.on_cache_result(cache_, result_of(Outcome::completed), now_);
     EXPECT_EQ(cache_.warm_up.warming_up_since, now_);
 }
 
-TEST_F(SlowStartTest, ARefusalWithAttemptsInFlightIsNoStop) {
+TEST_F(SlowStartTest, ARefusalWithAttemptsInFlightBeginsNoSlowStart) {
     cache_.load.in_flight = 1;
     slow_start_.on_cache_result(cache_, result_of(Outcome::connection_refused), now_);
     slow_start_.on_cache_result(cache_, result_of(Outcome::completed), now_);
     EXPECT_FALSE(cache_.warm_up.warming_up_since.has_value());
 }
 
-// Given an attempt that waits for a connection, when its endpoint restarts, then it must fit the new budget.
-TEST_F(SlowStartTest, AWaitingAttemptIsJudgedAgainAfterARestart) {
+// Guards against sending an attempt that was admitted before a restart. While it waits for a connection, its
+// endpoint restarts; the attempt must then fit the new budget.
+TEST_F(SlowStartTest, AWaitingAttemptIsCheckedAgainAfterARestart) {
     Attempt attempt = attempt_at("e1", now_);
     attempt.transfer_seconds = 100;
     EXPECT_TRUE(slow_start_.recheck(cache_, attempt, now_));
