--- a/tests/cache_connection_pool_test.cpp
+++ b/tests/cache_connection_pool_test.cpp
@@ -1,4 +1,4 @@
-// CacheConnectionPool before caches that close, stall, or send what is not a response.
+// CacheConnectionPool with caches that close their connections, stall, or send invalid responses.
 #include <deque>
 
 #include "base/log.hpp"
@@ -13,7 +13,7 @@
 using test_support::Acceptor;
 using test_support::TestConnection;
 
-// A pool before two caches, e1 and e2, that respond as a test wants.
+// A pool with two caches, e1 and e2, whose responses the test chooses.
 struct PoolScenario final : AttemptObserver, ResponseSender {
     EventLoop loop;
     Deployment settings = deployment();
@@ -21,14 +21,14 @@
     std::unique_ptr<CacheConnectionPool> pool;
     std::vector<std::shared_ptr<TestConnection>> connections;
     std::map<std::string, std::unique_ptr<Acceptor>> listeners;  // by cache
-    std::vector<std::string> received, ended;                    // client request ids, in order
+    std::vector<std::string> received, ended;                    // client request ids in order
     std::map<std::string, Outcome> outcomes;
     std::map<std::string, Duration> elapsed;
     std::deque<std::shared_ptr<ActiveRequest>> requests;
-    bool caches_close_gracefully = false;  // else by a reset
+    bool caches_close_gracefully = false;  // otherwise they close with a reset
     bool caches_read = true;
     int health_checks_received = 0;
-    bool expect_no_result = false;  // at present
+    bool expect_no_result = false;  // while set, an attempt that ends fails the test
     std::function<void(TestConnection&, const std::string& id)> on_attempt;
     std::function<bool(Poco::Net::StreamSocket&)> on_accepted = [](auto&) { return true; };
 
@@ -96,14 +96,14 @@
         loop.schedule_at(loop.now() + Duration::seconds(seconds), [this] { loop.stop(); });
         loop.run();
     }
-    // An action for when a condition holds; the next step follows. After the last the loop ends, at the
-    // latest after ten seconds.
+    // An action that runs once its condition holds; then the next step begins. run_steps() stops the loop
+    // after the last step, and at the latest after 10 s.
     struct Step {
         std::function<bool()> condition;
         std::function<void()> action;
     };
-    void run_steps(std::vector<Step> given) {
-        steps = std::move(given);
+    void run_steps(std::vector<Step> given_steps) {
+        steps = std::move(given_steps);
         std::reverse(steps.begin(), steps.end());
         check_steps();
         run(10);
@@ -134,14 +134,14 @@
         ids_in_use.push_back(request.client_request_id().raw());
     }
     std::vector<std::string> ids_in_use;
-    std::set<std::string> refused_ids;  // whose attempts may not begin
+    std::set<std::string> refused_ids;  // requests whose attempts may not begin
     void send_response(const ClientStream&, std::string_view, bool) override {}
     void send_rejection(const ClientStream&, Duration) override {}
     void send_failure(const ClientStream&) override {}
 };
 
-// Given an idle connection, when the cache resets it just before attempts go out, then they go out on
-// another, and the first is not written to without end.
+// Attempts that start just as the cache resets the idle connection must be sent on another connection. The
+// pool must not try to write to the reset connection for ever.
 TEST(CacheConnectionPool, MovesAttemptsOffAConnectionThatIsReset) {
     PoolScenario scenario(1);
     scenario.start("b1");
@@ -155,24 +155,24 @@
     for (const char* id : {"b1", "b2", "b3"}) EXPECT_EQ(scenario.outcomes.at(id), Outcome::cache_miss) << id;
 }
 
-// Given two attempts on one connection, when the cache sends bytes that are no response or stop short, then
-// nothing of them counts, and both attempts soon end as broken off.
+// Invalid or incomplete responses must not be used: both attempts on the connection must soon end as
+// connection_reset.
 TEST(CacheConnectionPool, ClosesAConnectionAfterAnInvalidResponse) {
-    const std::string head = "*4\r\n$2\r\nb2\r\n$3\r\nHIT\r\n", mark = "$16\r\ntag=k1,minted=99\r\n";
+    const std::string head = "*4\r\n$2\r\nb2\r\n$3\r\nHIT\r\n", fields = "$16\r\ntag=k1,minted=99\r\n";
     const std::vector<std::string> invalid = {
         "noise and no line",
         "*4\r\n$2\r\nb2\r\n$3\r\nHIT\r\n$3000000000\r\n",
-        head + mark + "$3000000000\r\nabc",
-        head + mark + "$240001\r\nabc",
-        head + mark + "$2\r\nabc\r\n",
+        head + fields + "$3000000000\r\nabc",
+        head + fields + "$240001\r\nabc",
+        head + fields + "$2\r\nabc\r\n",
         head + "$1\r\n-\r\n$2\r\nab\r\n",
         head + "$16\r\ntag=k1,minted=x9\r\n$2\r\nab\r\n",
         head + "$16\r\ntag=k1,minted 99\r\n$2\r\nab\r\n",
-        "*3\r\n$2\r\nb2\r\n$3\r\nHIT\r\n" + mark,
-        "*4\r\n$2\r\nb2\r\n$3\r\nHIX\r\n" + mark + "$2\r\nab\r\n",
+        "*3\r\n$2\r\nb2\r\n$3\r\nHIT\r\n" + fields,
+        "*4\r\n$2\r\nb2\r\n$3\r\nHIX\r\n" + fields + "$2\r\nab\r\n",
         "*4\r\n$2\r\nb2\r\n$5\r\nVALID\r\n$16\r\ntag=k2,minted=99\r\n$0\r\n\r\n",
-        "*4\r\n$2\r\nb2\r\n$5\r\nVALID\r\n" + mark + "$1\r\na\r\n",
-        head + mark + "$9\r\nabc"};
+        "*4\r\n$2\r\nb2\r\n$5\r\nVALID\r\n" + fields + "$1\r\na\r\n",
+        head + fields + "$9\r\nabc"};
     for (const std::string& bytes : invalid) {
         PoolScenario scenario(1);
         scenario.on_attempt = [&](TestConnection& cache, const std::string& id) {
@@ -189,8 +189,8 @@
     }
 }
 
-// Given three attempts, when the cache responds to each twice and to an id that was never sent, then each
-// attempt ends once.
+// Duplicate responses and responses to an unknown id must be ignored: each of three attempts must end exactly
+// once.
 TEST(CacheConnectionPool, IgnoresDuplicateResponsesAndUnknownIds) {
     PoolScenario scenario(1);
     scenario.on_attempt = [&](TestConnection& cache, const std::string& id) {
@@ -203,10 +203,10 @@
     for (const auto& [id, o] : scenario.outcomes) EXPECT_EQ(o, Outcome::completed) << id;
 }
 
-// Given one connection for two caches, when one cache accepts and resets, then refuses, then the attempt ends
-// as overloaded or broken off, then as refused; an attempt for which no connection is left waits for one and
-// says nothing of its cache.
-TEST(CacheConnectionPool, ReportsResetRefusedAndShortageAsWhatTheyAre) {
+// With one connection for two caches: an attempt must end as overloaded or connection_reset if its cache
+// accepts and resets, and as connection_refused if its cache refuses. An attempt for which no connection is
+// left must wait for one, and the shortage must not count against its cache.
+TEST(CacheConnectionPool, DistinguishesResetsRefusalsAndConnectionShortage) {
     PoolScenario scenario(1);
     bool resetting = true;
     scenario.on_accepted = [&](Poco::Net::StreamSocket& s) {
@@ -215,7 +215,7 @@
     };
     scenario.start("b1");
     scenario.loop.schedule_at(scenario.loop.now() + Duration::seconds(0.1), [&] {
-        // Which of the two depends on whether the attempt was written whole before the reset came.
+        // The outcome depends on whether the attempt was written completely before the reset arrived.
         EXPECT_TRUE(scenario.outcomes.at("b1") == Outcome::overloaded ||
                     scenario.outcomes.at("b1") == Outcome::connection_reset);
         resetting = false;
@@ -239,8 +239,8 @@
     EXPECT_EQ(scenario.outcomes.at("b4"), Outcome::connection_refused);
 }
 
-// Given a cache that responds on one connection, when a new one to it does not come up, then the attempt that
-// waits for it goes out after the next response.
+// An attempt must not wait for a new connection that is not established while the cache responds on another
+// one: it must be sent on that one after the next response.
 TEST(CacheConnectionPool, MovesQueuedAttemptsToAConnectionThatResponds) {
     PoolScenario scenario(8, 0);
     std::vector<Poco::Net::StreamSocket> backlog(3);
@@ -259,8 +259,8 @@
     EXPECT_EQ(scenario.ended, (std::vector<std::string>{"b1", "b2"}));
 }
 
-// Given an idle connection, when the cache closes it in the moment in which an attempt is to go there, then
-// the attempt goes out on another and does not end as broken off. Guarded by CacheConnection::on_write_ready.
+// An attempt must not end as connection_reset because the cache closed the idle connection just before the
+// attempt was written: it must be sent on another connection. CacheConnection::on_write_ready ensures this.
 TEST(CacheConnectionPool, DoesNotWriteToAConnectionThatWasJustClosed) {
     PoolScenario scenario(4);
     scenario.caches_close_gracefully = true;
@@ -268,7 +268,7 @@
     scenario.run_steps(
         {{[&] { return scenario.ended.size() == 1; },
           [&] {
-              scenario.connections.at(0)->close();  // has arrived, and has not been read in this iteration
+              scenario.connections.at(0)->close();  // the close arrives, but is not read in this iteration
               scenario.start("b2");
           }},
          {[&] { return scenario.ended.size() == 2; }, [] {}}});
@@ -276,15 +276,16 @@
     EXPECT_EQ(scenario.outcomes.at("b2"), Outcome::cache_miss);
 }
 
-// Given an attempt too large for the socket and one behind it, when their clients close while the cache does
-// not read, then neither arrives. Guarded by CacheConnectionPool::withdraw_unstarted_attempts.
+// Attempts whose clients have closed must not reach the cache unless they were written completely. The cache
+// does not read; the first attempt is too large for the socket and the second one waits behind it.
+// CacheConnectionPool::withdraw_unstarted_attempts withdraws both.
 TEST(CacheConnectionPool, WithdrawsAttemptsThatAreNotWrittenWhole) {
     PoolScenario scenario(1);
     scenario.caches_read = false;
     scenario.start("b1", "e1", std::string(16 << 20, 'w'));
     const auto close_client = [&](std::size_t n) {
         scenario.requests.at(n)->on_client_closed();
-        // No result from within: whoever gets one may release the request.
+        // This call must not report a result, as the observer may release the request when it gets one.
         scenario.expect_no_result = true;
         scenario.pool->withdraw_unstarted_attempts(*scenario.requests.at(n));
         scenario.expect_no_result = false;
@@ -304,24 +305,23 @@
     EXPECT_EQ(scenario.received, std::vector<std::string>{"b3"});
 }
 
-// Given a health check that waits for its connection, when the connection comes up, then the check is sent
-// only if it is still wanted. Guarded by CacheConnection::on_open.
-TEST(CacheConnectionPool, AsksAgainBeforeADeferredHealthCheck) {
-    for (const bool still : {true, false}) {
+// A health check that waited for its connection must be sent only if it is still wanted once the connection
+// is open. CacheConnection::on_open checks this.
+TEST(CacheConnectionPool, SendsADeferredHealthCheckOnlyIfStillWanted) {
+    for (const bool still_wanted : {true, false}) {
         PoolScenario scenario(4);
-        bool may = true;
-        scenario.pool->start_health_check(CacheId{"e1"}, [&] { return may; });
-        may = still;
+        bool is_wanted = true;
+        scenario.pool->start_health_check(CacheId{"e1"}, [&] { return is_wanted; });
+        is_wanted = still_wanted;
         scenario.start("b1");  // on the same connection, behind it
         scenario.run_steps({{[&] { return scenario.ended.size() == 1; }, [] {}}});
-        EXPECT_EQ(scenario.health_checks_received, still ? 1 : 0);
+        EXPECT_EQ(scenario.health_checks_received, still_wanted ? 1 : 0);
         EXPECT_EQ(scenario.connections.size(), 1u);
     }
 }
 
-// Given two queued attempts, when the first may not begin any more, then it ends as overloaded and the second
-// goes out.
-TEST(CacheConnectionPool, AsksBeforeTheFirstByteOfEachAttempt) {
+// A queued attempt that may no longer begin must end as overloaded, and the attempt behind it must be sent.
+TEST(CacheConnectionPool, DoesNotSendAnAttemptThatMayNoLongerBegin) {
     PoolScenario scenario(1);
     scenario.start("b1");
     scenario.start("b2");
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,4 +1,4 @@
-// Codecs: parsers are fed whole, cut and changed messages, and what the writers write is read back.
+// Codecs: parsers get whole, truncated and corrupted messages, and must read back what the writers write.
 #include <rapidcheck.h>
 
 #include "codec/client_protocol.hpp"
@@ -12,15 +12,15 @@
 
 std::string bytes_of(const Buffer& b) { return std::string(b.view()); }
 
-std::string any_bytes(std::size_t most) {
-    const auto n = *rc::gen::inRange<std::size_t>(0, most);
+std::string any_bytes(std::size_t max_length) {
+    const auto n = *rc::gen::inRange<std::size_t>(0, max_length);
     return *rc::gen::container<std::string>(n, rc::gen::arbitrary<char>());
 }
 
-// A parser needs more bytes at each prefix of a message, and neither crashes nor reads past the end of
-// changed bytes (sanitizers check that).
+// Checks that a parser needs more bytes at each prefix of a message, and that it neither crashes nor reads
+// past the end of a corrupted message (sanitizers detect this).
 template <class Parse>
-void feed(std::string whole, Parse parse) {
+void check_parser(std::string whole, Parse parse) {
     std::size_t used = 0;
     for (std::size_t n = 0; n < whole.size(); ++n) {
         const std::string prefix(whole, 0, n);
@@ -37,10 +37,9 @@
     if (parse(mutated, used) == ParseStatus::complete) RC_ASSERT(used <= mutated.size());
 }
 
-// Given random appends and removals at both ends, when each is done, then the buffer holds what a string
-// would.
+// Random appends and removals at both ends must leave the same bytes in the buffer as in a string.
 // NOLINTNEXTLINE(readability-function-size): the property macros expand to nested statements
-TEST(Buffer, HoldsWhatWasAppendedAndNotRemoved) {
+TEST(Buffer, HoldsTheSameBytesAsAString) {
     rc::check([] {
         Buffer b;
         std::string model;
@@ -66,15 +65,16 @@
     });
 }
 
-TEST(FastCgi, RecordsAreReadAsWritten) {
+TEST(FastCgi, ReadsBackWrittenRecords) {
     rc::check([] {
         Buffer out;
         const auto request = *rc::gen::inRange<std::uint16_t>(1, 65535);
         const std::string content = any_bytes(300);
         fastcgi::write_record(out, fastcgi::Type::std_in, request, content);
         fastcgi::Record r;
-        feed(bytes_of(out),
-             [&](std::string_view s, std::size_t& used) { return fastcgi::parse_record(s, r, used); });
+        check_parser(bytes_of(out), [&](std::string_view s, std::size_t& used) {
+            return fastcgi::parse_record(s, r, used);
+        });
         std::size_t used = 0;
         RC_ASSERT(fastcgi::parse_record(out.view(), r, used) == ParseStatus::complete);
         RC_ASSERT(r.type == fastcgi::Type::std_in);
@@ -83,25 +83,25 @@
     });
 }
 
-TEST(FastCgi, StreamsOfAnyLengthAreWrittenInWholeRecords) {
+TEST(FastCgi, SplitsStreamsOfAnyLengthIntoWholeRecords) {
     for (const std::size_t n : {0u, 1u, 65'535u, 65'536u, 240'000u}) {
         std::string body(n, 'x');
         for (std::size_t i = 0; i < n; ++i) body[i] = static_cast<char>(i * 31 % 251);
         Buffer out;
         fastcgi::write_stream(out, fastcgi::Type::std_out, 7, body);
-        std::string got;
+        std::string read;
         std::size_t used = 0;
         fastcgi::Record r;
         while (!out.empty()) {
             ASSERT_EQ(fastcgi::parse_record(out.view(), r, used), ParseStatus::complete);
-            got += r.content;
+            read += r.content;
             out.consume(used);
         }
-        EXPECT_EQ(got, body);
+        EXPECT_EQ(read, body);
     }
 }
 
-TEST(FastCgi, PairsAreReadAsWritten) {
+TEST(FastCgi, ReadsBackWrittenPairs) {
     rc::check([] {
         std::string all;
         std::vector<std::pair<std::string, std::string>> pairs;
@@ -110,47 +110,48 @@
             pairs.emplace_back(any_bytes(200), any_bytes(400));
             fastcgi::write_pair(all, pairs.back().first, pairs.back().second);
         }
-        fastcgi::Pairs got;
-        RC_ASSERT(fastcgi::parse_pairs(all, got) == ParseStatus::complete);
-        RC_ASSERT(got.size() == pairs.size());
-        for (std::size_t i = 0; i < got.size(); ++i) {
-            RC_ASSERT(got[i].first == pairs[i].first);
-            RC_ASSERT(got[i].second == pairs[i].second);
+        fastcgi::Pairs read;
+        RC_ASSERT(fastcgi::parse_pairs(all, read) == ParseStatus::complete);
+        RC_ASSERT(read.size() == pairs.size());
+        for (std::size_t i = 0; i < read.size(); ++i) {
+            RC_ASSERT(read[i].first == pairs[i].first);
+            RC_ASSERT(read[i].second == pairs[i].second);
         }
         if (all.empty()) return;
-        // A stream that breaks off within a pair is invalid.
-        got.clear();
+        // A stream that ends within a pair is invalid.
+        read.clear();
         const std::string cut(all, 0, all.size() - 1);
         const bool last_empty = pairs.back().first.empty() && pairs.back().second.empty();
-        if (!last_empty) RC_ASSERT(fastcgi::parse_pairs(cut, got) == ParseStatus::invalid);
+        if (!last_empty) RC_ASSERT(fastcgi::parse_pairs(cut, read) == ParseStatus::invalid);
     });
 }
 
-TEST(Resp, ArraysAreReadAsWritten) {
+TEST(Resp, ReadsBackWrittenArrays) {
     rc::check([] {
         const std::string a = any_bytes(20), b = any_bytes(2'000), c = any_bytes(10);
         Buffer out;
         resp::write_array(out, {a, b, c});
-        resp::Arguments words;
-        feed(bytes_of(out),
-             [&](std::string_view s, std::size_t& used) { return resp::parse_array(s, words, used); });
+        resp::Arguments arguments;
+        check_parser(bytes_of(out), [&](std::string_view s, std::size_t& used) {
+            return resp::parse_array(s, arguments, used);
+        });
         std::size_t used = 0;
-        RC_ASSERT(resp::parse_array(out.view(), words, used) == ParseStatus::complete);
-        RC_ASSERT(words == resp::Arguments({a, b, c}));
+        RC_ASSERT(resp::parse_array(out.view(), arguments, used) == ParseStatus::complete);
+        RC_ASSERT(arguments == resp::Arguments({a, b, c}));
     });
 }
 
-TEST(Resp, LengthsThatNoMessageHasAreInvalidAtOnce) {
-    resp::Arguments words;
+TEST(Resp, RefusesImpossibleLengthsAtOnce) {
+    resp::Arguments arguments;
     std::size_t used = 0;
     for (const char* s : {"*2000000000\r\n", "*1\r\n$240001\r\n", "*9\r\n", "*-5\r\n", "*1\r\n$x\r\n",
                           "+OK\r\n", "*1\r\n$1\r\nabc"})
-        EXPECT_EQ(resp::parse_array(s, words, used), ParseStatus::invalid) << s;
-    EXPECT_EQ(resp::parse_array("*2\r\n$-1\r\n$1\r\na\r\n", words, used), ParseStatus::complete);
-    EXPECT_EQ(words, resp::Arguments({"", "a"}));
+        EXPECT_EQ(resp::parse_array(s, arguments, used), ParseStatus::invalid) << s;
+    EXPECT_EQ(resp::parse_array("*2\r\n$-1\r\n$1\r\na\r\n", arguments, used), ParseStatus::complete);
+    EXPECT_EQ(arguments, resp::Arguments({"", "a"}));
 }
 
-TEST(Resp, FieldsAreFoundByName) {
+TEST(Resp, FindsFieldsByName) {
     std::string f;
     resp::append_field(f, "tag", "4be0");
     resp::append_field(f, "n", "cached");
@@ -161,7 +162,7 @@
     EXPECT_EQ(resp::dash_if_empty(""), "-");
 }
 
-// A whole response, read as the program reads one: its head, then its body piece by piece.
+// Reads a whole response as the program does: its head, then its body piece by piece.
 ParseStatus read_response(std::string_view bytes, http::Head& head, std::string& body, std::size_t& used) {
     body.clear();
     if (const ParseStatus status = http::parse_head(bytes, head, used); status != ParseStatus::complete)
@@ -178,37 +179,38 @@
     }
 }
 
-TEST(Http, ResponsesWithALengthOrInChunksAreRead) {
+TEST(Http, ReadsResponsesWithALengthOrInChunks) {
     rc::check([] {
         const std::string body = any_bytes(300);
-        std::string said = "HTTP/1.1 200 OK\r\n";
+        std::string response = "HTTP/1.1 200 OK\r\n";
         const bool chunked = *rc::gen::arbitrary<bool>();
         if (chunked) {
-            said += "Transfer-Encoding: chunked\r\n\r\n";
+            response += "Transfer-Encoding: chunked\r\n\r\n";
             const auto cut = *rc::gen::inRange<std::size_t>(0, body.size() + 1);
             for (const std::string& part : {body.substr(0, cut), body.substr(cut)}) {
                 if (part.empty()) continue;
                 char size[32];
                 std::snprintf(size, sizeof size, "%zx", part.size());
-                said += std::string(size) + "\r\n" + part + "\r\n";
+                response += std::string(size) + "\r\n" + part + "\r\n";
             }
-            said += "0\r\n\r\n";
+            response += "0\r\n\r\n";
         } else {
-            said += "content-length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+            response += "content-length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
         }
         std::string read;
         http::Head head;
-        feed(said, [&](std::string_view s, std::size_t& used) { return read_response(s, head, read, used); });
+        check_parser(response, [&](std::string_view s, std::size_t& used) {
+            return read_response(s, head, read, used);
+        });
         std::size_t used = 0;
-        RC_ASSERT(read_response(said, head, read, used) == ParseStatus::complete);
+        RC_ASSERT(read_response(response, head, read, used) == ParseStatus::complete);
         RC_ASSERT(head.status == 200);
         RC_ASSERT(read == body);
     });
 }
 
-// Given each reason for which a client's request is refused, then the client gets its status and no body, to
-// the byte.
-TEST(ClientProtocol, RefusalsHaveTheirStatus) {
+// Each error of a client's request must give exactly these bytes: its status line and no body.
+TEST(ClientProtocol, WritesTheStatusOfEachRequestError) {
     using client_protocol::RequestError;
     const std::pair<RequestError, std::string> heads[] = {
         {RequestError::record_too_long, "Status: 413 Content Too Large\r\n\r\n"},
@@ -229,9 +231,8 @@
     }
 }
 
-// Given responses of each other kind, then their heads are as the protocol has them; a time to come again is
-// rounded up to milliseconds.
-TEST(ClientProtocol, ResponsesHaveTheirHeads) {
+// The head of each other kind of response, byte by byte. Retry-After-Ms is rounded up to whole milliseconds.
+TEST(ClientProtocol, WritesTheHeadOfEachResponse) {
     using namespace client_protocol;
     EXPECT_EQ(response_head(17), "Status: 200 OK\r\nContent-Length: 17\r\n\r\n");
     EXPECT_EQ(not_modified_head(), "Status: 200 OK\r\nX-Keep: 1\r\n\r\n");
--- a/tests/event_loop_test.cpp
+++ b/tests/event_loop_test.cpp
@@ -11,38 +11,38 @@
 
 constexpr Duration ms = Duration::micros(1'000);
 
-// Runs the loop for longer than any timer of a test takes.
-void run_for_a_while(EventLoop& loop) {
+// Runs the loop for longer than the delay of any timer of the tests that call this function.
+void run_past_all_timers(EventLoop& loop) {
     loop.schedule_at(loop.now() + ms * 20, [&loop] { loop.stop(); });
     loop.run();
 }
 
-// Given a timer that is due soon, when its handle is destroyed, then its callback never runs.
-TEST(ScopedTimer, DestroyedBeforeItIsDueNeverRuns) {
+// The callback of a timer must not run after its handle was destroyed.
+TEST(ScopedTimer, DestroyedHandleNeverRunsItsCallback) {
     EventLoop loop;
     int runs = 0;
     {
         const ScopedTimer timer(loop, loop.now() + ms, [&] { ++runs; });
         EXPECT_TRUE(timer.pending());
     }
-    run_for_a_while(loop);
+    run_past_all_timers(loop);
     EXPECT_EQ(runs, 0);
 }
 
-// Given a pending timer, when another one is assigned to its handle, then the second alone runs, once.
-TEST(ScopedTimer, AssignedAnewCancelsTheTimerBefore) {
+// Assigning another timer to a handle must cancel the pending one: only the second callback runs, once.
+TEST(ScopedTimer, AssignmentCancelsThePreviousTimer) {
     EventLoop loop;
     int first = 0;
     int second = 0;
     ScopedTimer timer(loop, loop.now() + ms, [&] { ++first; });
     timer = ScopedTimer(loop, loop.now() + ms, [&] { ++second; });
-    run_for_a_while(loop);
+    run_past_all_timers(loop);
     EXPECT_EQ(first, 0);
     EXPECT_EQ(second, 1);
     EXPECT_FALSE(timer.pending());
 }
 
-// Given a pending timer, when its handle is moved, then the new handle alone owns it.
+// After a move only the new handle owns the timer: destroying the old handle must not cancel it.
 TEST(ScopedTimer, MovedHandleOwnsTheTimer) {
     EventLoop loop;
     int runs = 0;
@@ -51,13 +51,13 @@
     const ScopedTimer second = std::move(first.value());
     first.reset();
     EXPECT_TRUE(second.pending());
-    run_for_a_while(loop);
+    run_past_all_timers(loop);
     EXPECT_EQ(runs, 1);
 }
 
-// Given a timer that repeats itself, when its callback runs, then the handle is not pending and may be
-// assigned from within.
-TEST(ScopedTimer, CallbackMayScheduleItsSuccessor) {
+// A callback must be able to assign the next timer to its own handle, which is not pending while the callback
+// runs.
+TEST(ScopedTimer, CallbackMayAssignTheNextTimer) {
     EventLoop loop;
     int runs = 0;
     bool pending_inside = true;
@@ -67,14 +67,14 @@
         if (++runs < 3) timer = ScopedTimer(loop, loop.now() + ms, tick);
     };
     timer = ScopedTimer(loop, loop.now() + ms, tick);
-    run_for_a_while(loop);
+    run_past_all_timers(loop);
     EXPECT_EQ(runs, 3);
     EXPECT_FALSE(pending_inside);
 }
 
-// Given callbacks that own objects with timers of their own, when the loop is destroyed before they have run,
-// then each of those is cancelled and nothing runs.
-TEST(ScopedTimer, OwnedByACallbackIsCancelledWithItsLoop) {
+// Destroying the loop destroys callbacks that own handles of other timers of the same loop. Those timers must
+// be cancelled, and no callback may run.
+TEST(ScopedTimer, LoopDestructionCancelsTimersOwnedByCallbacks) {
     int runs = 0;
     {
         EventLoop loop;
--- a/tests/golden.hpp
+++ b/tests/golden.hpp
@@ -1,6 +1,6 @@
-// Files under tests/data: what the program wrote, byte by byte, when they were made. They are never edited to
-// make a test pass. Where a form is changed on purpose, the commit says so, and the file is written anew by
-// the program's own writers.
+// Golden files under tests/data: the exact bytes that the program wrote when the files were made. They are
+// never edited to make a test pass. If a format is changed on purpose, the commit says so, and the program's
+// own writers write the file anew.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -26,42 +26,42 @@
 
 inline std::string golden(const std::string& name) { return bytes_of_file(golden_path(name)); }
 
-// That these are the bytes of the file.
+// Expects `bytes` to equal the contents of the golden file.
 inline void expect_golden(const std::string& name, const std::string& bytes) {
     EXPECT_EQ(bytes, golden(name)) << "differs from tests/data/" << name;
 }
 
-// Names with their values, one pair a line: "NAME<tab>VALUE".
-using Named = std::vector<std::pair<std::string, std::string>>;
+// Names with their values. A golden file holds one pair a line: "NAME<tab>VALUE".
+using NamedValues = std::vector<std::pair<std::string, std::string>>;
 
-inline std::string text_of(const Named& all) {
+inline std::string text_of(const NamedValues& values) {
     std::string text;
-    for (const auto& [name, value] : all) text.append(name).append(1, '\t').append(value).append(1, '\n');
+    for (const auto& [name, value] : values) text.append(name).append(1, '\t').append(value).append(1, '\n');
     return text;
 }
 
-// The value under that name in a file of such lines.
+// Returns the value of `name` in a golden file of such lines.
 inline std::string golden_value(const std::string& file, const std::string& name) {
-    const std::string all = '\n' + golden(file), start = '\n' + name + '\t';
-    const std::size_t at = all.find(start);
+    const std::string values = '\n' + golden(file), line_start = '\n' + name + '\t';
+    const std::size_t at = values.find(line_start);
     EXPECT_NE(at, std::string::npos) << name << " is not in tests/data/" << file;
     if (at == std::string::npos) return {};
-    const std::size_t from = at + start.size();
-    return all.substr(from, all.find('\n', from) - from);
+    const std::size_t from = at + line_start.size();
+    return values.substr(from, values.find('\n', from) - from);
 }
 
-// A folder of the test's own, removed at its end.
-class Folder {
+// A temporary folder, which is removed on destruction.
+class TemporaryFolder {
 public:
-    Folder() {
-        if (!::mkdtemp(path_.data())) throw std::runtime_error("no folder can be made");
+    TemporaryFolder() {
+        if (!::mkdtemp(path_.data())) throw std::runtime_error("cannot create a temporary folder");
     }
-    ~Folder() {
-        std::error_code failed;
-        std::filesystem::remove_all(path_, failed);
+    ~TemporaryFolder() {
+        std::error_code ignored_error;
+        std::filesystem::remove_all(path_, ignored_error);
     }
-    Folder(const Folder&) = delete;
-    Folder& operator=(const Folder&) = delete;
+    TemporaryFolder(const TemporaryFolder&) = delete;
+    TemporaryFolder& operator=(const TemporaryFolder&) = delete;
     const std::string& path() const { return path_; }
 
 private:
--- a/tests/long_notice_answer_test.cpp
+++ b/tests/long_notice_answer_test.cpp
@@ -1,5 +1,5 @@
-// Answers of the notice board that are long, come in pieces, break off or hold what can't be read: all events
-// take effect in order, and the number of polls is bounded.
+// NoticeClient with answers of the notice board that are long, arrive in pieces, break off or hold unreadable
+// events: all other events must take effect in order, with a bounded number of polls.
 #include <cstdio>
 #include <functional>
 #include <random>
@@ -13,7 +13,7 @@
 namespace irismux::testing {
 namespace {
 
-// Records what took effect, in order: purged objects and listed caches.
+// Records the purged objects and the listed caches in the order in which they took effect.
 struct EventRecorder final : NoticeObserver {
     std::vector<std::string> events;
     std::function<void()> on_purge = [] {};
@@ -51,7 +51,8 @@
     return body + "]}";
 }
 
-// A board with purges 1 to `last_revision` and a client of it; ends once all have taken effect, or after 5 s.
+// A notice board that has the purges 1 to `last_revision`, and a client that polls it. run() ends once all of
+// them have taken effect, and at the latest after 5 s.
 struct BacklogScenario {
     explicit BacklogScenario(int purges) : last_revision(purges) {
         board.on_poll = [this](TestConnection& connection) {
@@ -73,9 +74,9 @@
         board.respond(connection, answer_of(after, last_revision));
     };
 
-    // A timer each millisecond: how late the latest ran is about the longest iteration.
-    void tick() {
-        loop.schedule_at(loop.now() + Duration::micros(1'000), [this] { tick(); });
+    // Runs a timer each millisecond. The largest delay of this timer approximates the longest iteration.
+    void schedule_ticks() {
+        loop.schedule_at(loop.now() + Duration::micros(1'000), [this] { schedule_ticks(); });
     }
     void print_longest_iteration() const {
         std::printf("timers ran up to %lld us late\n",
@@ -90,21 +91,20 @@
     }
 };
 
-// Given two hours of three purges a second in one answer above 1 MiB, when it is polled, then all take effect
-// by one poll.
-TEST(LongNoticeAnswer, OfTwoHoursOfPurgesTakesEffect) {
+// An answer longer than 1 MiB must take effect whole after one poll: here two hours of three purges a second.
+TEST(LongNoticeAnswer, AppliesTwoHoursOfPurgesAfterOnePoll) {
     BacklogScenario scenario(21'600);
     ASSERT_GT(answer_of(0, scenario.last_revision).size(), std::size_t{1} << 20);
-    scenario.tick();
+    scenario.schedule_ticks();
     scenario.run();
     scenario.print_longest_iteration();
     EXPECT_EQ(scenario.recorder.events, objects_up_to(scenario.last_revision));
     EXPECT_EQ(scenario.board.polled_from.size(), 2u);
 }
 
-// Given answers that break off after a tenth, when they are polled, then the events before the break take
-// effect and each poll asks for the rest.
-TEST(LongNoticeAnswer, ThatBreaksOffMakesProgress) {
+// The client must not request events again that arrived before an answer broke off. The answers to the first
+// seven polls break off after a tenth; each next poll requests the rest.
+TEST(LongNoticeAnswer, ResumesAfterTheLastEventBeforeABreak) {
     BacklogScenario scenario(2'000);
     scenario.answer = [&](TestConnection& connection, int after) {
         const std::string body = answer_of(after, scenario.last_revision);
@@ -124,22 +124,22 @@
     EXPECT_GT(std::stoi(scenario.board.polled_from[1]), 150);
 }
 
-// Given events that take 0.2 ms each, when a long answer is read, then an iteration of the loop works on it
-// for two milliseconds and one event. Guarded by NoticeConnection::begin_batch.
-TEST(LongNoticeAnswer, TakesAFewMillisecondsOfAnIteration) {
+// A long answer must not delay requests: one iteration of the loop handles its events for at most 2 ms and
+// one event. Each event takes 0.2 ms here. NoticeConnection::begin_batch enforces this.
+TEST(LongNoticeAnswer, YieldsToTheLoopAfterAFewMilliseconds) {
     BacklogScenario scenario(1'000);
     const Duration work = Duration::micros(200);
-    std::size_t seen = 0, max_in_an_iteration = 0;
-    std::function<void()> each_iteration = [&] {
-        const std::size_t so_far = scenario.recorder.events.size();
-        max_in_an_iteration = std::max(max_in_an_iteration, so_far - std::exchange(seen, so_far));
-        scenario.loop.run_next_iteration(each_iteration);
+    std::size_t previous_count = 0, max_in_an_iteration = 0;
+    std::function<void()> count_events = [&] {
+        const std::size_t count = scenario.recorder.events.size();
+        max_in_an_iteration = std::max(max_in_an_iteration, count - std::exchange(previous_count, count));
+        scenario.loop.run_next_iteration(count_events);
     };
     scenario.recorder.on_purge = [&] {
         for (const TimePoint from = scenario.loop.now(); scenario.loop.now() < from + work;) continue;
     };
-    each_iteration();
-    scenario.tick();
+    count_events();
+    scenario.schedule_ticks();
     scenario.run();
     EXPECT_EQ(scenario.recorder.events, objects_up_to(scenario.last_revision));
     EXPECT_LE(max_in_an_iteration, 11u);
@@ -147,7 +147,7 @@
     scenario.print_longest_iteration();
 }
 
-// Given a body of 14 MB in chunks that end anywhere, when it is polled, then all events take effect.
+// A body of 14 MB must take effect whole after one poll, although its chunks end at random places.
 TEST(LongNoticeAnswer, FarLongerThanAnyBoundTakesEffect) {
     BacklogScenario scenario(200'000);
     std::ranlux24_base random(7);
@@ -169,33 +169,33 @@
     EXPECT_EQ(scenario.board.polled_from.size(), 2u);
 }
 
-// Given an answer whose pieces arrive one by one, of one byte to some KB, then all events take effect.
-TEST(LongNoticeAnswer, InSmallPiecesTakesEffect) {
+// An answer that arrives in pieces of one byte to some KB must take effect whole after one poll.
+TEST(LongNoticeAnswer, AppliesAnAnswerInSmallPieces) {
     BacklogScenario scenario(1'500);
     std::ranlux24_base random(11);
-    std::string left;
-    std::function<void(TestConnection&)> go_on = [&](TestConnection& connection) {
+    std::string unsent;
+    std::function<void(TestConnection&)> send_next_piece = [&](TestConnection& connection) {
         const std::size_t size =
-            std::min<std::size_t>(left.size(), random() % 2 == 0 ? 1 + random() % 9 : 1 + random() % 6000);
-        connection.output().append(std::string_view(left).substr(0, size));
+            std::min<std::size_t>(unsent.size(), random() % 2 == 0 ? 1 + random() % 9 : 1 + random() % 6000);
+        connection.output().append(std::string_view(unsent).substr(0, size));
         connection.write();
-        left.erase(0, size);
-        if (!left.empty())
+        unsent.erase(0, size);
+        if (!unsent.empty())
             scenario.loop.schedule_at(scenario.loop.now() + Duration::micros(500),
-                                      [&] { go_on(connection); });
+                                      [&] { send_next_piece(connection); });
     };
     scenario.answer = [&](TestConnection& connection, int after) {
         const std::string body = answer_of(after, scenario.last_revision);
-        left = "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
-        go_on(connection);
+        unsent = "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+        send_next_piece(connection);
     };
     scenario.run();
     EXPECT_EQ(scenario.recorder.events, objects_up_to(scenario.last_revision));
     EXPECT_EQ(scenario.board.polled_from.size(), 2u);
 }
 
-// Given an event that can't be read in the middle of a long answer, when it has been asked for once more,
-// then it is skipped and all others take effect.
+// One unreadable event in the middle of a long answer must not block the events after it: the client requests
+// it once more and then skips it.
 TEST(LongNoticeAnswer, SkipsAnUnreadableEventInTheMiddle) {
     for (const std::string& bad : {std::string("{\"rev\":700,\"flush\":}"), std::string("#"),
                                    "{\"rev\":700,\"x\":\"" + std::string(2'000'000, 'x') + "\"}"}) {
@@ -214,9 +214,9 @@
     }
 }
 
-// Given JSON whose end can't be found, when it is polled, then the events before it take effect and the board
-// is polled after the retry delay.
-TEST(LongNoticeAnswer, WhoseRestCannotBeReadIsPolledAfterTheRetryDelay) {
+// An event without an end makes the rest of an answer unreadable. The events before it must take effect, and
+// the client must wait for the retry delay between polls.
+TEST(LongNoticeAnswer, PollsAfterTheRetryDelayIfTheRestIsUnreadable) {
     BacklogScenario scenario(1'400);
     scenario.answer = [&](TestConnection& connection, int after) {
         if (scenario.board.polled_from.size() == 8) return scenario.loop.stop();
@@ -228,41 +228,43 @@
     const TimePoint from = scenario.loop.now();
     scenario.run();
     EXPECT_EQ(scenario.recorder.events, objects_up_to(699));
-    // The first and the next one at once, as both follow one that brought something or was the first to fail.
+    // The polls after the first and the second one are sent at once: the first one brought events, and the
+    // second one was the first to fail.
     EXPECT_GE(scenario.loop.now() - from, Duration::micros(100'000) * 5);
 }
 
-// Given a board that sends a little now and then and never all, when the time of an answer is over, then it
-// is broken off and the next poll asks for the rest.
-TEST(LongNoticeAnswer, ThatDoesNotEndIsBrokenOff) {
+// A board that sends a blank now and then but never the whole answer must not hold a poll open for ever: the
+// client aborts the answer when its time is over, and the next poll requests the rest.
+TEST(LongNoticeAnswer, AbortsAnAnswerThatNeverEnds) {
     BacklogScenario scenario(3);
-    std::function<void(TestConnection&)> blanks = [&](TestConnection& connection) {
+    std::function<void(TestConnection&)> send_blanks = [&](TestConnection& connection) {
         if (connection.state() != ConnectionState::open) return;
         connection.output().append(" ");
         connection.write();
-        scenario.loop.schedule_at(scenario.loop.now() + Duration::seconds(0.05), [&] { blanks(connection); });
+        scenario.loop.schedule_at(scenario.loop.now() + Duration::seconds(0.05),
+                                  [&] { send_blanks(connection); });
     };
-    TimePoint first, second;
+    TimePoint first_poll_at, second_poll_at;
     scenario.answer = [&](TestConnection& connection, int after) {
         if (scenario.board.polled_from.size() == 2) {
-            second = scenario.loop.now();
+            second_poll_at = scenario.loop.now();
             return scenario.board.respond(connection, answer_of(after, scenario.last_revision));
         }
-        first = scenario.loop.now();
+        first_poll_at = scenario.loop.now();
         connection.output().append("HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n{\"notices\":[" +
                                    purge_of(1) + ",");
-        blanks(connection);
+        send_blanks(connection);
     };
     scenario.run_for(Duration::seconds(8));
     EXPECT_EQ(scenario.recorder.events, objects_up_to(3));
     EXPECT_EQ(scenario.board.polled_from, (std::vector<std::string>{"0", "1", "3"}));
-    EXPECT_GE(second - first, Duration::seconds(4.9));
-    EXPECT_LT(second - first, Duration::seconds(6));
+    EXPECT_GE(second_poll_at - first_poll_at, Duration::seconds(4.9));
+    EXPECT_LT(second_poll_at - first_poll_at, Duration::seconds(6));
 }
 
-// Given a move in the middle of an answer, when the new board is polled, then for what is behind the last
-// event in force.
-TEST(LongNoticeAnswer, GoesOnAtTheNewBoardAfterAMove) {
+// If the board's address changes in the middle of an answer, the first poll of the new board must request the
+// events after the last one that took effect.
+TEST(LongNoticeAnswer, ResumesAtTheNewBoardAfterAnAddressChange) {
     BacklogScenario scenario(2'000);
     NoticeBoardStandIn next(scenario.loop);
     scenario.answer = [&](TestConnection& connection, int after) {
@@ -286,7 +288,7 @@
     for (const auto& connection : next.connections) connection->close();
 }
 
-// Given lists, one of them complete, among purges, when they are polled, then all take effect in order.
+// Endpoint lists, one of them complete, and purges of one answer must take effect in their order.
 TEST(LongNoticeAnswer, KeepsTheOrderOfListsAndPurges) {
     BacklogScenario scenario(900);
     scenario.answer = [&](TestConnection& connection, int after) {
@@ -308,8 +310,8 @@
     EXPECT_EQ(scenario.recorder.events, all);
 }
 
-// Given one answer that has been read, when the board holds the next poll, then the loop is not woken in each
-// iteration: the program would take a whole core while idle. Guarded by NoticeConnection::end_batch.
+// While the board holds a poll, the client must not wake the loop in each iteration: the idle program would
+// use a whole core. NoticeConnection::end_batch prevents this.
 TEST(LongNoticeAnswer, DoesNotWakeTheLoopWhileThePollIsHeld) {
     log::set_level(log::Level::error);
     EventLoop loop;
--- a/tests/notice_board_stand_in.hpp
+++ b/tests/notice_board_stand_in.hpp
@@ -1,4 +1,4 @@
-// A notice board that records its polls and answers as a test wants.
+// A notice board that records the polls and calls the test to answer them.
 #pragma once
 
 #include <functional>
@@ -14,24 +14,24 @@
 using test_support::TestConnection;
 
 struct NoticeBoardStandIn {
-    explicit NoticeBoardStandIn(EventLoop& l) : loop(l) {}
+    explicit NoticeBoardStandIn(EventLoop& event_loop) : loop(event_loop) {}
     EventLoop& loop;
-    std::vector<std::string> polled_from;  // the revisions that polls named
+    std::vector<std::string> polled_from;  // the revision that each poll named
     std::function<void(TestConnection&)> on_poll = [](TestConnection&) {};
     std::vector<std::shared_ptr<TestConnection>> connections;
-    Acceptor listener{loop, [this](const Poco::Net::StreamSocket& s) {
-                          connections.push_back(std::make_shared<TestConnection>(loop, s));
-                          connections.back()->on_received = [this,
-                                                             raw = connections.back().get()](Buffer& in) {
-                              const std::string request(in.view());
-                              if (request.find("\r\n\r\n") == std::string::npos) return;
-                              in.consume(request.size());
-                              const std::size_t from = request.find("watch=") + 6;
-                              polled_from.push_back(request.substr(from, request.find('&') - from));
-                              on_poll(*raw);
-                          };
-                          connections.back()->start();
-                      }};
+    Acceptor listener{
+        loop, [this](const Poco::Net::StreamSocket& socket) {
+            connections.push_back(std::make_shared<TestConnection>(loop, socket));
+            connections.back()->on_received = [this, connection = connections.back().get()](Buffer& input) {
+                const std::string request(input.view());
+                if (request.find("\r\n\r\n") == std::string::npos) return;
+                input.consume(request.size());
+                const std::size_t from = request.find("watch=") + 6;
+                polled_from.push_back(request.substr(from, request.find('&') - from));
+                on_poll(*connection);
+            };
+            connections.back()->start();
+        }};
     void respond(TestConnection& connection, const std::string& body) {
         connection.output().append("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) +
                                    "\r\n\r\n" + body);
--- a/tests/notice_catch_up_test.cpp
+++ b/tests/notice_catch_up_test.cpp
@@ -1,4 +1,4 @@
-// A process that has not reached its notice board for long: the events that it missed take effect while it
+// A process that could not reach its notice board for a long time must apply the missed events while it
 // serves requests, in bounded memory.
 #include <cstdio>
 #include <fstream>
@@ -15,12 +15,12 @@
 using test_support::SingleProcess;
 
 #if defined(__SANITIZE_ADDRESS__)
-constexpr bool memory_is_returned = false;  // the sanitizer keeps what was freed
+constexpr bool memory_is_returned = false;  // the sanitizer does not return freed memory
 #else
 constexpr bool memory_is_returned = true;
 #endif
 
-// The most memory that the process has used.
+// The process's peak resident set size in KB; 0 if /proc does not show it.
 long peak_memory_kb(pid_t id) {
     std::ifstream status("/proc/" + std::to_string(id) + "/status");
     for (std::string line; std::getline(status, line);)
@@ -35,20 +35,21 @@
            "\",\"ms\":" + std::to_string(ms) + "}}";
 }
 
-// Requests one object until an attempt carries the bound of a purge. Each request gets its response.
+// Requests one object until an attempt carries the age limit that a purge causes. Every request must be
+// answered.
 struct Prober {
     SingleProcess& solo;
     std::shared_ptr<test_support::FastCgiClient> client = solo.connect_client();
     int requests = 0;
-    Duration longest{};
+    Duration slowest{};
 
-    bool until_purge_binds(const std::string& object) {
+    bool request_until_purge_binds(const std::string& object) {
         for (const TimePoint end = solo.loop.now() + Duration::seconds(10); solo.loop.now() < end;) {
             const auto number = static_cast<std::uint16_t>(++requests);
             const TimePoint from = solo.loop.now();
             client->send(number, {.id = id_of(requests), .object = object});
             if (!solo.wait_until([&] { return client->has_response(number, "Status: 200"); })) return false;
-            longest = std::max(longest, solo.loop.now() - from);
+            slowest = std::max(slowest, solo.loop.now() - from);
             const ScriptedCache* const cache = solo.cache_serving(id_of(requests));
             for (const ScriptedCache::ReceivedAttempt& attempt : cache->received)
                 if (attempt.request_id == id_of(requests) && !resp::field(attempt.fields, "fresh").empty())
@@ -58,8 +59,9 @@
     }
 };
 
-// Given 200,000 missed purges, 12 MB in one answer, when half of it has come, then requests are served with
-// the purges of that half in force; when the rest comes, then with those too, and the memory stays bounded.
+// An answer with 200,000 missed purges (12 MB) must neither stop the gateway from serving requests nor be
+// held whole in memory. The purges of the first half must be in force before the second half arrives, and
+// those of the second half after it.
 TEST(NoticeCatchUp, ServesRequestsInTheMiddleOfAnAnswerInBoundedMemory) {
     SingleProcess solo(answering(solo_shape(2)));
     NoticeBoardStandIn board(solo.loop);
@@ -95,17 +97,17 @@
     solo.process->signal(SIGHUP);
     Prober prober{solo};
     ASSERT_TRUE(solo.wait_until([&] { return !board.polled_from.empty(); }));
-    EXPECT_TRUE(prober.until_purge_binds(first_object));
+    EXPECT_TRUE(prober.request_until_purge_binds(first_object));
     EXPECT_EQ(board.polled_from.size(), 1u);
 
     board.connections.back()->output().append(rest);
     board.connections.back()->write();
-    EXPECT_TRUE(prober.until_purge_binds(last_object));
+    EXPECT_TRUE(prober.request_until_purge_binds(last_object));
     ASSERT_TRUE(solo.wait_until([&] { return board.polled_from.size() == 2; }));
     EXPECT_EQ(board.polled_from, (std::vector<std::string>{std::to_string(first - 1), std::to_string(last)}));
     const long grown_kb = peak_memory_kb(solo.process->id()) - before_kb;
     std::printf("%zu bytes; %d requests meanwhile, the slowest %lld us; memory grew by %ld KB\n", length,
-                prober.requests, static_cast<long long>(prober.longest.micros()), grown_kb);
+                prober.requests, static_cast<long long>(prober.slowest.micros()), grown_kb);
     EXPECT_TRUE(!memory_is_returned || grown_kb < 4096);
     for (const auto& connection : board.connections) connection->close();
 }
--- a/tests/notice_client_test.cpp
+++ b/tests/notice_client_test.cpp
@@ -1,4 +1,5 @@
-// NoticeClient: polls that break off, bring nothing, the same again, or are answered after a move.
+// NoticeClient with polls that break off, bring no events or events that it already has, or are answered
+// after the board's address has changed.
 #include "net/notice_client.hpp"
 #include "base/log.hpp"
 #include "notice_board_stand_in.hpp"
@@ -20,122 +21,126 @@
     return "{\"rev\":" + std::to_string(rev) + ",\"flush\":{\"asset\":\"" + object + "\",\"ms\":1}}";
 }
 
-// Given an answer that breaks off, then one with an event that can't be read, then a move, when each is
-// polled again, then at once; the unreadable event is asked for once more and skipped, and the revisions go
-// on.
-TEST(NoticeClient, LosesNoEventByABreakAnUnreadableEventOrAMove) {
+// No event may be lost by an answer that breaks off, by one with an unreadable event, or by a change of the
+// board's address. The client polls again at once after each, requests the unreadable event once more before
+// it skips it, and continues from its last revision at the new address.
+TEST(NoticeClient, LosesNoEventByABreakAnUnreadableEventOrAnAddressChange) {
     log::set_level(log::Level::error);
     EventLoop loop;
     PurgeRecorder recorder;
-    NoticeBoardStandIn one(loop), other(loop);
+    NoticeBoardStandIn board(loop), new_board(loop);
     const Duration retry_delay = Duration::seconds(0.3);
-    NoticeClient client(loop, recorder, one.listener.address(), retry_delay);
+    NoticeClient client(loop, recorder, board.listener.address(), retry_delay);
     TimePoint broken_off_at, polled_again_at;
-    one.on_poll = [&](TestConnection& w) {
-        switch (one.polled_from.size()) {
+    board.on_poll = [&](TestConnection& connection) {
+        switch (board.polled_from.size()) {
             case 1:
-                w.output().append("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"rev\":1,");
-                w.write();
+                connection.output().append("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"rev\":1,");
+                connection.write();
                 broken_off_at = loop.now();
-                return (void)loop.schedule_at(broken_off_at + Duration::seconds(0.02), [&w] { w.close(); });
+                return (void)loop.schedule_at(broken_off_at + Duration::seconds(0.02),
+                                              [&connection] { connection.close(); });
             case 2:
                 polled_again_at = loop.now();
-                return one.respond(w, "{\"rev\":3,\"notices\":[" + purge_event(1, "a1") +
-                                          ",{\"rev\":2,\"flush\":7}," + purge_event(3, "a3") + "]}");
+                return board.respond(connection, "{\"rev\":3,\"notices\":[" + purge_event(1, "a1") +
+                                                     ",{\"rev\":2,\"flush\":7}," + purge_event(3, "a3") +
+                                                     "]}");
             case 3:
-                return one.respond(
-                    w, "{\"rev\":3,\"notices\":[{\"rev\":2,\"flush\":7}," + purge_event(3, "a3") + "]}");
+                return board.respond(connection, "{\"rev\":3,\"notices\":[{\"rev\":2,\"flush\":7}," +
+                                                     purge_event(3, "a3") + "]}");
             default:
-                return client.set_address(other.listener.address());
+                return client.set_address(new_board.listener.address());
         }
     };
-    other.on_poll = [&](TestConnection& w) {
-        if (other.polled_from.size() == 1)
-            return other.respond(w, "{\"rev\":4,\"notices\":[" + purge_event(4, "a4") + "]}");
+    new_board.on_poll = [&](TestConnection& connection) {
+        if (new_board.polled_from.size() == 1)
+            return new_board.respond(connection, "{\"rev\":4,\"notices\":[" + purge_event(4, "a4") + "]}");
         loop.stop();
     };
     client.poll();
     loop.schedule_at(loop.now() + Duration::seconds(5), [&] { loop.stop(); });
     loop.run();
-    EXPECT_EQ(one.polled_from, (std::vector<std::string>{"0", "0", "1", "3"}));
-    EXPECT_EQ(other.polled_from, (std::vector<std::string>{"3", "4"}));
+    EXPECT_EQ(board.polled_from, (std::vector<std::string>{"0", "0", "1", "3"}));
+    EXPECT_EQ(new_board.polled_from, (std::vector<std::string>{"3", "4"}));
     EXPECT_EQ(recorder.purged, (std::vector<std::string>{"a1", "a3", "a4"}));
     EXPECT_LT(polled_again_at, broken_off_at + Duration::seconds(0.02) + retry_delay);
-    for (auto* b : {&one, &other})
+    for (auto* b : {&board, &new_board})
         for (const auto& connection : b->connections) connection->close();
 }
 
-// A client of one board, until the board's step ends the loop.
+// A client that polls one board until the board's on_poll() stops the loop, and at the latest after 5 s.
 struct PollScenario {
     static constexpr Duration retry_delay = Duration::micros(100'000);
     EventLoop loop;
     PurgeRecorder recorder;
-    NoticeBoardStandIn one{loop};
-    NoticeClient client{loop, recorder, one.listener.address(), retry_delay};
-    // Returns how long it took.
+    NoticeBoardStandIn board{loop};
+    NoticeClient client{loop, recorder, board.listener.address(), retry_delay};
+    // Returns how long the loop ran.
     Duration run() {
         log::set_level(log::Level::error);
         const TimePoint from = loop.now();
         client.poll();
         loop.schedule_at(from + Duration::seconds(5), [this] { loop.stop(); });
         loop.run();
-        for (const auto& w : one.connections) w->close();
+        for (const auto& connection : board.connections) connection->close();
         return loop.now() - from;
     }
 };
 
-// Given a board whose revisions have gone back and which holds no poll, when it is polled, then again only
-// after the retry delay. Guarded by NoticeClient::on_poll_response.
-TEST(NoticeClient, PollsABoardThatHasGoneBackAfterTheRetryDelay) {
+// A board whose revisions have gone back answers each poll at once with events that the client already has.
+// The client must wait for the retry delay between such polls; NoticeClient::on_poll_response enforces this.
+TEST(NoticeClient, WaitsBetweenPollsOfABoardWhoseRevisionsWentBack) {
     PollScenario scenario;
-    NoticeBoardStandIn& one = scenario.one;
-    one.on_poll = [&](TestConnection& w) {
-        if (one.polled_from.size() == 1)
-            return one.respond(w, "{\"rev\":7,\"notices\":[" + purge_event(7, "a7") + "]}");
-        if (one.polled_from.size() == 40 || scenario.recorder.purged.size() == 2) return scenario.loop.stop();
-        // Its revisions have gone back, until it has caught up.
-        one.respond(w, one.polled_from.size() < 5 ? "{\"rev\":2,\"notices\":[" + purge_event(2, "a2") + "]}"
-                                                  : "{\"rev\":8,\"notices\":[" + purge_event(8, "a8") + "]}");
+    NoticeBoardStandIn& board = scenario.board;
+    board.on_poll = [&](TestConnection& connection) {
+        if (board.polled_from.size() == 1)
+            return board.respond(connection, "{\"rev\":7,\"notices\":[" + purge_event(7, "a7") + "]}");
+        if (board.polled_from.size() == 40 || scenario.recorder.purged.size() == 2)
+            return scenario.loop.stop();
+        // The board's revisions have gone back and pass the client's revision only at the fifth poll.
+        board.respond(connection, board.polled_from.size() < 5
+                                      ? "{\"rev\":2,\"notices\":[" + purge_event(2, "a2") + "]}"
+                                      : "{\"rev\":8,\"notices\":[" + purge_event(8, "a8") + "]}");
     };
     EXPECT_GE(scenario.run(), PollScenario::retry_delay * 3);
     EXPECT_EQ(scenario.recorder.purged, (std::vector<std::string>{"a7", "a8"}));
-    EXPECT_EQ(one.polled_from, (std::vector<std::string>{"0", "7", "7", "7", "7", "8"}));
+    EXPECT_EQ(board.polled_from, (std::vector<std::string>{"0", "7", "7", "7", "7", "8"}));
 }
 
-// Given a board that never answers the very first poll, when the time is over, then the next poll brings what
-// was missed.
+// A first poll that the board never answers must end when its time is over, and the next poll must bring the
+// events.
 TEST(NoticeClient, EndsAPollThatIsNeverAnswered) {
     PollScenario scenario;
-    NoticeBoardStandIn& one = scenario.one;
-    one.on_poll = [&](TestConnection& w) {
-        if (one.polled_from.size() == 1) return;
-        if (one.polled_from.size() == 3) return scenario.loop.stop();
-        one.respond(w, "{\"rev\":1,\"notices\":[" + purge_event(1, "a1") + "]}");
+    NoticeBoardStandIn& board = scenario.board;
+    board.on_poll = [&](TestConnection& connection) {
+        if (board.polled_from.size() == 1) return;
+        if (board.polled_from.size() == 3) return scenario.loop.stop();
+        board.respond(connection, "{\"rev\":1,\"notices\":[" + purge_event(1, "a1") + "]}");
     };
     EXPECT_LT(scenario.run(), Duration::seconds(2));  // the poll's linger and the retry delay
     EXPECT_EQ(scenario.recorder.purged, std::vector<std::string>{"a1"});
 }
 
-// Given an answer of the old board that is under way, when the client moves to another in the same iteration,
-// then the old one's events do not take effect.
-TEST(NoticeClient, IgnoresTheOldBoardAfterAMove) {
+// An answer of the old board must not take effect if it is received in the iteration in which the client's
+// board address changes.
+TEST(NoticeClient, IgnoresTheOldBoardAfterAnAddressChange) {
     PollScenario scenario;
-    NoticeBoardStandIn& old = scenario.one;
-    NoticeBoardStandIn next(scenario.loop);
-    old.on_poll = [&](TestConnection& w) {
-        old.respond(w, "{\"rev\":1,\"notices\":[" + purge_event(1, "a1") + "]}");
-        // Its bytes are under way when the client moves.
-        scenario.loop.run_next_iteration([&] { scenario.client.set_address(next.listener.address()); });
+    NoticeBoardStandIn& old_board = scenario.board;
+    NoticeBoardStandIn new_board(scenario.loop);
+    old_board.on_poll = [&](TestConnection& connection) {
+        old_board.respond(connection, "{\"rev\":1,\"notices\":[" + purge_event(1, "a1") + "]}");
+        // The answer is in transit when the client's board address changes.
+        scenario.loop.run_next_iteration([&] { scenario.client.set_address(new_board.listener.address()); });
     };
-    next.on_poll = [&](TestConnection& w) {
-        if (next.polled_from.size() == 1)
-            return next.respond(w, "{\"rev\":2,\"notices\":[" + purge_event(2, "b2") + "]}");
+    new_board.on_poll = [&](TestConnection& connection) {
+        if (new_board.polled_from.size() == 1)
+            return new_board.respond(connection, "{\"rev\":2,\"notices\":[" + purge_event(2, "b2") + "]}");
         scenario.loop.stop();
     };
     scenario.run();
-    EXPECT_EQ(next.polled_from, (std::vector<std::string>{"0", "2"}));
+    EXPECT_EQ(new_board.polled_from, (std::vector<std::string>{"0", "2"}));
     EXPECT_EQ(scenario.recorder.purged, std::vector<std::string>{"b2"});
-    for (const auto& w : next.connections) w->close();
+    for (const auto& connection : new_board.connections) connection->close();
 }
 
 }  // namespace
--- a/tests/notices_test.cpp
+++ b/tests/notices_test.cpp
@@ -1,5 +1,5 @@
-// The reader of the notice board's answers and the framing around them: the same events in the same order
-// whatever the pieces, in bounded memory, and events before something unreadable count.
+// NoticeReader and http::BodyReader: splitting an answer of the notice board must not change its events or
+// their order, memory must stay bounded, and the events before unreadable data must be delivered.
 #include "codec/notice_reader.hpp"
 
 #include <gtest/gtest.h>
@@ -19,20 +19,21 @@
     return low + random() % (high - low + 1);
 }
 
-// Text that a scanner could take for structure.
-std::string awkward_text(Random& random) {
+// Random text of characters that a scanner could mistake for JSON structure.
+std::string random_json_like_text(Random& random) {
     static const std::string parts[] = {"\"", "\\", "{", "}", "[", "]", ",", ":", "rev", "\n", "\r\n", "é"};
     std::string text;
     for (std::size_t n = draw(random, 0, 12); n > 0; --n) text += parts[random() % std::size(parts)];
     return text;
 }
 
-json event_of(Random& random, std::int64_t revision) {
+json random_event(Random& random, std::int64_t revision) {
     json event = {{"rev", revision}};
     if (random() % 2 == 0)
-        event["flush"] = {{"asset", awkward_text(random)}, {"ms", 1}};
+        event["flush"] = {{"asset", random_json_like_text(random)}, {"ms", 1}};
     else
-        event["pool"] = {{"full", false}, {"servers", {{{"id", awkward_text(random)}, {"cell", 1}}}}};
+        event["pool"] = {{"full", false},
+                         {"servers", {{{"id", random_json_like_text(random)}, {"cell", 1}}}}};
     return event;
 }
 
@@ -42,19 +43,20 @@
     std::int64_t revision = 0;
 };
 
-// With its number before or behind the list, blanks or none, and fields that nobody knows.
-Answer answer_of(Random& random, std::int64_t events, bool number_first) {
+// A random answer: its revision stands before or after the list of events, it is indented or not, and it has
+// fields that the reader does not know.
+Answer random_answer(Random& random, std::int64_t events, bool revision_first) {
     Answer answer;
     answer.revision = events;
     json list = json::array();
-    for (std::int64_t n = 1; n <= events; ++n) list.push_back(event_of(random, n));
+    for (std::int64_t n = 1; n <= events; ++n) list.push_back(random_event(random, n));
     answer.events = {list.begin(), list.end()};
     const int indent = random() % 2 == 0 ? -1 : 3;
     const std::string number = "\"rev\":" + std::to_string(events);
     const std::string notices = "\"notices\" : " + list.dump(indent);
-    const std::string other = "\"x\":" + json{{"notices", {1, awkward_text(random)}}}.dump();
-    answer.body = number_first ? "{" + number + "," + other + " ,\n" + notices + "}"
-                               : " { " + notices + ", " + other + "," + number + " }\n";
+    const std::string other = "\"x\":" + json{{"notices", {1, random_json_like_text(random)}}}.dump();
+    answer.body = revision_first ? "{" + number + "," + other + " ,\n" + notices + "}"
+                                 : " { " + notices + ", " + other + "," + number + " }\n";
     return answer;
 }
 
@@ -104,13 +106,13 @@
     }
 }
 
-// Given random answers, when each is fed whole, byte by byte and in pieces of random sizes, then the same
-// events come in the same order.
+// The boundaries between received pieces must not change the events or their order. Feeds random answers
+// whole, byte by byte and in pieces of random sizes.
 TEST(NoticeReader, ReadsTheSameEventsFromPiecesOfAnySize) {
     for (unsigned seed = 1; seed <= 60; ++seed) {
         Random random(seed);
         const Answer answer =
-            answer_of(random, static_cast<std::int64_t>(draw(random, 0, 80)), seed % 2 == 0);
+            random_answer(random, static_cast<std::int64_t>(draw(random, 0, 80)), seed % 2 == 0);
         ASSERT_TRUE(json::accept(answer.body)) << answer.body;
         expect_same(read_whole(answer.body), answer);
         expect_same(read_in_pieces(answer.body, [] { return std::size_t{1}; }), answer);
@@ -119,13 +121,13 @@
     }
 }
 
-// Given random answers in HTTP chunks that end anywhere, also within strings and escapes, when pieces of the
-// framed bytes are fed, then the same events come.
+// HTTP chunks may end anywhere, also within strings and escapes, and must not change the events. Feeds random
+// answers in random chunks, in pieces of random sizes.
 TEST(NoticeReader, ReadsTheSameEventsFromChunksOfAnySize) {
     for (unsigned seed = 1; seed <= 60; ++seed) {
         Random random(seed);
         const Answer answer =
-            answer_of(random, static_cast<std::int64_t>(draw(random, 1, 80)), seed % 2 == 0);
+            random_answer(random, static_cast<std::int64_t>(draw(random, 1, 80)), seed % 2 == 0);
         std::string framed;
         for (std::size_t at = 0; at < answer.body.size();) {
             const std::string chunk = answer.body.substr(at, draw(random, 1, seed % 3 == 0 ? 9 : 2000));
@@ -162,11 +164,11 @@
     }
 }
 
-// Given a body longer than any that is held whole, when it is read in pieces, then it ends at its length.
-TEST(HttpBodyReader, EndsABodyAtItsLength) {
+// A body that is longer than any body held whole in memory must still end at its Content-Length.
+TEST(HttpBodyReader, EndsALongBodyAtItsContentLength) {
     http::Head head;
     head.has_content_length = true;
-    head.length = (std::size_t{1} << 21) + 1;  // above what is ever held whole
+    head.length = (std::size_t{1} << 21) + 1;  // more than is ever held whole
     http::BodyReader body(head);
     const std::string some(100'000, 'b');
     std::size_t seen = 0, used = 0;
@@ -181,8 +183,7 @@
     EXPECT_EQ(seen, head.length);
 }
 
-// Given an answer with events that can't be read among others, when it is read, then each of those bears its
-// own error and the others are read.
+// An unreadable event must not hide the other events of its answer: it is reported with an error of its own.
 TEST(NoticeReader, ReportsAnUnreadableEventAndReadsTheOthers) {
     const Result read = read_whole(
         R"({"rev":5,"notices":[{"rev":1,"flush":{}},{"rev":2,"flush":},7,{"rev":"x"},{"rev":5,"flush":{}}]})");
@@ -197,8 +198,8 @@
     EXPECT_EQ(read.notices[4].revision, 5);
 }
 
-// Given an answer that breaks off in its third event, when it is read, then the first two have come.
-TEST(NoticeReader, ReadsTheEventsBeforeABreak) {
+// The two whole events of an answer that breaks off in its third event must be delivered.
+TEST(NoticeReader, DeliversTheEventsBeforeATruncation) {
     const std::string body = R"({"rev":3,"notices":[{"rev":1},{"rev":2},{"re)";
     const Result read = read_whole(body);
     ASSERT_EQ(read.notices.size(), 2u);
@@ -206,9 +207,9 @@
     EXPECT_EQ(read.error, std::nullopt);
 }
 
-// Given bytes that are no answer, or none yet, when they are read, then the reader reports an error or goes
-// on waiting, and never says that the answer is complete.
-TEST(NoticeReader, RefusesAnswersOfAnotherForm) {
+// Bytes that are no answer, or only the beginning of one, must never be reported as a complete answer. The
+// reader reports an error or waits for more data.
+TEST(NoticeReader, NeverCompletesAMalformedAnswer) {
     for (const char* body : {"[]", "7", "{\"rev\":1,}", "{7:1}", "{\"rev\":1,\"notices\":{}}",
                              "{\"rev\":1} x", "{\"rev\":\"1\",\"notices\":[]}", "{\"notices\":[] 7}"}) {
         const Result read = read_whole(body);
@@ -222,8 +223,8 @@
               ResponseError::notices_not_a_list);
 }
 
-// Given events without a revision, when the answer's stands before or behind them, then they bear it and the
-// order stays.
+// Events without a revision get the revision of the answer, whether it stands before or after them, and must
+// stay in order.
 TEST(NoticeReader, GivesUnnumberedEventsTheAnswersRevision) {
     for (const char* body : {R"({"rev":9,"notices":[{"a":1},{"rev":8},{"a":2}]})",
                              R"({"notices":[{"a":1},{"rev":8},{"a":2}],"rev":9})"}) {
@@ -237,9 +238,9 @@
     }
 }
 
-// Given an answer whose events and which itself have no revision, when it goes on, then the reader reports an
-// error before it holds more than its bound.
-TEST(NoticeReader, BoundsTheEventsThatWaitForARevision) {
+// Events without a revision are held until the revision of the answer arrives. If it never does, the reader
+// must report an error before it holds more than max_waiting_bytes.
+TEST(NoticeReader, BoundsTheMemoryOfEventsWithoutARevision) {
     NoticeReader reader;
     reader.feed("{\"notices\":[");
     EXPECT_FALSE(reader.next());
@@ -254,8 +255,8 @@
     EXPECT_LT(fed, NoticeReader::max_waiting_bytes);
 }
 
-// Given an event that is too large or too deep, when the answer is read, then that one bears an error and
-// those behind it are read.
+// An event that is too large or too deeply nested must be reported with an error, and the events after it
+// must still be read.
 TEST(NoticeReader, SkipsAnEventThatIsTooLargeOrTooDeep) {
     for (const std::string& bad :
          {"{\"rev\":2,\"x\":\"" + std::string(3 * NoticeReader::max_notice_bytes, 'x') + "\"}",
@@ -269,12 +270,11 @@
     }
 }
 
-// Given answers with some bytes changed, when they are read, then the reader comes to the end of the bytes
-// and the events before the first change are read.
-TEST(NoticeReader, ReadsTheEventsBeforeChangedBytes) {
+// Corrupted bytes must not hang the reader, and the events before the first of them must be delivered.
+TEST(NoticeReader, DeliversTheEventsBeforeCorruptedBytes) {
     for (unsigned seed = 1; seed <= 400; ++seed) {
         Random random(seed);
-        const Answer answer = answer_of(random, 20, true);
+        const Answer answer = random_answer(random, 20, true);
         std::string body = answer.body;
         const std::size_t from = body.find("\"notices\" : ") + draw(random, 12, body.size() / 2);
         for (std::size_t n = draw(random, 1, 5); n > 0; --n)
--- a/tests/outer_names_test.cpp
+++ b/tests/outer_names_test.cpp
@@ -34,22 +34,22 @@
     return names;
 }
 
-// The contents of all string literals of C++ source text, one a line. Comments and #include lines are
-// skipped.
+// Returns the contents of all string literals of C++ source text, one a line. Skips comments and #include
+// lines.
 std::string string_literals(const std::string& source) {
     std::string literals;
     for (std::size_t at = 0; at < source.size(); ++at) {
         if (source.compare(at, 2, "//") == 0 || source.compare(at, 8, "#include") == 0) {
             at = std::min(source.find('\n', at), source.size());
         } else if (source[at] == '\'' && at + 2 < source.size()) {
-            // A digit separator is followed by a digit, a character literal by its end.
+            // A closing quote ends a character literal; a digit separator has none.
             const std::size_t length = source[at + 1] == '\\' ? 3 : 2;
             if (at + length < source.size() && source[at + length] == '\'') at += length;
         } else if (source[at] == '"') {
             for (++at; at < source.size() && source[at] != '"'; ++at) {
                 const bool escaped = source[at] == '\\' && at + 1 < source.size();
                 if (escaped) ++at;
-                // \r, \n and the like separate words.
+                // Escapes such as \r and \n separate words.
                 literals +=
                     escaped && std::isalnum(static_cast<unsigned char>(source[at])) != 0 ? ' ' : source[at];
             }
@@ -59,7 +59,8 @@
     return literals;
 }
 
-// The strings of the folder's C++ sources, and other files (deploy/balancer.toml) whole.
+// Returns the string literals of the folder's C++ sources, and the whole text of other files
+// (deploy/balancer.toml).
 std::string searched_text(const std::string& folder) {
     std::string text;
     for (const auto& file :
@@ -73,7 +74,7 @@
 
 bool is_word_character(char c) { return std::isalnum(static_cast<unsigned char>(c)) != 0 || c == '_'; }
 
-// Whether the name occurs and is no part of a longer word.
+// Returns whether the name occurs as a whole word.
 bool contains_name(std::string_view text, std::string_view name) {
     for (std::size_t at = text.find(name); at != std::string_view::npos; at = text.find(name, at + 1)) {
         const std::size_t end = at + name.size();
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -141,7 +141,7 @@
 // Opens copies of an earlier program's store folders. The values have the names that the gateway uses, and
 // can be overwritten.
 TEST(StoredData, AStoreOfAnEarlierProgramIsReadBack) {
-    Folder folder;
+    TemporaryFolder folder;
     fs::copy(golden_path("stored/store_list"), folder.path() + "/list", fs::copy_options::recursive);
     fs::copy(golden_path("stored/store_fleet"), folder.path() + "/fleet", fs::copy_options::recursive);
     auto list = Store::open(folder.path() + "/list", small_store);
@@ -200,7 +200,7 @@
 }
 
 // Each kind of record with its path after the fleet's prefix.
-Named fleet_records() {
+NamedValues fleet_records() {
     const SiteName none, site{"north-1"};
     const MemberName g1{"g1"}, g2{"g2"};
     AppliedRevisions with_lost_history = applied_revisions;
@@ -383,7 +383,7 @@
     EventLoop loop;
     test_support::FakeRegistry registry_{loop, 1, Duration::micros(20'000)};
     test_support::FakeNoticeBoard board{loop};
-    Folder folder;
+    TemporaryFolder folder;
     std::unique_ptr<test_support::Process> gateway;
     test_support::LoopRunner stretches{
         loop};  // declared last: no member above may be destroyed while the loop runs
--- a/tests/wire_names_test.cpp
+++ b/tests/wire_names_test.cpp
@@ -1,5 +1,6 @@
-// Names on the wire and in settings, as others use them: web servers, caches, the notice board, the registry,
-// and whoever writes settings or commands. They stand in files of whole messages and in texts of this test.
+// Names on the wire, in settings and in commands, which web servers, caches, the notice board, the registry
+// and operators use. A renaming in the source must not change them: the tests compare whole messages with
+// files under tests/data, or contain the names themselves.
 #include <algorithm>
 #include <cctype>
 #include <sstream>
@@ -26,7 +27,7 @@
 using nlohmann::json;
 namespace etcd = registry::etcd;
 
-// One line of text, whatever the bytes are.
+// Returns the bytes as one line of printable text, with all other bytes and backslashes escaped.
 std::string printable(std::string_view bytes) {
     std::string text;
     for (const char c : bytes) {
@@ -42,8 +43,9 @@
     return text;
 }
 
-// Figures that depend on the time, or on which ports were free, and the length of the text that holds them.
-std::string masked(std::string text) {
+// Replaces the numbers that depend on the time or on free ports by "N", and with them the length of the RESP
+// string that contains them.
+std::string mask_variable_numbers(std::string text) {
     const std::string digits = "0123456789", fields = "\\r\\nsort=";
     for (const std::string before : {"patience=", "fresh=", "Retry-After-Ms: ", "127.0.0.1:"})
         for (std::size_t at = text.find(before); at != std::string::npos; at = text.find(before, at + 1)) {
@@ -64,19 +66,19 @@
     std::string text;
 };
 
-CommandOutput run(const std::vector<std::string>& words, std::vector<std::string> environment = {}) {
-    Folder folder;
+CommandOutput run(const std::vector<std::string>& arguments, std::vector<std::string> environment = {}) {
+    TemporaryFolder folder;
     std::vector<std::string> all = {IRISMUX_PROGRAM};
-    all.insert(all.end(), words.begin(), words.end());
+    all.insert(all.end(), arguments.begin(), arguments.end());
     environment.push_back("PATH=/usr/bin:/bin");
-    test_support::Process p({all, environment, "", folder.path() + "/out"});
-    for (int n = 0; n < 1000 && p.running(); ++n) ::usleep(10'000);
-    return {p.status().value_or(-1), bytes_of_file(folder.path() + "/out")};
+    test_support::Process process({all, environment, "", folder.path() + "/out"});
+    for (int n = 0; n < 1000 && process.running(); ++n) ::usleep(10'000);
+    return {process.status().value_or(-1), bytes_of_file(folder.path() + "/out")};
 }
 
-// Given: the help texts of all sub-commands as files. When: the program is asked for them. Then: they are the
-// same, and with them the names of sub-commands, flags and environment variables.
-TEST(WireNames, HelpTextsStandAsTheyDid) {
+// The help text of each sub-command must equal its file, so that no name of a sub-command, a flag or an
+// environment variable changes unnoticed.
+TEST(WireNames, HelpTextsAreUnchanged) {
     const std::vector<std::vector<std::string>> commands = {{},
                                                             {"serve"},
                                                             {"check"},
@@ -93,23 +95,23 @@
                                                             {"fleet", "in-force"},
                                                             {"fleet", "forget"},
                                                             {"fleet", "new-generation"}};
-    for (std::vector<std::string> words : commands) {
+    for (std::vector<std::string> arguments : commands) {
         std::string file = "help/irismux";
-        for (const std::string& word : words) file += "_" + word;
-        words.push_back("--help");
-        const CommandOutput said = run(words);
-        EXPECT_EQ(said.status, 0) << file;
-        expect_golden(file + ".txt", said.text);
+        for (const std::string& word : arguments) file += "_" + word;
+        arguments.push_back("--help");
+        const CommandOutput output = run(arguments);
+        EXPECT_EQ(output.status, 0) << file;
+        expect_golden(file + ".txt", output.text);
     }
 }
 
-// Given: no settings, or wrong ones, in the environment. When: the program is told to serve. Then: it names
-// the variable or what it holds, and ends with 2.
-TEST(WireNames, VariablesOfTheEnvironmentAreRead) {
+// `irismux serve` must read the environment variables under these names: with a missing or invalid value it
+// prints the variable or its value, and exits with status 2.
+TEST(WireNames, ReadsTheEnvironmentVariables) {
     const auto expect = [](std::vector<std::string> environment, const std::string& line) {
-        const CommandOutput said = run({"serve"}, std::move(environment));
-        EXPECT_EQ(said.text, "irismux: " + line + '\n');
-        EXPECT_EQ(said.status, 2 << 8);
+        const CommandOutput output = run({"serve"}, std::move(environment));
+        EXPECT_EQ(output.text, "irismux: " + line + '\n');
+        EXPECT_EQ(output.status, 2 << 8);
     };
     expect({}, "NODE_CONFIG is not set; it must name a configuration file");
     expect({"NODE_CONFIG=/no/such"}, "cannot read the configuration /no/such: No such file or directory");
@@ -122,9 +124,9 @@
 
 std::string bytes_of(const Buffer& out) { return std::string(out.view()); }
 
-// Given: messages of each sort as a file. When: they are written. Then: they are the same bytes.
-TEST(WireNames, MessagesAreWrittenAsBefore) {
-    Named all;
+// Messages of each kind must be written with exactly the bytes of the file.
+TEST(WireNames, WritesMessagesOfEachKind) {
+    NamedValues all;
     const auto add = [&](const std::string& name, auto write) {
         Buffer out;
         write(out);
@@ -149,11 +151,11 @@
 
 // --- the registry
 
-// Given: each request to the registry as a file. When: it is written. Then: paths and fields are the same.
-TEST(WireNames, RegistryRequestsAreWrittenAsBefore) {
+// Each request to the registry must have the path and the fields of the file.
+TEST(WireNames, WritesRegistryRequests) {
     using registry::RecordKey;
     using registry::Revision;
-    Named all;
+    NamedValues all;
     const auto add = [&](const std::string& name, const etcd::Request& r) {
         all.emplace_back(name, r.target + ' ' + r.body);
     };
@@ -187,8 +189,8 @@
     EXPECT_EQ(r.modified, registry::Revision{40});
 }
 
-// Given: answers of the registry with each field that counts. When: they are read. Then: each value is found.
-TEST(WireNames, RegistryAnswersAreRead) {
+// Each field that the program uses must be found in the registry's answers under its name.
+TEST(WireNames, ReadsRegistryAnswers) {
     const auto range = std::get<etcd::Range>(etcd::read_range(
         200, "{" + header + R"(,"more":true,"count":"9","kvs":[)" + record_c1 + "]}", "/caches/"));
     EXPECT_EQ(range.page.header.cluster, registry::ClusterId{"1001"});
@@ -212,22 +214,23 @@
     expect_c1(settled.records[0]);
 }
 
-// Given: messages of a watch. When: they are read. Then: each field is found; also that it was compacted.
-TEST(WireNames, RegistryWatchesAreRead) {
+// Each field that the program uses must be found in the messages of a watch, as must the error of a compacted
+// revision.
+TEST(WireNames, ReadsRegistryWatchMessages) {
     const std::string start = "{\"result\":{" + header;
     const auto created =
         std::get<etcd::WatchMessage>(etcd::read_watch(start + R"(,"created":true}})", "/caches/"));
     EXPECT_TRUE(created.created);
-    const auto said = std::get<etcd::WatchMessage>(
+    const auto message = std::get<etcd::WatchMessage>(
         etcd::read_watch(start + R"(,"fragment":true,"events":[{"kv":)" + record_c1 +
                              R"(},{"type":"DELETE","kv":{"key":"L2NhY2hlcy9jMg==","mod_revision":"41"}}]}})",
                          "/caches/"));
-    EXPECT_TRUE(said.fragment);
-    ASSERT_EQ(said.changes.size(), 2u);
-    expect_c1(said.changes[0].record);
-    EXPECT_FALSE(said.changes[0].deleted);
-    EXPECT_TRUE(said.changes[1].deleted);
-    EXPECT_EQ(said.changes[1].record.key, registry::RecordKey{"c2"});
+    EXPECT_TRUE(message.fragment);
+    ASSERT_EQ(message.changes.size(), 2u);
+    expect_c1(message.changes[0].record);
+    EXPECT_FALSE(message.changes[0].deleted);
+    EXPECT_TRUE(message.changes[1].deleted);
+    EXPECT_EQ(message.changes[1].record.key, registry::RecordKey{"c2"});
     const auto compacted =
         etcd::read_watch(start + R"(,"canceled":true,"compact_revision":"50"}})", "/caches/");
     EXPECT_EQ(std::get<etcd::Error>(compacted).code, etcd::ErrorCode::compacted);
@@ -235,18 +238,18 @@
 
 // --- the notice board
 
-// Keeps what the board told.
-struct Heard final : NoticeObserver {
-    void on_endpoint_notice(const std::vector<EndpointRecord>& lines, bool is_complete) override {
-        list = lines;
+// Records the events of the notice board.
+struct NoticeRecorder final : NoticeObserver {
+    void on_endpoint_notice(const std::vector<EndpointRecord>& new_endpoints, bool is_complete) override {
+        endpoints = new_endpoints;
         complete = is_complete;
     }
     void on_purge_notice(const PurgeNotice& purge) override { purges.push_back(purge); }
-    void on_notice_skipped() override { ++left_out; }
-    std::vector<EndpointRecord> list;
+    void on_notice_skipped() override { ++skipped; }
+    std::vector<EndpointRecord> endpoints;
     bool complete = false;
     std::vector<PurgeNotice> purges;
-    int left_out = 0;
+    int skipped = 0;
 };
 
 const std::string board_events =
@@ -256,53 +259,53 @@
     R"({"rev": 3, "flush": {"ms": 1700000000456, "collection": 7}},)"
     R"({"rev": 4, "flush": {"ms": 1700000000789, "collection": 8, "asset": "00000000000000a1"}}]})";
 
-// Given: events of the board with each field that counts. When: they are loaded. Then: each value is found.
-TEST(WireNames, BoardEventsAreRead) {
+// Each field that the program uses must be found in the notice board's events under its name.
+TEST(WireNames, ReadsNoticeBoardEvents) {
     EventLoop loop;
-    Heard heard;
-    NoticeClient board(loop, heard, "127.0.0.1:9", Duration::seconds(1));
+    NoticeRecorder recorder;
+    NoticeClient board(loop, recorder, "127.0.0.1:9", Duration::seconds(1));
     board.load_known_events(json::parse(board_events));
-    EXPECT_EQ(heard.left_out, 0);
-    EXPECT_TRUE(heard.complete);
-    ASSERT_EQ(heard.list.size(), 1u);
-    const auto& [listing, address] = heard.list[0];
-    EXPECT_EQ(listing.cache, CacheId{"c1"});
+    EXPECT_EQ(recorder.skipped, 0);
+    EXPECT_TRUE(recorder.complete);
+    ASSERT_EQ(recorder.endpoints.size(), 1u);
+    const auto& [update, address] = recorder.endpoints[0];
+    EXPECT_EQ(update.cache, CacheId{"c1"});
     EXPECT_EQ(address, "127.0.0.1:7101");
-    EXPECT_EQ(listing.location, LocationId{"plant"});
-    EXPECT_EQ(listing.machine_type, MachineType{"node"});
-    EXPECT_EQ(listing.cell, CellId{3});
-    EXPECT_EQ(listing.weight, 1.5);
-    EXPECT_EQ(listing.status, EndpointStatus::active);
-    ASSERT_EQ(heard.purges.size(), 2u);
-    EXPECT_EQ(heard.purges[0].timestamp, time_from_unix_ms(1'700'000'000'456));
-    EXPECT_EQ(heard.purges[0].group, PurgeGroupId{7});
-    EXPECT_EQ(heard.purges[0].object, std::nullopt);
-    EXPECT_EQ(heard.purges[1].timestamp, time_from_unix_ms(1'700'000'000'789));
-    EXPECT_EQ(heard.purges[1].group, PurgeGroupId{8});
-    EXPECT_EQ(heard.purges[1].object, ObjectName{"00000000000000a1"});
+    EXPECT_EQ(update.location, LocationId{"plant"});
+    EXPECT_EQ(update.machine_type, MachineType{"node"});
+    EXPECT_EQ(update.cell, CellId{3});
+    EXPECT_EQ(update.weight, 1.5);
+    EXPECT_EQ(update.status, EndpointStatus::active);
+    ASSERT_EQ(recorder.purges.size(), 2u);
+    EXPECT_EQ(recorder.purges[0].timestamp, time_from_unix_ms(1'700'000'000'456));
+    EXPECT_EQ(recorder.purges[0].group, PurgeGroupId{7});
+    EXPECT_EQ(recorder.purges[0].object, std::nullopt);
+    EXPECT_EQ(recorder.purges[1].timestamp, time_from_unix_ms(1'700'000'000'789));
+    EXPECT_EQ(recorder.purges[1].group, PurgeGroupId{8});
+    EXPECT_EQ(recorder.purges[1].object, ObjectName{"00000000000000a1"});
 }
 
-// Given: the same as an answer of the board. When: it is read in pieces of one byte. Then: three notices with
-// their numbers come, and the answer's number.
-TEST(WireNames, BoardAnswersAreRead) {
+// The same events as an answer of the notice board, read in pieces of one byte: each event must have its
+// revision, and so must the answer.
+TEST(WireNames, ReadsNoticeBoardAnswersInPieces) {
     NoticeReader reader;
-    std::vector<std::int64_t> numbers;
+    std::vector<std::int64_t> revisions;
     for (const char c : board_events) {
         reader.feed(std::string_view(&c, 1));
         while (const auto notice = reader.next()) {
             EXPECT_EQ(notice->error, std::nullopt);
-            numbers.push_back(notice->revision);
+            revisions.push_back(notice->revision);
         }
     }
     EXPECT_TRUE(reader.complete());
-    EXPECT_EQ(numbers, (std::vector<std::int64_t>{2, 3, 4}));
+    EXPECT_EQ(revisions, (std::vector<std::int64_t>{2, 3, 4}));
     EXPECT_EQ(reader.revision(), 4);
 }
 
 // --- settings
 
-// The commented example with its comments taken away from tables and keys.
-std::string example_of_parts() {
+// Returns the tables and keys of the example file deploy/irismux.toml, in which they are commented out.
+std::string enabled_parts_example() {
     std::ifstream in(golden_path("../../deploy/irismux.toml"));
     std::string text;
     for (std::string line; std::getline(in, line);) {
@@ -315,12 +318,12 @@
     return text;
 }
 
-// Given: the example of the parts with everything in it switched on. When: it is read. Then: each value is
-// found under its name.
-TEST(WireNames, ThePartsExampleIsRead) {
-    Folder folder;
+// Each key of the example of the parts file must be read under its name. All keys of the example are enabled
+// here.
+TEST(WireNames, ReadsThePartsExample) {
+    TemporaryFolder folder;
     std::ofstream(folder.path() + "/password") << "secret\n";
-    std::string text = example_of_parts();
+    std::string text = enabled_parts_example();
     const std::string path = "/etc/irismux/registry-password";
     ASSERT_NE(text.find(path), std::string::npos) << text;
     text.replace(text.find(path), path.size(), folder.path() + "/password");
@@ -353,8 +356,8 @@
     EXPECT_EQ(f.inventory, (std::map<fleet::SiteName, std::size_t>{{fleet::SiteName{"north-1"}, 15}}));
 }
 
-// The parts with that key's value replaced by one of a wrong type or out of bounds.
-std::string complaint(const std::string& table, const std::string& key) {
+// Returns the error message for a parts file in which that key has a value of the wrong type.
+std::string error_for_key(const std::string& table, const std::string& key) {
     const std::string needed = table == "registry" ? "members = [\"127.0.0.1:1\"]\nprefix = \"/c/\"\n"
                                                    : "members = [\"127.0.0.1:1\"]\nprefix = \"/f/\"\n"
                                                      "installation = \"i\"\n";
@@ -367,9 +370,9 @@
     return error ? error->text() : "accepted";
 }
 
-// Given: parts in which one key after the other has a value that can't be. When: they are read. Then: the
-// line is the same as before; it names the key, which is known.
-TEST(WireNames, EachKeyOfThePartsIsKnown) {
+// Each key of the parts file must be known under its name: an invalid value gives the message of the file,
+// which names the key, instead of an unknown key.
+TEST(WireNames, KnowsEachKeyOfTheParts) {
     const std::vector<std::pair<std::string, std::string>> tables = {
         {"registry",
          "members prefix user password_file page most_records quiet answer_in retry_base retry_cap keep_in "
@@ -377,26 +380,26 @@
         {"fleet",
          "members user password_file installation name prefix term drift answer_in quiet look_every "
          "sweep_every keep_in site acknowledge_every configuration sites"}};
-    Named all;
+    NamedValues all;
     for (const auto& [table, keys] : tables) {
         std::istringstream words(keys);
         for (std::string key; words >> key;) {
             std::string name = table;
             name.append(1, '.').append(key);
-            all.emplace_back(std::move(name), complaint(table, key));
+            all.emplace_back(std::move(name), error_for_key(table, key));
         }
     }
     expect_golden("settings/parts_complaints.txt", text_of(all));
 }
 
-class ConfigurationNames : public ::testing::Test {
+class ConfigurationFields : public ::testing::Test {
 protected:
     const Configuration c = read_configuration(golden_path("settings/configuration.json").string());
     const Deployment& d = c.settings.deployment;
 };
 
-// Given: a configuration with every field. When: it is read. Then: each value outside of "settings" is found.
-TEST_F(ConfigurationNames, WhereAndAsWhatAGatewayServes) {
+// The fields outside of "settings" must be read under their names. The configuration file has every field.
+TEST_F(ConfigurationFields, ReadsTheFieldsOutsideOfSettings) {
     EXPECT_EQ(c.name, "try");
     EXPECT_EQ(c.listen, "127.0.0.1:7100");
     EXPECT_EQ(c.notice_board, "127.0.0.1:7190");
@@ -410,8 +413,8 @@
             {"pages", ObjectKindIndex{0}}, {"keyed", ObjectKindIndex{1}}, {"orders", ObjectKindIndex{2}}}));
 }
 
-// Given: the same. When: it is read. Then: each value of the kinds of objects is found.
-TEST_F(ConfigurationNames, KindsOfObjects) {
+// The fields of the object kinds must be read under their names.
+TEST_F(ConfigurationFields, ReadsTheObjectKinds) {
     ASSERT_EQ(d.kinds.size(), 3u);
     const ObjectKind &pages = d.kinds[0], &keyed = d.kinds[1], &orders = d.kinds[2];
     EXPECT_EQ(pages.effect, Effect::idempotent);
@@ -433,27 +436,28 @@
     EXPECT_TRUE(keyed.uncacheable);
 }
 
-// Given: the same. When: it is read. Then: each value of the place and of the permits is found.
-TEST_F(ConfigurationNames, PlaceAndPermits) {
+// The fields of the gateway's place in the deployment and of the permitted features must be read under their
+// names.
+TEST_F(ConfigurationFields, ReadsTheDeploymentAndItsCapabilities) {
     EXPECT_EQ(d.gateways, 7);
     EXPECT_EQ(d.gateways_in_location, 3);
     EXPECT_EQ(d.locations, 2);
     EXPECT_EQ(d.location, LocationId{"plant"});
     EXPECT_EQ(d.parent_machine, MachineType{"parent"});
     EXPECT_EQ(d.origin_machine, MachineType{"origin"});
-    const Capabilities& p = d.capabilities;
-    EXPECT_TRUE(p.cancellation && p.probes && p.retry_after && p.hedged_requests && p.direct_attempts &&
-                p.coalescing);
-    EXPECT_EQ(p.siblings, Siblings::location);
-    EXPECT_EQ(p.cache_status, CacheStatusReporting::hits);
-    EXPECT_EQ(p.max_attempts, 6);
-    EXPECT_EQ(p.max_retry_after, Duration::seconds(0.5));
+    const Capabilities& capabilities = d.capabilities;
+    EXPECT_TRUE(capabilities.cancellation && capabilities.probes && capabilities.retry_after &&
+                capabilities.hedged_requests && capabilities.direct_attempts && capabilities.coalescing);
+    EXPECT_EQ(capabilities.siblings, Siblings::location);
+    EXPECT_EQ(capabilities.cache_status, CacheStatusReporting::hits);
+    EXPECT_EQ(capabilities.max_attempts, 6);
+    EXPECT_EQ(capabilities.max_retry_after, Duration::seconds(0.5));
     EXPECT_TRUE(d.subscribe_to_endpoints);
     EXPECT_TRUE(d.weights_known);
 }
 
-// Given: the same. When: it is read. Then: each figure of loads and times is found.
-TEST_F(ConfigurationNames, LoadsAndTimes) {
+// The fields of capacities and times must be read under their names.
+TEST_F(ConfigurationFields, ReadsCapacitiesAndTimes) {
     EXPECT_EQ(d.edge_slow_start.initial_capacity_share, 0.2);
     EXPECT_EQ(d.edge_slow_start.window, Duration::seconds(18));
     EXPECT_EQ(d.edge_slow_start.overload_multiple, 4.0);
@@ -477,61 +481,63 @@
 
 // --- one process of the program
 
-// A far end that keeps the bytes that come, and says what it is told to.
-class FarEnd {
+// A server that stores the received bytes and sends the bytes that a test chooses.
+class ScriptedServer {
 public:
-    explicit FarEnd(EventLoop& loop)
+    explicit ScriptedServer(EventLoop& loop)
         : acceptor_(loop, [this, &loop](const Poco::Net::StreamSocket& s) {
-              auto wire = std::make_shared<test_support::TestConnection>(loop, s);
-              wire->on_received = [this,
-                                   raw = std::weak_ptr<test_support::TestConnection>(wire)](Buffer& in) {
-                  heard += in.view();
+              auto connection = std::make_shared<test_support::TestConnection>(loop, s);
+              connection->on_received = [this, weak_connection = std::weak_ptr<test_support::TestConnection>(
+                                                   connection)](Buffer& in) {
+                  received += in.view();
                   in.consume(in.size());
-                  last_ = raw.lock();
+                  last_ = weak_connection.lock();
               };
-              wires_.push_back(wire);
-              wire->start();
+              connections_.push_back(connection);
+              connection->start();
           }) {}
     std::string address() const { return acceptor_.address(); }
-    void say(std::string_view bytes) {
+    void send(std::string_view bytes) {
         last_->output().append(bytes);
         last_->write();
     }
-    std::string heard;
+    std::string received;
 
 private:
-    std::vector<std::shared_ptr<test_support::TestConnection>> wires_;
+    std::vector<std::shared_ptr<test_support::TestConnection>> connections_;
     std::shared_ptr<test_support::TestConnection> last_;
     test_support::Acceptor acceptor_;
 };
 
-// The client side alone, before one cache.
-class ToACache : public ::testing::Test, public AttemptObserver, public ResponseSender {
+// A CacheConnectionPool with one cache.
+class CacheProtocol : public ::testing::Test, public AttemptObserver, public ResponseSender {
 protected:
     EventLoop loop;
-    FarEnd cache{loop};
+    ScriptedServer cache{loop};
     Deployment deployment;
-    EndpointTable roster{Duration::seconds(6)};
-    std::unique_ptr<CacheConnectionPool> caches;
-    std::vector<std::shared_ptr<ActiveRequest>> lookups;
-    std::optional<AttemptEnd> end;
-    std::optional<Outcome> probe_end;
-    std::string lines;
-    test_support::LoopRunner stretches{loop};  // the last: nothing of the above may go while the loop runs
+    EndpointTable cache_endpoints{Duration::seconds(6)};
+    std::unique_ptr<CacheConnectionPool> pool;
+    std::vector<std::shared_ptr<ActiveRequest>> requests;
+    std::optional<AttemptEnd> attempt_end;
+    std::optional<Outcome> health_check_outcome;
+    std::string transcript;
+    // Declared last, as no member above may be destroyed while the loop runs.
+    test_support::LoopRunner loop_runner{loop};
 
     void SetUp() override {
         EndpointUpdate e1;
         e1.cache = CacheId{"e1"};
-        roster.apply({{e1, cache.address()}}, true);
+        cache_endpoints.apply({{e1, cache.address()}}, true);
         const Duration second = Duration::seconds(1);
-        caches = std::make_unique<CacheConnectionPool>(
-            loop, roster, *this, deployment, CacheConnectionLimits{8, 10, second, second * 60, {}, second});
+        pool = std::make_unique<CacheConnectionPool>(
+            loop, cache_endpoints, *this, deployment,
+            CacheConnectionLimits{8, 10, second, second * 60, {}, second});
     }
     void TearDown() override {
-        stretches.run_until([&] { return caches->close_all(), true; });
+        loop_runner.run_until([&] { return pool->close_all(), true; });
     }
-    void on_attempt_ended(ActiveRequest&, std::size_t, const AttemptEnd& e) override { end = e; }
-    void on_health_check_result(const HealthCheckResult& a) override { probe_end = a.outcome; }
+    void on_attempt_ended(ActiveRequest&, std::size_t, const AttemptEnd& e) override { attempt_end = e; }
+    void on_health_check_result(const HealthCheckResult& a) override { health_check_outcome = a.outcome; }
     bool may_begin_attempt(ActiveRequest&, std::size_t) override { return true; }
     void on_request_id_in_use(ActiveRequest&, std::size_t) override {
         ADD_FAILURE() << "each id is used once";
@@ -541,91 +547,92 @@
     void send_failure(const ClientStream&) override {}
 
     std::string next_message() {
-        resp::Arguments words;
+        resp::Arguments arguments;
         std::size_t used = 0;
-        EXPECT_TRUE(stretches.run_until([&] {
-            return resp::parse_array(cache.heard, words, used) == ParseStatus::complete;
-        })) << printable(cache.heard);
-        return std::exchange(cache.heard, {});
+        EXPECT_TRUE(loop_runner.run_until([&] {
+            return resp::parse_array(cache.received, arguments, used) == ParseStatus::complete;
+        })) << printable(cache.received);
+        return std::exchange(cache.received, {});
     }
-    // What goes out for one lookup, with that fill.
-    std::string pull(const std::optional<AttemptPlan>& fill) {
+    // Starts an attempt with that plan and returns the bytes that the cache receives.
+    std::string start_attempt_with(const std::optional<AttemptPlan>& fill) {
         ClientRequest a;
-        a.request.id = RequestId{lookups.size() + 1};
-        a.client_request_id = ClientRequestId{"id-" + std::to_string(lookups.size() + 1)};
+        a.request.id = RequestId{requests.size() + 1};
+        a.client_request_id = ClientRequestId{"id-" + std::to_string(requests.size() + 1)};
         a.request.object = ObjectName{"00000000000000a1"};
         a.request.deadline = loop.now() + Duration::seconds(60);
         a.kind_name = "pages";
         a.object_part = "3";
         a.client_etag = "k1";
-        lookups.push_back(std::make_shared<ActiveRequest>(*this, ClientStream{}, std::move(a)));
+        requests.push_back(std::make_shared<ActiveRequest>(*this, ClientStream{}, std::move(a)));
         Attempt s;
         s.cache = CacheId{"e1"};
         s.plan = fill;
         s.decided_at = loop.now();
-        lookups.back()->add_attempt(std::move(s));
-        stretches.run_until([&] { return caches->start_attempt(*lookups.back(), 0), true; });
+        requests.back()->add_attempt(std::move(s));
+        loop_runner.run_until([&] { return pool->start_attempt(*requests.back(), 0), true; });
         return next_message();
     }
-    // What is made of the cache's answer to the last lookup.
-    AttemptEnd answered(const std::string& word, const std::string& fields, const std::string& body) {
+    // Sends the cache's response to the last attempt and returns how the attempt ended.
+    AttemptEnd respond(const std::string& result, const std::string& fields, const std::string& body) {
         Buffer out;
-        resp::write_array(out, {lookups.back()->client_request_id().raw(), word, fields, body});
-        end.reset();
-        cache.say(out.view());
-        EXPECT_TRUE(stretches.run_until([&] { return end.has_value(); })) << word << ' ' << fields;
-        return end.value_or(AttemptEnd{});
+        resp::write_array(out, {requests.back()->client_request_id().raw(), result, fields, body});
+        attempt_end.reset();
+        cache.send(out.view());
+        EXPECT_TRUE(loop_runner.run_until([&] { return attempt_end.has_value(); }))
+            << result << ' ' << fields;
+        return attempt_end.value_or(AttemptEnd{});
     }
 };
 
-// Given: a cache. When: it is asked with each option of a fill, told to give up, and probed. Then: the bytes
-// are those of the file.
-TEST_F(ToACache, EachOptionHasItsName) {
+// Attempts with each option of a fill, a cancellation and a health check must have exactly the bytes of the
+// file.
+TEST_F(CacheProtocol, WritesEachOptionOfAnAttempt) {
     AttemptPlan fill;
     fill.cache = fill.source = CacheId{"e1"};
-    Named all = {{"no fill", masked(printable(pull(std::nullopt)))},
-                 {"keep nothing", masked(printable(pull(fill)))}};
+    NamedValues all = {{"no fill", mask_variable_numbers(printable(start_attempt_with(std::nullopt)))},
+                       {"keep nothing", mask_variable_numbers(printable(start_attempt_with(fill)))}};
     fill.storage_rank = 2;
     fill.max_age = Duration::seconds(5);
     fill.coalesce = true;
-    all.emplace_back("merge", masked(printable(pull(fill))));
+    all.emplace_back("merge", mask_variable_numbers(printable(start_attempt_with(fill))));
     fill.revalidate = fill.only_if_cached = fill.bypass_parent_cache = true;
-    all.emplace_back("all options", masked(printable(pull(fill))));
-    stretches.run_until([&] { return caches->cancel_attempt(*lookups.back(), 0), true; });
+    all.emplace_back("all options", mask_variable_numbers(printable(start_attempt_with(fill))));
+    loop_runner.run_until([&] { return pool->cancel_attempt(*requests.back(), 0), true; });
     all.emplace_back("given up", printable(next_message()));
-    stretches.run_until([&] { return caches->start_health_check(CacheId{"e1"}, [] { return true; }), true; });
+    loop_runner.run_until([&] { return pool->start_health_check(CacheId{"e1"}, [] { return true; }), true; });
     all.emplace_back("probe", printable(next_message()));
     expect_golden("wire/cache_requests.txt", text_of(all));
     Buffer out;
     resp::write_array(out, {"probe-1", "PONG"});
-    cache.say(out.view());
-    EXPECT_TRUE(stretches.run_until([&] { return probe_end.has_value(); }));
-    EXPECT_EQ(probe_end, Outcome::completed);
+    cache.send(out.view());
+    EXPECT_TRUE(loop_runner.run_until([&] { return health_check_outcome.has_value(); }));
+    EXPECT_EQ(health_check_outcome, Outcome::completed);
 }
 
-// Given: a cache that has been asked. When: it answers with each word. Then: each means what it meant.
-TEST_F(ToACache, EachWordOfAnAnswerIsKnown) {
-    const std::vector<std::pair<std::string, Outcome>> words = {{"NONE", Outcome::cache_miss},
-                                                                {"SHED", Outcome::overloaded},
-                                                                {"FAULT", Outcome::errored},
-                                                                {"LATE", Outcome::superseded}};
-    for (const auto& [word, outcome] : words) {
-        pull(std::nullopt);
-        EXPECT_EQ(answered(word, "lag=2.5", "").outcome, outcome) << word;
-        EXPECT_EQ(end->fill_wait, Duration::seconds(0.0025)) << word;
+// Each result of a cache's response must map to its outcome.
+TEST_F(CacheProtocol, ReadsEachResultOfAResponse) {
+    const std::vector<std::pair<std::string, Outcome>> results = {{"NONE", Outcome::cache_miss},
+                                                                  {"SHED", Outcome::overloaded},
+                                                                  {"FAULT", Outcome::errored},
+                                                                  {"LATE", Outcome::superseded}};
+    for (const auto& [result, outcome] : results) {
+        start_attempt_with(std::nullopt);
+        EXPECT_EQ(respond(result, "lag=2.5", "").outcome, outcome) << result;
+        EXPECT_EQ(attempt_end->fill_wait, Duration::seconds(0.0025)) << result;
     }
-    pull(std::nullopt);
-    const AttemptEnd hit = answered("HIT", "tag=t1,minted=1", "a body");
+    start_attempt_with(std::nullopt);
+    const AttemptEnd hit = respond("HIT", "tag=t1,minted=1", "a body");
     EXPECT_EQ(hit.outcome, Outcome::completed);
     EXPECT_FALSE(hit.not_modified);
-    pull(std::nullopt);
-    const AttemptEnd valid = answered("VALID", "tag=k1,minted=1", "");
+    start_attempt_with(std::nullopt);
+    const AttemptEnd valid = respond("VALID", "tag=k1,minted=1", "");
     EXPECT_EQ(valid.outcome, Outcome::completed);
     EXPECT_TRUE(valid.not_modified);
 }
 
-// Given: the same. When: it answers with each note. Then: each means what it meant.
-TEST_F(ToACache, EachNoteOfAnAnswerIsKnown) {
+// The note of a cache's response must map to its CacheStatus.
+TEST_F(CacheProtocol, ReadsEachNoteOfAResponse) {
     const std::vector<std::pair<std::string, CacheStatus>> notes = {
         {"cached", CacheStatus::hit},
         {"fetched", CacheStatus::filled},
@@ -637,9 +644,9 @@
         {"up_empty", CacheStatus::source_miss},
         {"fills_full", CacheStatus::no_fill_slot},
         {"root_failed", CacheStatus::origin_failed}};
-    for (const auto& [name, note] : notes) {
-        pull(std::nullopt);
-        EXPECT_EQ(answered("FAULT", "n=" + name, "").cache_status, note) << name;
+    for (const auto& [name, status] : notes) {
+        start_attempt_with(std::nullopt);
+        EXPECT_EQ(respond("FAULT", "n=" + name, "").cache_status, status) << name;
     }
 }
 
@@ -657,34 +664,35 @@
     return bytes_of(out);
 }
 
-class Conversation : public ::testing::Test {
+class GatewayProtocol : public ::testing::Test {
 protected:
     EventLoop loop;
-    FarEnd board{loop}, cache{loop};
-    Folder folder;
+    ScriptedServer board{loop}, cache{loop};
+    TemporaryFolder folder;
     std::string listen;
     std::unique_ptr<test_support::Process> process;
     std::shared_ptr<test_support::TestConnection> client;
-    std::string answer;                        // bytes that have come to the client
-    std::string lines;                         // the whole conversation
-    test_support::LoopRunner stretches{loop};  // the last: nothing of the above may go while the loop runs
+    std::string received_by_client;  // bytes that the client has received
+    std::string transcript;          // all messages so far
+    // Declared last, as no member above may be destroyed while the loop runs.
+    test_support::LoopRunner loop_runner{loop};
 
-    virtual void change(json&) const {}
-    json configured() const {
+    virtual void modify(json&) const {}
+    json configuration_json() const {
         const json servers = {test_support::endpoint_json("e1", "node", "plant", cache.address(), "Ready"),
                               test_support::endpoint_json("p1", "parent", "hub", "127.0.0.1:9", "Ready"),
                               test_support::endpoint_json("o", "origin", "hub", "127.0.0.1:9", "Ready")};
         const json pool = {{"version", 1}, {"full", true}, {"servers", servers}};
         json c = test_support::configuration("127.0.0.1:9", board.address(),
                                              {{"rev", 1}, {"notices", {{{"rev", 1}, {"pool", pool}}}}});
-        json lane = c["settings"]["lanes"][0];
-        // So long that no send is given up and tried again, also on a busy machine.
-        lane["aimS"] = lane["hardLimitS"] = 30.0;
-        json keyed = lane;
+        json kind = c["settings"]["lanes"][0];
+        // Long enough that no attempt is cancelled and retried, even on a busy machine.
+        kind["aimS"] = kind["hardLimitS"] = 30.0;
+        json keyed = kind;
         keyed.update({{"name", "keyed"}, {"effect", "by_key"}, {"windowS", 0.3}});
-        c["settings"]["lanes"] = {lane, keyed};
+        c["settings"]["lanes"] = {kind, keyed};
         c["settings"]["specifics"]["neverKept"] = {false, true};
-        change(c);
+        modify(c);
         return c;
     }
     void SetUp() override {
@@ -693,10 +701,10 @@
             listen = free.address().toString();
         }
         const std::string path = folder.path() + "/config.json", log = folder.path() + "/log";
-        std::ofstream(path) << configured().dump();
+        std::ofstream(path) << configuration_json().dump();
         process = std::make_unique<test_support::Process>(test_support::Process::Options{
             {IRISMUX_PROGRAM}, {"NODE_CONFIG=" + path, "NODE_LISTEN=" + listen}, "", log});
-        ASSERT_TRUE(stretches.run_until([&] {
+        ASSERT_TRUE(loop_runner.run_until([&] {
             return std::filesystem::exists(log) &&
                    bytes_of_file(log).find("listening gateway=") != std::string::npos;
         }));
@@ -705,35 +713,36 @@
     void connect() {
         client = std::make_shared<test_support::TestConnection>(loop);
         client->on_received = [this](Buffer& in) {
-            answer += in.view();
+            received_by_client += in.view();
             in.consume(in.size());
         };
         client->start(listen);
     }
-    void note(const std::string& who, const std::string& bytes) {
-        lines += who + '\t' + masked(printable(bytes)) + '\n';
+    void record(const std::string& who, const std::string& bytes) {
+        transcript += who + '\t' + mask_variable_numbers(printable(bytes)) + '\n';
     }
-    void say(const std::string& bytes) {
-        note("client to gateway", bytes);
+    void send(const std::string& bytes) {
+        record("client to gateway", bytes);
         client->output().append(bytes);
         client->write();
     }
-    // Until the client has so many bytes: the last record of an answer tells its end.
-    void expect_answer() {
+    // Waits for a whole response, which ends with a record of another type than std_out.
+    void expect_response() {
         const auto whole = [&] {
             fastcgi::Record r;
             std::size_t used = 0, at = 0;
-            while (fastcgi::parse_record(std::string_view(answer).substr(at), r, used) ==
+            while (fastcgi::parse_record(std::string_view(received_by_client).substr(at), r, used) ==
                    ParseStatus::complete) {
                 at += used;
                 if (r.type != fastcgi::Type::std_out) return true;
             }
             return false;
         };
-        EXPECT_TRUE(stretches.run_until(whole)) << printable(answer);
-        // The lengths of records depend on that figure's length.
-        if (answer.find("Retry-After-Ms: ") != std::string::npos) answer = content_of(answer);
-        note("gateway to client", std::exchange(answer, {}));
+        EXPECT_TRUE(loop_runner.run_until(whole)) << printable(received_by_client);
+        // The lengths of the records depend on the number of digits of this value.
+        if (received_by_client.find("Retry-After-Ms: ") != std::string::npos)
+            received_by_client = content_of(received_by_client);
+        record("gateway to client", std::exchange(received_by_client, {}));
     }
     static std::string content_of(const std::string& records) {
         std::string all;
@@ -746,32 +755,32 @@
         }
         return all;
     }
-    void expect_pull() {
-        resp::Arguments words;
+    void expect_attempt() {
+        resp::Arguments arguments;
         std::size_t used = 0;
-        EXPECT_TRUE(stretches.run_until([&] {
-            return resp::parse_array(cache.heard, words, used) == ParseStatus::complete;
-        })) << printable(cache.heard);
-        note("gateway to cache", std::exchange(cache.heard, {}));
+        EXPECT_TRUE(loop_runner.run_until([&] {
+            return resp::parse_array(cache.received, arguments, used) == ParseStatus::complete;
+        })) << printable(cache.received);
+        record("gateway to cache", std::exchange(cache.received, {}));
     }
-    void answer_pull(std::initializer_list<std::string_view> words) {
+    void respond_from_cache(std::initializer_list<std::string_view> arguments) {
         Buffer out;
-        resp::write_array(out, words);
-        note("cache to gateway", bytes_of(out));
-        cache.say(out.view());
+        resp::write_array(out, arguments);
+        record("cache to gateway", bytes_of(out));
+        cache.send(out.view());
     }
-    // One lookup that the cache answers.
-    void look_up(const Fields& fields, const std::string& body,
-                 std::initializer_list<std::string_view> answered) {
-        say(request_of(fields, body));
-        expect_pull();
-        answer_pull(answered);
-        expect_answer();
+    // Sends a request that the cache answers.
+    void send_request_to_cache(const Fields& fields, const std::string& body,
+                               std::initializer_list<std::string_view> response) {
+        send(request_of(fields, body));
+        expect_attempt();
+        respond_from_cache(response);
+        expect_response();
     }
-    // One request that the gateway answers by itself.
-    void ask(const Fields& fields, const std::string& body = {}) {
-        say(request_of(fields, body));
-        expect_answer();
+    // Sends a request that the gateway answers without the cache.
+    void send_request_to_gateway(const Fields& fields, const std::string& body = {}) {
+        send(request_of(fields, body));
+        expect_response();
     }
 };
 
@@ -783,103 +792,106 @@
     return all;
 }
 
-// Given: a gateway between a client and a cache. When: the client asks with each field, and the cache answers
-// with each word. Then: the bytes to the cache and to the client are those of the file.
-TEST_F(Conversation, LookupsAndTheirAnswers) {
-    look_up(fields_of("/api/v2/pages", "0000000000000001"), "",
-            {"0000000000000001", "HIT", "tag=t1,minted=1,n=cached", "a body"});
-    look_up(fields_of("/api/v2/pages", "0000000000000002",
-                      {{"HTTP_X_CACHED", "00000000000000b1"}, {"HTTP_X_RETRY", "1"}}),
-            "", {"0000000000000002", "VALID", "tag=00000000000000b1,minted=1,n=cached", ""});
-    look_up(fields_of("/api/v2/keyed", "0000000000000003",
-                      {{"HTTP_IDEMPOTENCY_KEY", "key-1"}, {"CONTENT_LENGTH", "4"}}),
-            "data", {"0000000000000003", "HIT", "-", "done"});
-    expect_golden("wire/lookups.txt", lines);
+// Requests with each field of the client, and responses of the cache with a body and without one: the bytes
+// to the cache and to the client must be those of the file.
+TEST_F(GatewayProtocol, ForwardsRequestsAndResponses) {
+    send_request_to_cache(fields_of("/api/v2/pages", "0000000000000001"), "",
+                          {"0000000000000001", "HIT", "tag=t1,minted=1,n=cached", "a body"});
+    send_request_to_cache(fields_of("/api/v2/pages", "0000000000000002",
+                                    {{"HTTP_X_CACHED", "00000000000000b1"}, {"HTTP_X_RETRY", "1"}}),
+                          "", {"0000000000000002", "VALID", "tag=00000000000000b1,minted=1,n=cached", ""});
+    send_request_to_cache(fields_of("/api/v2/keyed", "0000000000000003",
+                                    {{"HTTP_IDEMPOTENCY_KEY", "key-1"}, {"CONTENT_LENGTH", "4"}}),
+                          "data", {"0000000000000003", "HIT", "-", "done"});
+    expect_golden("wire/lookups.txt", transcript);
 }
 
-// Given: the same, and one send a lookup. When: the cache has no room, or fails. Then: the bytes to the
-// client are those of the file.
-class OneSend : public Conversation {
+// A gateway that makes only one attempt a request. If the cache is overloaded or fails, the bytes to the
+// client must be those of the file.
+class GatewayWithOneAttempt : public GatewayProtocol {
 protected:
-    void change(json& c) const override { c["settings"]["ceilings"]["attemptsCap"] = 1; }
+    void modify(json& c) const override { c["settings"]["ceilings"]["attemptsCap"] = 1; }
 };
 
-TEST_F(OneSend, AnswersWithoutABody) {
-    look_up(fields_of("/api/v2/pages", "0000000000000001"), "", {"0000000000000001", "SHED", "-", ""});
-    look_up(fields_of("/api/v2/keyed", "0000000000000002", {{"HTTP_IDEMPOTENCY_KEY", "key-1"}}), "data",
-            {"0000000000000002", "FAULT", "-", ""});
-    expect_golden("wire/answers_without_a_body.txt", lines);
+TEST_F(GatewayWithOneAttempt, WritesResponsesWithoutABody) {
+    send_request_to_cache(fields_of("/api/v2/pages", "0000000000000001"), "",
+                          {"0000000000000001", "SHED", "-", ""});
+    send_request_to_cache(fields_of("/api/v2/keyed", "0000000000000002", {{"HTTP_IDEMPOTENCY_KEY", "key-1"}}),
+                          "data", {"0000000000000002", "FAULT", "-", ""});
+    expect_golden("wire/answers_without_a_body.txt", transcript);
 }
 
-// Given: the same. When: the client asks for what can't be. Then: the status lines are those of the file.
-TEST_F(Conversation, RequestsThatTheGatewayAnswersByItself) {
-    ask({{"SCRIPT_NAME", "/-/healthy"}});
-    ask({{"SCRIPT_NAME", "/elsewhere"}});
-    ask(fields_of("/api/v2/nothing", "0000000000000001"));
-    ask(fields_of("/api/v2/pages", "not hex"));
-    ask(fields_of("/api/v2/pages", "0000000000000002", {{"HTTP_X_RETRY", "2"}}));
-    ask(fields_of("/api/v2/pages", "0000000000000003", {{"HTTP_X_CACHED", "not hex"}}));
-    ask(fields_of("/api/v2/keyed", "0000000000000004", {{"HTTP_IDEMPOTENCY_KEY", "a key"}}), "data");
-    ask(fields_of("/api/v2/keyed", "0000000000000005", {{"CONTENT_LENGTH", "5"}}), "data");
-    ask(fields_of("/api/v2/pages", "0000000000000006", {{"HTTP_X_PADDING", std::string(17'000, 'x')}}));
+// The health check of the gateway and invalid requests must get the status lines of the file.
+TEST_F(GatewayProtocol, AnswersRequestsWithoutTheCache) {
+    send_request_to_gateway({{"SCRIPT_NAME", "/-/healthy"}});
+    send_request_to_gateway({{"SCRIPT_NAME", "/elsewhere"}});
+    send_request_to_gateway(fields_of("/api/v2/nothing", "0000000000000001"));
+    send_request_to_gateway(fields_of("/api/v2/pages", "not hex"));
+    send_request_to_gateway(fields_of("/api/v2/pages", "0000000000000002", {{"HTTP_X_RETRY", "2"}}));
+    send_request_to_gateway(fields_of("/api/v2/pages", "0000000000000003", {{"HTTP_X_CACHED", "not hex"}}));
+    send_request_to_gateway(
+        fields_of("/api/v2/keyed", "0000000000000004", {{"HTTP_IDEMPOTENCY_KEY", "a key"}}), "data");
+    send_request_to_gateway(fields_of("/api/v2/keyed", "0000000000000005", {{"CONTENT_LENGTH", "5"}}),
+                            "data");
+    send_request_to_gateway(
+        fields_of("/api/v2/pages", "0000000000000006", {{"HTTP_X_PADDING", std::string(17'000, 'x')}}));
     const std::string padding(17'000, 'x');
-    lines.replace(lines.find(padding), padding.size(), "x...");
-    expect_golden("wire/refusals.txt", lines);
+    transcript.replace(transcript.find(padding), padding.size(), "x...");
+    expect_golden("wire/refusals.txt", transcript);
 }
 
-// Given: the same. When: a client asks twice under one id while the first is open. Then: the second is
-// refused with the status of the file.
-TEST_F(Conversation, AnIdThatIsOpen) {
-    say(request_of(fields_of("/api/v2/pages", "0000000000000001"), ""));
-    expect_pull();
-    std::string again = request_of(fields_of("/api/v2/pages", "0000000000000001"), "");
-    for (std::size_t at = 0; at < again.size();) {
+// A second request with the id of a request that is still open must be refused with the status of the file.
+TEST_F(GatewayProtocol, RefusesAnIdInUse) {
+    send(request_of(fields_of("/api/v2/pages", "0000000000000001"), ""));
+    expect_attempt();
+    std::string second_request = request_of(fields_of("/api/v2/pages", "0000000000000001"), "");
+    for (std::size_t at = 0; at < second_request.size();) {
         fastcgi::Record r;
         std::size_t used = 0;
-        ASSERT_EQ(fastcgi::parse_record(std::string_view(again).substr(at), r, used), ParseStatus::complete);
-        again[at + 3] = 2;  // the request's number
+        ASSERT_EQ(fastcgi::parse_record(std::string_view(second_request).substr(at), r, used),
+                  ParseStatus::complete);
+        second_request[at + 3] = 2;  // the low byte of the FastCGI request id
         at += used;
     }
-    say(again);
-    expect_answer();
-    expect_golden("wire/open_id.txt", lines);
+    send(second_request);
+    expect_response();
+    expect_golden("wire/open_id.txt", transcript);
 }
 
-// Given: the same. When: the client asks for the figures of the protocol, and says what is no record of it.
-// Then: the answers are those of the file.
-TEST_F(Conversation, RecordsOfTheProtocol) {
+// FCGI_GET_VALUES, a record of an unknown type and an unknown role must get the answers of the file.
+TEST_F(GatewayProtocol, AnswersManagementAndUnknownRecords) {
     std::string names;
     for (const char* name : {"FCGI_MAX_CONNS", "FCGI_MAX_REQS", "FCGI_MPXS_CONNS", "FCGI_OTHER"})
         fastcgi::write_pair(names, name, "");
     Buffer values, unknown, role;
     fastcgi::write_record(values, fastcgi::Type::get_values, 0, names);
-    say(bytes_of(values));
-    expect_answer();
+    send(bytes_of(values));
+    expect_response();
     fastcgi::write_record(unknown, static_cast<fastcgi::Type>(99), 0, "?");
-    say(bytes_of(unknown));
-    expect_answer();
+    send(bytes_of(unknown));
+    expect_response();
     fastcgi::write_begin_request(role, 1, {3, true});
-    say(bytes_of(role));
-    expect_answer();
-    expect_golden("wire/protocol.txt", lines);
+    send(bytes_of(role));
+    expect_response();
+    expect_golden("wire/protocol.txt", transcript);
 }
 
-// Given: the same. When: the board is polled, tells of a purge and of nothing else. Then: the poll is that of
-// the file, and so is the next one, which goes on behind the purge; and lookups of the group name an age.
-TEST_F(Conversation, PollsOfTheBoard) {
-    ASSERT_TRUE(stretches.run_until([&] { return board.heard.find("\r\n\r\n") != std::string::npos; }));
-    note("gateway to board", std::exchange(board.heard, {}));
+// The polls of the notice board must have the bytes of the file. The poll after a purge requests the events
+// after it, and attempts for the purged group then carry an age limit.
+TEST_F(GatewayProtocol, PollsTheNoticeBoard) {
+    ASSERT_TRUE(loop_runner.run_until([&] { return board.received.find("\r\n\r\n") != std::string::npos; }));
+    record("gateway to board", std::exchange(board.received, {}));
     const std::string body =
         R"({"rev": 2, "notices": [{"rev": 2, "flush": {"ms": 1700000000456, "collection": 7}}]})";
-    const std::string told =
+    const std::string response =
         "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
-    note("board to gateway", told);
-    board.say(told);
-    ASSERT_TRUE(stretches.run_until([&] { return board.heard.find("\r\n\r\n") != std::string::npos; }));
-    note("gateway to board", std::exchange(board.heard, {}));
-    say(request_of(fields_of("/api/v2/pages", "0000000000000001"), ""));
-    expect_pull();
-    expect_golden("wire/board.txt", lines);
+    record("board to gateway", response);
+    board.send(response);
+    ASSERT_TRUE(loop_runner.run_until([&] { return board.received.find("\r\n\r\n") != std::string::npos; }));
+    record("gateway to board", std::exchange(board.received, {}));
+    send(request_of(fields_of("/api/v2/pages", "0000000000000001"), ""));
+    expect_attempt();
+    expect_golden("wire/board.txt", transcript);
 }
 
 }  // namespace
