--- a/tests/failing_calls_test.cpp
+++ b/tests/failing_calls_test.cpp
@@ -1,5 +1,5 @@
-// System calls that fail for a moment, with errors that Linux documents: the program starts, serves, and
-// loses no request.
+// System calls fail for a moment, with errors that Linux documents. The program must start, serve, and lose
+// no request.
 #include "single_process_fixture.hpp"
 #include "testing/shims.hpp"
 
@@ -14,36 +14,38 @@
 
 const test_support::ShimLibraries libraries{IRISMUX_SKEWED_CLOCK, IRISMUX_FAILING_CALLS};
 
-test_support::SingleProcess::Options with(const Shims& shims, std::size_t caches = 2) {
-    test_support::SingleProcess::Options shape = answering(solo_shape(caches, {.deadline = 2}));
-    shape.environment = shims.environment();
-    return shape;
+test_support::SingleProcess::Options options_with(const Shims& shims, std::size_t caches = 2) {
+    test_support::SingleProcess::Options options =
+        with_immediate_answers(process_options(caches, {.deadline_s = 2}));
+    options.environment = shims.environment();
+    return options;
 }
 
-struct Once {
+struct FailingCall {
     const char* name;
     Call call;
     std::uint32_t nth;
 };
 
-class CallFailsOnce : public ::testing::TestWithParam<Once> {};
+class CallFailsOnce : public ::testing::TestWithParam<FailingCall> {};
 
-// Given one of the first calls of a kind that fails once, when the program starts, then it serves a request.
+// One of the first calls of a kind fails once while the program starts. The program must still serve a
+// request.
 TEST_P(CallFailsOnce, TheProgramStartsAndServes) {
     Shims shims(libraries);
     CallFaults faults;
     faults.nth[static_cast<std::size_t>(GetParam().call)] = GetParam().nth;
     shims.set_calls(faults);
-    SingleProcess solo(with(shims));
-    const auto client = solo.connect_client();
+    SingleProcess gateway(options_with(shims));
+    const auto client = gateway.connect_client();
     client->send(1, {.id = id_of(1), .timeout_ms = 2000});
-    EXPECT_TRUE(solo.wait_until([&] { return client->has_response(1); }));
+    EXPECT_TRUE(gateway.wait_until([&] { return client->has_response(1); }));
     EXPECT_TRUE(client->has_response(1, "Status: 200"));
-    EXPECT_TRUE(solo.process->running());
+    EXPECT_TRUE(gateway.process->running());
 }
 
-std::vector<Once> first_calls() {
-    std::vector<Once> all;
+std::vector<FailingCall> first_calls() {
+    std::vector<FailingCall> all;
     const std::pair<const char*, Call> calls[] = {
         {"Socket", Call::socket},
         {"Bind", Call::bind},
@@ -69,37 +71,38 @@
 
 class CallsFailOften : public ::testing::TestWithParam<unsigned> {};
 
-// Given one call in ten that fails, of all kinds, from the start on, when clients and caches behave, then
-// each request gets one response and nearly all are served.
+// From the start on, one call in ten of each kind fails, while clients and caches behave. Each request must
+// get one response, and nearly all must be served.
 TEST_P(CallsFailOften, EachRequestGetsOneResponse) {
     Shims shims(libraries);
     CallFaults faults;
     faults.seed = GetParam();
     for (std::uint32_t& one_in : faults.one_in) one_in = 10;
-    faults.one_in[static_cast<std::size_t>(Call::write)] = 0;  // the test reads in the log that it serves
+    faults.one_in[static_cast<std::size_t>(Call::write)] =
+        0;  // the test learns from the log that the process serves
     shims.set_calls(faults);
-    SingleProcess solo(with(shims));
+    SingleProcess gateway(options_with(shims));
     constexpr int connections = 4, requests = 60;
     std::vector<std::shared_ptr<FastCgiClient>> clients;
     clients.reserve(connections);
-    for (int c = 0; c < connections; ++c) clients.push_back(solo.connect_client());
+    for (int c = 0; c < connections; ++c) clients.push_back(gateway.connect_client());
     for (int n = 0; n < requests; ++n) {
         for (int c = 0; c < connections; ++c)
             clients[static_cast<std::size_t>(c)]->send(
                 static_cast<std::uint16_t>(n + 1),
                 {.id = id_of(n * connections + c), .object = id_of(n), .timeout_ms = 2000});
-        solo.wait_until([] { return false; }, Duration::micros(10'000));
+        gateway.wait_until([] { return false; }, Duration::micros(10'000));
     }
-    solo.wait_until(
+    gateway.wait_until(
         [&] {
             return std::all_of(clients.begin(), clients.end(),
                                [](const auto& c) { return c->responses.size() >= requests; });
         },
         Duration::seconds(4));
-    ASSERT_TRUE(solo.process->running());
+    ASSERT_TRUE(gateway.process->running());
     int served = 0;
     for (const auto& client : clients) {
-        EXPECT_EQ(client->responses.size(), static_cast<std::size_t>(requests)) << solo.log_tail();
+        EXPECT_EQ(client->responses.size(), static_cast<std::size_t>(requests)) << gateway.log_tail();
         EXPECT_FALSE(client->ended);
         for (int n = 0; n < requests; ++n) {
             EXPECT_TRUE(client->has_response(static_cast<std::uint16_t>(n + 1)));
--- a/tests/fatal_signal_test.cpp
+++ b/tests/fatal_signal_test.cpp
@@ -1,4 +1,4 @@
-// A process ended by a fatal signal prints it, with the last events.
+// A process that a fatal signal ends prints the signal and its last events.
 #include <csignal>
 
 #include "single_process_fixture.hpp"
@@ -8,10 +8,10 @@
 
 class FatalSignal : public ::testing::TestWithParam<int> {};
 
-// Given: a process that has answered a request. When: a fatal signal ends it. Then: its log has the signal,
-// and the request's events with the time since.
+// A fatal signal ends a process that has answered a request. Its log must have the signal, and the request's
+// events with the time since each.
 TEST_P(FatalSignal, IsPrintedWithTheLastEvents) {
-    test_support::SingleProcess gateway(answering(solo_shape(1)));
+    test_support::SingleProcess gateway(with_immediate_answers(process_options(1)));
     const auto client = gateway.connect_client();
     client->send(1, {.id = id_of(1)});
     ASSERT_TRUE(gateway.wait_until([&] { return client->has_response(1); }));
--- a/tests/notice_catch_up_test.cpp
+++ b/tests/notice_catch_up_test.cpp
@@ -61,7 +61,7 @@
 // Given 200,000 missed purges, 12 MB in one answer, when half of it has come, then requests are served with
 // the purges of that half in force; when the rest comes, then with those too, and the memory stays bounded.
 TEST(NoticeCatchUp, ServesRequestsInTheMiddleOfAnAnswerInBoundedMemory) {
-    SingleProcess solo(answering(solo_shape(2)));
+    SingleProcess solo(with_immediate_answers(process_options(2)));
     NoticeBoardStandIn board(solo.loop);
     const int purges = 200'000;
     const std::string first_object = "00000000000000b1", last_object = "00000000000000b2";
--- a/tests/single_process_fixture.hpp
+++ b/tests/single_process_fixture.hpp
@@ -1,4 +1,5 @@
-// What the tests of crossings share: a gateway process with kinds of each effect, and sockets without a loop.
+// Shared by the tests with one gateway process: a configuration with an object kind of each effect, and a
+// client socket outside the event loop.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -14,33 +15,36 @@
 
 using nlohmann::json;
 
-struct Spans {
-    double deadline = 5, window = 0.3, connect = 3;
+struct ConfigurationOverrides {
+    double deadline_s = 5, dedup_window_s = 0.3, connect_timeout_s = 3;
     int descriptors = 256;
 };
 
-inline test_support::SingleProcess::Options solo_shape(std::size_t caches, Spans s = {}, int backlog = 64) {
-    test_support::SingleProcess::Options shape;
-    shape.program = IRISMUX_PROGRAM;
-    shape.caches = caches;
-    shape.backlog = backlog;
-    shape.adjust_configuration = [s](json& c) {
+inline test_support::SingleProcess::Options process_options(std::size_t caches,
+                                                            ConfigurationOverrides overrides = {},
+                                                            int backlog = 64) {
+    test_support::SingleProcess::Options options;
+    options.program = IRISMUX_PROGRAM;
+    options.caches = caches;
+    options.backlog = backlog;
+    options.adjust_configuration = [overrides](json& c) {
         json& settings = c["settings"];
         json lane = settings["lanes"][0], keyed = lane, once = lane;
-        lane["hardLimitS"] = keyed["hardLimitS"] = once["hardLimitS"] = s.deadline;
-        keyed.update({{"name", "keyed"}, {"effect", "by_key"}, {"windowS", s.window}});
+        lane["hardLimitS"] = keyed["hardLimitS"] = once["hardLimitS"] = overrides.deadline_s;
+        keyed.update({{"name", "keyed"}, {"effect", "by_key"}, {"windowS", overrides.dedup_window_s}});
         once.update({{"name", "bids"}, {"effect", "once"}});
         settings["lanes"] = {lane, keyed, once};
         settings["specifics"]["neverKept"] = {false, true, true};
-        settings["ceilings"]["connectTimeoutS"] = s.connect;
-        c["limits"]["sockets"] = s.descriptors;
+        settings["ceilings"]["connectTimeoutS"] = overrides.connect_timeout_s;
+        c["limits"]["sockets"] = overrides.descriptors;
     };
-    return shape;
+    return options;
 }
 
-inline test_support::SingleProcess::Options answering(test_support::SingleProcess::Options shape) {
-    shape.answer_at_once = true;
-    return shape;
+inline test_support::SingleProcess::Options with_immediate_answers(
+    test_support::SingleProcess::Options options) {
+    options.answer_at_once = true;
+    return options;
 }
 
 inline std::string id_of(int n) {
@@ -49,25 +53,26 @@
     return id;
 }
 
-// A connection that nobody reads from until the test does, and that tells an end from a reset.
-class Raw {
+// A client connection that reads only when the test asks for it, and that distinguishes a regular end of the
+// connection from a reset.
+class RawClient {
 public:
-    explicit Raw(const std::string& to) { socket_.connect(Poco::Net::SocketAddress(to)); }
-    void say(std::string_view bytes) {
+    explicit RawClient(const std::string& address) { socket_.connect(Poco::Net::SocketAddress(address)); }
+    void send(std::string_view bytes) {
         ::send(socket_.impl()->sockfd(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
     }
-    enum class Now { open, ended, reset };
-    // Takes what has come.
-    Now look() {
-        char some[4096];
+    enum class State { open, ended, reset };
+    // Reads everything that has arrived.
+    State read_available() {
+        char chunk[4096];
         for (;;) {
-            const ssize_t n = ::recv(socket_.impl()->sockfd(), some, sizeof some, MSG_DONTWAIT);
-            if (n > 0) heard.append(some, static_cast<std::size_t>(n));
-            if (n == 0) return Now::ended;
-            if (n < 0) return errno == EAGAIN ? Now::open : Now::reset;
+            const ssize_t size = ::recv(socket_.impl()->sockfd(), chunk, sizeof chunk, MSG_DONTWAIT);
+            if (size > 0) received.append(chunk, static_cast<std::size_t>(size));
+            if (size == 0) return State::ended;
+            if (size < 0) return errno == EAGAIN ? State::open : State::reset;
         }
     }
-    std::string heard;
+    std::string received;
 
 private:
     Poco::Net::StreamSocket socket_;
