--- a/tests/platform_run_line_test.cpp
+++ b/tests/platform_run_line_test.cpp
@@ -1,5 +1,6 @@
-// Nobody turns anything on by accident: the very `run` line of deploy/balancer.toml, with files of parts
-// lying about and unknown variables in the environment, watched from outside.
+// Guards against an optional part being enabled by accident: runs exactly the `run` line of
+// deploy/balancer.toml, with parts files in the directories and unknown variables in the environment, and
+// observes the process from outside.
 #include <gtest/gtest.h>
 
 #include <signal.h>
@@ -25,7 +26,7 @@
     return deploy["run"].value_or<std::string>("");
 }
 
-std::set<std::string> tree(const fs::path& root) {
+std::set<std::string> list_files(const fs::path& root) {
     std::set<std::string> all;
     for (const auto& entry : fs::recursive_directory_iterator(root)) all.insert(entry.path().string());
     return all;
@@ -37,20 +38,21 @@
     fs::path root = fs::temp_directory_path() / ("irismux_guard." + std::to_string(::getpid()));
     test_support::FakeNoticeBoard board{loop};
     std::vector<std::unique_ptr<test_support::FakeCache>> caches;
-    std::vector<Poco::Net::StreamSocket> trapped;  // connections to where the files of parts point
-    test_support::Acceptor trap{loop, [this](Poco::Net::StreamSocket s) { trapped.push_back(std::move(s)); }};
+    std::vector<Poco::Net::StreamSocket> trapped;  // connections to the address in the parts files
+    test_support::Acceptor trap{
+        loop, [this](Poco::Net::StreamSocket socket) { trapped.push_back(std::move(socket)); }};
     std::string listen;
     std::set<std::string> deviations;
-    test_support::LoopRunner stretches{loop};  // the last: nothing of the above may go while the loop runs
+    test_support::LoopRunner runner{loop};  // last member: nothing above may be destroyed while the loop runs
 
     void SetUp() override {
-        nlohmann::json lines = nlohmann::json::array();
+        nlohmann::json endpoints = nlohmann::json::array();
         for (const char* id : {"c1", "c2", "c3"}) {
             caches.push_back(std::make_unique<test_support::FakeCache>(loop, id, ms));
-            lines.push_back(
+            endpoints.push_back(
                 test_support::endpoint_json(id, "node", "plant", caches.back()->address(), "Ready"));
         }
-        board.post({{"pool", {{"version", 1}, {"full", true}, {"servers", lines}}}});
+        board.post({{"pool", {{"version", 1}, {"full", true}, {"servers", endpoints}}}});
         {
             Poco::Net::ServerSocket free(Poco::Net::SocketAddress("127.0.0.1:0"));
             listen = free.address().toString();
@@ -69,92 +71,96 @@
     }
     void TearDown() override { fs::remove_all(root); }
 
-    test_support::Process::Options by(const std::string& line) const {
-        const std::string parts = (root / "parts.toml").string(), at = trap.address();
-        return {{"/bin/sh", "-c", line},
-                {"PATH=/usr/bin:/bin", "NODE_NAME=n1", "NODE_CONFIG=" + (root / "node.json").string(),
-                 "NODE_LISTEN=" + listen, "HOME=" + (root / "home").string(),
-                 "TMPDIR=" + (root / "tmp").string(), "XDG_CONFIG_HOME=" + (root / "home/.config").string(),
-                 "IRISMUX_LOG=error", "IRISMUX_CONFIG=" + parts, "IRISMUX_PARTS_FILE=" + parts,
-                 "IRISMUX_FLEET=" + parts, "IRISMUX_REGISTRY=" + at, "IRISMUX_POLICY=" + parts,
-                 "NODE_PARTS=" + parts, "PARTS=" + parts, "ETCD_ENDPOINTS=" + at, "ETCDCTL_ENDPOINTS=" + at},
-                root.string(),
-                "",
-                false};
+    test_support::Process::Options launch_options(const std::string& line) const {
+        const std::string parts = (root / "parts.toml").string(), trap_address = trap.address();
+        return {
+            {"/bin/sh", "-c", line},
+            {"PATH=/usr/bin:/bin", "NODE_NAME=n1", "NODE_CONFIG=" + (root / "node.json").string(),
+             "NODE_LISTEN=" + listen, "HOME=" + (root / "home").string(), "TMPDIR=" + (root / "tmp").string(),
+             "XDG_CONFIG_HOME=" + (root / "home/.config").string(), "IRISMUX_LOG=error",
+             "IRISMUX_CONFIG=" + parts, "IRISMUX_PARTS_FILE=" + parts, "IRISMUX_FLEET=" + parts,
+             "IRISMUX_REGISTRY=" + trap_address, "IRISMUX_POLICY=" + parts, "NODE_PARTS=" + parts,
+             "PARTS=" + parts, "ETCD_ENDPOINTS=" + trap_address, "ETCDCTL_ENDPOINTS=" + trap_address},
+            root.string(),
+            "",
+            false};
     }
 
-    // Whatever the platform's page does not allow, as it stands this instant.
-    void look_at(test_support::Process& p) {
+    // Records everything about the process at this instant that the rules of the platform do not allow.
+    void check_process(test_support::Process& process) {
         std::set<std::string> known = {board.address()};
         for (const auto& c : caches) known.insert(c->address());
-        for (const test_support::SocketInfo& s : test_support::sockets_of(p.id())) {
-            if (s.listening && s.local != listen) deviations.insert("listens on " + s.local);
-            if (s.family != "tcp") deviations.insert("has a socket of " + s.family + " at " + s.local);
-            if (!s.listening && s.local != listen && !known.contains(s.remote))
-                deviations.insert("connects to " + s.remote);
+        for (const test_support::SocketInfo& socket : test_support::sockets_of(process.id())) {
+            if (socket.listening && socket.local != listen) deviations.insert("listens on " + socket.local);
+            if (socket.family != "tcp")
+                deviations.insert("has a socket of " + socket.family + " at " + socket.local);
+            if (!socket.listening && socket.local != listen && !known.contains(socket.remote))
+                deviations.insert("connects to " + socket.remote);
         }
-        if (!test_support::maps(p.id(), "/libc.so")) deviations.insert("is not linked dynamically");
-        if (const auto n = test_support::threads_of(p.id()); n > 1)
+        if (!test_support::maps(process.id(), "/libc.so")) deviations.insert("is not linked dynamically");
+        if (const auto n = test_support::threads_of(process.id()); n > 1)
             deviations.insert(std::to_string(n) + " threads");
-        if (test_support::children_of(p.id()) > 0) deviations.insert("starts other programs");
+        if (test_support::children_of(process.id()) > 0) deviations.insert("starts other programs");
     }
 
-    // Under load until so many lookups are satisfied or the time is over; the configuration is reread on the
-    // way; then it is asked to leave.
-    void serve_and_look(test_support::Process& p, std::uint64_t lookups, Duration most) {
-        ASSERT_TRUE(stretches.run_until([&] {
-            const auto seen = test_support::sockets_of(p.id());
-            return !p.running() || std::any_of(seen.begin(), seen.end(), [](auto& s) { return s.listening; });
+    // Runs the process under load until this many requests are served or the time limit has passed. Half way
+    // SIGHUP makes it read its configuration again; at the end SIGTERM ends it.
+    void serve_and_check(test_support::Process& process, std::uint64_t request_count, Duration time_limit) {
+        ASSERT_TRUE(runner.run_until([&] {
+            const auto sockets = test_support::sockets_of(process.id());
+            return !process.running() ||
+                   std::any_of(sockets.begin(), sockets.end(), [](auto& socket) { return socket.listening; });
         }));
         test_support::ClientLoad clients(loop, listen, "pages", ms * 4, ms * 1500);
-        if (p.running()) clients.start();
-        bool reread = false;
-        stretches.run_until(
+        if (process.running()) clients.start();
+        bool reloaded = false;
+        runner.run_until(
             [&] {
-                if (!p.running()) return true;
-                look_at(p);
-                if (clients.served > lookups / 2 && !std::exchange(reread, true)) p.signal(SIGHUP);
-                return clients.served >= lookups;
+                if (!process.running()) return true;
+                check_process(process);
+                if (clients.served > request_count / 2 && !std::exchange(reloaded, true))
+                    process.signal(SIGHUP);
+                return clients.served >= request_count;
             },
-            most);
+            time_limit);
         clients.stop();
-        satisfied = clients.served;
-        stretches.run_until([&] { return clients.open_requests() == 0; }, ms * 2000);
-        p.signal(SIGTERM);
-        stretches.run_until([&] { return !p.running(); });
+        served = clients.served;
+        runner.run_until([&] { return clients.open_requests() == 0; }, ms * 2000);
+        process.signal(SIGTERM);
+        runner.run_until([&] { return !process.running(); });
     }
-    std::uint64_t satisfied = 0;
+    std::uint64_t served = 0;
 };
 
-TEST_F(Platform, TheRunLineTurnsNothingOn) {
+TEST_F(Platform, TheRunLineEnablesNoPart) {
     const std::string line = run_line();
     EXPECT_EQ(line.rfind("exec ", 0), 0u) << line;
-    const std::set<std::string> before = tree(root);
-    test_support::Process p(by(line));
-    ASSERT_TRUE(stretches.run_until(
-        [&] { return test_support::program_of(p.id()) == fs::canonical(IRISMUX_PROGRAM); }));
-    serve_and_look(p, 200, ms * 10'000);
-    EXPECT_GE(satisfied, 200u);
+    const std::set<std::string> before = list_files(root);
+    test_support::Process process(launch_options(line));
+    ASSERT_TRUE(runner.run_until(
+        [&] { return test_support::program_of(process.id()) == fs::canonical(IRISMUX_PROGRAM); }));
+    serve_and_check(process, 200, ms * 10'000);
+    EXPECT_GE(served, 200u);
     EXPECT_EQ(deviations, std::set<std::string>{});
     EXPECT_TRUE(trapped.empty());
-    EXPECT_TRUE(p.exited_cleanly()) << p.status().value_or(-1);
-    EXPECT_EQ(tree(root), before);
+    EXPECT_TRUE(process.exited_cleanly()) << process.status().value_or(-1);
+    EXPECT_EQ(list_files(root), before);
 }
 
-// The same eyes see what there is to see: the parts named on the line.
-TEST_F(Platform, TheSameLineWithPartsIsSeenToConnectAndToWrite) {
-    const std::set<std::string> before = tree(root);
-    test_support::Process::Options start = by(run_line() + " serve --parts parts.toml");
-    test_support::Process barred(start);
-    stretches.run_until([&] { return !barred.running(); }, ms * 10'000);
-    EXPECT_EQ(barred.status().value_or(0) & 0x7f, SIGXFSZ);
+// Shows that the checks above detect a part that is enabled: here the line names a parts file.
+TEST_F(Platform, TheSameLineWithPartsConnectsAndWrites) {
+    const std::set<std::string> before = list_files(root);
+    test_support::Process::Options start = launch_options(run_line() + " serve --parts parts.toml");
+    test_support::Process write_forbidden(start);
+    runner.run_until([&] { return !write_forbidden.running(); }, ms * 10'000);
+    EXPECT_EQ(write_forbidden.status().value_or(0) & 0x7f, SIGXFSZ);
     start.may_write = true;
-    test_support::Process p(start);
-    stretches.run_until([&] { return !trapped.empty(); });
-    serve_and_look(p, 1000, ms * 1'500);
+    test_support::Process process(start);
+    runner.run_until([&] { return !trapped.empty(); });
+    serve_and_check(process, 1000, ms * 1'500);
     EXPECT_FALSE(trapped.empty());
     EXPECT_TRUE(deviations.contains("connects to " + trap.address()));
-    EXPECT_GT(tree(root).size(), before.size());
+    EXPECT_GT(list_files(root).size(), before.size());
 }
 
 }  // namespace
--- a/tests/request_identity_test.cpp
+++ b/tests/request_identity_test.cpp
@@ -1,5 +1,5 @@
-// Ids and times that others choose, without I/O: ids in flight on a connection, equal requests, when notices
-// happened, and a router under ids that are never given twice.
+// Ids and timestamps that clients, caches and writers of notices choose, without I/O: ids in flight on a
+// connection, equal requests, the estimated times of notices, and a router whose ids never repeat.
 #include <random>
 
 #include "net/event_time_estimator.hpp"
@@ -12,66 +12,68 @@
 
 const TimePoint start = TimePoint::at_seconds(1'000'000);
 TimePoint after(double seconds) { return start + Duration::seconds(seconds); }
-ClientRequestId name(int n) { return ClientRequestId{std::to_string(n)}; }
+ClientRequestId client_id(int n) { return ClientRequestId{std::to_string(n)}; }
 
 TEST(InFlightRequestIds, BelongToOneRequestUntilTheirTime) {
-    InFlightRequestIds names;
-    names.add(name(1), RequestId{1}, after(2), start);
-    EXPECT_FALSE(names.used_by_another(name(1), RequestId{1}, after(1)));
-    EXPECT_TRUE(names.used_by_another(name(1), RequestId{2}, after(1)));
-    EXPECT_FALSE(names.used_by_another(name(2), RequestId{2}, after(1)));
-    EXPECT_FALSE(names.used_by_another(name(1), RequestId{2}, after(2)));
+    InFlightRequestIds ids;
+    ids.add(client_id(1), RequestId{1}, after(2), start);
+    EXPECT_FALSE(ids.used_by_another(client_id(1), RequestId{1}, after(1)));
+    EXPECT_TRUE(ids.used_by_another(client_id(1), RequestId{2}, after(1)));
+    EXPECT_FALSE(ids.used_by_another(client_id(2), RequestId{2}, after(1)));
+    EXPECT_FALSE(ids.used_by_another(client_id(1), RequestId{2}, after(2)));
 }
 
-// Given a connection that carries a flood of ids. Then those that are over are dropped, and at the limit
-// those that end first.
+// A connection carries a flood of ids. Expired ids are dropped, and at the limit those that expire first.
 TEST(InFlightRequestIds, AreBounded) {
-    InFlightRequestIds names;
-    std::uint64_t lookup = 0;
+    InFlightRequestIds ids;
+    std::uint64_t request_id = 0;
     for (int n = 0; n < 3 * static_cast<int>(InFlightRequestIds::max_entries); ++n) {
-        names.add(name(n), RequestId{++lookup}, after(10 + n * 1e-3), start);
-        ASSERT_LE(names.size(), InFlightRequestIds::max_entries);
-        ASSERT_TRUE(names.used_by_another(name(n), RequestId{0}, start));
+        ids.add(client_id(n), RequestId{++request_id}, after(10 + n * 1e-3), start);
+        ASSERT_LE(ids.size(), InFlightRequestIds::max_entries);
+        ASSERT_TRUE(ids.used_by_another(client_id(n), RequestId{0}, start));
     }
-    names.add(name(-1), RequestId{++lookup}, after(1000), after(900));
+    ids.add(client_id(-1), RequestId{++request_id}, after(1000), after(900));
     for (int n = 0; n < static_cast<int>(InFlightRequestIds::max_entries); ++n)
-        names.add(name(-2 - n), RequestId{++lookup}, after(901), after(900));
-    EXPECT_LE(names.size(), InFlightRequestIds::max_entries);
+        ids.add(client_id(-2 - n), RequestId{++request_id}, after(901), after(900));
+    EXPECT_LE(ids.size(), InFlightRequestIds::max_entries);
 }
 
 RequestFingerprint fingerprint_of(int id, const std::string& body) {
     return {ClientRequestId{std::to_string(id)}, "bids", "object", "0", body};
 }
 
-// Compared with a plain list: an equal request is refused until the first one's time, and any difference
-// makes another request.
-TEST(DuplicateRequestFilter, RefusesWhatAPlainListHolds) {
+// Compares the filter with a plain list: an equal request is refused until the time of the first one is over,
+// and any difference makes another request.
+TEST(DuplicateRequestFilter, AgreesWithAPlainList) {
     std::mt19937 random(7);
     DuplicateRequestFilter filter;
-    struct Known {
+    struct AcceptedRequest {
         std::string fingerprint;
-        RequestId lookup;
+        RequestId request_id;
         TimePoint until;
     };
-    std::vector<Known> known;
+    std::vector<AcceptedRequest> accepted;
     TimePoint now = start;
     for (std::uint64_t n = 1; n < 5'000; ++n) {
         now = now + Duration::micros(static_cast<std::int64_t>(random() % 2'000));
-        std::erase_if(known, [&](const Known& k) { return k.until <= now; });
-        if (!known.empty() && random() % 10 == 0) {
-            const Known gone = known[random() % known.size()];
-            filter.forget_request(gone.lookup);
-            std::erase_if(known, [&](const Known& k) { return k.lookup == gone.lookup; });
+        std::erase_if(accepted, [&](const AcceptedRequest& entry) { return entry.until <= now; });
+        if (!accepted.empty() && random() % 10 == 0) {
+            const AcceptedRequest forgotten = accepted[random() % accepted.size()];
+            filter.forget_request(forgotten.request_id);
+            std::erase_if(accepted, [&](const AcceptedRequest& entry) {
+                return entry.request_id == forgotten.request_id;
+            });
         }
         const int id = static_cast<int>(random() % 4);
         const std::string body(random() % 3, 'b');
         const std::string fingerprint = std::to_string(id) + '/' + body;
-        const bool expected = std::none_of(known.begin(), known.end(),
-                                           [&](const Known& k) { return k.fingerprint == fingerprint; });
+        const bool expected =
+            std::none_of(accepted.begin(), accepted.end(),
+                         [&](const AcceptedRequest& entry) { return entry.fingerprint == fingerprint; });
         const TimePoint until = now + Duration::micros(1 + static_cast<std::int64_t>(random() % 20'000));
         ASSERT_EQ(filter.accept(fingerprint_of(id, body), RequestId{n}, until, now), expected) << n;
-        if (expected) known.push_back({fingerprint, RequestId{n}, until});
-        ASSERT_EQ(filter.size(), known.size());
+        if (expected) accepted.push_back({fingerprint, RequestId{n}, until});
+        ASSERT_EQ(filter.size(), accepted.size());
     }
 }
 
@@ -85,34 +87,36 @@
     }
 }
 
-// Events in random order of clocks: a writer's clock that is off by any constant, the own one that is off as
-// well, answers of the board that come late. A purge never counts as older than it is, and none as older than
-// the poll before; with prompt answers each counts within the delay.
+// Guards against copies from before a purge being served because clocks differ. The writer's clock is off by
+// any constant, this process's clock as well, and some responses of the notice board are late. A purge must
+// never be dated earlier than it happened, nor earlier than the previous poll; while responses are prompt, it
+// must be dated within their delay.
 TEST(EventTimes, APurgeIsNeverTakenForOlderThanItIs) {
     std::mt19937 random(11);
-    for (const double off : {0.0, 3600.0, -3600.0, 2.5, -2.5}) {
+    for (const double writer_ahead_s : {0.0, 3600.0, -3600.0, 2.5, -2.5}) {
         EventTimeEstimator times;
-        TimePoint now = start, poll = start;
+        TimePoint now = start, previous_poll = start;
         for (int n = 0; n < 2'000; ++n) {
             const Duration delay =
                 Duration::micros(static_cast<std::int64_t>(random() % (n % 50 == 0 ? 8'000'000 : 20'000)));
             const TimePoint happened = now + Duration::micros(static_cast<std::int64_t>(random() % 500'000));
             now = happened + delay;
-            times.begin_live(now, poll);
-            const TimePoint at = times.purge_time(happened + Duration::seconds(off));
+            times.begin_live(now, previous_poll);
+            const TimePoint at = times.purge_time(happened + Duration::seconds(writer_ahead_s));
             ASSERT_GE(at, happened);
             ASSERT_LE(at, now);
             if (n > 100) {
-                // Bounded by the shortest delay that was seen, and by what two clocks may drift apart.
+                // Limited by the shortest delay seen so far and by the allowed drift between two clocks.
                 ASSERT_LE((at - happened).seconds(), 1.0);
             }
-            poll = now;
+            previous_poll = now;
         }
     }
 }
 
-// A writer's clock that is stepped back while the board is silent and after: what was known of it is void.
-TEST(EventTimes, AWritersClockThatIsSteppedIsFoundOut) {
+// The writer's clock is stepped back while the notice board is silent, and forward again afterwards. The
+// offset known before each step must be discarded.
+TEST(EventTimes, AStepOfTheWritersClockIsDetected) {
     EventTimeEstimator times;
     times.begin_live(after(1), after(0));
     EXPECT_EQ(times.purge_time(after(1)), after(1));
@@ -122,19 +126,22 @@
     EXPECT_GE(times.purge_time(after(3)), after(3));
 }
 
-// History is no older than its newest purge makes it, whatever the own clock says.
+// The newest purge of a history is dated to the time at which the history was read, and the others by their
+// distance from it, whatever this process's clock says.
 TEST(EventTimes, HistoryIsDatedByItsNewestPurge) {
-    for (const double off : {0.0, 3600.0}) {
+    for (const double own_clock_ahead_s : {0.0, 3600.0}) {
         EventTimeEstimator times;
-        const TimePoint newest = after(-1 - off);  // the own clock is ahead by that
+        const TimePoint newest =
+            after(-1 - own_clock_ahead_s);  // this process's clock is ahead by own_clock_ahead_s
         times.begin_history(start, newest);
         EXPECT_EQ(times.purge_time(newest - Duration::seconds(5)), after(-5));
         EXPECT_EQ(times.purge_time(newest), after(0));
     }
 }
 
-// A start is the same one when it is told again, and one that does not fit between two polls is one of now.
-TEST(EventTimes, AStartThatDoesNotFitIsOneOfNow) {
+// A start that is announced again keeps its time. A start whose timestamp does not fit between two polls is
+// dated to the current time.
+TEST(EventTimes, AStartThatDoesNotFitIsDatedToTheCurrentTime) {
     EventTimeEstimator times;
     const CacheId a{"a"}, b{"b"}, c{"c"};
     times.begin_live(after(10), after(9));
@@ -147,8 +154,8 @@
     EXPECT_EQ(times.start_time(b, after(-3599)), after(20));
 }
 
-// Given attempts that have ended, when timers fire, then nothing is found.
-TEST(Router, TimersOfEndedAttemptsFindNothing) {
+// Timers that fire after their attempts have ended must have no effect.
+TEST(Router, TimersOfEndedAttemptsHaveNoEffect) {
     RouterHarness harness;
     for (int n = 0; n < 50; ++n) {
         ASSERT_NE(harness.request(
@@ -161,12 +168,12 @@
     EXPECT_TRUE(harness.callbacks.violations.empty()) << harness.callbacks.violations.front();
 }
 
-// Given a request id that is used twice, when the second request comes, then it is ignored.
+// A second request with an id that was used before is ignored.
 TEST(Router, ASecondRequestOfTheSameIdIsIgnored) {
     RouterHarness harness;
-    const Request lookup = request_for("twice", "object", harness.now + Duration::seconds(5));
-    ASSERT_NE(harness.request(lookup), nullptr);
-    EXPECT_EQ(harness.request(lookup), nullptr);
+    const Request request = request_for("twice", "object", harness.now + Duration::seconds(5));
+    ASSERT_NE(harness.request(request), nullptr);
+    EXPECT_EQ(harness.request(request), nullptr);
 }
 
 }  // namespace
--- a/tests/soak.cpp
+++ b/tests/soak.cpp
@@ -1,6 +1,6 @@
-// irismux_soak FIRST LAST [SECONDS]: soaks of the seeds from FIRST to LAST, each SECONDS long before SIGTERM.
-// Prints a line a seed, and for one that fails what broke and the command that plays it again; ends with 1 if
-// any did.
+// irismux_soak FIRST LAST [SECONDS [PROGRAM]]: runs a soak for each seed from FIRST to LAST, with SECONDS of
+// load before SIGTERM. Prints a line for each seed and, for a seed that fails, the violations and the command
+// that repeats it. Exits with 1 if any seed failed.
 #include <cstdlib>
 #include <iostream>
 #include <string>
@@ -21,18 +21,18 @@
     for (std::uint64_t seed = first; seed <= last; ++seed) {
         const SoakOptions options{
             program, {IRISMUX_SKEWED_CLOCK, IRISMUX_FAILING_CALLS}, seed, std::atof(seconds.c_str())};
-        const SoakResult r = run_soak(options);
-        const bool good = r.violations.empty();
-        failed += !good;
-        std::cout << "seed " << seed << ": " << (good ? "kept" : "BROKEN") << "; asked " << r.requests
-                  << ", served " << r.served << ", refused " << r.rejected << ", failed " << r.failed
-                  << ", sends " << r.attempts << (r.killed ? ", killed at the end" : "") << "; " << r.script
-                  << std::endl;
-        if (good) continue;
-        for (const std::string& v : r.violations) std::cout << "    " << v << '\n';
-        std::cout << r.log_tail << "    again: " << argv[0] << ' ' << seed << ' ' << seed << ' ' << seconds
-                  << std::endl;
+        const SoakResult result = run_soak(options);
+        const bool passed = result.violations.empty();
+        failed += !passed;
+        std::cout << "seed " << seed << ": " << (passed ? "passed" : "FAILED") << "; requests "
+                  << result.requests << ", served " << result.served << ", rejected " << result.rejected
+                  << ", failed " << result.failed << ", attempts " << result.attempts
+                  << (result.killed ? ", killed at the end" : "") << "; " << result.script << std::endl;
+        if (passed) continue;
+        for (const std::string& violation : result.violations) std::cout << "    " << violation << '\n';
+        std::cout << result.log_tail << "    repeat with: " << argv[0] << ' ' << seed << ' ' << seed << ' '
+                  << seconds << std::endl;
     }
-    std::cout << last - first + 1 << " seeds, " << failed << " broken" << std::endl;
+    std::cout << last - first + 1 << " seeds, " << failed << " failed" << std::endl;
     return failed == 0 ? 0 : 1;
 }
