--- a/tests/platform_run_line_test.cpp
+++ b/tests/platform_run_line_test.cpp
@@ -36,7 +36,7 @@
 protected:
     EventLoop loop;
     fs::path root = fs::temp_directory_path() / ("irismux_guard." + std::to_string(::getpid()));
-    test_support::FakeNoticeBoard board{loop};
+    test_support::FakeNoticeBoard notice_board{loop};
     std::vector<std::unique_ptr<test_support::FakeCache>> caches;
     std::vector<Poco::Net::StreamSocket> trapped;  // connections to the address in the parts files
     test_support::Acceptor trap{
@@ -52,7 +52,7 @@
             endpoints.push_back(
                 test_support::endpoint_json(id, "node", "plant", caches.back()->address(), "Ready"));
         }
-        board.post({{"pool", {{"version", 1}, {"full", true}, {"servers", endpoints}}}});
+        notice_board.post({{"pool", {{"version", 1}, {"full", true}, {"servers", endpoints}}}});
         {
             Poco::Net::ServerSocket free(Poco::Net::SocketAddress("127.0.0.1:0"));
             listen = free.address().toString();
@@ -61,7 +61,7 @@
             fs::create_directories(root / folder);
         fs::create_symlink(IRISMUX_PROGRAM, root / "build/irismux");
         std::ofstream(root / "node.json")
-            << test_support::configuration(listen, board.address(), board.known());
+            << test_support::configuration(listen, notice_board.address(), notice_board.known());
         for (const char* file : {"deploy/irismux.toml", "irismux.toml", "parts.toml",
                                  "home/.config/irismux/irismux.toml", "home/.irismux.toml"})
             std::ofstream(root / file)
@@ -88,7 +88,7 @@
 
     // Records everything about the process at this instant that the rules of the platform do not allow.
     void check_process(test_support::Process& process) {
-        std::set<std::string> known = {board.address()};
+        std::set<std::string> known = {notice_board.address()};
         for (const auto& c : caches) known.insert(c->address());
         for (const test_support::SocketInfo& socket : test_support::sockets_of(process.id())) {
             if (socket.listening && socket.local != listen) deviations.insert("listens on " + socket.local);
