--- a/tests/notice_catch_up_test.cpp
+++ b/tests/notice_catch_up_test.cpp
@@ -63,7 +63,7 @@
 // held whole in memory. The purges of the first half must be in force before the second half arrives, and
 // those of the second half after it.
 TEST(NoticeCatchUp, ServesRequestsInTheMiddleOfAnAnswerInBoundedMemory) {
-    SingleProcess solo(answering(solo_shape(2)));
+    SingleProcess solo(with_immediate_answers(process_options(2)));
     NoticeBoardStandIn board(solo.loop);
     const int purges = 200'000;
     const std::string first_object = "00000000000000b1", last_object = "00000000000000b2";
