--- a/bench/control_results.cpp
+++ b/bench/control_results.cpp
@@ -19,9 +19,10 @@
 }
 
 /// Adds the figures of one run to the series of a variant.
-class Gatherer {
+class SeriesCollector {
 public:
-    Gatherer(ControlVariant& to, const json& run) : to_(to), gateways_(run.at("gateways").get<double>()) {
+    SeriesCollector(ControlVariant& to, const json& run)
+        : to_(to), gateways_(run.at("gateways").get<double>()) {
         hollow_ = gateways_ - run.at("real_gateways").get<double>();
     }
 
@@ -101,8 +102,8 @@
             const std::string name = variant_name(run);
             ControlVariant& v = by_name[name];
             v.name = name;
-            Gatherer gatherer(v, run);
-            for (const json& e : run.at("events")) gatherer.add_event(e);
+            SeriesCollector collector(v, run);
+            for (const json& e : run.at("events")) collector.add_event(e);
         }
         std::vector<ControlVariant> all;
         all.reserve(by_name.size());
--- a/bench/data_path.cpp
+++ b/bench/data_path.cpp
@@ -79,7 +79,7 @@
 
     void run() {
         part("answers", [this] { answer_sizes(); });
-        part("pace", [this] { paces(); });
+        part("pace", [this] { lookup_rates(); });
         part("held", [this] { held_lookups(); });
         part("caches", [this] { listed_caches(); });
         part("objects", [this] { objects_over_sockets(); });
@@ -111,7 +111,7 @@
         return l;
     }
     template <class Entry>
-    static void put(std::vector<Entry>& all, Entry entry) {
+    static void replace_or_add(std::vector<Entry>& all, Entry entry) {
         std::erase_if(all, [&](const Entry& e) { return e.name == entry.name; });
         all.push_back(std::move(entry));
     }
@@ -122,16 +122,16 @@
         const Fit f = fit(series.points);
         std::fprintf(stderr, " -> %s + %s n, t %s\n", shown(f.intercept).c_str(), shown(f.slope).c_str(),
                      shown(f.quadratic_t).c_str());
-        put(results_.series, std::move(series));
+        replace_or_add(results_.series, std::move(series));
     }
     void add(Figure figure) {
         std::fprintf(stderr, "  %s: %s %s\n", figure.name.c_str(), shown(figure.value).c_str(),
                      figure.unit.c_str());
-        put(results_.figures, std::move(figure));
+        replace_or_add(results_.figures, std::move(figure));
     }
 
     void answer_sizes();
-    void paces();
+    void lookup_rates();
     void held_lookups();
     void listed_caches();
     void objects_over_sockets();
@@ -186,7 +186,7 @@
 
 // At a pace, as a gateway lives: the share of a core that it takes, and its memory. The answers are halves of
 // the target's mean object, which does not fit one answer.
-void Measurement::paces() {
+void Measurement::lookup_rates() {
     constexpr std::size_t half_a_mean_object = 189'000;
     constexpr double loaded = 6'032;  // four times the mean gateway's
     Series busy{
@@ -245,14 +245,15 @@
     l.answer_bytes = 0;
     l.connections = 400;
     l.outstanding = 0;
-    l.patience_s = 60;
+    l.client_timeout_s = 60;
     l.sockets = 4096;
     LoadedGateway gateway(l);
     pause_for(1);
     for (const std::size_t held : {100u, 300u, 1'000u, 3'000u, 6'000u, 12'000u}) {
-        gateway.keep_under_way(held);
+        gateway.set_outstanding(held);
         pause_for(1.5);
-        const auto under_way = static_cast<double>(gateway.asked() - gateway.refused() - gateway.satisfied());
+        const auto under_way =
+            static_cast<double>(gateway.requests_sent() - gateway.refused() - gateway.satisfied());
         memory.points.push_back({under_way, resident_mb(gateway.id())});
         sockets.points.push_back({under_way, static_cast<double>(descriptors_of(gateway.id()))});
     }
@@ -305,8 +306,8 @@
     l.per_second = 3'000;
     LoadedGateway gateway(l);
     for (const std::uint64_t objects : {1'000u, 3'000u, 10'000u, 30'000u, 60'000u}) {
-        constexpr int most_looks = 2'000;
-        for (int n = 0; n < most_looks && gateway.satisfied() < objects; ++n) pause_for(0.02);
+        constexpr int max_checks = 2'000;
+        for (int n = 0; n < max_checks && gateway.satisfied() < objects; ++n) pause_for(0.02);
         memory.points.push_back({static_cast<double>(gateway.satisfied()), resident_mb(gateway.id())});
     }
     add(std::move(memory));
--- a/bench/data_path_load.cpp
+++ b/bench/data_path_load.cpp
@@ -17,10 +17,10 @@
 /// Links so wide that no decision turns a lookup away: the cost of passing on is measured, not a limit.
 constexpr double wide_link_kb_per_s = 8.3e10;
 /// Lookups that one connection of a client may carry at once (of the front's protocol).
-constexpr std::size_t most_on_a_connection = 32;
+constexpr std::size_t max_lookups_per_connection = 32;
 /// Of a tick: bounds how many lookups start in a burst.
-constexpr std::size_t most_a_tick = 64;
-const Duration tick_every = Duration::micros(1'000), over_every = Duration::micros(20'000);
+constexpr std::size_t max_lookups_per_tick = 64;
+const Duration tick_interval = Duration::micros(1'000), stop_check_interval = Duration::micros(20'000);
 
 std::string hex16(std::uint64_t n) {
     char text[17];
@@ -37,45 +37,45 @@
 
 // --- threads ---------------------------------------------------------------------------------------------
 
-LoopThread::LoopThread() : keeps_alarms_running_(loop, [](const Poco::Net::StreamSocket&) {}) {}
+LoopThread::LoopThread() : keeps_timers_running_(loop, [](const Poco::Net::StreamSocket&) {}) {}
 
 LoopThread::~LoopThread() { end(); }
 
 void LoopThread::start() {
-    look_whether_over();
+    check_for_end();
     thread_ = std::thread([this] { loop.run(); });
 }
 
 void LoopThread::end() {
-    over_ = true;
+    stopping_ = true;
     if (thread_.joinable()) thread_.join();
 }
 
-void LoopThread::look_whether_over() {
-    if (over_) return loop.stop();
-    loop.schedule_at(loop.now() + over_every, [this] { look_whether_over(); });
+void LoopThread::check_for_end() {
+    if (stopping_) return loop.stop();
+    loop.schedule_at(loop.now() + stop_check_interval, [this] { check_for_end(); });
 }
 
 // --- clients ---------------------------------------------------------------------------------------------
 
-LoadClients::LoadClients(EventLoop& loop, const Load& load, std::size_t share_of, std::uint64_t number)
-    : outstanding(load.outstanding / share_of),
+LoadClients::LoadClients(EventLoop& loop, const Load& load, std::size_t group_count, std::uint64_t number)
+    : outstanding(load.outstanding / group_count),
       loop_(loop),
       load_(load),
-      share_of_(share_of),
+      group_count_(group_count),
       number_(number),
       random_(load.seed + number) {}
 
 void LoadClients::start(const std::string& gateway) {
-    for (std::size_t n = 0; n < load_.connections / share_of_; ++n) {
+    for (std::size_t n = 0; n < load_.connections / group_count_; ++n) {
         connections_.push_back(std::make_unique<Connection>());
         Connection& c = *connections_.back();
-        for (std::size_t slot = most_on_a_connection; slot > 0; --slot)
+        for (std::size_t slot = max_lookups_per_connection; slot > 0; --slot)
             c.free.push_back(static_cast<std::uint16_t>(slot));
-        c.asker = std::make_shared<test_support::FastCgiClient>(loop_, gateway);
-        c.asker->connection->on_received = [this, &c, read = c.asker->connection->on_received](Buffer& in) {
+        c.client = std::make_shared<test_support::FastCgiClient>(loop_, gateway);
+        c.client->connection->on_received = [this, &c, read = c.client->connection->on_received](Buffer& in) {
             read(in);
-            answered(c);
+            on_responses(c);
         };
     }
     ticked_ = loop_.now();
@@ -83,48 +83,48 @@
 }
 
 void LoadClients::tick() {
-    loop_.schedule_at(loop_.now() + tick_every, [this] { tick(); });
+    loop_.schedule_at(loop_.now() + tick_interval, [this] { tick(); });
     const TimePoint now = loop_.now();
-    owed_ += (now - ticked_).seconds() * load_.per_second / static_cast<double>(share_of_);
+    due_lookups_ += (now - ticked_).seconds() * load_.per_second / static_cast<double>(group_count_);
     ticked_ = now;
-    ask_as_wanted();
+    send_due_lookups();
 }
 
-void LoadClients::ask_as_wanted() {
-    for (std::size_t n = 0; n < most_a_tick; ++n) {
+void LoadClients::send_due_lookups() {
+    for (std::size_t n = 0; n < max_lookups_per_tick; ++n) {
         const bool paced = load_.per_second > 0;
-        if (paced ? owed_ < 1 : under_way_ >= outstanding) return;
-        if (!ask_one()) return;
-        if (paced) owed_ -= 1;
+        if (paced ? due_lookups_ < 1 : in_flight_ >= outstanding) return;
+        if (!send_lookup()) return;
+        if (paced) due_lookups_ -= 1;
     }
 }
 
 // False where all connections are full.
-bool LoadClients::ask_one() {
+bool LoadClients::send_lookup() {
     for (std::size_t n = 0; n < connections_.size(); ++n) {
         Connection& c = *connections_[next_connection_++ % connections_.size()];
         if (c.free.empty()) continue;
-        const std::uint64_t count = asked++;
+        const std::uint64_t count = requests_sent++;
         test_support::FastCgiClient::Request q;
         q.id = hex16(number_ << 48 | count);
         q.object = hex16(load_.objects > 0 ? random_() % load_.objects : number_ << 48 | count);
-        q.timeout_ms = static_cast<int>(load_.patience_s * 1000);
-        c.asker->send(c.free.back(), q);
+        q.timeout_ms = static_cast<int>(load_.client_timeout_s * 1000);
+        c.client->send(c.free.back(), q);
         c.free.pop_back();
-        ++under_way_;
+        ++in_flight_;
         return true;
     }
     return false;
 }
 
-void LoadClients::answered(Connection& on) {
-    for (const test_support::FastCgiClient::Response& a : on.asker->responses) {
+void LoadClients::on_responses(Connection& on) {
+    for (const test_support::FastCgiClient::Response& a : on.client->responses) {
         on.free.push_back(a.number);
-        --under_way_;
+        --in_flight_;
         ++(a.head.rfind("Status: 200", 0) == 0 ? satisfied : refused);
     }
-    on.asker->responses.clear();
-    ask_as_wanted();
+    on.client->responses.clear();
+    send_due_lookups();
 }
 
 // --- the gateway -----------------------------------------------------------------------------------------
@@ -136,7 +136,7 @@
     if (!::mkdtemp(folder_.data())) throw std::runtime_error("no folder can be made");
     board_ = std::make_unique<test_support::FakeNoticeBoard>(board_thread_.loop);
     for (std::size_t n = 0; n < cache_threads; ++n) cache_loops_.push_back(std::make_unique<LoopThread>());
-    for (std::size_t n = 0; n < stand_ins; ++n) {
+    for (std::size_t n = 0; n < cache_servers; ++n) {
         EventLoop& loop = cache_loops_[n % cache_threads]->loop;
         caches_.push_back(std::make_unique<test_support::ScriptedCache>(loop, "stand-in", 1024));
         if (load.answer_bytes == 0) continue;
@@ -174,21 +174,21 @@
     json lines = json::array();
     for (std::size_t n = 0; n < load.listed_caches; ++n)
         lines.push_back(test_support::endpoint_json("edge-" + std::to_string(n), "node", "plant",
-                                                    caches_[n % stand_ins]->address(), "Ready"));
+                                                    caches_[n % cache_servers]->address(), "Ready"));
     lines.push_back(test_support::endpoint_json("parent", "parent", "hub", "127.0.0.1:9", "Ready"));
     lines.push_back(test_support::endpoint_json("origin", "origin", "hub", "127.0.0.1:9", "Ready"));
     board_->post({{"pool", {{"version", 1}, {"full", true}, {"servers", lines}}}});
     json config = test_support::configuration(listen_, board_->address(), board_->known());
     config["limits"]["memory_mb"] = load.memory_mb;
     config["limits"]["sockets"] = load.sockets;
-    config["settings"]["lanes"][0]["hardLimitS"] = load.patience_s;
+    config["settings"]["lanes"][0]["hardLimitS"] = load.client_timeout_s;
     config["settings"]["specifics"]["pipeKbPerS"] = {0.0, wide_link_kb_per_s};
     std::ofstream(folder_ + "/config.json") << config.dump();
 }
 
 void LoadedGateway::wait_until_it_serves() {
-    constexpr int most_looks = 500;
-    for (int n = 0; n < most_looks && process_->running(); ++n) {
+    constexpr int max_checks = 500;
+    for (int n = 0; n < max_checks && process_->running(); ++n) {
         std::ifstream log(folder_ + "/log");
         for (std::string line; std::getline(log, line);)
             if (line.find("listening gateway=") != std::string::npos) return;
@@ -197,9 +197,9 @@
     throw std::runtime_error("the gateway does not serve");
 }
 
-std::uint64_t LoadedGateway::asked() const {
+std::uint64_t LoadedGateway::requests_sent() const {
     std::uint64_t sum = 0;
-    for (const auto& c : clients_) sum += c->asked;
+    for (const auto& c : clients_) sum += c->requests_sent;
     return sum;
 }
 
@@ -215,7 +215,7 @@
     return sum;
 }
 
-void LoadedGateway::keep_under_way(std::size_t lookups) {
+void LoadedGateway::set_outstanding(std::size_t lookups) {
     for (const auto& c : clients_) c->outstanding = lookups / clients_.size();
 }
 
--- a/bench/data_path_load.hpp
+++ b/bench/data_path_load.hpp
@@ -25,7 +25,7 @@
     std::size_t outstanding = 64;      // lookups under way at once, together
     double per_second = 0;             // pace of all clients; 0: a new lookup with each answer
     std::uint64_t objects = 1'000;     // asked for at random; 0: each lookup asks for another one
-    double patience_s = 3;             // of clients
+    double client_timeout_s = 3;       // of clients
     std::size_t memory_mb = 256, sockets = 2'048;  // that the gateway is allowed
 };
 
@@ -43,39 +43,39 @@
     void end();
 
 private:
-    void look_whether_over();
-    test_support::Acceptor keeps_alarms_running_;  // a reactor without sockets runs no alarms
-    std::atomic<bool> over_{false};
+    void check_for_end();
+    test_support::Acceptor keeps_timers_running_;  // a reactor without sockets runs no alarms
+    std::atomic<bool> stopping_{false};
     std::thread thread_;
 };
 
 /// Clients on one loop: they keep so many lookups under way, or ask at a pace.
 class LoadClients {
 public:
-    LoadClients(EventLoop& loop, const Load& load, std::size_t share_of, std::uint64_t number);
+    LoadClients(EventLoop& loop, const Load& load, std::size_t group_count, std::uint64_t number);
     void start(const std::string& gateway);
 
-    std::atomic<std::uint64_t> asked{0}, satisfied{0}, refused{0};
+    std::atomic<std::uint64_t> requests_sent{0}, satisfied{0}, refused{0};
     std::atomic<std::size_t> outstanding{0};  // wanted under way; may be raised while it runs
 
 private:
     struct Connection {
-        std::shared_ptr<test_support::FastCgiClient> asker;
+        std::shared_ptr<test_support::FastCgiClient> client;
         std::vector<std::uint16_t> free;  // request numbers
     };
     void tick();
-    void ask_as_wanted();
-    bool ask_one();
-    void answered(Connection& on);
+    void send_due_lookups();
+    bool send_lookup();
+    void on_responses(Connection& on);
 
     EventLoop& loop_;
     Load load_;
-    std::size_t share_of_;  // of so many groups of clients this is one
+    std::size_t group_count_;  // of so many groups of clients this is one
     std::uint64_t number_;
     std::mt19937_64 random_;
     std::vector<std::unique_ptr<Connection>> connections_;
-    std::size_t next_connection_ = 0, under_way_ = 0;
-    double owed_ = 0;  // lookups that the pace asks for and that have not been asked
+    std::size_t next_connection_ = 0, in_flight_ = 0;
+    double due_lookups_ = 0;  // lookups that the pace asks for and that have not been asked
     TimePoint ticked_;
 };
 
@@ -86,15 +86,15 @@
     ~LoadedGateway();
 
     pid_t id() const { return process_->id(); }
-    std::uint64_t asked() const, satisfied() const, refused() const;
+    std::uint64_t requests_sent() const, satisfied() const, refused() const;
     /// Lookups that clients keep under way, all together.
-    void keep_under_way(std::size_t lookups);
+    void set_outstanding(std::size_t lookups);
 
 private:
     void write_configuration(const Load& load);
     void wait_until_it_serves();
 
-    static constexpr std::size_t client_threads = 2, cache_threads = 2, stand_ins = 4;
+    static constexpr std::size_t client_threads = 2, cache_threads = 2, cache_servers = 4;
     std::string folder_, listen_;
     std::string answer_;
     LoopThread board_thread_;
--- a/bench/data_path_router.cpp
+++ b/bench/data_path_router.cpp
@@ -86,24 +86,26 @@
 }
 
 /// Keeps the last send and the alarms; counts what is turned away.
-class LastSend final : public RouterCallbacks {
+class RecordingCallbacks final : public RouterCallbacks {
 public:
-    void start_direct_attempt(const RequestId&, const CacheId& cache, Duration) override { went(cache); }
-    void start_attempt(const RequestId&, const AttemptPlan& f) override { went(f.cache); }
+    void start_direct_attempt(const RequestId&, const CacheId& cache, Duration) override {
+        record_attempt(cache);
+    }
+    void start_attempt(const RequestId&, const AttemptPlan& f) override { record_attempt(f.cache); }
     void cancel_attempt(const RequestId&, AttemptIndex) override {}
     void reject(const RequestId&, Duration) override { ++refused; }
     void fail(const RequestId&) override { ++refused; }
-    void set_timer(TimerId number, TimePoint at) override { alarms.emplace_back(number, at); }
+    void set_timer(TimerId number, TimePoint at) override { timers.emplace_back(number, at); }
     void subscribe_to_endpoints() override {}
 
-    std::vector<std::pair<TimerId, TimePoint>> alarms;
-    CacheId to;
+    std::vector<std::pair<TimerId, TimePoint>> timers;
+    CacheId attempted_cache;
     bool sent = false;
     std::uint64_t refused = 0;
 
 private:
-    void went(const CacheId& cache) {
-        to = cache;
+    void record_attempt(const CacheId& cache) {
+        attempted_cache = cache;
         sent = true;
     }
 };
@@ -111,7 +113,7 @@
 class RouterRun {
 public:
     explicit RouterRun(const RouterLoad& load)
-        : load_(load), router_(port_, deployment(load), load.seed, now_), random_(load.seed) {
+        : load_(load), router_(callbacks_, deployment(load), load.seed, now_), random_(load.seed) {
         router_.on_endpoint_updates(now_, list_of(load_), true);
     }
 
@@ -126,43 +128,43 @@
         cost.grown_mb = resident_mb() - memory;
         cost.us_per_purge = measure_purges();
         cost.us_per_list = measure_lists();
-        cost.refused = port_.refused;
+        cost.refused = callbacks_.refused;
         return cost;
     }
 
 private:
     void one_lookup(std::uint64_t n) {
         now_ = now_ + Duration::seconds(1 / load_.per_second);
-        run_alarms();
+        run_due_timers();
         const std::string object = hex16(load_.objects > 0 ? random_() % load_.objects : n);
         Request arrival;
         arrival.id = RequestId{n};
         arrival.object = ObjectName{object};
         arrival.deadline = now_ + Duration::seconds(load_.deadline_s);
         const auto before = Clock::now();
-        port_.sent = false;
+        callbacks_.sent = false;
         router_.on_request(now_, arrival);
-        if (port_.sent) answer(arrival.id);
+        if (callbacks_.sent) answer(arrival.id);
         const std::chrono::duration<double, std::micro> took = Clock::now() - before;
         longest_us_ = std::max(longest_us_, took.count());
     }
     void answer(const RequestId& id) {
         AttemptResult a;
         a.request = id;
-        a.cache = port_.to;
+        a.cache = callbacks_.attempted_cache;
         a.cache_status = CacheStatus::hit;
         a.elapsed = Duration::micros(300);
         a.request_finished = true;
         router_.on_attempt_result(now_ + a.elapsed, a);
     }
-    void run_alarms() {
+    void run_due_timers() {
         std::vector<std::pair<TimerId, TimePoint>> all;
-        std::swap(all, port_.alarms);
+        std::swap(all, callbacks_.timers);
         for (const auto& [number, at] : all) {
             if (at <= now_)
                 router_.on_timer(now_, number);
             else
-                port_.alarms.emplace_back(number, at);
+                callbacks_.timers.emplace_back(number, at);
         }
     }
     void renew_purges() {
@@ -190,7 +192,7 @@
 
     RouterLoad load_;
     TimePoint now_ = TimePoint::at_seconds(1e9);
-    LastSend port_;
+    RecordingCallbacks callbacks_;
     Router router_;
     std::mt19937_64 random_;
     double longest_us_ = 0;
@@ -200,16 +202,16 @@
 
 RouterCost measure_router(const std::string& self, const RouterLoad& load) {
     std::string output = (fs::temp_directory_path() / "router-cost-XXXXXX").string();
-    const int made = ::mkstemp(output.data());
-    if (made < 0) throw std::runtime_error("no file can be made");
-    ::close(made);
+    const int file = ::mkstemp(output.data());
+    if (file < 0) throw std::runtime_error("no file can be made");
+    ::close(file);
     test_support::Process child({{self, "--router", json(load).dump()}, {}, "", output});
     while (child.running()) std::this_thread::sleep_for(std::chrono::milliseconds(5));
-    const json told = json::parse(std::ifstream(output), nullptr, false);
+    const json output_json = json::parse(std::ifstream(output), nullptr, false);
     fs::remove(output);
-    if (!child.exited_cleanly() || told.is_discarded())
+    if (!child.exited_cleanly() || output_json.is_discarded())
         throw std::runtime_error("a run of the Router did not end well");
-    return told.get<RouterCost>();
+    return output_json.get<RouterCost>();
 }
 
 void run_router(const std::string& load) {
--- a/bench/fleet_owner.cpp
+++ b/bench/fleet_owner.cpp
@@ -43,27 +43,27 @@
     return sorted[static_cast<std::size_t>(q * static_cast<double>(sorted.size() - 1))];
 }
 
-struct Counted {
-    std::vector<double> without_ms;     // from the fault to the first write of another that landed
-    std::size_t tried = 0, landed = 0;  // writes under the former token after the next one had landed
-    std::size_t moved = 0, least = 0;   // duties that changed hands with a loss; those that its owner had
-    std::size_t stuck = 0;              // faults that nobody followed
+struct TakeoverCounts {
+    std::vector<double> ownerless_ms;      // from the fault to the first write of another that landed
+    std::size_t tried = 0, landed = 0;     // writes under the former token after the next one had landed
+    std::size_t moved = 0, min_moves = 0;  // duties that changed hands with a loss; those that its owner had
+    std::size_t not_taken_over = 0;        // faults that nobody followed
 };
 
 // One fleet of processes, faulted so many times.
 class Fleet {
 public:
     Fleet(const std::string& program, const std::string& fault, const fs::path& folder)
-        : fault_(fault), folder_(folder), a_(shape(program), folder.string()) {}
+        : fault_(fault), folder_(folder), fleet_(fleet_options(program), folder.string()) {}
     ~Fleet() { fs::remove_all(folder_); }
 
-    void play(int times, Counted& counted) {
-        a_.start_all();
+    void run(int times, TakeoverCounts& counted) {
+        fleet_.start_all();
         for (int n = 0; n < times; ++n)
-            if (!a_.wait_until([&] { return ready(); }) || !once(counted)) ++counted.stuck;
-        for (const std::string& what : a_.violations) std::cerr << "broken: " << what << '\n';
+            if (!fleet_.wait_until([&] { return ready(); }) || !run_fault(counted)) ++counted.not_taken_over;
+        for (const std::string& what : fleet_.violations) std::cerr << "broken: " << what << '\n';
     }
-    static test_support::ProcessFleet::Options shape(const std::string& program) {
+    static test_support::ProcessFleet::Options fleet_options(const std::string& program) {
         test_support::ProcessFleet::Options s;
         s.program = program;
         s.gateways = gateways;
@@ -75,19 +75,19 @@
 private:
     // All are in, and the owner has been so for a term.
     bool ready() const {
-        return a_.all_joined() && a_.owner(duty) && !a_.ownership_changes.empty() &&
-               a_.loop.now() - a_.ownership_changes.back().at > a_.options.term;
+        return fleet_.all_joined() && fleet_.owner(duty) && !fleet_.ownership_changes.empty() &&
+               fleet_.loop.now() - fleet_.ownership_changes.back().at > fleet_.options.term;
     }
-    bool once(Counted& counted) {
-        const std::size_t who = *a_.owner(duty);
-        const auto before = *a_.duty_record(duty);
-        const std::size_t claims = a_.ownership_changes.size(), writes = a_.fenced_writes.size();
-        const TimePoint from = a_.loop.now();
-        order(who, true);
+    bool run_fault(TakeoverCounts& counted) {
+        const std::size_t who = *fleet_.owner(duty);
+        const auto before = *fleet_.duty_record(duty);
+        const std::size_t claims = fleet_.ownership_changes.size(), writes = fleet_.fenced_writes.size();
+        const TimePoint from = fleet_.loop.now();
+        set_fault(who, true);
         TimePoint landed;
-        const bool followed = a_.wait_until([&] {
-            for (std::size_t n = writes; n < a_.fenced_writes.size(); ++n) {
-                const auto& w = a_.fenced_writes[n];
+        const bool followed = fleet_.wait_until([&] {
+            for (std::size_t n = writes; n < fleet_.fenced_writes.size(); ++n) {
+                const auto& w = fleet_.fenced_writes[n];
                 if (!w.accepted || w.at < from ||
                     (w.token == before.token && fault_ != "registry member lost"))
                     continue;
@@ -96,15 +96,15 @@
             }
             return false;
         });
-        if (followed) counted.without_ms.push_back((landed - from).seconds() * 1000);
-        for (std::size_t n = claims; n < a_.ownership_changes.size(); ++n)
-            counted.moved += !a_.ownership_changes[n].by.name.raw().empty();
-        counted.least += fault_ != "registry member lost";
-        a_.run_for(a_.options.term * 0.25);
-        order(who, false);
-        a_.run_for(a_.options.term * 0.5);
-        for (std::size_t n = writes; n < a_.fenced_writes.size(); ++n) {
-            const auto& w = a_.fenced_writes[n];
+        if (followed) counted.ownerless_ms.push_back((landed - from).seconds() * 1000);
+        for (std::size_t n = claims; n < fleet_.ownership_changes.size(); ++n)
+            counted.moved += !fleet_.ownership_changes[n].by.name.raw().empty();
+        counted.min_moves += fault_ != "registry member lost";
+        fleet_.run_for(fleet_.options.term * 0.25);
+        set_fault(who, false);
+        fleet_.run_for(fleet_.options.term * 0.5);
+        for (std::size_t n = writes; n < fleet_.fenced_writes.size(); ++n) {
+            const auto& w = fleet_.fenced_writes[n];
             if (!followed || w.at <= landed || w.token > before.token || fault_ == "registry member lost")
                 continue;
             ++counted.tried;
@@ -112,14 +112,14 @@
         }
         return followed;
     }
-    void order(std::size_t who, bool is) {
-        if (fault_ == "killed") is ? a_.kill(who) : a_.start(who);
-        if (fault_ == "stopped") is ? a_.stop(who) : a_.resume(who);
-        if (fault_ == "cut both ways") a_.partition_registry(who, is, is);
-        if (fault_ == "cut on the way out") a_.partition_registry(who, is, false);
-        if (fault_ == "cut on the way back") a_.partition_registry(who, false, is);
+    void set_fault(std::size_t who, bool is) {
+        if (fault_ == "killed") is ? fleet_.kill(who) : fleet_.start(who);
+        if (fault_ == "stopped") is ? fleet_.stop(who) : fleet_.resume(who);
+        if (fault_ == "cut both ways") fleet_.partition_registry(who, is, is);
+        if (fault_ == "cut on the way out") fleet_.partition_registry(who, is, false);
+        if (fault_ == "cut on the way back") fleet_.partition_registry(who, false, is);
         if (fault_ == "link of 500 bytes a second")
-            for (auto& r : a_.gateways[who].registry_proxies) {
+            for (auto& r : fleet_.gateways[who].registry_proxies) {
                 for (const test_support::Direction w :
                      {test_support::Direction::to_server, test_support::Direction::to_client})
                     r->faults(w).bytes_per_second = is ? 500 : 0;
@@ -127,14 +127,14 @@
             }
         if (fault_ == "registry member lost") {
             // Each in turn: the one that the owner talks to is among them.
-            if (is) lost_ = (lost_ + 1) % a_.options.members;
-            is ? a_.registry.stop_member(lost_) : a_.registry.restart_member(lost_);
+            if (is) lost_ = (lost_ + 1) % fleet_.options.members;
+            is ? fleet_.registry.stop_member(lost_) : fleet_.registry.restart_member(lost_);
         }
     }
 
     std::string fault_;
     fs::path folder_;
-    test_support::ProcessFleet a_;
+    test_support::ProcessFleet fleet_;
     std::size_t lost_ = 0;
 };
 
@@ -147,7 +147,7 @@
                   "cut on the way back",
                   "link of 500 bytes a second",
                   "registry member lost"};
-    const test_support::ProcessFleet::Options s = Fleet::shape(program);
+    const test_support::ProcessFleet::Options s = Fleet::fleet_options(program);
     const double bound =
         longest_without_owner({"", s.term, s.drift}, s.term * 0.125, gateways - 2).seconds() * 1000;
     std::printf(
@@ -156,31 +156,32 @@
         "landed | changes of owner | least possible | not followed |\n"
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
     for (const std::string& fault : faults) {
-        Counted all;
+        TakeoverCounts all;
         std::mutex lock;
         std::vector<std::thread> threads;
         for (std::size_t f = 0; f < fleets; ++f)
             threads.emplace_back([&, f] {
-                Counted own;
+                TakeoverCounts own;
                 const int mine =
                     times / static_cast<int>(fleets) + (f < static_cast<std::size_t>(times) % fleets);
                 Fleet(program, fault,
                       fs::temp_directory_path() /
                           ("fleet_owner." + std::to_string(::getpid()) + '.' + std::to_string(f)))
-                    .play(mine, own);
+                    .run(mine, own);
                 const std::lock_guard held(lock);
-                all.without_ms.insert(all.without_ms.end(), own.without_ms.begin(), own.without_ms.end());
+                all.ownerless_ms.insert(all.ownerless_ms.end(), own.ownerless_ms.begin(),
+                                        own.ownerless_ms.end());
                 all.tried += own.tried;
                 all.landed += own.landed;
                 all.moved += own.moved;
-                all.least += own.least;
-                all.stuck += own.stuck;
+                all.min_moves += own.min_moves;
+                all.not_taken_over += own.not_taken_over;
             });
         for (auto& t : threads) t.join();
         std::printf("| %s | %zu | %.0f | %.0f | %.0f | %.0f | %.0f | %zu | %zu | %zu | %zu | %zu |\n",
-                    fault.c_str(), all.without_ms.size(), at(all.without_ms, 0.5), at(all.without_ms, 0.95),
-                    at(all.without_ms, 0.99), at(all.without_ms, 1), bound, all.tried, all.landed, all.moved,
-                    all.least, all.stuck);
+                    fault.c_str(), all.ownerless_ms.size(), at(all.ownerless_ms, 0.5),
+                    at(all.ownerless_ms, 0.95), at(all.ownerless_ms, 0.99), at(all.ownerless_ms, 1), bound,
+                    all.tried, all.landed, all.moved, all.min_moves, all.not_taken_over);
         std::fflush(stdout);
     }
 }
--- a/bench/registry_load.cpp
+++ b/bench/registry_load.cpp
@@ -20,25 +20,26 @@
 const Duration ms = Duration::micros(1000);
 constexpr std::size_t members = 3, listed = 200;
 
-class Ear final : public registry::WatchObserver {
+class SyncStateObserver final : public registry::WatchObserver {
 public:
     void on_endpoints(TimePoint, const std::vector<EndpointRecord>&, bool) override {}
-    void on_sync_state(TimePoint, registry::SyncState s, TimePoint) override { sight = s; }
+    void on_sync_state(TimePoint, registry::SyncState s, TimePoint) override { sync_state = s; }
     void on_watch_warning(const registry::WatchWarning&) override {}
-    registry::SyncState sight = registry::SyncState::reading;
+    registry::SyncState sync_state = registry::SyncState::reading;
 };
 
-std::size_t worst(const std::vector<TimePoint>& asked, std::size_t from, Duration window) {
+std::size_t max_requests_within(const std::vector<TimePoint>& request_times, std::size_t from,
+                                Duration window) {
     std::size_t most = 0;
-    for (std::size_t n = from, first = from; n < asked.size(); ++n) {
-        while (asked[n] - asked[first] > window) ++first;
+    for (std::size_t n = from, first = from; n < request_times.size(); ++n) {
+        while (request_times[n] - request_times[first] > window) ++first;
         most = std::max(most, n - first + 1);
     }
     return most;
 }
 
 // That many clients follow; then all connections break, or the registry is away for five seconds.
-void herd(std::size_t clients, bool away) {
+void measure_outage(std::size_t clients, bool registry_down) {
     EventLoop loop;
     test_support::FakeRegistry r(loop, members, ms * 100);
     for (std::size_t n = 0; n < listed; ++n)
@@ -48,35 +49,37 @@
     for (std::size_t m = 0; m < members; ++m) settings.members.push_back(r.address(m));
     settings.prefix = "/caches/";
     settings.poll_policy.members = members;
-    std::vector<std::unique_ptr<Ear>> ears;
+    std::vector<std::unique_ptr<SyncStateObserver>> observers;
     std::vector<std::unique_ptr<registry::RegistryClient>> all;
-    test_support::LoopRunner stretches(loop);
+    test_support::LoopRunner runner(loop);
     for (std::size_t n = 0; n < clients; ++n) {
-        ears.push_back(std::make_unique<Ear>());
-        all.push_back(std::make_unique<registry::RegistryClient>(loop, *ears.back(), settings, n * 7919 + 1));
+        observers.push_back(std::make_unique<SyncStateObserver>());
+        all.push_back(
+            std::make_unique<registry::RegistryClient>(loop, *observers.back(), settings, n * 7919 + 1));
         all.back()->start();
     }
     const auto following = [&] {
-        return std::all_of(ears.begin(), ears.end(),
-                           [](const auto& e) { return e->sight == registry::SyncState::following; });
+        return std::all_of(observers.begin(), observers.end(),
+                           [](const auto& e) { return e->sync_state == registry::SyncState::following; });
     };
-    stretches.run_until(following, ms * 30'000);
+    runner.run_until(following, ms * 30'000);
     const std::size_t from = r.ledger.request_times.size();
     const int reads = r.ledger.reads;
     const TimePoint broken = loop.now();
-    for (std::size_t m = 0; m < members; ++m) away ? r.stop_member(m) : r.break_connections(m);
-    if (away) {
-        stretches.run_until([&] { return loop.now() - broken > ms * 5'000; });
+    for (std::size_t m = 0; m < members; ++m) registry_down ? r.stop_member(m) : r.break_connections(m);
+    if (registry_down) {
+        runner.run_until([&] { return loop.now() - broken > ms * 5'000; });
         for (std::size_t m = 0; m < members; ++m) r.restart_member(m);
     } else {
-        stretches.run_until([&] { return loop.now() - broken > ms * 50; });
+        runner.run_until([&] { return loop.now() - broken > ms * 50; });
     }
-    const TimePoint back = loop.now();
-    const bool whole = stretches.run_until(following, ms * 30'000);
+    const TimePoint restored_at = loop.now();
+    const bool all_follow = runner.run_until(following, ms * 30'000);
     std::printf("| %zu | %s | %zu | %zu | %d | %s%.0f |\n", clients,
-                away ? "away for 5 s" : "all connections broken", r.ledger.request_times.size() - from,
-                worst(r.ledger.request_times, from, ms * 100), r.ledger.reads - reads, whole ? "" : "over ",
-                (loop.now() - back).seconds() * 1000);
+                registry_down ? "away for 5 s" : "all connections broken",
+                r.ledger.request_times.size() - from,
+                max_requests_within(r.ledger.request_times, from, ms * 100), r.ledger.reads - reads,
+                all_follow ? "" : "over ", (loop.now() - restored_at).seconds() * 1000);
     std::fflush(stdout);
     all.clear();
 }
@@ -120,7 +123,7 @@
         "| clients | what happens | requests until all follow again | in the worst 100 ms | full reads | "
         "ms until all follow |\n| --- | --- | --- | --- | --- | --- |\n");
     for (const std::size_t n : {10u, 100u, 300u})
-        for (const bool away : {false, true}) herd(n, away);
+        for (const bool registry_down : {false, true}) measure_outage(n, registry_down);
     costs();
     return 0;
 }
--- a/bench/registry_staleness.cpp
+++ b/bench/registry_staleness.cpp
@@ -32,7 +32,7 @@
 const std::string prefix = "/caches/";
 constexpr std::size_t edge_caches = 6, members = 3;
 // Nothing drains twice within the time that its cache needs to be back.
-const Duration between = Duration::micros(200'000), watched = Duration::micros(1'000'000);
+const Duration drain_interval = Duration::micros(200'000), observation_time = Duration::micros(1'000'000);
 const Duration grace = Duration::micros(250'000);
 
 class Case {
@@ -41,7 +41,7 @@
         : program_(std::move(program)), name_(std::move(name)), drains_(drains) {}
 
     // Whether the gateway was there to the end and left as it should.
-    bool play() {
+    bool run() {
         json lines = json::array();
         for (std::size_t n = 0; n < edge_caches; ++n) {
             caches_.push_back(std::make_unique<test_support::FakeCache>(loop_, "c" + std::to_string(n),
@@ -57,7 +57,7 @@
             loop_, listen_, "pages", Duration::micros(2'500), Duration::seconds(1.5));
         after(0.5, [this] { clients_->start(); });
         after(1.5, [this] {
-            trouble();
+            apply_fault();
             drain();
         });
         if (name_ == "poller") after(0.5, [this] { poll(); });
@@ -66,7 +66,7 @@
         int status = 0;
         ::waitpid(pid_, &status, 0);
         std::filesystem::remove_all(folder_);
-        row();
+        print_row();
         return status == 0;
     }
 
@@ -114,16 +114,16 @@
     }
 
     // What goes on all the while.
-    void trouble() {
+    void apply_fault() {
         if (name_ == "dropped" || name_ == "dropped, compacted" || name_ == "board, dropped") {
             for (std::size_t m = 0; m < members; ++m) registry_.break_connections(m);
             board_.break_connections();
-            after(0.3, [this] { trouble(); });
+            after(0.3, [this] { apply_fault(); });
         }
         if (name_ == "silent") {  // one member after the other
             silent_ = (silent_ + 1) % members;
             for (std::size_t m = 0; m < members; ++m) registry_.faults(m).silent_watches = m == silent_;
-            after(2, [this] { trouble(); });
+            after(2, [this] { apply_fault(); });
         }
         if (name_ == "lagging") {
             for (std::size_t m = 0; m + 1 < members; ++m) registry_.faults(m).lag = 3;
@@ -133,7 +133,7 @@
             down_ = !down_;
             for (std::size_t m = 0; m < members; ++m)
                 down_ ? registry_.stop_member(m) : registry_.restart_member(m);
-            after(down_ ? 10 : 5, [this] { trouble(); });
+            after(down_ ? 10 : 5, [this] { apply_fault(); });
         }
         if (name_ == "restored") {
             // All is as it was, but the numbers and the cluster.
@@ -141,7 +141,7 @@
             registry_.model.restore(registry::Revision{registry_.model.newest().raw() - 30}, true);
             for (const auto& [key, r] : state) registry_.model.put(key.raw(), r.value);
             for (std::size_t m = 0; m < members; ++m) registry_.break_connections(m);
-            after(10, [this] { trouble(); });
+            after(10, [this] { apply_fault(); });
         }
     }
 
@@ -156,38 +156,40 @@
     }
 
     void drain() {
-        if (made_ == drains_) return after(2, [this] { loop_.stop(); });
-        const std::size_t n = static_cast<std::size_t>(made_++) % edge_caches;
+        if (drains_made_ == drains_) return after(2, [this] { loop_.stop(); });
+        const std::size_t n = static_cast<std::size_t>(drains_made_++) % edge_caches;
         put(n, "Terminating");
         const TimePoint at = loop_.now();
-        loop_.schedule_at(at + watched, [this, n, at] {
+        loop_.schedule_at(at + observation_time, [this, n, at] {
             double last = 0;
             for (const test_support::FakeCache::ReceivedAttempt& p : caches_[n]->received) {
                 if (p.first_byte <= at) continue;
                 last = std::max(last, (p.first_byte - at).seconds());
-                late_ += p.first_byte > at + grace;
+                late_sends_ += p.first_byte > at + grace;
             }
-            last_.push_back(last * 1000);
+            staleness_ms_.push_back(last * 1000);
             put(n, "Ready");
         });
-        loop_.schedule_at(at + between, [this] { drain(); });
+        loop_.schedule_at(at + drain_interval, [this] { drain(); });
     }
 
-    void row() {
-        std::sort(last_.begin(), last_.end());
+    void print_row() {
+        std::sort(staleness_ms_.begin(), staleness_ms_.end());
         const auto at = [&](double q) {
-            return last_.empty() ? 0.0
-                                 : last_[static_cast<std::size_t>(q * static_cast<double>(last_.size() - 1))];
+            return staleness_ms_.empty() ? 0.0
+                                         : staleness_ms_[static_cast<std::size_t>(
+                                               q * static_cast<double>(staleness_ms_.size() - 1))];
         };
         std::printf("| %s | %zu | %.1f | %.1f | %.1f | %.1f | %llu | %llu of %llu |\n", name_.c_str(),
-                    last_.size(), at(0.5), at(0.95), at(0.99), at(1), static_cast<unsigned long long>(late_),
+                    staleness_ms_.size(), at(0.5), at(0.95), at(0.99), at(1),
+                    static_cast<unsigned long long>(late_sends_),
                     static_cast<unsigned long long>(clients_->served),
                     static_cast<unsigned long long>(clients_->requests_sent));
         std::fflush(stdout);
     }
 
     std::string program_, name_, listen_;
-    int drains_, made_ = 0;
+    int drains_, drains_made_ = 0;
     EventLoop loop_;
     test_support::FakeRegistry registry_{loop_, members, Duration::micros(50'000)};
     test_support::FakeNoticeBoard board_{loop_};
@@ -196,8 +198,8 @@
     std::filesystem::path folder_;
     pid_t pid_ = 0;
     std::map<std::size_t, std::string> polled_;
-    std::vector<double> last_;  // milliseconds, one a drain
-    std::uint64_t late_ = 0;
+    std::vector<double> staleness_ms_;  // milliseconds, one a drain
+    std::uint64_t late_sends_ = 0;
     std::size_t silent_ = 0;
     bool down_ = false;
 };
@@ -218,7 +220,7 @@
         "| --- | --- | --- | --- | --- | --- | --- | --- |\n");
     bool all = true;
     for (const std::string& name : cases)
-        all = Case(argv[1], name, argc > 2 ? std::atoi(argv[2]) : 200).play() && all;
+        all = Case(argv[1], name, argc > 2 ? std::atoi(argv[2]) : 200).run() && all;
     return all ? 0 : 1;
 } catch (const std::exception& e) {
     std::fputs(e.what(), stderr);
--- a/bench/scale/control_channel.hpp
+++ b/bench/scale/control_channel.hpp
@@ -12,18 +12,19 @@
 // One end of a channel.
 class ControlChannel {
 public:
-    using Heard = std::function<void(const nlohmann::json&)>;
+    using MessageHandler = std::function<void(const nlohmann::json&)>;
 
-    ControlChannel(std::shared_ptr<test_support::TestConnection> wire, Heard heard,
-                   std::function<void()> ended);
+    ControlChannel(std::shared_ptr<test_support::TestConnection> connection, MessageHandler on_message,
+                   std::function<void()> on_end_of_connection);
     // Connects to whoever listens there; throws std::runtime_error where that is not possible.
-    static std::unique_ptr<ControlChannel> connect(EventLoop& loop, const std::string& address, Heard heard,
-                                                   std::function<void()> ended);
+    static std::unique_ptr<ControlChannel> connect(EventLoop& loop, const std::string& address,
+                                                   MessageHandler on_message,
+                                                   std::function<void()> on_end_of_connection);
     ~ControlChannel();
-    void say(const nlohmann::json& message);
+    void send(const nlohmann::json& message);
 
 private:
-    std::shared_ptr<test_support::TestConnection> wire_;
+    std::shared_ptr<test_support::TestConnection> connection_;
 };
 
 }  // namespace irismux::scale
--- a/bench/scale/events.cpp
+++ b/bench/scale/events.cpp
@@ -10,13 +10,13 @@
 
 using nlohmann::json;
 
-const Duration seconds_1 = Duration::micros(1'000'000);
-constexpr std::size_t purges_a_second = 3;
-constexpr std::size_t hour_of_purges = 3600 * purges_a_second;
-constexpr std::size_t batches_of_an_hour = 20;  // one a second
-constexpr std::size_t marking_sites = 2;
-constexpr std::size_t marking_part = 4;  // of the sites, in the event that grows with them
-constexpr double marks_last_s = 27;      // nine rounds of a term of 12 s: a publication each at 570 gateways
+const Duration one_second = Duration::micros(1'000'000);
+constexpr std::size_t purges_per_second = 3;
+constexpr std::size_t purges_per_hour = 3600 * purges_per_second;
+constexpr std::size_t batches_per_hour = 20;  // one a second
+constexpr std::size_t ejecting_sites = 2;
+constexpr std::size_t ejecting_sites_divisor = 4;  // of the sites, in the event that grows with them
+constexpr double ejections_last_s = 27;  // nine rounds of a term of 12 s: a publication each at 570 gateways
 const std::string bad_cache = "cache-100";
 
 void progress(const Rig& rig, const std::string& what) {
@@ -30,7 +30,7 @@
     return left;
 }
 
-std::vector<std::size_t> hollow_of(const Rig& rig, const std::vector<std::size_t>& gateways) {
+std::vector<std::size_t> stubs_among(const Rig& rig, const std::vector<std::size_t>& gateways) {
     std::vector<std::size_t> left;
     for (const std::size_t g : gateways)
         if (g >= rig.settings().real_gateways) left.push_back(g);
@@ -38,9 +38,9 @@
 }
 
 // A stretch of whole seconds in which something happens.
-class Measured {
+class EventMeasurement {
 public:
-    Measured(Rig& rig, const std::string& name) : rig_(rig) {
+    EventMeasurement(Rig& rig, const std::string& name) : rig_(rig) {
         result_.name = name;
         progress(rig, name);
         rig_.to_next_second();
@@ -49,16 +49,16 @@
         begun_us_ = rig_.now_us();
     }
     std::int64_t begun_us() const { return begun_us_; }
-    void in_force(const std::string& what, const InForce& seen, std::int64_t since_us,
+    void in_force(const std::string& what, const InForceTimes& seen, std::int64_t since_us,
                   const std::vector<std::size_t>& gateways) {
-        result_.in_force[what] = reached(seen, since_us, hollow_of(rig_, gateways));
+        result_.in_force[what] = reached(seen, since_us, stubs_among(rig_, gateways));
     }
     void note(const std::string& text) { result_.note = text; }
     // Those behind that one are not beside the real ones in this event.
-    void beside_until(std::size_t gateway) { beside_until_ = gateway; }
+    void compare_stubs_up_to(std::size_t gateway) { last_compared_stub_ = gateway; }
     void until_second(double since_begin) {
         const std::int64_t end = begun_us_ + static_cast<std::int64_t>(since_begin * 1e6);
-        rig_.until([&] { return rig_.now_us() >= end; }, Duration::seconds(since_begin + 5));
+        rig_.wait_until([&] { return rig_.now_us() >= end; }, Duration::seconds(since_begin + 5));
     }
     EventResult end() {
         rig_.to_next_second();
@@ -66,28 +66,28 @@
         const auto used = rig_.processor_seconds();
         result_.seconds = static_cast<double>(until - from_);
         for (const auto& [role, seconds] : used)
-            result_.processor_by_role[role] = (seconds - processor_[role]) / result_.seconds;
-        const std::size_t real = rig_.settings().real_gateways, hollow = rig_.hollow_gateways();
+            result_.cores_by_role[role] = (seconds - processor_[role]) / result_.seconds;
+        const std::size_t real = rig_.settings().real_gateways, stubs = rig_.stub_gateways();
         const auto resident = rig_.resident_bytes();
-        if (hollow > 0) {
-            result_.processor_a_gateway = result_.processor_by_role["hollow"] / static_cast<double>(hollow);
-            const std::size_t empty = rig_.resident_of_empty_hollow() * rig_.topology().sites();
-            result_.memory_a_gateway =
+        if (stubs > 0) {
+            result_.cores_per_gateway = result_.cores_by_role["hollow"] / static_cast<double>(stubs);
+            const std::size_t empty = rig_.resident_of_empty_stub_process() * rig_.topology().sites();
+            result_.bytes_per_gateway =
                 (static_cast<double>(resident.at("hollow")) - static_cast<double>(empty)) /
-                static_cast<double>(hollow);
+                static_cast<double>(stubs);
         }
         if (real > 0) {
-            result_.processor_a_real_gateway = result_.processor_by_role["real"] / static_cast<double>(real);
-            result_.memory_a_real_gateway =
+            result_.cores_per_real_gateway = result_.cores_by_role["real"] / static_cast<double>(real);
+            result_.bytes_per_real_gateway =
                 static_cast<double>(resident.at("real")) / static_cast<double>(real);
         }
         // What relays say of a second comes right after it.
-        rig_.pass(seconds_1 * 1.2);
-        result_.hollow = rate_over(rig_.traffic(), from_, until, real, hollow);
+        rig_.run_for(one_second * 1.2);
+        result_.stubs = rate_over(rig_.traffic(), from_, until, real, stubs);
         if (real > 0) {
             result_.real = rate_over(rig_.traffic(), from_, until, 0, real);
-            const std::size_t last = std::min(beside_until_, rig_.topology().gateways);
-            result_.beside = rate_over(rig_.traffic(), from_, until, real, last - real);
+            const std::size_t last = std::min(last_compared_stub_, rig_.topology().gateways);
+            result_.compared_stubs = rate_over(rig_.traffic(), from_, until, real, last - real);
         }
         return result_;
     }
@@ -97,28 +97,29 @@
     EventResult result_;
     std::map<std::string, double> processor_;
     std::int64_t from_ = 0, begun_us_ = 0;
-    std::size_t beside_until_ = std::numeric_limits<std::size_t>::max();
+    std::size_t last_compared_stub_ = std::numeric_limits<std::size_t>::max();
 };
 
 // Waits until all of those know of all that is expected; whether they do.
-bool all_whole(Rig& rig, std::int64_t expected, const std::vector<std::size_t>& gateways, double most_s) {
-    const std::size_t hollow = hollow_of(rig, gateways).size();
-    return rig.until([&] { return rig.in_force("whole", expected).size() >= hollow; },
-                     Duration::seconds(most_s));
+bool wait_until_complete(Rig& rig, std::int64_t expected, const std::vector<std::size_t>& gateways,
+                         double timeout_s) {
+    const std::size_t stubs = stubs_among(rig, gateways).size();
+    return rig.wait_until([&] { return rig.in_force("whole", expected).size() >= stubs; },
+                          Duration::seconds(timeout_s));
 }
 
 EventResult at_rest(Rig& rig) {
-    Measured m(rig, "rest");
+    EventMeasurement m(rig, "rest");
     m.until_second(18);
     return m.end();
 }
 
 EventResult purges(Rig& rig) {
-    rig.report_purges(true);
-    Measured m(rig, "purges");
+    rig.set_purge_reports(true);
+    EventMeasurement m(rig, "purges");
     std::vector<std::int64_t> posted;
-    for (std::size_t n = 0; n < 12 * purges_a_second; ++n) {
-        m.until_second(static_cast<double>(n) / purges_a_second);
+    for (std::size_t n = 0; n < 12 * purges_per_second; ++n) {
+        m.until_second(static_cast<double>(n) / purges_per_second);
         posted.push_back(rig.purge(1).front());
     }
     m.until_second(14);
@@ -129,7 +130,7 @@
         for (const auto& [g, at] : rig.in_force("purge", p))
             took.push_back(static_cast<double>(at - p * 1000) / 1e6);
     std::sort(took.begin(), took.end());
-    all.of = posted.size() * rig.hollow_gateways();
+    all.of = posted.size() * rig.stub_gateways();
     all.reached = took.size();
     if (!took.empty()) {
         all.median_s = took[took.size() / 2];
@@ -138,56 +139,56 @@
     }
     EventResult result = m.end();
     result.in_force["purge"] = all;
-    rig.report_purges(false);
+    rig.set_purge_reports(false);
     return result;
 }
 
 EventResult list_change(Rig& rig) {
-    Measured m(rig, "list_change");
+    EventMeasurement m(rig, "list_change");
     const std::int64_t since = rig.now_us(), version = rig.change_list();
     m.until_second(11);
     m.in_force("list", rig.in_force("list", version), since, rig.topology().all());
     return m.end();
 }
 
-EventResult bad_cache_marked(Rig& rig, const std::string& name, std::size_t sites) {
-    std::vector<std::size_t> marking;
-    for (const std::size_t g : hollow_of(rig, rig.topology().all()))
-        if (rig.topology().site_of(g) < sites) marking.push_back(g);
-    rig.forget_in_force();
-    Measured m(rig, name);
+EventResult bad_cache_ejected(Rig& rig, const std::string& name, std::size_t sites) {
+    std::vector<std::size_t> ejecting;
+    for (const std::size_t g : stubs_among(rig, rig.topology().all()))
+        if (rig.topology().site_of(g) < sites) ejecting.push_back(g);
+    rig.clear_in_force();
+    EventMeasurement m(rig, name);
     const std::int64_t since = rig.now_us();
-    rig.mark(bad_cache, true, marking);
-    m.note(std::to_string(marking.size()) + " gateways of " + std::to_string(sites) + " sites mark it");
-    m.until_second(marks_last_s);
-    m.in_force("trial put off", rig.in_force("trial", 0), since, marking);
+    rig.set_ejected(bad_cache, true, ejecting);
+    m.note(std::to_string(ejecting.size()) + " gateways of " + std::to_string(sites) + " sites mark it");
+    m.until_second(ejections_last_s);
+    m.in_force("trial put off", rig.in_force("trial", 0), since, ejecting);
     EventResult result = m.end();
-    rig.mark(bad_cache, false, marking);
-    rig.pass(seconds_1 * 6);
+    rig.set_ejected(bad_cache, false, ejecting);
+    rig.run_for(one_second * 6);
     return result;
 }
 
 // Each gateway marks another cache every second: its record is published as often as its pace permits.
-EventResult marks_change(Rig& rig) {
-    rig.change_marks_all_the_time(true);
-    rig.pass(seconds_1 * 6);
-    Measured m(rig, "marks_change");
-    m.until_second(marks_last_s);
+EventResult ejections_change(Rig& rig) {
+    rig.set_continuous_ejections(true);
+    rig.run_for(one_second * 6);
+    EventMeasurement m(rig, "marks_change");
+    m.until_second(ejections_last_s);
     m.note("every gateway marks another cache each second");
     EventResult result = m.end();
-    rig.change_marks_all_the_time(false);
-    rig.pass(seconds_1 * 6);
+    rig.set_continuous_ejections(false);
+    rig.run_for(one_second * 6);
     return result;
 }
 
 EventResult restart_all(Rig& rig) {
-    rig.forget_in_force();
-    Measured m(rig, "restart_all");
+    rig.clear_in_force();
+    EventMeasurement m(rig, "restart_all");
     const std::int64_t since = rig.now_us();
     // Expected of the new ones: the old ones knew of all.
     rig.start(rig.topology().all());
     const std::int64_t expected = rig.expect(rig.topology().gateways);
-    all_whole(rig, expected, rig.topology().all(), 50);
+    wait_until_complete(rig, expected, rig.topology().all(), 50);
     m.until_second(15);
     m.in_force("whole", rig.in_force("whole", expected), since, rig.topology().all());
     return m.end();
@@ -195,14 +196,14 @@
 
 EventResult zone_lost(Rig& rig) {
     const auto lost = rig.topology().lost_zone(), left = without(rig.topology().all(), lost);
-    rig.forget_in_force();
-    Measured m(rig, "zone_lost");
-    m.beside_until(lost.front());
+    rig.clear_in_force();
+    EventMeasurement m(rig, "zone_lost");
+    m.compare_stubs_up_to(lost.front());
     const std::int64_t since = rig.now_us();
     rig.kill(lost);
-    rig.lose_caches(Topology::zone_caches, true);
+    rig.set_caches_removed(Topology::zone_caches, true);
     const std::int64_t expected = rig.expect(left.size());
-    all_whole(rig, expected, left, 45);
+    wait_until_complete(rig, expected, left, 45);
     m.until_second(15);
     m.note(std::to_string(lost.size()) + " gateways killed, " + std::to_string(Topology::zone_caches) +
            " caches off the list");
@@ -212,14 +213,14 @@
 
 EventResult zone_back(Rig& rig) {
     const auto lost = rig.topology().lost_zone();
-    rig.forget_in_force();
-    Measured m(rig, "zone_back");
-    m.beside_until(lost.front());
+    rig.clear_in_force();
+    EventMeasurement m(rig, "zone_back");
+    m.compare_stubs_up_to(lost.front());
     const std::int64_t since = rig.now_us();
     rig.start(lost);
-    rig.lose_caches(Topology::zone_caches, false);
+    rig.set_caches_removed(Topology::zone_caches, false);
     const std::int64_t expected = rig.expect(rig.topology().gateways);
-    all_whole(rig, expected, rig.topology().all(), 45);
+    wait_until_complete(rig, expected, rig.topology().all(), 45);
     m.until_second(10);
     m.in_force("whole", rig.in_force("whole", expected), since, rig.topology().all());
     return m.end();
@@ -230,28 +231,28 @@
 EventResult region_cut(Rig& rig) {
     const auto cut = rig.topology().of_region(rig.topology().regions() - 1),
                left = without(rig.topology().all(), cut);
-    rig.forget_in_force();
-    Measured m(rig, "region_cut");
-    m.beside_until(cut.front());
+    rig.clear_in_force();
+    EventMeasurement m(rig, "region_cut");
+    m.compare_stubs_up_to(cut.front());
     rig.change_links(cut, {{"cut", true}});
-    for (std::size_t n = 0; n < batches_of_an_hour; ++n) {
+    for (std::size_t n = 0; n < batches_per_hour; ++n) {
         m.until_second(static_cast<double>(n));
-        rig.purge(hour_of_purges / batches_of_an_hour);
+        rig.purge(purges_per_hour / batches_per_hour);
     }
     m.until_second(24);
-    m.note(std::to_string(cut.size()) + " gateways cut; the " + std::to_string(hour_of_purges) +
-           " purges of an hour within " + std::to_string(batches_of_an_hour) + " s");
+    m.note(std::to_string(cut.size()) + " gateways cut; the " + std::to_string(purges_per_hour) +
+           " purges of an hour within " + std::to_string(batches_per_hour) + " s");
     return m.end();
 }
 
 EventResult region_back(Rig& rig) {
     const auto cut = rig.topology().of_region(rig.topology().regions() - 1);
-    rig.forget_in_force();
-    Measured m(rig, "region_back");
-    m.beside_until(cut.front());
+    rig.clear_in_force();
+    EventMeasurement m(rig, "region_back");
+    m.compare_stubs_up_to(cut.front());
     const std::int64_t since = rig.now_us(), expected = rig.expect(rig.topology().gateways);
     rig.change_links(cut, {{"cut", false}});
-    all_whole(rig, expected, rig.topology().all(), 60);
+    wait_until_complete(rig, expected, rig.topology().all(), 60);
     m.until_second(10);
     m.in_force("whole, of the region", rig.in_force("whole", expected), since, cut);
     m.in_force("whole", rig.in_force("whole", expected), since, rig.topology().all());
@@ -268,13 +269,14 @@
         {"rest", [](Rig& r) { return std::vector{at_rest(r)}; }},
         {"purges", [](Rig& r) { return std::vector{purges(r)}; }},
         {"list", [](Rig& r) { return std::vector{list_change(r)}; }},
-        {"mark", [](Rig& r) { return std::vector{bad_cache_marked(r, "bad_cache", marking_sites)}; }},
+        {"mark", [](Rig& r) { return std::vector{bad_cache_ejected(r, "bad_cache", ejecting_sites)}; }},
         {"mark_quarter",
          [](Rig& r) {
-             const std::size_t sites = std::max<std::size_t>(1, r.topology().sites() / marking_part);
-             return std::vector{bad_cache_marked(r, "bad_cache_quarter", sites)};
+             const std::size_t sites =
+                 std::max<std::size_t>(1, r.topology().sites() / ejecting_sites_divisor);
+             return std::vector{bad_cache_ejected(r, "bad_cache_quarter", sites)};
          }},
-        {"marks_change", [](Rig& r) { return std::vector{marks_change(r)}; }},
+        {"marks_change", [](Rig& r) { return std::vector{ejections_change(r)}; }},
         {"zone",
          [](Rig& r) {
              return std::vector{zone_lost(r), zone_back(r)};
@@ -290,13 +292,13 @@
 
 // How many different values each part of the state has; of what is known of members within one site, where
 // they know only one another: the most.
-json same_state(Rig& rig) {
+json distinct_states(Rig& rig) {
     const json states = rig.states();
     std::map<std::string, std::map<std::size_t, std::set<std::string>>> values;
     for (const auto& [gateway, state] : states.items()) {
         const std::size_t site = rig.topology().site_of(std::stoul(gateway));
         for (const auto& [what, value] : state.items()) {
-            const bool of_site = rig.by_site() && what.rfind("member", 0) == 0;
+            const bool of_site = rig.membership_by_site() && what.rfind("member", 0) == 0;
             values[what][of_site ? site : 0].insert(value.dump());
         }
     }
@@ -311,7 +313,8 @@
 
 }  // namespace
 
-Reached reached(const InForce& in_force, std::int64_t since_us, const std::vector<std::size_t>& gateways) {
+Reached reached(const InForceTimes& in_force, std::int64_t since_us,
+                const std::vector<std::size_t>& gateways) {
     Reached r;
     r.of = gateways.size();
     std::vector<double> took;
@@ -337,17 +340,17 @@
                           {"last_s", x.last_s}};
     json out = {{"event", r.name},
                 {"seconds", r.seconds},
-                {"hollow", to_json(r.hollow)},
-                {"processor_a_gateway", r.processor_a_gateway},
-                {"processor_by_role", r.processor_by_role},
-                {"memory_a_gateway", r.memory_a_gateway},
+                {"hollow", to_json(r.stubs)},
+                {"processor_a_gateway", r.cores_per_gateway},
+                {"processor_by_role", r.cores_by_role},
+                {"memory_a_gateway", r.bytes_per_gateway},
                 {"in_force", in_force}};
     if (!r.note.empty()) out["note"] = r.note;
     if (r.real) {
         out["real"] = to_json(*r.real);
-        out["beside"] = to_json(*r.beside);
-        out["processor_a_real_gateway"] = r.processor_a_real_gateway;
-        out["memory_a_real_gateway"] = r.memory_a_real_gateway;
+        out["beside"] = to_json(*r.compared_stubs);
+        out["processor_a_real_gateway"] = r.cores_per_real_gateway;
+        out["memory_a_real_gateway"] = r.bytes_per_real_gateway;
     }
     return out;
 }
@@ -366,14 +369,14 @@
     const std::int64_t begun = rig.now_us();
     std::int64_t expected = rig.expect(rig.topology().gateways);
     rig.start(rig.topology().all());
-    const bool up = all_whole(rig, expected, rig.topology().all(), 60);
+    const bool up = wait_until_complete(rig, expected, rig.topology().all(), 60);
     const Reached first =
-        reached(rig.in_force("whole", expected), begun, hollow_of(rig, rig.topology().all()));
+        reached(rig.in_force("whole", expected), begun, stubs_among(rig, rig.topology().all()));
     progress(rig, std::to_string(first.reached) + " of " + std::to_string(first.of) + " know of all");
     // Whoever has joined listens for a wait; then the duties are claimed.
-    rig.pass(seconds_1 * 15);
+    rig.run_for(one_second * 15);
     rig.check_memory();
-    rig.ask_real_gateways();
+    rig.start_lookups();
     json results = json::array(), lookups;
     for (const Event& e : events()) {
         if (std::find(names.begin(), names.end(), e.name) == names.end()) continue;
@@ -383,7 +386,7 @@
     }
     if (lookups.is_null()) lookups = rig.lookups();
     expected = rig.expect(rig.topology().gateways);
-    const bool whole = all_whole(rig, expected, rig.topology().all(), 45);
+    const bool complete = wait_until_complete(rig, expected, rig.topology().all(), 45);
     return {{"gateways", rig.topology().gateways},
             {"real_gateways", rig.settings().real_gateways},
             {"sites", rig.topology().sites()},
@@ -395,8 +398,8 @@
             {"fleet_lines", rig.settings().fleet_lines},
             {"all_came_up", up},
             {"started", {{"of", first.of}, {"reached", first.reached}, {"last_s", first.last_s}}},
-            {"all_whole_at_end", whole},
-            {"end_state", same_state(rig)},
+            {"all_whole_at_end", complete},
+            {"end_state", distinct_states(rig)},
             {"lookups", lookups},
             {"registry", rig.registry_ledger()},
             {"events", results}};
--- a/bench/scale/events.hpp
+++ b/bench/scale/events.hpp
@@ -17,16 +17,18 @@
     std::size_t of = 0, reached = 0;
     double median_s = 0, p99_s = 0, last_s = 0;
 };
-Reached reached(const InForce& in_force, std::int64_t since_us, const std::vector<std::size_t>& gateways);
+Reached reached(const InForceTimes& in_force, std::int64_t since_us,
+                const std::vector<std::size_t>& gateways);
 
 struct EventResult {
     std::string name;
     double seconds = 0;  // measured
-    Rate hollow;
-    std::optional<Rate> real, beside;  // and the hollow ones that met the same, where there are real ones
-    double processor_a_gateway = 0, processor_a_real_gateway = 0;  // of one core
-    std::map<std::string, double> processor_by_role;               // of one core
-    double memory_a_gateway = 0, memory_a_real_gateway = 0;        // bytes, at the end
+    Rate stubs;
+    std::optional<Rate> real,
+        compared_stubs;  // and the hollow ones that met the same, where there are real ones
+    double cores_per_gateway = 0, cores_per_real_gateway = 0;  // of one core
+    std::map<std::string, double> cores_by_role;               // of one core
+    double bytes_per_gateway = 0, bytes_per_real_gateway = 0;  // bytes, at the end
     std::map<std::string, Reached> in_force;
     std::string note;
 };
--- a/bench/scale/output.cpp
+++ b/bench/scale/output.cpp
@@ -60,7 +60,9 @@
     return nullptr;
 }
 
-double hollow(const json& run) { return run["gateways"].get<double>() - run["real_gateways"].get<double>(); }
+double stub_count(const json& run) {
+    return run["gateways"].get<double>() - run["real_gateways"].get<double>();
+}
 
 // What is fitted: of all hollow gateways together, so that a part that each of them sends to each is a
 // square.
@@ -76,14 +78,14 @@
          [](const json&, const json& e) { return e["hollow"]["control_bytes"].get<double>(); }},
         {"bytes, worst second", "KB/s", 1e-3,
          [](const json& r, const json& e) {
-             return e["hollow"]["worst_second_bytes"].get<double>() * hollow(r);
+             return e["hollow"]["worst_second_bytes"].get<double>() * stub_count(r);
          }},
         {"messages, mean", "1/s", 1,
          [](const json&, const json& e) { return e["hollow"]["control_messages"].get<double>(); }},
         {"processor of the gateways", "% of a core", 100,
-         [](const json& r, const json& e) { return e["processor_a_gateway"].get<double>() * hollow(r); }},
+         [](const json& r, const json& e) { return e["processor_a_gateway"].get<double>() * stub_count(r); }},
         {"memory of the gateways", "MB", 1e-6,
-         [](const json& r, const json& e) { return e["memory_a_gateway"].get<double>() * hollow(r); }},
+         [](const json& r, const json& e) { return e["memory_a_gateway"].get<double>() * stub_count(r); }},
     };
     return all;
 }
@@ -143,31 +145,32 @@
 }
 
 // Of the line's value at the largest size, the part that the quadratic term makes.
-double part_at_largest(const bench::Fit& f) {
+double quadratic_share_at_largest(const bench::Fit& f) {
     const double value = f.line(f.largest);
     return value != 0 ? f.quadratic * f.largest * f.largest / value : 0;
 }
 
 std::string fits_of(const Variant& v) {
-    constexpr double least_part = 0.1;
-    constexpr std::size_t least_freedom = 2;  // with less, no term of a size that matters would be seen
+    constexpr double min_share = 0.1;
+    constexpr std::size_t min_degrees_of_freedom =
+        2;  // with less, no term of a size that matters would be seen
     std::string rows;
     for (const std::string& name : order)
         for (const Quantity& q : quantities()) {
             std::vector<bench::Point> points;
             for (const json& run : v.runs)
                 if (const json* const e = event_of(run, name))
-                    points.push_back({hollow(run), q.of(run, *e) * q.scale});
+                    points.push_back({stub_count(run), q.of(run, *e) * q.scale});
             if (points.size() < 3) continue;
             const bench::Fit f = bench::fit(points);
-            const double part = part_at_largest(f);
+            const double part = quadratic_share_at_largest(f);
             const bool quadratic =
-                std::abs(f.quadratic_t) > bench::t_bound(f.freedom) && std::abs(part) >= least_part;
+                std::abs(f.quadratic_t) > bench::t_bound(f.freedom) && std::abs(part) >= min_share;
             std::string residuals;
             for (const double r : f.residuals) residuals += text("%s%.3g", residuals.empty() ? "" : ", ", r);
             rows += text("| %s | %s, %s | %.3g + %.4g n | %.2g ± %.2g | ", name.c_str(), q.name.c_str(),
                          q.unit.c_str(), f.intercept, f.slope, f.quadratic, f.quadratic_error);
-            rows += f.freedom >= least_freedom
+            rows += f.freedom >= min_degrees_of_freedom
                         ? text("%.1f (%.1f) | %.0f%% | %s | ", f.quadratic_t, bench::t_bound(f.freedom),
                                part * 100, quadratic ? "**quadratic**" : "linear")
                         : std::string("too few sizes | - | - | ");
--- a/bench/scale/rig.cpp
+++ b/bench/scale/rig.cpp
@@ -18,16 +18,17 @@
 namespace fs = std::filesystem;
 
 const Duration ms = Duration::micros(1000);
-constexpr std::size_t relays_a_process = 100;  // gateways
-constexpr std::size_t most_processes = 200;
-constexpr std::size_t most_resident = std::size_t{12} << 30;  // half of a machine of 24 GB
-const Duration lookup_every = ms * 20;                        // of each real gateway
-constexpr std::size_t reachable_caches = 4;                   // of those listed, by the real gateways
-constexpr std::int64_t progress_ms = 800;  // of the registry's watches: twice within the shortest quiet, 2 s
+constexpr std::size_t gateways_per_relay_process = 100;  // gateways
+constexpr std::size_t max_processes = 200;
+constexpr std::size_t max_resident_bytes = std::size_t{12} << 30;  // half of a machine of 24 GB
+const Duration lookup_interval = ms * 20;                          // of each real gateway
+constexpr std::size_t reachable_caches = 4;                        // of those listed, by the real gateways
+constexpr std::int64_t watch_progress_ms =
+    800;  // of the registry's watches: twice within the shortest quiet, 2 s
 const std::string registry_prefix = "/caches/", real_zone = "plant";
 
-volatile std::sig_atomic_t told_to_end = 0;
-void on_end(int) { told_to_end = 1; }
+volatile std::sig_atomic_t termination_requested = 0;
+void on_termination_signal(int) { termination_requested = 1; }
 
 std::string free_address() {
     Poco::Net::ServerSocket s(Poco::Net::SocketAddress("127.0.0.1:0"));
@@ -53,17 +54,17 @@
 
 Rig::Rig(const RigSettings& settings) : settings_(settings) {
     const std::size_t sites = topology().sites();
-    if (sites + topology().gateways / relays_a_process + 5 + settings_.real_gateways > most_processes)
-        throw std::runtime_error("more than " + std::to_string(most_processes) +
-                                 " processes would be needed");
+    if (sites + topology().gateways / gateways_per_relay_process + 5 + settings_.real_gateways >
+        max_processes)
+        throw std::runtime_error("more than " + std::to_string(max_processes) + " processes would be needed");
     check_descriptors();
-    std::signal(SIGTERM, on_end);
-    std::signal(SIGINT, on_end);
+    std::signal(SIGTERM, on_termination_signal);
+    std::signal(SIGINT, on_termination_signal);
     acceptor_ = std::make_unique<test_support::Acceptor>(
-        loop_, [this](const Poco::Net::StreamSocket& s) { taken(s); }, static_cast<int>(most_processes));
-    stretches_ = std::make_unique<test_support::LoopRunner>(loop_);
+        loop_, [this](const Poco::Net::StreamSocket& s) { on_accept(s); }, static_cast<int>(max_processes));
+    loop_runner_ = std::make_unique<test_support::LoopRunner>(loop_);
     start_registry();
-    board_ = ask(start_child("board", 0), json::object()).at("address");
+    notice_board_address_ = ask(start_child("board", 0), json::object()).at("address");
     start_relays();
     if (settings_.real_gateways > 0) {
         json caches = json::array();
@@ -71,15 +72,15 @@
         cache_addresses_ =
             ask(start_child("data", 0), {{"caches", caches}}).at("addresses").get<std::vector<std::string>>();
     }
-    put_list();
-    set_up_hollow();
-    set_up_real();
+    write_endpoint_list();
+    set_up_stub_gateways();
+    set_up_real_gateways();
 }
 
 Rig::~Rig() {
     for (auto& [number, real] : real_) real.process.reset();
     for (auto& child : children_) child->process.reset();
-    stretches_.reset();
+    loop_runner_.reset();
     acceptor_.reset();
     children_.clear();
 }
@@ -91,7 +92,7 @@
     ::getrlimit(RLIMIT_NOFILE, &limit);
     const std::size_t machines = settings_.members + 1;
     const std::size_t relay =
-        std::min(relays_a_process, topology().gateways) * (machines + std::size_t{2} * 6) + 64;
+        std::min(gateways_per_relay_process, topology().gateways) * (machines + std::size_t{2} * 6) + 64;
     const std::size_t registry = topology().gateways * 4 + 64;
     const std::size_t needed = std::max(relay, registry);
     if (limit.rlim_cur < needed)
@@ -103,46 +104,47 @@
 void Rig::check_memory() {
     std::size_t all = 0;
     for (const auto& [role, bytes] : resident_bytes()) all += bytes;
-    if (all > most_resident)
+    if (all > max_resident_bytes)
         throw std::runtime_error("the processes hold " + std::to_string(all >> 20) + " MB, more than the " +
-                                 std::to_string(most_resident >> 20) + " that are set aside");
+                                 std::to_string(max_resident_bytes >> 20) + " that are set aside");
 }
 
 // --- children --------------------------------------------------------------------------------------------
 
-void Rig::taken(const Poco::Net::StreamSocket& socket) {
-    auto wire = std::make_shared<test_support::TestConnection>(loop_, socket);
+void Rig::on_accept(const Poco::Net::StreamSocket& socket) {
+    auto connection = std::make_shared<test_support::TestConnection>(loop_, socket);
     const auto child = std::make_shared<Child*>(nullptr);
     auto channel = std::make_unique<ControlChannel>(
-        wire,
-        [this, child, weak = std::weak_ptr<test_support::TestConnection>(wire)](const json& m) {
-            heard(child, m, weak.lock());
+        connection,
+        [this, child, weak = std::weak_ptr<test_support::TestConnection>(connection)](const json& m) {
+            on_message(child, m, weak.lock());
         },
         [] {});
     *child = nullptr;
-    unnamed_.push_back(std::move(channel));
-    strangers_.push_back(wire);
-    wire->start();
+    unidentified_channels_.push_back(std::move(channel));
+    unidentified_connections_.push_back(connection);
+    connection->start();
 }
 
-void Rig::heard(const std::shared_ptr<Child*>& child, const json& message,
-                const std::shared_ptr<test_support::TestConnection>& wire) {
+void Rig::on_message(const std::shared_ptr<Child*>& child, const json& message,
+                     const std::shared_ptr<test_support::TestConnection>& connection) {
     if (message.contains("hello")) {
         for (auto& c : children_)
             if (c->role == message["hello"] && c->number == message["number"]) *child = c.get();
-        const auto at = std::find(strangers_.begin(), strangers_.end(), wire);
-        if (!*child || at == strangers_.end()) return;
-        const auto n = at - strangers_.begin();
-        (*child)->channel = std::move(unnamed_[static_cast<std::size_t>(n)]);
-        unnamed_.erase(unnamed_.begin() + n);
-        strangers_.erase(at);
+        const auto at =
+            std::find(unidentified_connections_.begin(), unidentified_connections_.end(), connection);
+        if (!*child || at == unidentified_connections_.end()) return;
+        const auto n = at - unidentified_connections_.begin();
+        (*child)->channel = std::move(unidentified_channels_[static_cast<std::size_t>(n)]);
+        unidentified_channels_.erase(unidentified_channels_.begin() + n);
+        unidentified_connections_.erase(at);
         return;
     }
     if (message.contains("traffic")) return add_from_json(traffic_, message);
     if (message.contains("force")) {
         // The first time counts.
         for (const json& f : message["force"])
-            forced_[{f[1].get<std::string>(), f[2].get<std::int64_t>()}].try_emplace(
+            in_force_times_[{f[1].get<std::string>(), f[2].get<std::int64_t>()}].try_emplace(
                 f[0].get<std::size_t>(), f[3].get<std::int64_t>());
         return;
     }
@@ -174,29 +176,29 @@
     return found;
 }
 
-std::int64_t Rig::tell(Child& child, json order) {
-    if (!until([&] { return child.channel != nullptr; }, ms * 20'000))
+std::int64_t Rig::send_order(Child& child, json order) {
+    if (!wait_until([&] { return child.channel != nullptr; }, ms * 20'000))
         throw std::runtime_error("a process did not come up: " + child.role + ' ' +
                                  std::to_string(child.number));
     order["id"] = next_order_++;
-    child.channel->say(order);
+    child.channel->send(order);
     return order["id"];
 }
 
 json Rig::answer(Child& child, std::int64_t id) {
-    if (!until([&] { return child.answers.contains(id); }, ms * 60'000))
+    if (!wait_until([&] { return child.answers.contains(id); }, ms * 60'000))
         throw std::runtime_error("no answer from " + child.role + ' ' + std::to_string(child.number));
-    json said = std::move(child.answers[id]);
+    json reply = std::move(child.answers[id]);
     child.answers.erase(id);
-    return said;
+    return reply;
 }
 
 std::vector<json> Rig::ask_all(const std::string& role, const json& order) {
-    std::vector<std::pair<Child*, std::int64_t>> told;
-    for (Child* child : all_of(role)) told.emplace_back(child, tell(*child, order));
+    std::vector<std::pair<Child*, std::int64_t>> sent_orders;
+    for (Child* child : all_of(role)) sent_orders.emplace_back(child, send_order(*child, order));
     std::vector<json> answers;
-    answers.reserve(told.size());
-    for (const auto& [child, id] : told) answers.push_back(answer(*child, id));
+    answers.reserve(sent_orders.size());
+    for (const auto& [child, id] : sent_orders) answers.push_back(answer(*child, id));
     return answers;
 }
 
@@ -204,10 +206,11 @@
 
 void Rig::start_registry() {
     Child& registry = start_child("registry", 0);
-    members_ = ask(registry, {{"members", settings_.members}, {"progress_ms", progress_ms}}).at("addresses");
+    registry_addresses_ =
+        ask(registry, {{"members", settings_.members}, {"progress_ms", watch_progress_ms}}).at("addresses");
 }
 
-json Rig::list_line_of(std::size_t cache) const {
+json Rig::endpoint_record_of(std::size_t cache) const {
     const bool reachable = cache < cache_addresses_.size();
     json line = test_support::endpoint_json(
         Topology::cache_name(cache), "node",
@@ -218,32 +221,33 @@
     return line;
 }
 
-void Rig::put_list() {
+void Rig::write_endpoint_list() {
     json all = json::object();
     for (std::size_t c = 0; c < topology().caches; ++c)
-        all[registry_prefix + Topology::cache_name(c)] = list_line_of(c).dump();
+        all[registry_prefix + Topology::cache_name(c)] = endpoint_record_of(c).dump();
     ask(*all_of("registry").front(), {{"put", all}});
 }
 
 void Rig::start_relays() {
-    json targets = members_;
-    targets.push_back(board_);
-    const std::size_t count = (topology().gateways + relays_a_process - 1) / relays_a_process;
+    json targets = registry_addresses_;
+    targets.push_back(notice_board_address_);
+    const std::size_t count =
+        (topology().gateways + gateways_per_relay_process - 1) / gateways_per_relay_process;
     start_children("relay", count);
-    std::vector<std::pair<Child*, std::int64_t>> told;
+    std::vector<std::pair<Child*, std::int64_t>> sent_orders;
     for (Child* child : all_of("relay")) {
         json gateways = json::array();
         for (std::size_t g = child->number; g < topology().gateways; g += count) gateways.push_back(g);
-        told.emplace_back(child, tell(*child, {{"targets", targets}, {"gateways", gateways}}));
+        sent_orders.emplace_back(child, send_order(*child, {{"targets", targets}, {"gateways", gateways}}));
     }
-    for (const auto& [child, id] : told) {
-        const json said = answer(*child, id);
-        for (const auto& [gateway, addresses] : said.at("addresses").items())
-            by_gateway_[static_cast<std::size_t>(std::stoul(gateway))] = addresses;
+    for (const auto& [child, id] : sent_orders) {
+        const json reply = answer(*child, id);
+        for (const auto& [gateway, addresses] : reply.at("addresses").items())
+            relay_addresses_[static_cast<std::size_t>(std::stoul(gateway))] = addresses;
     }
 }
 
-std::string Rig::parts_of(std::size_t gateway, const json& addresses) const {
+std::string Rig::parts_file_text(std::size_t gateway, const json& addresses) const {
     std::string members;
     for (std::size_t m = 0; m < settings_.members; ++m)
         members += (m > 0 ? ", \"" : "\"") + addresses[m].get<std::string>() + '"';
@@ -257,12 +261,13 @@
     return parts;
 }
 
-void Rig::set_up_hollow() {
+void Rig::set_up_stub_gateways() {
     start_children("hollow", topology().sites());
     ask_all("hollow", json::object());
     for (Child* child : all_of("hollow"))
-        empty_hollow_ = std::max(empty_hollow_, test_support::resident_bytes(child->process->id()));
-    std::vector<std::pair<Child*, std::int64_t>> told;
+        empty_stub_process_bytes_ =
+            std::max(empty_stub_process_bytes_, test_support::resident_bytes(child->process->id()));
+    std::vector<std::pair<Child*, std::int64_t>> sent_orders;
     for (Child* child : all_of("hollow")) {
         json gateways = json::array();
         for (const std::size_t g : topology().of_site(child->number))
@@ -270,17 +275,17 @@
                 gateways.push_back({{"number", g},
                                     {"name", Topology::gateway_name(g)},
                                     {"seed", settings_.seed * 100'003 + g},
-                                    {"board", by_gateway_[g][settings_.members]},
-                                    {"parts", parts_of(g, by_gateway_[g])}});
-        told.emplace_back(child, tell(*child, {{"gateways", gateways}}));
+                                    {"board", relay_addresses_[g][settings_.members]},
+                                    {"parts", parts_file_text(g, relay_addresses_[g])}});
+        sent_orders.emplace_back(child, send_order(*child, {{"gateways", gateways}}));
     }
-    for (const auto& [child, id] : told) answer(*child, id);
+    for (const auto& [child, id] : sent_orders) answer(*child, id);
 }
 
-void Rig::set_up_real() {
+void Rig::set_up_real_gateways() {
     for (std::size_t g = 0; g < settings_.real_gateways; ++g) {
         const std::string name = Topology::gateway_name(g), base = (folder_.path / name).string();
-        json c = test_support::configuration(free_address(), by_gateway_[g][settings_.members],
+        json c = test_support::configuration(free_address(), relay_addresses_[g][settings_.members],
                                              {{"rev", 0}, {"notices", json::array()}});
         c["name"] = name;
         c["seed"] = std::to_string(settings_.seed * 100'003 + g);
@@ -293,7 +298,7 @@
         real.parts = base + ".toml";
         real.log = base + ".log";
         std::ofstream(real.configuration) << c.dump();
-        std::ofstream(real.parts) << parts_of(g, by_gateway_[g]);
+        std::ofstream(real.parts) << parts_file_text(g, relay_addresses_[g]);
     }
 }
 
@@ -322,11 +327,11 @@
     ask_all("hollow", {{"start", gateways}});
 }
 
-void Rig::ask_real_gateways() {
+void Rig::start_lookups() {
     json listening = json::array();
     for (const auto& [number, real] : real_) listening.push_back(real.listen);
     if (!real_.empty())
-        ask(*all_of("data").front(), {{"ask", listening}, {"every_us", lookup_every.micros()}});
+        ask(*all_of("data").front(), {{"ask", listening}, {"every_us", lookup_interval.micros()}});
 }
 
 json Rig::lookups() {
@@ -341,22 +346,22 @@
 
 void Rig::change_links(const std::vector<std::size_t>& gateways, json change) {
     const std::vector<Child*> relays = all_of("relay");
-    std::vector<std::pair<Child*, std::int64_t>> told;
+    std::vector<std::pair<Child*, std::int64_t>> sent_orders;
     for (Child* child : relays) {
         json own = json::array();
         for (const std::size_t g : gateways)
             if (g % relays.size() == child->number) own.push_back(g);
         change["gateways"] = own;
-        told.emplace_back(child, tell(*child, change));
+        sent_orders.emplace_back(child, send_order(*child, change));
     }
-    for (const auto& [child, id] : told) answer(*child, id);
+    for (const auto& [child, id] : sent_orders) answer(*child, id);
 }
 
-void Rig::mark(const std::string& cache, bool is, const std::vector<std::size_t>& gateways) {
-    ask_all("hollow", {{"mark", cache}, {"is", is}, {"by", gateways}});
+void Rig::set_ejected(const std::string& cache, bool ejected, const std::vector<std::size_t>& gateways) {
+    ask_all("hollow", {{"mark", cache}, {"is", ejected}, {"by", gateways}});
 }
 
-void Rig::change_marks_all_the_time(bool is) { ask_all("hollow", {{"change_marks", is}}); }
+void Rig::set_continuous_ejections(bool enabled) { ask_all("hollow", {{"change_marks", enabled}}); }
 
 std::vector<std::int64_t> Rig::purge(std::size_t count) {
     std::vector<std::int64_t> instants;
@@ -375,20 +380,21 @@
 std::int64_t Rig::change_list() {
     ++list_version_;
     ask(*all_of("registry").front(),
-        {{"put", {{registry_prefix + Topology::cache_name(0), list_line_of(0).dump()}}}});
+        {{"put", {{registry_prefix + Topology::cache_name(0), endpoint_record_of(0).dump()}}}});
     return list_version_;
 }
 
-void Rig::lose_caches(std::size_t count, bool is) {
+void Rig::set_caches_removed(std::size_t count, bool removed) {
     json writes = json::object();
     for (std::size_t c = topology().caches - std::min(count, topology().caches); c < topology().caches; ++c)
-        writes[registry_prefix + Topology::cache_name(c)] = is ? json(nullptr) : json(list_line_of(c).dump());
+        writes[registry_prefix + Topology::cache_name(c)] =
+            removed ? json(nullptr) : json(endpoint_record_of(c).dump());
     ask(*all_of("registry").front(), {{"put", writes}});
 }
 
-void Rig::report_purges(bool is) { ask_all("hollow", {{"report_purges", is}}); }
+void Rig::set_purge_reports(bool enabled) { ask_all("hollow", {{"report_purges", enabled}}); }
 
-bool Rig::by_site() const {
+bool Rig::membership_by_site() const {
     return std::any_of(settings_.fleet_lines.begin(), settings_.fleet_lines.end(),
                        [](const std::string& line) { return line.rfind("site ", 0) == 0; });
 }
@@ -396,35 +402,36 @@
 // A process of hollow gateways is one site; by site its members know only one another.
 std::int64_t Rig::expect(std::size_t members) {
     const std::int64_t id = next_expected_++;
-    std::vector<std::pair<Child*, std::int64_t>> told;
+    std::vector<std::pair<Child*, std::int64_t>> sent_orders;
     for (Child* child : all_of("hollow")) {
         const std::size_t here = topology().of_site(child->number).size();
-        const std::size_t known = by_site() ? std::min(members, here) : members;
+        const std::size_t known = membership_by_site() ? std::min(members, here) : members;
         const json expected = {
             {"id", id}, {"members", known}, {"list", list_version_}, {"purges", purges_posted_}};
-        told.emplace_back(child, tell(*child, {{"expect", expected}}));
+        sent_orders.emplace_back(child, send_order(*child, {{"expect", expected}}));
     }
-    for (const auto& [child, answer_id] : told) answer(*child, answer_id);
+    for (const auto& [child, answer_id] : sent_orders) answer(*child, answer_id);
     return id;
 }
 
 // --- time ------------------------------------------------------------------------------------------------
 
 // Told to end, the rig does so where it waits, and takes its processes and its folder with it.
-bool Rig::until(std::function<bool()> so, Duration most) {
-    const bool has_come = stretches_->run_until([&] { return told_to_end || so(); }, most);
-    if (told_to_end) throw std::runtime_error("told to end");
-    return has_come;
+bool Rig::wait_until(std::function<bool()> condition, Duration most) {
+    const bool fulfilled =
+        loop_runner_->run_until([&] { return termination_requested || condition(); }, most);
+    if (termination_requested) throw std::runtime_error("told to end");
+    return fulfilled;
 }
 
-void Rig::pass(Duration time) {
+void Rig::run_for(Duration time) {
     const TimePoint end = loop_.now() + time;
-    until([&] { return loop_.now() >= end; }, time + time);
+    wait_until([&] { return loop_.now() >= end; }, time + time);
 }
 
 void Rig::to_next_second() {
     const std::int64_t next = now_second() + 1;
-    until([&] { return now_second() >= next; }, ms * 2'000);
+    wait_until([&] { return now_second() >= next; }, ms * 2'000);
 }
 
 // --- what is seen ----------------------------------------------------------------------------------------
--- a/bench/scale/rig.hpp
+++ b/bench/scale/rig.hpp
@@ -30,7 +30,7 @@
 };
 
 // When something came into force at each gateway that it reached.
-using InForce = std::map<std::size_t, std::int64_t>;  // microseconds of the Unix clock
+using InForceTimes = std::map<std::size_t, std::int64_t>;  // microseconds of the Unix clock
 
 class Rig {
 public:
@@ -43,45 +43,47 @@
 
     const Topology& topology() const { return settings_.topology; }
     const RigSettings& settings() const { return settings_; }
-    std::size_t hollow_gateways() const { return topology().gateways - settings_.real_gateways; }
+    std::size_t stub_gateways() const { return topology().gateways - settings_.real_gateways; }
 
     // --- orders
     void start(
         const std::vector<std::size_t>& gateways);  // those that run are started anew, as after SIGKILL
     void kill(const std::vector<std::size_t>& gateways);
-    void ask_real_gateways();  // lookups, from now on
+    void start_lookups();      // lookups, from now on
     nlohmann::json lookups();  // of each real gateway: asked, satisfied, nacked, failed
     // To their relays: {"cut": true}, {"down": false}, {"delay_ms": 5}, {"bytes_a_second": 10000}, {"break":
     // true}.
     void change_links(const std::vector<std::size_t>& gateways, nlohmann::json change);
-    void mark(const std::string& cache, bool is, const std::vector<std::size_t>& gateways);
-    void change_marks_all_the_time(bool is);  // of all hollow gateways
+    void set_ejected(const std::string& cache, bool ejected, const std::vector<std::size_t>& gateways);
+    void set_continuous_ejections(bool enabled);  // of all hollow gateways
     // All at once; the instants that they carry are milliseconds of the Unix clock and differ.
     std::vector<std::int64_t> purge(std::size_t count);
-    std::int64_t change_list();                    // the new version
-    void lose_caches(std::size_t count, bool is);  // the last ones of the list
-    void report_purges(bool is);
+    std::int64_t change_list();                                // the new version
+    void set_caches_removed(std::size_t count, bool removed);  // the last ones of the list
+    void set_purge_reports(bool enabled);
     // Whether members know only those of their own site, by a line of [fleet].
-    bool by_site() const;
+    bool membership_by_site() const;
     // From now on gateways that know of all this tell so, as "whole" under the number returned.
     std::int64_t expect(std::size_t members);
 
     // --- time
-    bool until(std::function<bool()> so, Duration most);
-    void pass(Duration time);
+    bool wait_until(std::function<bool()> condition, Duration most);
+    void run_for(Duration time);
     void to_next_second();
     std::int64_t now_us() const { return (loop_.now() - TimePoint{}).micros(); }
     std::int64_t now_second() const { return now_us() / 1'000'000; }
 
     // --- what is seen
-    const InForce& in_force(const std::string& kind, std::int64_t id) { return forced_[{kind, id}]; }
-    void forget_in_force() { forced_.clear(); }
+    const InForceTimes& in_force(const std::string& kind, std::int64_t id) {
+        return in_force_times_[{kind, id}];
+    }
+    void clear_in_force() { in_force_times_.clear(); }
     const TrafficBySecond& traffic() const { return traffic_; }
     nlohmann::json states();  // of hollow gateways, by number
     nlohmann::json registry_ledger();
     std::map<std::string, double> processor_seconds();    // by role
     std::map<std::string, std::size_t> resident_bytes();  // by role, together
-    std::size_t resident_of_empty_hollow() const { return empty_hollow_; }
+    std::size_t resident_of_empty_stub_process() const { return empty_stub_process_bytes_; }
     void check_memory();  // throws where the rig's processes hold more than they may
     std::size_t processes() const { return children_.size() + real_.size(); }
     std::int64_t list_version() const { return list_version_; }
@@ -111,25 +113,25 @@
     };
 
     void check_descriptors() const;
-    void taken(const Poco::Net::StreamSocket& socket);
-    void heard(const std::shared_ptr<Child*>& child, const nlohmann::json& message,
-               const std::shared_ptr<test_support::TestConnection>&);
+    void on_accept(const Poco::Net::StreamSocket& socket);
+    void on_message(const std::shared_ptr<Child*>& child, const nlohmann::json& message,
+                    const std::shared_ptr<test_support::TestConnection>&);
     Child& start_child(const std::string& role, std::size_t number);
     void start_children(const std::string& role, std::size_t count);
     std::vector<Child*> all_of(const std::string& role);
-    std::int64_t tell(Child& child, nlohmann::json order);
+    std::int64_t send_order(Child& child, nlohmann::json order);
     nlohmann::json answer(Child& child, std::int64_t id);
     nlohmann::json ask(Child& child, const nlohmann::json& order) {
-        return answer(child, tell(child, order));
+        return answer(child, send_order(child, order));
     }
     std::vector<nlohmann::json> ask_all(const std::string& role, const nlohmann::json& order);
     void start_registry();
-    void put_list();
+    void write_endpoint_list();
     void start_relays();
-    void set_up_hollow();
-    void set_up_real();
-    std::string parts_of(std::size_t gateway, const nlohmann::json& addresses) const;
-    nlohmann::json list_line_of(std::size_t cache) const;
+    void set_up_stub_gateways();
+    void set_up_real_gateways();
+    std::string parts_file_text(std::size_t gateway, const nlohmann::json& addresses) const;
+    nlohmann::json endpoint_record_of(std::size_t cache) const;
 
     RigSettings settings_;
     Folder folder_;
@@ -137,18 +139,18 @@
     std::unique_ptr<test_support::Acceptor> acceptor_;
     std::vector<std::unique_ptr<Child>> children_;
     std::map<std::size_t, RealGateway> real_;
-    std::vector<std::shared_ptr<test_support::TestConnection>> strangers_;
-    std::vector<std::unique_ptr<ControlChannel>> unnamed_;
-    nlohmann::json members_, board_;                    // addresses
-    std::map<std::size_t, nlohmann::json> by_gateway_;  // its relays' addresses
+    std::vector<std::shared_ptr<test_support::TestConnection>> unidentified_connections_;
+    std::vector<std::unique_ptr<ControlChannel>> unidentified_channels_;
+    nlohmann::json registry_addresses_, notice_board_address_;  // addresses
+    std::map<std::size_t, nlohmann::json> relay_addresses_;     // its relays' addresses
     std::vector<std::string> cache_addresses_;
-    std::map<std::pair<std::string, std::int64_t>, InForce> forced_;
+    std::map<std::pair<std::string, std::int64_t>, InForceTimes> in_force_times_;
     TrafficBySecond traffic_;
     std::int64_t next_order_ = 1, next_expected_ = 1, list_version_ = 1000, last_purge_ms_ = 0;
     std::uint64_t purges_posted_ = 0;
-    std::size_t empty_hollow_ = 0;
+    std::size_t empty_stub_process_bytes_ = 0;
     std::unique_ptr<test_support::LoopRunner>
-        stretches_;  // the last: nothing of the above may go while the loop runs
+        loop_runner_;  // the last: nothing of the above may go while the loop runs
 };
 
 }  // namespace irismux::scale
--- a/bench/scale/roles.cpp
+++ b/bench/scale/roles.cpp
@@ -34,21 +34,21 @@
     virtual ~Role() = default;
     void run(const std::string& control, const std::string& role, std::size_t number) {
         channel_ = ControlChannel::connect(
-            loop_, control, [this](const json& order) { heard(order); }, [this] { loop_.stop(); });
-        channel_->say({{"hello", role}, {"number", number}});
+            loop_, control, [this](const json& order) { on_order(order); }, [this] { loop_.stop(); });
+        channel_->send({{"hello", role}, {"number", number}});
         loop_.run();
     }
 
 protected:
-    virtual json obey(const json& order) = 0;
-    void say(const json& message) { channel_->say(message); }
+    virtual json handle_order(const json& order) = 0;
+    void send(const json& message) { channel_->send(message); }
     EventLoop loop_;
 
 private:
-    void heard(const json& order) {
-        json answer = obey(order);
+    void on_order(const json& order) {
+        json answer = handle_order(order);
         answer["done"] = order.at("id");
-        say(answer);
+        send(answer);
     }
     std::unique_ptr<ControlChannel> channel_;
 };
@@ -57,9 +57,9 @@
 
 // All members share one history, so they share one process; each has a listener and connections of its own.
 class RegistryRole final : public Role {
-    static constexpr std::int64_t most_history = 600;  // revisions kept, at least
+    static constexpr std::int64_t min_history = 600;  // revisions kept, at least
 
-    json obey(const json& order) override {
+    json handle_order(const json& order) override {
         if (order.contains("members")) {
             registry_ = std::make_unique<test_support::FakeRegistry>(
                 loop_, order["members"].get<std::size_t>(), milliseconds(order["progress_ms"]));
@@ -86,8 +86,8 @@
     }
     void compact() {
         auto& model = registry_->model;
-        if (model.newest().raw() - model.oldest().raw() > 2 * most_history)
-            model.compact(test_support::Revision{model.newest().raw() - most_history});
+        if (model.newest().raw() - model.oldest().raw() > 2 * min_history)
+            model.compact(test_support::Revision{model.newest().raw() - min_history});
         if (registry_->ledger.request_times.size() > 100'000) registry_->ledger.request_times.clear();
     }
     std::unique_ptr<test_support::FakeRegistry> registry_;
@@ -95,8 +95,8 @@
 
 // --- the notice board ------------------------------------------------------------------------------------
 
-class BoardRole final : public Role {
-    json obey(const json& order) override {
+class NoticeBoardRole final : public Role {
+    json handle_order(const json& order) override {
         if (order.contains("post")) board_.post_all(order["post"].get<std::vector<json>>());
         return {{"address", board_.address()}};
     }
@@ -107,12 +107,12 @@
 
 // For each of its gateways one to each control machine; counts what passes.
 class RelayRole final : public Role {
-    json obey(const json& order) override {
+    json handle_order(const json& order) override {
         if (order.contains("targets")) {
             json addresses = json::object();
             for (const json& g : order["gateways"])
                 addresses[std::to_string(g.get<std::size_t>())] = add(g, order["targets"]);
-            tell();
+            report_traffic();
             return {{"addresses", addresses}};
         }
         for (const json& g : order.value("gateways", json::array()))
@@ -128,12 +128,12 @@
             relay->on_connection_chunk = [this, gateway, machine](std::uint64_t connection,
                                                                   test_support::Direction way,
                                                                   std::string_view bytes) {
-                auto& counter = counters_[{gateway, machine, connection}];
+                auto& counter = connection_counters_[{gateway, machine, connection}];
                 const Traffic traffic = counter.count(way, bytes);
-                rows_[{gateway, machine, counter.channel()}] += traffic;
+                traffic_rows_[{gateway, machine, counter.channel()}] += traffic;
             };
             relay->on_connection_closed = [this, gateway, machine](std::uint64_t connection) {
-                counters_.erase({gateway, machine, connection});
+                connection_counters_.erase({gateway, machine, connection});
             };
             addresses.push_back(relay->address());
             all.push_back(std::move(relay));
@@ -152,30 +152,32 @@
         }
     }
     // At each full second, what came within the last one.
-    void tell() {
+    void report_traffic() {
         const std::int64_t second = unix_us(loop_.now()) / 1'000'000;
-        if (told_ > 0 && second > told_) say(to_json(told_, std::exchange(rows_, {})));
-        told_ = second;
-        loop_.schedule_at(TimePoint{} + Duration::micros((second + 1) * 1'000'000), [this] { tell(); });
+        if (reported_second_ > 0 && second > reported_second_)
+            send(to_json(reported_second_, std::exchange(traffic_rows_, {})));
+        reported_second_ = second;
+        loop_.schedule_at(TimePoint{} + Duration::micros((second + 1) * 1'000'000),
+                          [this] { report_traffic(); });
     }
     std::map<std::size_t, std::vector<std::unique_ptr<test_support::FaultProxy>>> relays_;
-    std::map<std::tuple<std::size_t, std::size_t, std::uint64_t>, ConnectionCounter> counters_;
-    std::map<TrafficKey, Traffic> rows_;
-    std::int64_t told_ = 0;
+    std::map<std::tuple<std::size_t, std::size_t, std::uint64_t>, ConnectionCounter> connection_counters_;
+    std::map<TrafficKey, Traffic> traffic_rows_;
+    std::int64_t reported_second_ = 0;
 };
 
 // --- hollow gateways -------------------------------------------------------------------------------------
 
-constexpr std::size_t changing_first = 50, changing_caches = 40;  // of the list
+constexpr std::size_t first_ejected_cache = 50, ejected_caches = 40;  // of the list
 
-class HollowRole final : public Role, public test_support::StubGatewayObserver {
+class StubGatewayRole final : public Role, public test_support::StubGatewayObserver {
     struct Slot {
         std::size_t number = 0;
         test_support::StubGatewaySettings settings;
         std::unique_ptr<test_support::StubGateway> gateway;
-        bool whole_told = false;
+        bool complete_reported = false;
         std::int64_t list_version = -1;
-        CacheId marked;  // where marks change all the time
+        CacheId ejected_cache;  // where marks change all the time
     };
     struct Expected {
         std::int64_t id = 0;
@@ -184,13 +186,13 @@
         std::uint64_t purges = 0;
     };
 
-    json obey(const json& order) override {
+    json handle_order(const json& order) override {
         if (order.contains("gateways")) return set_up(order["gateways"]);
-        if (order.contains("start")) each(order["start"], [this](Slot& s) { start(s); });
-        if (order.contains("kill")) each(order["kill"], [](Slot& s) { s.gateway.reset(); });
-        if (order.contains("report_purges")) report_purges_ = order["report_purges"].get<bool>();
-        if (order.contains("mark")) mark(order);
-        if (order.contains("change_marks")) change_marks(order["change_marks"].get<bool>());
+        if (order.contains("start")) for_each_slot(order["start"], [this](Slot& s) { start(s); });
+        if (order.contains("kill")) for_each_slot(order["kill"], [](Slot& s) { s.gateway.reset(); });
+        if (order.contains("report_purges")) purge_reports_enabled_ = order["report_purges"].get<bool>();
+        if (order.contains("mark")) set_ejected(order);
+        if (order.contains("change_marks")) change_ejections(order["change_marks"].get<bool>());
         if (order.contains("expect")) expect(order["expect"]);
         if (order.contains("state")) return {{"state", state()}};
         return json::object();
@@ -213,43 +215,44 @@
         return json::object();
     }
     template <class Step>
-    void each(const json& numbers, Step step) {
+    void for_each_slot(const json& numbers, Step step) {
         for (const json& n : numbers)
             if (const auto it = slots_.find(n.get<std::size_t>()); it != slots_.end()) step(it->second);
     }
     void start(Slot& slot) {
         slot.gateway.reset();
         slot.list_version = -1;
-        slot.whole_told = false;
+        slot.complete_reported = false;
         slot.gateway = std::make_unique<test_support::StubGateway>(loop_, *this, slot.settings);
         slot.gateway->start();
     }
-    void mark(const json& order) {
-        trials_told_.clear();
+    void set_ejected(const json& order) {
+        probes_reported_.clear();
         const CacheId cache{order["mark"].get<std::string>()};
-        each(order["by"], [&](Slot& s) {
+        for_each_slot(order["by"], [&](Slot& s) {
             if (s.gateway) s.gateway->set_ejected(cache, order["is"].get<bool>());
         });
     }
     // Each gateway its own cache, and each second the next one.
-    void change_marks(bool is) {
-        loop_.cancel(next_marks_);
+    void change_ejections(bool enabled) {
+        loop_.cancel(ejection_timer_);
         for (auto& [number, slot] : slots_) {
             if (!slot.gateway) continue;
-            if (!slot.marked.raw().empty()) slot.gateway->set_ejected(slot.marked, false);
-            slot.marked = CacheId{};
-            if (!is) continue;
-            slot.marked =
-                CacheId{Topology::cache_name(changing_first + (number + mark_round_) % changing_caches)};
-            slot.gateway->set_ejected(slot.marked, true);
+            if (!slot.ejected_cache.raw().empty()) slot.gateway->set_ejected(slot.ejected_cache, false);
+            slot.ejected_cache = CacheId{};
+            if (!enabled) continue;
+            slot.ejected_cache = CacheId{
+                Topology::cache_name(first_ejected_cache + (number + ejection_round_) % ejected_caches)};
+            slot.gateway->set_ejected(slot.ejected_cache, true);
         }
-        ++mark_round_;
-        if (is) next_marks_ = loop_.schedule_at(loop_.now() + ms * 1000, [this] { change_marks(true); });
+        ++ejection_round_;
+        if (enabled)
+            ejection_timer_ = loop_.schedule_at(loop_.now() + ms * 1000, [this] { change_ejections(true); });
     }
     void expect(const json& e) {
         expected_ = {e.at("id").get<std::int64_t>(), e.at("members").get<std::size_t>(),
                      e.at("list").get<std::int64_t>(), e.at("purges").get<std::uint64_t>()};
-        for (auto& [number, slot] : slots_) slot.whole_told = false;
+        for (auto& [number, slot] : slots_) slot.complete_reported = false;
     }
     json state() const {
         json all = json::object();
@@ -277,51 +280,51 @@
         if (first != slot.gateway->endpoints().end()) version = std::llround(first->second.weight * 1000);
         if (version <= slot.list_version) return;
         slot.list_version = version;
-        force("list", slot.number, version, at);
+        add_report("list", slot.number, version, at);
     }
     void on_purge_applied(const std::string& gateway, TimePoint purged_at, TimePoint at) override {
-        if (report_purges_) force("purge", numbers_.at(gateway), unix_us(purged_at) / 1000, at);
+        if (purge_reports_enabled_) add_report("purge", numbers_.at(gateway), unix_us(purged_at) / 1000, at);
     }
     void on_recovery_probe_postponed(const std::string& gateway, const CacheId&, TimePoint at) override {
-        if (trials_told_.insert(gateway).second) force("trial", numbers_.at(gateway), 0, at);
+        if (probes_reported_.insert(gateway).second) add_report("trial", numbers_.at(gateway), 0, at);
     }
-    void force(const char* kind, std::size_t gateway, std::int64_t id, TimePoint at) {
-        forced_.push_back({gateway, kind, id, unix_us(at)});
+    void add_report(const char* kind, std::size_t gateway, std::int64_t id, TimePoint at) {
+        pending_reports_.push_back({gateway, kind, id, unix_us(at)});
     }
 
     void tick() {
         const TimePoint now = loop_.now();
         for (auto& [number, slot] : slots_) {
-            if (!slot.gateway || slot.whole_told || expected_.id == 0) continue;
+            if (!slot.gateway || slot.complete_reported || expected_.id == 0) continue;
             const test_support::StubGateway& g = *slot.gateway;
             if (!g.joined() || g.known_members() != expected_.members ||
                 slot.list_version < expected_.list_version || g.purge_count() < expected_.purges)
                 continue;
-            slot.whole_told = true;
-            force("whole", number, expected_.id, now);
+            slot.complete_reported = true;
+            add_report("whole", number, expected_.id, now);
         }
-        if (!forced_.empty() && now - said_ >= ms * 200) {
-            say({{"force", std::exchange(forced_, json::array())}});
-            said_ = now;
+        if (!pending_reports_.empty() && now - reports_sent_at_ >= ms * 200) {
+            send({{"force", std::exchange(pending_reports_, json::array())}});
+            reports_sent_at_ = now;
         }
         loop_.schedule_at(now + ms * 50, [this] { tick(); });
     }
 
     std::map<std::size_t, Slot> slots_;
     std::map<std::string, std::size_t> numbers_;
-    std::set<std::string> trials_told_;
+    std::set<std::string> probes_reported_;
     Expected expected_;
-    json forced_ = json::array();
-    TimePoint said_;
-    EventLoop::Timer next_marks_{};
-    std::size_t mark_round_ = 0;
-    bool report_purges_ = false;
+    json pending_reports_ = json::array();
+    TimePoint reports_sent_at_;
+    EventLoop::Timer ejection_timer_{};
+    std::size_t ejection_round_ = 0;
+    bool purge_reports_enabled_ = false;
 };
 
 // --- far ends of the real gateways' data path ------------------------------------------------------------
 
-class DataRole final : public Role {
-    json obey(const json& order) override {
+class DataPathRole final : public Role {
+    json handle_order(const json& order) override {
         if (order.contains("caches")) {
             json addresses = json::array();
             for (const json& name : order["caches"]) {
@@ -356,10 +359,10 @@
     log::set_level(log::Level::error);
     std::unique_ptr<Role> made;
     if (role == "registry") made = std::make_unique<RegistryRole>();
-    if (role == "board") made = std::make_unique<BoardRole>();
+    if (role == "board") made = std::make_unique<NoticeBoardRole>();
     if (role == "relay") made = std::make_unique<RelayRole>();
-    if (role == "hollow") made = std::make_unique<HollowRole>();
-    if (role == "data") made = std::make_unique<DataRole>();
+    if (role == "hollow") made = std::make_unique<StubGatewayRole>();
+    if (role == "data") made = std::make_unique<DataPathRole>();
     if (!made) return std::cerr << "scale: no such role: " << role << '\n', 2;
     try {
         made->run(control, role, number);
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -13,9 +13,9 @@
 
 using nlohmann::json;
 
-const Duration long_enough = Duration::micros(60'000'000);
+const Duration wait_limit = Duration::micros(60'000'000);
 
-RigSettings shape_of(std::size_t gateways) {
+RigSettings rig_settings(std::size_t gateways) {
     RigSettings settings;
     settings.topology.gateways = gateways;
     settings.topology.caches = 40;
@@ -24,19 +24,19 @@
     return settings;
 }
 
-bool all_whole(Rig& rig, std::int64_t expected) {
-    return rig.until([&] { return rig.in_force("whole", expected).size() >= rig.topology().gateways; },
-                     long_enough);
+bool wait_until_complete(Rig& rig, std::int64_t expected) {
+    return rig.wait_until([&] { return rig.in_force("whole", expected).size() >= rig.topology().gateways; },
+                          wait_limit);
 }
 
 void start_all(Rig& rig) {
     rig.start(rig.topology().all());
-    ASSERT_TRUE(all_whole(rig, rig.expect(rig.topology().gateways)));
+    ASSERT_TRUE(wait_until_complete(rig, rig.expect(rig.topology().gateways)));
 }
 
 struct Ledger {
     double transactions = 0;
-    double told = 0;  // changes, each as often as a watch was told of it
+    double delivered_changes = 0;  // changes, each as often as a watch was told of it
 };
 
 Ledger ledger_of(Rig& rig) {
@@ -45,12 +45,12 @@
 }
 
 // Until each gateway has given that many signs of life at the mean.
-void pass_signs_of_life(Rig& rig, double a_gateway) {
+void run_for_lease_renewals(Rig& rig, double a_gateway) {
     const double upto =
         ledger_of(rig).transactions + a_gateway * static_cast<double>(rig.topology().gateways);
     for (int tries = 0; ledger_of(rig).transactions < upto; ++tries) {
         ASSERT_LT(tries, 600);
-        rig.pass(Duration::micros(100'000));
+        rig.run_for(Duration::micros(100'000));
     }
 }
 
@@ -64,66 +64,66 @@
 
 // What a fleet of that size costs, by counts.
 struct Cost {
-    double told_at_rest = 0, told_by_list = 0, told_by_marks = 0;  // changes told, a gateway
-    double bytes_a_transaction = 0, bytes_a_poll = 0;
+    double changes_at_rest = 0, changes_by_list = 0, changes_by_ejections = 0;  // changes told, a gateway
+    double bytes_per_transaction = 0, bytes_per_poll = 0;
 };
 
 Cost cost_of(std::size_t gateways) {
-    constexpr std::size_t marking = 10;
+    constexpr std::size_t ejecting = 10;
     const auto n = static_cast<double>(gateways);
     Cost cost;
-    Rig rig(shape_of(gateways));
+    Rig rig(rig_settings(gateways));
     start_all(rig);
     if (::testing::Test::HasFatalFailure()) return cost;
-    pass_signs_of_life(rig, 8);  // by then duties have been claimed
+    run_for_lease_renewals(rig, 8);  // by then duties have been claimed
     const Ledger before = ledger_of(rig);
-    pass_signs_of_life(rig, 4);
+    run_for_lease_renewals(rig, 4);
     const Ledger rest = ledger_of(rig);
-    cost.told_at_rest = (rest.told - before.told) / n;
+    cost.changes_at_rest = (rest.delivered_changes - before.delivered_changes) / n;
 
     const std::int64_t version = rig.change_list();
-    EXPECT_TRUE(rig.until([&] { return rig.in_force("list", version).size() == gateways; }, long_enough));
+    EXPECT_TRUE(rig.wait_until([&] { return rig.in_force("list", version).size() == gateways; }, wait_limit));
     const Ledger listed = ledger_of(rig);
-    cost.told_by_list = (listed.told - rest.told) / n;
+    cost.changes_by_list = (listed.delivered_changes - rest.delivered_changes) / n;
 
     std::vector<std::size_t> some;
-    for (std::size_t g = 0; g < marking; ++g) some.push_back(g);
-    rig.mark(Topology::cache_name(20), true, some);
-    EXPECT_TRUE(rig.until([&] { return rig.in_force("trial", 0).size() == marking; }, long_enough));
-    cost.told_by_marks = (ledger_of(rig).told - listed.told) / n;
+    for (std::size_t g = 0; g < ejecting; ++g) some.push_back(g);
+    rig.set_ejected(Topology::cache_name(20), true, some);
+    EXPECT_TRUE(rig.wait_until([&] { return rig.in_force("trial", 0).size() == ejecting; }, wait_limit));
+    cost.changes_by_ejections = (ledger_of(rig).delivered_changes - listed.delivered_changes) / n;
 
     const Traffic transactions = all_traffic(rig, Channel::transactions),
                   polls = all_traffic(rig, Channel::board);
-    cost.bytes_a_transaction =
+    cost.bytes_per_transaction =
         static_cast<double>(transactions.bytes()) / static_cast<double>(transactions.messages_out);
-    cost.bytes_a_poll = static_cast<double>(polls.bytes()) / static_cast<double>(polls.messages_out);
+    cost.bytes_per_poll = static_cast<double>(polls.bytes()) / static_cast<double>(polls.messages_out);
     return cost;
 }
 
 }  // namespace
 
 // What one event costs a gateway does not grow with the number of gateways.
-TEST(Scale, ACostAGatewayStaysWhereTheFleetIsThreeTimesAsLarge) {
+TEST(Scale, CostPerGatewayDoesNotGrowWithTheFleet) {
     const Cost small = cost_of(20), large = cost_of(60);
     ASSERT_FALSE(HasFailure());
     for (const Cost& c : {small, large}) {
         // A sweep may have said how far it is.
-        EXPECT_LE(c.told_at_rest, 4) << "records that all are told of are written at rest";
-        EXPECT_GE(c.told_by_list, 1);
-        EXPECT_LE(c.told_by_list, 1 + 2) << "one change of the list";
+        EXPECT_LE(c.changes_at_rest, 4) << "records that all are told of are written at rest";
+        EXPECT_GE(c.changes_by_list, 1);
+        EXPECT_LE(c.changes_by_list, 1 + 2) << "one change of the list";
         // A publication each, the duty, and findings while the others wait for theirs.
-        EXPECT_GE(c.told_by_marks, 10);
-        EXPECT_LE(c.told_by_marks, 10 + 10) << "ten gateways mark one cache";
-        EXPECT_LE(c.bytes_a_transaction, 6'000);
-        EXPECT_LE(c.bytes_a_poll, 400);
+        EXPECT_GE(c.changes_by_ejections, 10);
+        EXPECT_LE(c.changes_by_ejections, 10 + 10) << "ten gateways mark one cache";
+        EXPECT_LE(c.bytes_per_transaction, 6'000);
+        EXPECT_LE(c.bytes_per_poll, 400);
     }
-    EXPECT_LE(large.bytes_a_transaction, small.bytes_a_transaction * 1.5);
-    RecordProperty("bytes_a_transaction", std::to_string(large.bytes_a_transaction));
+    EXPECT_LE(large.bytes_per_transaction, small.bytes_per_transaction * 1.5);
+    RecordProperty("bytes_a_transaction", std::to_string(large.bytes_per_transaction));
 }
 
 // Cut off, killed and brought back in sites and alone, with events meanwhile: all end with the same state.
-TEST(Scale, EveryGatewayEndsWithTheSameStateAfterCuts) {
-    Rig rig(shape_of(60));
+TEST(Scale, AllGatewaysEndInTheSameStateAfterOutages) {
+    Rig rig(rig_settings(60));
     start_all(rig);
     ASSERT_FALSE(HasFatalFailure());
     const Topology& t = rig.topology();
@@ -135,11 +135,11 @@
     rig.change_links(t.of_site(3), {{"bytes_a_second", 20'000}, {"delay_ms", 20}});
     rig.purge(200);
     rig.change_list();
-    rig.lose_caches(4, true);
+    rig.set_caches_removed(4, true);
     // By now the site that is cut and the one that was killed are no members any more.
     const std::size_t left = 60 - t.of_site(0).size() - t.of_site(1).size() - one.size();
     const std::int64_t without = rig.expect(left);
-    EXPECT_TRUE(rig.until([&] { return rig.in_force("whole", without).size() >= left; }, long_enough));
+    EXPECT_TRUE(rig.wait_until([&] { return rig.in_force("whole", without).size() >= left; }, wait_limit));
     rig.purge(200);
 
     rig.change_links(t.of_site(0), {{"cut", false}});
@@ -147,10 +147,10 @@
     rig.start(t.of_site(1));
     rig.start(one);
     rig.change_links(t.of_site(2), {{"break", true}});
-    rig.lose_caches(4, false);
+    rig.set_caches_removed(4, false);
     rig.change_list();
     rig.purge(1);
-    ASSERT_TRUE(all_whole(rig, rig.expect(60)));
+    ASSERT_TRUE(wait_until_complete(rig, rig.expect(60)));
 
     // Members that were evicted and have joined again are known everywhere under their new start.
     json states;
@@ -162,7 +162,7 @@
     for (int tries = 0; tries < 200; ++tries) {
         states = rig.states();
         if (same("member_digest") && same("listed")) break;
-        rig.pass(Duration::micros(100'000));
+        rig.run_for(Duration::micros(100'000));
     }
     ASSERT_EQ(states.size(), 60u);
     for (const char* what :
@@ -175,7 +175,7 @@
     EXPECT_EQ(any["list_version"], rig.list_version());
 }
 
-TEST(Scale, MessagesAreCountedHoweverTheirBytesAreCut) {
+TEST(Scale, MessagesAreCountedHoweverTheBytesAreSplit) {
     const std::string back =
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -189,7 +189,7 @@
     }
 }
 
-TEST(Scale, ARateIsThatOfTheGatewaysAndSecondsAskedFor) {
+TEST(Scale, RateCoversOnlyTheRequestedGatewaysAndSeconds) {
     TrafficBySecond traffic;
     const Traffic one{100, 200, 1, 2};
     traffic[10][{0, 0, Channel::board}] = one;  // a real gateway's
@@ -206,9 +206,9 @@
     EXPECT_DOUBLE_EQ(rate.bytes_by_channel.at("board"), 75);
 }
 
-TEST(Scale, ARigThatIsTooLargeIsRefusedInOneLine) {
+TEST(Scale, RigThatNeedsTooManyProcessesIsRejected) {
     try {
-        Rig rig(shape_of(5'000));
+        Rig rig(rig_settings(5'000));
         FAIL() << "it was set up";
     } catch (const std::runtime_error& e) {
         EXPECT_STREQ(e.what(), "more than 200 processes would be needed");
