--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -1,7 +1,7 @@
 // Writes docs/CAPACITY.md from the measured figures and the users' targets.
 //
-//   capacity [--root FOLDER] [--check]      FOLDER: the repository's; --check writes nothing and fails where
-//                                           the page differs
+//   capacity [--root FOLDER] [--check]      FOLDER: root of the repository; --check writes nothing and fails
+//                                           if the page differs
 #include <CLI/CLI.hpp>
 #include <fstream>
 #include <iostream>
--- a/bench/capacity_files.hpp
+++ b/bench/capacity_files.hpp
@@ -1,4 +1,4 @@
-// Where docs/CAPACITY.md and what it is made from lie in the repository.
+// Paths of docs/CAPACITY.md and its input files in the repository.
 #pragma once
 
 #include <filesystem>
@@ -13,7 +13,7 @@
 constexpr const char* data_path_file = "docs/measurements/data_path.json";
 constexpr const char* scale_file = "docs/measurements/scale.json";
 
-/// The page as the committed figures make it. Throws std::runtime_error where a file can't be used.
+/// Renders the page from the committed figures. Throws std::runtime_error if a file is unusable.
 inline std::string capacity_page_of(const std::filesystem::path& root) {
     const Targets targets = read_targets(root / targets_file);
     std::optional<Results> data_path;
--- a/bench/capacity_page.hpp
+++ b/bench/capacity_page.hpp
@@ -1,4 +1,5 @@
-// docs/CAPACITY.md: what each role needs at the users' target, from the slopes that were measured.
+// Renders docs/CAPACITY.md: the resources that each role needs at the users' target, estimated from the
+// measured slopes.
 #pragma once
 
 #include <optional>
@@ -11,21 +12,22 @@
 
 namespace irismux::bench {
 
-/// A value at a size that need not have been measured, with what it rests on.
+/// An estimated value at a size that was not necessarily measured, with its basis.
 struct Estimate {
-    std::optional<double> value;  // none: not measured
+    std::optional<double> value;  // std::nullopt if it was not measured
     std::string unit;
-    bool extrapolated = false;  // beyond four times the largest size measured
-    std::string basis;          // series, line, sizes
+    bool extrapolated = false;  // size beyond four times the largest measured size
+    std::string basis;          // series, line and sizes behind the estimate
 
-    /// As a table shows it: value and unit, a mark where it is an extrapolation, `not measured`.
+    /// Formats the estimate for a table: value and unit with a mark if it is an extrapolation, or `not
+    /// measured`.
     std::string shown_value(double scale = 1, const std::string& other_unit = {}) const;
 };
 
-/// By the named series at that size.
+/// Estimates the value of the named series at `size`.
 Estimate estimate(const Results* results, const std::string& series, double size);
 
-/// The whole page.
+/// Renders the whole page.
 std::string capacity_page(const Targets& targets, const Results* data_path,
                           const std::vector<ControlVariant>& control);
 
--- a/bench/control_results.cpp
+++ b/bench/control_results.cpp
@@ -23,7 +23,7 @@
 public:
     SeriesCollector(ControlVariant& to, const json& run)
         : to_(to), gateways_(run.at("gateways").get<double>()) {
-        hollow_ = gateways_ - run.at("real_gateways").get<double>();
+        stub_gateways_ = gateways_ - run.at("real_gateways").get<double>();
     }
 
     void add_event(const json& e) {
@@ -42,10 +42,10 @@
         add("machine.worst_kb_per_s", "KB in the worst second", rate.at("busiest_machine_worst_bytes"),
             1 / bytes_a_kb);
         add("board.kb_per_s", "KB a second", rate.at("bytes_by_channel").value("board", 0.0),
-            hollow_ / bytes_a_kb);
+            stub_gateways_ / bytes_a_kb);
         add("board.messages_per_s", "messages a second", rate.at("messages_by_channel").value("board", 0.0),
-            hollow_);
-        add("registry.messages_per_s", "messages a second", registry_messages(rate), hollow_);
+            stub_gateways_);
+        add("registry.messages_per_s", "messages a second", registry_messages(rate), stub_gateways_);
         add("board.core_percent", "% of a core", e.at("processor_by_role").value("board", 0.0), percent);
         add("registry.core_percent", "% of a core", e.at("processor_by_role").value("registry", 0.0),
             percent);
@@ -84,7 +84,7 @@
     }
 
     ControlVariant& to_;
-    double gateways_, hollow_ = 0;
+    double gateways_, stub_gateways_ = 0;
     std::string event_;
 };
 
@@ -108,7 +108,7 @@
         std::vector<ControlVariant> all;
         all.reserve(by_name.size());
         for (auto& [name, v] : by_name) all.push_back(std::move(v));
-        // The program as it comes first.
+        // Puts the program's default settings first; a variant's name grows with each setting.
         std::stable_sort(all.begin(), all.end(),
                          [](const auto& a, const auto& b) { return a.name.size() < b.name.size(); });
         return all;
--- a/bench/control_results.hpp
+++ b/bench/control_results.hpp
@@ -1,4 +1,4 @@
-// What bench/scale measured (docs/measurements/scale.json), as series against the number of gateways.
+// Reads the results of bench/scale (docs/measurements/scale.json) as series against the number of gateways.
 #pragma once
 
 #include <filesystem>
@@ -9,7 +9,7 @@
 
 namespace irismux::bench {
 
-/// Runs of one setting of [fleet].
+/// Results of the runs with one setting of [fleet].
 struct ControlVariant {
     std::string name;  // the setting
     /// Series by name, `ROLE.QUANTITY.EVENT`:
@@ -19,12 +19,13 @@
     ///   registry.{core_percent,messages_per_s}.EVENT             all members of the registry, stand-ins
     ///   gateway.last_s.EVENT.WHAT, gateway.p99_s.EVENT.WHAT      until that was in force
     Results results;
-    std::vector<std::string> events;                            // that were measured
-    std::vector<std::pair<std::string, std::string>> in_force;  // event and what, of the last_s series
-    std::vector<std::string> incomplete;                        // where not every gateway was reached
+    std::vector<std::string> events;                            // events that were measured
+    std::vector<std::pair<std::string, std::string>> in_force;  // event and WHAT of each last_s series
+    std::vector<std::string> incomplete;                        // changes that did not reach every gateway
 };
 
-/// None where the file is not there. Throws std::runtime_error with one line where it can't be used.
+/// Returns an empty list if the file does not exist. Throws std::runtime_error with a one-line message if it
+/// is unusable.
 std::vector<ControlVariant> read_control_results(const std::filesystem::path& file);
 
 }  // namespace irismux::bench
--- a/bench/data_path.cpp
+++ b/bench/data_path.cpp
@@ -1,9 +1,7 @@
-// Slopes of the data path of one real gateway process: processor time and memory from the system (/proc),
-// against the size of answers, lookups under way, listed caches, objects ever seen, and more.
-//
+// Measures how the cost of the data path of one real gateway process grows: processor time and memory (from
+// /proc) against response size, lookups in flight, listed caches, objects ever seen, and more.
 //   data_path PROGRAM [--results PATH] [--seed N] [--only PART] [--seconds S]
-//
-// Writes PATH.json and PATH.md. Loopback only; ends by itself within some minutes.
+// Writes PATH.json and PATH.md. Uses loopback only and exits by itself after some minutes.
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <chrono>
@@ -26,16 +24,16 @@
 
 struct Options {
     std::string program, results = "data_path", router;
-    std::vector<std::string> only;  // parts; empty: all
+    std::vector<std::string> only;  // parts to run; empty: all
     std::uint64_t seed = 1;
-    double seconds = 2.5;  // of each measured stretch
+    double seconds = 2.5;  // length of each measurement
 };
 
 double resident_mb(pid_t id) { return static_cast<double>(irismux::test_support::resident_bytes(id)) / 1e6; }
 
 void pause_for(double seconds) { std::this_thread::sleep_for(std::chrono::duration<double>(seconds)); }
 
-/// What a gateway did in a stretch of time.
+/// Work of a gateway within a period.
 struct Stretch {
     double seconds = 0, processor_seconds = 0, lookups = 0, refused = 0, memory_mb = 0;
 
@@ -60,11 +58,11 @@
     return s;
 }
 
-/// Runs the parts asked for and gathers what they measure.
+/// Runs the selected parts and collects their results.
 class Measurement {
 public:
     explicit Measurement(const Options& options) : options_(options) {
-        // Parts measured before stay as they are.
+        // Keeps the results of the parts that are not measured this time.
         if (!options.only.empty() && std::filesystem::exists(options.results + ".json"))
             results_ = read_results(options.results + ".json");
         results_.title = "Slopes of the data path of one gateway";
@@ -145,7 +143,7 @@
     Results results_;
 };
 
-// The largest is what the protocol's bound on one answer leaves room for.
+// The largest size is the largest that fits the protocol's limit on one response.
 void Measurement::answer_sizes() {
     Series cost{"cpu_us_per_lookup.answer_kb",
                 "Processor time a lookup against the size of its answer",
@@ -164,7 +162,7 @@
     busy.title = "Share of one core that the gateway had meanwhile";
     busy.unit = "cores";
     double refused = 0;
-    // Twice, so that the scatter of a size can be seen.
+    // Each size is measured twice to show the scatter.
     for (const std::size_t bytes : {1'000u, 4'000u, 16'000u, 60'000u, 120'000u, 180'000u, 240'000u,  //
                                     1'000u, 4'000u, 16'000u, 60'000u, 120'000u, 180'000u, 240'000u}) {
         Load l = load();
@@ -184,11 +182,11 @@
                "counted at the clients"});
 }
 
-// At a pace, as a gateway lives: the share of a core that it takes, and its memory. The answers are halves of
-// the target's mean object, which does not fit one answer.
+// Measures the share of a core and the memory at a fixed lookup rate, as in production. Each response is half
+// of the target's mean object, because the whole does not fit one response.
 void Measurement::lookup_rates() {
     constexpr std::size_t half_a_mean_object = 189'000;
-    constexpr double loaded = 6'032;  // four times the mean gateway's
+    constexpr double loaded = 6'032;  // four times the rate of the mean gateway
     Series busy{
         "core_share.pace",
         "Share of a core against lookups a second",
@@ -226,7 +224,7 @@
     add(std::move(memory));
 }
 
-// Caches that never answer: what a lookup under way takes.
+// Measures the memory and descriptors of a lookup in flight, with caches that never respond.
 void Measurement::held_lookups() {
     Series memory{
         "memory_mb.held",
@@ -290,7 +288,7 @@
     add(std::move(memory));
 }
 
-// Each lookup asks for another object; sampled as the count grows.
+// Each lookup requests a new object; memory is sampled as the number of objects grows.
 void Measurement::objects_over_sockets() {
     Series memory{
         "memory_mb.objects_over_sockets",
--- a/bench/data_path_load.hpp
+++ b/bench/data_path_load.hpp
@@ -1,4 +1,4 @@
-// One gateway process under lookups, between clients and caches in threads of this process.
+// Runs one gateway process under load, with clients and caches in threads of this process.
 #pragma once
 
 #include <atomic>
@@ -15,21 +15,22 @@
 
 namespace irismux::bench {
 
-/// How a gateway is set up and asked.
+/// Configuration of a gateway and of the load on it.
 struct Load {
     std::string program;
     std::uint64_t seed = 1;
-    std::size_t listed_caches = 20;    // they share the sockets of a few stand-ins
-    std::size_t answer_bytes = 1'000;  // body of each answer; 0: lookups are held and never answered
-    std::size_t connections = 32;      // of clients, together
-    std::size_t outstanding = 64;      // lookups under way at once, together
-    double per_second = 0;             // pace of all clients; 0: a new lookup with each answer
-    std::uint64_t objects = 1'000;     // asked for at random; 0: each lookup asks for another one
-    double client_timeout_s = 3;       // of clients
-    std::size_t memory_mb = 256, sockets = 2'048;  // that the gateway is allowed
+    std::size_t listed_caches = 20;  // listed caches share the sockets of a few cache servers
+    // size of each response's body; 0: caches hold lookups and never respond
+    std::size_t answer_bytes = 1'000;
+    std::size_t connections = 32;   // total over all clients
+    std::size_t outstanding = 64;   // concurrent lookups, total over all clients
+    double per_second = 0;          // rate of all clients; 0: each response triggers a new lookup
+    std::uint64_t objects = 1'000;  // number of objects requested at random; 0: a new object for each lookup
+    double client_timeout_s = 3;    // timeout of clients
+    std::size_t memory_mb = 256, sockets = 2'048;  // limits of the gateway
 };
 
-/// A thread with a loop of its own that runs until it is told to end.
+/// A thread that runs its own event loop until end() is called.
 class LoopThread {
 public:
     LoopThread();
@@ -37,31 +38,32 @@
     LoopThread(const LoopThread&) = delete;
     LoopThread& operator=(const LoopThread&) = delete;
 
-    /// Touched by others only before start().
+    /// Other threads may use it only before start().
     EventLoop loop;
     void start();
     void end();
 
 private:
     void check_for_end();
-    test_support::Acceptor keeps_timers_running_;  // a reactor without sockets runs no alarms
+    test_support::Acceptor keeps_timers_running_;  // A reactor without sockets runs no timers.
     std::atomic<bool> stopping_{false};
     std::thread thread_;
 };
 
-/// Clients on one loop: they keep so many lookups under way, or ask at a pace.
+/// Clients on one event loop. They either keep a number of lookups in flight or send at a fixed rate.
 class LoadClients {
 public:
     LoadClients(EventLoop& loop, const Load& load, std::size_t group_count, std::uint64_t number);
     void start(const std::string& gateway);
 
     std::atomic<std::uint64_t> requests_sent{0}, satisfied{0}, refused{0};
-    std::atomic<std::size_t> outstanding{0};  // wanted under way; may be raised while it runs
+    // target number of lookups in flight; may be raised while the clients run
+    std::atomic<std::size_t> outstanding{0};
 
 private:
     struct Connection {
         std::shared_ptr<test_support::FastCgiClient> client;
-        std::vector<std::uint16_t> free;  // request numbers
+        std::vector<std::uint16_t> free;  // unused request numbers
     };
     void tick();
     void send_due_lookups();
@@ -70,16 +72,17 @@
 
     EventLoop& loop_;
     Load load_;
-    std::size_t group_count_;  // of so many groups of clients this is one
+    std::size_t group_count_;  // number of client groups that share the load
     std::uint64_t number_;
     std::mt19937_64 random_;
     std::vector<std::unique_ptr<Connection>> connections_;
     std::size_t next_connection_ = 0, in_flight_ = 0;
-    double due_lookups_ = 0;  // lookups that the pace asks for and that have not been asked
+    double due_lookups_ = 0;  // lookups that the rate requires and that have not been sent yet
     TimePoint ticked_;
 };
 
-/// The gateway with all that it stands between. Throws std::runtime_error where it does not serve.
+/// A gateway process with its clients, caches and notice board. Throws std::runtime_error if the gateway does
+/// not start to listen.
 class LoadedGateway {
 public:
     explicit LoadedGateway(const Load& load);
@@ -87,7 +90,7 @@
 
     pid_t id() const { return process_->id(); }
     std::uint64_t requests_sent() const, satisfied() const, refused() const;
-    /// Lookups that clients keep under way, all together.
+    /// Sets the number of lookups in flight, total over all clients.
     void set_outstanding(std::size_t lookups);
 
 private:
--- a/bench/data_path_router.cpp
+++ b/bench/data_path_router.cpp
@@ -66,7 +66,7 @@
     d.purge_retention = Duration::seconds(6);
     d.timer_resolution = Duration::seconds(0.002);
     d.transfer_rate_kb_per_s = 8300;
-    d.location_link_capacity_kb_per_s = 8.3e10;  // no limit turns a lookup away
+    d.location_link_capacity_kb_per_s = 8.3e10;  // high enough that no lookup is rejected
     return d;
 }
 
@@ -85,7 +85,7 @@
     return lines;
 }
 
-/// Keeps the last send and the alarms; counts what is turned away.
+/// Records the last attempt and the timers; counts rejected and failed requests.
 class RecordingCallbacks final : public RouterCallbacks {
 public:
     void start_direct_attempt(const RequestId&, const CacheId& cache, Duration) override {
@@ -203,14 +203,14 @@
 RouterCost measure_router(const std::string& self, const RouterLoad& load) {
     std::string output = (fs::temp_directory_path() / "router-cost-XXXXXX").string();
     const int file = ::mkstemp(output.data());
-    if (file < 0) throw std::runtime_error("no file can be made");
+    if (file < 0) throw std::runtime_error("cannot create a temporary file");
     ::close(file);
     test_support::Process child({{self, "--router", json(load).dump()}, {}, "", output});
     while (child.running()) std::this_thread::sleep_for(std::chrono::milliseconds(5));
     const json output_json = json::parse(std::ifstream(output), nullptr, false);
     fs::remove(output);
     if (!child.exited_cleanly() || output_json.is_discarded())
-        throw std::runtime_error("a run of the Router did not end well");
+        throw std::runtime_error("the Router process failed or printed no valid result");
     return output_json.get<RouterCost>();
 }
 
--- a/bench/data_path_router.hpp
+++ b/bench/data_path_router.hpp
@@ -1,4 +1,5 @@
-// The decisions alone, driven through their Port in virtual time: for sizes that sockets would take too long.
+// Measures the Router alone, driven through its callback interface in virtual time, for sizes that would take
+// too long over sockets.
 #pragma once
 
 #include <cstdint>
@@ -6,31 +7,31 @@
 
 namespace irismux::bench {
 
-/// What one Router is asked.
+/// Load on one Router.
 struct RouterLoad {
     std::uint64_t seed = 1;
     std::uint64_t lookups = 100'000;
-    double per_second = 1'000;  // in virtual time
-    std::uint64_t objects = 0;  // asked for at random; 0: each lookup asks for another one
-    double deadline_s = 3;      // of the object kind
+    double per_second = 1'000;  // lookups per second of virtual time
+    std::uint64_t objects = 0;  // number of objects requested at random; 0: a new object for each lookup
+    double deadline_s = 3;      // deadline of the object kind
     int listed_caches = 20;
     int parents = 2;
-    int purges_in_force = 0;  // of single objects, each renewed before it ends
+    int purges_in_force = 0;  // purges of single objects, each renewed before it expires
 };
 
 struct RouterCost {
-    double us_per_lookup = 0;  // lookup and answer, processor time of the calling thread
-    double longest_us = 0;     // the longest single call by the clock
+    double us_per_lookup = 0;  // processor time of the calling thread for a lookup and its response
+    double longest_us = 0;     // longest single lookup in wall-clock time
     double us_per_purge = 0;
-    double us_per_list = 0;     // a complete list
-    double grown_mb = 0;        // resident memory of this process, over that before the first lookup
-    std::uint64_t refused = 0;  // nacks and failures
+    double us_per_list = 0;     // for a complete endpoint list
+    double grown_mb = 0;        // growth of this process's resident memory since before the first lookup
+    std::uint64_t refused = 0;  // number of nacks and failures
 };
 
-/// Runs in a process of its own, started from `self` (this very program), so that its memory is nobody
-/// else's. Throws std::runtime_error where it does not end well.
+/// Runs the measurement in a child process, started from `self` (this program's path), so that the measured
+/// memory is the Router's alone. Throws std::runtime_error if the child fails.
 RouterCost measure_router(const std::string& self, const RouterLoad& load);
-/// That process: prints its cost. The words are those that measure_router gave it.
+/// Entry point of the child process: prints the cost as JSON. `load` is the JSON text from measure_router().
 void run_router(const std::string& load);
 
 }  // namespace irismux::bench
--- a/bench/fit.cpp
+++ b/bench/fit.cpp
@@ -8,8 +8,8 @@
 namespace irismux::bench {
 namespace {
 
-/// Sums over the points, of sizes shifted to their mean and scaled to their spread: the normal equations of
-/// a parabola over sizes of several decades are badly conditioned otherwise.
+/// Sums over the points, with sizes shifted by their mean and scaled by their spread. Without this the normal
+/// equations of a parabola over several decades of sizes are badly conditioned.
 struct Scaled {
     explicit Scaled(const std::vector<Point>& points) {
         for (const Point& p : points) mean += p.size / static_cast<double>(points.size());
@@ -21,11 +21,11 @@
     double spread = 0;
 };
 
-constexpr double least_share = 0.1;  // of a quadratic term that counts
+constexpr double least_share = 0.1;  // smallest share of a quadratic term that counts as a bend
 
 using Matrix = std::array<std::array<double, 3>, 3>;
 
-/// The inverse by Gauss-Jordan elimination with pivoting; false where there is none.
+/// Inverts the matrix by Gauss-Jordan elimination with pivoting; returns false if it is singular.
 bool invert(Matrix m, Matrix& inverse) {
     constexpr double least_pivot = 1e-12;
     inverse = {{{1, 0, 0}, {0, 1, 0}, {0, 0, 1}}};
@@ -101,7 +101,7 @@
         values += p.value * p.value;
     }
     f.freedom = points.size() - 3;
-    // Values that follow the parabola exactly leave rounding errors only; those are not taken for a scatter.
+    // Values exactly on the parabola leave only rounding errors, which must not count as scatter.
     const double rounding = values * std::numeric_limits<double>::epsilon();
     const double scatter = std::max(squares, rounding) / static_cast<double>(f.freedom);
     const double scale = scaled.spread * scaled.spread;
@@ -153,7 +153,8 @@
 }
 
 double t_bound(std::size_t freedom) {
-    // Table of Student's t, two-sided 5%; beyond it the bound of 20 degrees, which is on the safe side.
+    // Table of Student's t, two-sided 5%. Above 20 degrees of freedom the value for 20 is used, which is
+    // conservative.
     static constexpr std::array<double, 20> bounds = {12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365,
                                                       2.306,  2.262, 2.228, 2.201, 2.179, 2.160, 2.145,
                                                       2.131,  2.120, 2.110, 2.101, 2.093, 2.086};
--- a/bench/fit.hpp
+++ b/bench/fit.hpp
@@ -1,4 +1,4 @@
-// Least-squares fits of measured values against a size, and how far they carry.
+// Least-squares fits of measured values against a size, and the range in which they may be used.
 #pragma once
 
 #include <cstddef>
@@ -13,22 +13,23 @@
     double value = 0;
 };
 
-/// value = intercept + slope * size, fitted by least squares, with the test for a quadratic term beside it.
+/// value = intercept + slope * size, fitted by least squares, with a test for a quadratic term.
 struct Fit {
     double intercept = 0;
     double slope = 0;
     double slope_error = 0;      // standard error
     double quadratic = 0;        // c of a + b n + c n^2, fitted to the same points
     double quadratic_error = 0;  // standard error
-    double quadratic_t = 0;      // quadratic / quadratic_error; 0 where there is no degree of freedom
-    double quadratic_share = 0;  // of the parabola's value at the largest size, the part of c n^2
-    double parabola_intercept = 0, parabola_slope = 0;  // a and b beside that c
+    double quadratic_t = 0;      // quadratic / quadratic_error; 0 without degrees of freedom
+    double quadratic_share = 0;  // share of c n^2 in the parabola's value at the largest size
+    double parabola_intercept = 0, parabola_slope = 0;  // a and b of the same parabola
     std::size_t freedom = 0;                            // degrees of freedom of that test
-    // The quadratic term is there: beyond the two-sided 5% bound, and a tenth or more of the value at the
-    // largest size. Without the second a term of no weight would count where points lie close to a line.
+    // True if the quadratic term exceeds the two-sided 5% bound and makes up a tenth or more of the value at
+    // the largest size. Without the second condition a negligible term would count if the points lie close to
+    // a line.
     bool bends = false;
-    double smallest = 0, largest = 0;  // sizes that the fit rests on
-    std::vector<double> residuals;     // of the line, in the order of the points
+    double smallest = 0, largest = 0;  // range of the fitted sizes
+    std::vector<double> residuals;     // residuals of the line, in the order of the points
 
     double line(double size) const { return intercept + slope * size; }
     double parabola(double size) const {
@@ -36,21 +37,22 @@
     }
 };
 
-/// Needs two different sizes for the line and four points of three different sizes for the test; what can't
-/// be fitted stays 0.
+/// The line needs two different sizes, the test four points with three different sizes. Fields that can't be
+/// fitted stay 0.
 Fit fit(const std::vector<Point>& points);
 
-/// The value at a size: what was measured there (the mean), else by the line; where the points bend, between
-/// the two measured sizes around it, and beyond the largest by the line or the parabola, whichever is higher.
+/// Estimates the value at a size: the mean of the values measured there, else the line. If the points bend,
+/// interpolates between the two neighbouring measured sizes; beyond the largest, takes the higher of line and
+/// parabola.
 double value_at(const std::vector<Point>& points, double size);
 
 /// Two-sided 5% bound of Student's t.
 double t_bound(std::size_t freedom);
 
-/// A value beyond this multiple of the largest size measured is no measurement's word any more.
+/// Beyond this multiple of the largest measured size, an estimate counts as an extrapolation.
 constexpr double farthest_carried = 4;
 
-/// Whether a value at that size has to be marked as an extrapolation.
+/// Returns whether an estimate at `size` has to be marked as an extrapolation.
 bool extrapolated(double size, double largest_measured);
 
 }  // namespace irismux::bench
--- a/bench/fleet_owner.cpp
+++ b/bench/fleet_owner.cpp
@@ -1,13 +1,12 @@
-// How long a duty of the fleet has no owner, by fault; and what a fleet costs its gateways and the registry.
-//
+// Measures how long a duty of the fleet has no owner after each kind of fault, and the cost of a fleet to its
+// gateways and to the registry.
 //   fleet_owner PROGRAM takeovers [TIMES] [FAULT...]
-//       processes of the program; faults to the owner of the garbage collection
+//       runs gateway processes and applies faults to the owner of the garbage collection duty
 //   fleet_owner PROGRAM cost [SECONDS]
-//       one gateway of three: memory, descriptors, processor time, lookups
+//       measures one gateway of three: memory, descriptors, processor time, lookups
 //   fleet_owner - model [MEMBERS...]
-//       the cores in virtual time: requests at the registry
-//
-// Everything is counted at the far ends. Prints tables in Markdown.
+//       simulates the fleet logic in virtual time: requests at the registry
+// All counts are taken at the fake services. Prints Markdown tables.
 #include <signal.h>
 #include <unistd.h>
 
@@ -44,13 +43,15 @@
 }
 
 struct TakeoverCounts {
-    std::vector<double> ownerless_ms;      // from the fault to the first write of another that landed
-    std::size_t tried = 0, landed = 0;     // writes under the former token after the next one had landed
-    std::size_t moved = 0, min_moves = 0;  // duties that changed hands with a loss; those that its owner had
-    std::size_t not_taken_over = 0;        // faults that nobody followed
+    std::vector<double> ownerless_ms;  // from the fault to the first accepted write of another owner
+    // writes with the former fencing token after a write of the next owner was accepted
+    std::size_t tried = 0, landed = 0;
+    // ownership changes after a loss; the minimum, the duties that the lost owner had
+    std::size_t moved = 0, min_moves = 0;
+    std::size_t not_taken_over = 0;  // faults after which no other gateway took over
 };
 
-// One fleet of processes, faulted so many times.
+// A fleet of gateway processes that is exposed to one fault repeatedly.
 class Fleet {
 public:
     Fleet(const std::string& program, const std::string& fault, const fs::path& folder)
@@ -68,12 +69,12 @@
         s.program = program;
         s.gateways = gateways;
         s.caches = 1;
-        s.collection_interval = ms * 50;  // the least
+        s.collection_interval = ms * 50;  // the shortest interval allowed
         return s;
     }
 
 private:
-    // All are in, and the owner has been so for a term.
+    // Returns whether all gateways have joined and the owner has held the duty for a term.
     bool ready() const {
         return fleet_.all_joined() && fleet_.owner(duty) && !fleet_.ownership_changes.empty() &&
                fleet_.loop.now() - fleet_.ownership_changes.back().at > fleet_.options.term;
@@ -123,10 +124,10 @@
                 for (const test_support::Direction w :
                      {test_support::Direction::to_server, test_support::Direction::to_client})
                     r->faults(w).bytes_per_second = is ? 500 : 0;
-                if (!is) r->reset_all();  // what still crawls there is given up
+                if (!is) r->reset_all();  // drops the data that the slow link still holds
             }
         if (fault_ == "registry member lost") {
-            // Each in turn: the one that the owner talks to is among them.
+            // Stops each member in turn, so that the one that the owner uses is among them.
             if (is) lost_ = (lost_ + 1) % fleet_.options.members;
             is ? fleet_.registry.stop_member(lost_) : fleet_.registry.restart_member(lost_);
         }
@@ -186,7 +187,7 @@
     }
 }
 
-// --- what it costs ---------------------------------------------------------------------------------------
+// --- cost of a fleet ------------------------------------------------------------------------------------
 
 double processor_seconds(pid_t id) {
     std::ifstream in("/proc/" + std::to_string(id) + "/stat");
@@ -213,8 +214,8 @@
     return n;
 }
 
-// The first gateway of three, with the part off, on, and on while another is killed and started all the
-// while.
+// Measures the first gateway of three with the fleet part off, on, and on while another gateway is repeatedly
+// killed and restarted.
 void cost(const std::string& program, double seconds) {
     std::printf(
         "| [fleet] | lookups a second | memory MB | descriptors | processor at rest, %% | under load, %% | "
@@ -223,7 +224,7 @@
     for (const std::string state : {"off", "on", "on, churn", "off", "on"}) {
         test_support::ProcessFleet::Options s;
         s.program = program;
-        s.term = ms * 12'000;  // as an installation would have it
+        s.term = ms * 12'000;  // as in a production installation
         s.collection_interval = ms * 60'000;
         s.health_check_interval = ms * 2'000;
         s.request_interval = ms * 2;
@@ -267,7 +268,7 @@
     }
 }
 
-// --- the registry's load, in the model -------------------------------------------------------------------
+// --- simulated load on the registry ----------------------------------------------------------------------
 
 void model(std::vector<std::size_t> sizes) {
     if (sizes.empty()) sizes = {10, 100, 1000};
--- a/bench/registry_load.cpp
+++ b/bench/registry_load.cpp
@@ -1,5 +1,5 @@
-// What a registry's clients cost it and a gateway: requests when all lose it at once, over sockets; processor
-// time an event; memory a record. Prints tables in Markdown.
+// Measures the cost of registry clients: requests over sockets after all clients lose the registry at once,
+// processor time per event, and memory per record. Prints Markdown tables.
 #include <malloc.h>
 
 #include <algorithm>
@@ -38,7 +38,8 @@
     return most;
 }
 
-// That many clients follow; then all connections break, or the registry is away for five seconds.
+// Breaks all connections of `clients` following clients, or stops the registry for five seconds, and counts
+// the requests until all follow again.
 void measure_outage(std::size_t clients, bool registry_down) {
     EventLoop loop;
     test_support::FakeRegistry r(loop, members, ms * 100);
--- a/bench/registry_staleness.cpp
+++ b/bench/registry_staleness.cpp
@@ -1,14 +1,12 @@
-// How long a gateway goes on sending to a cache after the drain was committed: the real program as a process,
-// with stand-ins of caches, board and registry, under load. Side by side: the registry client under each
-// fault, the notice board as it stands, and a client that polls the registry and posts what it finds to the
-// board.
-//
+// Measures how long a gateway keeps sending to a cache after its drain was committed. Runs the real program
+// as a process under load, with fake caches, a fake notice board and a fake registry. Compares the registry
+// client under each fault, the notice board alone, and a client that polls the registry and posts the changes
+// to the notice board.
 //   registry_staleness PROGRAM [DRAINS] [CASE...]      writes a Markdown table to standard output
-//
-// The staleness of a drain is the last first byte of a send to its cache within a second, counted from the
-// commit. Late are the sends later than the drain grace (250 ms) after the commit. What the gateway was told
-// when is not seen from outside: that nothing goes later than the grace after that is a test's to show
-// (WithRegistry in tests/).
+// The staleness of a drain is the time from its commit to the last first byte of a send to the cache within
+// one second. Sends later than the drain grace (250 ms) after the commit count as late. This program can't
+// see when the gateway received the drain; the WithRegistry tests in tests/ check that nothing is sent later
+// than the grace after that.
 #include <signal.h>
 #include <spawn.h>
 #include <sys/wait.h>
@@ -31,7 +29,7 @@
 
 const std::string prefix = "/caches/";
 constexpr std::size_t edge_caches = 6, members = 3;
-// Nothing drains twice within the time that its cache needs to be back.
+// The interval between drains is long enough that no cache drains again before it is ready.
 const Duration drain_interval = Duration::micros(200'000), observation_time = Duration::micros(1'000'000);
 const Duration grace = Duration::micros(250'000);
 
@@ -40,7 +38,7 @@
     Case(std::string program, std::string name, int drains)
         : program_(std::move(program)), name_(std::move(name)), drains_(drains) {}
 
-    // Whether the gateway was there to the end and left as it should.
+    // Returns whether the gateway ran until the end and exited with status 0.
     bool run() {
         json lines = json::array();
         for (std::size_t n = 0; n < edge_caches; ++n) {
@@ -113,14 +111,14 @@
         return ::posix_spawn(&pid_, program_.c_str(), nullptr, nullptr, argv, env.data()) == 0;
     }
 
-    // What goes on all the while.
+    // Applies the fault of this case, repeatedly where it recurs.
     void apply_fault() {
         if (name_ == "dropped" || name_ == "dropped, compacted" || name_ == "board, dropped") {
             for (std::size_t m = 0; m < members; ++m) registry_.break_connections(m);
             board_.break_connections();
             after(0.3, [this] { apply_fault(); });
         }
-        if (name_ == "silent") {  // one member after the other
+        if (name_ == "silent") {  // silences one member after the other
             silent_ = (silent_ + 1) % members;
             for (std::size_t m = 0; m < members; ++m) registry_.faults(m).silent_watches = m == silent_;
             after(2, [this] { apply_fault(); });
@@ -136,7 +134,7 @@
             after(down_ ? 10 : 5, [this] { apply_fault(); });
         }
         if (name_ == "restored") {
-            // All is as it was, but the numbers and the cluster.
+            // Restores the same records under other revisions and another cluster id.
             const auto state = *registry_.model.at(registry_.model.newest());
             registry_.model.restore(registry::Revision{registry_.model.newest().raw() - 30}, true);
             for (const auto& [key, r] : state) registry_.model.put(key.raw(), r.value);
@@ -145,7 +143,7 @@
         }
     }
 
-    // The baseline: reads the list once a second, and posts what differs.
+    // The polling baseline: reads the list once a second and posts the records that changed.
     void poll() {
         const auto* state = registry_.model.at(registry_.model.newest());
         for (std::size_t n = 0; n < edge_caches; ++n) {
@@ -198,7 +196,7 @@
     std::filesystem::path folder_;
     pid_t pid_ = 0;
     std::map<std::size_t, std::string> polled_;
-    std::vector<double> staleness_ms_;  // milliseconds, one a drain
+    std::vector<double> staleness_ms_;  // milliseconds, one entry per drain
     std::uint64_t late_sends_ = 0;
     std::size_t silent_ = 0;
     bool down_ = false;
--- a/bench/results.hpp
+++ b/bench/results.hpp
@@ -1,4 +1,4 @@
-// Measured results as a file: what a measurement writes, and what docs/CAPACITY.md is made from.
+// Result files: written by the measurements, and the input of docs/CAPACITY.md.
 #pragma once
 
 #include <filesystem>
@@ -14,15 +14,15 @@
 /// A quantity measured at several sizes.
 struct Series {
     std::string name;       // unique within the file, e.g. "cpu_us_per_lookup"
-    std::string title;      // for readers
+    std::string title;      // title for readers
     std::string size_name;  // e.g. "listed caches"
     std::string size_unit;  // e.g. "caches"
-    std::string unit;       // of the values
+    std::string unit;       // unit of the values
     std::vector<Point> points;
     std::string note;  // how it was measured, in a sentence or two
 };
 
-/// A quantity measured once, or a bound that was seen to hold.
+/// A quantity measured once, or a bound that was observed to hold.
 struct Figure {
     std::string name;
     std::string title;
@@ -33,9 +33,9 @@
 
 struct Results {
     std::string title;
-    std::string command;  // that makes this file
+    std::string command;  // command that writes this file
     std::string machine;  // cores and memory
-    std::string date;     // of the run
+    std::string date;     // date of the run
     std::uint64_t seed = 0;
     std::vector<Series> series;
     std::vector<Figure> figures;
@@ -44,21 +44,21 @@
     const Figure* find_figure(std::string_view name) const;
 };
 
-/// Cores and memory of the machine that this runs on.
+/// Describes the cores and memory of this machine.
 std::string this_machine();
-/// Today, as YYYY-MM-DD (UTC).
+/// Returns the current date as YYYY-MM-DD (UTC).
 std::string today();
 
-/// With each series goes its fit, so that readers of the file need no other program.
+/// Includes the fit of each series, so that readers of the file need no other program.
 nlohmann::json to_json(const Results& results);
-/// Throws std::runtime_error with one line where the file can't be used.
+/// Throws std::runtime_error with a one-line message if the file is unusable.
 Results read_results(const std::filesystem::path& file);
-/// The same as tables in Markdown, residuals among them.
+/// Formats the results as Markdown tables, including residuals.
 std::string to_markdown(const Results& results);
-/// FILE.json and FILE.md.
+/// Writes FILE.json and FILE.md.
 void write_results(const Results& results, const std::filesystem::path& without_suffix);
 
-/// A number as tables show it: three significant digits, thousands grouped.
+/// Formats a number for tables: three significant digits, thousands grouped.
 std::string shown(double value);
 
 }  // namespace irismux::bench
--- a/bench/scale/control_channel.cpp
+++ b/bench/scale/control_channel.cpp
@@ -26,8 +26,7 @@
     auto connection = std::make_shared<test_support::TestConnection>(loop);
     auto channel =
         std::make_unique<ControlChannel>(connection, std::move(on_message), std::move(on_end_of_connection));
-    if (!connection->start(address))
-        throw std::runtime_error("no connection to " + address + " was possible");
+    if (!connection->start(address)) throw std::runtime_error("connecting to " + address + " failed");
     return channel;
 }
 
--- a/bench/scale/control_channel.hpp
+++ b/bench/scale/control_channel.hpp
@@ -1,4 +1,5 @@
-// JSON, a line each, between the rig and the processes that it starts. Loopback.
+// Control connection between the rig and the processes that it starts: one JSON message per line, over
+// loopback.
 #pragma once
 
 #include <functional>
@@ -9,14 +10,14 @@
 
 namespace irismux::scale {
 
-// One end of a channel.
+// One end of a control connection.
 class ControlChannel {
 public:
     using MessageHandler = std::function<void(const nlohmann::json&)>;
 
     ControlChannel(std::shared_ptr<test_support::TestConnection> connection, MessageHandler on_message,
                    std::function<void()> on_end_of_connection);
-    // Connects to whoever listens there; throws std::runtime_error where that is not possible.
+    // Connects to the listener at `address`; throws std::runtime_error on failure.
     static std::unique_ptr<ControlChannel> connect(EventLoop& loop, const std::string& address,
                                                    MessageHandler on_message,
                                                    std::function<void()> on_end_of_connection);
--- a/bench/scale/counting.hpp
+++ b/bench/scale/counting.hpp
@@ -1,5 +1,5 @@
-// Bytes and messages of control traffic, counted on the relays between gateways and the control machines, by
-// second.
+// Bytes and messages of control traffic per second, counted at the relays between the gateways and the
+// control machines.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 namespace irismux::scale {
 
-// What a connection is for, read off its first request.
+// Purpose of a connection, detected from its first request.
 enum class Channel { unknown, board, list, fleet, transactions };
 constexpr std::size_t channels = 5;
 const char* name_of(Channel channel);
@@ -28,17 +28,17 @@
     std::uint64_t messages() const { return messages_out + messages_back; }
 };
 
-// Finds messages in the bytes of one direction of a connection, however they are cut: the head of a request
-// or an answer, and each line of a watch's stream (bodies hold no line ends of their own).
+// Counts the messages in one direction of a connection, regardless of how the bytes are split. A message is
+// the head of a request or a response, or a line of a watch stream (other bodies contain no line breaks).
 class MessageScanner {
 public:
     std::uint64_t scan(std::string_view bytes);
 
 private:
-    char last_ = 0, before_ = 0, first_ = 0;  // the three bytes before
+    char last_ = 0, before_ = 0, first_ = 0;  // the previous three bytes, latest first
 };
 
-// One connection, from the first byte on.
+// Counts the traffic of one connection from its first byte.
 class ConnectionCounter {
 public:
     Channel channel() const { return channel_; }
@@ -49,30 +49,30 @@
     MessageScanner out_, back_;
 };
 
-// A row: whose traffic with which control machine (the board is one behind the last of the registry's
-// members).
+// Key of a traffic row: a gateway, a control machine (the notice board's index follows that of the last
+// registry member) and a channel.
 struct TrafficKey {
     std::size_t gateway = 0, machine = 0;
     Channel channel = Channel::unknown;
     auto operator<=>(const TrafficKey&) const = default;
 };
 
-// Seconds of the Unix clock, each with all rows that are not zero.
+// Traffic rows by second of the Unix clock; rows without traffic are absent.
 using TrafficBySecond = std::map<std::int64_t, std::map<TrafficKey, Traffic>>;
 
 nlohmann::json to_json(std::int64_t second, const std::map<TrafficKey, Traffic>& rows);
 void add_from_json(TrafficBySecond& to, const nlohmann::json& message);
 
-// Mean and worst second over a stretch of time, each a gateway.
+// Mean and worst-second rates over a period, per gateway unless stated otherwise.
 struct Rate {
-    double messages = 0, bytes = 0;              // a second and gateway, at the mean
-    double bytes_out = 0, bytes_back = 0;        // of them from and to the gateway
-    double worst_messages = 0, worst_bytes = 0;  // in the worst second, over all gateways
-    double worst_gateway_bytes = 0;              // of one gateway in one second
-    std::map<std::string, double> bytes_by_channel, messages_by_channel;  // at the mean
-    double machine_bytes = 0, machine_messages = 0;  // a second at the busiest control machine, at the mean
+    double messages = 0, bytes = 0;              // mean, per second and gateway
+    double bytes_out = 0, bytes_back = 0;        // the bytes from and to the gateway within `bytes`
+    double worst_messages = 0, worst_bytes = 0;  // worst second, mean over all gateways
+    double worst_gateway_bytes = 0;              // largest value of a single gateway in one second
+    std::map<std::string, double> bytes_by_channel, messages_by_channel;  // mean
+    double machine_bytes = 0, machine_messages = 0;  // mean per second at the busiest control machine
     double machine_worst_bytes = 0, machine_worst_messages = 0;
-    double control_bytes = 0, control_messages = 0;  // a second at all control machines together, at the mean
+    double control_bytes = 0, control_messages = 0;  // mean per second, sum over all control machines
 };
 Rate rate_over(const TrafficBySecond& traffic, std::int64_t from, std::int64_t until,
                std::size_t first_gateway, std::size_t gateways);
--- a/bench/scale/events.cpp
+++ b/bench/scale/events.cpp
@@ -13,10 +13,12 @@
 const Duration one_second = Duration::micros(1'000'000);
 constexpr std::size_t purges_per_second = 3;
 constexpr std::size_t purges_per_hour = 3600 * purges_per_second;
-constexpr std::size_t batches_per_hour = 20;  // one a second
+constexpr std::size_t batches_per_hour = 20;  // one batch per second
 constexpr std::size_t ejecting_sites = 2;
-constexpr std::size_t ejecting_sites_divisor = 4;  // of the sites, in the event that grows with them
-constexpr double ejections_last_s = 27;  // nine rounds of a term of 12 s: a publication each at 570 gateways
+// One in four sites ejects the cache in the event that scales with the number of sites.
+constexpr std::size_t ejecting_sites_divisor = 4;
+// Nine rounds of a 12 s term: long enough for each gateway to publish once at 570 gateways.
+constexpr double ejections_last_s = 27;
 const std::string bad_cache = "cache-100";
 
 void progress(const Rig& rig, const std::string& what) {
@@ -37,7 +39,7 @@
     return left;
 }
 
-// A stretch of whole seconds in which something happens.
+// Measures the fleet over a period of whole seconds.
 class EventMeasurement {
 public:
     EventMeasurement(Rig& rig, const std::string& name) : rig_(rig) {
@@ -54,8 +56,8 @@
         result_.in_force[what] = reached(seen, since_us, stubs_among(rig_, gateways));
     }
     void note(const std::string& text) { result_.note = text; }
-    // Those behind that one are not beside the real ones in this event.
-    void compare_stubs_up_to(std::size_t gateway) { last_compared_stub_ = gateway; }
+    // Leaves `gateway` and those after it out of the comparison with the real gateways.
+    void compare_stubs_before(std::size_t gateway) { first_uncompared_stub_ = gateway; }
     void until_second(double since_begin) {
         const std::int64_t end = begun_us_ + static_cast<std::int64_t>(since_begin * 1e6);
         rig_.wait_until([&] { return rig_.now_us() >= end; }, Duration::seconds(since_begin + 5));
@@ -81,12 +83,12 @@
             result_.bytes_per_real_gateway =
                 static_cast<double>(resident.at("real")) / static_cast<double>(real);
         }
-        // What relays say of a second comes right after it.
+        // The relays report the traffic of a second right after it ends.
         rig_.run_for(one_second * 1.2);
         result_.stubs = rate_over(rig_.traffic(), from_, until, real, stubs);
         if (real > 0) {
             result_.real = rate_over(rig_.traffic(), from_, until, 0, real);
-            const std::size_t last = std::min(last_compared_stub_, rig_.topology().gateways);
+            const std::size_t last = std::min(first_uncompared_stub_, rig_.topology().gateways);
             result_.compared_stubs = rate_over(rig_.traffic(), from_, until, real, last - real);
         }
         return result_;
@@ -97,10 +99,11 @@
     EventResult result_;
     std::map<std::string, double> processor_;
     std::int64_t from_ = 0, begun_us_ = 0;
-    std::size_t last_compared_stub_ = std::numeric_limits<std::size_t>::max();
+    std::size_t first_uncompared_stub_ = std::numeric_limits<std::size_t>::max();
 };
 
-// Waits until all of those know of all that is expected; whether they do.
+// Waits until as many stub gateways as there are in `gateways` have reported the expected state. Returns
+// false on timeout.
 bool wait_until_complete(Rig& rig, std::int64_t expected, const std::vector<std::size_t>& gateways,
                          double timeout_s) {
     const std::size_t stubs = stubs_among(rig, gateways).size();
@@ -123,7 +126,7 @@
         posted.push_back(rig.purge(1).front());
     }
     m.until_second(14);
-    // Every purge at every gateway, as one distribution.
+    // Combines every purge at every gateway into one distribution.
     Reached all;
     std::vector<double> took;
     for (const std::int64_t p : posted)
@@ -168,7 +171,8 @@
     return result;
 }
 
-// Each gateway marks another cache every second: its record is published as often as its pace permits.
+// Every second each gateway ejects another cache, so it publishes its record as often as its rate limit
+// permits.
 EventResult ejections_change(Rig& rig) {
     rig.set_continuous_ejections(true);
     rig.run_for(one_second * 6);
@@ -185,7 +189,7 @@
     rig.clear_in_force();
     EventMeasurement m(rig, "restart_all");
     const std::int64_t since = rig.now_us();
-    // Expected of the new ones: the old ones knew of all.
+    // expect() follows the restart, because the old processes had already reached the expected state.
     rig.start(rig.topology().all());
     const std::int64_t expected = rig.expect(rig.topology().gateways);
     wait_until_complete(rig, expected, rig.topology().all(), 50);
@@ -198,7 +202,7 @@
     const auto lost = rig.topology().lost_zone(), left = without(rig.topology().all(), lost);
     rig.clear_in_force();
     EventMeasurement m(rig, "zone_lost");
-    m.compare_stubs_up_to(lost.front());
+    m.compare_stubs_before(lost.front());
     const std::int64_t since = rig.now_us();
     rig.kill(lost);
     rig.set_caches_removed(Topology::zone_caches, true);
@@ -215,7 +219,7 @@
     const auto lost = rig.topology().lost_zone();
     rig.clear_in_force();
     EventMeasurement m(rig, "zone_back");
-    m.compare_stubs_up_to(lost.front());
+    m.compare_stubs_before(lost.front());
     const std::int64_t since = rig.now_us();
     rig.start(lost);
     rig.set_caches_removed(Topology::zone_caches, false);
@@ -226,14 +230,14 @@
     return m.end();
 }
 
-// The purges of an hour within some seconds; its own time is longer than a term, so that the region is
-// evicted.
+// Posts the purges of one hour within 20 seconds while the region is cut off. The event lasts longer than a
+// term, so that the region's members are evicted.
 EventResult region_cut(Rig& rig) {
     const auto cut = rig.topology().of_region(rig.topology().regions() - 1),
                left = without(rig.topology().all(), cut);
     rig.clear_in_force();
     EventMeasurement m(rig, "region_cut");
-    m.compare_stubs_up_to(cut.front());
+    m.compare_stubs_before(cut.front());
     rig.change_links(cut, {{"cut", true}});
     for (std::size_t n = 0; n < batches_per_hour; ++n) {
         m.until_second(static_cast<double>(n));
@@ -249,7 +253,7 @@
     const auto cut = rig.topology().of_region(rig.topology().regions() - 1);
     rig.clear_in_force();
     EventMeasurement m(rig, "region_back");
-    m.compare_stubs_up_to(cut.front());
+    m.compare_stubs_before(cut.front());
     const std::int64_t since = rig.now_us(), expected = rig.expect(rig.topology().gateways);
     rig.change_links(cut, {{"cut", false}});
     wait_until_complete(rig, expected, rig.topology().all(), 60);
@@ -290,8 +294,8 @@
     return all;
 }
 
-// How many different values each part of the state has; of what is known of members within one site, where
-// they know only one another: the most.
+// Counts the different values of each part of the gateways' state. With membership by site, the parts about
+// members are compared within each site, and the largest count is returned.
 json distinct_states(Rig& rig) {
     const json states = rig.states();
     std::map<std::string, std::map<std::size_t, std::set<std::string>>> values;
@@ -373,14 +377,14 @@
     const Reached first =
         reached(rig.in_force("whole", expected), begun, stubs_among(rig, rig.topology().all()));
     progress(rig, std::to_string(first.reached) + " of " + std::to_string(first.of) + " know of all");
-    // Whoever has joined listens for a wait; then the duties are claimed.
+    // A gateway that has joined waits and listens before it claims duties.
     rig.run_for(one_second * 15);
     rig.check_memory();
     rig.start_lookups();
     json results = json::array(), lookups;
     for (const Event& e : events()) {
         if (std::find(names.begin(), names.end(), e.name) == names.end()) continue;
-        // The clients do not connect again to a gateway that was started anew.
+        // The clients do not reconnect to a restarted gateway, so their counts are read before the restart.
         if (e.name == "restart") lookups = rig.lookups();
         for (const EventResult& r : e.run(rig)) results.push_back(to_json(r));
     }
--- a/bench/scale/events.hpp
+++ b/bench/scale/events.hpp
@@ -1,4 +1,4 @@
-// The events that a fleet of a given size is put through, and what is measured of each.
+// The events that a fleet of a given size is exposed to, and the measurements of each event.
 #pragma once
 
 #include <functional>
@@ -12,7 +12,7 @@
 
 namespace irismux::scale {
 
-// Times until something was in force, over the gateways that it had to reach.
+// Distribution of the times until a change was in force, over the gateways that it had to reach.
 struct Reached {
     std::size_t of = 0, reached = 0;
     double median_s = 0, p99_s = 0, last_s = 0;
@@ -22,23 +22,24 @@
 
 struct EventResult {
     std::string name;
-    double seconds = 0;  // measured
-    Rate stubs;
-    std::optional<Rate> real,
-        compared_stubs;  // and the hollow ones that met the same, where there are real ones
-    double cores_per_gateway = 0, cores_per_real_gateway = 0;  // of one core
-    std::map<std::string, double> cores_by_role;               // of one core
-    double bytes_per_gateway = 0, bytes_per_real_gateway = 0;  // bytes, at the end
+    double seconds = 0;  // length of the measurement
+    Rate stubs;          // written as "hollow" to result files
+    // Set only if there are real gateways. `compared_stubs` covers the stub gateways that saw the same event
+    // and is written as "beside".
+    std::optional<Rate> real, compared_stubs;
+    double cores_per_gateway = 0, cores_per_real_gateway = 0;  // share of one core
+    std::map<std::string, double> cores_by_role;               // share of one core
+    double bytes_per_gateway = 0, bytes_per_real_gateway = 0;  // at the end of the measurement
     std::map<std::string, Reached> in_force;
     std::string note;
 };
 nlohmann::json to_json(const EventResult& result);
 
-// Names of all events, in the order in which they are run.
+// Names of all events, in execution order.
 const std::vector<std::string>& event_names();
 
-// Starts all gateways, waits until each knows of all, and runs the events named. Says on standard error how
-// far it is.
+// Starts all gateways, waits until each knows all members, the endpoint list and all purges, and runs the
+// named events. Prints progress on standard error.
 nlohmann::json run_events(Rig& rig, const std::vector<std::string>& names);
 
 }  // namespace irismux::scale
--- a/bench/scale/main.cpp
+++ b/bench/scale/main.cpp
@@ -1,11 +1,10 @@
-// What control costs a fleet of many gateways: most of them hollow (lab/hollow_gateway.hpp), some real, each
-// with a relay on every link to the control machines.
-//
+// Measures the cost of control traffic in a fleet of many gateways. Most of them are stubs
+// (testing/stub_gateway.hpp), some are real; a relay sits on each link between a gateway and a control
+// machine.
 //   scale run --gateways N [--real N] [--events A,B] [--program irismux] [--fleet-line TEXT]... --out FILE
-//   scale merge FILE FROM...      adds the runs of other files to one
-//   scale report FOLDER           FOLDER/scale.md and scale.svg from the figures in FOLDER/scale.json
-//
-// Loopback only; ends by itself and leaves nothing behind but its output.
+//   scale merge FILE FROM...      adds the runs of the FROM files to FILE
+//   scale report FOLDER           writes FOLDER/scale.md and scale.svg from FOLDER/scale.json
+// Uses loopback only, exits by itself and leaves only its output behind.
 #include <CLI/CLI.hpp>
 
 #include <csignal>
@@ -29,7 +28,7 @@
     return json::parse(in);
 }
 
-// A run of the same shape as an earlier one takes its place, event by event.
+// Replaces an earlier run with the same settings, but keeps its events that the new run lacks.
 void add_run(const std::string& path, json run) {
     json all = read_runs(path);
     for (json& old : all["runs"]) {
@@ -71,7 +70,7 @@
     return 0;
 }
 
-// FOLDER/scale.md and FOLDER/scale.svg, of FOLDER/scale.json and files besides it.
+// Writes FOLDER/scale.md and FOLDER/scale.svg from FOLDER/scale.json.
 int report(const std::string& folder) {
     const json figures = read_runs(folder + "/scale.json");
     if (figures["runs"].empty()) return std::cerr << "scale: no figures in " << folder << "/scale.json\n", 2;
--- a/bench/scale/output.cpp
+++ b/bench/scale/output.cpp
@@ -25,10 +25,10 @@
     return out.data();
 }
 
-// Runs of one setting of [fleet]; the first is the program as it comes.
+// The runs with one setting of [fleet]. The first variant is the one with the program's defaults.
 struct Variant {
     std::string name;
-    std::vector<json> runs;  // by size
+    std::vector<json> runs;  // ordered by number of gateways
 };
 
 std::vector<Variant> variants_of(const json& figures) {
@@ -64,8 +64,8 @@
     return run["gateways"].get<double>() - run["real_gateways"].get<double>();
 }
 
-// What is fitted: of all hollow gateways together, so that a part that each of them sends to each is a
-// square.
+// A fitted quantity: the total over all stub gateways, so that traffic from every gateway to every other
+// shows as a quadratic term.
 struct Quantity {
     std::string name, unit;
     double scale;
@@ -144,7 +144,7 @@
     return rows;
 }
 
-// Of the line's value at the largest size, the part that the quadratic term makes.
+// The quadratic term at the largest size, as a share of the line's value there.
 double quadratic_share_at_largest(const bench::Fit& f) {
     const double value = f.line(f.largest);
     return value != 0 ? f.quadratic * f.largest * f.largest / value : 0;
@@ -152,8 +152,8 @@
 
 std::string fits_of(const Variant& v) {
     constexpr double min_share = 0.1;
-    constexpr std::size_t min_degrees_of_freedom =
-        2;  // with less, no term of a size that matters would be seen
+    // With fewer degrees of freedom, the test would miss a quadratic term of relevant size.
+    constexpr std::size_t min_degrees_of_freedom = 2;
     std::string rows;
     for (const std::string& name : order)
         for (const Quantity& q : quantities()) {
@@ -189,7 +189,7 @@
            rows;
 }
 
-std::string real_beside_hollow(const Variant& v) {
+std::string real_and_stub_comparison(const Variant& v) {
     std::string rows;
     for (const json& run : v.runs)
         for (const std::string& name : order) {
@@ -272,12 +272,12 @@
             "caches | "
             "fleet's records | transactions |\n| --- | --- | --- | --- | --- | --- |\n" +
             channels;
-        out += fits_of(v) + real_beside_hollow(v);
+        out += fits_of(v) + real_and_stub_comparison(v);
     }
     return out;
 }
 
-// Sizes of a panel of the chart, in pixels.
+// Dimensions of a chart panel, in pixels.
 constexpr double panel_width = 560, panel_height = 360;
 constexpr double margin_left = 70, margin_top = 50, margin_right = 190, margin_bottom = 60;
 constexpr double panel_step = margin_left + panel_width + margin_right;
@@ -291,7 +291,7 @@
     {{"bytes", "KB a second and gateway, mean"},
      {"worst_second_bytes", "KB a second and gateway, worst second"}}};
 
-// One variant's figures of one quantity against the number of gateways.
+// A chart panel: one quantity of one variant against the number of gateways.
 class Panel {
 public:
     Panel(const Variant& variant, const ChartQuantity& quantity, double x0, double y0, double most_gateways)
--- a/bench/scale/output.hpp
+++ b/bench/scale/output.hpp
@@ -1,4 +1,4 @@
-// Tables and a chart from the measured figures.
+// Renders the measured figures as tables and a chart.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -6,7 +6,7 @@
 
 namespace irismux::scale {
 
-// Of the runs in a file of figures: Markdown, and a chart (SVG).
+// Render the runs of a results file: table() as Markdown, chart() as SVG.
 std::string table(const nlohmann::json& figures);
 std::string chart(const nlohmann::json& figures);
 
--- a/bench/scale/rig.cpp
+++ b/bench/scale/rig.cpp
@@ -18,13 +18,13 @@
 namespace fs = std::filesystem;
 
 const Duration ms = Duration::micros(1000);
-constexpr std::size_t gateways_per_relay_process = 100;  // gateways
+constexpr std::size_t gateways_per_relay_process = 100;
 constexpr std::size_t max_processes = 200;
-constexpr std::size_t max_resident_bytes = std::size_t{12} << 30;  // half of a machine of 24 GB
-const Duration lookup_interval = ms * 20;                          // of each real gateway
-constexpr std::size_t reachable_caches = 4;                        // of those listed, by the real gateways
-constexpr std::int64_t watch_progress_ms =
-    800;  // of the registry's watches: twice within the shortest quiet, 2 s
+constexpr std::size_t max_resident_bytes = std::size_t{12} << 30;  // half of a machine with 24 GB
+const Duration lookup_interval = ms * 20;    // interval of the lookups sent to each real gateway
+constexpr std::size_t reachable_caches = 4;  // number of listed caches that the real gateways can connect to
+// Interval of the progress messages on the registry's watches: two fit into the shortest `quiet` time, 2 s.
+constexpr std::int64_t watch_progress_ms = 800;
 const std::string registry_prefix = "/caches/", real_zone = "plant";
 
 volatile std::sig_atomic_t termination_requested = 0;
@@ -85,8 +85,8 @@
     children_.clear();
 }
 
-// The process with the most: a relay's, with two ends for each of a gateway's connections and a listener a
-// machine.
+// Checks the descriptor limit against the process that needs most. A relay process needs two descriptors for
+// each connection of a gateway and one listener per control machine.
 void Rig::check_descriptors() const {
     rlimit limit{};
     ::getrlimit(RLIMIT_NOFILE, &limit);
@@ -96,8 +96,8 @@
     const std::size_t registry = topology().gateways * 4 + 64;
     const std::size_t needed = std::max(relay, registry);
     if (limit.rlim_cur < needed)
-        throw std::runtime_error("descriptors do not suffice: " + std::to_string(limit.rlim_cur) +
-                                 " a process are permitted, " + std::to_string(needed) + " are needed for " +
+        throw std::runtime_error("file descriptor limit is too low: " + std::to_string(limit.rlim_cur) +
+                                 " per process are allowed, " + std::to_string(needed) + " are needed for " +
                                  std::to_string(topology().gateways) + " gateways");
 }
 
@@ -105,8 +105,8 @@
     std::size_t all = 0;
     for (const auto& [role, bytes] : resident_bytes()) all += bytes;
     if (all > max_resident_bytes)
-        throw std::runtime_error("the processes hold " + std::to_string(all >> 20) + " MB, more than the " +
-                                 std::to_string(max_resident_bytes >> 20) + " that are set aside");
+        throw std::runtime_error("the processes use " + std::to_string(all >> 20) + " MB, more than the " +
+                                 std::to_string(max_resident_bytes >> 20) + " allowed");
 }
 
 // --- children --------------------------------------------------------------------------------------------
@@ -142,7 +142,7 @@
     }
     if (message.contains("traffic")) return add_from_json(traffic_, message);
     if (message.contains("force")) {
-        // The first time counts.
+        // Only the first report of a gateway counts.
         for (const json& f : message["force"])
             in_force_times_[{f[1].get<std::string>(), f[2].get<std::int64_t>()}].try_emplace(
                 f[0].get<std::size_t>(), f[3].get<std::int64_t>());
@@ -178,7 +178,7 @@
 
 std::int64_t Rig::send_order(Child& child, json order) {
     if (!wait_until([&] { return child.channel != nullptr; }, ms * 20'000))
-        throw std::runtime_error("a process did not come up: " + child.role + ' ' +
+        throw std::runtime_error("process did not connect to the rig within 20 s: " + child.role + ' ' +
                                  std::to_string(child.number));
     order["id"] = next_order_++;
     child.channel->send(order);
@@ -187,7 +187,8 @@
 
 json Rig::answer(Child& child, std::int64_t id) {
     if (!wait_until([&] { return child.answers.contains(id); }, ms * 60'000))
-        throw std::runtime_error("no answer from " + child.role + ' ' + std::to_string(child.number));
+        throw std::runtime_error("no response within 60 s from " + child.role + ' ' +
+                                 std::to_string(child.number));
     json reply = std::move(child.answers[id]);
     child.answers.erase(id);
     return reply;
@@ -216,7 +217,7 @@
         Topology::cache_name(cache), "node",
         reachable ? real_zone : "zone-" + std::to_string(cache / Topology::zone_caches),
         reachable ? cache_addresses_[cache] : "10.0.0.1:6379", "Ready");
-    // The version of the list is the weight of its first cache, in thousandths.
+    // The list version is encoded as the weight of the first cache, in thousandths.
     if (cache == 0) line["weight"] = static_cast<double>(list_version_) / 1000;
     return line;
 }
@@ -399,7 +400,8 @@
                        [](const std::string& line) { return line.rfind("site ", 0) == 0; });
 }
 
-// A process of hollow gateways is one site; by site its members know only one another.
+// Each process of stub gateways represents one site. With membership by site, its members know only one
+// another.
 std::int64_t Rig::expect(std::size_t members) {
     const std::int64_t id = next_expected_++;
     std::vector<std::pair<Child*, std::int64_t>> sent_orders;
@@ -416,11 +418,12 @@
 
 // --- time ------------------------------------------------------------------------------------------------
 
-// Told to end, the rig does so where it waits, and takes its processes and its folder with it.
+// A termination signal ends the wait with an exception, so that the rig's destructor ends its processes and
+// removes its folder.
 bool Rig::wait_until(std::function<bool()> condition, Duration most) {
     const bool fulfilled =
         loop_runner_->run_until([&] { return termination_requested || condition(); }, most);
-    if (termination_requested) throw std::runtime_error("told to end");
+    if (termination_requested) throw std::runtime_error("interrupted by a termination signal");
     return fulfilled;
 }
 
@@ -434,7 +437,7 @@
     wait_until([&] { return now_second() >= next; }, ms * 2'000);
 }
 
-// --- what is seen ----------------------------------------------------------------------------------------
+// --- measurements ----------------------------------------------------------------------------------------
 
 json Rig::states() {
     json all = json::object();
--- a/bench/scale/rig.hpp
+++ b/bench/scale/rig.hpp
@@ -1,4 +1,5 @@
-// The rig: starts the processes, gives them orders, and reads what the far ends and the system show of them.
+// The test rig: starts the processes, sends them orders, and collects measurements from their peers and from
+// the operating system.
 #pragma once
 
 #include <filesystem>
@@ -19,23 +20,24 @@
 
 struct RigSettings {
     Topology topology;
-    std::size_t real_gateways = 0;  // the first ones; the others are hollow
-    std::size_t members = 4;        // of the registry
-    std::string program;            // irismux; needed for real gateways
-    std::string self;               // the program with the roles
+    // Gateways 0 to real_gateways - 1 run as real processes; the others are stubs (testing/stub_gateway.hpp).
+    std::size_t real_gateways = 0;
+    std::size_t members = 4;  // number of registry members
+    std::string program;      // path of irismux; needed for real gateways
+    std::string self;         // path of this program, which also runs the roles
     std::uint64_t seed = 1;
-    // More lines of each gateway's [fleet]; "{site}" in them stands for the name of its site.
+    // Additional lines for the [fleet] section of each gateway; "{site}" is replaced by the name of its site.
     std::vector<std::string> fleet_lines;
     std::string term = "12s";
 };
 
-// When something came into force at each gateway that it reached.
+// The time at which a change came into force, by gateway; gateways that it did not reach are absent.
 using InForceTimes = std::map<std::size_t, std::int64_t>;  // microseconds of the Unix clock
 
 class Rig {
 public:
-    // Throws std::runtime_error with one plain line where the machine does not suffice or a process does not
-    // start.
+    // Throws std::runtime_error with a one-line message if the machine's limits are too low or a process does
+    // not start.
     explicit Rig(const RigSettings& settings);
     ~Rig();
     Rig(const Rig&) = delete;
@@ -46,24 +48,28 @@
     std::size_t stub_gateways() const { return topology().gateways - settings_.real_gateways; }
 
     // --- orders
-    void start(
-        const std::vector<std::size_t>& gateways);  // those that run are started anew, as after SIGKILL
+    // Starts the gateways; those that are running are restarted as after SIGKILL.
+    void start(const std::vector<std::size_t>& gateways);
     void kill(const std::vector<std::size_t>& gateways);
-    void start_lookups();      // lookups, from now on
-    nlohmann::json lookups();  // of each real gateway: asked, satisfied, nacked, failed
-    // To their relays: {"cut": true}, {"down": false}, {"delay_ms": 5}, {"bytes_a_second": 10000}, {"break":
-    // true}.
+    void start_lookups();  // starts the clients of the real gateways
+    // For each real gateway the numbers of lookups sent, satisfied, nacked and failed.
+    nlohmann::json lookups();
+    // Changes the relays of the gateways; `change` is one of {"cut": true}, {"down": false}, {"delay_ms": 5},
+    // {"bytes_a_second": 10000}, {"break": true}, or several of these keys.
     void change_links(const std::vector<std::size_t>& gateways, nlohmann::json change);
     void set_ejected(const std::string& cache, bool ejected, const std::vector<std::size_t>& gateways);
-    void set_continuous_ejections(bool enabled);  // of all hollow gateways
-    // All at once; the instants that they carry are milliseconds of the Unix clock and differ.
+    void set_continuous_ejections(bool enabled);  // every stub gateway ejects another cache each second
+    // Posts `count` purges in one batch. Returns their timestamps: milliseconds of the Unix clock, all
+    // different.
     std::vector<std::int64_t> purge(std::size_t count);
-    std::int64_t change_list();                                // the new version
-    void set_caches_removed(std::size_t count, bool removed);  // the last ones of the list
+    std::int64_t change_list();  // returns the new version of the endpoint list
+    // Removes the last `count` caches of the endpoint list, or lists them again.
+    void set_caches_removed(std::size_t count, bool removed);
     void set_purge_reports(bool enabled);
-    // Whether members know only those of their own site, by a line of [fleet].
+    // Whether a line of [fleet] restricts each member's view to the members of its own site.
     bool membership_by_site() const;
-    // From now on gateways that know of all this tell so, as "whole" under the number returned.
+    // Sets the state to wait for: `members` fleet members, the current endpoint list and all purges posted.
+    // Each stub gateway that has reached it reports "whole" once, under the number returned.
     std::int64_t expect(std::size_t members);
 
     // --- time
@@ -73,24 +79,24 @@
     std::int64_t now_us() const { return (loop_.now() - TimePoint{}).micros(); }
     std::int64_t now_second() const { return now_us() / 1'000'000; }
 
-    // --- what is seen
+    // --- measurements
     const InForceTimes& in_force(const std::string& kind, std::int64_t id) {
         return in_force_times_[{kind, id}];
     }
     void clear_in_force() { in_force_times_.clear(); }
     const TrafficBySecond& traffic() const { return traffic_; }
-    nlohmann::json states();  // of hollow gateways, by number
+    nlohmann::json states();  // states of the stub gateways, by gateway number
     nlohmann::json registry_ledger();
     std::map<std::string, double> processor_seconds();    // by role
-    std::map<std::string, std::size_t> resident_bytes();  // by role, together
+    std::map<std::string, std::size_t> resident_bytes();  // sum over all processes of a role
     std::size_t resident_of_empty_stub_process() const { return empty_stub_process_bytes_; }
-    void check_memory();  // throws where the rig's processes hold more than they may
+    void check_memory();  // Throws std::runtime_error if the rig's processes use more memory than allowed.
     std::size_t processes() const { return children_.size() + real_.size(); }
     std::int64_t list_version() const { return list_version_; }
     std::uint64_t purges_posted() const { return purges_posted_; }
 
 private:
-    // Of this rig's own; goes with it, also where it could not be set up.
+    // A temporary folder that is removed with the rig, also if the rig's constructor throws.
     struct Folder {
         Folder();
         ~Folder();
@@ -108,7 +114,7 @@
         double processor_seconds() const;
 
         std::string configuration, parts, log, listen;
-        double spent = 0;  // processor time of its processes that have ended
+        double spent = 0;  // processor time in seconds of its earlier processes
         std::unique_ptr<test_support::Process> process;
     };
 
@@ -141,16 +147,17 @@
     std::map<std::size_t, RealGateway> real_;
     std::vector<std::shared_ptr<test_support::TestConnection>> unidentified_connections_;
     std::vector<std::unique_ptr<ControlChannel>> unidentified_channels_;
-    nlohmann::json registry_addresses_, notice_board_address_;  // addresses
-    std::map<std::size_t, nlohmann::json> relay_addresses_;     // its relays' addresses
+    // addresses of the registry members and of the notice board
+    nlohmann::json registry_addresses_, notice_board_address_;
+    std::map<std::size_t, nlohmann::json> relay_addresses_;  // addresses of each gateway's relays
     std::vector<std::string> cache_addresses_;
     std::map<std::pair<std::string, std::int64_t>, InForceTimes> in_force_times_;
     TrafficBySecond traffic_;
     std::int64_t next_order_ = 1, next_expected_ = 1, list_version_ = 1000, last_purge_ms_ = 0;
     std::uint64_t purges_posted_ = 0;
     std::size_t empty_stub_process_bytes_ = 0;
-    std::unique_ptr<test_support::LoopRunner>
-        loop_runner_;  // the last: nothing of the above may go while the loop runs
+    // Declared last: the members above must outlive the running loop.
+    std::unique_ptr<test_support::LoopRunner> loop_runner_;
 };
 
 }  // namespace irismux::scale
--- a/bench/scale/roles.cpp
+++ b/bench/scale/roles.cpp
@@ -28,7 +28,7 @@
 
 std::int64_t unix_us(TimePoint at) { return (at - TimePoint{}).micros(); }
 
-// What all roles have in common: a loop, and the channel over which each order is answered with its number.
+// Base of all roles: an event loop, and the control channel on which each order is answered with its id.
 class Role {
 public:
     virtual ~Role() = default;
@@ -55,9 +55,10 @@
 
 // --- the registry ----------------------------------------------------------------------------------------
 
-// All members share one history, so they share one process; each has a listener and connections of its own.
+// All registry members share one history, so one process runs all of them; each has its own listener and
+// connections.
 class RegistryRole final : public Role {
-    static constexpr std::int64_t min_history = 600;  // revisions kept, at least
+    static constexpr std::int64_t min_history = 600;  // minimum number of revisions kept
 
     json handle_order(const json& order) override {
         if (order.contains("members")) {
@@ -105,7 +106,7 @@
 
 // --- relays ----------------------------------------------------------------------------------------------
 
-// For each of its gateways one to each control machine; counts what passes.
+// Runs one relay per gateway and control machine, and counts the traffic through each.
 class RelayRole final : public Role {
     json handle_order(const json& order) override {
         if (order.contains("targets")) {
@@ -151,7 +152,7 @@
                 relay.faults(way).bytes_per_second = order["bytes_a_second"].get<std::size_t>();
         }
     }
-    // At each full second, what came within the last one.
+    // Reports at each full second the traffic of the previous one.
     void report_traffic() {
         const std::int64_t second = unix_us(loop_.now()) / 1'000'000;
         if (reported_second_ > 0 && second > reported_second_)
@@ -166,9 +167,10 @@
     std::int64_t reported_second_ = 0;
 };
 
-// --- hollow gateways -------------------------------------------------------------------------------------
+// --- stub gateways ---------------------------------------------------------------------------------------
 
-constexpr std::size_t first_ejected_cache = 50, ejected_caches = 40;  // of the list
+// index and number of the listed caches that change_ejections() cycles through
+constexpr std::size_t first_ejected_cache = 50, ejected_caches = 40;
 
 class StubGatewayRole final : public Role, public test_support::StubGatewayObserver {
     struct Slot {
@@ -177,7 +179,7 @@
         std::unique_ptr<test_support::StubGateway> gateway;
         bool complete_reported = false;
         std::int64_t list_version = -1;
-        CacheId ejected_cache;  // where marks change all the time
+        CacheId ejected_cache;  // the cache ejected by change_ejections(), if any
     };
     struct Expected {
         std::int64_t id = 0;
@@ -233,7 +235,7 @@
             if (s.gateway) s.gateway->set_ejected(cache, order["is"].get<bool>());
         });
     }
-    // Each gateway its own cache, and each second the next one.
+    // Each gateway ejects a different cache, and every second the next one.
     void change_ejections(bool enabled) {
         loop_.cancel(ejection_timer_);
         for (auto& [number, slot] : slots_) {
@@ -275,7 +277,7 @@
         Slot& slot = slots_.at(numbers_.at(gateway));
         if (!slot.gateway) return;
         std::int64_t version = 0;
-        // Versions of the list are written as the weight of its first cache, in thousandths.
+        // The list version is encoded as the weight of the first cache, in thousandths.
         const auto first = slot.gateway->endpoints().find(CacheId{Topology::cache_name(0)});
         if (first != slot.gateway->endpoints().end()) version = std::llround(first->second.weight * 1000);
         if (version <= slot.list_version) return;
@@ -321,7 +323,7 @@
     bool purge_reports_enabled_ = false;
 };
 
-// --- far ends of the real gateways' data path ------------------------------------------------------------
+// --- clients and caches of the real gateways -------------------------------------------------------------
 
 class DataPathRole final : public Role {
     json handle_order(const json& order) override {
--- a/bench/scale/roles.hpp
+++ b/bench/scale/roles.hpp
@@ -1,13 +1,14 @@
-// What the processes of the rig are, besides gateways of the real program: the registry's members, the notice
-// board, relays, and groups of hollow gateways. Each is told what to do over a control channel and ends with
-// it.
+// Roles of the rig's processes other than real gateways: the registry members, the notice board, relays,
+// groups of stub gateways, and the clients and caches of the real gateways. Each process receives orders over
+// a control channel and exits when the channel closes.
 #pragma once
 
 #include <string>
 
 namespace irismux::scale {
 
-// Runs a role until its control channel ends; the exit code. `number` tells it apart from the others.
+// Runs a role until its control channel closes and returns the exit code. `number` identifies the process
+// among those of the same role.
 int run_role(const std::string& role, const std::string& control, std::size_t number);
 
 }  // namespace irismux::scale
--- a/bench/scale/topology.hpp
+++ b/bench/scale/topology.hpp
@@ -1,5 +1,4 @@
-// Who stands where: gateways in sites, sites in zones, zones in regions, with the users' target as the
-// measure.
+// Assignment of gateways to sites, zones and regions, scaled from the users' target size.
 #pragma once
 
 #include <cstddef>
@@ -9,12 +8,12 @@
 namespace irismux::scale {
 
 struct Topology {
-    static constexpr std::size_t site_size = 15;  // gateways; a site has one rack
+    static constexpr std::size_t site_size = 15;  // gateways per site; a site has one rack
     static constexpr std::size_t target_gateways = 570, target_zones = 23, target_regions = 7;
     static constexpr std::size_t zone_size = 25, zone_caches = 10;
 
     std::size_t gateways = target_gateways;
-    std::size_t caches = 240;  // the same at every size: what grows is the number of gateways alone
+    std::size_t caches = 240;  // The same at every size, so that only the number of gateways varies.
 
     std::size_t sites() const;
     std::size_t zones() const;
@@ -24,7 +23,7 @@
     std::size_t region_of(std::size_t gateway) const;
     std::vector<std::size_t> of_site(std::size_t site) const;
     std::vector<std::size_t> of_region(std::size_t region) const;
-    // The gateways that go with a zone: as many as one has at the target, at most a third of all.
+    // The gateways that fail with a zone: as many as a zone has at the target size, at most a third of all.
     std::vector<std::size_t> lost_zone() const;
     std::vector<std::size_t> all() const;
 
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -1,5 +1,5 @@
-// Fits against curves that are known, what is marked as an extrapolation, and that docs/CAPACITY.md is what
-// the committed figures make.
+// Tests the fits against known curves, the marking of extrapolations, and that docs/CAPACITY.md matches the
+// committed figures.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -40,9 +40,9 @@
     EXPECT_EQ(f.freedom, 2u);
 }
 
-// The least-squares line of four points, worked out by hand: y = 1.5 + 0.8 x, residuals -0.3 0.9 -0.9 0.3,
-// squares 1.8, error of the slope sqrt(1.8 / 2 / 5).
-TEST(Fit, AgreesWithOneWorkedOutByHand) {
+// The least-squares line of these four points, calculated by hand: y = 1.5 + 0.8 x, residuals -0.3 0.9 -0.9
+// 0.3, sum of squares 1.8, standard error of the slope sqrt(1.8 / 2 / 5).
+TEST(Fit, MatchesALineCalculatedByHand) {
     const Fit f = fit({{0, 1.2}, {1, 3.2}, {2, 2.2}, {3, 4.2}});
     EXPECT_NEAR(f.intercept, 1.5, 1e-12);
     EXPECT_NEAR(f.slope, 0.8, 1e-12);
@@ -50,8 +50,8 @@
     EXPECT_NEAR(f.residuals[1], 0.9, 1e-12);
 }
 
-// A scatter of one per cent either way about a line is no bend.
-TEST(Fit, TakesScatterForNoBend) {
+// A scatter of one per cent around a line does not count as a bend.
+TEST(Fit, ScatterIsNotABend) {
     std::vector<Point> points;
     double sign = 1;
     for (const double n : sizes) {
@@ -61,7 +61,7 @@
     EXPECT_FALSE(fit(points).bends);
 }
 
-TEST(Fit, SaysNothingOfWhatCannotBeFitted) {
+TEST(Fit, LeavesZeroWhatCannotBeFitted) {
     EXPECT_EQ(fit({}).slope, 0);
     const Fit one_size = fit({{5, 1}, {5, 2}, {5, 3}, {5, 4}});
     EXPECT_EQ(one_size.slope, 0);
@@ -69,8 +69,9 @@
     EXPECT_FALSE(fit({{1, 1}, {2, 4}, {3, 9}}).bends) << "three points leave nothing to test with";
 }
 
-// A term whose weight is small at the largest size is no bend, however close the points lie to the parabola.
-TEST(Fit, TakesATermWithoutWeightForNoBend) {
+// A quadratic term with a small share at the largest size does not count as a bend, however close the points
+// lie to the parabola.
+TEST(Fit, NegligibleQuadraticTermIsNotABend) {
     const Fit f = fit(points_of([](double n) { return 3 + 2 * n + 1e-5 * n * n; }));
     EXPECT_GT(f.quadratic_t, t_bound(f.freedom));
     EXPECT_NEAR(f.quadratic_share, 10.0 / 2013, 1e-6);
@@ -106,7 +107,7 @@
     EXPECT_TRUE(extrapolated(4001, 1000));
 }
 
-TEST(Results, AreReadAsTheyWereWritten) {
+TEST(Results, SurviveAWriteAndARead) {
     Results r{"a title", "command", "machine", "2026-01-02", 7, {}, {}};
     r.series.push_back({"s", "series", "size", "things", "us", {{1, 2}, {2, 4.5}}, "note"});
     r.figures.push_back({"f", "figure", 1.25, "MB", "how"});
@@ -130,12 +131,12 @@
     return all.str();
 }
 
-TEST(CapacityPage, IsWhatTheCommittedFiguresMake) {
+TEST(CapacityPage, MatchesTheCommittedFigures) {
     EXPECT_EQ(content_of(root / capacity_page_file), capacity_page_of(root))
         << "run build/capacity and commit docs/CAPACITY.md";
 }
 
-// A mechanism that is named is a file that is there.
+// Each source file that the page names as a mechanism exists.
 TEST(CapacityPage, NamesFilesThatExist) {
     const std::string page = capacity_page_of(root);
     std::size_t named = 0;
@@ -147,8 +148,8 @@
     EXPECT_GT(named, 0u);
 }
 
-// A figure that grows is told as one that does not fit, and one that is not there as not measured.
-TEST(CapacityPage, TellsWhatDoesNotFit) {
+// The page lists a quantity that outgrows its budget as over budget, and a missing one as not measured.
+TEST(CapacityPage, ListsQuantitiesOverBudget) {
     const Targets targets = read_targets(root / targets_file);
     Results data{"t", "c", "m", "d", 1, {}, {}};
     Series cost{"cpu_us_per_lookup.answer_kb", "", "answer", "KB", "us", {}, ""};
@@ -188,8 +189,8 @@
             {"events", {event}}};
 }
 
-// Records that go from each to each need 15 KB a second long before 570 gateways.
-TEST(CapacityPage, ReadsControlFiguresAndFindsTheSquare) {
+// Records that every gateway sends to every other exceed 15 KB a second long before 570 gateways.
+TEST(CapacityPage, ReadsControlFiguresAndFindsTheQuadraticTerm) {
     nlohmann::json all = {{"runs", nlohmann::json::array()}};
     for (const int n : {20, 60, 180, 360, 570})
         all["runs"].push_back(run_of(n, 500 + 0.1 * n * n, n - (n == 360)));
@@ -208,7 +209,7 @@
     EXPECT_TRUE(read_control_results(file).empty()) << "no file, no figures";
 }
 
-TEST(Targets, SayWhichFigureIsMissing) {
+TEST(Targets, NameTheMissingFigure) {
     const auto file = std::filesystem::temp_directory_path() / ("targets." + std::to_string(::getpid()));
     std::string text = content_of(root / targets_file);
     text.replace(text.find("purges_per_s"), 12, "purges_per_x");
@@ -223,7 +224,7 @@
     std::filesystem::remove(file);
 }
 
-TEST(Results, ShowNumbersShortly) {
+TEST(Results, ShowNumbersWithThreeDigits) {
     EXPECT_EQ(shown(0), "0");
     EXPECT_EQ(shown(1234567), "1,234,567");
     EXPECT_EQ(shown(-1234), "-1,234");
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,5 +1,5 @@
-// Some sixty hollow gateways against stand-ins of the control machines. Verdicts are counts of what the far
-// ends and relays saw; times only bound how long something is waited for.
+// Up to sixty stub gateways with fake control machines. The assertions use counts taken at the fake services
+// and the relays; durations only limit how long a test waits.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -36,7 +36,7 @@
 
 struct Ledger {
     double transactions = 0;
-    double delivered_changes = 0;  // changes, each as often as a watch was told of it
+    double delivered_changes = 0;  // changes, counted once for each watch that they were delivered to
 };
 
 Ledger ledger_of(Rig& rig) {
@@ -44,8 +44,8 @@
     return {l["transactions"].get<double>(), l["told"].get<double>()};
 }
 
-// Until each gateway has given that many signs of life at the mean.
-void run_for_lease_renewals(Rig& rig, double a_gateway) {
+// Runs until the gateways have made that many registry transactions on average.
+void run_for_transactions(Rig& rig, double a_gateway) {
     const double upto =
         ledger_of(rig).transactions + a_gateway * static_cast<double>(rig.topology().gateways);
     for (int tries = 0; ledger_of(rig).transactions < upto; ++tries) {
@@ -62,9 +62,10 @@
     return sum;
 }
 
-// What a fleet of that size costs, by counts.
+// Counted costs of a fleet.
 struct Cost {
-    double changes_at_rest = 0, changes_by_list = 0, changes_by_ejections = 0;  // changes told, a gateway
+    // delivered changes per gateway
+    double changes_at_rest = 0, changes_by_list = 0, changes_by_ejections = 0;
     double bytes_per_transaction = 0, bytes_per_poll = 0;
 };
 
@@ -75,9 +76,9 @@
     Rig rig(rig_settings(gateways));
     start_all(rig);
     if (::testing::Test::HasFatalFailure()) return cost;
-    run_for_lease_renewals(rig, 8);  // by then duties have been claimed
+    run_for_transactions(rig, 8);  // The duties have been claimed by then.
     const Ledger before = ledger_of(rig);
-    run_for_lease_renewals(rig, 4);
+    run_for_transactions(rig, 4);
     const Ledger rest = ledger_of(rig);
     cost.changes_at_rest = (rest.delivered_changes - before.delivered_changes) / n;
 
@@ -102,16 +103,17 @@
 
 }  // namespace
 
-// What one event costs a gateway does not grow with the number of gateways.
+// The cost of an event per gateway does not grow with the number of gateways.
 TEST(Scale, CostPerGatewayDoesNotGrowWithTheFleet) {
     const Cost small = cost_of(20), large = cost_of(60);
     ASSERT_FALSE(HasFailure());
     for (const Cost& c : {small, large}) {
-        // A sweep may have said how far it is.
+        // A sweep may have published its progress.
         EXPECT_LE(c.changes_at_rest, 4) << "records that all are told of are written at rest";
         EXPECT_GE(c.changes_by_list, 1);
         EXPECT_LE(c.changes_by_list, 1 + 2) << "one change of the list";
-        // A publication each, the duty, and findings while the others wait for theirs.
+        // One publication per ejecting gateway, plus the duty, plus findings published while other gateways
+        // wait for theirs.
         EXPECT_GE(c.changes_by_ejections, 10);
         EXPECT_LE(c.changes_by_ejections, 10 + 10) << "ten gateways mark one cache";
         EXPECT_LE(c.bytes_per_transaction, 6'000);
@@ -121,7 +123,8 @@
     RecordProperty("bytes_a_transaction", std::to_string(large.bytes_per_transaction));
 }
 
-// Cut off, killed and brought back in sites and alone, with events meanwhile: all end with the same state.
+// Gateways are cut off, killed and restored, as whole sites and individually, while purges and list changes
+// occur. All gateways end with the same state.
 TEST(Scale, AllGatewaysEndInTheSameStateAfterOutages) {
     Rig rig(rig_settings(60));
     start_all(rig);
@@ -136,7 +139,7 @@
     rig.purge(200);
     rig.change_list();
     rig.set_caches_removed(4, true);
-    // By now the site that is cut and the one that was killed are no members any more.
+    // The members of the cut site and of the killed site, and the single killed gateway, are evicted by now.
     const std::size_t left = 60 - t.of_site(0).size() - t.of_site(1).size() - one.size();
     const std::int64_t without = rig.expect(left);
     EXPECT_TRUE(rig.wait_until([&] { return rig.in_force("whole", without).size() >= left; }, wait_limit));
@@ -152,7 +155,7 @@
     rig.purge(1);
     ASSERT_TRUE(wait_until_complete(rig, rig.expect(60)));
 
-    // Members that were evicted and have joined again are known everywhere under their new start.
+    // Waits until every gateway knows the rejoined members by their new start.
     json states;
     const auto same = [&](const char* what) {
         for (const auto& [gateway, state] : states.items())
@@ -192,11 +195,11 @@
 TEST(Scale, RateCoversOnlyTheRequestedGatewaysAndSeconds) {
     TrafficBySecond traffic;
     const Traffic one{100, 200, 1, 2};
-    traffic[10][{0, 0, Channel::board}] = one;  // a real gateway's
+    traffic[10][{0, 0, Channel::board}] = one;  // a real gateway, not included
     traffic[10][{1, 0, Channel::board}] = one;
     traffic[10][{2, 1, Channel::list}] = one;
     traffic[11][{1, 1, Channel::list}] = one;
-    traffic[13][{1, 1, Channel::list}] = one;  // later
+    traffic[13][{1, 1, Channel::list}] = one;  // after the requested period
     const Rate rate = rate_over(traffic, 10, 12, 1, 2);
     EXPECT_DOUBLE_EQ(rate.bytes, 900.0 / 2 / 2);
     EXPECT_DOUBLE_EQ(rate.messages, 9.0 / 2 / 2);
