--- a/bench/scale/control_channel.hpp
+++ b/bench/scale/control_channel.hpp
@@ -1,4 +1,5 @@
-// JSON, a line each, between the rig and the processes that it starts. Loopback.
+// Control connection between the rig and the processes that it starts: one JSON message per line, over
+// loopback.
 #pragma once
 
 #include <functional>
@@ -9,21 +10,22 @@
 
 namespace irismux::scale {
 
-// One end of a channel.
+// One end of a control connection.
 class ControlChannel {
 public:
-    using Heard = std::function<void(const nlohmann::json&)>;
+    using MessageHandler = std::function<void(const nlohmann::json&)>;
 
-    ControlChannel(std::shared_ptr<test_support::TestConnection> wire, Heard heard,
-                   std::function<void()> ended);
-    // Connects to whoever listens there; throws std::runtime_error where that is not possible.
-    static std::unique_ptr<ControlChannel> connect(EventLoop& loop, const std::string& address, Heard heard,
-                                                   std::function<void()> ended);
+    ControlChannel(std::shared_ptr<test_support::TestConnection> connection, MessageHandler on_message,
+                   std::function<void()> on_end_of_connection);
+    // Connects to the listener at `address`; throws std::runtime_error on failure.
+    static std::unique_ptr<ControlChannel> connect(EventLoop& loop, const std::string& address,
+                                                   MessageHandler on_message,
+                                                   std::function<void()> on_end_of_connection);
     ~ControlChannel();
-    void say(const nlohmann::json& message);
+    void send(const nlohmann::json& message);
 
 private:
-    std::shared_ptr<test_support::TestConnection> wire_;
+    std::shared_ptr<test_support::TestConnection> connection_;
 };
 
 }  // namespace irismux::scale
--- a/bench/scale/rig.hpp
+++ b/bench/scale/rig.hpp
@@ -1,4 +1,5 @@
-// The rig: starts the processes, gives them orders, and reads what the far ends and the system show of them.
+// The test rig: starts the processes, sends them orders, and collects measurements from their peers and from
+// the operating system.
 #pragma once
 
 #include <filesystem>
@@ -19,23 +20,24 @@
 
 struct RigSettings {
     Topology topology;
-    std::size_t real_gateways = 0;  // the first ones; the others are hollow
-    std::size_t members = 4;        // of the registry
-    std::string program;            // irismux; needed for real gateways
-    std::string self;               // the program with the roles
+    // Gateways 0 to real_gateways - 1 run as real processes; the others are stubs (testing/stub_gateway.hpp).
+    std::size_t real_gateways = 0;
+    std::size_t members = 4;  // number of registry members
+    std::string program;      // path of irismux; needed for real gateways
+    std::string self;         // path of this program, which also runs the roles
     std::uint64_t seed = 1;
-    // More lines of each gateway's [fleet]; "{site}" in them stands for the name of its site.
+    // Additional lines for the [fleet] section of each gateway; "{site}" is replaced by the name of its site.
     std::vector<std::string> fleet_lines;
     std::string term = "12s";
 };
 
-// When something came into force at each gateway that it reached.
-using InForce = std::map<std::size_t, std::int64_t>;  // microseconds of the Unix clock
+// The time at which a change came into force, by gateway; gateways that it did not reach are absent.
+using InForceTimes = std::map<std::size_t, std::int64_t>;  // microseconds of the Unix clock
 
 class Rig {
 public:
-    // Throws std::runtime_error with one plain line where the machine does not suffice or a process does not
-    // start.
+    // Throws std::runtime_error with a one-line message if the machine's limits are too low or a process does
+    // not start.
     explicit Rig(const RigSettings& settings);
     ~Rig();
     Rig(const Rig&) = delete;
@@ -43,52 +45,58 @@
 
     const Topology& topology() const { return settings_.topology; }
     const RigSettings& settings() const { return settings_; }
-    std::size_t hollow_gateways() const { return topology().gateways - settings_.real_gateways; }
+    std::size_t stub_gateways() const { return topology().gateways - settings_.real_gateways; }
 
     // --- orders
-    void start(
-        const std::vector<std::size_t>& gateways);  // those that run are started anew, as after SIGKILL
+    // Starts the gateways; those that are running are restarted as after SIGKILL.
+    void start(const std::vector<std::size_t>& gateways);
     void kill(const std::vector<std::size_t>& gateways);
-    void ask_real_gateways();  // lookups, from now on
-    nlohmann::json lookups();  // of each real gateway: asked, satisfied, nacked, failed
-    // To their relays: {"cut": true}, {"down": false}, {"delay_ms": 5}, {"bytes_a_second": 10000}, {"break":
-    // true}.
+    void start_lookups();  // starts the clients of the real gateways
+    // For each real gateway the numbers of lookups sent, satisfied, nacked and failed.
+    nlohmann::json lookups();
+    // Changes the relays of the gateways; `change` is one of {"cut": true}, {"down": false}, {"delay_ms": 5},
+    // {"bytes_a_second": 10000}, {"break": true}, or several of these keys.
     void change_links(const std::vector<std::size_t>& gateways, nlohmann::json change);
-    void mark(const std::string& cache, bool is, const std::vector<std::size_t>& gateways);
-    void change_marks_all_the_time(bool is);  // of all hollow gateways
-    // All at once; the instants that they carry are milliseconds of the Unix clock and differ.
+    void set_ejected(const std::string& cache, bool ejected, const std::vector<std::size_t>& gateways);
+    void set_continuous_ejections(bool enabled);  // every stub gateway ejects another cache each second
+    // Posts `count` purges in one batch. Returns their timestamps: milliseconds of the Unix clock, all
+    // different.
     std::vector<std::int64_t> purge(std::size_t count);
-    std::int64_t change_list();                    // the new version
-    void lose_caches(std::size_t count, bool is);  // the last ones of the list
-    void report_purges(bool is);
-    // Whether members know only those of their own site, by a line of [fleet].
-    bool by_site() const;
-    // From now on gateways that know of all this tell so, as "whole" under the number returned.
+    std::int64_t change_list();  // returns the new version of the endpoint list
+    // Removes the last `count` caches of the endpoint list, or lists them again.
+    void set_caches_removed(std::size_t count, bool removed);
+    void set_purge_reports(bool enabled);
+    // Whether a line of [fleet] restricts each member's view to the members of its own site.
+    bool membership_by_site() const;
+    // Sets the state to wait for: `members` fleet members, the current endpoint list and all purges posted.
+    // Each stub gateway that has reached it reports "whole" once, under the number returned.
     std::int64_t expect(std::size_t members);
 
     // --- time
-    bool until(std::function<bool()> so, Duration most);
-    void pass(Duration time);
+    bool wait_until(std::function<bool()> condition, Duration most);
+    void run_for(Duration time);
     void to_next_second();
     std::int64_t now_us() const { return (loop_.now() - TimePoint{}).micros(); }
     std::int64_t now_second() const { return now_us() / 1'000'000; }
 
-    // --- what is seen
-    const InForce& in_force(const std::string& kind, std::int64_t id) { return forced_[{kind, id}]; }
-    void forget_in_force() { forced_.clear(); }
+    // --- measurements
+    const InForceTimes& in_force(const std::string& kind, std::int64_t id) {
+        return in_force_times_[{kind, id}];
+    }
+    void clear_in_force() { in_force_times_.clear(); }
     const TrafficBySecond& traffic() const { return traffic_; }
-    nlohmann::json states();  // of hollow gateways, by number
+    nlohmann::json states();  // states of the stub gateways, by gateway number
     nlohmann::json registry_ledger();
     std::map<std::string, double> processor_seconds();    // by role
-    std::map<std::string, std::size_t> resident_bytes();  // by role, together
-    std::size_t resident_of_empty_hollow() const { return empty_hollow_; }
-    void check_memory();  // throws where the rig's processes hold more than they may
+    std::map<std::string, std::size_t> resident_bytes();  // sum over all processes of a role
+    std::size_t resident_of_empty_stub_process() const { return empty_stub_process_bytes_; }
+    void check_memory();  // Throws std::runtime_error if the rig's processes use more memory than allowed.
     std::size_t processes() const { return children_.size() + real_.size(); }
     std::int64_t list_version() const { return list_version_; }
     std::uint64_t purges_posted() const { return purges_posted_; }
 
 private:
-    // Of this rig's own; goes with it, also where it could not be set up.
+    // A temporary folder that is removed with the rig, also if the rig's constructor throws.
     struct Folder {
         Folder();
         ~Folder();
@@ -106,30 +114,30 @@
         double processor_seconds() const;
 
         std::string configuration, parts, log, listen;
-        double spent = 0;  // processor time of its processes that have ended
+        double spent = 0;  // processor time in seconds of its earlier processes
         std::unique_ptr<test_support::Process> process;
     };
 
     void check_descriptors() const;
-    void taken(const Poco::Net::StreamSocket& socket);
-    void heard(const std::shared_ptr<Child*>& child, const nlohmann::json& message,
-               const std::shared_ptr<test_support::TestConnection>&);
+    void on_accept(const Poco::Net::StreamSocket& socket);
+    void on_message(const std::shared_ptr<Child*>& child, const nlohmann::json& message,
+                    const std::shared_ptr<test_support::TestConnection>&);
     Child& start_child(const std::string& role, std::size_t number);
     void start_children(const std::string& role, std::size_t count);
     std::vector<Child*> all_of(const std::string& role);
-    std::int64_t tell(Child& child, nlohmann::json order);
+    std::int64_t send_order(Child& child, nlohmann::json order);
     nlohmann::json answer(Child& child, std::int64_t id);
     nlohmann::json ask(Child& child, const nlohmann::json& order) {
-        return answer(child, tell(child, order));
+        return answer(child, send_order(child, order));
     }
     std::vector<nlohmann::json> ask_all(const std::string& role, const nlohmann::json& order);
     void start_registry();
-    void put_list();
+    void write_endpoint_list();
     void start_relays();
-    void set_up_hollow();
-    void set_up_real();
-    std::string parts_of(std::size_t gateway, const nlohmann::json& addresses) const;
-    nlohmann::json list_line_of(std::size_t cache) const;
+    void set_up_stub_gateways();
+    void set_up_real_gateways();
+    std::string parts_file_text(std::size_t gateway, const nlohmann::json& addresses) const;
+    nlohmann::json endpoint_record_of(std::size_t cache) const;
 
     RigSettings settings_;
     Folder folder_;
@@ -137,18 +145,19 @@
     std::unique_ptr<test_support::Acceptor> acceptor_;
     std::vector<std::unique_ptr<Child>> children_;
     std::map<std::size_t, RealGateway> real_;
-    std::vector<std::shared_ptr<test_support::TestConnection>> strangers_;
-    std::vector<std::unique_ptr<ControlChannel>> unnamed_;
-    nlohmann::json members_, board_;                    // addresses
-    std::map<std::size_t, nlohmann::json> by_gateway_;  // its relays' addresses
+    std::vector<std::shared_ptr<test_support::TestConnection>> unidentified_connections_;
+    std::vector<std::unique_ptr<ControlChannel>> unidentified_channels_;
+    // addresses of the registry members and of the notice board
+    nlohmann::json registry_addresses_, notice_board_address_;
+    std::map<std::size_t, nlohmann::json> relay_addresses_;  // addresses of each gateway's relays
     std::vector<std::string> cache_addresses_;
-    std::map<std::pair<std::string, std::int64_t>, InForce> forced_;
+    std::map<std::pair<std::string, std::int64_t>, InForceTimes> in_force_times_;
     TrafficBySecond traffic_;
     std::int64_t next_order_ = 1, next_expected_ = 1, list_version_ = 1000, last_purge_ms_ = 0;
     std::uint64_t purges_posted_ = 0;
-    std::size_t empty_hollow_ = 0;
-    std::unique_ptr<test_support::LoopRunner>
-        stretches_;  // the last: nothing of the above may go while the loop runs
+    std::size_t empty_stub_process_bytes_ = 0;
+    // Declared last: the members above must outlive the running loop.
+    std::unique_ptr<test_support::LoopRunner> loop_runner_;
 };
 
 }  // namespace irismux::scale
