--- a/tests/endpoint_view_test.cpp
+++ b/tests/endpoint_view_test.cpp
@@ -1,4 +1,4 @@
-// EndpointView: the updates that full reads and changes lead to.
+// Tests the endpoint updates that an EndpointView returns for full reads and changes.
 #include "registry/endpoint_view.hpp"
 
 #include <gtest/gtest.h>
@@ -17,9 +17,9 @@
     return {RecordKey{id}, value, Revision{created}, Revision{modified}};
 }
 
-// Given: a view of four endpoints. When: a full read shows one of them unchanged, one missing, one
-// created anew and one draining. Then: the unchanged one is not in the updates; the new one is removed
-// first, and counts as started now.
+// A full read returns updates only for records that differ from the view. A record that was deleted and
+// created again is a new process: the former endpoint is removed before the new one is added, and the new one
+// counts as started now.
 TEST(EndpointView, AFullReadReturnsOnlyTheDifferences) {
     EndpointView view;
     const TimePoint now = start_time();
@@ -31,7 +31,7 @@
                            now)
                   .size(),
               4u);
-    // a stays, b went, c was deleted and created anew, d drains.
+    // a is unchanged, b was deleted, c was deleted and created again, d drains.
     const auto updates = view.replace(
         Revision{20},
         {record("a", endpoint_value("a", "Ready"), 2, 2), record("c", endpoint_value("c", "Ready"), 12, 12),
@@ -45,13 +45,13 @@
     EXPECT_EQ(updates[2].first.cache, CacheId{"c"});
     EXPECT_EQ(updates[2].first.status, EndpointStatus::active);
     EXPECT_EQ(updates[2].first.started_at, now + ms)
-        << "another process that names no start counts as started now";
+        << "a new process whose record has no start counts as started now";
     EXPECT_EQ(updates[3].first.status, EndpointStatus::draining);
 }
 
-// Given: a record that is deleted. When: it is created anew with the start of its predecessor. Then: it
-// counts as started now, and keeps that start when it changes later.
-TEST(EndpointView, ARecordCreatedAnewCountsAsStartedNow) {
+// A record that was deleted and created again is a new process even if it names the start of its predecessor.
+// It counts as started now, and keeps that start when it changes later.
+TEST(EndpointView, ARecordCreatedAgainCountsAsStartedNow) {
     EndpointView view;
     const TimePoint now = start_time();
     const std::string value = endpoint_value("a", "Ready", 1, 999'000);
@@ -60,28 +60,29 @@
     const auto updates = view.apply(Revision{}, {{record("a", value, 9, 9), false}}, now + ms * 2);
     ASSERT_EQ(updates.size(), 1u);
     EXPECT_EQ(updates[0].first.started_at, now + ms * 2);
-    // What only changes it later keeps that start.
+    // A later change of the record keeps that start.
     const auto later = view.apply(
         Revision{}, {{record("a", endpoint_value("a", "Ready", 3, 999'000), 9, 12), false}}, now + ms * 3);
     ASSERT_EQ(later.size(), 1u);
     EXPECT_EQ(later[0].first.started_at, now + ms * 2);
 }
 
-// Given: a readable record. When: it becomes unreadable in various ways. Then: its last good form stays,
+// A record that becomes unreadable must not remove its endpoint: the last readable value stays in force, the
 // other records of the same change are applied, and unreadable records are counted.
-TEST(EndpointView, AnUnreadableRecordKeepsItsLastGoodForm) {
+TEST(EndpointView, AnUnreadableRecordKeepsItsLastReadableValue) {
     EndpointView view;
     const TimePoint now = start_time();
     view.replace(Revision{5}, {record("a", endpoint_value("a", "Ready"), 2, 2)}, now);
-    for (const std::string bad :
+    for (const std::string unreadable :
          {"", "{", "[]", "{\"id\":\"b\",\"state\":\"Ready\"}", "{\"id\":\"a\",\"state\":\"Off\"}"}) {
         const auto updates =
             view.apply(Revision{},
-                       {{record("a", bad, 2, view.revision().raw() + 1), false},
+                       {{record("a", unreadable, 2, view.revision().raw() + 1), false},
                         {record("x", endpoint_value("x", "Ready"), 8, view.revision().raw() + 1), false}},
                        now);
         EXPECT_EQ(view.unreadable(), 1u);
-        EXPECT_EQ(view.entries().at(RecordKey{"a"}).endpoint->first.status, EndpointStatus::active) << bad;
+        EXPECT_EQ(view.entries().at(RecordKey{"a"}).endpoint->first.status, EndpointStatus::active)
+            << unreadable;
         EXPECT_TRUE(view.entries().contains(RecordKey{"x"}));
         for (const auto& [update, address] : updates) EXPECT_NE(update.cache, CacheId{"a"});
     }
@@ -89,7 +90,7 @@
     EXPECT_EQ(view.unreadable(), 0u);
 }
 
-// Given: a view at revision 7. When: a change of revision 6 arrives again. Then: it has no effect.
+// A change of an older revision that arrives again must not undo a newer one.
 TEST(EndpointView, RepeatedChangesAreIgnored) {
     EndpointView view;
     const TimePoint now = start_time();
--- a/tests/etcd_codec_test.cpp
+++ b/tests/etcd_codec_test.cpp
@@ -1,4 +1,4 @@
-// The etcd codec: replies parsed, errors with their codes.
+// Tests that the etcd codec parses replies and maps errors to their codes.
 #include "registry/etcd_codec.hpp"
 
 #include <gtest/gtest.h>
@@ -19,9 +19,9 @@
     EXPECT_EQ(error->message.find('\n'), std::string::npos);
 }
 
-// Given: a reply with a record. When: it is parsed as it is, and cut or mutated at random. Then: its
-// fields are read; the others end in a value or an error of one short line.
-TEST(EtcdCodec, RepliesAreParsedOrRefusedWhole) {
+// A valid reply gives its fields. A reply that is truncated or mutated at random must give a value or an
+// error with a message of one short line, and must not crash the parser.
+TEST(EtcdCodec, MutatedRepliesGiveAValueOrAShortError) {
     const std::string good =
         R"({"header":{"cluster_id":"14841639068965178418","revision":"9"},"kvs":[{"key":"L2NhY2hlcy9jMQ==",)"
         R"("create_revision":"4","mod_revision":"9","value":"eyJ4IjoxfQ=="}],"more":true,"count":"3"})";
@@ -35,18 +35,19 @@
     EXPECT_EQ(range.count, 3u);
     std::mt19937 random(5);
     for (int n = 0; n < 20'000; ++n) {
-        std::string odd = good.substr(0, n % 3 ? good.size() : random() % good.size());
-        for (auto k = random() % 4; k > 0 && !odd.empty(); --k)
-            odd[random() % odd.size()] = static_cast<char>(random());
-        expect_value_or_one_line(etcd::read_range(200, odd, prefix));
-        expect_value_or_one_line(etcd::read_watch("{\"result\":" + odd + "}", prefix));
-        expect_value_or_one_line(etcd::read_token(200, odd));
-        expect_value_or_one_line(etcd::read_lease(200, odd));
-        expect_value_or_one_line(etcd::read_conditional_write_result(200, odd));
+        std::string mutated = good.substr(0, n % 3 ? good.size() : random() % good.size());
+        for (auto k = random() % 4; k > 0 && !mutated.empty(); --k)
+            mutated[random() % mutated.size()] = static_cast<char>(random());
+        expect_value_or_one_line(etcd::read_range(200, mutated, prefix));
+        expect_value_or_one_line(etcd::read_watch("{\"result\":" + mutated + "}", prefix));
+        expect_value_or_one_line(etcd::read_token(200, mutated));
+        expect_value_or_one_line(etcd::read_lease(200, mutated));
+        expect_value_or_one_line(etcd::read_conditional_write_result(200, mutated));
     }
 }
 
-// Given: error replies in each of the published forms. When: they are parsed. Then: each has its code.
+// Each published form of error reply maps to its error code. RegistryClient decides by this code what it
+// reports to the Watch.
 TEST(EtcdCodec, ErrorsHaveTheirCodes) {
     const auto code_of = [](int status, const std::string& body) {
         const auto read = etcd::read_range(status, body, prefix);
@@ -64,13 +65,13 @@
     EXPECT_EQ(code_of(200, R"({"header":{"revision":"x"}})"), etcd::ErrorCode::unreadable);
     EXPECT_EQ(code_of(200, R"({"header":{"revision":"1"},"kvs":[{"key":"bm90IG91cnM="}]})"),
               etcd::ErrorCode::unreadable);
-    const auto gone = etcd::read_watch(
+    const auto compacted = etcd::read_watch(
         R"({"result":{"header":{"revision":"9"},"canceled":true,"compact_revision":"7"}})", prefix);
-    EXPECT_EQ(std::get<etcd::Error>(gone).code, etcd::ErrorCode::compacted);
+    EXPECT_EQ(std::get<etcd::Error>(compacted).code, etcd::ErrorCode::compacted);
 }
 
-// Given: a transaction of two comparisons. When: it is encoded, and its failure is parsed. Then: it asks
-// for both records compared, and has the one that exists.
+// A transaction with two comparisons requests both compared records in case it fails. Parsing the failure
+// returns the compared record that exists.
 TEST(EtcdCodec, AFailedTransactionReturnsTheRecordsCompared) {
     const auto body = etcd::transaction({{prefix + "c1", "other"}, {prefix + "c8", std::nullopt}},
                                         {{prefix + "c8", "x"}}, {prefix + "c1"})
--- a/tests/fleet_event_test.cpp
+++ b/tests/fleet_event_test.cpp
@@ -12,9 +12,9 @@
     return ::testing::internal::GetCapturedStderr();
 }
 
-// Each event that needs an operator's action is logged as a warning with the name and the fields of that
-// page.
-TEST(FleetEvents, WarningsHaveTheNamesAndFieldsOfThePage) {
+// Each event that needs an operator's action is logged as a warning with the name and the fields listed in
+// docs/operations/fleet.md.
+TEST(FleetEvents, WarningsHaveTheDocumentedNamesAndFields) {
     const MemberName member{"g1"};
     const DutyName duty{"sweep"};
     EXPECT_EQ(logged(LeaseStateChanged{duty, LeaseState::lost, FencingToken{5}}),
@@ -44,7 +44,7 @@
 }
 
 // Events that need no action are logged with level info.
-TEST(FleetEvents, EventsThatNeedNoActionAreOfLevelInfo) {
+TEST(FleetEvents, EventsThatNeedNoActionAreLoggedAtLevelInfo) {
     EXPECT_EQ(logged(LeaseStateChanged{DutyName{"sweep"}, LeaseState::expiring, FencingToken{5}}),
               "info: fleet_lease_changed duty=sweep state=expiring token=5\n");
     EXPECT_EQ(logged(MembershipEnded{MembershipEnd::left, MemberName{"g1"}}), "info: fleet_left member=g1\n");
--- a/tests/interleaving_explorer_main.cpp
+++ b/tests/interleaving_explorer_main.cpp
@@ -1,26 +1,28 @@
-// Every interleaving of a few members and faults, as far as asked for.
+// Explores every interleaving of a few fleet members and faults within the bounds given as arguments. Exits
+// with 1 if an invariant was violated or the search stopped at MAX_STATES.
 //
-//   irismux_explore [MEMBERS] [FAULTS] [TICKS] [MOST_STATES]
+//   irismux_explore [MEMBERS] [FAULTS] [TICKS] [MAX_STATES]
 #include <cstdlib>
 #include <iostream>
 
 #include "testing/interleaving_explorer.hpp"
 
 int main(int argc, char** argv) {
-    irismux::test_support::ExplorationBounds b;
-    if (argc > 1) b.members = static_cast<std::size_t>(std::atoll(argv[1]));
-    if (argc > 2) b.faults = std::atoi(argv[2]);
-    if (argc > 3) b.ticks = std::atoi(argv[3]);
-    if (argc > 4) b.max_states = static_cast<std::uint64_t>(std::atoll(argv[4]));
-    bool good = true;
+    irismux::test_support::ExplorationBounds bounds;
+    if (argc > 1) bounds.members = static_cast<std::size_t>(std::atoll(argv[1]));
+    if (argc > 2) bounds.faults = std::atoi(argv[2]);
+    if (argc > 3) bounds.ticks = std::atoi(argv[3]);
+    if (argc > 4) bounds.max_states = static_cast<std::uint64_t>(std::atoll(argv[4]));
+    bool passed = true;
     for (const bool slow : {true, false}) {
-        b.first_is_slow = slow;
-        const irismux::test_support::ExplorationResult e = irismux::test_support::explore(b);
-        std::cout << b.members << " members, the first " << (slow ? "slow" : "fast") << ", " << b.faults
-                  << " faults, " << b.ticks << " ticks: " << e.states << " states, "
-                  << (e.complete ? "all there are" : "given up") << '\n';
-        for (const std::string& line : e.path) std::cout << line << '\n';
-        good = good && e.path.empty() && e.complete;
+        bounds.first_is_slow = slow;
+        const irismux::test_support::ExplorationResult result = irismux::test_support::explore(bounds);
+        std::cout << bounds.members << " members, the first " << (slow ? "slow" : "fast") << ", "
+                  << bounds.faults << " faults, " << bounds.ticks << " ticks: " << result.states
+                  << " states, " << (result.complete ? "complete" : "stopped at the maximum number of states")
+                  << '\n';
+        for (const std::string& line : result.path) std::cout << line << '\n';
+        passed = passed && result.path.empty() && result.complete;
     }
-    return good ? 0 : 1;
+    return passed ? 0 : 1;
 }
--- a/tests/registry_cli_test.cpp
+++ b/tests/registry_cli_test.cpp
@@ -1,4 +1,4 @@
-// `irismux registry put|drain` as processes, against a stand-in with transactions, lost answers included.
+// Tests `irismux registry put|drain` as processes against a fake registry with transactions and lost replies.
 #include <gtest/gtest.h>
 
 #include <sys/wait.h>
@@ -22,29 +22,30 @@
 protected:
     EventLoop loop;
     test_support::FakeRegistry registry{loop, 2, ms * 20};
-    fs::path root = fs::temp_directory_path() / ("irismux_cli." + std::to_string(::getpid()));
-    test_support::LoopRunner intervals{loop};  // the last: nothing of the above may go while the loop runs
+    fs::path folder = fs::temp_directory_path() / ("irismux_cli." + std::to_string(::getpid()));
+    // Declared last, so that it is destroyed before the members above, which the running loop uses.
+    test_support::LoopRunner loop_runner{loop};
 
     void SetUp() override {
-        fs::create_directories(root);
-        std::ofstream(root / "parts.toml")
+        fs::create_directories(folder);
+        std::ofstream(folder / "parts.toml")
             << "[registry]\nmembers = [\"" << registry.address(0) << "\", \"" << registry.address(1)
             << "\"]\nprefix = \"" << prefix << "\"\nanswer_in = \"300ms\"\n";
         registry.model.put(prefix + "c1", test_support::endpoint_value("c1", "Ready"));
     }
-    void TearDown() override { fs::remove_all(root); }
+    void TearDown() override { fs::remove_all(folder); }
 
-    // Exit code, and what it output.
-    std::pair<int, std::string> run(const std::vector<std::string>& words) {
-        fs::remove(root / "out");
-        std::vector<std::string> all = {IRISMUX_PROGRAM, "registry", "--parts",
-                                        (root / "parts.toml").string()};
-        all.insert(all.end(), words.begin(), words.end());
-        test_support::Process p({all, {"PATH=/usr/bin:/bin"}, "", (root / "out").string()});
-        EXPECT_TRUE(intervals.run_until([&] { return !p.running(); }));
-        std::ifstream out(root / "out");
+    // Runs the command and returns its exit code and its output.
+    std::pair<int, std::string> run(const std::vector<std::string>& arguments) {
+        fs::remove(folder / "out");
+        std::vector<std::string> command = {IRISMUX_PROGRAM, "registry", "--parts",
+                                            (folder / "parts.toml").string()};
+        command.insert(command.end(), arguments.begin(), arguments.end());
+        test_support::Process process({command, {"PATH=/usr/bin:/bin"}, "", (folder / "out").string()});
+        EXPECT_TRUE(loop_runner.run_until([&] { return !process.running(); }));
+        std::ifstream out(folder / "out");
         const std::string output((std::istreambuf_iterator<char>(out)), {});
-        return {WEXITSTATUS(p.status().value_or(0xff00)), output};
+        return {WEXITSTATUS(process.status().value_or(0xff00)), output};
     }
     std::string value(const std::string& id) {
         const auto* state = registry.model.at(registry.model.newest());
@@ -54,8 +55,8 @@
     bool draining(const std::string& id) { return value(id).find("Terminating") != std::string::npos; }
 };
 
-// Given: one record. When: it is drained, an unknown one is drained, and a new one is put. Then: the
-// known ones are written, in one transaction each, and the unknown one is an error.
+// Draining a known record and putting a new one write one transaction each. Draining an unknown record is an
+// error and writes nothing.
 TEST_F(RegistryCommands, DrainAndPutWriteOnce) {
     EXPECT_EQ(run({"drain", "c1"}), (std::pair{0, std::string("written\n")}));
     EXPECT_TRUE(draining("c1"));
@@ -67,8 +68,8 @@
     EXPECT_EQ(registry.ledger.successful_transactions, 2);
 }
 
-// Given: a member that loses the reply to a write. When: a record is drained. Then: a read shows that it
-// was written, and it is not written again.
+// A member executes a write but its reply is lost. The command must find by a read that the record was
+// written, and must not write it again.
 TEST_F(RegistryCommands, AWriteWithALostReplyIsNotRepeated) {
     registry.faults(0).drop_write_response = true;
     const auto newest = registry.model.newest();
@@ -78,9 +79,9 @@
     EXPECT_EQ(registry.model.newest().raw(), newest.raw() + 1);
 }
 
-// Given: a first member that accepts connections and reads nothing. When: a record is drained. Then:
-// reads go to the second member, and the command reports that it was not written; once the first member
-// is down, the second one is written.
+// The first member accepts connections but reads nothing, so that the write does not arrive; reads go to the
+// second member. The command must report that nothing was written. Once the first member is down, the command
+// writes to the second one.
 TEST_F(RegistryCommands, AWriteThatDidNotArriveIsReported) {
     registry.faults(0).unresponsive = true;
     const auto [code, output] = run({"drain", "c1"});
--- a/tests/registry_client_test.cpp
+++ b/tests/registry_client_test.cpp
@@ -1,4 +1,4 @@
-// RegistryClient on sockets, against a stand-in registry and its faults.
+// Tests RegistryClient over sockets against a fake registry with fault injection.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -25,27 +25,29 @@
     test_support::KnownEndpoints endpoints;
     std::vector<SyncState> states;
     std::vector<WatchWarning> warnings;
-    test_support::LoopRunner intervals{loop};  // the last: nothing of the above may go while the loop runs
+    // Declared last, so that it is destroyed before the members above, which the running loop uses.
+    test_support::LoopRunner loop_runner{loop};
 
     void SetUp() override { log::set_level(log::Level::error); }
-    void begin(std::size_t members = 3, const std::string& user = "", const std::string& password = "") {
+    void create_client(std::size_t members = 3, const std::string& user = "",
+                       const std::string& password = "") {
         registry = std::make_unique<test_support::FakeRegistry>(loop, members, ms * 20);
         for (const char* id : {"c1", "c2", "c3"}) put(id, "Ready");
         client = std::make_unique<RegistryClient>(loop, *this, settings(members, user, password), 7);
     }
     Settings settings(std::size_t members, const std::string& user, const std::string& password) const {
-        Settings s;
-        for (std::size_t n = 0; n < members; ++n) s.members.push_back(registry->address(n));
-        s.prefix = prefix;
-        s.user = user;
-        s.password = password;
-        s.page_size = 2;
-        s.poll_policy.members = members;
-        s.poll_policy.watch_timeout = ms * 150;
-        s.poll_policy.reply_timeout = ms * 100;
-        s.poll_policy.backoff_base = ms * 5;
-        s.poll_policy.backoff_cap = ms * 100;
-        return s;
+        Settings result;
+        for (std::size_t n = 0; n < members; ++n) result.members.push_back(registry->address(n));
+        result.prefix = prefix;
+        result.user = user;
+        result.password = password;
+        result.page_size = 2;
+        result.poll_policy.members = members;
+        result.poll_policy.watch_timeout = ms * 150;
+        result.poll_policy.reply_timeout = ms * 100;
+        result.poll_policy.backoff_base = ms * 5;
+        result.poll_policy.backoff_cap = ms * 100;
+        return result;
     }
     void put(const std::string& id, const std::string& state) {
         registry->model.put(prefix + id, endpoint_value(id, state));
@@ -59,7 +61,7 @@
         ASSERT_TRUE(until(
             [&] { return client->watch().sync_state() == SyncState::following && endpoints.size() == 3; }));
     }
-    bool until(const std::function<bool()>& condition) { return intervals.run_until(condition); }
+    bool until(const std::function<bool()>& condition) { return loop_runner.run_until(condition); }
     bool draining(const std::string& id) {
         const auto it = endpoints.find(CacheId{id});
         return it != endpoints.end() && it->second.status == EndpointStatus::draining;
@@ -68,14 +70,14 @@
     void on_endpoints(TimePoint, const std::vector<EndpointRecord>& updates, bool complete) override {
         test_support::apply(endpoints, updates, complete);
     }
-    void on_sync_state(TimePoint, SyncState s, TimePoint) override { states.push_back(s); }
+    void on_sync_state(TimePoint, SyncState state, TimePoint) override { states.push_back(state); }
     void on_watch_warning(const WatchWarning& warning) override { warnings.push_back(warning); }
 };
 
-// Given: three records and pages of two. When: a client starts. Then: it reads two pages, then receives
-// changes without another read.
+// A client reads a list longer than a page in pages, and then receives changes without another read. A change
+// outside of the prefix has no effect.
 TEST_F(RegistryClientOnSockets, ReadsInPagesThenFollows) {
-    begin();
+    create_client();
     start_and_follow();
     EXPECT_EQ(registry->ledger.reads, 2);
     drain("c2");
@@ -87,28 +89,28 @@
     EXPECT_EQ(registry->ledger.reads, 2);
 }
 
-// Given: two of three members with one kind of fault. When: all connections break and a drain is
-// published. Then: it arrives, and the client follows again.
+// Two of three members have the same fault when all connections break and a drain is published. For each kind
+// of fault the drain must arrive, and the client must follow the registry again.
 TEST_F(RegistryClientOnSockets, ADrainArrivesDespiteEachFault) {
     using Faults = test_support::FakeRegistry::Faults;
     const std::vector<std::pair<const char*, std::function<void(Faults&)>>> faults = {
-        {"refuse", [](Faults& f) { f.refuse = true; }},
-        {"silent", [](Faults& f) { f.silent_watches = true; }},
-        {"mute", [](Faults& f) { f.unresponsive = true; }},
-        {"cut", [](Faults& f) { f.truncate_watch = true; }},
-        {"garble", [](Faults& f) { f.corrupt_response = true; }},
-        {"lag", [](Faults& f) { f.lag = 2; }},
-        {"fragment", [](Faults& f) { f.fragment_size = 1; }},
-        {"delay", [](Faults& f) { f.delay = ms * 30; }}};
-    for (const auto& [name, make] : faults) {
+        {"connections refused", [](Faults& f) { f.refuse = true; }},
+        {"silent watches", [](Faults& f) { f.silent_watches = true; }},
+        {"unresponsive", [](Faults& f) { f.unresponsive = true; }},
+        {"watch message truncated", [](Faults& f) { f.truncate_watch = true; }},
+        {"response corrupted", [](Faults& f) { f.corrupt_response = true; }},
+        {"lagging", [](Faults& f) { f.lag = 2; }},
+        {"fragmented", [](Faults& f) { f.fragment_size = 1; }},
+        {"delayed", [](Faults& f) { f.delay = ms * 30; }}};
+    for (const auto& [name, inject] : faults) {
         SCOPED_TRACE(name);
         endpoints.clear();
         client.reset();
-        begin();
+        create_client();
         start_and_follow();
-        // The member that is followed has the fault, and its connections break once.
-        for (std::size_t m = 0; m < 2; ++m) make(registry->faults(m));
-        for (std::size_t m = 0; m < 3; ++m) registry->break_connections(m);
+        // Two of three members get the fault. All connections break once, so that the client must reconnect.
+        for (std::size_t member = 0; member < 2; ++member) inject(registry->faults(member));
+        for (std::size_t member = 0; member < 3; ++member) registry->break_connections(member);
         registry->model.commit({{RecordKey{prefix + "c1"}, endpoint_value("c1", "Terminating")},
                                 {RecordKey{prefix + "c2"}, endpoint_value("c2", "Terminating")}});
         registry->publish();
@@ -117,10 +119,10 @@
     }
 }
 
-// Given: a client whose registry is down. When: it changes and compacts meanwhile. Then: one full read
-// brings the differences.
+// The registry changes and compacts while the client cannot reach it, so that a watch cannot deliver the
+// changes. The former list stays in force until one full read brings the differences.
 TEST_F(RegistryClientOnSockets, ACompactionDuringAnOutageLeadsToOneFullRead) {
-    begin(1);
+    create_client(1);
     start_and_follow();
     const std::uint64_t reads = client->watch().full_reads();
     registry->stop_member(0);
@@ -137,27 +139,27 @@
     EXPECT_EQ(client->watch().full_reads(), reads + 1);
 }
 
-// Given: a client of four records. When: the registry is restored, as another cluster, to three. Then:
-// the client follows it.
+// The registry is restored from a backup as another cluster, without the record put after the backup. The
+// client must drop that record and follow the new cluster.
 TEST_F(RegistryClientOnSockets, ARestoredRegistryIsFollowedAfterAFullRead) {
-    begin(3);
+    create_client(3);
     const Revision backup = registry->model.newest();
     put("c4", "Ready");
     client->start();
     ASSERT_TRUE(
         until([&] { return endpoints.size() == 4 && client->watch().sync_state() == SyncState::following; }));
-    for (std::size_t m = 0; m < 3; ++m) registry->stop_member(m);
+    for (std::size_t member = 0; member < 3; ++member) registry->stop_member(member);
     registry->model.restore(backup, true);
-    for (std::size_t m = 0; m < 3; ++m) registry->restart_member(m);
+    for (std::size_t member = 0; member < 3; ++member) registry->restart_member(member);
     ASSERT_TRUE(
         until([&] { return endpoints.size() == 3 && client->watch().sync_state() == SyncState::following; }));
     EXPECT_EQ(client->watch().cluster(), registry->model.cluster());
 }
 
-// Given: a registry that needs a password. When: it forgets its tokens. Then: the client fetches one new
-// token. With a wrong password it goes on trying, and the password is in no warning.
+// The registry revokes its tokens. The client must fetch one new token for the refused one. With a wrong
+// password the client goes on trying, and no warning may contain the password.
 TEST_F(RegistryClientOnSockets, ARefusedTokenIsRenewedOnce) {
-    begin(2);
+    create_client(2);
     registry->user = "gateway";
     registry->password = "secret";
     client.reset();
@@ -165,7 +167,7 @@
     start_and_follow();
     EXPECT_EQ(registry->ledger.logins, 1);
     registry->revoke_tokens();
-    for (std::size_t m = 0; m < 2; ++m) registry->break_connections(m);
+    for (std::size_t member = 0; member < 2; ++member) registry->break_connections(member);
     drain("c1");
     EXPECT_TRUE(until([&] { return draining("c1"); }));
     EXPECT_EQ(registry->ledger.logins, 2);
@@ -180,8 +182,8 @@
     }
 }
 
-// Lists of records of which few fit into one reply.
-class LongRecords : public RegistryClientOnSockets {
+// Fixture for records so long that few of them fit into one reply.
+class RegistryClientWithLongRecords : public RegistryClientOnSockets {
 protected:
     void put_long(const std::string& id, const std::string& state, std::size_t bytes) {
         registry->model.put(prefix + id, long_value(id, state, bytes));
@@ -189,7 +191,7 @@
     static std::string long_value(const std::string& id, const std::string& state, std::size_t bytes) {
         return endpoint_value(id, state, 1, 0, std::string(bytes, 'a'));
     }
-    void begin_with(std::size_t records, std::size_t bytes, std::size_t page) {
+    void start_with_long_records(std::size_t records, std::size_t bytes, std::size_t page) {
         registry = std::make_unique<test_support::FakeRegistry>(loop, 3, ms * 20);
         for (std::size_t n = 0; n < records; ++n) put_long("c" + std::to_string(n), "Ready", bytes);
         Settings s = settings(3, "", "");
@@ -198,27 +200,27 @@
         client = std::make_unique<RegistryClient>(loop, *this, s, 7);
         client->start();
     }
-    bool follows_all(std::size_t records) {
+    bool follows(std::size_t records) {
         return until([&] {
             return client->watch().sync_state() == SyncState::following && endpoints.size() == records;
         });
     }
 };
 
-// Given: pages over the reply limit. When: a full read begins. Then: pages are requested anew with fewer
-// records, not the same again.
-TEST_F(LongRecords, AreReadInPagesThatFit) {
-    begin_with(60, 60'000, 40);
-    ASSERT_TRUE(follows_all(60));
+// The pages of a full read exceed the reply limit. The client must request them again with fewer records
+// instead of repeating the same request.
+TEST_F(RegistryClientWithLongRecords, ReadsPagesThatFitTheReplyLimit) {
+    start_with_long_records(60, 60'000, 40);
+    ASSERT_TRUE(follows(60));
     EXPECT_LE(registry->ledger.reads, 12);
     EXPECT_EQ(registry->ledger.connections, 3);
 }
 
-// Given: a watch. When: one change over the message limit arrives in one chunk. Then: one full read
-// follows in pages that fit, and the watch goes on.
-TEST_F(LongRecords, InOneChangeLeadToOneFullRead) {
-    begin_with(30, 60'000, 5);
-    ASSERT_TRUE(follows_all(30));
+// One change over the message limit arrives in one chunk, so that the watch cannot deliver it. One full read
+// in pages that fit must follow, and then the watch goes on.
+TEST_F(RegistryClientWithLongRecords, AChangeOverTheMessageLimitLeadsToOneFullRead) {
+    start_with_long_records(30, 60'000, 5);
+    ASSERT_TRUE(follows(30));
     const int watches = registry->ledger.watches;
     std::vector<std::pair<RecordKey, std::optional<std::string>>> writes;
     for (int n = 0; n < 30; ++n) {
@@ -233,11 +235,11 @@
     EXPECT_EQ(client->watch().full_reads(), 2u);
 }
 
-// Given: a list. When: one record alone is over the reply limit. Then: the list stays in force,
-// requests are as rare as after other failures, and the list is followed once the record is gone.
-TEST_F(LongRecords, OneOverTheReplyLimitLeavesTheListInForce) {
-    begin_with(3, 10, 40);
-    ASSERT_TRUE(follows_all(3));
+// One record alone exceeds the reply limit, so that no page can contain it. The list stays in force, requests
+// are as rare as after other failures, and the client follows the list again once the record is erased.
+TEST_F(RegistryClientWithLongRecords, ARecordOverTheReplyLimitLeavesTheListInForce) {
+    start_with_long_records(3, 10, 40);
+    ASSERT_TRUE(follows(3));
     put_long("c9", "Ready", std::size_t{1} << 20);
     registry->publish();
     ASSERT_TRUE(until([&] {
@@ -247,26 +249,26 @@
     }));
     EXPECT_EQ(endpoints.size(), 3u);
     const int reads = registry->ledger.reads;
-    const TimePoint from = loop.now();
-    ASSERT_TRUE(until([&] { return loop.now() > from + ms * 500; }));
+    const TimePoint started_at = loop.now();
+    ASSERT_TRUE(until([&] { return loop.now() > started_at + ms * 500; }));
     EXPECT_LE(registry->ledger.reads, reads + 60);
     registry->model.erase(prefix + "c9");
     put("c4", "Ready");
     registry->publish();
-    EXPECT_TRUE(follows_all(4));
+    EXPECT_TRUE(follows(4));
 }
 
-// Given: a disconnected client. When: the records for its history check are over the reply limit. Then:
-// it makes a full read instead.
-TEST_F(LongRecords, OfAHistoryLeadToAFullRead) {
-    begin_with(9, 150'000, 3);
-    ASSERT_TRUE(follows_all(9));
-    for (std::size_t m = 0; m < 3; ++m) registry->stop_member(m);
+// The records that a disconnected client reads for its history check exceed the reply limit. The client must
+// make a full read instead of repeating the check.
+TEST_F(RegistryClientWithLongRecords, AHistoryCheckOverTheReplyLimitLeadsToAFullRead) {
+    start_with_long_records(9, 150'000, 3);
+    ASSERT_TRUE(follows(9));
+    for (std::size_t member = 0; member < 3; ++member) registry->stop_member(member);
     ASSERT_TRUE(until([&] { return client->watch().sync_state() == SyncState::disconnected; }));
     put_long("c1", "Terminating", 150'000);
-    for (std::size_t m = 0; m < 3; ++m) registry->restart_member(m);
+    for (std::size_t member = 0; member < 3; ++member) registry->restart_member(member);
     ASSERT_TRUE(until([&] { return draining("c1"); }));
-    EXPECT_TRUE(follows_all(9));
+    EXPECT_TRUE(follows(9));
     EXPECT_LE(registry->ledger.checks, 2);
 }
 
@@ -278,7 +280,7 @@
 
     int draw(int below) { return static_cast<int>(random() % static_cast<unsigned>(below)); }
 
-    void change_a_record() {
+    void change_record() {
         const std::string id = "c" + std::to_string(draw(9));
         if (draw(3) == 0)
             registry->model.erase(prefix + id);
@@ -286,7 +288,7 @@
             put(id, draw(2) ? "Ready" : "Terminating");
         if (draw(3) == 0) registry->model.compact(registry->model.newest());
     }
-    void make_a_fault(std::size_t member) {
+    void inject_fault(std::size_t member) {
         test_support::FakeRegistry::Faults& faults = registry->faults(member);
         switch (draw(10)) {
             case 0:
@@ -314,8 +316,8 @@
     }
     void step() {
         const auto member = static_cast<std::size_t>(draw(static_cast<int>(members)));
-        change_a_record();
-        make_a_fault(member);
+        change_record();
+        inject_fault(member);
         registry->publish();
         --steps_left;
         if (steps_left > 0) loop.schedule_at(loop.now() + ms * (1 + draw(6)), [this] { step(); });
@@ -323,7 +325,7 @@
     void run_steps(std::uint32_t seed) {
         endpoints.clear();
         client.reset();
-        begin(members);
+        create_client(members);
         random.seed(seed);
         client->start();
         steps_left = 120;
@@ -348,8 +350,8 @@
     }
 };
 
-// Given: members that drop connections, compact, lag, garble and send fragments, drawn from a seed. When:
-// the faults end. Then: the client has the newest list.
+// Members drop connections, compact, lag, corrupt replies and send fragments, drawn from a seed. Once the
+// faults end, the client must have the newest list.
 TEST_F(RegistryClientUnderRandomFaults, EndsAtTheNewestList) {
     for (std::uint32_t seed = 1; seed <= 6; ++seed) {
         SCOPED_TRACE(seed);
--- a/tests/registry_log_test.cpp
+++ b/tests/registry_log_test.cpp
@@ -1,4 +1,4 @@
-// The names in the registry's log events, by which docs/operations/registry.md lists them.
+// Tests the names in the registry's log events, which docs/operations/registry.md lists.
 #include "registry/registry_log.hpp"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 namespace irismux::registry {
 namespace {
 
-// Given: each kind of warning. When: it is logged. Then: its event has the name of the operators' page.
+// Each kind of warning is logged as the event that the operators' page lists.
 TEST(RegistryLog, EachWarningHasItsEvent) {
     using Kind = WatchWarningKind;
     EXPECT_EQ(event_name(Kind::request_failed), "registry_request_failed");
@@ -21,7 +21,7 @@
     EXPECT_EQ(event_name(Kind::doubtful_read_confirmed), "registry_doubtful_list_applied");
 }
 
-// Given: each reason for a failed request. When: it is logged. Then: it has its own name.
+// Each reason for a failed request is logged under its own name.
 TEST(RegistryLog, EachRequestFailureHasItsReason) {
     using Reason = RequestFailureReason;
     EXPECT_EQ(to_string(Reason::connect_failed), "connect_failed");
@@ -40,8 +40,8 @@
     EXPECT_EQ(to_string(Reason::watch_timeout), "watch_timeout");
 }
 
-// Given: each state, each reason for a refused snapshot, and each error of a store. When: it is logged. Then:
-// it has its own name.
+// Each sync state, each reason for a rejected snapshot and each error of a store is logged under its own
+// name.
 TEST(RegistryLog, StatesAndStorageErrorsHaveTheirNames) {
     EXPECT_EQ(to_string(SyncState::reading), "reading");
     EXPECT_EQ(to_string(SyncState::resuming), "resuming");
--- a/tests/registry_watch_test.cpp
+++ b/tests/registry_watch_test.cpp
@@ -1,4 +1,5 @@
-// Watch: which requests it makes, which replies it believes, and what it reports when.
+// Tests the requests that a Watch makes, which replies it accepts, and when it reports which endpoints,
+// states and warnings.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -19,27 +20,27 @@
         ASSERT_EQ(harness.watch.sync_state(), SyncState::following);
         ASSERT_EQ(harness.endpoints.size(), 4u);
     }
-    void read_anew() {
+    void read_again() {
         harness.advance_to_request();
         ASSERT_EQ(harness.pending_request, WatchHarness::Request::read_page);
         harness.watch.on_page(harness.now, harness.page(registry));
     }
 };
 
-// Given: four endpoints. When: one change drains two of them and deletes the others. Then: it is applied
-// without a confirmation.
-TEST_F(WatchFollowing, ADrainOfTheWholeFleetIsAppliedAtOnce) {
+// A change that leaves no active endpoint (two drained, two deleted) is applied without a confirmation; only
+// full reads need one.
+TEST_F(WatchFollowing, ADrainOfAllEndpointsIsAppliedAtOnce) {
     registry.commit({{RecordKey{"c1"}, endpoint_value("c1", "Terminating")},
                      {RecordKey{"c2"}, endpoint_value("c2", "Terminating")},
                      {RecordKey{"c3"}, std::nullopt},
                      {RecordKey{"c4"}, std::nullopt}});
     harness.deliver_changes(registry);
     ASSERT_EQ(harness.endpoints.size(), 2u);
-    for (const auto& [id, l] : harness.endpoints) EXPECT_EQ(l.status, EndpointStatus::draining);
+    for (const auto& [id, endpoint] : harness.endpoints) EXPECT_EQ(endpoint.status, EndpointStatus::draining);
 }
 
-// Given: an open watch. When: its connection breaks. Then: another member is asked for the next
-// revision after a pause of at most the base, without a full read.
+// A watch whose connection breaks resumes from the next revision at another member, after a pause of at most
+// the base and without a full read.
 TEST_F(WatchFollowing, ABrokenWatchResumesAtAnotherMember) {
     const MemberIndex first = harness.member;
     harness.advance(ms * 500);
@@ -50,7 +51,7 @@
     harness.advance_to_request();
     EXPECT_EQ(harness.pending_request, WatchHarness::Request::watch);
     EXPECT_NE(harness.member, first);
-    EXPECT_EQ(harness.at, registry.newest());
+    EXPECT_EQ(harness.requested_revision, registry.newest());
     EXPECT_LE(harness.now - start_time(), ms * 551) << "the first pause is at most the base";
     harness.watch.on_watch_opened(harness.now, harness.header(registry));
     harness.deliver_changes(registry);
@@ -58,9 +59,9 @@
     EXPECT_EQ(harness.watch.full_reads(), 1u);
 }
 
-// Given: a broken watch, and changes that are compacted meanwhile. When: the watch resumes. Then: a full
-// read follows at once and its differences are reported; without it c1 would stay in force, and c2 would
-// not count as a new process.
+// Changes made while the watch is broken are compacted before it resumes, so a watch can no longer deliver
+// them. The Watch must make a full read at once and report the differences; otherwise c1 would stay in force
+// and c2 would not count as a new process.
 TEST_F(WatchFollowing, ACompactedRevisionLeadsToAFullRead) {
     harness.watch.on_request_failed(harness.now, {RequestFailureReason::connection_lost, {}});
     registry.erase("c1");
@@ -70,8 +71,9 @@
     registry.compact(registry.newest());
     harness.advance_to_request();
     harness.watch.on_compacted(harness.now);
-    ASSERT_EQ(harness.pending_request, WatchHarness::Request::read_page) << "at once";
-    EXPECT_EQ(harness.endpoints.size(), 4u) << "the former list stays in force meanwhile";
+    ASSERT_EQ(harness.pending_request, WatchHarness::Request::read_page)
+        << "the full read must start without a pause";
+    EXPECT_EQ(harness.endpoints.size(), 4u) << "the former list must stay in force during the full read";
     harness.watch.on_page(harness.now, harness.page(registry));
     EXPECT_FALSE(harness.endpoints.contains(CacheId{"c1"}));
     EXPECT_TRUE(harness.endpoints.contains(CacheId{"c5"}));
@@ -80,24 +82,26 @@
         << "an unchanged record keeps its start";
 }
 
-// Given: a full read in pages. When: its revision is compacted between two pages, again and again. Then:
-// it restarts after pauses up to the cap, and the former list stays in force.
-TEST_F(WatchFollowing, PagesAreOfOneRevisionOrReadAnew) {
+// All pages of a full read are read at one revision. If this revision is compacted between two pages, the
+// read restarts after a pause up to the cap, as often as needed, and the former list stays in force
+// meanwhile.
+TEST_F(WatchFollowing, AFullReadRestartsIfItsRevisionIsCompacted) {
     harness.watch.on_compacted(harness.now);
     harness.watch.on_page(harness.now, harness.page(registry, 2));
     ASSERT_EQ(harness.pending_request, WatchHarness::Request::read_page);
-    EXPECT_EQ(harness.at, registry.newest()) << "the second page is read at the first one's revision";
-    EXPECT_EQ(harness.after, RecordKey{"c2"});
+    EXPECT_EQ(harness.requested_revision, registry.newest())
+        << "the second page is read at the first one's revision";
+    EXPECT_EQ(harness.after_key, RecordKey{"c2"});
     registry.erase("c1");
     registry.compact(registry.newest());
-    TimePoint last = harness.now;
+    TimePoint last_read = harness.now;
     for (int n = 0; n < 12; ++n) {
         harness.watch.on_compacted(harness.now);
-        EXPECT_EQ(harness.pending_request, WatchHarness::Request::none) << "repeated restarts cost a pause";
+        EXPECT_EQ(harness.pending_request, WatchHarness::Request::none) << "each restart must follow a pause";
         harness.advance_to_request();
-        EXPECT_LE(harness.now - last, WatchHarness::policy(3).backoff_cap);
-        last = harness.now;
-        EXPECT_EQ(harness.at, Revision{});
+        EXPECT_LE(harness.now - last_read, WatchHarness::policy(3).backoff_cap);
+        last_read = harness.now;
+        EXPECT_EQ(harness.requested_revision, Revision{});
         EXPECT_EQ(harness.endpoints.size(), 4u);
         harness.watch.on_page(harness.now, harness.page(registry, 2));
     }
@@ -106,15 +110,15 @@
     EXPECT_EQ(harness.endpoints.size(), 3u);
 }
 
-// Given: a broken watch. When: the next member is older than the view. Then: another one is tried,
-// without a full read, which would bring c1 back.
-TEST_F(WatchFollowing, ALaggingMemberIsLeftForAnother) {
-    RegistryModel old = registry;
+// A watch that resumes at a member older than the view tries another member. It makes no full read from the
+// lagging member, which would bring the deleted c1 back.
+TEST_F(WatchFollowing, AMemberOlderThanTheViewIsSkipped) {
+    RegistryModel outdated = registry;
     registry.erase("c1");
     harness.deliver_changes(registry);
     harness.watch.on_request_failed(harness.now, {RequestFailureReason::connection_lost, {}});
     harness.advance_to_request();
-    harness.watch.on_watch_opened(harness.now, harness.header(old));
+    harness.watch.on_watch_opened(harness.now, harness.header(outdated));
     EXPECT_EQ(harness.watch.sync_state(), SyncState::lagging);
     const MemberIndex lagging = harness.member;
     harness.advance_to_request();
@@ -122,16 +126,17 @@
     ASSERT_EQ(harness.pending_request, WatchHarness::Request::watch);
     harness.watch.on_watch_opened(harness.now, harness.header(registry));
     EXPECT_EQ(harness.watch.sync_state(), SyncState::following);
-    EXPECT_FALSE(harness.endpoints.contains(CacheId{"c1"})) << "a full read from it would bring c1 back";
+    EXPECT_FALSE(harness.endpoints.contains(CacheId{"c1"}))
+        << "a full read from the lagging member would bring c1 back";
     EXPECT_EQ(harness.watch.full_reads(), 1u);
 }
 
 class RolledBackRegistry : public ::testing::TestWithParam<bool> {};
 
-// Given: a registry restored from a backup, in the same or another cluster. When: most members have been
-// older than the view for the watch timeout. Then: and not before, a full read follows; a watch alone
-// would keep c9, which the restored registry never had.
-TEST_P(RolledBackRegistry, IsReadAnewOnceMostMembersShowIt) {
+// A registry is restored from a backup, as the same or as another cluster. The Watch makes a full read only
+// after most members have been older than the view for the watch timeout; by watching alone it would keep c9,
+// which the restored registry never had.
+TEST_P(RolledBackRegistry, IsReadAgainOnceMostMembersAreOlderThanTheView) {
     for (const std::size_t members : {1u, 3u}) {
         RegistryModel registry = model_of(4);
         WatchHarness harness(members);
@@ -149,7 +154,8 @@
                 harness.watch.on_revision_not_reached(harness.now);
             else if (harness.pending_request == WatchHarness::Request::watch)
                 harness.watch.on_watch_opened(harness.now, harness.header(registry));
-            EXPECT_TRUE(harness.endpoints.contains(CacheId{"c9"})) << "not yet confirmed";
+            EXPECT_TRUE(harness.endpoints.contains(CacheId{"c9"}))
+                << "applied before most members confirmed the restore";
         }
         ASSERT_EQ(harness.pending_request, WatchHarness::Request::read_page);
         EXPECT_GE(harness.now - since, WatchHarness::policy(members).watch_timeout);
@@ -164,42 +170,42 @@
 }
 INSTANTIATE_TEST_SUITE_P(SameOrAnotherCluster, RolledBackRegistry, ::testing::Bool());
 
-// Given: four endpoints. When: a member returns an empty or an unreadable list. Then: the former
-// list stays in force until another member returns such a list, too.
+// A full read that returns an empty list, or a list of unreadable records, is not applied until a read from
+// another member confirms it; otherwise one faulty member could remove all endpoints.
 TEST_F(WatchFollowing, AnEmptyOrUnreadableListNeedsAConfirmation) {
     for (const bool empty : {true, false}) {
-        RegistryModel odd = registry;
+        RegistryModel faulty = registry;
         for (int n = 1; n <= 4; ++n) {
             if (empty)
-                odd.erase("c" + std::to_string(n));
+                faulty.erase("c" + std::to_string(n));
             else
-                odd.put("c" + std::to_string(n), "junk");
+                faulty.put("c" + std::to_string(n), "junk");
         }
         harness.watch.on_compacted(harness.now);
-        harness.watch.on_page(harness.now, harness.page(odd));
+        harness.watch.on_page(harness.now, harness.page(faulty));
         EXPECT_EQ(harness.endpoints.size(), 4u);
         EXPECT_EQ(harness.pending_request, WatchHarness::Request::none);
-        // The next member has the list: nothing changes.
-        read_anew();
+        // The next member returns the former list, so the endpoints stay as they are.
+        read_again();
         harness.watch.on_watch_opened(harness.now, harness.header(registry));
         EXPECT_EQ(harness.endpoints.size(), 4u);
         EXPECT_EQ(harness.watch.sync_state(), SyncState::following);
     }
     for (int n = 1; n <= 4; ++n) registry.erase("c" + std::to_string(n));
     harness.watch.on_compacted(harness.now);
-    read_anew();
+    read_again();
     EXPECT_EQ(harness.endpoints.size(), 4u);
-    read_anew();
-    EXPECT_TRUE(harness.endpoints.empty()) << "a second member has confirmed it";
+    read_again();
+    EXPECT_TRUE(harness.endpoints.empty()) << "a second member has confirmed the empty list";
 }
 
-// Given: an open watch. When: it brings nothing for the watch timeout. Then: the state is disconnected,
-// the list stays, and a history check precedes the next watch.
+// A watch that delivers nothing for the watch timeout is reported as disconnected. The list stays in force,
+// and the next watch opens only after a history check.
 TEST_F(WatchFollowing, ASilentWatchIsReportedAsDisconnected) {
-    const TimePoint last = harness.now;
+    const TimePoint last_message = harness.now;
     harness.advance(WatchHarness::policy(3).watch_timeout + ms);
     EXPECT_EQ(harness.watch.sync_state(), SyncState::disconnected);
-    EXPECT_EQ(harness.watch.last_complete_at(), last);
+    EXPECT_EQ(harness.watch.last_complete_at(), last_message);
     EXPECT_EQ(harness.endpoints.size(), 4u);
     harness.advance_to_request();
     ASSERT_EQ(harness.pending_request, WatchHarness::Request::check_revision);
@@ -209,8 +215,8 @@
     EXPECT_EQ(harness.watch.full_reads(), 1u);
 }
 
-// Given: a watch that is current for a while. When: it times out, again and again. Then: each pause is at
-// most the base.
+// A watch that has been open for a while resets the backoff. Each of several timeouts with such a time
+// between them must cost a pause of at most the base.
 TEST_F(WatchFollowing, PausesAfterSeparateTimeoutsDoNotGrow) {
     for (int n = 0; n < 12; ++n) {
         harness.advance(ms * 300);
@@ -225,10 +231,10 @@
     }
 }
 
-// Given: a registry that was restored and has grown past the revision of the view. When: the watch
-// resumes after a disconnection. Then: the history check leads to a full read; a watch from that revision
-// on would keep c9 and miss c7.
-TEST_F(WatchFollowing, ARestoredRegistryPastTheViewIsFoundByItsHistory) {
+// A restored registry has grown past the revision of the view, so that revisions alone do not show the
+// restore. The history check after a disconnection must lead to a full read; a watch from the revision of the
+// view on would keep c9 and miss c7.
+TEST_F(WatchFollowing, TheHistoryCheckDetectsARestoredRegistryPastTheView) {
     const Revision backup = registry.newest();
     registry.put("c9", endpoint_value("c9", "Ready"));
     harness.deliver_changes(registry);
@@ -246,36 +252,36 @@
     EXPECT_TRUE(harness.endpoints.contains(CacheId{"c7"}));
 }
 
-// Given: 50 changes outside of the prefix, and a progress notice. When: they are compacted and the watch
-// breaks. Then: it resumes behind them.
+// 50 changes outside of the prefix are announced only by a progress notification and are then compacted. A
+// watch that breaks must resume behind them, since it would otherwise ask for a compacted revision.
 TEST_F(WatchFollowing, ProgressNoticesMoveTheRevisionToResumeFrom) {
-    for (int n = 0; n < 50; ++n)
-        registry.put("elsewhere", "x");  // not under our prefix: nothing is delivered
+    for (int n = 0; n < 50; ++n) registry.put("elsewhere", "x");  // outside of the prefix, so not delivered
     harness.watch.on_changes(harness.now, harness.header(registry), {}, false);
     registry.compact(registry.newest());
     harness.watch.on_request_failed(harness.now, {RequestFailureReason::connection_lost, {}});
     harness.advance_to_request();
-    EXPECT_EQ(harness.at, Revision{registry.newest().raw() + 1});
+    EXPECT_EQ(harness.requested_revision, Revision{registry.newest().raw() + 1});
 }
 
-// Given: a revision in two fragments. When: the connection breaks between them. Then: nothing is applied,
-// and the whole revision is requested again.
+// The connection breaks between two fragments of one revision. Nothing of the revision may be applied, and
+// the whole revision must be requested again.
 TEST_F(WatchFollowing, FragmentsOfARevisionAreAppliedTogether) {
-    const Revision r = registry.commit({{RecordKey{"c1"}, std::nullopt}, {RecordKey{"c2"}, std::nullopt}});
-    const std::vector<Change> all = *registry.changes(r, r);
+    const Revision revision =
+        registry.commit({{RecordKey{"c1"}, std::nullopt}, {RecordKey{"c2"}, std::nullopt}});
+    const std::vector<Change> all = *registry.changes(revision, revision);
     harness.watch.on_changes(harness.now, harness.header(registry), {all[0]}, true);
     EXPECT_EQ(harness.endpoints.size(), 4u);
     harness.watch.on_request_failed(harness.now, {RequestFailureReason::connection_lost, {}});
     harness.advance_to_request();
-    EXPECT_EQ(harness.at, r) << "the whole revision is requested again";
+    EXPECT_EQ(harness.requested_revision, revision) << "the whole revision must be requested again";
     harness.watch.on_watch_opened(harness.now, harness.header(registry));
     harness.watch.on_changes(harness.now, harness.header(registry), {all[0]}, true);
     harness.watch.on_changes(harness.now, harness.header(registry), {all[1]}, false);
     EXPECT_EQ(harness.endpoints.size(), 2u);
 }
 
-// Given: four endpoints. When: a change or a list exceeds its limit. Then: it is refused, the former
-// list stays, and a long list is reported once.
+// A change or a list over its limit is rejected, and the former list stays in force. A list that stays too
+// long is reported once, not at each attempt.
 TEST_F(WatchFollowing, TooManyFragmentsOrRecordsAreRefused) {
     std::vector<Change> many(WatchHarness::policy(3).max_pending_changes, {record("c1", "", 0, 100), true});
     harness.watch.on_changes(harness.now, {registry.cluster(), Revision{100}}, many, true);
@@ -283,13 +289,13 @@
     EXPECT_EQ(harness.endpoints.size(), 4u);
     harness.advance_to_request();
     ASSERT_EQ(harness.pending_request, WatchHarness::Request::read_page);
-    Page p;
-    p.header = {registry.cluster(), Revision{200}};
+    Page page;
+    page.header = {registry.cluster(), Revision{200}};
     for (std::size_t n = 0; n <= WatchHarness::policy(3).max_records; ++n)
-        p.records.push_back(
+        page.records.push_back(
             record("x" + std::to_string(n), endpoint_value("x" + std::to_string(n), "Ready"), 3, 3));
     for (int n = 0; n < 3; ++n) {
-        harness.watch.on_page(harness.now, p);
+        harness.watch.on_page(harness.now, page);
         EXPECT_EQ(harness.endpoints.size(), 4u);
         harness.advance_to_request();
     }
@@ -297,45 +303,45 @@
         std::count(harness.warnings.begin(), harness.warnings.end(), WatchWarningKind::too_many_records), 1);
 }
 
-// Given: a thousand clients of a registry that is down for ten seconds. When: it is up again. Then: at
-// most a tenth of them reconnect within any 100 ms, and all within the cap.
-TEST(Watch, AThousandClientsReconnectSpreadOverThePause) {
-    std::map<int, int> by_ms;
+// A registry that was down for ten seconds must not be hit by all clients at once when it is up again: at
+// most a tenth of a thousand clients reconnect within any 100 ms, and all within the cap.
+TEST(Watch, AThousandClientsDoNotReconnectAtOnce) {
+    std::map<int, int> clients_by_slot;  // slots of 100 ms
     for (std::uint64_t seed = 0; seed < 1000; ++seed) {
         RegistryModel registry = model_of(1);
         WatchHarness harness(1, seed * 7919 + 1);
         harness.watch.start(harness.now);
         harness.reply_to_full_read(registry);
         harness.watch.on_request_failed(harness.now, {RequestFailureReason::connection_lost, {}});
-        // Down for a while: each attempt fails at once.
-        const TimePoint up = harness.now + Duration::seconds(10);
-        while (harness.now < up) {
+        // The registry refuses connections for 10 s.
+        const TimePoint restarted_at = harness.now + Duration::seconds(10);
+        while (harness.now < restarted_at) {
             harness.advance_to_request();
-            if (harness.now < up)
+            if (harness.now < restarted_at)
                 harness.watch.on_request_failed(harness.now, {RequestFailureReason::connect_failed, {}});
         }
-        ++by_ms[static_cast<int>((harness.now - up).micros() / 100'000)];
+        ++clients_by_slot[static_cast<int>((harness.now - restarted_at).micros() / 100'000)];
     }
     int most = 0;
-    for (const auto& [slot, n] : by_ms) most = std::max(most, n);
-    EXPECT_LT(most, 1000 / 10) << "of a thousand in the worst 100 ms";
-    EXPECT_LE(by_ms.rbegin()->first, 50) << "no pause is longer than the cap";
+    for (const auto& [slot, clients] : clients_by_slot) most = std::max(most, clients);
+    EXPECT_LT(most, 1000 / 10) << "clients of a thousand that reconnected in the worst 100 ms";
+    EXPECT_LE(clients_by_slot.rbegin()->first, 50) << "no pause is longer than the cap";
 }
 
-// Given: a stored list. When: a watch starts from it. Then: it is in force at once, its state is
-// disconnected, and a history check precedes the watch.
-TEST(Watch, AStoredListIsInForceAtOnceAndDisconnected) {
+// A Watch that starts from a stored list puts it in force at once and reports the state disconnected. A
+// history check precedes the watch, since the registry may have been restored after the list was stored.
+TEST(Watch, AStoredListIsInForceAtOnceAndReportedAsDisconnected) {
     RegistryModel registry = model_of(3);
     WatchHarness harness;
-    std::vector<Record> kept;
-    for (const auto& [key, r] : *registry.at(registry.newest())) kept.push_back(r);
-    harness.watch.start_from(harness.now, registry.cluster(), registry.newest(), kept,
+    std::vector<Record> stored;
+    for (const auto& [key, record] : *registry.at(registry.newest())) stored.push_back(record);
+    harness.watch.start_from(harness.now, registry.cluster(), registry.newest(), stored,
                              harness.now - Duration::seconds(60));
     EXPECT_EQ(harness.endpoints.size(), 3u);
     EXPECT_EQ(harness.watch.sync_state(), SyncState::disconnected);
     harness.watch.start(harness.now);
     ASSERT_EQ(harness.pending_request, WatchHarness::Request::check_revision)
-        << "it may have been restored since";
+        << "the registry may have been restored since the list was stored";
     harness.reply_to_check(registry);
     registry.erase("c1");
     harness.watch.on_watch_opened(harness.now, harness.header(registry));
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -1,4 +1,4 @@
-// The embedded store: full, and with a file cut short.
+// Tests the embedded store when it is full and when its file is truncated.
 #include "store/store.hpp"
 
 #include <gtest/gtest.h>
@@ -10,8 +10,8 @@
 namespace irismux {
 namespace {
 
-// Given: a store with a value. When: a value larger than the store is written. Then: the write fails, and
-// the former value is still there, also after the store is opened again.
+// A value larger than the store is written. The write must fail without losing the former value, which is
+// still there after the store is opened again.
 TEST(Store, AFullStoreRefusesTheWriteAndKeepsTheFormerValue) {
     const auto folder =
         std::filesystem::temp_directory_path() / ("irismux_store." + std::to_string(::getpid()));
@@ -25,16 +25,17 @@
         const auto refused = store.write("list", std::string(2 << 20, 'y'));
         ASSERT_TRUE(std::holds_alternative<StoreError>(refused));
         EXPECT_EQ(std::get<StoreError>(refused).code, StoreError::Code::write_failed);
-        EXPECT_EQ(store.read("list"), std::string(100'000, 'x')) << "the former one is still there";
+        EXPECT_EQ(store.read("list"), std::string(100'000, 'x'))
+            << "the failed write must keep the former value";
     }
-    auto again = Store::open(folder.string(), 1 << 20);
-    EXPECT_EQ(std::get<Store>(again).read("list"), std::string(100'000, 'x'));
+    auto reopened = Store::open(folder.string(), 1 << 20);
+    EXPECT_EQ(std::get<Store>(reopened).read("list"), std::string(100'000, 'x'));
     std::filesystem::remove_all(folder);
     EXPECT_TRUE(std::holds_alternative<StoreError>(Store::open("/proc/nowhere", 1 << 20)));
 }
 
-// Given: a store whose file is cut short. When: it is opened. Then: it is refused as truncated and left
-// as it is; reading its missing pages would end the process.
+// A store whose file was truncated is rejected when opened, and its file is not changed. Reading the missing
+// pages would end the process.
 TEST(Store, ATruncatedFileIsRefusedAndNotChanged) {
     namespace fs = std::filesystem;
     std::string folder = (fs::temp_directory_path() / "irismux-store-XXXXXX").string();
@@ -49,9 +50,9 @@
     const std::uintmax_t whole = fs::file_size(folder + "/data.mdb");
     for (const std::uintmax_t size : {whole - 1, whole / 2, std::uintmax_t{8192}}) {
         fs::resize_file(folder + "/data.mdb", size);
-        const auto again = Store::open(folder, 1 << 20);
-        ASSERT_TRUE(std::holds_alternative<StoreError>(again)) << size;
-        EXPECT_EQ(std::get<StoreError>(again).code, StoreError::Code::truncated);
+        const auto reopened = Store::open(folder, 1 << 20);
+        ASSERT_TRUE(std::holds_alternative<StoreError>(reopened)) << size;
+        EXPECT_EQ(std::get<StoreError>(reopened).code, StoreError::Code::truncated);
         EXPECT_EQ(fs::file_size(folder + "/data.mdb"), size);
     }
     fs::remove_all(folder);
--- a/tests/watch_harness.hpp
+++ b/tests/watch_harness.hpp
@@ -1,4 +1,5 @@
-// A Watch without a registry: it records the request in force, and keeps the list that is reported.
+// Runs a Watch without a registry. The harness records the pending request of the Watch and keeps the
+// endpoints that it reports; the test supplies the replies and the time.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -39,33 +40,34 @@
     enum class Request { none, read_page, check_revision, watch };
     Request pending_request = Request::none;
     MemberIndex member;
-    std::optional<RecordKey> after;
-    Revision at;
+    std::optional<RecordKey> after_key;
+    Revision requested_revision;
     TimePoint wake_at, now = start_time();
     test_support::KnownEndpoints endpoints;
     std::vector<WatchWarningKind> warnings;
     std::vector<SyncState> states;
     Watch watch;
 
-    void read_page(MemberIndex from, const std::optional<RecordKey>& behind, Revision revision) override {
-        after = behind;
-        set_request(Request::read_page, from, revision);
+    void read_page(MemberIndex target, const std::optional<RecordKey>& previous_key,
+                   Revision revision) override {
+        after_key = previous_key;
+        set_request(Request::read_page, target, revision);
     }
-    void check_revision(MemberIndex from, Revision revision) override {
-        set_request(Request::check_revision, from, revision);
+    void check_revision(MemberIndex target, Revision revision) override {
+        set_request(Request::check_revision, target, revision);
     }
-    void open_watch(MemberIndex from, Revision revision) override {
-        set_request(Request::watch, from, revision);
+    void open_watch(MemberIndex target, Revision revision) override {
+        set_request(Request::watch, target, revision);
     }
     void close() override { pending_request = Request::none; }
-    void schedule_wake(TimePoint t) override { wake_at = t; }
+    void schedule_wake(TimePoint time) override { wake_at = time; }
     void on_endpoints(TimePoint, const std::vector<EndpointRecord>& updates, bool complete) override {
         test_support::apply(endpoints, updates, complete);
     }
     void on_sync_state(TimePoint, SyncState state, TimePoint) override { states.push_back(state); }
     void on_watch_warning(const WatchWarning& warning) override { warnings.push_back(warning.kind); }
 
-    // Runs the wakes that are due by then.
+    // Advances the time and runs each wake that is due within the duration.
     void advance(Duration duration) {
         const TimePoint until = now + duration;
         while (wake_at > now && wake_at <= until) {
@@ -82,24 +84,25 @@
         ASSERT_NE(pending_request, Request::none);
     }
 
-    // Replies of a current member.
+    // Builds the reply of a member that has the newest revision.
     ReplyHeader header(const RegistryModel& registry) const {
         return {registry.cluster(), registry.newest()};
     }
     Page page(const RegistryModel& registry, std::size_t max_records = 1000) const {
-        return page_at(registry, at == Revision{} ? registry.newest() : at, max_records);
+        return page_at(registry, requested_revision == Revision{} ? registry.newest() : requested_revision,
+                       max_records);
     }
-    // The revision must not be compacted.
+    // Builds a page of the given revision, which must not be compacted.
     Page page_at(const RegistryModel& registry, Revision revision, std::size_t max_records) const {
         Page result;
         result.header = {registry.cluster(), revision};
-        for (const auto& [key, present] : *registry.at(revision)) {
-            if (after && key <= *after) continue;
+        for (const auto& [key, stored] : *registry.at(revision)) {
+            if (after_key && key <= *after_key) continue;
             if (result.records.size() == max_records) {
                 result.more = true;
                 return result;
             }
-            result.records.push_back(present);
+            result.records.push_back(stored);
         }
         return result;
     }
@@ -109,24 +112,25 @@
         watch.on_watch_opened(now, header(registry));
     }
     void reply_to_check(const RegistryModel& registry) {
-        const RegistryModel::State* state = registry.at(at);
+        const RegistryModel::State* state = registry.at(requested_revision);
         if (!state) return watch.on_compacted(now);
         std::vector<Record> newest;
-        for (const auto& [key, r] : *state) newest.push_back(r);
+        for (const auto& [key, stored] : *state) newest.push_back(stored);
         std::sort(newest.begin(), newest.end(),
                   [](const Record& x, const Record& y) { return x.modified > y.modified; });
         newest.resize(std::min(newest.size(), max_checked_records));
         watch.on_check_result(now, header(registry), state->size(), newest);
     }
     void deliver_changes(const RegistryModel& registry) {
-        watch.on_changes(now, header(registry), *registry.changes(at, registry.newest()), false);
+        watch.on_changes(now, header(registry), *registry.changes(requested_revision, registry.newest()),
+                         false);
     }
 
 private:
-    void set_request(Request request, MemberIndex from, Revision revision) {
+    void set_request(Request request, MemberIndex target, Revision revision) {
         pending_request = request;
-        member = from;
-        at = revision;
+        member = target;
+        requested_revision = revision;
     }
 };
 
--- a/tests/watch_random_test.cpp
+++ b/tests/watch_random_test.cpp
@@ -1,4 +1,4 @@
-// Watch under random faults: the view is always one revision of the registry.
+// Tests under random faults that the view of a Watch is always one revision of the registry.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 namespace irismux::registry::testing {
 namespace {
 
-// One registry and one Watch, driven by random steps; each step ends with a check of the view.
+// Drives one registry and one Watch with random steps, and checks the view after each step.
 class RandomRun {
 public:
     explicit RandomRun(std::uint64_t seed)
@@ -21,18 +21,18 @@
     }
 
     void step(bool faults) {
-        const int what = draw(100);
-        if (faults && what < 25)
+        const int choice = draw(100);
+        if (faults && choice < 25)
             change();
-        else if (faults && what < 32)
+        else if (faults && choice < 32)
             registry_.compact(Revision{registry_.newest().raw() - draw(3)});
-        else if (faults && what < 35)
+        else if (faults && choice < 35)
             harness_.watch.on_request_failed(harness_.now, {RequestFailureReason::connection_lost, {}});
-        else if (faults && what < 37)
+        else if (faults && choice < 37)
             lag_ = {MemberIndex{static_cast<std::size_t>(draw(3))}, draw(4)};
-        else if (faults && what == 37 && harness_.watch.view().revision() > Revision{})
+        else if (faults && choice == 37 && harness_.watch.view().revision() > Revision{})
             restore();
-        else if (what < 80)
+        else if (choice < 80)
             reply(faults);
         else
             harness_.advance(ms * (1 + draw(faults ? 900 : 300)));
@@ -50,18 +50,18 @@
     std::ranlux24_base random_;
     RegistryModel registry_;
     WatchHarness harness_;
-    std::map<Revision, RegistryModel::State> history_;                        // of the present registry
+    std::map<Revision, RegistryModel::State> history_;                        // of the current registry
     std::vector<std::map<Revision, RegistryModel::State>> former_histories_;  // before restores
     std::pair<MemberIndex, int> lag_{MemberIndex{0}, 0};
-    Revision last_;
-    std::uint64_t reads_ = 0;
+    Revision last_revision_;
+    std::uint64_t last_full_reads_ = 0;
 
     int draw(int below) { return static_cast<int>(random_() % static_cast<std::uint_fast32_t>(below)); }
 
     void change() {
         std::vector<std::pair<RecordKey, std::optional<std::string>>> writes;
-        const int n = 1 + draw(3);
-        for (int w = 0; w < n; ++w) {
+        const int count = 1 + draw(3);
+        for (int n = 0; n < count; ++n) {
             const std::string id = "c" + std::to_string(draw(8));
             if (draw(3) == 0)
                 writes.emplace_back(RecordKey{id}, std::nullopt);
@@ -72,7 +72,8 @@
         registry_.commit(writes);
         history_[registry_.newest()] = *registry_.at(registry_.newest());
     }
-    // Takes longer than the watch timeout, as restores do.
+    // Restores the registry from an older revision. The connection is lost for the watch timeout, since a
+    // real restore takes longer than that.
     void restore() {
         harness_.watch.on_request_failed(harness_.now, {RequestFailureReason::connection_lost, {}});
         harness_.now = harness_.now + WatchHarness::policy(1).watch_timeout;
@@ -85,7 +86,7 @@
         history_[registry_.newest()] = *registry_.at(registry_.newest());
         lag_ = {MemberIndex{0}, 0};
     }
-    Revision shown() const {
+    Revision member_revision() const {
         const std::int64_t behind = harness_.member == lag_.first ? lag_.second : 0;
         return std::max(registry_.oldest(), Revision{registry_.newest().raw() - behind});
     }
@@ -103,21 +104,24 @@
         }
     }
     void reply_with_page() {
-        const Revision revision = harness_.at == Revision{} ? shown() : harness_.at;
+        const Revision revision =
+            harness_.requested_revision == Revision{} ? member_revision() : harness_.requested_revision;
         if (!registry_.at(revision)) return harness_.watch.on_compacted(harness_.now);
         const auto max_records = std::size_t{1} + static_cast<std::size_t>(draw(6));
         harness_.watch.on_page(harness_.now, harness_.page_at(registry_, revision, max_records));
     }
     void reply_to_watch(bool faults) {
-        const ReplyHeader header{registry_.cluster(), shown()};
+        const ReplyHeader header{registry_.cluster(), member_revision()};
         harness_.watch.on_watch_opened(harness_.now, header);
         if (harness_.pending_request != WatchHarness::Request::watch ||
             harness_.watch.sync_state() != SyncState::following)
             return;
-        if (faults && draw(5) == 0) return;  // open, no message for now
-        Revision next{std::max(harness_.at, Revision{harness_.watch.view().revision().raw() + 1})};
+        if (faults && draw(5) == 0) return;  // the watch is open, but no message arrives in this step
+        Revision next{
+            std::max(harness_.requested_revision, Revision{harness_.watch.view().revision().raw() + 1})};
         if (faults && draw(4) == 0)
-            next = Revision{std::max<std::int64_t>(2, next.raw() - draw(3))};  // repeats
+            // Repeats changes that were already delivered.
+            next = Revision{std::max<std::int64_t>(2, next.raw() - draw(3))};
         if (next > header.revision) return harness_.watch.on_changes(harness_.now, header, {}, false);
         const auto changes = registry_.changes(next, header.revision);
         if (!changes) return harness_.watch.on_compacted(harness_.now);
@@ -143,48 +147,50 @@
     bool view_is(const RegistryModel::State& state) const {
         const auto& entries = harness_.watch.view().entries();
         if (entries.size() != state.size()) return false;
-        for (const auto& [key, rec] : state) {
+        for (const auto& [key, expected] : state) {
             const auto it = entries.find(key);
-            if (it == entries.end() || it->second.value != rec.value || it->second.created != rec.created)
+            if (it == entries.end() || it->second.value != expected.value ||
+                it->second.created != expected.created)
                 return false;
         }
         return true;
     }
     void check() {
-        const EndpointView& v = harness_.watch.view();
-        // The revision goes back only by a full read.
-        ASSERT_TRUE(v.revision() >= last_ || harness_.watch.full_reads() > reads_);
-        last_ = v.revision();
-        reads_ = harness_.watch.full_reads();
-        if (v.revision() == Revision{}) return;
+        const EndpointView& view = harness_.watch.view();
+        // Only a full read may move the view to an older revision.
+        ASSERT_TRUE(view.revision() >= last_revision_ || harness_.watch.full_reads() > last_full_reads_);
+        last_revision_ = view.revision();
+        last_full_reads_ = harness_.watch.full_reads();
+        if (view.revision() == Revision{}) return;
         const auto contains_view = [&](const std::map<Revision, RegistryModel::State>& history) {
-            const auto it = history.find(v.revision());
+            const auto it = history.find(view.revision());
             return it != history.end() && view_is(it->second);
         };
         const bool found = contains_view(history_) ||
                            std::any_of(former_histories_.begin(), former_histories_.end(), contains_view);
-        ASSERT_TRUE(found) << "no revision of the registry is " << v.revision().raw();
-        check_reported(v);
+        ASSERT_TRUE(found) << "the view differs from each revision of the registry; its revision is "
+                           << view.revision().raw();
+        check_reported(view);
     }
-    // What was reported to the observer is what the view holds.
-    void check_reported(const EndpointView& v) {
+    // Checks that the endpoints reported to the observer are those of the view.
+    void check_reported(const EndpointView& view) {
         std::size_t reported = 0;
-        for (const auto& [key, e] : v.entries()) {
-            ASSERT_TRUE(e.endpoint);
-            const auto it = harness_.endpoints.find(e.endpoint->first.cache);
+        for (const auto& [key, entry] : view.entries()) {
+            ASSERT_TRUE(entry.endpoint);
+            const auto it = harness_.endpoints.find(entry.endpoint->first.cache);
             ASSERT_TRUE(it != harness_.endpoints.end()) << key.raw();
-            ASSERT_EQ(it->second.status, e.endpoint->first.status);
-            ASSERT_EQ(it->second.weight, e.endpoint->first.weight);
+            ASSERT_EQ(it->second.status, entry.endpoint->first.status);
+            ASSERT_EQ(it->second.weight, entry.endpoint->first.weight);
             ++reported;
         }
         ASSERT_EQ(reported, harness_.endpoints.size());
     }
 };
 
-// Given: a registry with random changes, compactions and restores, whose members lag. When: replies are
-// lost, repeated, cut and late. Then: after each step the view is exactly one of its revisions, and
-// without faults it ends at the newest.
-TEST(WatchUnderRandomFaults, TheViewIsAlwaysOneRevisionAndInTheEndTheNewest) {
+// The registry changes, compacts and restores at random and its members lag, while replies are lost,
+// repeated, fragmented and late. None of this may give a view that mixes revisions: after each step the view
+// is exactly one revision, and once the faults end it becomes the newest.
+TEST(WatchUnderRandomFaults, TheViewIsAlwaysOneRevisionAndEndsAtTheNewest) {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
         RandomRun run(seed);
