--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -53,7 +53,7 @@
 }
 
 // Replaces one record if this record and those of `conditions` still have the given values. If the reply to
-// the write is lost, the record is read again, which shows whether the write was carried out.
+// the write is lost, the record is read again to find out whether the write was carried out.
 class RecordUpdate {
 public:
     RecordUpdate(RegistrySession& session, const registry::Settings& settings, Key key, RecordValue before,
@@ -146,7 +146,8 @@
     const RecordValue text = text_of(records, release_key(duty));
     const auto owner = text ? parse_release(*text) : std::nullopt;
     if (owner)
-        std::cout << " release requested from " << owner->name.raw() << " start " << owner->incarnation.raw();
+        std::cout << " release requested of member " << owner->name.raw() << " start "
+                  << owner->incarnation.raw();
 }
 
 void print_health(const Records& records, const DutyName& duty) {
--- a/src/cli/fleet_in_force_command.cpp
+++ b/src/cli/fleet_in_force_command.cpp
@@ -97,7 +97,7 @@
         case Reason::lagging:
             return "live, but has not applied the event or configuration";
         case Reason::never_reported:
-            return "expected, but has no readable digest";
+            return "named in 'sites', but has no readable digest";
         case Reason::too_few_members:
             return "has fewer known gateways than 'sites' states";
         case Reason::too_many_members:
--- a/src/cli/registry_commands.cpp
+++ b/src/cli/registry_commands.cpp
@@ -173,7 +173,7 @@
         const Record present = value_or_throw(read_record(session, settings, id));
         auto fields = nlohmann::json::parse(present.value, nullptr, false);
         if (present.created == Revision{} || !fields.is_object())
-            return print_error("there is no record that is a JSON object for " + id);
+            return print_error("the record is missing or is not a JSON object: " + id);
         fields["state"] = state;
         return RecordWriter(session, settings, id).write(fields.dump(), present.modified);
     });
--- a/src/fleet/agent.cpp
+++ b/src/fleet/agent.cpp
@@ -8,7 +8,8 @@
 namespace {
 
 constexpr double start_spread_intervals = 0.25;
-// The pause after a missing reply doubles with each consecutive one, up to a heartbeat interval.
+// The pause after a missing reply doubles with each further missing reply in a row, up to a heartbeat
+// interval.
 constexpr int max_retry_doublings = 4;
 
 }  // namespace
--- a/src/fleet/agent.hpp
+++ b/src/fleet/agent.hpp
@@ -67,8 +67,9 @@
     void set_applied_revisions(TimePoint now, const std::optional<AppliedRevisions>& revisions);
     void set_heartbeat_reads(TimePoint now, HeartbeatReads reads);
 
-    /// Applies watched records as of revision `at`, which may lag behind transactions. With `full_list` there
-    /// are no other records. Unknown kinds of keys are ignored.
+    /// Applies watched records with their values at revision `at`, which may be lower than the revisions of
+    /// earlier transaction results. With `full_list` there are no other records. Unknown kinds of keys are
+    /// ignored.
     void on_records(TimePoint now, registry::Revision at, const std::vector<KeyValue>& records,
                     bool full_list);
     /// `succeeded` is true if the comparisons held and all writes are committed. `records` are the records
--- a/src/fleet/digest.hpp
+++ b/src/fleet/digest.hpp
@@ -3,15 +3,15 @@
 ///
 ///   roster    the names that have ever joined the site, until an operator removes them. The transaction of a
 ///             name's first join adds it, so that the roster lacks no member that may be serving.
-///   digest    written by the duty's owner as of one of its own heartbeats, whose transaction read the roster
-///             and all heartbeats at one revision.
+///   digest    computed and written by the duty's owner after one of its own heartbeats. That heartbeat's
+///             transaction read the roster and all heartbeats at one revision; the digest is based on them.
 ///
 /// A member counts as live only while its heartbeats prove that its process runs: a heartbeat compares the
-/// previous one, so its sender ran after that one was committed. A member that is not live is listed as
-/// absent, with the time since when, until it is live again or removed from the roster.
+/// previous one, so its sender ran after the previous heartbeat was committed. A member that is not live is
+/// listed as absent, with the time since when, until it is live again or removed from the roster.
 ///
-/// Guarantee: each live member has applied a digest's `lowest` event, and its process ran at some time no
-/// earlier than max_unseen_time() before the heartbeat that the digest is as of.
+/// Guarantee: each live member has applied a digest's `lowest` event. The member's process ran at some time
+/// no earlier than max_unseen_time() before the owner's heartbeat on which the digest is based.
 #pragma once
 
 #include <map>
--- a/src/fleet/duties.hpp
+++ b/src/fleet/duties.hpp
@@ -40,11 +40,11 @@
     void forget_given_up() { given_up_.clear(); }
     std::map<DutyName, Duty>& all() { return all_; }
     const std::map<DutyName, Duty>& all() const { return all_; }
-    /// Applies a record as of that revision; a revision older than the known one is ignored.
+    /// Applies a record with its value at revision `at`; a revision older than the known one is ignored.
     /// @return true if the duty is followed and its record has changed or is known for the first time.
     bool on_record(registry::Revision at, const DutyName&, const std::optional<std::string>& text);
-    /// Called before all records are delivered again, possibly as of a lower revision. Duties that are not
-    /// listed have no record.
+    /// Called before all records are delivered again, possibly with their values at a lower revision. Duties
+    /// that are not listed have no record.
     void on_full_list(const std::set<DutyName>& listed);
 
     /// Returns whether one member ranks before the other in the duty's order.
--- a/src/fleet/fleet_client.hpp
+++ b/src/fleet/fleet_client.hpp
@@ -67,22 +67,22 @@
     [[nodiscard]] const Agent& agent() const { return agent_; }
 
 private:
-    // AgentTransport
+    // Functions of AgentTransport:
     void submit(const Transaction& transaction) override { transaction_client_.submit(transaction); }
     void schedule_wake(TimePoint at) override;
-    // AgentObserver
+    // Functions of AgentObserver:
     void on_lease_state(const DutyName&, LeaseState, FencingToken) override;
     void on_write_outcome(const DutyName&, const Key&, WriteOutcome) override;
     void on_event(const FleetEvent& event) override { gateway_.on_fleet_event(event); }
     void on_heartbeat_result(TimePoint sent, HeartbeatNumber, const std::vector<KeyValue>& records) override;
     void on_registry_restored() override;
-    // HealthCheckCallbacks
+    // Functions of HealthCheckCallbacks:
     void start_health_check(const CacheId&) override;
     void postpone_recovery_probe(const CacheId&, TimePoint) override;
-    // TransactionObserver
+    // Functions of TransactionObserver:
     void on_transaction_result(registry::Revision, bool succeeded, const std::vector<KeyValue>&) override;
     void on_transaction_lost() override;
-    // registry::WatchObserver
+    // Functions of registry::WatchObserver:
     void on_endpoints(TimePoint, const std::vector<EndpointRecord>&, bool) override {}
     void on_records(TimePoint, registry::Revision, const std::vector<registry::Change>&, bool all) override;
     void on_sync_state(TimePoint, registry::SyncState, TimePoint as_of) override;
--- a/src/fleet/fleet_status.cpp
+++ b/src/fleet/fleet_status.cpp
@@ -32,7 +32,7 @@
 }
 
 // The digest is fresh if a recently requested reading still showed a lower heartbeat of its owner: the
-// heartbeat that the digest is as of was committed after that request.
+// heartbeat on which the digest is based was committed after that request.
 bool FleetStatus::fresh(TimePoint now, const SiteName& site) const {
     const auto digest = digests_.find(site);
     const auto shown = heartbeat_readings_.find(site);
@@ -69,7 +69,8 @@
             missing.push_back({MissingReason::lagging, site, lagging.member, 0});
             named = true;
         }
-    // Either all members of the site lag equally, or the digest does not name all lagging members.
+    // Adds an entry without a member name in two cases: the digest names no lagging member because all
+    // members of the site lag equally, or it does not name all lagging members.
     if (!named || digest.lagging_count > digest.lagging.size())
         missing.push_back({MissingReason::lagging, site, {}, 0});
 }
--- a/src/fleet/fleet_status.hpp
+++ b/src/fleet/fleet_status.hpp
@@ -3,9 +3,9 @@
 /// event. Does no I/O and reads no clock.
 ///
 /// A digest counts only while it is fresh: no longer than max_staleness() ago, the reader itself has seen a
-/// heartbeat of the owner with a lower number than the one that the digest is as of. So several reads are
-/// needed before any verdict is possible, and neither a stopped owner nor a late message can make an old
-/// digest count as new.
+/// heartbeat of the owner with a lower number than the heartbeat on which the digest is based. So several
+/// reads are needed before any verdict is possible, and neither a stopped owner nor a late message can make
+/// an old digest count as new.
 ///
 /// Guarantee: when judge() returns `everywhere`, no gateway acts without the event. Premises: those of
 /// AppliedRevisionTracker and DigestBuilder; the inventory names every site with the number of its gateways;
--- a/src/fleet/health_monitor.hpp
+++ b/src/fleet/health_monitor.hpp
@@ -70,7 +70,8 @@
     std::set<CacheId> ejected_caches_;
     std::set<CacheId> monitored_;
     std::map<CacheId, HealthCheck> checks_;  // of duties that this member owns
-    // Caches that this gateway ejects, that are published as healthy and whose recovery probe was moved.
+    // Caches that this gateway ejects and that the owner of the health check has published as healthy. This
+    // gateway's recovery probe of such a cache has already been moved to this gateway's turn.
     std::set<CacheId> healthy_;
     TimePoint next_check_at_;
 };
--- a/src/fleet/lease.hpp
+++ b/src/fleet/lease.hpp
@@ -18,7 +18,7 @@
 /// Returns the state's name in the log.
 std::string_view to_string(LeaseState);
 
-/// The conditions that determine the state, all as of one time of the member's own clock.
+/// The conditions that determine the state, all at one time of the member's own clock.
 struct LeaseConditions {
     bool record_names_us = false;  ///< the newest record known names this exact instance
     bool in_term = false;          ///< a heartbeat was committed so recently that this member may act
--- a/src/fleet/membership.hpp
+++ b/src/fleet/membership.hpp
@@ -37,7 +37,8 @@
     void on_heartbeat_sent(TimePoint now, HeartbeatNumber heartbeat);
     /// Called when the registry has committed the heartbeat. If the term had ended before the heartbeat was
     /// sent, the new term begins with a grace period of one eviction timeout, during which this member owns
-    /// nothing: by its end all terms that the registry's former state granted have ended.
+    /// nothing. When the grace period ends, all terms that were granted by a former state of the registry
+    /// (such as the state before a restore) have ended.
     void on_heartbeat_confirmed(TimePoint now, HeartbeatNumber heartbeat);
     void on_removed() { joined_ = false; }
     bool joined() const { return joined_; }
@@ -49,13 +50,13 @@
     HeartbeatNumber last_confirmed() const { return last_confirmed_; }
 
     // --- the other members
-    /// Applies a member's record as of that revision; `text` is empty if there is no record. A revision older
-    /// than the known one is ignored.
+    /// Applies a member's record with its value at revision `at`; `text` is empty if there is no record. A
+    /// revision older than the known one is ignored.
     /// @return true if the member is new, has another instance, or is removed.
     bool on_member_record(TimePoint now, registry::Revision at, const MemberName&,
                           const std::optional<std::string>& text);
-    /// Called before all records are delivered again, possibly as of a lower revision. Members that are not
-    /// listed are removed.
+    /// Called before all records are delivered again, possibly with their values at a lower revision. Members
+    /// that are not listed are removed.
     void on_full_list(TimePoint now, const std::set<MemberName>& listed);
     /// Applies a heartbeat as the registry shows it. An unchanged heartbeat counts towards the eviction
     /// timeout. A new one restarts the timeout or, unless `keep_observing`, ends it until the member is
--- a/src/fleet/transaction.hpp
+++ b/src/fleet/transaction.hpp
@@ -16,7 +16,7 @@
 using KeyValue = std::pair<Key, RecordValue>;
 
 /// Does its writes only if all records in `compares` have the given values. The result shows the records in
-/// `reads` as of after the transaction or, if a comparison failed, all records in `compares`.
+/// `reads` as they are after the transaction or, if a comparison failed, all records in `compares`.
 struct Transaction {
     std::vector<KeyValue> compares;
     std::vector<KeyValue> writes;
--- a/src/fleet/transaction_client.hpp
+++ b/src/fleet/transaction_client.hpp
@@ -14,8 +14,8 @@
 class TransactionObserver {
 public:
     virtual ~TransactionObserver() = default;
-    /// Called with the registry's reply as of a revision. `records` are the records shown by the result, see
-    /// Transaction.
+    /// Called with the registry's reply and the revision of that reply. `records` are the records shown by
+    /// the result, see Transaction.
     virtual void on_transaction_result(registry::Revision, bool succeeded,
                                        const std::vector<KeyValue>& records) = 0;
     /// Called if there will be no reply: the transaction may be committed, may still be committed, or never
@@ -35,7 +35,7 @@
     void submit(const Transaction& transaction);
 
 private:
-    // registry::ReplyHandler
+    // Functions of registry::ReplyHandler:
     void on_reply(int status, const std::string& body) override;
     void on_stream_message(std::string_view) override {}
     void on_message_too_long() override {}
--- a/src/gateway/endpoint_source.hpp
+++ b/src/gateway/endpoint_source.hpp
@@ -43,7 +43,7 @@
     [[nodiscard]] const registry::RegistryClient* registry() const { return registry_.get(); }
 
 private:
-    // registry::WatchObserver
+    // Functions of registry::WatchObserver:
     void on_endpoints(TimePoint now, const std::vector<EndpointRecord>& records, bool complete) override;
     void on_sync_state(TimePoint now, registry::SyncState state, TimePoint as_of) override;
     void on_watch_warning(const registry::WatchWarning& warning) override;
--- a/src/gateway/fleet_participation.hpp
+++ b/src/gateway/fleet_participation.hpp
@@ -54,12 +54,12 @@
     void on_poll_failed();
     void on_notice_skipped();
 
-    // EndpointHealthObserver
+    // Functions of EndpointHealthObserver:
     void on_ejection_changed(const CacheId& cache, bool ejected) override;
     void on_health_check_done(const CacheId& cache, bool passed) override;
 
 private:
-    // fleet::GatewayCallbacks
+    // Functions of fleet::GatewayCallbacks:
     bool start_health_check(const CacheId& cache) override;
     void postpone_recovery_probe(const CacheId& cache, TimePoint not_before) override;
     void on_fleet_event(const fleet::FleetEvent& event) override;
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -43,7 +43,7 @@
     [[nodiscard]] const registry::RegistryClient* registry() const { return endpoint_source_.registry(); }
 
 private:
-    // NoticeObserver
+    // Functions of NoticeObserver:
     void on_endpoint_notice(const std::vector<EndpointRecord>& records, bool complete) override;
     void on_purge_notice(const PurgeNotice& purge) override;
     bool wants_full_history() const override { return fleet_.wants_full_history(); }
@@ -51,7 +51,7 @@
     void on_poll_completed(std::int64_t newest, std::int64_t polled_from) override;
     void on_poll_failed() override { fleet_.on_poll_failed(); }
     void on_notice_skipped() override { fleet_.on_notice_skipped(); }
-    // EndpointListObserver
+    // Functions of EndpointListObserver:
     void on_endpoint_list(const std::vector<EndpointRecord>& records, bool complete) override;
     void on_endpoint_source_lost(TimePoint now) override { dispatcher_.on_endpoint_updates_lost(now); }
 
--- a/src/gateway/parts_section.cpp
+++ b/src/gateway/parts_section.cpp
@@ -59,7 +59,7 @@
             return edit_distance(a, key) < edit_distance(b, key);
         });
     const std::string where = name_.empty() ? "" : " in " + heading();
-    fail(&node, "unknown key " + quoted(key) + where + "; the nearest known one is " + quoted(*nearest));
+    fail(&node, "unknown key " + quoted(key) + where + "; the most similar known key is " + quoted(*nearest));
 }
 
 void PartsSection::fail(const toml::node* node, const std::string& problem) const {
--- a/src/gateway/request_admission.cpp
+++ b/src/gateway/request_admission.cpp
@@ -20,8 +20,8 @@
 }
 
 // A connection has at most one open request per client request id; other connections may use the same id. A
-// repeated request is refused while the first one is open. A repeated non-idempotent request is refused until
-// the longest deadline of any object kind has passed after the first one's own deadline.
+// repeated request is refused while the first request is open. A repeated non-idempotent request is refused
+// for longer: until the first request's deadline plus the longest deadline of any object kind.
 RequestHandler::Admission RequestAdmission::admit(const ClientStream& stream,
                                                   const ClientRequest& client_request, TimePoint now) {
     const std::pair open_id{stream.connection, client_request.client_request_id};
--- a/src/gateway/request_dispatcher.cpp
+++ b/src/gateway/request_dispatcher.cpp
@@ -99,7 +99,7 @@
     }
     end_all_attempts(request, Outcome::deadline_exceeded);
     // Failure prevented: the router waits for an event that does not occur, and the client gets no response.
-    // Such a request has no response at its deadline, so every request without one is failed here.
+    // Such a request has no response at its deadline, so every request without a response is failed here.
     if (request.fail()) {
         release(request, false);
         request_log::unanswered_at_deadline(request);
--- a/src/gateway/request_dispatcher.hpp
+++ b/src/gateway/request_dispatcher.hpp
@@ -48,17 +48,17 @@
     /// Whether any client still waits for its final response. Attempts may still be in flight after that.
     [[nodiscard]] bool has_unanswered_request() const;
 
-    // RequestHandler
+    // Functions of RequestHandler:
     Admission on_client_request(const ClientStream& stream, ClientRequest client_request) override;
     void on_client_closed(const ClientStream& stream) override;
-    // AttemptObserver
+    // Functions of AttemptObserver:
     void on_attempt_ended(ActiveRequest& request, std::size_t attempt, const AttemptEnd& end) override;
     void on_request_id_in_use(ActiveRequest& request, std::size_t attempt) override;
     void on_health_check_result(const HealthCheckResult& result) override;
     bool may_begin_attempt(ActiveRequest& request, std::size_t attempt) override;
 
 private:
-    // RouterCallbacks
+    // Functions of RouterCallbacks:
     void start_direct_attempt(const RequestId& id, const CacheId& origin, Duration timeout) override;
     void start_attempt(const RequestId& id, const AttemptPlan& plan) override;
     void cancel_attempt(const RequestId& id, AttemptIndex attempt) override;
--- a/src/net/cache_connection.cpp
+++ b/src/net/cache_connection.cpp
@@ -96,8 +96,8 @@
 }
 
 // A cache runs an attempt only once it has received all of it. If the connection was never established, the
-// attempt ends as refused. If an established connection broke, the attempt is restarted on a new connection,
-// which shows whether the cache is alive. A cache that accepts connections and breaks two in a row is
+// attempt ends as refused. If an established connection broke, the attempt is restarted on a new connection
+// to find out whether the cache is alive. A cache that accepts connections and breaks two in a row is
 // overloaded, not dead.
 void CacheConnection::restart_or_end(const CarriedAttempt& carried) {
     if (!was_connected_) return end_attempt(carried, Outcome::connection_refused);
@@ -343,7 +343,8 @@
     const auto end = cache_protocol::parse_response(message, carried.request->client_request());
     if (!end) return false;
     in_flight_.erase(it);
-    // A duplicate of a response follows it shortly, so the id can be released before the request's deadline.
+    // A duplicate of a response, if any, arrives shortly after the response. So the id stays reserved only
+    // for late_response_window from now on, instead of until the request's deadline.
     const TimePoint now = loop_.now();
     request_ids_.add(carried.request->client_request_id(), carried.request->id(),
                      now + context_.limits.late_response_window, now);
--- a/src/net/cache_connection_pool.cpp
+++ b/src/net/cache_connection_pool.cpp
@@ -163,8 +163,8 @@
 
     const bool may_open = !at_connection_limit() || close_one_idle();
     Selection opened = may_open ? open_connection(endpoint) : Selection{};
-    // A single "no route" error may be outdated, so the connection is tried once more if there is no other
-    // one.
+    // If connecting fails with "no route" and no existing connection can carry the attempt, connects once
+    // more: a single such error may report a state of the network that has passed.
     if (opened.status == SelectionStatus::unreachable && !best) opened = open_connection(endpoint);
     if (opened.status == SelectionStatus::selected || !best) return opened;
     return {SelectionStatus::selected, best};
--- a/src/net/cache_connection_pool.hpp
+++ b/src/net/cache_connection_pool.hpp
@@ -33,8 +33,9 @@
     /// Removes a queued or delayed attempt, or sends a cancellation for an attempt in flight. The end of the
     /// attempt is not reported.
     void cancel_attempt(ActiveRequest& request, std::size_t attempt);
-    /// Prevents the attempts of a request whose client is gone from starting. The caller then has to end
-    /// those whose progress is TransmitProgress::not_connected.
+    /// Withdraws a request whose client has disconnected: attempts of the request that have not been started
+    /// are not started any more. The caller then has to end each attempt whose progress is
+    /// TransmitProgress::not_connected.
     void withdraw_unstarted_attempts(ActiveRequest& request);
 
     /// Does nothing if the cache is not active or no connection is available.
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -16,7 +16,8 @@
 using Poco::Net::ReadableNotification;
 using Poco::Net::WritableNotification;
 
-// Minimum free room in the input buffer for a read; if the buffer has grown, a read fills all of it.
+// Minimum free room in the input buffer for a read. If the buffer has grown, a read may fill all of its free
+// room.
 constexpr std::size_t min_read_bytes = 4'096;
 // Limits the reads from one connection per iteration, so that a busy connection does not delay the others.
 constexpr int max_reads_per_iteration = 4;
@@ -267,7 +268,7 @@
     return {ReceiveStatus::none_yet};
 }
 
-// @return whether the system may have more input.
+// @return whether the kernel may have more input for this connection.
 bool Connection::read_some() {
     char* const first = input_.prepare(min_read_bytes);
     const std::span<char> room(first, input_.free_capacity());
@@ -279,7 +280,7 @@
     return received.bytes == room.size();
 }
 
-// @return whether the system may have more input.
+// @return whether the kernel may have more input for this connection.
 bool Connection::discard_some() {
     std::array<char, min_read_bytes> discarded{};
     const Received received = receive(discarded);
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -63,7 +63,7 @@
     /// The peer has closed the connection, or the connection has failed. Never called from within
     /// write_pending().
     virtual void on_closed() = 0;
-    /// Whether connecting failed with a reset, which means that the peer had accepted the connection.
+    /// Whether connecting failed with a reset. Such a reset means that the peer had accepted the connection.
     [[nodiscard]] bool was_reset() const { return reset_while_connecting_; }
 
     /// Schedules a call of on_write_ready() before the loop waits again.
--- a/src/net/event_time_estimator.hpp
+++ b/src/net/event_time_estimator.hpp
@@ -58,8 +58,8 @@
 
     Period period_ = Period::history;
     TimePoint now_, earliest_;
-    // The minimum by which the writers' clock is ahead of this process's clock, and when it was observed;
-    // std::nullopt if nothing was observed.
+    // Minimum time by which the clock of the events' writers is ahead of this process's clock, and the time
+    // at which this minimum was observed. clock_offset_ is std::nullopt if nothing was observed.
     std::optional<Duration> clock_offset_;
     TimePoint clock_offset_seen_at_;
     std::map<CacheId, Start> starts_;
--- a/src/registry/registry_client.cpp
+++ b/src/registry/registry_client.cpp
@@ -110,8 +110,8 @@
 // Handled like a compaction: a full read, in pages below the limit, delivers the same changes.
 void RegistryClient::on_message_too_long() { watch_.on_compacted(event_loop_.now()); }
 
-// Guards against an endless repetition of the same long reply: a page is requested again with half the
-// records, and a history check whose reply is too long is replaced by a full read.
+// Changes the request, so that the same too long reply does not repeat endlessly: a page is requested again
+// with half the records, and a history check whose reply is too long is replaced by a full read.
 void RegistryClient::on_reply_too_long() {
     if (pending_request_.operation == Operation::check_revision)
         return watch_.on_compacted(event_loop_.now());
--- a/src/registry/registry_client.hpp
+++ b/src/registry/registry_client.hpp
@@ -39,14 +39,14 @@
         Revision at;
     };
 
-    // WatchTransport
+    // Functions of WatchTransport:
     void read_page(MemberIndex member, const std::optional<RecordKey>& after, Revision at) override;
     void check_revision(MemberIndex member, Revision at) override;
     void open_watch(MemberIndex member, Revision from) override;
     void close() override;
     void schedule_wake(TimePoint at) override;
 
-    // ReplyHandler
+    // Functions of ReplyHandler:
     void on_reply(int status, const std::string& body) override;
     void on_stream_message(std::string_view message) override;
     void on_message_too_long() override;
--- a/src/registry/watch.cpp
+++ b/src/registry/watch.cpp
@@ -221,8 +221,8 @@
     apply_full_read(now);
 }
 
-// Guards against a member that lost its data and returns an empty or mostly unreadable list. Applying such a
-// list would remove the fleet, so it needs a confirmation, see is_confirmed().
+// A member that lost its data returns an empty or mostly unreadable list. Applying such a list would remove
+// the fleet, so the list is doubtful and needs a confirmation, see is_confirmed().
 bool Watch::is_doubtful(const std::vector<Record>& records) const {
     constexpr double min_readable_share = 0.5;
     if (!list_reported_ || view_.entries().empty()) return false;
@@ -273,9 +273,9 @@
 
 // --- history check ---------------------------------------------------------------------------------------
 
-// Guards against a registry that was restored and whose revision has since passed the view's. Its revision
-// does not reveal the restore, and a watch alone would not report the records that the restore removed. The
-// history of such a registry differs from the view's, so the two are compared.
+// Compares the registry's history with the view's, because the two differ after the registry was restored. If
+// the registry's revision has since passed the view's, the revision does not reveal the restore, and a watch
+// alone would not report the records that the restore removed.
 void Watch::on_check_result(TimePoint now, const ReplyHeader& header, std::size_t records,
                             const std::vector<Record>& newest) {
     if (pending_operation_ != PendingOperation::check) return;
--- a/src/routing/congestion.hpp
+++ b/src/routing/congestion.hpp
@@ -33,7 +33,8 @@
     void recount_late_attempts(TimePoint now);
 
     /// @return true if the fills behind the caches neither complete nor fail, whatever the cause. Further
-    /// fills would slow down those in progress, while hits still work, so a cached copy is requested first.
+    /// fills would slow down the fills in progress, while hits still work, so a cached copy is requested
+    /// first.
     [[nodiscard]] bool fills_congested(double transfer_seconds) const;
     /// @return true if even a known miss should not be filled
     [[nodiscard]] bool fills_exhausted(double transfer_seconds) const;
--- a/src/routing/edge_selection.hpp
+++ b/src/routing/edge_selection.hpp
@@ -27,7 +27,8 @@
     struct Candidates {
         EndpointState* below_spill_load = nullptr;  // first cache in the object's order below the spill load
         EndpointState* least_loaded = nullptr;      // least loaded cache above the spill load
-        EndpointState* last_resort = nullptr;       // earliest next_probe_at of those that may not be chosen
+        // Of the caches that may not be chosen, the cache with the earliest next_probe_at.
+        EndpointState* last_resort = nullptr;
     };
     [[nodiscard]] Candidates candidates(const PendingRequest& request, double spill_load,
                                         TimePoint now) const;
--- a/src/routing/endpoint_state.hpp
+++ b/src/routing/endpoint_state.hpp
@@ -60,7 +60,7 @@
     std::optional<TimePoint> warming_up_since;
     TimePoint start_detected_at;      ///< when the router detected the start
     bool refused_while_idle = false;  ///< the process has stopped; the next response is from a new one
-    double budget = 0;                ///< seconds of transfer time that may be sent to the endpoint
+    double budget = 0;                ///< transfer time of the requests that may be sent, in seconds
     TimePoint accrued_until;          ///< time up to which the budget has been accrued
     double required_share = 1;        ///< share of a request's transfer time that the budget must cover
     WindowedSum<sent_time_window_parts> sent_transfer_time;  ///< in seconds, over the overload window
--- a/src/routing/fill_source.cpp
+++ b/src/routing/fill_source.cpp
@@ -118,8 +118,9 @@
     request.plan.max_age = dependencies_.freshness.max_age(request, true, now);
 }
 
-// A timeout after which the attempt is treated as lost, so that it is soon repeated at the same cache, which
-// has the object. Zero if only the request's deadline applies.
+// Returns a timeout after which the attempt is treated as lost, or zero if only the request's deadline
+// applies. With the timeout a lost attempt is soon repeated, and at the same cache because that cache has the
+// object.
 Duration FillSourceSelection::lost_attempt_timeout(const PendingRequest& request, const EndpointState& cache,
                                                    TimePoint now) const {
     const bool transfer_time_known =
--- a/src/routing/object_statistics.cpp
+++ b/src/routing/object_statistics.cpp
@@ -8,7 +8,7 @@
 
 // Length of a generation, as a multiple of the longest deadline.
 constexpr double deadlines_per_generation = 2;
-// Approximate number of results in each mean.
+// Each mean covers approximately this many of the latest results.
 constexpr double mean_over_results = 256;
 
 }  // namespace
--- a/src/routing/purge_table.hpp
+++ b/src/routing/purge_table.hpp
@@ -19,8 +19,8 @@
         : retention_(reaches_all_copies_after + reaches_all_copies_after) {}
 
     /// Maximum number of purges of objects and of purges of groups. Beyond it, the older half is merged into
-    /// one purge of everything at the time of the newest of them. No purged copy is served (rule 5), at the
-    /// cost of additional fills.
+    /// one purge of everything, dated to the newest purge of that half. No purged copy is served (rule 5), at
+    /// the cost of additional fills.
     static constexpr std::size_t max_purges = 16'384;
 
     void add(TimePoint at, PurgeGroupId group, const std::optional<ObjectName>& object, TimePoint now);
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -14,8 +14,8 @@
 // Share of the capacity between the budget's rate and the overload multiple that all gateways together may
 // accumulate while they are idle.
 constexpr double headroom_share = 0.7;
-// Maximum transfer time sent to an endpoint in an overload window, as a multiple of the budget that accrues
-// in it.
+// Maximum transfer time of the requests sent to an endpoint in an overload window, as a multiple of the
+// budget that accrues in it.
 constexpr double max_sent_per_window = 1.3;
 
 double rate_multiple(const SlowStart& settings) {
@@ -42,8 +42,10 @@
       has_parents_(deployment.parent_machine.has_value()),
       overload_window_(deployment.overload_window) {}
 
-// All gateways detect a start at the same time. The budget needs to cover only a random share of a request's
-// transfer time, which spreads their first requests if the budget of each gateway is less than a request.
+// All gateways detect the start of an endpoint's process at the same time. If the budget of each gateway is
+// less than the transfer time of one request, all gateways would also have the budget for their first request
+// at the same time. To spread the first requests, the budget needs to cover only a share of the transfer
+// time, which each gateway chooses at random.
 void SlowStartPolicy::begin(EndpointState& endpoint, TimePoint since, TimePoint now) const {
     EndpointWarmUp& warm_up = endpoint.warm_up;
     warm_up.refused_while_idle = false;
--- a/src/routing/slow_start.hpp
+++ b/src/routing/slow_start.hpp
@@ -1,7 +1,8 @@
 // Prevents overload of an endpoint that is warming up (rule 4).
 //
-// Each gateway limits itself to its even share of a budget of transfer time, which grows at the rate of the
-// slowest warm-up that the settings allow. The origin in place of parents is limited by a budget of the same
+// Each gateway limits the requests that it sends to the endpoint: the sum of their transfer times is limited
+// by the gateway's even share of a budget. This budget grows at the rate of the slowest warm-up that the
+// settings allow. Requests that go to the origin in place of parents are limited by a budget of the same
 // form.
 #pragma once
 
@@ -23,8 +24,8 @@
     /// Checks whether a request with this transfer time may be sent to the endpoint. Always true for edge
     /// caches and parents that have warmed up. Accrues the budget, but does not charge it.
     [[nodiscard]] bool has_budget(EndpointState& endpoint, double transfer_seconds, TimePoint now) const;
-    /// Counts the transfer time sent to an endpoint, even if the endpoint is not known to be warming up, and
-    /// charges it to the budget if there is one.
+    /// Counts the transfer time of a request that is sent to the endpoint, even if the endpoint is not known
+    /// to be warming up, and charges this time to the endpoint's budget, if any.
     void charge(EndpointState& endpoint, double transfer_seconds, TimePoint now) const;
     /// Rechecks an attempt that has waited, right before its first byte is written. If the router has
     /// detected a start of the endpoint since the last check, the attempt must fit the new budget and is
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -10,8 +10,8 @@
 
 MDB_val to_mdb_val(std::string_view bytes) { return {bytes.size(), const_cast<char*>(bytes.data())}; }
 
-// Guards against a truncated file: reading one of its missing pages would end the process with SIGBUS.
-// Therefore the file must have all pages that its own header counts.
+// Returns whether the file has all pages that its own header counts. Reading a missing page of a truncated
+// file would end the process with SIGBUS.
 bool has_all_pages(MDB_env* env, const std::string& folder) {
     MDB_envinfo info{};
     MDB_stat stat{};
--- a/testing/fake_registry.hpp
+++ b/testing/fake_registry.hpp
@@ -41,7 +41,7 @@
     };
     struct Ledger {
         int reads = 0, checks = 0, watches = 0, connections = 0, refused = 0, logins = 0;
-        /// The second counts the transactions whose comparisons held.
+        /// `successful_transactions` counts only the transactions whose comparisons held.
         int transactions = 0, successful_transactions = 0;
         /// Changes sent to watches; a change counts once for each watch.
         std::uint64_t delivered_changes = 0;
--- a/testing/fake_services.cpp
+++ b/testing/fake_services.cpp
@@ -130,7 +130,7 @@
 void FakeNoticeBoard::answer() {
     if (silent) return;
     const auto newest = static_cast<std::int64_t>(events_.size());
-    // Polls that wait for events after the same number get the same response, which is encoded once.
+    // Encodes the response only once for all polls that wait for events after the same event number.
     std::map<std::int64_t, std::string> encoded;
     for (const Poll& p : std::exchange(polls_, {})) {
         const auto connection = p.connection.lock();
--- a/testing/interleaving_explorer.cpp
+++ b/testing/interleaving_explorer.cpp
@@ -246,7 +246,8 @@
             for (auto& n : root->nodes) root->run_tick(*n, Fault::none);
             back_up(*root);
         }
-        // A fleet in which no member acts could not violate an invariant.
+        // A fleet in which no member acts can't violate an invariant, so a search from such a state would
+        // show nothing and is reported as failed.
         if (std::none_of(root->nodes.begin(), root->nodes.end(),
                          [&](const auto& n) { return n->agent->may_act(n->clock(root->tick), the_duty); })) {
             found_.path.push_back("nobody owns the duty at rest");
--- a/testing/sockets.hpp
+++ b/testing/sockets.hpp
@@ -63,7 +63,8 @@
     void write() { schedule_write(); }
     // Whether the kernel has taken all output.
     bool all_written() const { return output_.empty(); }
-    // Resumes reading, or leaves input in the kernel's buffer.
+    // Resumes reading if `enabled` is true; otherwise pauses reading, so that input stays in the kernel's
+    // buffer.
     void enable_reading(bool enabled) { set_reading(enabled); }
     // Sets the smallest receive buffer that the kernel allows, so that the peer's writes block early. Call it
     // before start().
--- a/testing/stub_gateway.hpp
+++ b/testing/stub_gateway.hpp
@@ -68,14 +68,14 @@
     const fleet::Agent* member() const { return fleet_client_ ? &fleet_client_->agent() : nullptr; }
 
 private:
-    // NoticeObserver
+    // Functions of NoticeObserver:
     void on_endpoint_notice(const std::vector<EndpointRecord>& lines, bool complete) override;
     void on_purge_notice(const PurgeNotice& purge) override;
-    // registry::WatchObserver
+    // Functions of registry::WatchObserver:
     void on_endpoints(TimePoint now, const std::vector<EndpointRecord>& lines, bool complete) override;
     void on_sync_state(TimePoint, registry::SyncState, TimePoint) override {}
     void on_watch_warning(const registry::WatchWarning&) override {}
-    // fleet::GatewayCallbacks
+    // Functions of fleet::GatewayCallbacks:
     bool start_health_check(const CacheId& cache) override;
     void postpone_recovery_probe(const CacheId& cache, TimePoint at) override;
     void on_fleet_event(const fleet::FleetEvent&) override {}
--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -50,9 +50,9 @@
 TEST(Parts, ReportsEachMistakeWithItsLineAndWhatIsAllowed) {
     const std::vector<std::pair<std::string, std::string>> mistakes = {
         {valid_text_with("quiet", "quite"),
-         "p.toml:4: unknown key 'quite' in [registry]; the nearest known one is 'quiet'"},
+         "p.toml:4: unknown key 'quite' in [registry]; the most similar known key is 'quiet'"},
         {valid_text_with("[registry]", "[register]"),
-         "p.toml:1: unknown key 'register'; the nearest known one is 'registry'"},
+         "p.toml:1: unknown key 'register'; the most similar known key is 'registry'"},
         {valid_text_with("\"1.5s\"", "\"1.5\""),
          "p.toml:4: 'quiet' must be a duration with a unit, as in \"250ms\", \"2s\" or \"1min\""},
         {valid_text_with("\"1.5s\"", "2"),
--- a/tests/routing/endpoint_set_test.cpp
+++ b/tests/routing/endpoint_set_test.cpp
@@ -57,9 +57,9 @@
     EXPECT_EQ(update(started), nullptr);
 }
 
-// Guards against a set that grows without bound as endpoints come and go, and against the erasure of an
-// endpoint whose attempt has yet to end. A removed endpoint is erased after the slow-start window, once
-// nothing is in flight.
+// A removed endpoint is erased after the slow-start window, once nothing is in flight. If removed endpoints
+// were never erased, the EndpointSet would grow without bound as endpoints come and go. If an endpoint were
+// erased earlier, an attempt that has yet to end could lose its endpoint.
 TEST_F(EndpointSetTest, ErasesRemovedEndpointsOnceTheyAreIdle) {
     EndpointUpdate leaving = endpoint_update("e1", edge_machine);
     leaving.status = EndpointStatus::removed;
--- a/tests/routing/slow_start_test.cpp
+++ b/tests/routing/slow_start_test.cpp
@@ -93,8 +93,9 @@
     EXPECT_FALSE(cache_.warm_up.warming_up_since.has_value());
 }
 
-// Guards against sending an attempt that was admitted before a restart. While it waits for a connection, its
-// endpoint restarts; the attempt must then fit the new budget.
+// If an endpoint restarts while an admitted attempt waits for a connection, the attempt must fit the
+// endpoint's new budget. Otherwise the attempt would be sent on the strength of a check made before the
+// restart.
 TEST_F(SlowStartTest, AWaitingAttemptIsCheckedAgainAfterARestart) {
     Attempt attempt = attempt_at("e1", now_);
     attempt.transfer_seconds = 100;
