--- a/include/irismux/time.hpp
+++ b/include/irismux/time.hpp
@@ -1,4 +1,4 @@
-// Points in time and durations, in whole microseconds. They are distinct types, which prevents accidental
+// Points in time and durations, in whole microseconds. They are distinct types in order to prevent accidental
 // mixing.
 //
 // std::chrono is not used, since the product of a duration and a fraction rounds half away from zero here,
--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -52,8 +52,8 @@
     return !member || member->incarnation == instance.incarnation;
 }
 
-// Replaces one record if this record and those of `conditions` still have the given values. If the reply to
-// the write is lost, the record is read again to find out whether the write was carried out.
+// Replaces one record if this record and the records of `conditions` still have the given values. If the
+// reply to the write is lost, the record is read again to find out whether the write was carried out.
 class RecordUpdate {
 public:
     RecordUpdate(RegistrySession& session, const registry::Settings& settings, Key key, RecordValue before,
--- a/src/cli/fleet_in_force_command.cpp
+++ b/src/cli/fleet_in_force_command.cpp
@@ -49,7 +49,8 @@
         reading.owner_heartbeats[sites.at(path)] = text;
 }
 
-// Reads the generation last, so that digests of a former generation can be told from those of this one.
+// Reads the generation last, so that digests of a former generation can be told from digests of this
+// generation.
 FleetStatus::RegistryReading read_status(RegistrySession& session, const Settings& settings,
                                          const FleetStatus& status) {
     FleetStatus::RegistryReading reading;
@@ -71,7 +72,7 @@
 // Throws Poco::Exception if the notice board does not reply.
 std::optional<EventNumber> read_newest_event(const std::string& address) {
     constexpr Duration reply_timeout = Duration::micros(2'000'000);
-    // Polls from a number above those of all events: the reply has the newest number and no events.
+    // Polls from a number above the numbers of all events: the reply has the newest number and no events.
     constexpr const char* target = "/board/poll?watch=9007199254740991&linger=0";
     const Poco::Net::SocketAddress board(address);
     Poco::Net::HTTPClientSession session(board.host().toString(), board.port());
--- a/src/fleet/applied_revisions.hpp
+++ b/src/fleet/applied_revisions.hpp
@@ -54,17 +54,18 @@
 /// @return std::nullopt if the heartbeat has no such field, as in older versions, or can't be parsed.
 std::optional<AppliedRevisions> parse_applied_revisions(std::string_view heartbeat);
 
-/// Returns the generation that must replace the one in the registry, or std::nullopt if that one may stay. It
-/// must be replaced if the registry has none, if it is below a known one, if it has a known number with
-/// another id, or if history was lost during it.
+/// Returns the generation that must replace the one in the registry, or std::nullopt if the registry's
+/// generation may stay. A new generation is needed if the registry has none, if the registry's generation is
+/// below a known generation or has a known number with another id, or if history was lost during the
+/// registry's generation.
 std::optional<Generation> next_generation(const std::optional<Generation>& shown, const Generation& known,
                                           bool history_lost, const std::string& new_id);
 
 /// Derives the applied revisions of one process from its polls of the notice board.
 class AppliedRevisionTracker {
 public:
-    /// Applies the registry's record. A lower generation than the known one, or another with the same number,
-    /// is ignored.
+    /// Applies the registry's record. A generation that is lower than the known generation, or another
+    /// generation with the same number, is ignored.
     void on_generation(const Generation& shown);
     void on_configuration(ConfigurationNumber number) { configuration_ = number; }
 
--- a/src/fleet/digest.cpp
+++ b/src/fleet/digest.cpp
@@ -293,8 +293,8 @@
 }
 
 // A restored registry shows an old generation again, and event numbers of that generation would be taken for
-// those of the newest one. Members that report a higher generation, or the same number with another id,
-// reveal the restore.
+// event numbers of the newest generation. Members that report a higher generation, or the same number with
+// another id, reveal the restore.
 void DigestBuilder::record_generations(const std::optional<AppliedRevisions>& own) {
     generation_ids_conflict_ = false;
     const auto record_generation = [&](const Generation& g) {
--- a/src/fleet/digest.hpp
+++ b/src/fleet/digest.hpp
@@ -131,11 +131,12 @@
     std::optional<std::string> next_digest(TimePoint now);
     /// Drops the current digest because another member owns the duty.
     void reset() { digest_.reset(); }
-    /// Returns whether a live member lacks a revision that another one has applied. Snapshots should be
+    /// Returns whether a live member lacks a revision that another member has applied. Snapshots should be
     /// frequent then.
     bool has_lagging_members() const { return digest_ && digest_->lagging_count > 0; }
     const std::optional<Digest>& digest() const { return digest_; }
-    /// Returns the generation that must replace the registry's, or std::nullopt if that one may stay.
+    /// Returns the generation that must replace the registry's, or std::nullopt if the registry's generation
+    /// may stay.
     std::optional<Generation> next_generation(const std::string& new_id) const;
 
 private:
--- a/src/fleet/fence.hpp
+++ b/src/fleet/fence.hpp
@@ -30,7 +30,7 @@
 
 class Fence {
 public:
-    /// Stores the tokens of at most `most` duties and rejects those of any others.
+    /// Stores the tokens of at most `most` duties and rejects the tokens of any other duty.
     explicit Fence(std::size_t most = 4096) : max_duties_(most) {}
 
     /// Returns whether the holder's token is valid. If it is, the fence never again accepts a lower one.
--- a/src/fleet/fleet_status.cpp
+++ b/src/fleet/fleet_status.cpp
@@ -78,8 +78,8 @@
 FleetStatus::Verdict FleetStatus::judge(TimePoint now, const Query& query) const {
     Verdict verdict;
     if (inventory_.empty()) verdict.missing.push_back({MissingReason::no_inventory, {}, {}, 0});
-    // After a restore of the notice board, members still report numbers of its former history, which would
-    // count as applied. The board's newest event is then lower than the reported ones.
+    // After a restore of the notice board, members still report numbers of its former history, and these
+    // events would count as applied. The board's newest event is then lower than the reported ones.
     if (query.event > EventNumber{} &&
         (!newest_event_ || *newest_event_ < query.event || *newest_event_ < highest_claimed_event()))
         verdict.missing.push_back({MissingReason::newest_event_unknown, {}, {}, 0});
--- a/src/gateway/request_dispatcher.cpp
+++ b/src/gateway/request_dispatcher.cpp
@@ -70,8 +70,8 @@
 }
 
 // Attempts in flight continue: the router decides whether to cancel them, and their results show the state of
-// the cache. Attempts that wait for a connection, or are to be moved to another one, are withdrawn and do not
-// begin.
+// the cache. Attempts that wait for a connection, or are to be moved to another connection, are withdrawn and
+// do not begin.
 void RequestDispatcher::on_client_closed(const ClientStream& stream) {
     const auto it = by_client_stream_.find(stream);
     if (it == by_client_stream_.end()) return;
--- a/src/net/notice_connection.cpp
+++ b/src/net/notice_connection.cpp
@@ -63,7 +63,7 @@
 }
 
 void NoticeConnection::on_data() {
-    // These bytes belong to no poll, so the connection is closed and the next poll opens another one.
+    // These bytes belong to no poll, so the connection is closed and the next poll opens another connection.
     if (!response_) return stop();
     restart_response_timer();
     read_response();
--- a/src/registry/rollback_detector.hpp
+++ b/src/registry/rollback_detector.hpp
@@ -23,7 +23,7 @@
     explicit RollbackDetector(const PollPolicy& policy)
         : members_(policy.members), confirmation_delay_(policy.watch_timeout) {}
 
-    /// Call when a member replied with a revision below the newest one seen, or from another cluster.
+    /// Call when a member replied with a revision below the newest revision seen, or from another cluster.
     [[nodiscard]] Verdict on_older_reply(TimePoint now, MemberIndex member) {
         if (older_members_.empty()) first_older_reply_at_ = now;
         older_members_.insert(member);
--- a/testing/process_fleet.cpp
+++ b/testing/process_fleet.cpp
@@ -277,8 +277,8 @@
     }
 }
 
-// A gateway that checked a cache before another one did is a former owner of the cache's health check duty
-// until it owns the duty again.
+// A gateway that checked a cache before another gateway did is a former owner of the cache's health check
+// duty until it owns the duty again.
 void ProcessFleet::check_health_check(std::size_t gateway, std::size_t cache) {
     health_checks.push_back({loop.now(), gateway, cache});
     auto& order = health_checkers_[cache];
