--- a/bench/fleet_owner.cpp
+++ b/bench/fleet_owner.cpp
@@ -1,13 +1,12 @@
-// How long a duty of the fleet has no owner, by fault; and what a fleet costs its gateways and the registry.
-//
+// Measures how long a duty of the fleet has no owner after each kind of fault, and the cost of a fleet to its
+// gateways and to the registry.
 //   fleet_owner PROGRAM takeovers [TIMES] [FAULT...]
-//       processes of the program; faults to the owner of the garbage collection
+//       runs gateway processes and applies faults to the owner of the garbage collection duty
 //   fleet_owner PROGRAM cost [SECONDS]
-//       one gateway of three: memory, descriptors, processor time, lookups
+//       measures one gateway of three: memory, descriptors, processor time, lookups
 //   fleet_owner - model [MEMBERS...]
-//       the cores in virtual time: requests at the registry
-//
-// Everything is counted at the far ends. Prints tables in Markdown.
+//       simulates the fleet logic in virtual time: requests at the registry
+// All counts are taken at the fake services. Prints Markdown tables.
 #include <signal.h>
 #include <unistd.h>
 
@@ -43,97 +42,100 @@
     return sorted[static_cast<std::size_t>(q * static_cast<double>(sorted.size() - 1))];
 }
 
-struct Counted {
-    std::vector<double> without_ms;     // from the fault to the first write of another that landed
-    std::size_t tried = 0, landed = 0;  // writes under the former token after the next one had landed
-    std::size_t moved = 0, least = 0;   // duties that changed hands with a loss; those that its owner had
-    std::size_t stuck = 0;              // faults that nobody followed
+struct TakeoverCounts {
+    std::vector<double> ownerless_ms;  // from the fault to the first accepted write of another owner
+    // writes with the former fencing token after a write of the next owner was accepted
+    std::size_t tried = 0, landed = 0;
+    // ownership changes after a loss; the minimum, the duties that the lost owner had
+    std::size_t moved = 0, min_moves = 0;
+    std::size_t not_taken_over = 0;  // faults after which no other gateway took over
 };
 
-// One fleet of processes, faulted so many times.
+// A fleet of gateway processes that is exposed to one fault repeatedly.
 class Fleet {
 public:
     Fleet(const std::string& program, const std::string& fault, const fs::path& folder)
-        : fault_(fault), folder_(folder), a_(shape(program), folder.string()) {}
+        : fault_(fault), folder_(folder), fleet_(fleet_options(program), folder.string()) {}
     ~Fleet() { fs::remove_all(folder_); }
 
-    void play(int times, Counted& counted) {
-        a_.start_all();
+    void run(int times, TakeoverCounts& counted) {
+        fleet_.start_all();
         for (int n = 0; n < times; ++n)
-            if (!a_.until([&] { return ready(); }) || !once(counted)) ++counted.stuck;
-        for (const std::string& what : a_.broken) std::cerr << "broken: " << what << '\n';
+            if (!fleet_.wait_until([&] { return ready(); }) || !run_fault(counted)) ++counted.not_taken_over;
+        for (const std::string& what : fleet_.violations) std::cerr << "broken: " << what << '\n';
     }
-    static stand_ins::ProcessFleet::Options shape(const std::string& program) {
-        stand_ins::ProcessFleet::Options s;
+    static test_support::ProcessFleet::Options fleet_options(const std::string& program) {
+        test_support::ProcessFleet::Options s;
         s.program = program;
         s.gateways = gateways;
         s.caches = 1;
-        s.collection_interval = ms * 50;  // the least
+        s.collection_interval = ms * 50;  // the shortest interval allowed
         return s;
     }
 
 private:
-    // All are in, and the owner has been so for a term.
+    // Returns whether all gateways have joined and the owner has held the duty for a term.
     bool ready() const {
-        return a_.all_joined() && a_.owner(duty) && !a_.ownership_changes.empty() &&
-               a_.loop.now() - a_.ownership_changes.back().at > a_.options.term;
+        return fleet_.all_joined() && fleet_.owner(duty) && !fleet_.ownership_changes.empty() &&
+               fleet_.loop.now() - fleet_.ownership_changes.back().at > fleet_.options.term;
     }
-    bool once(Counted& counted) {
-        const std::size_t who = *a_.owner(duty);
-        const auto before = *a_.duty(duty);
-        const std::size_t claims = a_.ownership_changes.size(), writes = a_.written.size();
-        const TimePoint from = a_.loop.now();
-        order(who, true);
+    bool run_fault(TakeoverCounts& counted) {
+        const std::size_t who = *fleet_.owner(duty);
+        const auto before = *fleet_.duty_record(duty);
+        const std::size_t claims = fleet_.ownership_changes.size(), writes = fleet_.fenced_writes.size();
+        const TimePoint from = fleet_.loop.now();
+        set_fault(who, true);
         TimePoint landed;
-        const bool followed = a_.until([&] {
-            for (std::size_t n = writes; n < a_.written.size(); ++n) {
-                const auto& w = a_.written[n];
-                if (!w.held || w.at < from || (w.token == before.token && fault_ != "registry member lost"))
+        const bool followed = fleet_.wait_until([&] {
+            for (std::size_t n = writes; n < fleet_.fenced_writes.size(); ++n) {
+                const auto& w = fleet_.fenced_writes[n];
+                if (!w.accepted || w.at < from ||
+                    (w.token == before.token && fault_ != "registry member lost"))
                     continue;
                 landed = w.at;
                 return true;
             }
             return false;
         });
-        if (followed) counted.without_ms.push_back((landed - from).seconds() * 1000);
-        for (std::size_t n = claims; n < a_.ownership_changes.size(); ++n)
-            counted.moved += !a_.ownership_changes[n].by.name.raw().empty();
-        counted.least += fault_ != "registry member lost";
-        a_.pass(a_.options.term * 0.25);
-        order(who, false);
-        a_.pass(a_.options.term * 0.5);
-        for (std::size_t n = writes; n < a_.written.size(); ++n) {
-            const auto& w = a_.written[n];
+        if (followed) counted.ownerless_ms.push_back((landed - from).seconds() * 1000);
+        for (std::size_t n = claims; n < fleet_.ownership_changes.size(); ++n)
+            counted.moved += !fleet_.ownership_changes[n].by.name.raw().empty();
+        counted.min_moves += fault_ != "registry member lost";
+        fleet_.run_for(fleet_.options.term * 0.25);
+        set_fault(who, false);
+        fleet_.run_for(fleet_.options.term * 0.5);
+        for (std::size_t n = writes; n < fleet_.fenced_writes.size(); ++n) {
+            const auto& w = fleet_.fenced_writes[n];
             if (!followed || w.at <= landed || w.token > before.token || fault_ == "registry member lost")
                 continue;
             ++counted.tried;
-            counted.landed += w.held;
+            counted.landed += w.accepted;
         }
         return followed;
     }
-    void order(std::size_t who, bool is) {
-        if (fault_ == "killed") is ? a_.kill(who) : a_.start(who);
-        if (fault_ == "stopped") is ? a_.stop(who) : a_.resume(who);
-        if (fault_ == "cut both ways") a_.cut_registry(who, is, is);
-        if (fault_ == "cut on the way out") a_.cut_registry(who, is, false);
-        if (fault_ == "cut on the way back") a_.cut_registry(who, false, is);
+    void set_fault(std::size_t who, bool is) {
+        if (fault_ == "killed") is ? fleet_.kill(who) : fleet_.start(who);
+        if (fault_ == "stopped") is ? fleet_.stop(who) : fleet_.resume(who);
+        if (fault_ == "cut both ways") fleet_.partition_registry(who, is, is);
+        if (fault_ == "cut on the way out") fleet_.partition_registry(who, is, false);
+        if (fault_ == "cut on the way back") fleet_.partition_registry(who, false, is);
         if (fault_ == "link of 500 bytes a second")
-            for (auto& r : a_.gateways[who].to_registry) {
-                for (const stand_ins::Direction w :
-                     {stand_ins::Direction::to_server, stand_ins::Direction::to_client})
-                    r->faults(w).bytes_a_second = is ? 500 : 0;
-                if (!is) r->break_all();  // what still crawls there is given up
+            for (auto& r : fleet_.gateways[who].registry_proxies) {
+                for (const test_support::Direction w :
+                     {test_support::Direction::to_server, test_support::Direction::to_client})
+                    r->faults(w).bytes_per_second = is ? 500 : 0;
+                if (!is) r->reset_all();  // drops the data that the slow link still holds
             }
         if (fault_ == "registry member lost") {
-            // Each in turn: the one that the owner talks to is among them.
-            if (is) lost_ = (lost_ + 1) % a_.options.members;
-            is ? a_.registry.down(lost_) : a_.registry.up(lost_);
+            // Stops each member in turn, so that the one that the owner uses is among them.
+            if (is) lost_ = (lost_ + 1) % fleet_.options.members;
+            is ? fleet_.registry.stop_member(lost_) : fleet_.registry.restart_member(lost_);
         }
     }
 
     std::string fault_;
     fs::path folder_;
-    stand_ins::ProcessFleet a_;
+    test_support::ProcessFleet fleet_;
     std::size_t lost_ = 0;
 };
 
@@ -146,7 +148,7 @@
                   "cut on the way back",
                   "link of 500 bytes a second",
                   "registry member lost"};
-    const stand_ins::ProcessFleet::Options s = Fleet::shape(program);
+    const test_support::ProcessFleet::Options s = Fleet::fleet_options(program);
     const double bound =
         longest_without_owner({"", s.term, s.drift}, s.term * 0.125, gateways - 2).seconds() * 1000;
     std::printf(
@@ -155,36 +157,37 @@
         "landed | changes of owner | least possible | not followed |\n"
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
     for (const std::string& fault : faults) {
-        Counted all;
+        TakeoverCounts all;
         std::mutex lock;
         std::vector<std::thread> threads;
         for (std::size_t f = 0; f < fleets; ++f)
             threads.emplace_back([&, f] {
-                Counted own;
+                TakeoverCounts own;
                 const int mine =
                     times / static_cast<int>(fleets) + (f < static_cast<std::size_t>(times) % fleets);
                 Fleet(program, fault,
                       fs::temp_directory_path() /
                           ("fleet_owner." + std::to_string(::getpid()) + '.' + std::to_string(f)))
-                    .play(mine, own);
+                    .run(mine, own);
                 const std::lock_guard held(lock);
-                all.without_ms.insert(all.without_ms.end(), own.without_ms.begin(), own.without_ms.end());
+                all.ownerless_ms.insert(all.ownerless_ms.end(), own.ownerless_ms.begin(),
+                                        own.ownerless_ms.end());
                 all.tried += own.tried;
                 all.landed += own.landed;
                 all.moved += own.moved;
-                all.least += own.least;
-                all.stuck += own.stuck;
+                all.min_moves += own.min_moves;
+                all.not_taken_over += own.not_taken_over;
             });
         for (auto& t : threads) t.join();
         std::printf("| %s | %zu | %.0f | %.0f | %.0f | %.0f | %.0f | %zu | %zu | %zu | %zu | %zu |\n",
-                    fault.c_str(), all.without_ms.size(), at(all.without_ms, 0.5), at(all.without_ms, 0.95),
-                    at(all.without_ms, 0.99), at(all.without_ms, 1), bound, all.tried, all.landed, all.moved,
-                    all.least, all.stuck);
+                    fault.c_str(), all.ownerless_ms.size(), at(all.ownerless_ms, 0.5),
+                    at(all.ownerless_ms, 0.95), at(all.ownerless_ms, 0.99), at(all.ownerless_ms, 1), bound,
+                    all.tried, all.landed, all.moved, all.min_moves, all.not_taken_over);
         std::fflush(stdout);
     }
 }
 
-// --- what it costs ---------------------------------------------------------------------------------------
+// --- cost of a fleet ------------------------------------------------------------------------------------
 
 double processor_seconds(pid_t id) {
     std::ifstream in("/proc/" + std::to_string(id) + "/stat");
@@ -211,17 +214,17 @@
     return n;
 }
 
-// The first gateway of three, with the part off, on, and on while another is killed and started all the
-// while.
+// Measures the first gateway of three with the fleet part off, on, and on while another gateway is repeatedly
+// killed and restarted.
 void cost(const std::string& program, double seconds) {
     std::printf(
         "| [fleet] | lookups a second | memory MB | descriptors | processor at rest, %% | under load, %% | "
         "lookup median ms | 95th | 99th | failed or nacked |\n"
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
     for (const std::string state : {"off", "on", "on, churn", "off", "on"}) {
-        stand_ins::ProcessFleet::Options s;
+        test_support::ProcessFleet::Options s;
         s.program = program;
-        s.term = ms * 12'000;  // as an installation would have it
+        s.term = ms * 12'000;  // as in a production installation
         s.collection_interval = ms * 60'000;
         s.health_check_interval = ms * 2'000;
         s.request_interval = ms * 2;
@@ -229,31 +232,31 @@
         if (churn) s.term = ms * 800;
         const fs::path folder = fs::temp_directory_path() / ("fleet_cost." + std::to_string(::getpid()));
         {
-            stand_ins::ProcessFleet a(s, folder.string());
+            test_support::ProcessFleet a(s, folder.string());
             auto& g = a.gateways[0];
             if (on)
                 a.start_all();
             else
-                g.process = std::make_unique<stand_ins::Process>(
-                    stand_ins::Process::Start{{program}, {"NODE_CONFIG=" + g.configuration}, "", g.log});
-            a.until([&] { return a.logged(0, "listening gateway=") && (!on || a.all_joined()); },
-                    ms * 30'000);
+                g.process = std::make_unique<test_support::Process>(
+                    test_support::Process::Options{{program}, {"NODE_CONFIG=" + g.configuration}, "", g.log});
+            a.wait_until([&] { return a.logged(0, "listening gateway=") && (!on || a.all_joined()); },
+                         ms * 30'000);
             const pid_t id = g.process->id();
             const double idle = processor_seconds(id);
-            a.pass(ms * 5'000);
+            a.run_for(ms * 5'000);
             const double rest = (processor_seconds(id) - idle) / 5 * 100;
-            a.serve(0);
-            a.pass(ms * 1'000);
-            g.clients->took_ms.clear();
+            a.start_clients(0);
+            a.run_for(ms * 1'000);
+            g.clients->latencies_ms.clear();
             const double busy = processor_seconds(id);
             const TimePoint begun = a.loop.now();
             for (int n = 0; a.loop.now() - begun < Duration::seconds(seconds); ++n) {
-                a.pass(ms * 400);
+                a.run_for(ms * 400);
                 if (churn && n % 4 == 0) a.kill(1);
                 if (churn && n % 4 == 2) a.start(1);
             }
             const double load = (processor_seconds(id) - busy) / (a.loop.now() - begun).seconds() * 100;
-            const auto& took = g.clients->took_ms;
+            const auto& took = g.clients->latencies_ms;
             std::printf("| %s | %.0f | %.1f | %zu | %.2f | %.2f | %.3f | %.3f | %.3f | %llu |\n",
                         state.c_str(), static_cast<double>(took.size()) / (a.loop.now() - begun).seconds(),
                         resident_mb(id), descriptors(id), rest, load, at(took, 0.5), at(took, 0.95),
@@ -265,7 +268,7 @@
     }
 }
 
-// --- the registry's load, in the model -------------------------------------------------------------------
+// --- simulated load on the registry ----------------------------------------------------------------------
 
 void model(std::vector<std::size_t> sizes) {
     if (sizes.empty()) sizes = {10, 100, 1000};
@@ -277,27 +280,28 @@
         "| --- | --- | --- | --- | --- | --- | --- |\n");
     for (const std::size_t n : sizes)
         for (const bool spread : {true, false}) {
-            stand_ins::FleetSimulation w(
-                7, {.members = n, .duties = 8, .drift = 0.01, .spread = spread, .works = false},
+            test_support::FleetSimulation w(
+                7, {.members = n, .duties = 8, .drift = 0.01, .randomized = spread, .fenced_writes = false},
                 shared_config);
             w.start_all();
             w.run(shared_config.term * 4, {});
-            w.mark();
+            w.reset_measurements();
             w.run(shared_config.term * 2, {});
-            const double rest = static_cast<double>(w.asked.size()) / (shared_config.term * 2).seconds();
+            const double rest =
+                static_cast<double>(w.transaction_times.size()) / (shared_config.term * 2).seconds();
             const std::size_t calm = w.max_transactions_within(ms * 100);
             for (std::size_t m = 0; m < n; ++m) w.kill(m);
-            w.mark();
+            w.reset_measurements();
             for (std::size_t m = 0; m < n; ++m) w.start(m);
             w.run(shared_config.term * 4, {});
             const std::size_t restart = w.max_transactions_within(ms * 100);
             w.set_registry_down(true);
             w.run(shared_config.term * 2, {});
-            w.mark();
+            w.reset_measurements();
             w.set_registry_down(false);
             w.run(shared_config.term * 3, {});
             std::printf("| %zu | %s | %.1f | %zu | %zu | %zu | %zu |\n", n, spread ? "yes" : "no", rest, calm,
-                        restart, w.max_transactions_within(ms * 100), w.broken.size());
+                        restart, w.max_transactions_within(ms * 100), w.violations.size());
             std::fflush(stdout);
         }
 }
--- a/bench/scale/output.cpp
+++ b/bench/scale/output.cpp
@@ -25,10 +25,10 @@
     return out.data();
 }
 
-// Runs of one setting of [fleet]; the first is the program as it comes.
+// The runs with one setting of [fleet]. The first variant is the one with the program's defaults.
 struct Variant {
     std::string name;
-    std::vector<json> runs;  // by size
+    std::vector<json> runs;  // ordered by number of gateways
 };
 
 std::vector<Variant> variants_of(const json& figures) {
@@ -60,10 +60,12 @@
     return nullptr;
 }
 
-double hollow(const json& run) { return run["gateways"].get<double>() - run["real_gateways"].get<double>(); }
+double stub_count(const json& run) {
+    return run["gateways"].get<double>() - run["real_gateways"].get<double>();
+}
 
-// What is fitted: of all hollow gateways together, so that a part that each of them sends to each is a
-// square.
+// A fitted quantity: the total over all stub gateways, so that traffic from every gateway to every other
+// shows as a quadratic term.
 struct Quantity {
     std::string name, unit;
     double scale;
@@ -76,14 +78,14 @@
          [](const json&, const json& e) { return e["hollow"]["control_bytes"].get<double>(); }},
         {"bytes, worst second", "KB/s", 1e-3,
          [](const json& r, const json& e) {
-             return e["hollow"]["worst_second_bytes"].get<double>() * hollow(r);
+             return e["hollow"]["worst_second_bytes"].get<double>() * stub_count(r);
          }},
         {"messages, mean", "1/s", 1,
          [](const json&, const json& e) { return e["hollow"]["control_messages"].get<double>(); }},
         {"processor of the gateways", "% of a core", 100,
-         [](const json& r, const json& e) { return e["processor_a_gateway"].get<double>() * hollow(r); }},
+         [](const json& r, const json& e) { return e["processor_a_gateway"].get<double>() * stub_count(r); }},
         {"memory of the gateways", "MB", 1e-6,
-         [](const json& r, const json& e) { return e["memory_a_gateway"].get<double>() * hollow(r); }},
+         [](const json& r, const json& e) { return e["memory_a_gateway"].get<double>() * stub_count(r); }},
     };
     return all;
 }
@@ -142,32 +144,33 @@
     return rows;
 }
 
-// Of the line's value at the largest size, the part that the quadratic term makes.
-double part_at_largest(const bench::Fit& f) {
+// The quadratic term at the largest size, as a share of the line's value there.
+double quadratic_share_at_largest(const bench::Fit& f) {
     const double value = f.line(f.largest);
     return value != 0 ? f.quadratic * f.largest * f.largest / value : 0;
 }
 
 std::string fits_of(const Variant& v) {
-    constexpr double least_part = 0.1;
-    constexpr std::size_t least_freedom = 2;  // with less, no term of a size that matters would be seen
+    constexpr double min_share = 0.1;
+    // With fewer degrees of freedom, the test would miss a quadratic term of relevant size.
+    constexpr std::size_t min_degrees_of_freedom = 2;
     std::string rows;
     for (const std::string& name : order)
         for (const Quantity& q : quantities()) {
             std::vector<bench::Point> points;
             for (const json& run : v.runs)
                 if (const json* const e = event_of(run, name))
-                    points.push_back({hollow(run), q.of(run, *e) * q.scale});
+                    points.push_back({stub_count(run), q.of(run, *e) * q.scale});
             if (points.size() < 3) continue;
             const bench::Fit f = bench::fit(points);
-            const double part = part_at_largest(f);
+            const double part = quadratic_share_at_largest(f);
             const bool quadratic =
-                std::abs(f.quadratic_t) > bench::t_bound(f.freedom) && std::abs(part) >= least_part;
+                std::abs(f.quadratic_t) > bench::t_bound(f.freedom) && std::abs(part) >= min_share;
             std::string residuals;
             for (const double r : f.residuals) residuals += text("%s%.3g", residuals.empty() ? "" : ", ", r);
             rows += text("| %s | %s, %s | %.3g + %.4g n | %.2g ± %.2g | ", name.c_str(), q.name.c_str(),
                          q.unit.c_str(), f.intercept, f.slope, f.quadratic, f.quadratic_error);
-            rows += f.freedom >= least_freedom
+            rows += f.freedom >= min_degrees_of_freedom
                         ? text("%.1f (%.1f) | %.0f%% | %s | ", f.quadratic_t, bench::t_bound(f.freedom),
                                part * 100, quadratic ? "**quadratic**" : "linear")
                         : std::string("too few sizes | - | - | ");
@@ -186,7 +189,7 @@
            rows;
 }
 
-std::string real_beside_hollow(const Variant& v) {
+std::string real_and_stub_comparison(const Variant& v) {
     std::string rows;
     for (const json& run : v.runs)
         for (const std::string& name : order) {
@@ -269,12 +272,12 @@
             "caches | "
             "fleet's records | transactions |\n| --- | --- | --- | --- | --- | --- |\n" +
             channels;
-        out += fits_of(v) + real_beside_hollow(v);
+        out += fits_of(v) + real_and_stub_comparison(v);
     }
     return out;
 }
 
-// Sizes of a panel of the chart, in pixels.
+// Dimensions of a chart panel, in pixels.
 constexpr double panel_width = 560, panel_height = 360;
 constexpr double margin_left = 70, margin_top = 50, margin_right = 190, margin_bottom = 60;
 constexpr double panel_step = margin_left + panel_width + margin_right;
@@ -288,7 +291,7 @@
     {{"bytes", "KB a second and gateway, mean"},
      {"worst_second_bytes", "KB a second and gateway, worst second"}}};
 
-// One variant's figures of one quantity against the number of gateways.
+// A chart panel: one quantity of one variant against the number of gateways.
 class Panel {
 public:
     Panel(const Variant& variant, const ChartQuantity& quantity, double x0, double y0, double most_gateways)
--- a/sim/simulator_host.cpp
+++ b/sim/simulator_host.cpp
@@ -1,5 +1,5 @@
-// irismux_simhost: runs routers for the simulator. Reads batches of messages from standard input, a line
-// each, and writes what the routers decide to standard output.
+// irismux_simhost: runs routers for the simulator. Reads batches of messages from standard input, one batch
+// per line, and writes the routers' decisions to standard output.
 #include <algorithm>
 #include <iostream>
 #include <map>
@@ -74,7 +74,7 @@
         request.kind = index->second;
         request.id = writer_.names.add(get<std::string>(message, "xid"));
         router_->on_request(now, request);
-        writer_.names.drop_if_over(request.id);
+        writer_.names.remove_if_finished(request.id);
     }
 
     void on_attempt_result(TimePoint now, const json& message) {
@@ -85,7 +85,7 @@
         if (result.request_finished || result.outcome == Outcome::completed)
             writer_.names.on_request_finished(*id);
         router_->on_attempt_result(now, result);
-        writer_.names.drop_if_over(*id);
+        writer_.names.remove_if_finished(*id);
     }
 
     void on_client_closed(TimePoint now, const json& message) {
@@ -93,7 +93,7 @@
         if (!id) return;
         writer_.names.on_request_finished(*id);
         router_->on_client_closed(now, *id);
-        writer_.names.drop_if_over(*id);
+        writer_.names.remove_if_finished(*id);
     }
 
     void on_timer(TimePoint now, const json& message) {
@@ -123,10 +123,10 @@
 private:
     MessageWriter writer_;
     std::map<std::string, ObjectKindIndex> kind_indexes_;
-    std::optional<Router> router_;  // built after the writer that it calls
+    std::optional<Router> router_;  // constructed after writer_, which it calls
 };
 
-// No decision depends on these.
+// Returns whether messages of this type are ignored: no decision of a router depends on them.
 bool is_ignored(std::string_view type) {
     return type == "Opened" || type == "ProbeDone" || type == "NoteFrom";
 }
--- a/src/cli/fleet_in_force_command.cpp
+++ b/src/cli/fleet_in_force_command.cpp
@@ -25,7 +25,7 @@
 constexpr int exit_all_but = 3;
 constexpr int exit_not_yet = 4;
 
-// CLOCK_BOOTTIME, since it counts the time during which the machine sleeps.
+// Reads CLOCK_BOOTTIME, which also counts the time during which the machine is suspended.
 TimePoint steady_now() {
     timespec now{};
     ::clock_gettime(CLOCK_BOOTTIME, &now);
@@ -49,7 +49,8 @@
         reading.owner_heartbeats[sites.at(path)] = text;
 }
 
-// The generation is read last, so that digests of a former one can be told from it.
+// Reads the generation last, so that digests of a former generation can be told from digests of this
+// generation.
 FleetStatus::RegistryReading read_status(RegistrySession& session, const Settings& settings,
                                          const FleetStatus& status) {
     FleetStatus::RegistryReading reading;
@@ -60,17 +61,18 @@
         reading.digests[SiteName{site}] = text;
     const std::string members = settings.registry.prefix + path_of(Key{"member/"});
     for (const auto& [name, text] : read_all_or_throw(session, settings, members))
-        reading.old_form.emplace(name);
+        reading.members_outside_sites.emplace(name);
     const std::string generation = path_of(generation_key(), SiteName{"-"});
     const ValuesByKey found = read_keys(session, settings.registry, {generation});
     if (const auto it = found.find(generation); it != found.end()) reading.generation = it->second;
     return reading;
 }
 
-// The number of the board's newest event; none if its reply has none. Throws Poco::Exception.
+// Returns the number of the notice board's newest event, or std::nullopt if the reply has no such number.
+// Throws Poco::Exception if the notice board does not reply.
 std::optional<EventNumber> read_newest_event(const std::string& address) {
     constexpr Duration reply_timeout = Duration::micros(2'000'000);
-    // A poll from a number above all: the reply has the newest number and no events.
+    // Polls from a number above the numbers of all events: the reply has the newest number and no events.
     constexpr const char* target = "/board/poll?watch=9007199254740991&linger=0";
     const Poco::Net::SocketAddress board(address);
     Poco::Net::HTTPClientSession session(board.host().toString(), board.port());
@@ -90,25 +92,26 @@
     using Reason = FleetStatus::MissingReason;
     switch (reason) {
         case Reason::absent:
-            return "cut off, dead or left";
-        case Reason::site_silent:
-            return "nothing new is heard of that site";
-        case Reason::behind:
-            return "live, and without it";
+            return "absent: cut off from the registry, dead or has left the fleet";
+        case Reason::stale_digest:
+            return "has no recent digest";
+        case Reason::lagging:
+            return "live, but has not applied the event or configuration";
         case Reason::never_reported:
-            return "expected, and has no digest that can be read";
-        case Reason::too_few:
-            return "fewer gateways are known than 'sites' has";
-        case Reason::too_many:
-            return "more gateways than can be named";
+            return "named in 'sites', but has no readable digest";
+        case Reason::too_few_members:
+            return "has fewer known gateways than 'sites' states";
+        case Reason::too_many_members:
+            return "has more gateways than its records can name";
         case Reason::other_generation:
-            return "numbers of another history of the board";
-        case Reason::old_form:
-            return "a gateway without 'site'";
+            return "reports event numbers of another generation of the notice board";
+        case Reason::outside_all_sites:
+            return "a gateway without the setting 'site'";
         case Reason::no_inventory:
             return "[fleet] has no 'sites'";
-        case Reason::board_unknown:
-            return "the board has not that event, or fewer than gateways claim";
+        case Reason::newest_event_unknown:
+            return "the newest event of the notice board is unknown, or older than the queried event or one "
+                   "that a gateway reports";
     }
     return "";
 }
@@ -149,13 +152,14 @@
     }
 }
 
-// Reads until it is in force everywhere, or the wait is over.
+// Reads the status repeatedly until the query is in force everywhere or the wait is over.
 FleetStatus::Verdict poll_status(RegistrySession& session, const Settings& settings,
                                  const InForceQuery& query) {
-    // All gateways of a site report within a quarter of a term; every live site has then been read.
+    // All gateways of a site report within a quarter of a term; after this wait every live site has been
+    // read.
     constexpr double min_wait_per_term = 0.75;
     constexpr double poll_interval_per_term = 1.0 / 24;
-    const FleetStatus::Query asked{EventNumber{query.event}, ConfigurationNumber{query.configuration}};
+    const FleetStatus::Query status_query{EventNumber{query.event}, ConfigurationNumber{query.configuration}};
     const Duration term = settings.shared_config.term;
     const TimePoint end = steady_now() + std::max(Duration::seconds(query.wait_s), term * min_wait_per_term);
     FleetStatus status(term, settings.inventory);
@@ -163,7 +167,7 @@
         status.on_reading(read_status(session, settings, status));
         if (query.event > 0)
             if (const auto newest = read_newest_event(query.board)) status.on_newest_event(*newest);
-        auto verdict = status.judge(steady_now(), asked);
+        auto verdict = status.judge(steady_now(), status_query);
         if (verdict.reach == FleetStatus::Reach::everywhere || steady_now() >= end) return verdict;
         std::this_thread::sleep_for(std::chrono::microseconds((term * poll_interval_per_term).micros()));
     }
@@ -173,8 +177,8 @@
 
 int fleet_in_force(const Settings& settings, const InForceQuery& query) {
     if (query.event <= 0 && query.configuration <= 0)
-        return print_error("ask for --event or --configuration");
-    if (query.event > 0 && query.board.empty()) return print_error("--event needs --board");
+        return print_error("--event or --configuration is required");
+    if (query.event > 0 && query.board.empty()) return print_error("--event requires --board");
     return with_session(settings.registry, [&](RegistrySession& session) {
         const auto verdict = poll_status(session, settings, query);
         print(verdict);
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -1,5 +1,5 @@
-// One gateway: builds the parts, connects them, and starts, reloads and stops them in order. Each rule stands
-// in the part that it belongs to.
+// One gateway: constructs its components, connects them, and starts, reloads and stops them in order. The
+// rules are implemented in the components.
 #pragma once
 
 #include <cstdint>
@@ -26,24 +26,24 @@
     /// @param loop must outlive the gateway.
     Gateway(EventLoop& loop, const Configuration& configuration, const Parts& parts = {});
 
-    /// Connects to the notice board, the registry and the fleet, and opens the listener as soon as it can.
+    /// Connects to the notice board, the registry and the fleet, and opens the listener as soon as possible.
     void serve();
-    /// Why the listener could not be opened, once the loop has been stopped for it.
+    /// The reason why the listener could not be opened, if the event loop was stopped because of that.
     [[nodiscard]] const std::optional<ListenFailure>& start_failure() const {
         return listener_start_.failure();
     }
-    /// Answers what is pending, then stops the loop. A second call does nothing.
+    /// Answers the pending requests, then stops the event loop. A second call does nothing.
     void begin_shutdown();
-    /// The notice board's address, the registry and the fleet follow the new files; all else stays as it was
-    /// at the start. Ignored during the shutdown.
+    /// Applies the new address of the notice board and the new settings of the registry and the fleet. All
+    /// other settings stay as they were at the start. Ignored during a shutdown.
     void reload(const Configuration& configuration, const Parts& parts);
 
     [[nodiscard]] std::size_t pending_request_count() const { return dispatcher_.pending_request_count(); }
-    /// Null without a registry.
+    /// Returns null if no registry is configured.
     [[nodiscard]] const registry::RegistryClient* registry() const { return endpoint_source_.registry(); }
 
 private:
-    // NoticeObserver
+    // Functions of NoticeObserver:
     void on_endpoint_notice(const std::vector<EndpointRecord>& records, bool complete) override;
     void on_purge_notice(const PurgeNotice& purge) override;
     bool wants_full_history() const override { return fleet_.wants_full_history(); }
@@ -51,7 +51,7 @@
     void on_poll_completed(std::int64_t newest, std::int64_t polled_from) override;
     void on_poll_failed() override { fleet_.on_poll_failed(); }
     void on_notice_skipped() override { fleet_.on_notice_skipped(); }
-    // EndpointListObserver
+    // Functions of EndpointListObserver:
     void on_endpoint_list(const std::vector<EndpointRecord>& records, bool complete) override;
     void on_endpoint_source_lost(TimePoint now) override { dispatcher_.on_endpoint_updates_lost(now); }
 
--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -1,4 +1,4 @@
-// The command line of irismux: which command is meant, with which options.
+// The command line of irismux: defines the commands with their options, and runs the one that is given.
 #include <CLI/CLI.hpp>
 
 #include <functional>
@@ -18,12 +18,12 @@
 using namespace irismux;
 
 constexpr const char* footer =
-    "NODE_CONFIG    path of the configuration (JSON), needed to serve\n"
-    "NODE_LISTEN    address to listen on, in place of the configuration's\n"
-    "IRISMUX_PARTS  path of the parts (TOML), where --parts does not name it\n"
-    "IRISMUX_LOG    error, warning, info (the default) or debug; with \":json\" behind it, lines of JSON\n";
+    "NODE_CONFIG    path of the configuration (JSON), required to serve\n"
+    "NODE_LISTEN    address to listen on, overrides that of the configuration\n"
+    "IRISMUX_PARTS  path of the parts file (TOML), used if --parts is not given\n"
+    "IRISMUX_LOG    error, warning, info (the default) or debug; followed by \":json\" for JSON records\n";
 
-// Runs the command with one part of a parts file. `table` is its name there.
+// Runs the command with the settings of one part in a parts file. `table` is the name of their table.
 template <class Settings, class Command>
 int with_part(const std::string& path, std::optional<Settings> Parts::*part, const std::string& table,
               Command command) {
@@ -43,7 +43,7 @@
     return with_part(path, &Parts::fleet, "fleet", command);
 }
 
-// Runs the command with the site that the file names, or with the whole fleet if it names none.
+// Runs the command for the site that the parts file names, or for the whole fleet if it names none.
 template <class Command>
 int with_site(const std::string& path, Command command) {
     return with_fleet(path, [&](fleet::Settings settings) {
@@ -55,7 +55,7 @@
 int check_parts(const std::string& path) {
     const auto parts = read_parts(path);
     if (const auto* error = std::get_if<PartsError>(&parts)) return exit_with_error(error->text());
-    std::cout << path << " can be used\n";
+    std::cout << path << " is valid\n";
     return 0;
 }
 
@@ -84,96 +84,104 @@
     }
 
 private:
-    // A subcommand that, if it is given, is the one to run.
+    // Adds a subcommand. If it is given, `command` is run.
     CLI::App* add(CLI::App* parent, const char* name, const char* help, std::function<int()> command) {
         CLI::App* const subcommand = parent->add_subcommand(name, help);
         subcommand->callback([this, command = std::move(command)] { command_ = command; });
         return subcommand;
     }
-    // A group of subcommands, one of which must be given, for the parts named.
+    // Adds a group of subcommands, one of which must be given, that use a parts file.
     CLI::App* add_group(const char* name, const char* help) {
         CLI::App* const group = app_.add_subcommand(name, help);
         group->require_subcommand(1);
-        group->add_option("--parts", parts_, "file of the parts, TOML")->required();
+        group->add_option("--parts", parts_path_, "path of the parts file (TOML)")->required();
         return group;
     }
 
     void add_serve() {
-        CLI::App* const command =
-            add(&app_, "serve", "be a gateway (also without any argument)", [this] { return serve(parts_); });
-        command->add_option("--parts", parts_, "file of the parts, TOML");
+        CLI::App* const command = add(&app_, "serve", "run a gateway (the default without a subcommand)",
+                                      [this] { return serve(parts_path_); });
+        command->add_option("--parts", parts_path_, "path of the parts file (TOML)");
     }
     void add_check() {
-        CLI::App* const command = add(&app_, "check", "read a file of parts and say whether it can be used",
-                                      [this] { return check_parts(parts_); });
-        command->add_option("file", parts_)->required();
+        CLI::App* const command = add(&app_, "check", "check whether a parts file is valid",
+                                      [this] { return check_parts(parts_path_); });
+        command->add_option("file", parts_path_)->required();
     }
     void add_registry() {
-        CLI::App* const group = add_group("registry", "ask the key-value registry by hand");
-        add(group, "dump", "each record of the list, at one revision",
-            [this] { return with_registry(parts_, cli::registry_dump); });
-        add(group, "watch", "the list, then each change as gateways hear it",
-            [this] { return with_registry(parts_, cli::registry_watch); });
+        CLI::App* const group =
+            add_group("registry", "show and change the endpoint records in the key-value registry");
+        add(group, "dump", "print all records of the endpoint list, at one revision",
+            [this] { return with_registry(parts_path_, cli::registry_dump); });
+        add(group, "watch", "print the endpoint list, then each change as gateways receive it",
+            [this] { return with_registry(parts_path_, cli::registry_watch); });
         CLI::App* const put = add(group, "put", "write a record", [this] {
-            return with_registry(parts_, [this](const registry::Settings& settings) {
+            return with_registry(parts_path_, [this](const registry::Settings& settings) {
                 return cli::registry_put(settings, record_);
             });
         });
         put->add_option("line", record_, "JSON with an \"id\"")->required();
         CLI::App* const drain = add(group, "drain", "mark a cache as draining", [this] {
-            return with_registry(parts_, [this](const registry::Settings& settings) {
+            return with_registry(parts_path_, [this](const registry::Settings& settings) {
                 return cli::registry_state(settings, cache_, "Terminating");
             });
         });
         drain->add_option("id", cache_)->required();
     }
     void add_fleet() {
-        CLI::App* const group = add_group("fleet", "ask the fleet of gateways by hand");
-        add(group, "members", "who lives", [this] { return with_site(parts_, cli::fleet_members); });
-        add(group, "duties", "who owns what", [this] { return with_site(parts_, cli::fleet_duties); });
-        CLI::App* const release = add(group, "release", "have its owner leave a duty to others", [this] {
-            return with_site(parts_, [this](const fleet::Settings& settings) {
-                return cli::fleet_release(settings, duty_);
+        CLI::App* const group = add_group("fleet", "show and change the records of the fleet of gateways");
+        add(group, "members", "print the live members",
+            [this] { return with_site(parts_path_, cli::fleet_members); });
+        add(group, "duties", "print the duties and their owners",
+            [this] { return with_site(parts_path_, cli::fleet_duties); });
+        CLI::App* const release =
+            add(group, "release", "make the owner of a duty release it to other members", [this] {
+                return with_site(parts_path_, [this](const fleet::Settings& settings) {
+                    return cli::fleet_release(settings, duty_);
+                });
             });
-        });
         release->add_option("duty", duty_)->required();
-        CLI::App* const restore = add(group, "restore", "take a release back", [this] {
-            return with_site(parts_, [this](const fleet::Settings& settings) {
+        CLI::App* const restore = add(group, "restore", "withdraw a release", [this] {
+            return with_site(parts_path_, [this](const fleet::Settings& settings) {
                 return cli::fleet_restore(settings, duty_);
             });
         });
         restore->add_option("duty", duty_)->required();
         add_in_force(group);
         add_forget(group);
-        add(group, "new-generation", "the notice board has been restored: its numbers begin anew",
-            [this] { return with_fleet(parts_, cli::fleet_new_generation); });
+        add(group, "new-generation",
+            "start a new generation of event numbers after the notice board has been restored",
+            [this] { return with_fleet(parts_path_, cli::fleet_new_generation); });
     }
     void add_in_force(CLI::App* group) {
-        CLI::App* const command = add(group, "in-force", "whether an event is in force everywhere", [this] {
-            return with_fleet(parts_, [this](const fleet::Settings& settings) {
-                return cli::fleet_in_force(settings, in_force_);
+        CLI::App* const command = add(
+            group, "in-force", "check whether an event or a configuration is in force everywhere", [this] {
+                return with_fleet(parts_path_, [this](const fleet::Settings& settings) {
+                    return cli::fleet_in_force(settings, in_force_);
+                });
             });
-        });
-        command->add_option("--event", in_force_.event, "its number on the notice board");
-        command->add_option("--configuration", in_force_.configuration, "a configuration's number");
+        command->add_option("--event", in_force_.event, "number of the event on the notice board");
+        command->add_option("--configuration", in_force_.configuration, "number of the configuration");
         command->add_option("--board", in_force_.board, "address of the notice board");
-        command->add_option("--wait", in_force_.wait_s, "seconds until it is everywhere, at most");
+        command->add_option("--wait", in_force_.wait_s,
+                            "longest time to wait until it is in force everywhere, in seconds");
     }
     void add_forget(CLI::App* group) {
-        CLI::App* const command = add(group, "forget", "a gateway of a site that will not come back", [this] {
-            return with_fleet(parts_, [this](const fleet::Settings& settings) {
-                return cli::fleet_forget(settings, site_, member_);
+        CLI::App* const command =
+            add(group, "forget", "remove a permanently stopped gateway from its site", [this] {
+                return with_fleet(parts_path_, [this](const fleet::Settings& settings) {
+                    return cli::fleet_forget(settings, site_, member_);
+                });
             });
-        });
         command->add_option("site", site_)->required();
         command->add_option("name", member_)->required();
     }
 
-    CLI::App app_{"irismux, a lookup router for caches that fill from parent caches and an origin",
+    CLI::App app_{"irismux, a request router for caches that fill from parent caches and an origin",
                   "irismux"};
-    std::string parts_, cache_, record_, duty_, site_, member_;
+    std::string parts_path_, cache_, record_, duty_, site_, member_;
     cli::InForceQuery in_force_;
-    std::function<int()> command_ = [this] { return serve(parts_); };
+    std::function<int()> command_ = [this] { return serve(parts_path_); };
 };
 
 }  // namespace
--- a/src/gateway/parts_section.cpp
+++ b/src/gateway/parts_section.cpp
@@ -28,7 +28,7 @@
     return row[b.size()];
 }
 
-// A number of at least 0 with one of the units "ms", "s" and "min".
+// Parses a non-negative number that is followed by one of the units "ms", "s" and "min".
 std::optional<Duration> parse_duration(std::string_view text) {
     double value = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
@@ -59,7 +59,7 @@
             return edit_distance(a, key) < edit_distance(b, key);
         });
     const std::string where = name_.empty() ? "" : " in " + heading();
-    fail(&node, "unknown key " + quoted(key) + where + "; the nearest known one is " + quoted(*nearest));
+    fail(&node, "unknown key " + quoted(key) + where + "; the most similar known key is " + quoted(*nearest));
 }
 
 void PartsSection::fail(const toml::node* node, const std::string& problem) const {
@@ -75,7 +75,7 @@
 
 std::string PartsSection::text(const toml::node& node, std::string_view key) const {
     const auto value = node.value_exact<std::string>();
-    if (!value) fail(&node, quoted(key) + " must be text in quotes");
+    if (!value) fail(&node, quoted(key) + " must be a string in quotes");
     return *value;
 }
 
@@ -113,7 +113,7 @@
     const bool has_invisible =
         std::any_of(value.begin(), value.end(), [](unsigned char c) { return c <= ' ' || c > '~'; });
     if (value.empty() || value.size() > max_name_length || has_invisible)
-        fail(find(key), quoted(key) + " must be 1 to 128 letters without spaces");
+        fail(find(key), quoted(key) + " must be 1 to 128 visible ASCII characters without spaces");
     return value;
 }
 
--- a/src/net/fastcgi_connection.cpp
+++ b/src/net/fastcgi_connection.cpp
@@ -10,22 +10,24 @@
 
 using client_protocol::RequestError;
 
-// Clients close idle connections after this.
+// Clients close idle connections after this time.
 constexpr Duration client_idle_timeout = Duration::micros(4'000'000);
-// An idle connection that the client should have closed by then is closed here.
+// The server closes an idle connection after this time, by which the client should have closed it.
 const Duration server_idle_timeout = client_idle_timeout * 1.25;
-// A request that is still incomplete then is refused: it would use memory and a descriptor for good.
+// A request that is still incomplete after this time is refused; otherwise it could use memory and a
+// descriptor forever.
 const Duration incomplete_request_timeout = client_idle_timeout * 0.5;
 
-// One connection may use one part in so many of the memory for requests.
+// One connection may use at most the memory for requests divided by this.
 constexpr std::size_t connection_memory_divisor = 8;
-// A response up to this size is written as one record with its head.
+// A response up to this size is written in one record together with its head.
 constexpr std::size_t max_joined_response_bytes = 16'384;
-// Responses that the system holds ahead of a slow client; the others wait here and are counted.
+// Responses to a slow client that the system may buffer; the rest stays in the output buffer and is counted.
 constexpr int max_send_buffer_bytes = 65'536;
-// A client that has not read so many bytes of responses is not read from.
+// Reading from a client pauses while it has more than this many unread bytes of responses.
 constexpr std::size_t max_unread_response_bytes = 1'048'576;
-// Input that is read ahead while paused: one of the largest requests, and aborts of others.
+// Limit of the input that is read ahead while paused. Enough for one of the largest requests and aborts of
+// others.
 constexpr std::size_t max_paused_input_bytes =
     client_protocol::max_body_bytes + client_protocol::max_parameter_bytes;
 
@@ -87,7 +89,7 @@
     lifecycle_ = Lifecycle::abandoned;
     const auto abandoned = std::exchange(open_requests_, {});
     context_.request_bytes -= std::exchange(request_bytes_, 0);
-    if (log::shown(log::Level::debug))
+    if (log::is_enabled(log::Level::debug))
         log::event(log::Level::debug, "client_requests_abandoned",
                    {{"connection", number_}, {"open_requests", abandoned.size()}});
     for (const auto& [request_id, request] : abandoned)
@@ -115,21 +117,21 @@
 void FastCgiConnection::on_data() {
     const auto alive = shared_from_this();
     if (input_mode_ == InputMode::discarding) {
-        input_.consumed(input_.size());
+        input_.consume(input_.size());
         return;
     }
     while (state() == ConnectionState::open && !lingering() && input_mode_ == InputMode::parsing) {
         fastcgi::Record record;
         std::size_t used = 0;
         const ParseStatus status = fastcgi::parse_record(input_.view(), record, used);
-        // No request needs such a record, so the rest of it is not waited for.
+        // No valid request needs a record of this length, so the server does not wait for the rest of it.
         if (status == ParseStatus::incomplete &&
             fastcgi::announced_content_length(input_.view(), record) > client_protocol::max_body_bytes)
             return refuse_and_discard_input(record.request, RequestError::record_too_long);
         if (status == ParseStatus::incomplete) return;
         if (status == ParseStatus::invalid) return close_for_protocol_error("not_fastcgi");
         on_record(record);
-        input_.consumed(used);
+        input_.consume(used);
         scanned_bytes_ = 0;
         pause_if_responses_pile_up();
     }
@@ -141,12 +143,12 @@
     using fastcgi::Type;
     if (record.type == Type::get_values) return on_get_values(record.content);
     if (record.request == 0) {
-        fastcgi::write_unknown(output_, static_cast<std::uint8_t>(record.type));
+        fastcgi::write_unknown_type(output_, static_cast<std::uint8_t>(record.type));
         return schedule_write();
     }
     if (record.type == Type::begin_request) return on_begin_request(record);
     const auto it = open_requests_.find(record.request);
-    if (it == open_requests_.end()) return;  // it has its response already, or never began
+    if (it == open_requests_.end()) return;  // already answered, or never begun
     switch (record.type) {
         case Type::abort_request:
             return on_abort_request(record.request);
@@ -155,22 +157,22 @@
         case Type::std_in:
             return on_body(record, it->second);
         default:
-            return;  // DATA belongs to other roles
+            return;  // DATA records belong to other roles
     }
 }
 
 void FastCgiConnection::on_begin_request(const fastcgi::Record& record) {
-    fastcgi::Begin begin;
-    if (fastcgi::parse_begin(record.content, begin) != ParseStatus::complete ||
+    fastcgi::BeginRequest begin;
+    if (fastcgi::parse_begin_request(record.content, begin) != ParseStatus::complete ||
         open_requests_.contains(record.request))
         return close_for_protocol_error("invalid_begin_request");
     if (begin.role != fastcgi::responder)
-        return end_request(record.request, fastcgi::ProtocolStatus::unknown_role, begin.keep);
+        return end_request(record.request, fastcgi::ProtocolStatus::unknown_role, begin.keep_connection);
     if (open_requests_.size() >= client_protocol::max_open_requests)
-        return end_request(record.request, fastcgi::ProtocolStatus::overloaded, begin.keep);
+        return end_request(record.request, fastcgi::ProtocolStatus::overloaded, begin.keep_connection);
     IncomingRequest& request = open_requests_[record.request];
     request.sequence = ++begun_requests_;
-    request.keep_connection = begin.keep;
+    request.keep_connection = begin.keep_connection;
     request.begun_at = loop_.now();
 }
 
@@ -179,7 +181,7 @@
     const bool dispatched = it->second.state == RequestState::dispatched;
     const bool keep_connection = it->second.keep_connection;
     const ClientStream stream{number_, request_id, it->second.sequence};
-    if (log::shown(log::Level::debug))
+    if (log::is_enabled(log::Level::debug))
         log::event(log::Level::debug, "request_aborted",
                    {{"connection", number_}, {"fastcgi_request", request_id}});
     erase_request(it);
@@ -207,14 +209,14 @@
 }
 
 void FastCgiConnection::on_get_values(std::string_view requested) {
-    const auto reply = client_protocol::values_reply(requested, context_.limits.connections);
+    const auto reply = client_protocol::get_values_reply(requested, context_.limits.connections);
     const auto* const values = std::get_if<std::string>(&reply);
     if (!values) return close_for_protocol_error("invalid_get_values");
     fastcgi::write_record(output_, fastcgi::Type::get_values_result, 0, *values);
     schedule_write();
 }
 
-// Guards the memory against many requests that have no response yet: what is over the limit is refused.
+// Limits the memory for requests that have no response yet by refusing requests that exceed it.
 void FastCgiConnection::buffer_content(std::uint16_t request_id, IncomingRequest& request,
                                        std::string& destination, std::string_view content) {
     const std::size_t limit = context_.limits.request_bytes;
@@ -269,7 +271,7 @@
     if (it == open_requests_.end()) return;
     const bool keep_connection = it->second.keep_connection;
     erase_request(it);
-    if (log::shown(log::Level::debug))
+    if (log::is_enabled(log::Level::debug))
         log::event(log::Level::debug, "response_written",
                    {{"connection", number_}, {"fastcgi_request", request_id}, {"bytes", body.size()}});
     using fastcgi::Type;
@@ -295,7 +297,7 @@
     respond(request_id, client_protocol::error_head(error), {});
 }
 
-// More input than a request may have is to come: none of it is stored.
+// Refuses a request that has more input than allowed, without storing the input that is still to arrive.
 void FastCgiConnection::refuse_and_discard_input(std::uint16_t request_id, RequestError error) {
     begin_closing();
     input_mode_ = InputMode::discarding;
@@ -305,7 +307,7 @@
 
 void FastCgiConnection::end_request(std::uint16_t request_id, fastcgi::ProtocolStatus status,
                                     bool keep_connection) {
-    fastcgi::write_end(output_, request_id, status);
+    fastcgi::write_end_request(output_, request_id, status);
     if (!keep_connection) begin_closing();
     schedule_write();
 }
@@ -324,18 +326,18 @@
     if (input_mode_ != InputMode::paused) return;
     input_mode_ = InputMode::parsing;
     set_reading(true);
-    on_data();  // records that came while it was paused
+    on_data();  // handles records that arrived while parsing was paused
 }
 
-// --- a client that does not read its responses -----------------------------------------------------------
+// --- clients that do not read their responses ------------------------------------------------------------
 
 void FastCgiConnection::pause_if_responses_pile_up() {
     if (input_mode_ == InputMode::parsing && output_.size() > max_unread_response_bytes)
         input_mode_ = InputMode::paused;
 }
 
-// Guards against a client that closes or aborts while its input is paused: its attempts would go on. Aborts
-// are carried out at once, and the end is noticed as long as the input before it fits.
+// Detects a client that closes or aborts while its input is paused; otherwise its attempts would continue.
+// Aborts are handled at once, and the end of the connection is noticed as long as the input before it fits.
 void FastCgiConnection::scan_paused_input() {
     fastcgi::Record record;
     std::size_t used = 0;
--- a/src/registry/watch.cpp
+++ b/src/registry/watch.cpp
@@ -36,7 +36,7 @@
 }
 
 void Watch::start(TimePoint now) {
-    last_seen_ = now;
+    last_contact_at_ = now;
     request_next(now);
 }
 
@@ -45,7 +45,7 @@
 void Watch::enter(TimePoint now, SyncState state) {
     if (state == SyncState::disconnected && recovery_ == Recovery::watch) recovery_ = Recovery::history_check;
     if (state == sync_state_) return;
-    // Only something current ends a disconnection.
+    // Only an open and current watch ends the state disconnected.
     if (sync_state_ == SyncState::disconnected && state != SyncState::following) return;
     sync_state_ = state;
     observer_.on_sync_state(now, state, last_complete_at_);
@@ -53,19 +53,19 @@
 
 void Watch::expect(TimePoint now, PendingOperation operation, Duration timeout) {
     pending_operation_ = operation;
-    due_ = now + timeout;
-    // A disconnection is reported in time, whatever operation is pending.
-    const TimePoint disconnected_at = last_seen_ + policy_.watch_timeout;
+    operation_deadline_ = now + timeout;
+    // Wakes in time to report a disconnection, even if the pending operation has a later deadline.
+    const TimePoint disconnected_at = last_contact_at_ + policy_.watch_timeout;
     if (sync_state_ == SyncState::disconnected || disconnected_at <= now)
-        transport_.schedule_wake(due_);
+        transport_.schedule_wake(operation_deadline_);
     else
-        transport_.schedule_wake(std::min(due_, disconnected_at));
+        transport_.schedule_wake(std::min(operation_deadline_, disconnected_at));
 }
 
 void Watch::on_wake(TimePoint now) {
     if (pending_operation_ == PendingOperation::nothing) return;
-    if (now - last_seen_ >= policy_.watch_timeout) enter(now, SyncState::disconnected);
-    if (now < due_) return expect(now, pending_operation_, due_ - now);
+    if (now - last_contact_at_ >= policy_.watch_timeout) enter(now, SyncState::disconnected);
+    if (now < operation_deadline_) return expect(now, pending_operation_, operation_deadline_ - now);
     if (pending_operation_ == PendingOperation::pause) return request_next(now);
     const bool watching = pending_operation_ == PendingOperation::watch_message;
     on_request_failed(
@@ -100,7 +100,7 @@
     transport_.open_watch(member_, Revision{resume_revision_.raw() + 1});
 }
 
-// Full jitter: clients that lost a registry at the same time return spread over the whole pause.
+// Full jitter: clients that lose a registry at the same time spread their retries over the whole pause.
 void Watch::back_off(TimePoint now, PauseLimit limit) {
     constexpr int max_doublings = 16;
     const int doublings = std::min(consecutive_failures_, max_doublings);
@@ -129,7 +129,7 @@
     full_read_.records.clear();
     pending_changes_.clear();
     transport_.close();
-    // The first full read in a row begins without a pause: the changes missed may be urgent.
+    // The first of several consecutive full reads starts without a pause: the missed changes may be urgent.
     const bool immediate = recovery_ != Recovery::full_read && read_restarts_ == 0;
     recovery_ = Recovery::full_read;
     ++read_restarts_;
@@ -147,7 +147,8 @@
     return header.revision < resume_revision_;
 }
 
-// Whether to go on with this member: it is current, or the registry counts as rolled back.
+// Returns true if this member's replies can be used: either the member is current, or the registry counts as
+// rolled back and a full read is due.
 bool Watch::accept_header(TimePoint now, const ReplyHeader& header) {
     if (!is_older(header)) {
         rollback_detector_.reset();
@@ -156,7 +157,7 @@
     const RollbackDetector::Verdict verdict = rollback_detector_.on_older_reply(now, member_);
     switch (verdict) {
         case RollbackDetector::Verdict::member_lags:
-        case RollbackDetector::Verdict::most_lag:
+        case RollbackDetector::Verdict::most_members_lag:
             leave_lagging_member(now, verdict);
             return false;
         case RollbackDetector::Verdict::rolled_back:
@@ -178,7 +179,7 @@
     expect(now, PendingOperation::pause, rollback_detector_.confirmation_time() - now + jitter);
 }
 
-// The member's revision is not in the reply; it is at least one below the one requested.
+// The reply does not contain the member's revision, which is at least one below the requested revision.
 void Watch::on_revision_not_reached(TimePoint now) {
     if (!is_request_pending()) return;
     if (accept_header(now, {cluster_, Revision{resume_revision_.raw() - 1}})) request_next(now);
@@ -220,8 +221,8 @@
     apply_full_read(now);
 }
 
-// Guards against a member that lost its data: its list is empty or mostly unreadable, and taking it into
-// force would remove the fleet. Such a list needs a confirmation, see is_confirmed().
+// A member that lost its data returns an empty or mostly unreadable list. Applying such a list would remove
+// the fleet, so the list is doubtful and needs a confirmation, see is_confirmed().
 bool Watch::is_doubtful(const std::vector<Record>& records) const {
     constexpr double min_readable_share = 0.5;
     if (!list_reported_ || view_.entries().empty()) return false;
@@ -232,7 +233,8 @@
     return static_cast<double>(readable) < min_readable_share * static_cast<double>(records.size());
 }
 
-// By another member; in a registry of one, by the same member after watch_timeout.
+// A doubtful list is confirmed by a doubtful list from another member. In a registry with one member, the
+// same member confirms it once watch_timeout has passed.
 bool Watch::is_confirmed(TimePoint now) const {
     if (!doubtful_read_) return false;
     if (policy_.members == 1) return now - doubtful_read_->at >= policy_.watch_timeout;
@@ -259,7 +261,7 @@
     if (!read.header.cluster.raw().empty()) cluster_ = read.header.cluster;
     const std::vector<EndpointRecord> updates = view_.replace(read.header.revision, read.records, now);
     resume_revision_ = read.header.revision;
-    last_seen_ = last_complete_at_ = now;
+    last_contact_at_ = last_complete_at_ = now;
     const bool first_list = !std::exchange(list_reported_, true);
     if (first_list || !updates.empty()) observer_.on_endpoints(now, updates, first_list);
     std::vector<Change> all;
@@ -271,16 +273,17 @@
 
 // --- history check ---------------------------------------------------------------------------------------
 
-// Guards against a registry that was restored and has since grown past our revision: no revision shows it,
-// and a watch alone would miss what the restore took away. Its history differs, so it is compared.
+// Compares the registry's history with the view's, because the two differ after the registry was restored. If
+// the registry's revision has since passed the view's, the revision does not reveal the restore, and a watch
+// alone would not report the records that the restore removed.
 void Watch::on_check_result(TimePoint now, const ReplyHeader& header, std::size_t records,
                             const std::vector<Record>& newest) {
     if (pending_operation_ != PendingOperation::check) return;
     if (!accept_header(now, header)) return;
-    const bool must_read = recovery_ == Recovery::full_read;
+    const bool full_read_required = recovery_ == Recovery::full_read;
     const bool same_history = is_same_history(records, newest);
     if (!same_history) warn(WatchWarningKind::history_diverged);
-    recovery_ = same_history && !must_read ? Recovery::watch : Recovery::full_read;
+    recovery_ = same_history && !full_read_required ? Recovery::watch : Recovery::full_read;
     request_next(now);
 }
 
@@ -317,7 +320,7 @@
         return reject_long_change(now);
     pending_changes_.insert(pending_changes_.end(), changes.begin(), changes.end());
     if (fragment) {
-        last_seen_ = now;
+        last_contact_at_ = now;
         return expect(now, PendingOperation::watch_message, policy_.watch_timeout);
     }
     apply_pending_changes(now, header);
@@ -334,7 +337,8 @@
 
 void Watch::apply_pending_changes(TimePoint now, const ReplyHeader& header) {
     std::vector<Change> changes = std::exchange(pending_changes_, {});
-    // A sender of changes may be ahead of what it has sent; a progress notice covers all up to its revision.
+    // A member's revision may be ahead of the changes that it has sent. Only a progress notice, which has no
+    // changes, covers all changes up to its revision.
     const Revision covered = changes.empty() ? header.revision : Revision{};
     const Revision before = view_.revision();
     const std::vector<EndpointRecord> updates = view_.apply(covered, changes, now);
@@ -345,10 +349,10 @@
 }
 
 void Watch::mark_current(TimePoint now) {
-    // A watch that has lasted for this share of the cap ends a row of failures. Much less, and a registry
-    // that accepts and drops connections would be polled at the base pause.
+    // A watch that has been open for this share of backoff_cap resets the count of consecutive failures. With
+    // a much smaller share, a registry that accepts and drops connections would be retried at the base pause.
     constexpr double stable_share_of_cap = 0.02;
-    last_seen_ = last_complete_at_ = now;
+    last_contact_at_ = last_complete_at_ = now;
     if (pending_operation_ == PendingOperation::watch_opening) watch_opened_at_ = now;
     if (now - watch_opened_at_ >= policy_.backoff_cap * stable_share_of_cap) consecutive_failures_ = 0;
     enter(now, SyncState::following);
--- a/src/routing/fill_source.hpp
+++ b/src/routing/fill_source.hpp
@@ -1,5 +1,5 @@
-// Where a cache fills a miss from: the object's parent, the origin in its place, or nowhere (cache-only
-// attempts).
+// Selects the source from which a cache fills a miss: the object's parent, the origin in its place, or none
+// (a cache-only attempt).
 #pragma once
 
 #include "irismux/deployment.hpp"
@@ -11,8 +11,8 @@
 
 namespace irismux::routing {
 
-/// What FillSource asks; all must outlive it.
-struct FillSourceInputs {
+/// The objects that FillSourceSelection uses. All must outlive it.
+struct FillSourceDependencies {
     const EndpointSet& endpoints;
     const ObjectStatistics& statistics;
     const Congestion& congestion;
@@ -22,27 +22,27 @@
     RandomFraction& random;
 };
 
-class FillSource {
+class FillSourceSelection {
 public:
-    FillSource(const Deployment& deployment, const FillSourceInputs& inputs);
+    FillSourceSelection(const Deployment& deployment, const FillSourceDependencies& dependencies);
 
-    /// Request going down: sets the plan's source for the cache that has been selected.
-    /// @return false: a known miss can't be filled now.
+    /// Sets the fill source of the request's plan for the cache that has been selected.
+    /// @return false if the miss is known and cannot be filled now
     [[nodiscard]] bool select(PendingRequest& request, const EndpointState& cache, TimePoint now);
-    /// Result coming up: what it shows of fills with the source and of fetches from the origin, which select
-    /// reads; and whether the request avoids the source from now on.
-    /// @param source null for attempts without one
+    /// Updates the limits of fills from the source and of fetches from the origin, which select() reads, and
+    /// decides whether the request avoids the source from now on.
+    /// @param source null for attempts without a fill source
     void on_result(PendingRequest& request, const Attempt& attempt, const AttemptResult& result,
                    EndpointState* source, TimePoint now);
-    /// A fill has passed its latency limit; counts as on_result would.
+    /// Records a fill that has passed its latency limit, as on_result() would.
     void on_late_attempt(EndpointState& source, TimePoint now) const;
 
 private:
     using Endpoints = std::vector<EndpointState*>;
 
-    [[nodiscard]] bool ask_cache_first(const PendingRequest& request, const EndpointState& cache,
-                                       const Endpoints& parents, double transfer_seconds,
-                                       TimePoint now) const;
+    [[nodiscard]] bool should_try_cache_only(const PendingRequest& request, const EndpointState& cache,
+                                             const Endpoints& parents, double transfer_seconds,
+                                             TimePoint now) const;
     [[nodiscard]] EndpointState* parent_with_budget(const PendingRequest& request, const Endpoints& parents,
                                                     double transfer_seconds, TimePoint now) const;
     [[nodiscard]] bool origin_takes_parents_fill(const EndpointState* parent, EndpointState* origin,
@@ -59,11 +59,11 @@
                      EndpointState& source, TimePoint now) const;
     void record_origin_wait(const AttemptResult& result, TimePoint now);
 
-    FillSourceInputs inputs_;
+    FillSourceDependencies dependencies_;
     bool has_parents_;
     Duration longest_latency_objective_;
-    AdaptiveLimit fetch_limit_;            // of fetches from the origin, by caches and by parents
-    double mean_origin_wait_seconds_ = 0;  // of fetches behind parents and of our own; 0: none yet
+    AdaptiveLimit fetch_limit_;            // limit of fetches from the origin by caches and parents
+    double mean_origin_wait_seconds_ = 0;  // mean over fetches by parents and by caches; 0: none yet
 };
 
 }  // namespace irismux::routing
--- a/src/routing/late_attempts.hpp
+++ b/src/routing/late_attempts.hpp
@@ -1,4 +1,4 @@
-// Attempts in flight by the time at which they pass their latency limit.
+// A queue of the attempts in flight, ordered by the time at which they pass their latency limit.
 #pragma once
 
 #include <compare>
@@ -13,24 +13,24 @@
 
 class LateAttemptQueue {
 public:
-    struct Entry {
+    struct WatchedAttempt {
         TimePoint late_after;
         RequestId request;
         AttemptIndex attempt;
-        auto operator<=>(const Entry&) const = default;
+        auto operator<=>(const WatchedAttempt&) const = default;
     };
 
-    void add(const Entry& entry) { entries_.insert(entry); }
-    /// An attempt that has ended; nothing if it was late.
-    void erase(const Entry& entry) { entries_.erase(entry); }
-    /// Takes out the next attempt that is past its limit; none: no more.
-    std::optional<Entry> pop_late(TimePoint now) {
-        if (entries_.empty() || entries_.begin()->late_after >= now) return std::nullopt;
-        return entries_.extract(entries_.begin()).value();
+    void add(const WatchedAttempt& attempt) { attempts_.insert(attempt); }
+    /// Removes an attempt that has ended. Has no effect if pop_late() has already removed it.
+    void erase(const WatchedAttempt& attempt) { attempts_.erase(attempt); }
+    /// Removes and returns the next attempt that is past its latency limit, or std::nullopt if there is none.
+    std::optional<WatchedAttempt> pop_late(TimePoint now) {
+        if (attempts_.empty() || attempts_.begin()->late_after >= now) return std::nullopt;
+        return attempts_.extract(attempts_.begin()).value();
     }
 
 private:
-    std::set<Entry> entries_;
+    std::set<WatchedAttempt> attempts_;
 };
 
 }  // namespace irismux::routing
--- a/src/routing/object_statistics.cpp
+++ b/src/routing/object_statistics.cpp
@@ -6,9 +6,9 @@
 namespace irismux::routing {
 namespace {
 
-// A generation lasts this many of the longest deadline.
+// Length of a generation, as a multiple of the longest deadline.
 constexpr double deadlines_per_generation = 2;
-// Means are over about this many results.
+// Each mean covers approximately this many of the latest results.
 constexpr double mean_over_results = 256;
 
 }  // namespace
@@ -24,12 +24,12 @@
 
 bool ObjectStatistics::record_request(const ObjectName& object, TimePoint now) {
     if (now - generation_began_at_ > generation_) {
-        previous_ = std::exchange(present_, {});
+        previous_ = std::exchange(current_, {});
         generation_began_at_ = now;
     }
-    const auto before = previous_.find(object);
-    const bool was_in_previous = before != previous_.end();
-    const bool inserted = present_.try_emplace(object, was_in_previous ? before->second : 0).second;
+    const auto previous_entry = previous_.find(object);
+    const bool was_in_previous = previous_entry != previous_.end();
+    const bool inserted = current_.try_emplace(object, was_in_previous ? previous_entry->second : 0).second;
     return !inserted || was_in_previous;
 }
 
@@ -43,7 +43,7 @@
     const double elapsed = result.elapsed.seconds();
     const bool hit = result.cache_status == CacheStatus::hit;
     if (hit || result.cache_status == CacheStatus::filled) {
-        double& shortest = present_[request.request.object];
+        double& shortest = current_[request.request.object];
         shortest = shortest > 0 ? std::min(shortest, elapsed) : elapsed;
     }
     const bool sized = size_is_known(request.request);
@@ -52,7 +52,8 @@
     mean += ((sized ? attempt.transfer_seconds : elapsed) - mean) / mean_over_results;
 }
 
-// A hit takes the object's transfer time, and longer only when slowed: so the shortest is learnt.
+// A hit takes at least the object's transfer time, and longer only if it is slowed down. The shortest time is
+// therefore the best estimate.
 double ObjectStatistics::transfer_seconds(const Request& request) const {
     if (size_is_known(request)) return request.size_kb / transfer_rate_kb_per_s_;
     const double shortest = shortest_transfer_seconds(request.object);
@@ -60,8 +61,8 @@
 }
 
 double ObjectStatistics::shortest_transfer_seconds(const ObjectName& object) const {
-    const auto entry = present_.find(object);
-    return entry == present_.end() ? 0 : entry->second;
+    const auto entry = current_.find(object);
+    return entry == current_.end() ? 0 : entry->second;
 }
 
 double ObjectStatistics::known_transfer_seconds(const Request& request, const Attempt& attempt) const {
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -1,5 +1,6 @@
-// The pipeline of policies that each request goes down and each result comes up (include/irismux/router.hpp).
-// No policy is decided here; docs/design.md says which file decides what.
+// The router (include/irismux/router.hpp): calls the policies in order for each request and, in reverse
+// order, for each result. This file makes no policy decisions itself; docs/design.md lists which file decides
+// what.
 #include "irismux/router.hpp"
 
 #include <algorithm>
@@ -27,7 +28,8 @@
 namespace {
 
 const TimerId resubscribe_timer{1};
-// All gateways lose service discovery at once: they subscribe again after this, or up to twice as long.
+// Minimum delay before subscribing again. All gateways lose service discovery at the same time, so the delay
+// is random, up to twice this value.
 constexpr Duration resubscribe_delay = Duration::micros(2'000'000);
 
 }  // namespace
@@ -52,7 +54,8 @@
     [[nodiscard]] bool plan_attempt(PendingRequest& request, TimePoint now);
     void start_attempt(PendingRequest& request, TimePoint now);
     [[nodiscard]] Attempt planned_attempt(const PendingRequest& request, TimePoint now);
-    void take_result(PendingRequest& request, Attempt& attempt, const AttemptResult& result, TimePoint now);
+    void process_result(PendingRequest& request, Attempt& attempt, const AttemptResult& result,
+                        TimePoint now);
     void reject_or_fail(PendingRequest& request);
     void erase_if_finished(const RequestId& id);
 
@@ -74,7 +77,7 @@
     IdempotencyPolicy idempotency_;
     RetryPolicy retries_;
     EdgeSelection edge_selection_;
-    FillSource fill_source_;
+    FillSourceSelection fill_source_selection_;
     AttemptMonitor monitor_;
 
     PendingRequests pending_requests_;
@@ -95,24 +98,24 @@
       idempotency_(deployment_),
       retries_(deployment_, random_),
       edge_selection_(deployment_, endpoints_, statistics_, congestion_, slow_start_, outliers_),
-      fill_source_(deployment_, {.endpoints = endpoints_,
-                                 .statistics = statistics_,
-                                 .congestion = congestion_,
-                                 .slow_start = slow_start_,
-                                 .outliers = outliers_,
-                                 .freshness = freshness_,
-                                 .random = random_}),
+      fill_source_selection_(deployment_, {.endpoints = endpoints_,
+                                           .statistics = statistics_,
+                                           .congestion = congestion_,
+                                           .slow_start = slow_start_,
+                                           .outliers = outliers_,
+                                           .freshness = freshness_,
+                                           .random = random_}),
       monitor_(deployment_, {.endpoints = endpoints_,
                              .congestion = congestion_,
                              .outliers = outliers_,
-                             .fill_source = fill_source_,
+                             .fill_source_selection = fill_source_selection_,
                              .callbacks = callbacks_}) {
     if (deployment_.subscribe_to_endpoints) callbacks_.subscribe_to_endpoints();
 }
 
-// --- the pipeline: a request going down ---
+// --- planning and starting attempts ---
 
-// Asks the policies in order, and ends the request where one of them does not allow an attempt.
+// Starts an attempt, or ends the request if one of the policies does not allow an attempt.
 void Router::Core::attempt_or_end(PendingRequest& request, TimePoint now) {
     if (plan_attempt(request, now))
         start_attempt(request, now);
@@ -120,15 +123,15 @@
         reject_or_fail(request);
 }
 
-// Whether an attempt is allowed at all comes first, since choosing endpoints accrues budgets and starts
-// recovery probes. Freshness begins the plan that the others fill in. The source comes after the cache:
-// whether a fill is worth asking for depends on the state of the cache.
+// First checks whether an attempt is allowed at all, since selecting endpoints accrues budgets and starts
+// recovery probes. The freshness policy then begins the plan that the other policies complete. The source is
+// selected after the cache, since the state of the cache determines whether a fill is worthwhile.
 bool Router::Core::plan_attempt(PendingRequest& request, TimePoint now) {
     if (!retries_.may_attempt(request, now)) return false;
     if (!idempotency_.may_attempt(request, nullptr, now)) return false;
     freshness_.begin_plan(request, now);
     if (!edge_selection_.select(request, now)) return false;
-    return fill_source_.select(request, endpoints_.at(request.plan.cache), now);
+    return fill_source_selection_.select(request, endpoints_.at(request.plan.cache), now);
 }
 
 void Router::Core::start_attempt(PendingRequest& request, TimePoint now) {
@@ -153,7 +156,7 @@
     attempt.source = request.plan.source;
     attempt.cell = endpoints_.at(attempt.cache).cell;
     attempt.started_at = now;
-    attempt.last_judged_at = now;
+    attempt.slow_start_checked_at = now;
     attempt.probes_cache = request.probes_cache;
     attempt.probes_source = request.probes_source;
     attempt.transfer_seconds = statistics_.transfer_seconds(request.request);
@@ -163,13 +166,13 @@
     return attempt;
 }
 
-// --- the pipeline: a result coming up ---
+// --- processing results ---
 
-// The reverse order. Lost attempts are judged by what was in flight, so before the counters change; health by
-// what is in flight now, so after. Edge selection reads the health that this result leaves, and the retry
-// policy, asked by the caller, what all others have noted on the request.
-void Router::Core::take_result(PendingRequest& request, Attempt& attempt, const AttemptResult& result,
-                               TimePoint now) {
+// Calls the policies in reverse order. Lost attempts are detected before the counters of attempts in flight
+// change, and health is updated afterwards. Edge selection reads the health that this result leaves, and the
+// retry policy, which the caller consults next, reads what all the others have recorded on the request.
+void Router::Core::process_result(PendingRequest& request, Attempt& attempt, const AttemptResult& result,
+                                  TimePoint now) {
     EndpointState& cache = endpoints_.at(attempt.cache);
     EndpointState* source = source_of(attempt);
     attempt.state = AttemptState::ended;
@@ -180,7 +183,7 @@
     congestion_.on_cache_result(cache, request, attempt, result, now);
     statistics_.record_result(request, attempt, result);
 
-    fill_source_.on_result(request, attempt, result, source, now);
+    fill_source_selection_.on_result(request, attempt, result, source, now);
     if (source) outliers_.on_source_result(*source, attempt, result, now);
 
     const bool late = result.elapsed > latency_limit(*request.kind, attempt.transfer_seconds);
@@ -214,7 +217,7 @@
     PendingRequest& request = entry->second;
     const std::size_t index = result.attempt.raw();
     if (index >= request.attempts.size() || !request.attempts[index].in_flight()) return;
-    take_result(request, request.attempts[index], result, now);
+    process_result(request, request.attempts[index], result, now);
     switch (retries_.next_step(request, result)) {
         case NextStep::none:
             break;
@@ -235,8 +238,8 @@
     erase_if_finished(id);
 }
 
-// Guards an attempt that has waited for a connection: its client may have closed, its idempotency window
-// ended, or an endpoint restarted, against whose slow start it has not been judged.
+// Rechecks an attempt that has waited for a connection. Meanwhile its client may have disconnected, its
+// idempotency window may have ended, or an endpoint may have restarted, so that its slow start applies.
 bool Router::Core::may_begin_attempt(const RequestId& id, AttemptIndex index, TimePoint now) {
     const auto entry = pending_requests_.find(id);
     if (entry == pending_requests_.end()) return false;
@@ -248,11 +251,12 @@
     if (!slow_start_.recheck(endpoints_.at(attempt.cache), attempt, now)) return false;
     if (EndpointState* source = source_of(attempt); source && !slow_start_.recheck(*source, attempt, now))
         return false;
-    attempt.last_judged_at = now;
+    attempt.slow_start_checked_at = now;
     return true;
 }
 
-// Guards clients against a process that ends before their deadlines: none would get a final response.
+// Shortens the deadlines of all requests, since clients whose deadline is after the end of the process would
+// otherwise get no final response.
 void Router::Core::on_drain(TimePoint deadline) {
     drain_deadline_ = deadline;
     for (auto& [id, pending] : pending_requests_)
@@ -272,7 +276,7 @@
     const auto entry = pending_requests_.find(id);
     if (entry == pending_requests_.end() || !entry->second.finished) return;
     for (Attempt& attempt : entry->second.attempts)
-        if (attempt.in_flight()) Congestion::no_longer_late(attempt, endpoints_.at(attempt.cache));
+        if (attempt.in_flight()) Congestion::stop_counting_as_late(attempt, endpoints_.at(attempt.cache));
     if (!entry->second.has_attempt_in_flight()) pending_requests_.erase(entry);
 }
 
@@ -306,10 +310,10 @@
 
 void Router::Core::on_timer(TimerId timer, TimePoint now) {
     if (timer == resubscribe_timer) return callbacks_.subscribe_to_endpoints();
-    if (timer == AttemptMonitor::timer) monitor_.on_timer(pending_requests_, now);
+    if (timer == AttemptMonitor::timer_id) monitor_.on_timer(pending_requests_, now);
 }
 
-// --- the interface ---
+// --- the public interface ---
 
 Router::Router(RouterCallbacks& callbacks, const Deployment& deployment, std::uint64_t seed, TimePoint)
     : core_(std::make_unique<Core>(callbacks, deployment, seed)) {}
--- a/testing/stub_gateway.cpp
+++ b/testing/stub_gateway.cpp
@@ -1,13 +1,13 @@
 #include "testing/stub_gateway.hpp"
 
-namespace irismux::stand_ins {
+namespace irismux::test_support {
 namespace {
 
 constexpr const char* version = "0.3.0";
 const Duration purge_done = Duration::micros(6'000'000);
 const Duration probe_answered_in = Duration::micros(1'000);
 
-// FNV-1a: the same in every process, and across runs.
+// FNV-1a: gives the same result in every process and run.
 std::uint64_t digest(std::string_view text) {
     std::uint64_t sum = 14695981039346656037ULL;
     for (const char c : text) sum = (sum ^ static_cast<unsigned char>(c)) * 1099511628211ULL;
@@ -21,8 +21,8 @@
       observer_(observer),
       settings_(settings),
       roster_(purge_done),
-      notice_client_(loop, *this, settings.board, settings.board_pause) {
-    notice_client_.load_known(settings_.known);
+      notice_client_(loop, *this, settings.notice_board, settings.notice_board_pause) {
+    notice_client_.load_known_events(settings_.known);
     if (settings_.registry)
         registry_ = std::make_unique<registry::RegistryClient>(
             loop, static_cast<registry::WatchObserver&>(*this), *settings_.registry, settings_.seed);
@@ -39,15 +39,15 @@
     if (fleet_client_) fleet_client_->start();
 }
 
-void StubGateway::set_ejected(const CacheId& cache, bool is) {
-    if (fleet_client_) fleet_client_->on_ejection_changed(cache, is);
+void StubGateway::set_ejected(const CacheId& cache, bool ejected) {
+    if (fleet_client_) fleet_client_->on_ejection_changed(cache, ejected);
 }
 
-void StubGateway::cache_answers(const CacheId& cache, bool is) { answers_[cache] = is; }
+void StubGateway::set_cache_answers(const CacheId& cache, bool answers) { answers_[cache] = answers; }
 
 bool StubGateway::joined() const { return fleet_client_ && fleet_client_->agent().membership().joined(); }
 
-std::size_t StubGateway::members_known() const {
+std::size_t StubGateway::known_members() const {
     return fleet_client_ ? fleet_client_->agent().membership().members().size() + joined() : 0;
 }
 
@@ -66,7 +66,7 @@
     return !registry_ || registry_->watch().sync_state() == registry::SyncState::following;
 }
 
-// The board's list counts only where no registry tells one.
+// Applies the board's endpoint list only if the gateway has no registry.
 void StubGateway::on_endpoint_notice(const std::vector<EndpointRecord>& lines, bool complete) {
     if (!registry_) apply_endpoints(lines, complete);
 }
@@ -92,17 +92,18 @@
 void StubGateway::on_purge_notice(const PurgeNotice& purge) {
     const TimePoint now = event_loop_.now();
     roster_.add_purge(purge.at, purge.group, purge.object, now);
-    ++purges_;
-    // By the event's own time: when it happened is each gateway's own estimate.
+    ++purge_count_;
+    // Uses the time in the event, which is the same at each gateway; purge.at is each gateway's own estimate.
     purge_digest_ +=
-        digest(std::to_string((purge.stamp - TimePoint{}).micros()) + '/' +
+        digest(std::to_string((purge.timestamp - TimePoint{}).micros()) + '/' +
                std::to_string(purge.group.raw()) + '/' + (purge.object ? purge.object->raw() : ""));
-    observer_.on_purge_applied(settings_.name, purge.stamp, now);
+    observer_.on_purge_applied(settings_.name, purge.timestamp, now);
 }
 
 bool StubGateway::start_health_check(const CacheId& cache) {
     const auto it = answers_.find(cache);
-    if (it == answers_.end() || !it->second) return true;  // silent: the next probe finds that out
+    if (it == answers_.end() || !it->second)
+        return true;  // the cache does not answer; the next probe notices that
     event_loop_.schedule_at(event_loop_.now() + probe_answered_in,
                             [this, cache, alive = std::weak_ptr<bool>(alive_)] {
                                 if (alive.lock() && fleet_client_)
@@ -115,4 +116,4 @@
     observer_.on_recovery_probe_postponed(settings_.name, cache, event_loop_.now());
 }
 
-}  // namespace irismux::stand_ins
+}  // namespace irismux::test_support
--- a/testing/transaction_ledger.hpp
+++ b/testing/transaction_ledger.hpp
@@ -1,5 +1,5 @@
-// A registry as an Agent's transactions see it: records, one revision, a history to watch, and backups
-// to go back to. In memory, for models; the stand-in on sockets is lab/registry.
+// An in-memory registry as an Agent's transactions see it: records, one revision, a history for watches, and
+// restores from backups. Simulations use it; FakeRegistry is the fake with sockets.
 #pragma once
 
 #include <map>
@@ -8,10 +8,10 @@
 
 #include "fleet/agent.hpp"
 
-namespace irismux::stand_ins {
+namespace irismux::test_support {
 
-using fleet::Entry;
 using fleet::Key;
+using fleet::KeyValue;
 using fleet::Transaction;
 using registry::Revision;
 
@@ -19,29 +19,31 @@
 public:
     using Records = std::map<Key, std::string>;
 
-    explicit TransactionLedger(std::size_t most_history = 2048) : most_history_(most_history) {}
+    explicit TransactionLedger(std::size_t max_history = 2048) : max_history_(max_history) {}
 
     struct Outcome {
-        Revision at;
-        bool held = false;
-        std::vector<Entry> shown;
+        Revision revision;
+        bool succeeded = false;
+        std::vector<KeyValue> values;
     };
     Outcome settle(const Transaction& transaction);
 
     const Records& records() const { return records_; }
     Revision revision() const { return revision_; }
-    std::vector<Entry> all() const;  // what a new watch delivers: no heartbeats
-    // Changes that a watch tells, those up to `told` left out; a watch has all of one revision or none.
-    std::vector<Entry> changes(Revision told, Revision upto) const;
-    bool forgotten(Revision told) const { return told < oldest_; }
-    // Back to what a backup held.
+    std::vector<KeyValue> watched_records()
+        const;  // all records that a new watch delivers, without heartbeats
+    // The changes that a watch delivers with revisions in (after, upto]. A watch delivers all changes of a
+    // revision or none.
+    std::vector<KeyValue> changes(Revision after, Revision upto) const;
+    bool compacted(Revision after) const { return after < oldest_; }
+    // Restores the records and the revision of a backup and drops the history.
     void restore(const Records& backup, Revision at);
 
 private:
-    std::size_t most_history_;  // changes older than so many revisions are compacted
+    std::size_t max_history_;  // number of revisions with changes that are kept
     Records records_;
     Revision revision_{1}, oldest_;
-    std::map<Revision, std::vector<Entry>> history_;
+    std::map<Revision, std::vector<KeyValue>> history_;
 };
 
-}  // namespace irismux::stand_ins
+}  // namespace irismux::test_support
--- a/tests/endpoint_view_test.cpp
+++ b/tests/endpoint_view_test.cpp
@@ -1,4 +1,4 @@
-// EndpointView: the updates that full reads and changes lead to.
+// Tests the endpoint updates that an EndpointView returns for full reads and changes.
 #include "registry/endpoint_view.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace irismux::registry {
 namespace {
 
-using stand_ins::list_value;
+using test_support::endpoint_value;
 
 const Duration ms = Duration::micros(1000);
 TimePoint start_time() { return TimePoint::at_seconds(1000); }
@@ -17,25 +17,25 @@
     return {RecordKey{id}, value, Revision{created}, Revision{modified}};
 }
 
-// Given: a view of four endpoints. When: a full read shows one of them unchanged, one missing, one
-// created anew and one draining. Then: the unchanged one is not in the updates; the new one is removed
-// first, and counts as started now.
+// A full read returns updates only for records that differ from the view. A record that was deleted and
+// created again is a new process: the former endpoint is removed before the new one is added, and the new one
+// counts as started now.
 TEST(EndpointView, AFullReadReturnsOnlyTheDifferences) {
     EndpointView view;
     const TimePoint now = start_time();
-    EXPECT_EQ(
-        view.replace(
-                Revision{5},
-                {record("a", list_value("a", "Ready"), 2, 2), record("b", list_value("b", "Ready"), 3, 3),
-                 record("c", list_value("c", "Ready"), 4, 4), record("d", list_value("d", "Ready"), 5, 5)},
-                now)
-            .size(),
-        4u);
-    // a stays, b went, c was deleted and created anew, d drains.
+    EXPECT_EQ(view.replace(Revision{5},
+                           {record("a", endpoint_value("a", "Ready"), 2, 2),
+                            record("b", endpoint_value("b", "Ready"), 3, 3),
+                            record("c", endpoint_value("c", "Ready"), 4, 4),
+                            record("d", endpoint_value("d", "Ready"), 5, 5)},
+                           now)
+                  .size(),
+              4u);
+    // a is unchanged, b was deleted, c was deleted and created again, d drains.
     const auto updates = view.replace(
         Revision{20},
-        {record("a", list_value("a", "Ready"), 2, 2), record("c", list_value("c", "Ready"), 12, 12),
-         record("d", list_value("d", "Terminating"), 5, 19)},
+        {record("a", endpoint_value("a", "Ready"), 2, 2), record("c", endpoint_value("c", "Ready"), 12, 12),
+         record("d", endpoint_value("d", "Terminating"), 5, 19)},
         now + ms);
     ASSERT_EQ(updates.size(), 4u);
     EXPECT_EQ(updates[0].first.cache, CacheId{"b"});
@@ -45,43 +45,44 @@
     EXPECT_EQ(updates[2].first.cache, CacheId{"c"});
     EXPECT_EQ(updates[2].first.status, EndpointStatus::active);
     EXPECT_EQ(updates[2].first.started_at, now + ms)
-        << "another process that names no start counts as started now";
+        << "a new process whose record has no start counts as started now";
     EXPECT_EQ(updates[3].first.status, EndpointStatus::draining);
 }
 
-// Given: a record that is deleted. When: it is created anew with the start of its predecessor. Then: it
-// counts as started now, and keeps that start when it changes later.
-TEST(EndpointView, ARecordCreatedAnewCountsAsStartedNow) {
+// A record that was deleted and created again is a new process even if it names the start of its predecessor.
+// It counts as started now, and keeps that start when it changes later.
+TEST(EndpointView, ARecordCreatedAgainCountsAsStartedNow) {
     EndpointView view;
     const TimePoint now = start_time();
-    const std::string value = list_value("a", "Ready", 1, 999'000);
+    const std::string value = endpoint_value("a", "Ready", 1, 999'000);
     view.replace(Revision{5}, {record("a", value, 2, 2)}, now);
     view.apply(Revision{}, {{record("a", "", 0, 6), true}}, now + ms);
     const auto updates = view.apply(Revision{}, {{record("a", value, 9, 9), false}}, now + ms * 2);
     ASSERT_EQ(updates.size(), 1u);
     EXPECT_EQ(updates[0].first.started_at, now + ms * 2);
-    // What only changes it later keeps that start.
+    // A later change of the record keeps that start.
     const auto later = view.apply(
-        Revision{}, {{record("a", list_value("a", "Ready", 3, 999'000), 9, 12), false}}, now + ms * 3);
+        Revision{}, {{record("a", endpoint_value("a", "Ready", 3, 999'000), 9, 12), false}}, now + ms * 3);
     ASSERT_EQ(later.size(), 1u);
     EXPECT_EQ(later[0].first.started_at, now + ms * 2);
 }
 
-// Given: a readable record. When: it becomes unreadable in various ways. Then: its last good form stays,
+// A record that becomes unreadable must not remove its endpoint: the last readable value stays in force, the
 // other records of the same change are applied, and unreadable records are counted.
-TEST(EndpointView, AnUnreadableRecordKeepsItsLastGoodForm) {
+TEST(EndpointView, AnUnreadableRecordKeepsItsLastReadableValue) {
     EndpointView view;
     const TimePoint now = start_time();
-    view.replace(Revision{5}, {record("a", list_value("a", "Ready"), 2, 2)}, now);
-    for (const std::string bad :
+    view.replace(Revision{5}, {record("a", endpoint_value("a", "Ready"), 2, 2)}, now);
+    for (const std::string unreadable :
          {"", "{", "[]", "{\"id\":\"b\",\"state\":\"Ready\"}", "{\"id\":\"a\",\"state\":\"Off\"}"}) {
         const auto updates =
             view.apply(Revision{},
-                       {{record("a", bad, 2, view.revision().raw() + 1), false},
-                        {record("x", list_value("x", "Ready"), 8, view.revision().raw() + 1), false}},
+                       {{record("a", unreadable, 2, view.revision().raw() + 1), false},
+                        {record("x", endpoint_value("x", "Ready"), 8, view.revision().raw() + 1), false}},
                        now);
         EXPECT_EQ(view.unreadable(), 1u);
-        EXPECT_EQ(view.entries().at(RecordKey{"a"}).endpoint->first.status, EndpointStatus::active) << bad;
+        EXPECT_EQ(view.entries().at(RecordKey{"a"}).endpoint->first.status, EndpointStatus::active)
+            << unreadable;
         EXPECT_TRUE(view.entries().contains(RecordKey{"x"}));
         for (const auto& [update, address] : updates) EXPECT_NE(update.cache, CacheId{"a"});
     }
@@ -89,14 +90,16 @@
     EXPECT_EQ(view.unreadable(), 0u);
 }
 
-// Given: a view at revision 7. When: a change of revision 6 arrives again. Then: it has no effect.
+// A change of an older revision that arrives again must not undo a newer one.
 TEST(EndpointView, RepeatedChangesAreIgnored) {
     EndpointView view;
     const TimePoint now = start_time();
-    view.replace(Revision{5}, {record("a", list_value("a", "Ready"), 2, 2)}, now);
+    view.replace(Revision{5}, {record("a", endpoint_value("a", "Ready"), 2, 2)}, now);
     EXPECT_EQ(
-        view.apply(Revision{}, {{record("a", list_value("a", "Terminating"), 2, 7), false}}, now).size(), 1u);
-    EXPECT_TRUE(view.apply(Revision{}, {{record("a", list_value("a", "Ready"), 2, 6), false}}, now).empty());
+        view.apply(Revision{}, {{record("a", endpoint_value("a", "Terminating"), 2, 7), false}}, now).size(),
+        1u);
+    EXPECT_TRUE(
+        view.apply(Revision{}, {{record("a", endpoint_value("a", "Ready"), 2, 6), false}}, now).empty());
     EXPECT_EQ(view.entries().at(RecordKey{"a"}).endpoint->first.status, EndpointStatus::draining);
 }
 
--- a/tests/routing/routing_test_support.hpp
+++ b/tests/routing/routing_test_support.hpp
@@ -1,4 +1,4 @@
-// What the tests of single policies share: an endpoint set of the usual deployment, and a pending request.
+// Support for tests of single routing policies: builds endpoint sets, pending requests, attempts and results.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 
 inline const Duration one_second = Duration::seconds(1);
 
-/// The endpoints of a list, as of its arrival.
+/// @return the endpoint set after `list` has arrived at `now`
 inline routing::EndpointSet endpoint_set(const Deployment& deployment, TimePoint now,
                                          const std::vector<EndpointUpdate>& list = usual_endpoints()) {
     routing::EndpointSet endpoints{deployment};
@@ -41,7 +41,7 @@
     attempt.cache = CacheId{cache};
     attempt.source = attempt.cache;
     attempt.started_at = started_at;
-    attempt.last_judged_at = started_at;
+    attempt.slow_start_checked_at = started_at;
     return attempt;
 }
 
