--- a/include/irismux/attempt.hpp
+++ b/include/irismux/attempt.hpp
@@ -1,4 +1,4 @@
-// Attempts to get a response to a request from an endpoint, and their results.
+// Types for attempts and their results. An attempt sends a request to one endpoint to get a response.
 #pragma once
 
 #include "irismux/ids.hpp"
@@ -8,20 +8,20 @@
 
 /// How an attempt ended.
 enum class Outcome {
-    completed,           ///< a complete response
-    errored,             ///< an error response
-    overloaded,          ///< refused for lack of capacity; the request was neither run nor served
-    deadline_exceeded,   ///< no response in time
+    completed,           ///< a complete response arrived
+    errored,             ///< an error response arrived
+    overloaded,          ///< refused for lack of capacity: the request was neither run nor served
+    deadline_exceeded,   ///< no response arrived in time
     connection_refused,  ///< no connection could be established
     connection_reset,    ///< the connection broke before the response was complete
-    cancelled,           ///< cancelled by the router
+    cancelled,           ///< the router cancelled the attempt
     superseded,          ///< another attempt of the same request has already been answered
-    cache_miss           ///< the cache has no copy, and the attempt was only-if-cached
+    cache_miss           ///< the attempt was only-if-cached, and the cache has no copy
 };
 
 /// How a cache produced its response, or why it could not. The meaning follows RFC 9211 (Cache-Status).
 enum class CacheStatus {
-    none,                ///< not reported
+    none,                ///< the cache reported no status
     hit,                 ///< served from the cache's own copy
     filled,              ///< fetched from the fill source
     via_origin,          ///< fetched from the fill source, which fetched it from the origin
@@ -37,17 +37,17 @@
 /// One attempt at a cache, with the options that control how the cache may serve it.
 struct AttemptPlan {
     CacheId cache;
-    CacheId source;                    ///< fill source for a miss; equal to `cache` if no fill is allowed
-    int storage_rank = 0;              ///< rank at which the cache stores the copy; 0 if it stores none
-    Duration max_age;                  ///< age limit of a served copy; zero: ObjectKind::fresh_for applies
-    bool coalesce = false;             ///< the cache may wait for a fill in progress
-    bool revalidate = false;           ///< the cache revalidates a copy that is too old at the source
-    bool only_if_cached = false;       ///< the source responds only from its own copies
+    CacheId source;               ///< fill source for a miss; equal to `cache` if no fill is allowed
+    int storage_rank = 0;         ///< rank at which the cache stores the copy; 0 to store no copy
+    Duration max_age;             ///< age limit of a served copy; zero: ObjectKind::fresh_for applies
+    bool coalesce = false;        ///< the cache may wait for a fill that another request has started
+    bool revalidate = false;      ///< the cache asks the source whether a copy that is too old is still valid
+    bool only_if_cached = false;  ///< the source responds only from its own copies
     bool bypass_parent_cache = false;  ///< the parent stores no copy
-    Duration timeout;                  ///< zero: the request's deadline applies
+    Duration timeout;  ///< time limit of the attempt; zero: only the request's deadline applies
 };
 
-/// The result of an attempt. It is reported to the router exactly once for each attempt.
+/// The result of an attempt. Each attempt has exactly one result, which is reported to the router once.
 struct AttemptResult {
     RequestId request;
     AttemptIndex attempt;
--- a/include/irismux/deployment.hpp
+++ b/include/irismux/deployment.hpp
@@ -1,5 +1,6 @@
-// The configuration that a gateway receives once, when it starts. This file contains no decisions. Fields
-// marked "not used by decisions" are read only so that the whole configuration is validated.
+// The configuration that a gateway receives once, when the gateway starts. This file contains no decisions.
+// The router ignores fields marked "not used by decisions". They are read so that the whole configuration is
+// validated.
 #pragma once
 
 #include <optional>
@@ -12,31 +13,33 @@
 
 /// Effect of executing a request more than once.
 enum class Effect {
-    idempotent,     ///< repetition has no further effect
-    deduplicated,   ///< no further effect while the idempotency key is kept (ObjectKind::dedup_window)
+    idempotent,  ///< repetition has no further effect
+    /// Repetition has no further effect while the caches keep the request's idempotency key
+    /// (ObjectKind::dedup_window).
+    deduplicated,
     non_idempotent  ///< each execution takes effect
 };
 /// The set of caches that share their idempotency keys.
 enum class DedupScope { all, location, cell };
-/// Which caches may be each other's fill source. Not used by decisions.
+/// Which other caches a cache may use as its fill source. Not used by decisions.
 enum class Siblings { none, location, any };
-/// For which responses caches report a CacheStatus.
+/// The responses for which caches report a CacheStatus.
 enum class CacheStatusReporting { none, hits, all };
 
 struct ObjectKind {
     Effect effect = Effect::idempotent;
     DedupScope dedup_scope = DedupScope::all;  ///< only for deduplicated kinds
-    Duration dedup_window;                     ///< how long a key is kept; only for deduplicated kinds
-    Duration latency_objective;                ///< a later response has less utility
+    Duration dedup_window;                     ///< how long caches keep a key; only for deduplicated kinds
+    Duration latency_objective;                ///< a response that takes longer has less utility
     /// Multiple of the object's transfer time that is added to `latency_objective`.
     double latency_objective_stretch = 0;
-    Duration deadline;              ///< for all attempts of a client together
-    double utility = 1;             ///< utility of a response in time; not used by decisions
-    double late_utility_share = 0;  ///< share of `utility` of a late response; not used by decisions
+    Duration deadline;              ///< time limit for all attempts of a client together
+    double utility = 1;             ///< utility of a response that is not late; not used by decisions
+    double late_utility_share = 0;  ///< share of `utility` that a late response has; not used by decisions
     Duration fresh_for;             ///< age at which a copy becomes stale; zero: never
     /// How long after `fresh_for` a stale copy may still be served if the source has failed.
     Duration stale_if_error_for;
-    double stale_utility_share = 1;  ///< not used by decisions
+    double stale_utility_share = 1;  ///< share of `utility` that a stale response has; not used by decisions
     bool uncacheable = false;        ///< requests of this kind run at the origin
 };
 
@@ -48,17 +51,17 @@
     /// Several attempts of one request may be in flight at once. Not used by decisions.
     bool hedged_requests = false;
     bool direct_attempts = false;  ///< attempts may bypass the caches and go to parents and to the origin
-    bool coalescing = false;       ///< an attempt may wait for a fill in progress
+    bool coalescing = false;       ///< an attempt may wait for a fill that another request has started
     Siblings siblings = Siblings::none;
     CacheStatusReporting cache_status = CacheStatusReporting::none;
-    int max_attempts = 1;      ///< for each request
+    int max_attempts = 1;      ///< maximum number of attempts for each request
     Duration max_retry_after;  ///< longest retry-after time that clients honour
 };
 
 /// How the capacity of an endpoint grows after a restart.
 struct SlowStart {
     double initial_capacity_share = 1;  ///< share of the full capacity at the start
-    Duration window;                    ///< longest time for the share to rise linearly to 1
+    Duration window;                    ///< maximum time in which the share rises linearly to 1
     double overload_multiple = 1;  ///< load above this multiple of the current capacity stops the endpoint
 };
 
--- a/include/irismux/endpoint.hpp
+++ b/include/irismux/endpoint.hpp
@@ -16,10 +16,10 @@
 /// Why an endpoint is ejected. An ejected endpoint is not selected until a recovery probe succeeds.
 enum class EjectionReason {
     connection_refused,  ///< no connection could be established
-    errors,              ///< its error rate is an outlier among its peers
+    errors,              ///< the endpoint's error rate is an outlier among the rates of its peers
     unresponsive,        ///< no response for far longer than usual while peers respond
-    deadline_exceeded,   ///< an attempt timed out, and the endpoint has not responded since its start
-    source_unreachable   ///< caches could not reach it as their fill source
+    deadline_exceeded,   ///< an attempt timed out, and the endpoint has been silent since the attempt began
+    source_unreachable   ///< caches could not reach the endpoint as their fill source
 };
 
 /// One entry of the endpoint list from service discovery.
--- a/include/irismux/ids.hpp
+++ b/include/irismux/ids.hpp
@@ -24,8 +24,8 @@
 /// Identifies a request within one process. Numbers are never reused, so that a timer or a late response of a
 /// finished request cannot match another request.
 using RequestId = Id<struct RequestTag, std::uint64_t>;
-/// The id that the client chose for a request. It is only logged and passed on to caches. It is never used as
-/// a lookup key, since clients may reuse an id.
+/// The id that the client chose for a request. The gateway logs this id and passes it on to caches. Clients
+/// may reuse an id, so the id alone does not identify a request.
 using ClientRequestId = Id<struct ClientRequestTag, std::string>;
 /// Identifies an edge cache, a parent cache or the origin.
 using CacheId = Id<struct CacheTag, std::string>;
@@ -39,7 +39,7 @@
 using CellId = Id<struct CellTag, std::int64_t>;
 /// Position of an object kind in Deployment::kinds.
 using ObjectKindIndex = Id<struct ObjectKindTag, std::size_t>;
-/// Position of an attempt within its request, from 0.
+/// Position of an attempt within its request, counted from 0.
 using AttemptIndex = Id<struct AttemptTag, std::size_t>;
 using TimerId = Id<struct TimerTag, std::uint64_t>;
 
--- a/include/irismux/router.hpp
+++ b/include/irismux/router.hpp
@@ -42,17 +42,17 @@
     /// Ends a request whose client has disconnected or has received its final response from another source.
     /// No further attempt is started.
     void on_client_closed(TimePoint now, const RequestId& request);
-    /// Checks an attempt again right before its first byte is written, since it may have waited for a
-    /// connection.
+    /// Checks an attempt again right before its first byte is written, since the attempt may have waited for
+    /// a connection.
     /// @return false if the attempt must not begin; the caller then reports it as Outcome::overloaded
     [[nodiscard]] bool may_begin_attempt(TimePoint now, const RequestId& request, AttemptIndex attempt);
 
-    /// Forbids serving copies older than `age` of one object, or of all objects of the group if `object` is
-    /// not set.
+    /// Applies a purge. A copy of a purged object must not be served if the copy is older than `age`. If
+    /// `object` is set, only that object is purged; otherwise all objects of the group are purged.
     void on_purge(TimePoint now, Duration age, PurgeGroupId group, const std::optional<ObjectName>& object);
     /// Postpones the recovery probe of an ejected endpoint to `not_before`, because another gateway checks
     /// the health of the endpoint on behalf of all gateways. The probe is postponed by at most the longest
-    /// backoff beyond this gateway's own backoff. Ignored for endpoints that are not ejected.
+    /// backoff beyond this gateway's own backoff. The call has no effect on an endpoint that is not ejected.
     void postpone_recovery_probe(TimePoint now, const CacheId& cache, TimePoint not_before);
     void on_timer(TimePoint now, TimerId timer);
     /// Starts the shutdown of the process: every request gets its final response by `deadline`.
--- a/include/irismux/router_callbacks.hpp
+++ b/include/irismux/router_callbacks.hpp
@@ -34,7 +34,7 @@
     virtual void set_timer(TimerId timer, TimePoint due) = 0;
     /// Requests the endpoint list and its changes from service discovery.
     virtual void subscribe_to_endpoints() = 0;
-    /// Called when an endpoint is ejected. From now on it receives only recovery probes.
+    /// Called when an endpoint is ejected. An ejected endpoint receives only recovery probes.
     virtual void on_endpoint_ejected(const CacheId& /*cache*/, EjectionReason /*reason*/) {}
     /// Called when an ejected endpoint is readmitted to normal selection.
     virtual void on_endpoint_readmitted(const CacheId& /*cache*/) {}
--- a/include/irismux/time.hpp
+++ b/include/irismux/time.hpp
@@ -1,8 +1,8 @@
-// Points in time and durations, in whole microseconds. They are distinct types in order to prevent accidental
-// mixing.
+// Points in time and durations, in whole microseconds. Points in time and durations have distinct types, so
+// that the compiler rejects a mix-up.
 //
 // std::chrono is not used, since the product of a duration and a fraction rounds half away from zero here,
-// and decisions depend on that rounding.
+// and decisions depend on this rounding.
 #pragma once
 
 #include <cmath>
--- a/src/routing/adaptive_limit.cpp
+++ b/src/routing/adaptive_limit.cpp
@@ -8,10 +8,10 @@
 
 // Time in which the share falls by a factor of e while all results are bad.
 constexpr Duration cut_time = Duration::micros(800'000);
-// Maximum time since the last cut that a single bad result accounts for.
+// A single bad result cuts the share for at most this much of the time since the last cut.
 constexpr Duration longest_time_per_cut = Duration::micros(1'000'000);
-// Lower bound of the share. It limits the time until the share is full again, however long the bad results
-// lasted.
+// Lower bound of the share. This bound limits the time until the share is full again, however long the bad
+// results lasted.
 constexpr double min_share_after_cut = 0.05;
 
 }  // namespace
--- a/src/routing/attempt_monitor.hpp
+++ b/src/routing/attempt_monitor.hpp
@@ -1,5 +1,5 @@
-// Periodically checks the attempts in flight for attempts past their latency limit and for endpoints that
-// have stopped responding.
+// Periodically checks the attempts in flight. Detects attempts that have passed their latency limit and
+// endpoints that have stopped responding.
 #pragma once
 
 #include "irismux/deployment.hpp"
--- a/src/routing/congestion.cpp
+++ b/src/routing/congestion.cpp
@@ -14,12 +14,13 @@
 constexpr double exhausted_fills = 1;
 constexpr double spill_transfers = 2;
 constexpr double shedding_transfers = 2;
-// Limits are scaled by the ratio of the mean transfer time to that of the request, within these bounds.
+// Limits are scaled by the ratio of the mean transfer time to the transfer time of the request. The ratio is
+// kept within these bounds.
 constexpr double min_size_allowance = 0.65;
 constexpr double max_size_allowance = 4;
 constexpr double min_transfer_seconds = 1e-6;
 constexpr double min_capacity_transfers = 0.1;
-// An observed load decays with this time constant, as a multiple of the longest latency objective.
+// Time constant with which an observed load decays, as a multiple of the longest latency objective.
 constexpr double observed_load_decay_objectives = 4;
 
 // Counts an attempt in flight and records the start of a busy period if there was none.
--- a/src/routing/congestion.hpp
+++ b/src/routing/congestion.hpp
@@ -1,4 +1,5 @@
-// Detects overload of the fills behind this location's caches and of single caches.
+// Detects whether the fills behind this location's caches are overloaded, and whether a single cache is
+// overloaded.
 #pragma once
 
 #include "irismux/deployment.hpp"
@@ -18,10 +19,10 @@
     void on_attempt_started(const Attempt& attempt, EndpointState& cache, EndpointState* source,
                             TimePoint now);
     /// Removes an attempt that has ended from the counts.
-    /// @param source the same as when the attempt started
+    /// @param source the source that was passed to on_attempt_started()
     void on_attempt_ended(Attempt& attempt, EndpointState& cache, EndpointState* source);
-    /// Estimates the load of a cache from a hit, by how much longer the hit took than the transfer alone. The
-    /// result is ignored if the transfer time of the object is unknown.
+    /// Estimates the load of a cache from the time by which a hit took longer than the transfer of the object
+    /// alone. A result is ignored if the transfer time of its object is unknown.
     void on_cache_result(EndpointState& cache, const PendingRequest& request, const Attempt& attempt,
                          const AttemptResult& result, TimePoint now) const;
     /// Counts an attempt that has passed its latency limit as late.
@@ -33,17 +34,18 @@
     void recount_late_attempts(TimePoint now);
 
     /// @return true if the fills behind the caches neither complete nor fail, whatever the cause. Further
-    /// fills would slow down the fills in progress, while hits still work, so a cached copy is requested
-    /// first.
+    /// fills would slow down the fills in progress, while hits still work. The router therefore requests a
+    /// cached copy first.
     [[nodiscard]] bool fills_congested(double transfer_seconds) const;
     /// @return true if even a known miss should not be filled
     [[nodiscard]] bool fills_exhausted(double transfer_seconds) const;
 
-    /// @return estimated transfers of all gateways at a cache, divided by the number that its link carries
+    /// @return estimated number of transfers of all gateways at a cache, divided by the number of transfers
+    /// that the cache's link carries
     [[nodiscard]] double load(const EndpointState& cache, TimePoint now) const;
-    /// @return load from which on a cache is skipped while another cache has capacity
+    /// @return lowest load at which a cache is skipped while another cache has capacity
     [[nodiscard]] double spill_load(double transfer_seconds) const;
-    /// @return load of the least loaded cache from which on requests are rejected
+    /// @return load that the least loaded cache must reach before requests are rejected
     [[nodiscard]] double shedding_load(double transfer_seconds) const;
 
 private:
@@ -54,7 +56,7 @@
     const ObjectStatistics& statistics_;
     int gateways_in_location_;
     Duration longest_latency_objective_;
-    int late_attempts_ = 0;  // result of the last recount_late_attempts()
+    int late_attempts_ = 0;  // late attempts counted by the last recount_late_attempts()
     int known_fills_ = 0;    // attempts in flight that fill a known miss
 };
 
--- a/src/routing/edge_selection.cpp
+++ b/src/routing/edge_selection.cpp
@@ -7,8 +7,8 @@
 namespace irismux::routing {
 namespace {
 
-// Maximum number of attempts at the same cache after a broken transfer. The network may be at fault, and this
-// cache may have the object.
+// Maximum number of attempts of a request at one cache if transfers from this cache break. The network may be
+// at fault, and this cache may have a copy of the object.
 constexpr std::ptrdiff_t attempts_after_broken_transfer = 2;
 
 }  // namespace
@@ -71,7 +71,7 @@
 }
 
 // Plans a direct attempt for an uncacheable request if the deployment allows direct attempts. If there are
-// several origins, the last in the object's order is used.
+// several origins, the last origin in the object's order of preference is used.
 bool EdgeSelection::select_direct(PendingRequest& request) const {
     if (!request.kind->uncacheable || !direct_attempts_) return false;
     const auto origins = endpoints_.ranked(request.request.object, EndpointRole::origin);
--- a/src/routing/edge_selection.hpp
+++ b/src/routing/edge_selection.hpp
@@ -15,7 +15,7 @@
                   const SlowStartPolicy& slow_start, const OutlierDetector& outliers);
 
     /// Sets the cache of the request's plan, and for a direct attempt also the source. Skips the endpoints
-    /// that on_result has added to the request's list of avoided endpoints.
+    /// that on_result() has added to the request's list of avoided endpoints.
     /// @return false if no cache may serve the request or all caches are overloaded
     [[nodiscard]] bool select(PendingRequest& request, TimePoint now) const;
     /// Decides from an attempt's result whether the request avoids the cache from now on. Must be called
@@ -25,9 +25,11 @@
 
 private:
     struct Candidates {
-        EndpointState* below_spill_load = nullptr;  // first cache in the object's order below the spill load
-        EndpointState* least_loaded = nullptr;      // least loaded cache above the spill load
-        // Of the caches that may not be chosen, the cache with the earliest next_probe_at.
+        // First cache in the object's order of preference whose load is below the spill load.
+        EndpointState* below_spill_load = nullptr;
+        // Cache with the lowest load among the caches whose load is not below the spill load.
+        EndpointState* least_loaded = nullptr;
+        // Cache with the earliest next_probe_at among the caches that may not be chosen.
         EndpointState* last_resort = nullptr;
     };
     [[nodiscard]] Candidates candidates(const PendingRequest& request, double spill_load,
--- a/src/routing/endpoint_set.cpp
+++ b/src/routing/endpoint_set.cpp
@@ -80,8 +80,8 @@
 }
 
 // Counts the endpoints of a role that are active in normal operation. The first list may arrive while
-// endpoints are being replaced. Their successors are then still warming up, so the draining endpoints are
-// counted instead of the successors.
+// endpoints are being replaced. In this case the new endpoints are still warming up, so the draining
+// endpoints are counted instead of the new endpoints.
 std::size_t EndpointSet::active_at_once(EndpointRole role, TimePoint now) const {
     std::size_t active = 0;
     std::size_t before_replacement = 0;
@@ -95,8 +95,8 @@
 }
 
 // Erases removed endpoints, so that endpoints that come and go do not accumulate. An endpoint is kept until
-// it would have warmed up: a list may omit it by mistake, and the transfer time of requests already sent to a
-// warming endpoint still counts when the endpoint returns.
+// it would have warmed up: a list may omit the endpoint by mistake, and the transfer time of requests already
+// sent to a warming endpoint still counts when the endpoint returns.
 void EndpointSet::erase_removed(TimePoint now) {
     const Duration longest_window = std::max(edge_slow_start_.window, parent_slow_start_.window);
     std::erase_if(endpoints_, [&](const auto& entry) {
--- a/src/routing/endpoint_state.hpp
+++ b/src/routing/endpoint_state.hpp
@@ -22,7 +22,7 @@
 
 enum class EjectionState {
     admitted,  ///< receives traffic
-    ejected,   ///< skipped until its recovery probe
+    ejected,   ///< skipped until its recovery probe is due
     probing    ///< ejected, and its recovery probe is in flight
 };
 
@@ -31,13 +31,13 @@
     EjectionState ejection = EjectionState::admitted;
     TimePoint next_probe_at;
     TimePoint backoff_ends_at;      ///< next_probe_at before any postponement by another gateway
-    int consecutive_ejections = 0;  ///< each one doubles the backoff
+    int consecutive_ejections = 0;  ///< each consecutive ejection doubles the backoff
     TimePoint last_seen;            ///< time of the last response of the endpoint's process
     Duration mean_response_gap;     ///< mean time between responses while attempts are in flight
     double error_share = 0;         ///< share of errors in recent results
-    /// Share of recent attempts without a response although later attempts had one.
+    /// Share of recent attempts that got no response although later attempts got a response.
     double lost_share = 0;
-    TimePoint loses_attempts_until;  ///< the endpoint is treated as losing attempts until then
+    TimePoint loses_attempts_until;  ///< the endpoint is treated as losing attempts until this time
 
     [[nodiscard]] bool ejected() const { return ejection != EjectionState::admitted; }
     [[nodiscard]] bool recovery_probe_in_flight() const { return ejection == EjectionState::probing; }
@@ -50,7 +50,7 @@
     TimePoint busy_since;  ///< start of the period in which attempts have been in flight without a break
     /// Load estimated from the latency of hits, as a multiple of the transfers that the link carries at once.
     double observed_load = 1;
-    TimePoint observed_at;  ///< time of the last estimate; zero: none yet
+    TimePoint observed_at;  ///< time of the last estimate; zero: no estimate yet
 };
 
 /// Slow-start state of an endpoint, maintained by SlowStartPolicy.
@@ -58,11 +58,13 @@
     static constexpr std::size_t sent_time_window_parts = 8;
 
     std::optional<TimePoint> warming_up_since;
-    TimePoint start_detected_at;      ///< when the router detected the start
-    bool refused_while_idle = false;  ///< the process has stopped; the next response is from a new one
-    double budget = 0;                ///< transfer time of the requests that may be sent, in seconds
-    TimePoint accrued_until;          ///< time up to which the budget has been accrued
-    double required_share = 1;        ///< share of a request's transfer time that the budget must cover
+    TimePoint start_detected_at;  ///< time at which the router detected the start of the process
+    /// A connection was refused while no attempt was in flight, so the process has stopped. The next response
+    /// comes from a new process.
+    bool refused_while_idle = false;
+    double budget = 0;          ///< transfer time of the requests that may be sent, in seconds
+    TimePoint accrued_until;    ///< time up to which the budget has been accrued
+    double required_share = 1;  ///< share of a request's transfer time that the budget must cover
     WindowedSum<sent_time_window_parts> sent_transfer_time;  ///< in seconds, over the overload window
 };
 
@@ -77,12 +79,13 @@
     double weight = 1;
     EndpointStatus status = EndpointStatus::removed;
     TimePoint started_at;
-    TimePoint listed_at;  ///< when a list last contained the endpoint
+    TimePoint listed_at;  ///< time at which an endpoint list last contained the endpoint
 
     EndpointHealth health;
     EndpointLoad load;
     EndpointWarmUp warm_up;
-    /// Limit of fills from this source. FillSourceSelection cuts it after late and failed fills.
+    /// Limit of fills that use this endpoint as their source. FillSourceSelection cuts the limit after late
+    /// and failed fills.
     AdaptiveLimit fill_limit;
 
     [[nodiscard]] bool active() const { return status == EndpointStatus::active; }
--- a/src/routing/fill_source.cpp
+++ b/src/routing/fill_source.cpp
@@ -7,15 +7,15 @@
 namespace irismux::routing {
 namespace {
 
-// An origin that stops when it is overloaded needs longer to recover, so its fetch limit recovers more
-// slowly.
+// An origin that stops when it is overloaded needs longer to recover than other origins, so its fetch limit
+// recovers more slowly.
 constexpr Duration stopping_origin_doubling_time = Duration::micros(6'000'000);
 // A fetch that waits longer than this multiple of the mean indicates an origin close to overload.
 constexpr double unusual_wait_multiple = 2;
-// Approximate number of fetches in the mean wait.
+// The mean wait covers approximately this many of the latest fetches.
 constexpr double mean_over_fetches = 256;
-// Timeout of a cache-only attempt at a cache that loses attempts: this multiple of the transfer time under
-// the cache's load, plus this share of the latency objective.
+// A cache-only attempt at a cache that loses attempts times out after `lost_after_transfer_times` times the
+// transfer time under the cache's load, plus `lost_after_objective_share` times the latency objective.
 constexpr double lost_after_transfer_times = 1.2;
 constexpr double lost_after_objective_share = 0.2;
 
@@ -48,7 +48,8 @@
         return true;
     }
     EndpointState* parent = parent_with_budget(request, parents, transfer_seconds, now);
-    if (!parent || parent != parents.front()) request.allow_stale = true;  // applies from the next attempt on
+    // Stale copies are allowed from the next attempt on.
+    if (!parent || parent != parents.front()) request.allow_stale = true;
     const bool exhausted = dependencies_.congestion.fills_exhausted(transfer_seconds);
     if (origin_takes_parents_fill(parent, origin, exhausted, transfer_seconds, now)) {
         request.plan.source = origin->id;
@@ -64,9 +65,9 @@
     return true;
 }
 
-// While fills are congested, and where a fill would be charged to a budget, only a known miss justifies a
-// fill, so a cache-only attempt comes first. A warming cache gets a single attempt instead, since each
-// attempt is charged to its source_time budget.
+// Only a known miss justifies a fill while fills are congested, or if the fill would be charged to a budget.
+// In both cases a cache-only attempt comes first. If fills are not congested, a cache that is warming up gets
+// a single attempt instead, since each attempt is charged to the cache's own budget.
 bool FillSourceSelection::should_try_cache_only(const PendingRequest& request, const EndpointState& cache,
                                                 const Endpoints& parents, double transfer_seconds,
                                                 TimePoint now) const {
@@ -90,8 +91,8 @@
     return found == parents.end() ? nullptr : *found;
 }
 
-// Sends a fill that parents cannot complete in time to the origin, if the origin has budget and its
-// source_time fills are in time.
+// Checks whether the origin takes a fill that parents cannot complete in time. The origin must have budget,
+// and its own fills must be in time.
 bool FillSourceSelection::origin_takes_parents_fill(const EndpointState* parent, EndpointState* origin,
                                                     bool fills_exhausted, double transfer_seconds,
                                                     TimePoint now) const {
@@ -103,7 +104,7 @@
            dependencies_.slow_start.has_budget(*origin, transfer_seconds, now);
 }
 
-// Checks whether the origin may fill because no parent is available or none has budget left.
+// Checks whether the origin may fill because no parent is available or no parent has budget left.
 bool FillSourceSelection::origin_replaces_parents(const PendingRequest& request, EndpointState* origin,
                                                   double transfer_seconds, TimePoint now) const {
     if (!origin || request.avoids(origin->id)) return false;
@@ -119,8 +120,8 @@
 }
 
 // Returns a timeout after which the attempt is treated as lost, or zero if only the request's deadline
-// applies. With the timeout a lost attempt is soon repeated, and at the same cache because that cache has the
-// object.
+// applies. With the timeout, a lost attempt is soon repeated. The repetition goes to the same cache, because
+// this cache has the object.
 Duration FillSourceSelection::lost_attempt_timeout(const PendingRequest& request, const EndpointState& cache,
                                                    TimePoint now) const {
     const bool transfer_time_known =
@@ -138,12 +139,13 @@
         OutlierDetector::begin_recovery_probe(source);
         request.probes_source = true;
     }
-    // Protects a slow origin from overload. Its fetches also occupy fill slots of caches and parents.
+    // Protects a slow origin from overload. Fetches from a slow origin also occupy fill slots of caches and
+    // parents.
     const double fetch_share = fetch_limit_.share(now);
     if (fetch_share >= 1 || dependencies_.random.next() <= fetch_share) return;
     if (source.role == EndpointRole::origin) return plan_cache_only(request, MissHandling::reject, now);
     request.on_miss = MissHandling::reject;
-    request.plan.only_if_cached = true;  // the parent must not fetch either
+    request.plan.only_if_cached = true;  // the parent must not fetch from the origin either
     request.plan.max_age = dependencies_.freshness.max_age(request, true, now);
 }
 
@@ -166,7 +168,8 @@
 }
 
 void FillSourceSelection::on_late_attempt(EndpointState& source, TimePoint now) const {
-    // While fetches are limited, the origin is the cause and not the source.
+    // While fetches from the origin are limited, a late fill is caused by the origin and not by the fill
+    // source.
     source.fill_limit.record(fetch_limit_.share(now) >= 1, now);
 }
 
@@ -197,8 +200,8 @@
     }
 }
 
-// Detects a slow origin by unusually long waits, because the origin would be overloaded before fills are
-// late.
+// Detects a slow origin when caches and parents wait unusually long for it. If the router waited until fills
+// are late, the origin would already be overloaded.
 void FillSourceSelection::record_origin_wait(const AttemptResult& result, TimePoint now) {
     if (result.cache_status != CacheStatus::via_origin) return;
     const double wait = result.fill_wait.seconds();
--- a/src/routing/fill_source.hpp
+++ b/src/routing/fill_source.hpp
@@ -1,5 +1,5 @@
-// Selects the source from which a cache fills a miss: the object's parent, the origin in its place, or none
-// (a cache-only attempt).
+// Selects the source from which a cache fills a miss: the object's parent, the origin in place of the parent,
+// or no source. Without a source, the cache may serve only its own copies (a cache-only attempt).
 #pragma once
 
 #include "irismux/deployment.hpp"
@@ -34,7 +34,8 @@
     /// @param source null for attempts without a fill source
     void on_result(PendingRequest& request, const Attempt& attempt, const AttemptResult& result,
                    EndpointState* source, TimePoint now);
-    /// Records a fill that has passed its latency limit, as on_result() would.
+    /// Updates the limit of fills from the source when a fill passes its latency limit, before the result of
+    /// the attempt arrives.
     void on_late_attempt(EndpointState& source, TimePoint now) const;
 
 private:
@@ -63,7 +64,7 @@
     bool has_parents_;
     Duration longest_latency_objective_;
     AdaptiveLimit fetch_limit_;            // limit of fetches from the origin by caches and parents
-    double mean_origin_wait_seconds_ = 0;  // mean over fetches by parents and by caches; 0: none yet
+    double mean_origin_wait_seconds_ = 0;  // mean over fetches by parents and by caches; 0: no fetch yet
 };
 
 }  // namespace irismux::routing
--- a/src/routing/freshness.hpp
+++ b/src/routing/freshness.hpp
@@ -14,7 +14,7 @@
 public:
     explicit FreshnessPolicy(const Deployment& deployment);
 
-    /// Forbids serving copies older than `age`.
+    /// Applies a purge; see Router::on_purge().
     void on_purge(Duration age, PurgeGroupId group, const std::optional<ObjectName>& object, TimePoint now);
 
     /// Begins a new plan and sets how a copy may be served and stored. Stale copies are allowed once
--- a/src/routing/idempotency.hpp
+++ b/src/routing/idempotency.hpp
@@ -14,17 +14,18 @@
         : timer_resolution_(deployment.timer_resolution) {}
 
     /// Checks whether one more attempt may begin, given the attempts that may have run according to
-    /// record_result(). Called when an attempt is planned, and again before the first byte of an attempt that
-    /// has waited.
+    /// record_result(). Called when an attempt is planned, and called again before the first byte is written
+    /// of an attempt that has waited.
     /// @param except the waiting attempt, which is not counted; null while the attempt is planned
     [[nodiscard]] bool may_attempt(const PendingRequest& request, const Attempt* except, TimePoint now) const;
-    /// Checks whether an attempt may go to the cell. A request whose idempotency key is known to one cell
-    /// only stays in that cell.
+    /// Checks whether an attempt may go to the cell. If idempotency keys are shared only within a cell, a
+    /// request that may already have run stays in the cell that may have stored its key.
     [[nodiscard]] static bool may_use_cell(const PendingRequest& request, CellId cell);
     /// Checks whether the request may be rejected, so that the client can safely send it again.
     [[nodiscard]] static bool may_reject(const PendingRequest& request);
 
-    /// Records from its result whether the attempt may have run.
+    /// Derives from the result of an attempt whether the attempt may have run, and records this in the
+    /// attempt.
     static void record_result(Attempt& attempt, const AttemptResult& result);
 
 private:
--- a/src/routing/link_capacity.cpp
+++ b/src/routing/link_capacity.cpp
@@ -5,11 +5,11 @@
 namespace irismux::routing {
 namespace {
 
-// Capacity of all edge links of a location relative to the link into the location. That link carries only a
-// minority of the traffic that the caches send, because they serve most requests from copies.
+// Capacity of all edge links of a location relative to the link into the location. The link into the location
+// carries only a minority of the traffic that the caches send, because they serve most requests from copies.
 constexpr double edge_links_per_location_link = 2;
-// Share of its even part of all links that is assumed for a parent. Parents differ in size, so a parent may
-// have less than its even part.
+// Assumed link capacity of a parent, as a share of the capacity that each parent would have if all links were
+// divided evenly among the parents. Parents differ in size, so a parent may have less than this even part.
 constexpr double parent_share_of_even = 0.6;
 // Assumed link capacity of an endpoint about which nothing is known.
 constexpr double unknown_capacity_transfers = 4;
--- a/src/routing/link_capacity.hpp
+++ b/src/routing/link_capacity.hpp
@@ -1,5 +1,5 @@
-// The number of concurrent transfers at full rate that the links of endpoints and locations carry. It is
-// taken or derived from the deployment as far as possible.
+// The number of concurrent transfers at full rate that the links of endpoints and locations carry. The
+// numbers are taken or derived from the deployment as far as possible.
 #pragma once
 
 #include "irismux/deployment.hpp"
@@ -11,11 +11,11 @@
 public:
     LinkCapacity(const Deployment& deployment, const EndpointSet& endpoints);
 
-    /// @return link capacity of an endpoint, in transfers. For the origin this is the number of transfers
-    /// that all gateways together may request from it in place of parents. The capacity does not grow when
-    /// other endpoints leave.
+    /// @return link capacity of an endpoint, in transfers. For the origin, the result is the number of
+    /// transfers that all gateways together may request from the origin in place of parents. The capacity
+    /// does not grow when other endpoints leave.
     [[nodiscard]] double endpoint(const EndpointState& endpoint) const;
-    /// @return capacity of the link into this location, in transfers; at least 1 if it is derived
+    /// @return capacity of the link into this location, in transfers; at least 1 if the capacity is derived
     [[nodiscard]] double location_link() const;
 
 private:
--- a/src/routing/object_statistics.cpp
+++ b/src/routing/object_statistics.cpp
@@ -52,8 +52,8 @@
     mean += ((sized ? attempt.transfer_seconds : elapsed) - mean) / mean_over_results;
 }
 
-// A hit takes at least the object's transfer time, and longer only if it is slowed down. The shortest time is
-// therefore the best estimate.
+// A hit takes at least the object's transfer time, and longer only if the transfer is slowed down. The
+// shortest time is therefore the best estimate.
 double ObjectStatistics::transfer_seconds(const Request& request) const {
     if (size_is_known(request)) return request.size_kb / transfer_rate_kb_per_s_;
     const double shortest = shortest_transfer_seconds(request.object);
--- a/src/routing/object_statistics.hpp
+++ b/src/routing/object_statistics.hpp
@@ -9,7 +9,8 @@
 
 namespace irismux::routing {
 
-/// Transfer times are in seconds, at the full rate of one transfer.
+/// Transfer times are in seconds, at the full rate of one transfer. Objects are recorded by generations,
+/// which are periods of a fixed length. Only the current and the previous generation are kept.
 class ObjectStatistics {
 public:
     explicit ObjectStatistics(const Deployment& deployment);
@@ -21,13 +22,15 @@
     /// Updates the transfer times of the object and its kind from the result of an attempt.
     void record_result(const PendingRequest& request, const Attempt& attempt, const AttemptResult& result);
 
-    /// @return transfer time computed from the object's size if known, else its shortest transfer, else the
-    /// mean of its kind
+    /// @return transfer time computed from the object's size. If the size is unknown, the result is the
+    /// object's shortest transfer time so far or, before its first transfer, the mean transfer time of its
+    /// kind.
     [[nodiscard]] double transfer_seconds(const Request& request) const;
-    /// @return shortest transfer of the object in this generation; 0: none yet
+    /// @return shortest transfer time of an object that was requested in the current generation; 0: no
+    /// transfer yet
     [[nodiscard]] double shortest_transfer_seconds(const ObjectName& object) const;
-    /// @return transfer time of the object itself, computed from its size if known, else its shortest
-    /// transfer; 0: unknown
+    /// @return transfer time computed from the object's size. If the size is unknown, the result is the
+    /// object's shortest transfer time so far; 0: no transfer yet.
     [[nodiscard]] double known_transfer_seconds(const Request& request, const Attempt& attempt) const;
     [[nodiscard]] double mean_transfer_seconds(ObjectKindIndex kind) const {
         return mean_of_kind_[kind.raw()];
@@ -43,7 +46,8 @@
     double transfer_rate_kb_per_s_;
     std::vector<double> mean_of_kind_;
     double mean_ = 0;
-    // Objects of the current and the previous generation, with their shortest transfer; 0: none yet.
+    // Objects of the current and the previous generation, with their shortest transfer time; 0: no transfer
+    // yet.
     std::map<ObjectName, double> current_, previous_;
     TimePoint generation_began_at_;
     Duration generation_;
--- a/src/routing/outlier_detector.cpp
+++ b/src/routing/outlier_detector.cpp
@@ -11,19 +11,19 @@
 constexpr Duration first_backoff = Duration::micros(2'000'000);
 constexpr Duration longest_backoff = Duration::micros(30'000'000);
 constexpr int max_backoff_doublings = 8;
-// An endpoint is unresponsive after a silence of this many mean gaps. If responses were independent, such a
-// silence would occur by chance once in e^14 cases.
+// An endpoint is unresponsive after a silence of this many mean gaps between its responses. If responses were
+// independent, such a silence would occur by chance once in e^14 cases.
 constexpr double unresponsive_after_gaps = 14;
-// Approximate numbers of responses over which gaps and lost attempts are averaged, and of results over which
-// errors are averaged.
+// Gaps and lost attempts are averaged over approximately `gap_averaging_responses` responses, and errors over
+// approximately `error_averaging_results` results.
 constexpr double gap_averaging_responses = 16;
 constexpr double error_averaging_results = 10;
-// An endpoint is ejected if its error share exceeds the sum of the first value, about two errors in ten
-// results, and the second value times the mean error share of its peers.
+// An endpoint is ejected if its error share exceeds `ejection_error_share` (about two errors in ten results)
+// plus `ejection_multiple_of_peers` times the mean error share of its peers.
 constexpr double ejection_error_share = 0.17;
 constexpr double ejection_multiple_of_peers = 1.5;
-// A share of lost attempts above the limit is not explained by chance if some peer has less than a third of
-// that share.
+// Chance does not explain a share of lost attempts above `lost_share_limit` if some peer has less than a
+// third of this share.
 constexpr double lost_share_limit = 0.085;
 constexpr double lost_multiple_of_peer = 3;
 // How long an endpoint is treated as losing attempts.
@@ -88,8 +88,9 @@
     if (endpoint.health.recovery_probe_in_flight()) endpoint.health.ejection = EjectionState::ejected;
 }
 
-// The gateway that checks on behalf of all may have lost its connection to an endpoint that this gateway can
-// reach. It can therefore postpone the probe by at most the longest backoff.
+// The gateway that checks the health of endpoints on behalf of all gateways may have lost its connection to
+// an endpoint that this gateway can reach. The checking gateway can therefore postpone the probe by at most
+// the longest backoff.
 void OutlierDetector::postpone_recovery_probe(EndpointState& endpoint, TimePoint not_before) {
     if (endpoint.health.ejection != EjectionState::ejected) return;
     endpoint.health.next_probe_at = std::min(not_before, endpoint.health.backoff_ends_at + longest_backoff);
@@ -114,8 +115,8 @@
            peer_has_responded_since(endpoint);
 }
 
-// Prevents ejections because of a slow origin or a full link. No endpoint responds in that case, and ejecting
-// one would only shift its load to the others.
+// Prevents ejections because of a slow origin or a full link. In both cases no endpoint responds, and the
+// ejection of one endpoint would only shift its load to the other endpoints.
 bool OutlierDetector::peer_has_responded_since(const EndpointState& endpoint) const {
     const TimePoint since = silent_since(endpoint);
     const std::vector<EndpointState*>& peers = endpoints_.active(endpoint.role);
@@ -243,9 +244,9 @@
     if (attempt.probes_source) end_recovery_probe(source);
 }
 
-// If the cache rejects the attempt at once, it has no connection to the source. If the fill broke off early,
-// that is an error of the source. Otherwise the fill timed out, which also happens to the fills of all
-// parents if the origin is slow or a link is full.
+// A cache that rejects the attempt at once has no connection to the source. A fill that broke off early is an
+// error of the source. Otherwise the fill timed out; if the origin is slow or a link is full, the fills of
+// all parents time out.
 void OutlierDetector::on_source_unreachable(EndpointState& source, const Attempt& attempt,
                                             const AttemptResult& result, TimePoint now) const {
     if (result.outcome == Outcome::overloaded) {
--- a/src/routing/outlier_detector.hpp
+++ b/src/routing/outlier_detector.hpp
@@ -30,8 +30,8 @@
     void on_source_result(EndpointState& source, const Attempt& attempt, const AttemptResult& result,
                           TimePoint now) const;
     /// Updates the health of the cache from an attempt's result.
-    /// @param late_hit the cache served its own copy after the latency limit. This counts as an error, since
-    /// a cache may become slow without ever failing.
+    /// @param late_hit the cache served its own copy after the latency limit. A late hit counts as an error,
+    /// since a cache may become slow without ever failing.
     void on_cache_result(EndpointState& cache, const Attempt& attempt, const AttemptResult& result,
                          bool late_hit, TimePoint now) const;
     /// Updates the share of lost attempts from an attempt's result. An attempt is lost if it has no response
@@ -49,7 +49,8 @@
     void on_restart(EndpointState& endpoint) const;
     static void postpone_recovery_probe(EndpointState& endpoint, TimePoint not_before);
 
-    /// @return true if the endpoint has been silent for unusually long and a peer has responded in that time
+    /// @return true if the endpoint has not responded for unusually long although a peer has responded in the
+    /// meantime
     [[nodiscard]] bool is_unresponsive(const EndpointState& endpoint, TimePoint now) const;
     /// @return true if the endpoint responds to most attempts but loses some
     [[nodiscard]] static bool loses_attempts(const EndpointState& endpoint, TimePoint now);
--- a/src/routing/pending_request.hpp
+++ b/src/routing/pending_request.hpp
@@ -28,7 +28,7 @@
     AttemptState state = AttemptState::in_flight;
     bool may_have_run = false;
     bool counted_as_late = false;  ///< included in EndpointLoad::late of its cache
-    bool is_known_fill = false;    ///< the cache is known to have no copy
+    bool is_known_fill = false;    ///< an earlier cache-only attempt found no copy
     bool probes_cache = false;     ///< the attempt is the recovery probe of its cache
     bool probes_source = false;    ///< the attempt is the recovery probe of its source
     double transfer_seconds = 0;   ///< transfer time of the object at full rate
@@ -44,8 +44,8 @@
     reject           ///< the attempt is cache-only; a miss ends the request
 };
 
-/// A request and its attempts. At most one attempt is in flight at a time: the next one starts after the
-/// result of the previous one.
+/// A request and its attempts. At most one attempt is in flight at a time: the next attempt starts after the
+/// result of the previous attempt.
 struct PendingRequest {
     Request request;
     const ObjectKind* kind = nullptr;
@@ -93,7 +93,7 @@
     }
 }
 
-/// @return true if the response was served without a fill for this attempt
+/// @return true if the cache served the response without starting a fill for this attempt
 [[nodiscard]] inline bool served_from_copy(CacheStatus status) {
     return status == CacheStatus::hit || status == CacheStatus::stale || status == CacheStatus::coalesced;
 }
--- a/src/routing/rendezvous_hash.hpp
+++ b/src/routing/rendezvous_hash.hpp
@@ -1,5 +1,6 @@
 // Highest random weight (rendezvous) hashing. Each object has its own order of preference over the endpoints.
-// When an endpoint leaves, only its own objects move, each to the next endpoint in its order.
+// When an endpoint leaves, only the objects that preferred this endpoint move, each to the next endpoint in
+// the object's order.
 #pragma once
 
 #include <cstdint>
--- a/src/routing/retry_policy.cpp
+++ b/src/routing/retry_policy.cpp
@@ -6,7 +6,8 @@
 namespace {
 
 // Retries of gateways, caches and clients multiply the load during a fault. The retry budget therefore gains
-// this many retries for each request, and holds at most this many for each attempt that a request may have.
+// `retries_per_request` retries for each request. It holds at most `reserve_per_max_attempt` retries for each
+// attempt that a request may have.
 constexpr double retries_per_request = 0.25;
 constexpr double reserve_per_max_attempt = 5;
 // Minimum retry-after time, as a share of the longest time that clients honour.
@@ -37,14 +38,15 @@
     if (missed && request.on_miss == MissHandling::fill_next_time) return NextStep::try_again;
     if (missed && request.on_miss == MissHandling::reject) return NextStep::end_request;
     if (result.outcome == Outcome::superseded) return NextStep::end_request;
-    // A refused connection cost nothing, so the retry is free.
+    // An attempt whose connection was refused cost nothing, so its retry is not charged to the budget.
     if (result.outcome == Outcome::connection_refused) return NextStep::try_again;
     if (retry_budget_ < 1) return NextStep::end_request;
     retry_budget_ -= 1;
     return NextStep::try_again;
 }
 
-// Draws a random fraction even if the time is not sent, so that equal seeds always give equal decisions.
+// Draws a random fraction even if no retry-after time is sent, so that equal seeds always give equal
+// decisions.
 Duration RetryPolicy::retry_after() {
     const Duration wait =
         max_retry_after_ * (min_retry_after_share + (1 - min_retry_after_share) * random_.next());
--- a/src/routing/retry_policy.hpp
+++ b/src/routing/retry_policy.hpp
@@ -20,8 +20,8 @@
     /// Checks before each attempt whether the request has time and attempts left. The first attempt of each
     /// request adds to the retry budget, which next_step() consumes.
     [[nodiscard]] bool may_attempt(const PendingRequest& request, TimePoint now);
-    /// Decides what follows the result of an attempt. Retries are charged to the budget that may_attempt()
-    /// fills.
+    /// Decides how a request continues after the result of an attempt. Retries are charged to the budget that
+    /// may_attempt() fills.
     [[nodiscard]] NextStep next_step(const PendingRequest& request, const AttemptResult& result);
 
     /// @return how long a rejected client should wait before it retries. The time is random, so that rejected
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -6,16 +6,17 @@
 namespace irismux::routing {
 namespace {
 
-// The budget grows at this multiple of the current capacity, limited to this share of the overload multiple.
+// The budget grows at `rate_per_capacity` times the current capacity. This multiple is limited to
+// `rate_share_of_overload` times the overload multiple.
 constexpr double rate_per_capacity = 1.2;
 constexpr double rate_share_of_overload = 0.5;
 // Maximum budget that accumulates, as a share of the budget that accrues in an overload window.
 constexpr double burst_share_of_window = 0.15;
-// Share of the capacity between the budget's rate and the overload multiple that all gateways together may
-// accumulate while they are idle.
+// While they are idle, all gateways together may accumulate this share of the headroom, which is the capacity
+// between the budget's rate and the overload multiple.
 constexpr double headroom_share = 0.7;
 // Maximum transfer time of the requests sent to an endpoint in an overload window, as a multiple of the
-// budget that accrues in it.
+// budget that accrues in the same window.
 constexpr double max_sent_per_window = 1.3;
 
 double rate_multiple(const SlowStart& settings) {
@@ -81,15 +82,15 @@
     warm_up.budget += (rate_at(warm_up.accrued_until, since, full_capacity, settings) - rate) / 2 * elapsed;
     warm_up.budget += rate * elapsed;
     warm_up.accrued_until = now;
-    // Discards accumulated budget above the headroom. Otherwise gateways that have all been idle would each
-    // have the budget for a request and overload a warming endpoint by sending these requests at the same
-    // time.
+    // Discards accumulated budget above the headroom. All gateways accumulate budget while they are idle. If
+    // each gateway could accumulate enough for a request, all gateways could send a request to the warming
+    // endpoint at the same time and overload the endpoint.
     const double excess = warm_up.budget - transfer_seconds * warm_up.required_share - headroom;
     if (headroom < transfer_seconds && excess > 0)
         warm_up.budget -= std::ceil(excess / transfer_seconds) * transfer_seconds;
     warm_up.budget = std::min(max_budget, warm_up.budget);
-    // Transfer time sent before the router detected the start counts too, as does that of objects larger than
-    // estimated.
+    // The sum includes requests that were sent before the router detected the start of the endpoint. It also
+    // includes the actual transfer time of objects that are larger than estimated.
     if (warm_up.sent_transfer_time.since(since, now, overload_window_) >
         budget_per_window * max_sent_per_window)
         return false;
@@ -120,9 +121,9 @@
     return true;
 }
 
-// Detects a restart before the endpoint list reports it. When a whole rack restarts, its caches respond again
-// before that, and full traffic would overload them. A full connection table also refuses connections, but
-// then attempts are in flight.
+// Detects a restart before the endpoint list names the new process. When a whole rack restarts, its caches
+// respond again before the list names their new processes, and full traffic would overload these caches. A
+// cache with a full connection table also refuses connections, but then attempts are in flight at this cache.
 void SlowStartPolicy::on_cache_result(EndpointState& cache, const AttemptResult& result,
                                       TimePoint now) const {
     EndpointWarmUp& warm_up = cache.warm_up;
--- a/src/routing/slow_start.hpp
+++ b/src/routing/slow_start.hpp
@@ -24,8 +24,9 @@
     /// Checks whether a request with this transfer time may be sent to the endpoint. Always true for edge
     /// caches and parents that have warmed up. Accrues the budget, but does not charge it.
     [[nodiscard]] bool has_budget(EndpointState& endpoint, double transfer_seconds, TimePoint now) const;
-    /// Counts the transfer time of a request that is sent to the endpoint, even if the endpoint is not known
-    /// to be warming up, and charges this time to the endpoint's budget, if any.
+    /// Counts the transfer time of a request that is sent to the endpoint, even if the router has not
+    /// detected that the endpoint is warming up. If the endpoint has a budget, the transfer time is charged
+    /// to the budget.
     void charge(EndpointState& endpoint, double transfer_seconds, TimePoint now) const;
     /// Rechecks an attempt that has waited, right before its first byte is written. If the router has
     /// detected a start of the endpoint since the last check, the attempt must fit the new budget and is
@@ -33,8 +34,8 @@
     /// @return false if the attempt does not fit the new budget
     [[nodiscard]] bool recheck(EndpointState& endpoint, const Attempt& attempt, TimePoint now) const;
 
-    /// Detects from attempt results that a cache has stopped, and begins its slow start with the first
-    /// response of the new process, before the endpoint list reports the start.
+    /// Detects from attempt results that a cache's process has stopped. Begins the cache's slow start with
+    /// the first response of the new process, before the endpoint list names this process.
     void on_cache_result(EndpointState& cache, const AttemptResult& result, TimePoint now) const;
 
 private:
