--- a/src/base/file.hpp
+++ b/src/base/file.hpp
@@ -10,8 +10,8 @@
 struct FileError {
     int error_number = 0;  ///< value of errno
 
-    /// Whether the same call may succeed soon: it was interrupted, descriptors or memory were exhausted, or
-    /// the device reported an error.
+    /// @return true if the same call may succeed soon, because the call was interrupted, descriptors or
+    /// memory were exhausted, or the device reported an error
     [[nodiscard]] bool is_transient() const;
     [[nodiscard]] std::string message() const;
 };
--- a/src/base/flight_recorder.cpp
+++ b/src/base/flight_recorder.cpp
@@ -38,7 +38,7 @@
     return static_cast<std::int64_t>(now.tv_sec) * 1'000'000 + now.tv_nsec / 1000;
 }
 
-// Builds text in a buffer of fixed size; longer text is truncated. Safe in a signal handler.
+// Builds text in a buffer of fixed size. Longer text is truncated. The class may be used in a signal handler.
 class TextBuilder {
 public:
     TextBuilder(char* buffer, std::size_t capacity) : buffer_(buffer), capacity_(capacity) {}
--- a/src/base/flight_recorder.hpp
+++ b/src/base/flight_recorder.hpp
@@ -1,5 +1,5 @@
 // Records the last events of the process in a ring buffer of fixed size. When a fatal signal ends the
-// process, its handler prints them first.
+// process, the signal's handler first prints the recorded events.
 //
 // Recording an event takes no lock and allocates no memory; printing uses only async-signal-safe calls. Only
 // one thread may record events.
@@ -21,7 +21,7 @@
 void note(std::string_view record);
 
 /// Installs handlers for SIGSEGV, SIGBUS, SIGFPE, SIGILL and SIGABRT, which print the signal and the last
-/// events on standard error. After that the signal's previous action is carried out.
+/// events on standard error. After the handler has returned, the signal's previous action is carried out.
 void report_fatal_signals();
 
 }  // namespace irismux::flight_recorder
--- a/src/base/json_reader.hpp
+++ b/src/base/json_reader.hpp
@@ -29,7 +29,8 @@
 
 /// Returns the field `key`, which must exist and must not be null.
 inline const json& require(const json& object, const char* key) {
-    if (!object.is_object()) throw_parse_error(std::string("expected an object that holds '") + key + "'");
+    if (!object.is_object())
+        throw_parse_error(std::string("expected a JSON object with the field '") + key + "'");
     const auto it = object.find(key);
     if (it == object.end() || it->is_null()) throw_parse_error(std::string("missing field '") + key + "'");
     return *it;
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -29,7 +29,7 @@
     return levels[static_cast<std::size_t>(level)];
 }
 
-// The logger has one sink, without locks or threads; each record is one write.
+// The logger has one sink and uses no locks or threads. Each record is one write.
 spdlog::logger& logger() {
     static const std::unique_ptr<spdlog::logger> instance = [] {
         auto created =
@@ -84,8 +84,8 @@
 // must neither fill a disk nor block the event loop with writes.
 class RateLimit {
 public:
-    // Counts a record of that kind and returns whether it may be written now. Once a second has passed, also
-    // logs how many records were suppressed in it.
+    // Counts a record of the given kind and returns whether the record may be written now. The first call
+    // after a second has passed also logs how many records were suppressed in that second.
     [[nodiscard]] bool admit(std::string_view kind) {
         begin_second();
         Count& count = count_of(kind);
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -3,8 +3,8 @@
 // An event is a name in snake_case with named fields. Records that belong together have the same id in the
 // same field (`request_id`, `duty`, `cache`), in the logs of all processes. Records of the levels error,
 // warning and info are limited per second, in total and per event, so that a flood of one event does not hide
-// others; suppressed records are counted per event. The flight recorder receives every record of these
-// levels, also the suppressed ones.
+// other events. Suppressed records are counted per event. The flight recorder receives every record of these
+// levels, including the suppressed records.
 #pragma once
 
 #include <concepts>
@@ -22,7 +22,7 @@
 void set_format(Format format);
 /// Sets the process name that JSON records have in the field `by`.
 void set_process_name(std::string name);
-/// Whether records of that level are written.
+/// @return true if records of the level are written
 [[nodiscard]] bool is_enabled(Level level);
 
 struct Field {
@@ -34,8 +34,8 @@
         : name(field_name), text(std::to_string(value)), is_number(true) {}
 };
 
-/// Writes an event. The limit per second applies to events of the same name and the same `reason`, if there
-/// is one.
+/// Writes an event. The limit per second applies to events that have the same name and, if they have a field
+/// `reason`, the same reason.
 void event(Level level, std::string_view name, std::initializer_list<Field> fields);
 
 /// Writes a line of free text. The limit per second applies to lines with the same text up to the first
--- a/src/codec/cache_protocol.cpp
+++ b/src/codec/cache_protocol.cpp
@@ -39,7 +39,7 @@
      {"root_failed", CacheStatus::origin_failed}}};
 
 constexpr std::size_t response_arguments = 4;  // id, result, fields, body
-// Longer waits are reduced to this, so that any number that a cache may report fits into a Duration.
+// A longer wait is replaced by this value, so that any number that a cache may report fits into a Duration.
 constexpr double max_fill_wait_ms = 1e9;
 
 template <class Value, std::size_t size>
@@ -89,8 +89,8 @@
     return fields;
 }
 
-// @return how long the cache waited for its fill, zero if that is not reported, or std::nullopt if the text
-// is not a time.
+// @return how long the cache waited for its fill, zero if the cache did not report the wait, or std::nullopt
+// if the text is not a time.
 std::optional<Duration> parse_fill_wait(std::string_view text) {
     if (text.empty()) return Duration{};
     const auto ms = parse_number<double>(text);
--- a/src/codec/cache_protocol.hpp
+++ b/src/codec/cache_protocol.hpp
@@ -19,8 +19,8 @@
 /// The parts of an attempt that are sent to the cache in addition to the client's request.
 struct AttemptOptions {
     const AttemptPlan* plan = nullptr;  ///< null to write no cache options
-    Duration timeout;                   ///< the remaining time; written in whole milliseconds, at least one
-    Duration max_age;                   ///< maximum age of the served copy; zero to let the cache decide
+    Duration timeout;  ///< time left for the attempt; written in whole milliseconds, at least one
+    Duration max_age;  ///< maximum age of the served copy; zero to let the cache decide
 };
 void write_attempt(Buffer& out, const ClientRequest& request, const AttemptOptions& options);
 void write_cancellation(Buffer& out, const ClientRequestId& id);
@@ -37,11 +37,11 @@
 [[nodiscard]] ParseStatus parse_message(std::string_view bytes, Message& message, std::size_t& used);
 /// Whether the reply to a health check reports that the cache is healthy.
 [[nodiscard]] bool is_healthy(const Message& message);
-/// Parses the response to an attempt. The body of the result is a view.
+/// Parses the response to an attempt. The body of the result is a view into the bytes of the message.
 /// @return std::nullopt if the response is invalid, so that its meaning is unknown.
 [[nodiscard]] std::optional<AttemptEnd> parse_response(const Message& message, const ClientRequest& request);
-/// @return the id of a response that is cut off at the end of `bytes`, or std::nullopt if there is none or
-/// its id has not arrived.
+/// @return the id of a response that is cut off at the end of `bytes`, or std::nullopt if no response is cut
+/// off there or the id of the response has not arrived.
 [[nodiscard]] std::optional<ClientRequestId> find_partial_response(std::string_view bytes);
 
 }  // namespace irismux::cache_protocol
--- a/src/codec/client_protocol.cpp
+++ b/src/codec/client_protocol.cpp
@@ -53,7 +53,8 @@
     return text.size() == 16 && text.find_first_not_of("0123456789abcdefABCDEF") == std::string_view::npos;
 }
 
-// The key is passed on to caches in a list of fields, in which commas and equals signs are separators.
+// The idempotency key is passed on to caches in a list of fields, in which commas and equals signs are
+// separators.
 bool is_idempotency_key(std::string_view text) {
     return !text.empty() && text.size() <= max_idempotency_key_bytes &&
            std::all_of(text.begin(), text.end(), [](unsigned char c) {
@@ -84,7 +85,8 @@
     bool has_duplicates_ = false;
 };
 
-// Protects the router and the caches from invalid input: no field is used before all have been checked.
+// Protects the router and the caches from invalid input: no field is used before all fields have been
+// checked.
 // @return std::nullopt if a field is missing, malformed, out of range, or given twice.
 std::optional<ClientRequest> parse_fields(Parameters& parameters, const ServedKind& kind, std::string body,
                                           TimePoint now) {
--- a/src/codec/client_protocol.hpp
+++ b/src/codec/client_protocol.hpp
@@ -29,27 +29,28 @@
 namespace irismux::client_protocol {
 
 constexpr std::size_t max_body_bytes = 48'000;
-/// Enough for the parameters of a request and all others that a web server passes on.
+/// Maximum size of the parameters that arrive with one request. This is enough for the parameters of this
+/// protocol and for all other parameters that a web server passes on.
 constexpr std::size_t max_parameter_bytes = 16'384;
-constexpr std::size_t max_open_requests = 32;  ///< per connection
+constexpr std::size_t max_open_requests = 32;  ///< maximum number of open requests on one connection
 
 /// Why a client's request is refused before it reaches the router.
 enum class RequestError {
-    record_too_long,        ///< a FastCGI record longer than any body
-    parameters_too_long,    ///< more than max_parameter_bytes
-    body_too_long,          ///< more than max_body_bytes
+    record_too_long,        ///< a FastCGI record is longer than the longest allowed body
+    parameters_too_long,    ///< the parameters are longer than max_parameter_bytes
+    body_too_long,          ///< the body is longer than max_body_bytes
     incomplete_in_time,     ///< the rest of the request did not arrive in time
     request_memory_full,    ///< the memory for requests is exhausted
-    unreadable_parameters,  ///< truncated, or not name-value pairs
+    unreadable_parameters,  ///< the parameters are truncated or are not name-value pairs
     unknown_path,
     unknown_kind,
-    invalid_field,     ///< missing, malformed, out of range, or given twice
+    invalid_field,     ///< a field is missing, malformed, out of range, or given twice
     id_in_use,         ///< another request with this id is open on the connection
-    duplicate_request  ///< the same request is open or was run before
+    duplicate_request  ///< an equal request is open or was run before
 };
-/// For logs, in snake_case.
+/// Returns the name of the error for logs, in snake_case.
 [[nodiscard]] std::string_view to_string(RequestError error);
-/// The HTTP status that the client gets.
+/// Returns the HTTP status that the client gets.
 [[nodiscard]] int status_code(RequestError error);
 
 /// A request that checks whether the process is alive.
@@ -64,7 +65,7 @@
 [[nodiscard]] ParsedRequest parse_request(std::string_view parameters, std::string body,
                                           const ServedKinds& kinds, TimePoint now);
 
-/// The heads of responses, up to and including the empty line.
+/// These functions return the heads of responses, up to and including the empty line.
 [[nodiscard]] std::string response_head(std::size_t body_bytes);
 [[nodiscard]] std::string not_modified_head();
 /// @param retry_after is rounded up to milliseconds; zero to send no retry time.
--- a/src/codec/fastcgi.cpp
+++ b/src/codec/fastcgi.cpp
@@ -18,7 +18,8 @@
 }
 char low_byte(std::size_t value) { return static_cast<char>(value & 0xff); }
 
-// Removes a length from the front of `bytes`: one byte, or four bytes if the top bit is set.
+// Removes a length from the front of `bytes`. The length takes one byte, or four bytes if the top bit of the
+// first byte is set.
 // @return std::nullopt if the length is truncated.
 std::optional<std::size_t> take_length(std::string_view& bytes) {
     if (bytes.empty()) return std::nullopt;
--- a/src/codec/fastcgi.hpp
+++ b/src/codec/fastcgi.hpp
@@ -28,7 +28,7 @@
     get_values_result = 10,
     unknown_type = 11
 };
-/// The protocol status in END_REQUEST, which says why the request ends.
+/// The protocol status in an END_REQUEST record, which gives the reason why the request ends.
 enum class ProtocolStatus : std::uint8_t {
     request_complete = 0,
     cant_mpx_conn = 1,
@@ -45,7 +45,7 @@
     std::string_view content;   ///< a view into the parsed bytes
 };
 
-/// Parses the first record of `bytes`. `used` is set to its length including the padding.
+/// Parses the first record of `bytes`. `used` is set to the length of the record including the padding.
 [[nodiscard]] ParseStatus parse_record(std::string_view bytes, Record& record, std::size_t& used);
 /// Returns the content length of an incomplete record and sets `record.request` to its request id.
 /// @return 0 if the record's header is incomplete too.
@@ -62,7 +62,7 @@
 [[nodiscard]] ParseStatus parse_pairs(std::string_view bytes, Pairs& pairs);
 
 void write_record(Buffer& out, Type type, std::uint16_t request, std::string_view content);
-/// Writes as many records as the bytes need; no record if there are no bytes.
+/// Writes as many records as the bytes need. If there are no bytes, no record is written.
 void write_stream(Buffer& out, Type type, std::uint16_t request, std::string_view bytes);
 void write_begin_request(Buffer& out, std::uint16_t request, BeginRequest begin);
 void write_end_request(Buffer& out, std::uint16_t request, ProtocolStatus status);
--- a/src/codec/http.cpp
+++ b/src/codec/http.cpp
@@ -27,8 +27,8 @@
     return s;
 }
 
-// Parses the line before a chunk's data, which holds the length in hexadecimal and extensions, which are
-// ignored.
+// Parses the line before a chunk's data. The line holds the length of the data in hexadecimal, followed by
+// extensions, which are ignored.
 std::optional<std::size_t> parse_chunk_size(std::string_view line) {
     return parse_number<std::size_t>(trimmed(line.substr(0, line.find(';'))), 16);
 }
@@ -93,7 +93,8 @@
     return chunked_ ? ParseStatus::incomplete : ParseStatus::complete;
 }
 
-// Handles the lines between the data: a chunk's size, the empty line after its data, and the trailers.
+// Handles the lines that are not data: the size of a chunk, the empty line after the chunk's data, and the
+// trailers.
 ParseStatus BodyReader::next_line(std::string_view bytes, std::size_t& used) {
     const std::size_t end = bytes.find(line_end);
     if (end == std::string_view::npos)
--- a/src/codec/http.hpp
+++ b/src/codec/http.hpp
@@ -16,8 +16,8 @@
 struct Head {
     int status = 0;
     bool chunked = false;
-    bool has_content_length = false;  ///< has a Content-Length
-    std::size_t length = 0;           ///< of the body, if has_content_length
+    bool has_content_length = false;  ///< the head contains a Content-Length
+    std::size_t length = 0;           ///< length of the body, valid if has_content_length is set
     bool close = false;               ///< the connection ends after the response
     /// Whether the end of the body can be distinguished from a broken connection.
     [[nodiscard]] bool framed() const { return chunked || has_content_length; }
@@ -26,14 +26,14 @@
 /// @return ParseStatus::invalid if the head is not HTTP/1.x or is longer than 16 KB.
 [[nodiscard]] ParseStatus parse_head(std::string_view bytes, Head& head, std::size_t& used);
 
-/// Removes the framing (a length, or chunks) from a body as it arrives. The body may have any length; none of
-/// it is stored.
+/// Removes the framing (a length, or chunks) from a body while the body arrives. The body may have any
+/// length, because BodyReader stores no part of it.
 class BodyReader {
 public:
     explicit BodyReader(const Head& head);
 
     /// Reads the next part of the body. `bytes` must begin after the bytes that earlier calls used; `piece`
-    /// is set to a view into it.
+    /// is set to a view into `bytes`.
     /// @return ParseStatus::complete once the body has ended. If the result is ParseStatus::incomplete and
     /// `used` is 0, more bytes have to arrive first.
     [[nodiscard]] ParseStatus next(std::string_view bytes, std::string_view& piece, std::size_t& used);
@@ -51,7 +51,7 @@
 };
 
 void write_get(Buffer& out, std::string_view host, std::string_view target);
-/// @param authorization the value of the Authorization field; empty to send none.
+/// @param authorization the value of the Authorization field; empty to omit the field.
 void write_post(Buffer& out, std::string_view host, std::string_view target, std::string_view authorization,
                 std::string_view body);
 
--- a/src/codec/notice_events.cpp
+++ b/src/codec/notice_events.cpp
@@ -44,7 +44,7 @@
 // The newest timestamps of the events, separately for purges and for starts of caches.
 class NewestTimestamps {
 public:
-    // If a field can't be read, only the timestamps before it are used.
+    // If a field can't be read, only the timestamps before this field are used.
     void add(const json& event) {
         try {
             if (const auto purge = event.find(purge_key); purge != event.end())
--- a/src/codec/notice_events.hpp
+++ b/src/codec/notice_events.hpp
@@ -18,11 +18,11 @@
 /// The endpoint list has changed.
 struct EndpointEvent {
     std::vector<EndpointRecord> endpoints;
-    bool complete = false;  ///< whether this is the whole list, so that other endpoints are removed
+    bool complete = false;  ///< whether `endpoints` is the whole list, so that other endpoints are removed
 };
 /// Purges the copies of an object, or of all objects of a group, that were made before `timestamp`.
 struct PurgeEvent {
-    TimePoint timestamp;  ///< by the clock of the writer of the event
+    TimePoint timestamp;  ///< on the clock of the event's writer
     PurgeGroupId group;
     std::optional<ObjectName> object;
 };
@@ -36,7 +36,7 @@
 
 [[nodiscard]] NoticeEvent parse_notice_event(const Notice& notice);
 
-/// Events that were known before the first poll.
+/// Events that the client received from another source before its first poll.
 struct KnownNotices {
     std::int64_t revision = 0;  ///< revision of the newest event
     std::vector<Notice> notices;
--- a/src/codec/notice_reader.cpp
+++ b/src/codec/notice_reader.cpp
@@ -86,7 +86,7 @@
     return notice;
 }
 
-// Reads up to the next terminator.
+// Reads the current piece up to the next terminator.
 // @return false if the piece has been read completely.
 bool NoticeReader::step(std::optional<Notice>& notice) {
     if (position_ == piece_.size()) return false;
@@ -156,7 +156,7 @@
     first_ = false;
     if (only && is_whitespace(text) && !too_large) return;  // an empty list
     Notice read = parse_element(text, too_large);
-    // Preserves the order: while one event waits for the revision of the response, all later ones wait too.
+    // Preserves the order: while one event waits for the revision of the response, all later events wait too.
     if (revision_ || (waiting_.empty() && (read.has_revision || read.error))) {
         notice = std::move(read);
         return;
@@ -180,7 +180,9 @@
     return make_notice(std::move(content), revision_.value_or(0));
 }
 
-// Reads the punctuation before the object, after the list, and after the object.
+// Reads the next character where only punctuation may follow: '{' at the start of the response, and ',' or
+// '}' after the list of events. After the end of the response, every character other than whitespace is an
+// error.
 void NoticeReader::read_punctuation() {
     const auto c = next_non_whitespace();
     if (!c) return;
--- a/src/codec/notice_reader.hpp
+++ b/src/codec/notice_reader.hpp
@@ -1,8 +1,9 @@
 // Reads one response of the notice board, {"rev": LAST, "notices": [...]}, incrementally: from pieces of any
 // size and in bounded memory, returning each event as soon as it is complete. Performs no I/O.
 //
-// A scanner splits the list into the texts of its events, and nlohmann-json parses each text. So events that
-// arrived completely before a break are used, and an event that is not JSON does not affect the others.
+// A scanner splits the list into the texts of its events, and nlohmann-json parses each text. If the
+// connection breaks, the events that arrived completely before the break are therefore used. An event that is
+// not JSON does not affect the other events.
 #pragma once
 
 #include <cstddef>
@@ -18,7 +19,7 @@
 /// Why one event can't be read.
 struct EventError {
     enum class Kind {
-        too_large,  ///< or nested too deeply; see NoticeReader
+        too_large,  ///< the event is too large or nested too deeply; see NoticeReader
         not_json,
         not_an_object,
         invalid_field,
@@ -28,13 +29,13 @@
     std::string detail;
     bool operator==(const EventError&) const = default;
 };
-/// For logs, in snake_case.
+/// Returns the name of the error for logs, in snake_case.
 [[nodiscard]] std::string_view to_string(EventError::Kind kind);
 
 /// One event of the notice board.
 // NOLINTNEXTLINE(bugprone-exception-escape): json's move constructor is noexcept; the check looks inside it.
 struct Notice {
-    std::int64_t revision = 0;  ///< its own revision, or that of the response
+    std::int64_t revision = 0;  ///< revision of the event, or of the response if the event has none
     bool has_revision = false;  ///< whether the event has a revision of its own
     nlohmann::json content;
     std::optional<EventError> error;  ///< if set, `content` must not be used
@@ -50,22 +51,23 @@
     revision_not_a_number,
     too_many_unnumbered_events  ///< see NoticeReader::max_waiting_bytes
 };
-/// For logs, in snake_case.
+/// Returns the name of the error for logs, in snake_case.
 [[nodiscard]] std::string_view to_string(ResponseError error);
 
 class NoticeReader {
 public:
-    /// A longer event is skipped and reported as too large. The limit allows a list of some 5,000 caches.
+    /// Maximum size of one event. A larger event is skipped and reported as too large. The limit allows an
+    /// endpoint list of some 5,000 caches.
     static constexpr std::size_t max_notice_bytes = 1'048'576;
     static constexpr int max_depth = 32;  ///< maximum nesting of brackets
-    /// Maximum size of the events that wait for the revision of the response because they have none of their
-    /// own.
+    /// Maximum size of all events that wait for the revision of the response because they have no revision of
+    /// their own.
     static constexpr std::size_t max_waiting_bytes = max_notice_bytes;
 
     /// Passes the next bytes of the response. Must be called only after next() has returned std::nullopt.
     void feed(std::string_view piece);
-    /// @return the next event, or std::nullopt if more bytes are needed, the response is complete, or it
-    /// can't be read.
+    /// @return the next event, or std::nullopt if more bytes are needed, the response is complete, or the
+    /// response can't be read.
     [[nodiscard]] std::optional<Notice> next();
 
     [[nodiscard]] bool complete() const { return expecting_ == Expecting::nothing && !error_; }
--- a/src/codec/resp.cpp
+++ b/src/codec/resp.cpp
@@ -7,8 +7,8 @@
 namespace irismux::resp {
 namespace {
 
-// These limits protect the memory from lengths that no valid message has: a message has few arguments, of
-// which one may be a body and the others are short.
+// These limits bound the memory if a message contains lengths that no valid message has. A valid message has
+// few arguments: one argument may be a body, and all other arguments are short.
 constexpr long max_arguments = 8;
 constexpr long max_body_bytes = 240'000;
 constexpr std::size_t max_other_bytes = 4'096;  // all other arguments together
--- a/src/codec/resp.hpp
+++ b/src/codec/resp.hpp
@@ -1,4 +1,5 @@
-// Parses and writes RESP arrays of bulk strings, and the lists of fields in such strings. Performs no I/O.
+// Parses and writes RESP arrays of bulk strings, and the lists of fields that a bulk string may contain.
+// Performs no I/O.
 #pragma once
 
 #include <cstddef>
@@ -14,13 +15,14 @@
 
 using Arguments = std::vector<std::string_view>;
 
-/// Parses the first array of `bytes` into views. A null string is read as an empty one.
-/// @return ParseStatus::invalid also if the array is longer than any message of caches. If the result is
-/// ParseStatus::incomplete, `arguments` holds the arguments that have arrived completely.
+/// Parses the first array of `bytes` into views. A null string is read as an empty string.
+/// @return ParseStatus::invalid if the bytes are not an array, or if the array is longer than the longest
+/// allowed message of a cache. If the result is ParseStatus::incomplete, `arguments` holds the arguments that
+/// have arrived completely.
 [[nodiscard]] ParseStatus parse_array(std::string_view bytes, Arguments& arguments, std::size_t& used);
 void write_array(Buffer& out, std::initializer_list<std::string_view> arguments);
 
-// Lists of fields have the form "name=value,name=value", or "-" if there are none.
+// Lists of fields have the form "name=value,name=value", or "-" if the list is empty.
 
 [[nodiscard]] bool well_formed(std::string_view fields);
 /// @return the value of a field, or an empty string if the field does not exist.
--- a/src/endpoint/endpoint_table.cpp
+++ b/src/endpoint/endpoint_table.cpp
@@ -56,8 +56,8 @@
     const std::optional<TimePoint> purged_at = purges_.newest(request.object, request.purge_group, now);
     if (!purged_at) return std::nullopt;
     // A purge at the current time, or from a clock that is ahead, gives an age of zero or less. Zero means
-    // that no limit is set, so a purged copy would be served. The age is therefore at least the smallest
-    // positive one.
+    // that no limit is set, so a purged copy would be served. The returned age is therefore at least the
+    // smallest positive duration.
     constexpr Duration min_max_age = Duration::micros(1);
     return std::max(now - *purged_at, min_max_age);
 }
--- a/src/endpoint/endpoint_table.hpp
+++ b/src/endpoint/endpoint_table.hpp
@@ -19,7 +19,7 @@
 
 class CacheConnection;
 
-/// An endpoint. It is kept while it is listed or has connections.
+/// An endpoint. The table keeps an endpoint while the endpoint list contains it or while it has connections.
 struct Endpoint {
     EndpointUpdate update;  ///< the latest update
     std::string address;
@@ -28,7 +28,8 @@
 
 class EndpointTable {
 public:
-    /// Maximum number of purges. Beyond it purges are merged, and the merged purge is at least as strict.
+    /// Maximum number of purges. If there are more, purges are merged, and the merged purge is at least as
+    /// strict as the purges that it replaces.
     static constexpr std::size_t max_purges = PurgeTable::max_purges;
 
     /// @param purge_retention a purge no longer applies to any request after twice this time
@@ -43,16 +44,16 @@
     [[nodiscard]] bool is_active(const CacheId& id) const;
     /// Calls the callback for each endpoint. The callback must not add or erase endpoints.
     void for_each(const std::function<void(Endpoint&)>& callback);
-    /// @return number of endpoints listed for the location
+    /// @return number of endpoints that the endpoint list contains for the location
     [[nodiscard]] std::size_t count_at(const LocationId& location) const;
-    /// Erases an endpoint that is neither listed nor connected. Must be called when an endpoint has lost a
-    /// connection.
+    /// Erases an endpoint that is no longer in the endpoint list and has no connections. Must be called when
+    /// an endpoint has lost a connection.
     void erase_if_removed(const CacheId& id);
 
     /// Adds a purge of one object, or of all objects of the group if `object` is not set.
     void add_purge(TimePoint at, PurgeGroupId group, const std::optional<ObjectName>& object, TimePoint now);
     [[nodiscard]] std::size_t purge_count() const { return purges_.size(); }
-    /// @return age from which on no copy may be served, greater than zero; std::nullopt if no purge applies
+    /// @return maximum age of a copy that may be served, greater than zero; std::nullopt if no purge applies
     /// to the request
     [[nodiscard]] std::optional<Duration> max_age_after_purges(const Request& request, TimePoint now) const;
 
--- a/src/net/notice_connection.hpp
+++ b/src/net/notice_connection.hpp
@@ -25,7 +25,7 @@
     missing_revision,
     unreadable_event  ///< an event could not be read and is to be requested once more
 };
-/// For logs, in snake_case.
+/// Returns the name of the error for logs, in snake_case.
 [[nodiscard]] std::string_view to_string(PollError error);
 
 /// Receives the results of polls. May start the next poll or stop the connection from within each call.
--- a/src/request/active_request.hpp
+++ b/src/request/active_request.hpp
@@ -1,5 +1,5 @@
-// One request from its admission until its final response is sent and all its attempts have ended. It holds
-// the state of the client side and of the attempts, but not of their connections.
+// One request from its admission until its final response is sent and all its attempts have ended. An
+// ActiveRequest holds the state of the client side and of the attempts, but not the state of the connections.
 #pragma once
 
 #include <cstddef>
@@ -14,8 +14,8 @@
 
 namespace irismux {
 
-/// How far an attempt has been transmitted on its connection. Only an attempt that was never fully written to
-/// a cache is certain not to have run.
+/// How far an attempt has been transmitted on its connection. An attempt is certain not to have run only if
+/// it was never fully written to a cache.
 enum class TransmitProgress { not_connected, not_written, partially_written, fully_written, response_begun };
 
 /// State of an attempt with respect to the router. The states follow each other in this order.
@@ -62,7 +62,7 @@
     [[nodiscard]] const ClientStream& client_stream() const { return client_stream_; }
     [[nodiscard]] const ClientRequest& client_request() const { return client_request_; }
     [[nodiscard]] TimePoint deadline() const { return client_request_.request.deadline; }
-    /// Sets the deadline if it is earlier than the current one.
+    /// Sets the deadline if `deadline` is earlier than the current deadline.
     void shorten_deadline(TimePoint deadline);
 
     [[nodiscard]] Attempt& attempt(std::size_t index) { return attempts_[index]; }
@@ -73,23 +73,23 @@
     /// @return true if the connection has carried one of the attempts
     [[nodiscard]] bool has_used_connection(std::uint64_t connection) const;
 
-    // Each of these sends the final response. They return false and send nothing if a final response has
-    // already been sent or the client has disconnected.
+    // respond(), reject() and fail() send the final response. They return false and send nothing if a final
+    // response has already been sent or the client has disconnected.
     [[nodiscard]] bool respond(const AttemptEnd& end);
     [[nodiscard]] bool reject(Duration retry_after);
     [[nodiscard]] bool fail();
     void on_client_closed() { answered_ = true; }
 
-    /// Delays the next attempt until a cancellation has arrived. Otherwise one cache could read the
-    /// cancellation later than another cache reads the next attempt, and both would run the request at the
-    /// same time.
+    /// Delays the next attempt until the cancellation of the previous attempt has arrived at its cache.
+    /// Otherwise one cache could read the cancellation later than another cache reads the next attempt, and
+    /// both caches would run the request at the same time.
     void delay_reuse_until(TimePoint time);
     [[nodiscard]] TimePoint reuse_delayed_until() const { return reuse_delayed_until_; }
 
     /// @return true if the final response has been sent or the client has disconnected
     [[nodiscard]] bool answered() const { return answered_; }
     /// @return true if the request is answered and every attempt is reported, so that nothing more happens to
-    /// it
+    /// the request
     [[nodiscard]] bool finished() const;
     /// @return true if an attempt has ended whose result has not been reported to the router yet
     [[nodiscard]] bool has_unreported_result() const;
--- a/src/request/client_request.hpp
+++ b/src/request/client_request.hpp
@@ -11,7 +11,7 @@
 namespace irismux {
 
 /// Identifies one request on a client's connection. Clients choose FastCGI request ids and reuse them, so the
-/// sequence number distinguishes a stream from earlier ones.
+/// sequence number distinguishes a stream from earlier streams with the same id.
 struct ClientStream {
     std::uint64_t connection = 0;
     std::uint16_t fastcgi_request = 0;
@@ -29,7 +29,7 @@
     std::string body;
 };
 
-/// Sends final responses to clients. Streams that no longer exist are ignored.
+/// Sends final responses to clients. A response to a stream that no longer exists is discarded.
 class ResponseSender {
 public:
     virtual ~ResponseSender() = default;
--- a/src/request/duplicate_request_filter.hpp
+++ b/src/request/duplicate_request_filter.hpp
@@ -20,14 +20,16 @@
 
 class DuplicateRequestFilter {
 public:
-    /// Maximum number of remembered requests. Beyond it, the requests that expire first are forgotten.
+    /// Maximum number of remembered requests. If there are more, the requests that expire first are
+    /// forgotten.
     static constexpr std::size_t max_entries = 16'384;
 
     /// Remembers the request until `until`, unless an equal request is already remembered.
     /// @return false if an equal request is already remembered
     [[nodiscard]] bool accept(const RequestFingerprint& fingerprint, RequestId request, TimePoint until,
                               TimePoint now);
-    /// Forgets a request, so that an equal one is accepted again. Ignored if the request is not remembered.
+    /// Forgets a request, so that an equal request is accepted again. The call has no effect if the request
+    /// is not remembered.
     void forget_request(RequestId request);
     [[nodiscard]] std::size_t size() const { return entries_.size(); }
 
