--- a/src/net/attempt_observer.hpp
+++ b/src/net/attempt_observer.hpp
@@ -19,7 +19,8 @@
 class AttemptObserver {
 public:
     virtual ~AttemptObserver() = default;
-    /// Called once for each attempt that was not cancelled, possibly from within start_attempt().
+    /// Called once for each attempt that was not cancelled. The call may come from within
+    /// CacheConnectionPool::start_attempt().
     virtual void on_attempt_ended(ActiveRequest&, std::size_t attempt, const AttemptEnd&) = 0;
     virtual void on_health_check_result(const HealthCheckResult&) = 0;
     /// Called immediately before the attempt's first byte is written.
--- a/src/net/cache_connection.cpp
+++ b/src/net/cache_connection.cpp
@@ -50,7 +50,7 @@
 void CacheConnection::on_open() {
     was_connected_ = true;
     connect_or_idle_timer_.cancel();
-    // The caller may no longer need a health check that it requested earlier, and the cache may have left the
+    // A caller may no longer need a health check that was requested earlier, and the cache may have left the
     // endpoint list.
     for (const auto& [tag, still_wanted] : std::exchange(deferred_health_checks_, {})) {
         if (still_wanted() && context_.endpoints.is_active(cache_))
@@ -95,10 +95,10 @@
     end_attempt(carried, Outcome::connection_reset);
 }
 
-// A cache runs an attempt only once it has received all of it. If the connection was never established, the
-// attempt ends as refused. If an established connection broke, the attempt is restarted on a new connection
-// to find out whether the cache is alive. A cache that accepts connections and breaks two in a row is
-// overloaded, not dead.
+// A cache runs an attempt only after receiving the whole attempt. If the connection was never established,
+// the attempt ends as refused. If an established connection broke, the attempt is restarted on a new
+// connection to find out whether the cache is alive. A cache that accepts connections but breaks two of them
+// in a row is overloaded, not dead.
 void CacheConnection::restart_or_end(const CarriedAttempt& carried) {
     if (!was_connected_) return end_attempt(carried, Outcome::connection_refused);
     if (carried.request->answered()) return end_attempt(carried, Outcome::cancelled);
@@ -187,7 +187,8 @@
 }
 
 void CacheConnection::cancel_in_flight(InFlight::iterator it) {
-    // Declared first, so that it is destroyed last: it may hold the last reference to the request.
+    // `cancelled` is declared first and thus destroyed last, because it may hold the last reference to the
+    // request.
     const CarriedAttempt cancelled = std::move(it->second);
     in_flight_.erase(it);
     cache_protocol::write_cancellation(output_, cancelled.request->client_request_id());
@@ -200,12 +201,12 @@
     cancelled.request->delay_reuse_until(loop_.now() + context_.limits.reuse_delay);
 }
 
-// Writes attempts only when the socket can take their first byte, and checks each against the endpoint list
-// and the observer at that moment. Attempts of which the socket takes nothing are queued again; one that it
-// has taken in part stays in the output.
+// Writes attempts only when the socket can take their first byte, and checks each attempt against the
+// endpoint list and the observer at this moment. An attempt of which the socket takes nothing is queued
+// again. An attempt that the socket has taken in part stays in the output.
 void CacheConnection::on_write_ready() {
     // Avoids writing attempts to an idle connection that the cache has just closed: an attempt that was not
-    // written can be sent on another connection, but one that was written may have run.
+    // written can be sent on another connection, but an attempt that was written may have run.
     if (!queued_.empty() && output_.empty() && peer_closed()) return disconnect();
     write_pending();
     update_progress();
@@ -266,7 +267,8 @@
 
 // --- how far attempts have been written ------------------------------------------------------------------
 
-// Returns the attempt that was written at `range`, or null if it is no longer the one in flight under its id.
+// Returns the attempt that was written at `range`, or null if this attempt is no longer in flight under its
+// id.
 CacheConnection::CarriedAttempt* CacheConnection::find_in_flight(const WriteRange& range) {
     const auto it = in_flight_.find(range.id);
     return it != in_flight_.end() && it->second.sequence == range.sequence ? &it->second : nullptr;
@@ -313,8 +315,8 @@
     }
 }
 
-// Limits the time for the rest of a partial response, since the responses of the other attempts on the
-// connection have to wait behind it.
+// Limits the time for the rest of a partial response, since the responses to all other attempts on the
+// connection have to wait behind the partial response.
 void CacheConnection::limit_partial_response() {
     partial_response_timer_.cancel();
     if (input_.empty()) return;
--- a/src/net/cache_connection.hpp
+++ b/src/net/cache_connection.hpp
@@ -25,16 +25,19 @@
 struct CacheConnectionLimits {
     std::size_t connections = 0;  ///< maximum number of connections to all caches together
     std::size_t streams = 1;      ///< maximum number of attempts in flight on one connection
-    /// Also limits the wait for the rest of a partial response.
+    /// Maximum time for establishing a connection, and also for the rest of a partial response.
     Duration connect_timeout;
     Duration idle_timeout;  ///< an idle connection is closed after this time
-    /// Delay between the end of an attempt that its cache may notice late and the request's next attempt.
+    /// Delay between the end of an attempt and the next attempt of the same request, if the cache may detect
+    /// the end of the first attempt late.
     Duration reuse_delay;
-    /// How long after its response, or after its request's deadline, an attempt may get another response.
+    /// Time after the response to an attempt, or after the deadline of the attempt's request, in which
+    /// another response to this attempt may arrive.
     Duration late_response_window;
 };
 
-/// Returns whether a health check that was deferred until its connection is open is still to be sent.
+/// Called for a deferred health check when its connection is open. Returns whether the health check is still
+/// to be sent.
 using StillWanted = std::function<bool()>;
 
 class CacheConnection;
@@ -43,10 +46,10 @@
 class CacheConnectionOwner {
 public:
     virtual ~CacheConnectionOwner() = default;
-    /// The connection broke before the attempt was fully written: the attempt is started on another
+    /// Called if the connection broke before the attempt was fully written. Starts the attempt on another
     /// connection.
     virtual void restart_attempt(ActiveRequest&, std::size_t attempt) = 0;
-    /// A response has arrived, so the cache is alive.
+    /// Called when a response has arrived, which shows that the cache is alive.
     virtual void on_response_received(CacheConnection&) = 0;
     virtual void on_connection_lost(CacheConnection&) = 0;
 };
@@ -71,29 +74,30 @@
     CacheConnection(CacheConnectionContext& context, const Endpoint& endpoint, std::uint64_t number);
 
     [[nodiscard]] ConnectResult start();
-    /// Closes at once; queued and in-flight attempts end as if the connection had broken.
+    /// Closes the connection at once. Queued and in-flight attempts end as if the connection had broken.
     void disconnect();
 
     [[nodiscard]] const CacheId& cache() const { return cache_; }
     [[nodiscard]] std::uint64_t number() const { return number_; }
     /// The number of attempts that are queued or in flight.
     [[nodiscard]] std::size_t load() const { return in_flight_.size() + queued_.size(); }
-    /// Whether a write has failed; on_closed() will be called.
+    /// Whether a write has failed. If so, on_closed() will be called.
     [[nodiscard]] bool write_failed() const { return state() == ConnectionState::open && !writable(); }
-    /// Whether the connection is to the process that `endpoint` names: a cache may come back at another
-    /// address, or as a new process, under the same id.
+    /// Whether the connection leads to the address and the process that `endpoint` names. A cache may come
+    /// back under the same id at another address or as a new process.
     [[nodiscard]] bool connects_to(const Endpoint& endpoint) const;
     /// Whether attempts may use the connection, now or later.
     [[nodiscard]] bool needed() const;
     /// Whether a late response to another request could be mistaken for a response to this request.
     [[nodiscard]] bool has_id_conflict(const ActiveRequest& request) const;
 
-    /// Queues an attempt and keeps its request alive until it has ended.
+    /// Queues an attempt and keeps its request alive until the attempt has ended.
     void enqueue(std::shared_ptr<ActiveRequest> request, std::size_t attempt);
     /// Removes a queued attempt, or sends a cancellation for an attempt in flight. The end of the attempt is
     /// not reported.
     void cancel(const ActiveRequest& request, std::size_t attempt);
-    /// Moves the queued attempts to `other`, except those whose request id conflicts there.
+    /// Moves the queued attempts to `other`, except attempts whose request id conflicts with an id on
+    /// `other`.
     void move_queued_to(CacheConnection& other);
     /// @param tag unique among health checks.
     void start_health_check(const std::string& tag, StillWanted still_wanted);
@@ -115,7 +119,7 @@
             return request.get() == &other && index == other_index;
         }
     };
-    using InFlight = std::map<ClientRequestId, CarriedAttempt>;  // by the id in their responses
+    using InFlight = std::map<ClientRequestId, CarriedAttempt>;  // by the id that their responses contain
     // The position of an attempt in the stream of all bytes written to the connection.
     struct WriteRange {
         ClientRequestId id;
@@ -146,7 +150,8 @@
     std::uint64_t number_;
     CacheId cache_;
     std::string address_;
-    TimePoint process_started_at_;  // start time in the endpoint list when the connection was created
+    // Start time of the process, from the endpoint list at the time at which the connection was created.
+    TimePoint process_started_at_;
     bool was_connected_ = false;
     std::deque<CarriedAttempt> queued_;
     InFlight in_flight_;
--- a/src/net/cache_connection_pool.cpp
+++ b/src/net/cache_connection_pool.cpp
@@ -6,12 +6,12 @@
 namespace irismux {
 namespace {
 
-// Each cache gets half of its even share of the connections; the rest is reserved for caches that are added
-// to the endpoint list later.
+// Each cache gets half of its even share of the connections. The other half is reserved for caches that are
+// added to the endpoint list later.
 constexpr std::size_t used_share_divisor = 2;
-// Once a cache has this many connections, no further one is opened for a request whose id conflicts on them.
-// So two requests with the same id can be served at once, and a client that repeats ids does not use up the
-// connections.
+// Once a cache has this many connections, no further connection is opened for a request whose id conflicts on
+// the existing connections. Two requests with the same id can therefore be served at once, and a client that
+// repeats ids does not use up the connections.
 constexpr std::size_t max_connections_for_repeated_id = 2;
 // An attempt for which no connection is available is retried after this fraction of the connect timeout.
 constexpr double connection_retry_share = 0.1;
@@ -59,8 +59,8 @@
     start_attempt(request, index);
 }
 
-// Waits for one more poll of the sockets after the delay, so that input that arrived during a late iteration
-// is handled first.
+// After the delay, waits for one more poll of the sockets. If the loop runs late, input that has arrived in
+// the meantime is thus handled first.
 void CacheConnectionPool::start_after_reuse_delay(ActiveRequest& request, std::size_t index) {
     const AttemptKey key(request.id(), index);
     const auto start = [this, key, weak = std::weak_ptr(request.shared_from_this())] {
@@ -100,8 +100,8 @@
 void CacheConnectionPool::withdraw_partially_written(const Attempt& attempt) {
     for (const ConnectionPtr& connection : connections_to(attempt.cache)) {
         if (connection->number() != attempt.connection || connection->load() != 1) continue;
-        // Deferred to the loop: an observer of the closing may release the request that the caller still
-        // uses.
+        // The close is deferred to the event loop, because an observer of the close may release the request
+        // that the caller still uses.
         event_loop_.schedule_now([weak = std::weak_ptr<CacheConnection>(connection)] {
             if (const auto alive = weak.lock()) alive->disconnect();
         });
@@ -120,7 +120,7 @@
 // --- choosing a connection -------------------------------------------------------------------------------
 
 // Divides the connections evenly among the caches of this location, to which all attempts go. With too few
-// connections to a cache, responses queue behind each other and a backlog is not worked off; with one
+// connections to a cache, responses queue behind each other and a backlog is not worked off. With one
 // connection per attempt, the handshakes of a burst delay everything else.
 std::size_t CacheConnectionPool::max_connections_per_cache() const {
     const std::size_t even_share =
@@ -146,10 +146,10 @@
     return candidates;
 }
 
-// Prefers an idle connection, then a new one, then the one with the lowest load. A connection that has
-// carried the request before is the last choice, since a late response to the earlier attempt can't be
-// distinguished from a response to the new one. A connection that has carried another request with the same
-// client request id is not used at all.
+// Prefers an idle connection, then a new connection, then the connection with the lowest load. A connection
+// that has carried the request before is the last choice, since a late response to the earlier attempt can't
+// be distinguished from a response to the new attempt. A connection that has carried another request with the
+// same client request id is not used at all.
 CacheConnectionPool::Selection CacheConnectionPool::select_connection(Endpoint& endpoint,
                                                                       const ActiveRequest* request) {
     const Candidates candidates = find_candidates(endpoint, request);
@@ -164,7 +164,7 @@
     const bool may_open = !at_connection_limit() || close_one_idle();
     Selection opened = may_open ? open_connection(endpoint) : Selection{};
     // If connecting fails with "no route" and no existing connection can carry the attempt, connects once
-    // more: a single such error may report a state of the network that has passed.
+    // more: a single "no route" error may report a state of the network that has passed.
     if (opened.status == SelectionStatus::unreachable && !best) opened = open_connection(endpoint);
     if (opened.status == SelectionStatus::selected || !best) return opened;
     return {SelectionStatus::selected, best};
@@ -187,9 +187,9 @@
 
 // --- lost and unneeded connections -----------------------------------------------------------------------
 
-// Moves attempts from connections that are still being established to the one that has just received a
-// response. Otherwise they would be reported as refused if their connection failed, although the cache
-// responds on others.
+// Moves attempts from connections that are still being established to the connection that has just received a
+// response. Otherwise an attempt would be reported as refused if its connection failed, although the cache
+// responds on other connections.
 void CacheConnectionPool::on_response_received(CacheConnection& connection) {
     Endpoint* const endpoint = endpoints_.find(connection.cache());
     if (!endpoint) return;
--- a/src/net/cache_connection_pool.hpp
+++ b/src/net/cache_connection_pool.hpp
@@ -1,5 +1,5 @@
-// The connections to all caches. Selects a connection for each attempt and delays attempts that can't get one
-// yet.
+// The connections to all caches. Selects a connection for each attempt and delays attempts for which no
+// connection is available yet.
 #pragma once
 
 #include <cstddef>
@@ -20,7 +20,8 @@
 
 class CacheConnectionPool final : private CacheConnectionOwner {
 public:
-    /// @param endpoints holds the connections of each cache; must outlive the pool, as must `observer`.
+    /// @param endpoints holds the connections of each cache. Both `endpoints` and `observer` must outlive the
+    /// pool.
     CacheConnectionPool(EventLoop& loop, EndpointTable& endpoints, AttemptObserver& observer,
                         const Deployment& deployment, CacheConnectionLimits limits);
     ~CacheConnectionPool() override;
@@ -38,8 +39,9 @@
     /// TransmitProgress::not_connected.
     void withdraw_unstarted_attempts(ActiveRequest& request);
 
-    /// Does nothing if the cache is not active or no connection is available.
-    /// @param still_wanted called once the connection is open, if it has to be established first.
+    /// Sends a health check to the cache. Does nothing if the cache is not active or no connection is
+    /// available.
+    /// @param still_wanted called once the connection is open, if the connection has to be established first.
     void start_health_check(const CacheId& cache, StillWanted still_wanted);
 
     void close_all();
@@ -51,9 +53,9 @@
     using ConnectionPtr = std::shared_ptr<CacheConnection>;
     enum class SelectionStatus {
         selected,
-        none_available,     // temporarily
+        none_available,     // no connection is available at present
         request_id_in_use,  // the request's id conflicts on every connection that could carry it
-        unreachable         // no route, on two consecutive attempts
+        unreachable         // two consecutive tries to connect found no route
     };
     struct Selection {
         SelectionStatus status = SelectionStatus::none_available;
@@ -61,9 +63,12 @@
     };
     // The connections to an endpoint's current process that the request may use.
     struct Candidates {
-        ConnectionPtr unused;    // the least loaded of those that have not carried the request before
-        ConnectionPtr used;      // the least loaded of those that have
-        bool id_in_use = false;  // connections were left out because the request's id conflicts there
+        // The least loaded connection that has not carried the request before.
+        ConnectionPtr unused;
+        // The least loaded connection that has carried the request before.
+        ConnectionPtr used;
+        // Some connections were left out because the request's id conflicts with an id on them.
+        bool id_in_use = false;
     };
     using AttemptKey = std::pair<RequestId, std::size_t>;
 
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -21,18 +21,22 @@
 constexpr std::size_t min_read_bytes = 4'096;
 // Limits the reads from one connection per iteration, so that a busy connection does not delay the others.
 constexpr int max_reads_per_iteration = 4;
-// A lingering connection that sends more than this is closed. Enough for a few of the largest requests.
+// A lingering connection that sends more than this is closed. The limit allows a few requests of the maximum
+// size.
 constexpr std::size_t max_discarded_bytes = 262'144;
 // A system call that failed because the system was out of memory is retried after this delay.
 constexpr Duration memory_retry_delay = Duration::micros(2'000);
 constexpr int max_option_attempts = 3;
 
-// POCO 1.11 throws where a non-blocking socket would have to wait, so the system is called directly.
+// POCO 1.11 throws an exception where a non-blocking socket would have to wait, so this file makes the system
+// calls directly.
 bool would_block() { return errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR; }
-// A failure that does not concern the connection itself.
+// Returns whether the last system call failed for lack of memory, which is no failure of the connection
+// itself.
 bool out_of_memory() { return errno == ENOMEM || errno == ENOBUFS; }
 
-// Only logs repeated failures, since the connection works without the option, only slower.
+// Sets a socket option. If this fails repeatedly, the failure is only logged, since the connection also works
+// without the option, but more slowly.
 template <class Set>
 void set_option_if_possible(std::string_view option, Set set) {
     for (int attempt = 1; attempt <= max_option_attempts; ++attempt) {
@@ -80,8 +84,8 @@
     }
 }
 
-// Detects a connection for which no local port was free: it appears to be connecting and then ends without an
-// error.
+// Detects a connection for which no local port was free. Such a connection appears to be connecting and then
+// ends without an error.
 bool Connection::is_connected() const {
     sockaddr_storage peer{};
     socklen_t size = sizeof peer;
@@ -121,7 +125,7 @@
         const auto alive = shared_from_this();
         on_broken();
     });
-    // Deferred to the loop, because linger() may have been called from within a handler.
+    // The write is deferred to the loop, because linger() may have been called from within a handler.
     run_soon([this] {
         if (state_ == ConnectionState::closed) return;
         write_pending();
@@ -176,8 +180,8 @@
 }
 
 // Prevents a busy loop: POCO 1.11 reduces the events that it polls a socket for only when the socket's last
-// handler is removed, so both handlers are removed and the one that is still needed is added again. Either
-// handler is called on an error.
+// handler is removed, so both handlers are removed and the handler that is still needed is added again. On an
+// error, the loop calls whichever handler is registered.
 void Connection::update_watch() {
     const Events wanted{.readable = wanted_.readable && !read_pause_.pending(),
                         .writable = wanted_.writable && !write_pause_.pending()};
@@ -331,8 +335,8 @@
     watch({.readable = read_state_ != ReadState::pause, .writable = !output_.empty()});
 }
 
-// Reports the failure from the loop, because the caller may be a handler. Nothing more is written until then:
-// a caller that writes as long as there is output would never finish.
+// Reports the failure from the loop, because the caller may be a handler. Nothing more is written before the
+// report. Otherwise a caller that writes as long as there is output would never finish.
 void Connection::on_write_failed() {
     write_state_ = WriteState::failed;
     run_soon([this] { on_broken(); });
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -31,8 +31,8 @@
     [[nodiscard]] bool writable() const {
         return state_ == ConnectionState::open && write_state_ != WriteState::failed;
     }
-    /// Closes at once, without a call to on_closed(). Pending output is lost; if input is unread, the system
-    /// resets the connection, and the peer may lose output that it has not read.
+    /// Closes the connection at once, without a call to on_closed(). Pending output is lost. If input is
+    /// unread, the system resets the connection, and the peer may lose output that it has not read.
     void close();
     /// Closes gracefully: writes pending output, shuts down sending, and discards input until the peer closes
     /// too, for at most `timeout`. on_data() is no longer called; on_closed() is called at the end.
@@ -40,7 +40,8 @@
     [[nodiscard]] bool lingering() const { return read_state_ == ReadState::discard; }
     /// Whether the peer has closed or reset the connection, even if on_closed() has not been called yet.
     [[nodiscard]] bool peer_closed() const;
-    /// Whether the system has unread input; also true if that is unknown.
+    /// Whether the system holds unread input of the connection. Also returns true if the check fails for lack
+    /// of memory or is interrupted.
     [[nodiscard]] bool has_unread_data() const;
 
 protected:
@@ -56,11 +57,11 @@
     [[nodiscard]] ConnectResult connect(const Poco::Net::SocketAddress& address);
 
     virtual void on_open() {}
-    /// New bytes have been appended to input_.
+    /// Called when new bytes have been appended to input_.
     virtual void on_data() = 0;
-    /// The socket has room for output. Bytes that it has not taken yet are in output_.
+    /// Called when the socket has room for output. Bytes that the socket has not taken yet are in output_.
     virtual void on_write_ready() { write_pending(); }
-    /// The peer has closed the connection, or the connection has failed. Never called from within
+    /// Called when the peer has closed the connection or the connection has failed. Never called from within
     /// write_pending().
     virtual void on_closed() = 0;
     /// Whether connecting failed with a reset. Such a reset means that the peer had accepted the connection.
@@ -71,7 +72,7 @@
     /// Writes as much of output_ as the socket takes.
     void write_pending();
     void set_reading(bool wanted);
-    /// Limits the output that the system buffers; the rest stays in output_.
+    /// Limits the output that the system buffers. Further output stays in output_.
     void limit_send_buffer(int bytes);
     /// Number of bytes that the socket has taken so far.
     [[nodiscard]] std::uint64_t bytes_written() const { return bytes_written_; }
@@ -131,12 +132,12 @@
     WriteState write_state_ = WriteState::open;
     bool reset_while_connecting_ = false;
     bool write_scheduled_ = false;
-    Events wanted_, watched_;  // the events to watch for, and those that the loop currently watches for
+    Events wanted_, watched_;  // events to watch for, and events that the loop currently watches for
     std::size_t discarded_bytes_ = 0;
     std::uint64_t bytes_written_ = 0;
     ScopedTimer linger_timer_;
-    // Pending while the system is out of memory: a handler could not be registered, or reading or writing is
-    // paused.
+    // The timers are pending while the system is out of memory, either because a handler could not be
+    // registered or because reading or writing is paused.
     ScopedTimer rewatch_timer_, read_pause_, write_pause_;
 };
 
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -37,7 +37,7 @@
     return timer;
 }
 
-// Deferred callbacks run at the start of the next iteration; the poll in between does not wait.
+// Deferred callbacks run at the start of the next iteration. The poll before that iteration does not wait.
 void EventLoop::iterate() {
     ++iterations_;
     const auto deferred = std::exchange(next_iteration_, {});
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -42,12 +42,13 @@
         next_iteration_.push_back(std::move(callback));
     }
 
-    /// Runs the timers that are due and limits the next wait to the earliest of the others. The reactor has
-    /// no hook before its poll, so every handler must end with a call of this function.
+    /// Runs the timers that are due. Limits the next wait so that it ends at the latest when the earliest
+    /// other timer is due. The reactor has no hook before its poll, so every handler must end with a call of
+    /// this function.
     void run_due_timers();
-    /// The longest delay after its due time with which a timer has run so far.
+    /// The longest delay so far between the time at which a timer was due and the time at which it ran.
     [[nodiscard]] Duration max_timer_delay() const { return max_timer_delay_; }
-    /// Number of iterations so far. An idle loop waits up to 50 ms in each.
+    /// Number of iterations so far. An idle loop waits up to 50 ms in each iteration.
     [[nodiscard]] std::uint64_t iterations() const { return iterations_; }
 
 protected:
--- a/src/net/event_time_estimator.hpp
+++ b/src/net/event_time_estimator.hpp
@@ -1,16 +1,18 @@
 // Estimates when the events of the notice board happened, on this process's steady clock. Each event has a
-// timestamp of its writer's Unix clock, but any wall clock may be wrong by seconds or by an hour: the
-// writer's, and this process's, which was read once at the start.
+// timestamp of its writer's Unix clock. Any wall clock may be wrong by seconds or by an hour. This applies to
+// the writer's clock and also to this process's wall clock, which was read once at the start.
 //
-// - No event is received before it has happened. So each purge shows a minimum by which its writer's clock is
-//   ahead of this process's clock. The largest such minimum is applied to all other timestamps. It yields the
-//   latest time at which an event can have happened, which is needed to bound the age of copies.
-// - Live events, received by a poll, are not older than the previous poll. A timestamp that contradicts this
-//   shows that its writer's clock has been stepped, and the known offset is discarded.
-// - History, received as a whole, may be of any age; its events are not older than their timestamps, read as
-//   times of this process's clock.
+// - No event is received before it has happened. The timestamp of a purge therefore yields a lower bound of
+//   the offset by which the writer's clock is ahead of this process's clock. The largest lower bound is
+//   applied to all other timestamps. The result is the latest time at which an event can have happened, which
+//   is needed to bound the age of copies.
+// - Live events, received by a poll, are not older than the previous poll. A timestamp of an earlier time
+//   shows that its writer's clock has been stepped back, and the offset measured so far is discarded.
+// - History, which is received as a whole, may be of any age. An event of the history is dated no earlier
+//   than its timestamp, read as a time of this process's clock, but no later than the time at which the
+//   history was received.
 // - The timestamps of starts come from the caches' clocks. A start whose timestamp does not fit between the
-//   two polls is dated to the current time, so that the cache gets a slow start.
+//   previous poll and the current time is dated to the current time, so that the cache gets a slow start.
 //
 // Performs no I/O.
 #pragma once
@@ -26,21 +28,23 @@
 
 class EventTimeEstimator {
 public:
-    /// Number of starts that are remembered, so that a start that is announced again keeps its time. When
-    /// this many are stored, the older half is discarded; a discarded start that is announced again would be
-    /// dated to that announcement.
+    /// Maximum number of starts that are remembered, so that a start keeps its estimated time when a later
+    /// event names it again. When this many starts are stored, the older half is discarded. A discarded start
+    /// that a later event names again would be dated to the time of this later event.
     static constexpr std::size_t max_starts = 16'384;
 
-    /// The events that follow belong to the history that was known at `known_at`.
+    /// Begins a period whose events belong to the history, which had happened by `known_at`.
     /// @param newest the newest timestamp of a purge in the history, or of a start if there is no purge; zero
     /// if there is neither.
     void begin_history(TimePoint known_at, TimePoint newest);
-    /// The events that follow have happened since `earliest`, the time at which the previous poll was sent.
+    /// Begins a period whose events have happened since `earliest`, the time at which the previous poll was
+    /// sent.
     void begin_live(TimePoint now, TimePoint earliest);
 
-    /// The latest time at which a purge whose event has this timestamp can have happened.
+    /// @return the latest time at which a purge whose event has this timestamp can have happened
     [[nodiscard]] TimePoint purge_time(TimePoint timestamp);
-    /// The time of a cache's start whose event has this timestamp. Zero, which means long ago, stays zero.
+    /// @return the estimated time of a cache's start whose event has this timestamp. Zero, which means long
+    /// ago, stays zero.
     [[nodiscard]] TimePoint start_time(const CacheId& cache, TimePoint timestamp);
 
 private:
--- a/src/net/fastcgi_connection.cpp
+++ b/src/net/fastcgi_connection.cpp
@@ -18,16 +18,17 @@
 // descriptor forever.
 const Duration incomplete_request_timeout = client_idle_timeout * 0.5;
 
-// One connection may use at most the memory for requests divided by this.
+// The requests of one connection may use at most the memory limit for all requests divided by this number.
 constexpr std::size_t connection_memory_divisor = 8;
 // A response up to this size is written in one record together with its head.
 constexpr std::size_t max_joined_response_bytes = 16'384;
-// Responses to a slow client that the system may buffer; the rest stays in the output buffer and is counted.
+// Maximum size of the responses that the system buffers for a slow client. Further responses stay in the
+// output buffer, where their size is counted.
 constexpr int max_send_buffer_bytes = 65'536;
 // Reading from a client pauses while it has more than this many unread bytes of responses.
 constexpr std::size_t max_unread_response_bytes = 1'048'576;
-// Limit of the input that is read ahead while paused. Enough for one of the largest requests and aborts of
-// others.
+// Limit of the input that is read ahead while parsing is paused. This is enough for one request of the
+// maximum size and for aborts of other requests.
 constexpr std::size_t max_paused_input_bytes =
     client_protocol::max_body_bytes + client_protocol::max_parameter_bytes;
 
@@ -124,7 +125,8 @@
         fastcgi::Record record;
         std::size_t used = 0;
         const ParseStatus status = fastcgi::parse_record(input_.view(), record, used);
-        // No valid request needs a record of this length, so the server does not wait for the rest of it.
+        // No valid request needs a record of this length, so the server does not wait for the rest of the
+        // record.
         if (status == ParseStatus::incomplete &&
             fastcgi::announced_content_length(input_.view(), record) > client_protocol::max_body_bytes)
             return refuse_and_discard_input(record.request, RequestError::record_too_long);
@@ -148,7 +150,7 @@
     }
     if (record.type == Type::begin_request) return on_begin_request(record);
     const auto it = open_requests_.find(record.request);
-    if (it == open_requests_.end()) return;  // already answered, or never begun
+    if (it == open_requests_.end()) return;  // the request has a response already or was never begun
     switch (record.type) {
         case Type::abort_request:
             return on_abort_request(record.request);
@@ -216,7 +218,7 @@
     schedule_write();
 }
 
-// Limits the memory for requests that have no response yet by refusing requests that exceed it.
+// Limits the memory for requests that have no response yet: a request that exceeds the limit is refused.
 void FastCgiConnection::buffer_content(std::uint16_t request_id, IncomingRequest& request,
                                        std::string& destination, std::string_view content) {
     const std::size_t limit = context_.limits.request_bytes;
@@ -336,8 +338,9 @@
         input_mode_ = InputMode::paused;
 }
 
-// Detects a client that closes or aborts while its input is paused; otherwise its attempts would continue.
-// Aborts are handled at once, and the end of the connection is noticed as long as the input before it fits.
+// Detects that a client closes its connection or aborts a request while the parsing of its input is paused.
+// Otherwise the attempts for this client would continue. Aborts are handled at once. The end of the
+// connection is detected only while the unparsed input is not larger than max_paused_input_bytes.
 void FastCgiConnection::scan_paused_input() {
     fastcgi::Record record;
     std::size_t used = 0;
--- a/src/net/fastcgi_connection.hpp
+++ b/src/net/fastcgi_connection.hpp
@@ -21,7 +21,8 @@
     /// Limit of the memory for requests without a response on all connections together. The same limit
     /// applies separately to responses that clients have not read.
     std::size_t request_bytes = 0;
-    /// How long accepting pauses when no descriptor is left; also how long a closing connection lingers.
+    /// Time for which accepting pauses when no descriptor is left, and maximum time for which a closing
+    /// connection lingers.
     Duration accept_pause;
 };
 
@@ -31,7 +32,7 @@
     RequestHandler& request_handler;
     ServedKinds kinds;
     FastCgiServerLimits limits;
-    /// The last call that a connection makes, after it has closed.
+    /// A connection calls this function last, after it has closed.
     std::function<void(std::uint64_t connection)> on_connection_closed;
     std::size_t request_bytes = 0;  ///< size of the requests without a response, on all connections
 };
@@ -49,18 +50,20 @@
     [[nodiscard]] bool idle() const;
     /// Whether a request has been received in part, or there is unread input.
     [[nodiscard]] bool has_incomplete_request() const;
-    /// The idle connection with the lowest rank is closed first: first those that never sent a complete
-    /// request, then those that have been idle longest.
+    /// The idle connection with the lowest rank is closed first. Connections that never sent a complete
+    /// request rank below all other connections; among equal connections, a longer idle time means a lower
+    /// rank.
     [[nodiscard]] std::pair<bool, TimePoint> eviction_rank() const { return {has_dispatched_, idle_since_}; }
 
     /// Refuses requests that have been incomplete for too long, and closes the connection if it has been idle
     /// for too long.
     void check_timeouts(TimePoint now);
-    /// Does nothing if the request has been answered or aborted, even if its FastCGI id is in use again.
+    /// Writes the response to a request. Does nothing if the request already has a response or was aborted,
+    /// even if its FastCGI id is in use again.
     void write_response(const ClientStream& stream, std::string_view head, std::string_view body);
     /// Abandons the open requests, writes pending output, and discards input until the client closes too.
     void close_gracefully();
-    /// Closes at once; pending responses are lost.
+    /// Closes the connection at once. Pending responses are lost.
     void close_now();
 
 protected:
@@ -79,7 +82,7 @@
         std::uint64_t sequence = 0;  // position among all requests of the connection
         bool keep_connection = true;
         std::string parameters, body;
-        // Counted against the memory for requests until the request has a response.
+        // Number of bytes that count towards the memory limit for requests until the request has a response.
         std::size_t buffered_bytes = 0;
         TimePoint begun_at;
     };
@@ -88,13 +91,14 @@
     // How input is handled. The mode never changes again once it is `discarding`.
     enum class InputMode {
         parsing,
-        paused,  // until the client has read its responses
-        // Input can't be split into records any more; it is read only to notice the end of the connection.
+        paused,  // parsing waits until the client has read its responses
+        // The input can't be split into records any more. It is read only to detect the end of the
+        // connection.
         discarding
     };
     enum class Lifecycle {
         serving,
-        closing,   // closes once every open request has a response
+        closing,   // the connection closes once every open request has a response
         abandoned  // the open requests have been reported to on_client_closed()
     };
 
@@ -130,9 +134,9 @@
     OpenRequests open_requests_;
     std::uint64_t begun_requests_ = 0;
     bool has_dispatched_ = false;    // whether a complete request has been received
-    TimePoint idle_since_;           // when the last open request ended, or the connection began
+    TimePoint idle_since_;           // time at which the last open request ended or the connection began
     std::size_t request_bytes_ = 0;  // size of the open requests
-    std::size_t scanned_bytes_ = 0;  // how much of the paused input has been scanned
+    std::size_t scanned_bytes_ = 0;  // number of bytes of the paused input that have been scanned
 };
 
 }  // namespace irismux
--- a/src/net/fastcgi_server.cpp
+++ b/src/net/fastcgi_server.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 constexpr Duration idle_check_interval = Duration::micros(200'000);
-// The maximum number of connections divided by this is kept free, so that idle connections can be closed
-// gracefully before all are in use.
+// The number of connections that are kept free is the maximum number divided by this. Idle connections can
+// thus be closed gracefully before all connections are in use.
 constexpr std::size_t free_connections_divisor = 16;
 // Maximum number of connections that the system queues until they are accepted.
 constexpr int listen_backlog = 1024;
@@ -62,7 +62,7 @@
                                                  *this, &FastCgiServer::on_acceptable));
         listen_state_ = ListenState::accepting;
     } catch (const Poco::Exception&) {
-        // The system is out of memory. Connections wait in its queue until the retry.
+        // The system is out of memory. Connections wait in the system's queue until the retry.
         pause_accepting(memory_retry_delay);
     }
 }
@@ -75,7 +75,7 @@
                                            *this, &FastCgiServer::on_acceptable));
         listen_state_ = ListenState::paused;
     } catch (const Poco::Exception&) {
-        // The socket stays watched.
+        // The event loop still watches the socket.
     }
 }
 
@@ -87,13 +87,13 @@
     });
 }
 
-// Accepts one connection per call, so that other events wait for it for at most one iteration. The loop calls
-// again for the next connection.
+// Accepts one connection per call, so that other events wait for at most one iteration. The loop calls this
+// function again for the next connection.
 //
 // Prevents a busy loop while accept() fails: the connection stays in the queue and would wake the loop at
 // once. A system-wide shortage is not relieved by closing connections of this process. A shortage of the
-// process's own descriptors may be temporary; only at the second failure in a row is an idle connection
-// closed or, if there is none, accepting paused for longer.
+// process's own descriptors may be temporary. The second failure in a row therefore closes an idle connection
+// or, if no connection is idle, pauses accepting for longer.
 void FastCgiServer::on_acceptable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
     const AcceptResult result = accept_one();
     const bool no_descriptor = result == AcceptResult::no_descriptor;
@@ -142,7 +142,8 @@
 }
 
 // Accepts the whole queue, so that no request is lost at shutdown: a client whose connection the system has
-// established may already have sent one. accept() may fail temporarily while more connections are queued.
+// established may already have sent a request. accept() may fail temporarily while more connections are
+// queued.
 void FastCgiServer::stop_listening() {
     if (listen_state_ == ListenState::stopped) return;
     stop_watching();
@@ -179,14 +180,15 @@
                               [this] { check_idle_connections(); });
 }
 
-// Finds the connection to close first. Without this, clients that connect and send nothing could take all
-// connections from clients that send requests.
+// Finds the connection to close first. Without this choice, clients that connect and send nothing could take
+// all connections from clients that send requests.
 FastCgiServer::ConnectionPtr FastCgiServer::find_longest_idle() const {
     ConnectionPtr longest;
     for (const auto& [number, connection] : connections_) {
         if (!connection->idle()) continue;
         if (longest && connection->eviction_rank() >= longest->eviction_rank()) continue;
-        // Checked last because it is a system call; a flood of clients then costs one call per client.
+        // Unread data is checked last, because the check is a system call. A flood of clients then costs one
+        // call per client.
         if (!connection->has_unread_data()) longest = connection;
     }
     return longest;
--- a/src/net/fastcgi_server.hpp
+++ b/src/net/fastcgi_server.hpp
@@ -18,7 +18,7 @@
 
 /// The server accepts connections.
 struct Listening {};
-/// Why the server can't listen; a later attempt may succeed.
+/// Why the server can't listen. A later call of listen() may succeed.
 struct ListenError {
     int error_number = 0;  ///< errno
     std::string message;
@@ -52,13 +52,13 @@
 private:
     enum class ListenState {
         stopped,
-        paused,  // connections wait in the system's queue
+        paused,  // new connections wait in the system's queue
         accepting
     };
     enum class AcceptResult {
         accepted,
         none_waiting,
-        failed,         // the client has closed the connection again, or a temporary network failure
+        failed,         // the client has closed the connection again, or the network failed temporarily
         no_descriptor,  // this process has no descriptor left
         no_memory       // the system has no memory or no descriptor left
     };
--- a/src/net/in_flight_request_ids.hpp
+++ b/src/net/in_flight_request_ids.hpp
@@ -1,6 +1,6 @@
-// The client request ids that a connection has carried, each with its request. Clients choose the ids and may
-// reuse them, and a response is identified by nothing else. So a connection does not carry an id for another
-// request while a response to the first may still arrive. Performs no I/O.
+// Stores the client request ids that a connection has carried, each with its request. Clients choose the ids
+// and may reuse them, and a response contains no other identification. A connection therefore does not carry
+// an id for a second request while a response to the first request may still arrive. Performs no I/O.
 #pragma once
 
 #include <cstddef>
@@ -15,13 +15,13 @@
 public:
     /// When this many ids are stored, the half that expires first is erased. A response that arrives after so
     /// many further attempts on the connection could then be mistaken for a response to another request with
-    /// its id.
+    /// the same id.
     static constexpr std::size_t max_entries = 4'096;
 
-    /// Records that the id is carried for `request`, to which responses may arrive until `until`. Replaces an
-    /// earlier entry of the id.
+    /// Records that the connection carries the id for `request`. Responses to the request may arrive until
+    /// `until`. Replaces an earlier entry of the same id.
     void add(const ClientRequestId& id, RequestId request, TimePoint until, TimePoint now);
-    /// Whether a response with this id may belong to another request.
+    /// Whether a response with this id may belong to a request other than `request`.
     [[nodiscard]] bool used_by_another(const ClientRequestId& id, RequestId request, TimePoint now) const;
     [[nodiscard]] std::size_t size() const { return entries_.size(); }
 
@@ -36,7 +36,8 @@
     void erase_half();
 
     std::map<ClientRequestId, Entry> entries_;
-    // Grows with the number of entries that have not expired, because searching for expired ones takes time.
+    // Number of entries at which add() erases the expired entries. The threshold grows with the number of
+    // entries that have not expired, because a search for expired entries takes time.
     std::size_t erase_threshold_ = min_erase_threshold;
 };
 
--- a/src/net/notice_client.cpp
+++ b/src/net/notice_client.cpp
@@ -12,8 +12,8 @@
 namespace irismux {
 namespace {
 
-// How long the board may hold a poll. It would hold one for up to 5 s, but a board that no longer responds
-// has to be detected well before that.
+// How long the board may hold a poll. The board would hold a poll for up to 5 s, but a board that no longer
+// responds has to be detected well before 5 s have passed.
 constexpr Duration poll_linger = Duration::micros(1'000'000);
 
 }  // namespace
@@ -77,8 +77,8 @@
     poll_at(polled_at_ + retry_delay_);
 }
 
-// The events received so far stay in force. Events may be urgent, so the board is polled again at once; after
-// a second failure in a row, only if the failed poll brought new events.
+// The events received so far stay in effect. Events may be urgent, so the board is polled again at once.
+// After a second failure in a row, the board is polled at once only if the failed poll brought new events.
 void NoticeClient::on_poll_error(PollError error, std::string_view detail) {
     observer_.on_poll_failed();
     log::event(log::Level::info, "notice_poll_failed",
@@ -93,8 +93,8 @@
     poll_at(event_loop_.now() + (at_once ? Duration{} : retry_delay_));
 }
 
-// Prevents the loss of events when the address changes: the new board is asked for every event that the old
-// one has not sent completely.
+// Prevents the loss of events when the address changes: the client requests from the new board every event
+// that the old board has not sent completely.
 void NoticeClient::set_address(const std::string& address) {
     if (address == address_) return;
     log::event(log::Level::info, "notice_board_changed", {{"address", address}, {"revision", revision_}});
@@ -115,14 +115,14 @@
     for (const Notice& notice : notices.notices) {
         const bool applied = on_notice(notice);
         if (applied) continue;
-        // The event can't be requested again, so the second failure skips it.
+        // The event can't be requested again. The second call skips the event if it still can't be read.
         (void)on_notice(notice);
     }
     revision_ = std::max(revision_, notices.revision);
 }
 
-// Requests an event that can't be read once more and then skips it; otherwise it would block the events after
-// it forever.
+// An event that can't be read is requested once more. If the event still can't be read, it is skipped.
+// Otherwise this event would block all later events forever.
 bool NoticeClient::on_notice(const Notice& notice) {
     if (notice.has_revision && notice.revision <= revision_) return true;
     if (const auto error = apply(notice)) {
@@ -156,8 +156,8 @@
     if (const auto* const purge = std::get_if<PurgeEvent>(&event)) deliver_purge(*purge);
     auto* const unreadable = std::get_if<UnreadableEvent>(&event);
     if (!unreadable) return std::nullopt;
-    // A start is dated from its first announcement, even if the event that announced it can be read only in
-    // part.
+    // Estimates the start times even if the event can be read only in part, because a start is dated to the
+    // first event that names it.
     estimate_starts(unreadable->endpoints);
     return unreadable->error;
 }
--- a/src/net/notice_client.hpp
+++ b/src/net/notice_client.hpp
@@ -1,7 +1,7 @@
 // The client of the notice board: polls it over HTTP/1.1 for changes of the endpoint list and for purges.
 //
-// A response may have any length. Its events take effect one by one as they arrive, and the next poll
-// requests the events after the last of them, even if the response broke off.
+// A response may have any length. Its events take effect one by one as they arrive. The next poll requests
+// the events after the last event that took effect, even if the response broke off.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +21,7 @@
 
 namespace irismux {
 
-/// A purge of an object, or of a group.
+/// A purge of one object, or of all objects of a group.
 struct PurgeNotice {
     TimePoint at;         ///< the latest time at which the purge can have happened, by this process's clock
     TimePoint timestamp;  ///< the timestamp in the event
@@ -33,17 +33,19 @@
 class NoticeObserver {
 public:
     virtual ~NoticeObserver() = default;
-    /// @param complete whether this is the whole list, so that endpoints that it does not name are removed.
+    /// @param complete whether `endpoints` is the whole list, so that endpoints missing from it are removed.
     virtual void on_endpoint_notice(const std::vector<EndpointRecord>& endpoints, bool complete) = 0;
     virtual void on_purge_notice(const PurgeNotice& purge) = 0;
 
-    /// Called before each poll. @return whether the board is to send all its events again, from the first on.
+    /// Called before each poll.
+    /// @return whether the client requests all events of the board again, from the first event on.
     virtual bool wants_full_history() const { return false; }
     virtual void on_poll_started(bool /*from_start*/) {}
-    /// All events up to `newest` have taken effect; `polled_from` is the revision that the poll named.
+    /// Called when all events up to the revision `newest` have taken effect. The poll requested the events
+    /// after the revision `polled_from`.
     virtual void on_poll_completed(std::int64_t /*newest*/, std::int64_t /*polled_from*/) {}
     virtual void on_poll_failed() {}
-    /// An event has been skipped because it could not be read twice.
+    /// Called when an event has been skipped because two attempts to read the event have failed.
     virtual void on_notice_skipped() {}
 };
 
@@ -84,21 +86,22 @@
     std::string address_;
     Duration retry_delay_;
     std::int64_t revision_ = 0;     // revision of the last event that took effect
-    std::int64_t polled_from_ = 0;  // the revision that the last poll named
+    std::int64_t polled_from_ = 0;  // the last poll requested the events after this revision
     TimePoint polled_at_;
     bool last_poll_failed_ = false;
-    // The event after this revision could not be read when it was last received.
+    // If set, the event after this revision could not be read when the client last received this event.
     std::optional<std::int64_t> revision_before_unreadable_;
 
-    // Events up to this revision were known earlier and may have happened at any time.
+    // The history consists of the events up to `revision`. They had happened by `known_at`, but may have
+    // happened at any time before.
     struct History {
         std::int64_t revision = 0;
         TimePoint known_at;
         TimePoint newest_timestamp;
     };
     History history_;
-    // When the last poll that got a complete response was sent. Events after the history have happened since
-    // then.
+    // Time at which the last poll with a complete response was sent. Events that are not part of the history
+    // have happened since this time.
     TimePoint last_complete_poll_at_;
     EventTimeEstimator times_;
 
--- a/src/net/notice_connection.cpp
+++ b/src/net/notice_connection.cpp
@@ -8,7 +8,8 @@
 // Maximum time from a poll to the end of its response. A response that takes longer is broken off, and the
 // next poll continues after the events that have arrived.
 constexpr Duration max_response_time = Duration::micros(5'000'000);
-// Maximum time per iteration of the loop in which events are applied; the rest wait for the next iteration.
+// Maximum time per iteration of the loop in which events are applied. The remaining events wait for the next
+// iteration.
 constexpr Duration max_batch_time = Duration::micros(2'000);
 constexpr int http_ok = 200;
 
@@ -63,7 +64,8 @@
 }
 
 void NoticeConnection::on_data() {
-    // These bytes belong to no poll, so the connection is closed and the next poll opens another connection.
+    // The received bytes belong to no poll, so the connection is closed and the next poll opens another
+    // connection.
     if (!response_) return stop();
     restart_response_timer();
     read_response();
@@ -102,7 +104,7 @@
     });
 }
 
-// Only a batch that was cut short is continued; one that waits for data must not wake the loop in each
+// Continues a batch only if it was cut short. A batch that waits for data must not wake the loop in each
 // iteration.
 void NoticeConnection::end_batch() {
     const Batch ended = std::exchange(batch_, Batch::none);
--- a/src/net/notice_connection.hpp
+++ b/src/net/notice_connection.hpp
@@ -1,4 +1,4 @@
-// A connection to the notice board, with one poll at a time. Events take effect as they arrive.
+// A connection to the notice board that carries one poll at a time. Events take effect as they arrive.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +21,7 @@
     unexpected_status,  ///< an HTTP status other than 200
     unknown_length,     ///< the end of the response could not be distinguished from a broken connection
     incomplete_json,
-    invalid_answer,  ///< see NoticeReader::error()
+    invalid_answer,  ///< the response can't be read; see NoticeReader::error()
     missing_revision,
     unreadable_event  ///< an event could not be read and is to be requested once more
 };
@@ -56,7 +56,7 @@
     /// @return false if connecting could not be started. May throw Poco::Exception for an address that can't
     /// be parsed.
     [[nodiscard]] bool start(const std::string& address);
-    /// Must not be called before the previous poll has ended.
+    /// Starts a poll. Must not be called before the previous poll has ended.
     void poll(const std::string& host, const std::string& target);
     /// Closes the connection without calling the handler.
     void stop();
