--- a/include/irismux/attempt.hpp
+++ b/include/irismux/attempt.hpp
@@ -8,26 +8,27 @@
 
 /// How an attempt ended.
 enum class Outcome {
-    completed,           ///< a complete response arrived
-    errored,             ///< an error response arrived
-    overloaded,          ///< refused for lack of capacity: the request was neither run nor served
+    completed,   ///< a complete response arrived
+    errored,     ///< an error response arrived
+    overloaded,  ///< the attempt was refused for lack of capacity, and the request was neither run nor served
     deadline_exceeded,   ///< no response arrived in time
     connection_refused,  ///< no connection could be established
     connection_reset,    ///< the connection broke before the response was complete
     cancelled,           ///< the router cancelled the attempt
-    superseded,          ///< another attempt of the same request has already been answered
+    superseded,          ///< another attempt of the same request already has a response
     cache_miss           ///< the attempt was only-if-cached, and the cache has no copy
 };
 
-/// How a cache produced its response, or why it could not. The meaning follows RFC 9211 (Cache-Status).
+/// How a cache produced its response, or why it could not produce one. The meaning follows RFC 9211
+/// (Cache-Status).
 enum class CacheStatus {
-    none,                ///< the cache reported no status
-    hit,                 ///< served from the cache's own copy
-    filled,              ///< fetched from the fill source
-    via_origin,          ///< fetched from the fill source, which fetched it from the origin
-    coalesced,           ///< waited for a fill that another request had started
-    stale,               ///< served a stale copy
-    source_refused,      ///< the fill source refused
+    none,            ///< the cache reported no status
+    hit,             ///< the cache served its own copy
+    filled,          ///< the cache fetched the object from the fill source
+    via_origin,      ///< the cache fetched the object from the fill source, which fetched it from the origin
+    coalesced,       ///< the cache waited for a fill that another request had started
+    stale,           ///< the cache served a stale copy
+    source_refused,  ///< the fill source refused the fill
     source_unreachable,  ///< the fill source could not be reached, or broke off the transfer
     source_miss,         ///< the fill source has no copy
     no_fill_slot,        ///< the cache has no capacity for another fill
--- a/include/irismux/deployment.hpp
+++ b/include/irismux/deployment.hpp
@@ -28,9 +28,9 @@
 
 struct ObjectKind {
     Effect effect = Effect::idempotent;
-    DedupScope dedup_scope = DedupScope::all;  ///< only for deduplicated kinds
-    Duration dedup_window;                     ///< how long caches keep a key; only for deduplicated kinds
-    Duration latency_objective;                ///< a response that takes longer has less utility
+    DedupScope dedup_scope = DedupScope::all;  ///< used only for deduplicated kinds
+    Duration dedup_window;       ///< how long caches keep a key; used only for deduplicated kinds
+    Duration latency_objective;  ///< a response that takes longer has less utility
     /// Multiple of the object's transfer time that is added to `latency_objective`.
     double latency_objective_stretch = 0;
     Duration deadline;              ///< time limit for all attempts of a client together
@@ -69,7 +69,7 @@
 struct ConnectionSettings {
     Duration connect_timeout;  ///< a connection not established within this time counts as refused
     Duration idle_timeout;     ///< an idle connection is closed after this time
-    int max_streams = 1;       ///< concurrent attempts on one connection
+    int max_streams = 1;       ///< maximum number of concurrent attempts on one connection
 };
 
 struct Deployment {
--- a/include/irismux/endpoint.hpp
+++ b/include/irismux/endpoint.hpp
@@ -9,7 +9,7 @@
 /// Status of an endpoint as service discovery reports it.
 enum class EndpointStatus {
     active,    ///< takes new requests
-    draining,  ///< finishes its current requests and accepts no new ones
+    draining,  ///< finishes its current requests and accepts no new requests
     removed    ///< no longer part of the deployment
 };
 
@@ -17,7 +17,7 @@
 enum class EjectionReason {
     connection_refused,  ///< no connection could be established
     errors,              ///< the endpoint's error rate is an outlier among the rates of its peers
-    unresponsive,        ///< no response for far longer than usual while peers respond
+    unresponsive,        ///< the endpoint has not responded for far longer than usual while its peers respond
     deadline_exceeded,   ///< an attempt timed out, and the endpoint has been silent since the attempt began
     source_unreachable   ///< caches could not reach the endpoint as their fill source
 };
--- a/include/irismux/time.hpp
+++ b/include/irismux/time.hpp
@@ -1,5 +1,5 @@
-// Points in time and durations, in whole microseconds. Points in time and durations have distinct types, so
-// that the compiler rejects a mix-up.
+// Points in time and durations, in whole microseconds. They are distinct types, so that the compiler rejects
+// a mix-up.
 //
 // std::chrono is not used, since the product of a duration and a fraction rounds half away from zero here,
 // and decisions depend on this rounding.
--- a/src/codec/buffer.hpp
+++ b/src/codec/buffer.hpp
@@ -12,7 +12,7 @@
 
 class Buffer {
 public:
-    /// The content. The view is valid until the next call of a non-const function.
+    /// Returns the content. The view is valid until the next call of a non-const function.
     [[nodiscard]] std::string_view view() const { return {store_.get() + begin_, end_ - begin_}; }
     [[nodiscard]] bool empty() const { return begin_ == end_; }
     [[nodiscard]] std::size_t size() const { return end_ - begin_; }
--- a/src/codec/client_protocol.cpp
+++ b/src/codec/client_protocol.cpp
@@ -18,7 +18,7 @@
 struct ErrorDescription {
     int status_code;
     std::string_view status_text;
-    std::string_view reason;  // for logs
+    std::string_view reason;  // name of the error in logs
 };
 
 ErrorDescription describe(RequestError error) {
--- a/src/codec/notice_events.hpp
+++ b/src/codec/notice_events.hpp
@@ -18,7 +18,8 @@
 /// The endpoint list has changed.
 struct EndpointEvent {
     std::vector<EndpointRecord> endpoints;
-    bool complete = false;  ///< whether `endpoints` is the whole list, so that other endpoints are removed
+    /// Whether `endpoints` is the whole list. If so, all endpoints missing from it are removed.
+    bool complete = false;
 };
 /// Purges the copies of an object, or of all objects of a group, that were made before `timestamp`.
 struct PurgeEvent {
--- a/src/codec/resp.cpp
+++ b/src/codec/resp.cpp
@@ -11,7 +11,7 @@
 // few arguments: one argument may be a body, and all other arguments are short.
 constexpr long max_arguments = 8;
 constexpr long max_body_bytes = 240'000;
-constexpr std::size_t max_other_bytes = 4'096;  // all other arguments together
+constexpr std::size_t max_other_bytes = 4'096;  // maximum size of all other arguments together
 constexpr std::size_t max_length_line_bytes = 24;
 constexpr std::string_view line_end = "\r\n";
 constexpr long null_string = -1;
--- a/src/endpoint/endpoint_table.hpp
+++ b/src/endpoint/endpoint_table.hpp
@@ -38,8 +38,8 @@
     /// Applies records of the endpoint list.
     /// @param complete the records are the whole list, so endpoints missing from it are removed
     void apply(const std::vector<EndpointRecord>& records, bool complete);
-    /// @return null if there is no such endpoint; otherwise valid until the next call of apply() or
-    /// erase_if_removed()
+    /// @return null if there is no endpoint with this id. A non-null pointer is valid until the next call of
+    /// apply() or erase_if_removed().
     [[nodiscard]] Endpoint* find(const CacheId& id);
     [[nodiscard]] bool is_active(const CacheId& id) const;
     /// Calls the callback for each endpoint. The callback must not add or erase endpoints.
--- a/src/net/cache_connection.hpp
+++ b/src/net/cache_connection.hpp
@@ -119,7 +119,8 @@
             return request.get() == &other && index == other_index;
         }
     };
-    using InFlight = std::map<ClientRequestId, CarriedAttempt>;  // by the id that their responses contain
+    // Attempts in flight, keyed by the id that their responses contain.
+    using InFlight = std::map<ClientRequestId, CarriedAttempt>;
     // The position of an attempt in the stream of all bytes written to the connection.
     struct WriteRange {
         ClientRequestId id;
@@ -158,7 +159,7 @@
     InFlightRequestIds request_ids_;
     std::uint64_t last_sequence_ = 0;
     std::deque<WriteRange> unwritten_;                // attempts that are not fully written to the socket
-    std::map<std::string, TimePoint> health_checks_;  // start times, by tag
+    std::map<std::string, TimePoint> health_checks_;  // start time of each health check, by tag
     // Health checks to be sent once the connection is open.
     std::vector<std::pair<std::string, StillWanted>> deferred_health_checks_;
     ScopedTimer connect_or_idle_timer_;
--- a/src/net/cache_connection_pool.hpp
+++ b/src/net/cache_connection_pool.hpp
@@ -59,7 +59,7 @@
     };
     struct Selection {
         SelectionStatus status = SelectionStatus::none_available;
-        ConnectionPtr connection;  // set if selected
+        ConnectionPtr connection;  // set if the status is `selected`
     };
     // The connections to an endpoint's current process that the request may use.
     struct Candidates {
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -19,7 +19,8 @@
 // Minimum free room in the input buffer for a read. If the buffer has grown, a read may fill all of its free
 // room.
 constexpr std::size_t min_read_bytes = 4'096;
-// Limits the reads from one connection per iteration, so that a busy connection does not delay the others.
+// Limits the reads from one connection per iteration, so that a busy connection does not delay other
+// connections.
 constexpr int max_reads_per_iteration = 4;
 // A lingering connection that sends more than this is closed. The limit allows a few requests of the maximum
 // size.
@@ -313,7 +314,7 @@
         const auto alive = self.lock();
         if (!alive) return;
         write_scheduled_ = false;
-        // While the socket is full, on_writable() will be called once it has room again.
+        // While the socket is full, on_writable() will be called once the socket has room again.
         if (state_ == ConnectionState::open && !wanted_.writable && !lingering()) on_write_ready();
     });
 }
--- a/src/net/fastcgi_connection.cpp
+++ b/src/net/fastcgi_connection.cpp
@@ -12,7 +12,7 @@
 
 // Clients close idle connections after this time.
 constexpr Duration client_idle_timeout = Duration::micros(4'000'000);
-// The server closes an idle connection after this time, by which the client should have closed it.
+// The server closes an idle connection after this time. The client should have closed the connection by then.
 const Duration server_idle_timeout = client_idle_timeout * 1.25;
 // A request that is still incomplete after this time is refused; otherwise it could use memory and a
 // descriptor forever.
@@ -25,7 +25,7 @@
 // Maximum size of the responses that the system buffers for a slow client. Further responses stay in the
 // output buffer, where their size is counted.
 constexpr int max_send_buffer_bytes = 65'536;
-// Reading from a client pauses while it has more than this many unread bytes of responses.
+// Reading from a client pauses while more than this many bytes of responses wait to be sent to the client.
 constexpr std::size_t max_unread_response_bytes = 1'048'576;
 // Limit of the input that is read ahead while parsing is paused. This is enough for one request of the
 // maximum size and for aborts of other requests.
--- a/src/net/fastcgi_connection.hpp
+++ b/src/net/fastcgi_connection.hpp
@@ -75,7 +75,7 @@
     enum class RequestState {
         receiving_parameters,
         receiving_body,
-        dispatched  ///< completely received
+        dispatched  ///< the request has been received completely
     };
     struct IncomingRequest {
         RequestState state = RequestState::receiving_parameters;
@@ -86,7 +86,7 @@
         std::size_t buffered_bytes = 0;
         TimePoint begun_at;
     };
-    using OpenRequests = std::map<std::uint16_t, IncomingRequest>;  // by FastCGI request id
+    using OpenRequests = std::map<std::uint16_t, IncomingRequest>;  // keyed by FastCGI request id
 
     // How input is handled. The mode never changes again once it is `discarding`.
     enum class InputMode {
--- a/src/net/notice_client.cpp
+++ b/src/net/notice_client.cpp
@@ -66,8 +66,8 @@
     next_poll_ = ScopedTimer(event_loop_, due, [this] { poll(); });
 }
 
-// Avoids polling the board in a busy loop: a board that neither holds a poll nor has new events, such as one
-// whose revisions have gone back, is polled again only after the retry delay.
+// Avoids polling the board in a busy loop: a board that neither holds a poll nor has new events, such as a
+// board whose revisions have gone back, is polled again only after the retry delay.
 void NoticeClient::on_poll_response(std::int64_t revision) {
     observer_.on_poll_completed(revision, polled_from_);
     last_complete_poll_at_ = polled_at_;
--- a/src/net/notice_client.hpp
+++ b/src/net/notice_client.hpp
@@ -52,8 +52,8 @@
 class NoticeClient final : private PollHandler {
 public:
     /// @param observer must outlive the client.
-    /// @param retry_delay the delay between polls if several in a row have failed or returned at once without
-    /// new events.
+    /// @param retry_delay the delay between polls if several polls in a row have failed or have returned at
+    /// once without new events.
     NoticeClient(EventLoop& loop, NoticeObserver& observer, std::string address, Duration retry_delay);
     ~NoticeClient() override;
     NoticeClient(const NoticeClient&) = delete;
--- a/src/net/notice_connection.hpp
+++ b/src/net/notice_connection.hpp
@@ -12,10 +12,10 @@
 
 namespace irismux {
 
-/// Why a poll got no response or an incomplete one.
+/// Why a poll got no response or an incomplete response.
 enum class PollError {
     connect_failed,   ///< connecting could not be started
-    connection_lost,  ///< the connection was not established, or broke
+    connection_lost,  ///< the connection could not be established, or it broke
     timeout,          ///< no data arrived for too long, or the response took too long
     not_http,
     unexpected_status,  ///< an HTTP status other than 200
@@ -34,9 +34,9 @@
     virtual ~PollHandler() = default;
     /// @return false if the event can't be read now, which fails the poll.
     [[nodiscard]] virtual bool on_notice(const Notice& notice) = 0;
-    /// The complete response has arrived, and each of its events has taken effect.
+    /// Called when the complete response has arrived and each of its events has taken effect.
     virtual void on_poll_response(std::int64_t revision) = 0;
-    /// The poll has failed, and the connection is closed.
+    /// Called when the poll has failed and the connection is closed.
     virtual void on_poll_error(PollError error, std::string_view detail) = 0;
 };
 
@@ -73,7 +73,7 @@
     enum class Batch {
         none,
         running,
-        cut_short  // exceeded the time limit of an iteration
+        cut_short  // the batch exceeded the time limit of an iteration
     };
 
     void restart_response_timer();
--- a/src/request/active_request.hpp
+++ b/src/request/active_request.hpp
@@ -31,7 +31,7 @@
     TimePoint decided_at;
     AttemptState state = AttemptState::in_flight;
     TransmitProgress progress = TransmitProgress::not_connected;
-    std::uint64_t connection = 0;  ///< the connection that carries the attempt; 0: none yet
+    std::uint64_t connection = 0;  ///< the connection that carries the attempt; 0: no connection yet
     /// The first connection broke before the attempt was fully written.
     bool retried_on_new_connection = false;
 
--- a/src/request/client_request.hpp
+++ b/src/request/client_request.hpp
@@ -25,7 +25,7 @@
     std::string kind_name;
     std::string object_part;
     std::string client_etag;      ///< ETag of the client's copy
-    std::string idempotency_key;  ///< empty: none
+    std::string idempotency_key;  ///< empty if the request has no key
     std::string body;
 };
 
--- a/src/routing/endpoint_set.hpp
+++ b/src/routing/endpoint_set.hpp
@@ -24,9 +24,10 @@
     /// Rebuilds the lists of active endpoints. Called after the last update of a list.
     void finish_updates(TimePoint now);
 
-    /// @return null if there is no such endpoint
+    /// @return null if there is no endpoint with this id
     [[nodiscard]] EndpointState* find(const CacheId& id);
-    /// Returns an endpoint that must exist, such as one with attempts in flight, which is never erased.
+    /// Returns an endpoint that must exist. An endpoint with attempts in flight always exists, because it is
+    /// never erased.
     [[nodiscard]] EndpointState& at(const CacheId& id) { return endpoints_.at(id); }
     /// @return the endpoints of the role that accept new requests
     [[nodiscard]] const std::vector<EndpointState*>& active(EndpointRole role) const;
--- a/src/routing/fill_source.hpp
+++ b/src/routing/fill_source.hpp
@@ -27,7 +27,7 @@
     FillSourceSelection(const Deployment& deployment, const FillSourceDependencies& dependencies);
 
     /// Sets the fill source of the request's plan for the cache that has been selected.
-    /// @return false if the miss is known and cannot be filled now
+    /// @return false if an earlier attempt found no copy and the miss cannot be filled now
     [[nodiscard]] bool select(PendingRequest& request, const EndpointState& cache, TimePoint now);
     /// Updates the limits of fills from the source and of fetches from the origin, which select() reads, and
     /// decides whether the request avoids the source from now on.
--- a/src/routing/link_capacity.hpp
+++ b/src/routing/link_capacity.hpp
@@ -22,7 +22,7 @@
     const EndpointSet& endpoints_;
     bool weights_known_;
     int locations_;
-    double location_link_ = 0, all_links_ = 0;  // in transfers; 0: unknown
+    double location_link_ = 0, all_links_ = 0;  // in concurrent transfers; 0: unknown
 };
 
 }  // namespace irismux::routing
--- a/src/routing/object_statistics.hpp
+++ b/src/routing/object_statistics.hpp
@@ -15,7 +15,7 @@
 public:
     explicit ObjectStatistics(const Deployment& deployment);
 
-    /// @return true if the object was already requested in this generation or the previous one
+    /// @return true if the object was already requested in the current or the previous generation
     bool record_request(const ObjectName& object, TimePoint now);
     /// Updates the mean transfer time over requests when an attempt has ended. Called before record_result().
     void record_attempt(const PendingRequest& request, const Attempt& attempt);
--- a/src/routing/outlier_detector.cpp
+++ b/src/routing/outlier_detector.cpp
@@ -181,8 +181,8 @@
 }
 
 // Detects a cache that responds to most attempts, and therefore is neither silent nor failing, but loses the
-// rest. A cache with more attempts than its link carries is excluded, since it may be overloaded. If all
-// caches lose attempts, the cause lies behind them.
+// other attempts. A cache with more attempts than its link carries is excluded, since it may be overloaded.
+// If all caches lose attempts, the cause lies behind the caches.
 void OutlierDetector::record_lost_attempt(EndpointState& cache, TimePoint now) const {
     if ((cache.load.in_flight - cache.load.late) * gateways_in_location_ > links_.endpoint(cache)) return;
     double& lost_share = cache.health.lost_share;
--- a/src/routing/outlier_detector.hpp
+++ b/src/routing/outlier_detector.hpp
@@ -35,12 +35,12 @@
     void on_cache_result(EndpointState& cache, const Attempt& attempt, const AttemptResult& result,
                          bool late_hit, TimePoint now) const;
     /// Updates the share of lost attempts from an attempt's result. An attempt is lost if it has no response
-    /// although the cache has responded since its start; see on_late_attempt(). Must be called while the
-    /// attempt still counts as in flight.
+    /// although the cache has responded since the attempt started; see on_late_attempt(). Must be called
+    /// while the attempt still counts as in flight.
     void record_lost_or_answered(EndpointState& cache, const Attempt& attempt, const AttemptResult& result,
                                  TimePoint now) const;
     /// Counts an attempt that has passed its latency limit as lost if it has no fill and the cache has
-    /// responded since its start.
+    /// responded since the attempt started.
     void on_late_attempt(EndpointState& cache, const Attempt& attempt, TimePoint now) const;
 
     void eject(EndpointState& endpoint, EjectionReason reason, TimePoint now) const;
--- a/src/routing/pending_request.hpp
+++ b/src/routing/pending_request.hpp
@@ -14,7 +14,7 @@
 
 enum class AttemptState {
     in_flight,
-    cancelled,  ///< cancelled by the router; its result has not arrived yet
+    cancelled,  ///< the router has cancelled the attempt, and its result has not arrived yet
     ended
 };
 
@@ -23,7 +23,7 @@
     CacheId source;                   ///< fill source; equal to `cache` if there is no fill
     CellId cell;                      ///< copied from the cache, which may be erased before the next attempt
     TimePoint started_at;             ///< time at which the router decided on the attempt
-    TimePoint slow_start_checked_at;  ///< time of the last check against slow start
+    TimePoint slow_start_checked_at;  ///< time of the last check by SlowStartPolicy
     std::optional<TimePoint> late_after;  ///< end of the latency limit; not set if the attempt is not watched
     AttemptState state = AttemptState::in_flight;
     bool may_have_run = false;
--- a/src/routing/purge_table.hpp
+++ b/src/routing/purge_table.hpp
@@ -24,8 +24,8 @@
     static constexpr std::size_t max_purges = 16'384;
 
     void add(TimePoint at, PurgeGroupId group, const std::optional<ObjectName>& object, TimePoint now);
-    /// @return time of the newest purge that applies to an object of the group, or std::nullopt if no purge
-    /// applies
+    /// @return time of the newest purge that applies to the object, which belongs to the group, or
+    /// std::nullopt if no purge applies
     [[nodiscard]] std::optional<TimePoint> newest(const ObjectName& object, PurgeGroupId group,
                                                   TimePoint now) const;
     std::size_t size() const { return objects_.size() + groups_.size(); }
--- a/src/routing/retry_policy.hpp
+++ b/src/routing/retry_policy.hpp
@@ -35,7 +35,7 @@
     bool retry_after_is_sent_;
     Duration max_retry_after_;
     double max_retry_budget_;
-    double retry_budget_;  // in attempts
+    double retry_budget_;  // number of retries that may be started
 };
 
 }  // namespace irismux::routing
