--- a/src/net/notice_connection.hpp
+++ b/src/net/notice_connection.hpp
@@ -1,4 +1,4 @@
-// A connection to the notice board, with one poll at a time. Events take effect as they arrive.
+// A connection to the notice board that carries one poll at a time. Events take effect as they arrive.
 #pragma once
 
 #include <cstdint>
@@ -12,20 +12,20 @@
 
 namespace irismux {
 
-/// Why a poll got no response or an incomplete one.
+/// Why a poll got no response or an incomplete response.
 enum class PollError {
     connect_failed,   ///< connecting could not be started
-    connection_lost,  ///< the connection was not established, or broke
+    connection_lost,  ///< the connection could not be established, or it broke
     timeout,          ///< no data arrived for too long, or the response took too long
     not_http,
     unexpected_status,  ///< an HTTP status other than 200
     unknown_length,     ///< the end of the response could not be distinguished from a broken connection
     incomplete_json,
-    invalid_answer,  ///< see NoticeReader::error()
+    invalid_answer,  ///< the response can't be read; see NoticeReader::error()
     missing_revision,
     unreadable_event  ///< an event could not be read and is to be requested once more
 };
-/// For logs, in snake_case.
+/// Returns the name of the error for logs, in snake_case.
 [[nodiscard]] std::string_view to_string(PollError error);
 
 /// Receives the results of polls. May start the next poll or stop the connection from within each call.
@@ -34,9 +34,9 @@
     virtual ~PollHandler() = default;
     /// @return false if the event can't be read now, which fails the poll.
     [[nodiscard]] virtual bool on_notice(const Notice& notice) = 0;
-    /// The complete response has arrived, and each of its events has taken effect.
+    /// Called when the complete response has arrived and each of its events has taken effect.
     virtual void on_poll_response(std::int64_t revision) = 0;
-    /// The poll has failed, and the connection is closed.
+    /// Called when the poll has failed and the connection is closed.
     virtual void on_poll_error(PollError error, std::string_view detail) = 0;
 };
 
@@ -56,7 +56,7 @@
     /// @return false if connecting could not be started. May throw Poco::Exception for an address that can't
     /// be parsed.
     [[nodiscard]] bool start(const std::string& address);
-    /// Must not be called before the previous poll has ended.
+    /// Starts a poll. Must not be called before the previous poll has ended.
     void poll(const std::string& host, const std::string& target);
     /// Closes the connection without calling the handler.
     void stop();
@@ -73,7 +73,7 @@
     enum class Batch {
         none,
         running,
-        cut_short  // exceeded the time limit of an iteration
+        cut_short  // the batch exceeded the time limit of an iteration
     };
 
     void restart_response_timer();
