--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -1,5 +1,5 @@
-// Tests the fits against known curves, the marking of extrapolations, and that docs/CAPACITY.md matches the
-// committed figures.
+// Tests that fits match known curves, that extrapolated estimates are marked, and that docs/CAPACITY.md
+// matches the committed figures.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -40,8 +40,8 @@
     EXPECT_EQ(f.freedom, 2u);
 }
 
-// The least-squares line of these four points, calculated by hand: y = 1.5 + 0.8 x, residuals -0.3 0.9 -0.9
-// 0.3, sum of squares 1.8, standard error of the slope sqrt(1.8 / 2 / 5).
+// Compares the fit of four points with their least-squares line, which was calculated by hand: y = 1.5 + 0.8
+// x, residuals -0.3 0.9 -0.9 0.3, sum of squares 1.8, standard error of the slope sqrt(1.8 / 2 / 5).
 TEST(Fit, MatchesALineCalculatedByHand) {
     const Fit f = fit({{0, 1.2}, {1, 3.2}, {2, 2.2}, {3, 4.2}});
     EXPECT_NEAR(f.intercept, 1.5, 1e-12);
@@ -66,11 +66,12 @@
     const Fit one_size = fit({{5, 1}, {5, 2}, {5, 3}, {5, 4}});
     EXPECT_EQ(one_size.slope, 0);
     EXPECT_FALSE(one_size.bends);
-    EXPECT_FALSE(fit({{1, 1}, {2, 4}, {3, 9}}).bends) << "three points leave nothing to test with";
+    EXPECT_FALSE(fit({{1, 1}, {2, 4}, {3, 9}}).bends)
+        << "three points leave no degree of freedom to test for a bend";
 }
 
-// A quadratic term with a small share at the largest size does not count as a bend, however close the points
-// lie to the parabola.
+// A quadratic term that makes up only a small share of the value at the largest size does not count as a
+// bend, however close the points lie to the parabola.
 TEST(Fit, NegligibleQuadraticTermIsNotABend) {
     const Fit f = fit(points_of([](double n) { return 3 + 2 * n + 1e-5 * n * n; }));
     EXPECT_GT(f.quadratic_t, t_bound(f.freedom));
@@ -81,7 +82,7 @@
 TEST(Fit, FollowsTheParabolaBeyondItsPointsAndInterpolatesBetween) {
     const auto points = points_of([](double n) { return 3 + 2 * n + 0.01 * n * n; });
     EXPECT_NEAR(value_at(points, 2000), 3 + 4000 + 40'000, 1e-3);
-    EXPECT_NEAR(value_at(points, 60), 3 + 120 + 36, 1e-9) << "measured there";
+    EXPECT_NEAR(value_at(points, 60), 3 + 120 + 36, 1e-9) << "60 is a measured size";
     EXPECT_NEAR(value_at(points, 120), (159 + 687) / 2.0, 1e-9);
     EXPECT_NEAR(value_at({{1, 2}, {2, 4}, {3, 6}, {4, 8}, {8, 16}}, 100), 200, 1e-9);
 }
@@ -136,7 +137,7 @@
         << "run build/capacity and commit docs/CAPACITY.md";
 }
 
-// Each source file that the page names as a mechanism exists.
+// Each source file that the capacity page names as a mechanism must exist.
 TEST(CapacityPage, NamesFilesThatExist) {
     const std::string page = capacity_page_of(root);
     std::size_t named = 0;
@@ -148,7 +149,8 @@
     EXPECT_GT(named, 0u);
 }
 
-// The page lists a quantity that outgrows its budget as over budget, and a missing one as not measured.
+// The capacity page must list a quantity that exceeds its budget as over budget, and a quantity without
+// figures as not measured.
 TEST(CapacityPage, ListsQuantitiesOverBudget) {
     const Targets targets = read_targets(root / targets_file);
     Results data{"t", "c", "m", "d", 1, {}, {}};
@@ -189,7 +191,9 @@
             {"events", {event}}};
 }
 
-// Records that every gateway sends to every other exceed 15 KB a second long before 570 gateways.
+// The page must show a cost that grows with the square of the fleet's size as a bend, and must list it as
+// over its budget. In the test's figures every gateway sends records to every other gateway, so that the
+// traffic of a gateway exceeds 15 KB a second long before 570 gateways.
 TEST(CapacityPage, ReadsControlFiguresAndFindsTheQuadraticTerm) {
     nlohmann::json all = {{"runs", nlohmann::json::array()}};
     for (const int n : {20, 60, 180, 360, 570})
@@ -206,7 +210,7 @@
     const std::string page = capacity_page(read_targets(root / targets_file), nullptr, variants);
     EXPECT_NE(page.find("KB a second at the mean: 2.20 times its budget"), std::string::npos) << page;
     EXPECT_NE(page.find("bends, t "), std::string::npos);
-    EXPECT_TRUE(read_control_results(file).empty()) << "no file, no figures";
+    EXPECT_TRUE(read_control_results(file).empty()) << "a missing file must give no figures";
 }
 
 TEST(Targets, NameTheMissingFigure) {
@@ -216,7 +220,7 @@
     std::ofstream(file) << text;
     try {
         read_targets(file);
-        ADD_FAILURE() << "it was read";
+        ADD_FAILURE() << "targets without load.purges_per_s were accepted";
     } catch (const std::runtime_error& e) {
         EXPECT_NE(std::string(e.what()).find("load.purges_per_s has to be a number"), std::string::npos)
             << e.what();
--- a/tests/endpoint_table_test.cpp
+++ b/tests/endpoint_table_test.cpp
@@ -1,5 +1,5 @@
-// Purges in the endpoint table: which requests they apply to, for how long, and how many are stored
-// separately.
+// Tests the purges of the endpoint table: to which requests a purge applies, for how long, and how many
+// purges are stored unmerged.
 #include "endpoint/endpoint_table.hpp"
 
 #include "router_test_support.hpp"
@@ -18,8 +18,8 @@
 
 ObjectName object_name(std::size_t n) { return ObjectName{"o" + std::to_string(n)}; }
 
-// Purges that have expired before they are added must not be stored. After the board was unreachable for a
-// long time, most of its purges have expired.
+// Purges that have expired before they are added must not be stored. After the notice board was unreachable
+// for a long time, most of the purges that it sends have expired.
 TEST(EndpointTablePurges, DoesNotStoreExpiredPurges) {
     EndpointTable table(purge_retention);
     for (std::size_t n = 0; n < 21'600; ++n)
@@ -38,8 +38,8 @@
     EXPECT_EQ(table.purge_count(), 1u);
 }
 
-// No purge may be lost above max_purges: the age limit of each purged object must be at least as strict as
-// that of its own purge.
+// A table with more than max_purges purges merges some of them, and must not lose a purge. The age limit of
+// each purged object must be at least as strict as the limit that the object's own purge sets.
 TEST(EndpointTablePurges, EachPurgeStillAppliesAboveTheBound) {
     EndpointTable table(purge_retention);
     std::map<std::size_t, TimePoint> purged;
@@ -55,7 +55,8 @@
         ASSERT_TRUE(bound.has_value()) << n;
         ASSERT_LE(*bound, now - purged_at) << n;
     }
-    // Only the merged half of the purges limits an object that was never purged, and only until they expire.
+    // Only the merged purges limit the age of an object that was never purged, and only until the merged
+    // purges expire.
     const auto other_bound = table.max_age_after_purges(request_of("other"), now);
     ASSERT_TRUE(other_bound.has_value());
     EXPECT_GT(*other_bound, now - purged.rbegin()->second);
@@ -63,7 +64,7 @@
               std::nullopt);
 }
 
-// No purge of a group may be lost above max_purges either.
+// A table with more than max_purges purges of groups must not lose a purge either.
 TEST(EndpointTablePurges, EachGroupPurgeStillAppliesAboveTheBound) {
     EndpointTable table(purge_retention);
     const auto groups = static_cast<std::int64_t>(2 * EndpointTable::max_purges);
--- a/tests/endpoint_view_test.cpp
+++ b/tests/endpoint_view_test.cpp
@@ -17,9 +17,9 @@
     return {RecordKey{id}, value, Revision{created}, Revision{modified}};
 }
 
-// A full read returns updates only for records that differ from the view. A record that was deleted and
-// created again is a new process: the former endpoint is removed before the new one is added, and the new one
-// counts as started now.
+// replace() must return updates only for the records of a full read that differ from the view. A record that
+// was deleted and created again belongs to a new process: the view must remove the former endpoint before it
+// adds the new endpoint, and the new endpoint counts as started now.
 TEST(EndpointView, AFullReadReturnsOnlyTheDifferences) {
     EndpointView view;
     const TimePoint now = start_time();
@@ -31,7 +31,7 @@
                            now)
                   .size(),
               4u);
-    // a is unchanged, b was deleted, c was deleted and created again, d drains.
+    // Record a is unchanged, b was deleted, c was deleted and created again, and d drains.
     const auto updates = view.replace(
         Revision{20},
         {record("a", endpoint_value("a", "Ready"), 2, 2), record("c", endpoint_value("c", "Ready"), 12, 12),
@@ -45,12 +45,13 @@
     EXPECT_EQ(updates[2].first.cache, CacheId{"c"});
     EXPECT_EQ(updates[2].first.status, EndpointStatus::active);
     EXPECT_EQ(updates[2].first.started_at, now + ms)
-        << "a new process whose record has no start counts as started now";
+        << "a new process whose record has no start time counts as started now";
     EXPECT_EQ(updates[3].first.status, EndpointStatus::draining);
 }
 
-// A record that was deleted and created again is a new process even if it names the start of its predecessor.
-// It counts as started now, and keeps that start when it changes later.
+// A record that was deleted and created again belongs to a new process, even if the record names the start
+// time of the former process. The new process must count as started now, and must keep this start time when
+// its record changes later.
 TEST(EndpointView, ARecordCreatedAgainCountsAsStartedNow) {
     EndpointView view;
     const TimePoint now = start_time();
@@ -60,15 +61,15 @@
     const auto updates = view.apply(Revision{}, {{record("a", value, 9, 9), false}}, now + ms * 2);
     ASSERT_EQ(updates.size(), 1u);
     EXPECT_EQ(updates[0].first.started_at, now + ms * 2);
-    // A later change of the record keeps that start.
+    // A later change of the record must not change the start time of the new process.
     const auto later = view.apply(
         Revision{}, {{record("a", endpoint_value("a", "Ready", 3, 999'000), 9, 12), false}}, now + ms * 3);
     ASSERT_EQ(later.size(), 1u);
     EXPECT_EQ(later[0].first.started_at, now + ms * 2);
 }
 
-// A record that becomes unreadable must not remove its endpoint: the last readable value stays in force, the
-// other records of the same change are applied, and unreadable records are counted.
+// A record that becomes unreadable must not remove its endpoint: the last readable value must stay in force,
+// the other records of the same change must be applied, and the unreadable records must be counted.
 TEST(EndpointView, AnUnreadableRecordKeepsItsLastReadableValue) {
     EndpointView view;
     const TimePoint now = start_time();
@@ -90,7 +91,7 @@
     EXPECT_EQ(view.unreadable(), 0u);
 }
 
-// A change of an older revision that arrives again must not undo a newer one.
+// A change that arrives after a newer change of the same record must not undo the newer change.
 TEST(EndpointView, RepeatedChangesAreIgnored) {
     EndpointView view;
     const TimePoint now = start_time();
--- a/tests/etcd_codec_test.cpp
+++ b/tests/etcd_codec_test.cpp
@@ -19,8 +19,8 @@
     EXPECT_EQ(error->message.find('\n'), std::string::npos);
 }
 
-// A valid reply gives its fields. A reply that is truncated or mutated at random must give a value or an
-// error with a message of one short line, and must not crash the parser.
+// The parsers must return the fields of a valid reply. For a reply that is truncated or mutated at random
+// they must return a value or an error with a message of one short line, and must not crash.
 TEST(EtcdCodec, MutatedRepliesGiveAValueOrAShortError) {
     const std::string good =
         R"({"header":{"cluster_id":"14841639068965178418","revision":"9"},"kvs":[{"key":"L2NhY2hlcy9jMQ==",)"
@@ -46,8 +46,8 @@
     }
 }
 
-// Each published form of error reply maps to its error code. RegistryClient decides by this code what it
-// reports to the Watch.
+// Each published form of an error reply must map to its error code. RegistryClient decides by this code what
+// it reports to the Watch.
 TEST(EtcdCodec, ErrorsHaveTheirCodes) {
     const auto code_of = [](int status, const std::string& body) {
         const auto read = etcd::read_range(status, body, prefix);
@@ -70,8 +70,8 @@
     EXPECT_EQ(std::get<etcd::Error>(compacted).code, etcd::ErrorCode::compacted);
 }
 
-// A transaction with two comparisons requests both compared records in case it fails. Parsing the failure
-// returns the compared record that exists.
+// A transaction with two comparisons must request both compared records for the case that a comparison fails.
+// Parsing the reply to the failed transaction must return the compared record that exists.
 TEST(EtcdCodec, AFailedTransactionReturnsTheRecordsCompared) {
     const auto body = etcd::transaction({{prefix + "c1", "other"}, {prefix + "c8", std::nullopt}},
                                         {{prefix + "c8", "x"}}, {prefix + "c1"})
--- a/tests/fleet_digest_test.cpp
+++ b/tests/fleet_digest_test.cpp
@@ -17,13 +17,13 @@
 
 // --- applied revisions of one member ---------------------------------------------------------------------
 
-// Completes a poll with the board's newest event. `asked_from` is the last event that the poll named, or
-// zero.
+// Completes a poll with the number of the board's newest event. `asked_from` is the number of the last event
+// that the poll named, or zero.
 void poll_completed(AppliedRevisionTracker& tracker, std::int64_t newest, std::int64_t asked_from = 0) {
     tracker.on_poll_completed(event(newest), event(asked_from));
 }
 
-// Returns the tracker of a process that has read the full history in that generation.
+// Returns the tracker of a process that has read the board's full history during the given generation.
 AppliedRevisionTracker tracker_at(const Generation& generation, std::int64_t newest) {
     AppliedRevisionTracker tracker;
     tracker.on_generation(generation);
@@ -39,13 +39,14 @@
     tracker.on_poll_started(true);
     EXPECT_FALSE(tracker.needs_full_history());
     tracker.on_generation(first);
-    // The poll was sent before the generation was known, so its reply may belong to the board's former
+    // The poll was sent before the generation was known, so the response may belong to the board's former
     // history.
     poll_completed(tracker, 9);
     EXPECT_EQ(tracker.applied_revisions()->event, event(0));
     EXPECT_TRUE(tracker.has_full_history());
     EXPECT_TRUE(tracker.needs_full_history());
-    // This poll returns only events since the process started; the ones before are unknown.
+    // The response to this poll has only the events since the process started, so the process may lack
+    // earlier events.
     tracker.on_poll_started(false);
     poll_completed(tracker, 12);
     EXPECT_EQ(tracker.applied_revisions()->event, event(0));
@@ -66,8 +67,10 @@
     EXPECT_EQ(tracker.applied_revisions()->event, event(5));
 }
 
-// A process has applied event 100. The board is restored to event 85 and later assigns the lost numbers
-// again. No event is reported until the next generation, and then only after a read of the full history.
+// After a restore the board assigns the lost numbers again, to other events. A tracker that went on counting
+// would report events that its process has not applied. The process has applied event 100, and the board is
+// restored to event 85. The tracker must report no event until the next generation begins and the process has
+// read the full history.
 TEST(AppliedRevisionTracking, AfterTheBoardIsRestoredEventsCountAgainOnlyInTheNextGeneration) {
     AppliedRevisionTracker tracker = tracker_at(first, 100);
     tracker.on_poll_started(false);
@@ -96,8 +99,9 @@
     EXPECT_EQ(tracker.applied_revisions()->event, event(0));
 }
 
-// The first poll of a read of the full history breaks off. If the next poll continues after it, both count as
-// one full read; if the board is restored or a new generation begins in between, they do not.
+// The first poll of a read of the full history breaks off, and the next poll continues after the events
+// received. Both polls must count as one full read, unless the board was restored or a new generation began
+// between the polls.
 TEST(AppliedRevisionTracking, AReadOfTheFullHistoryMayTakeSeveralPolls) {
     AppliedRevisionTracker tracker;
     tracker.on_generation(first);
@@ -109,7 +113,8 @@
     poll_completed(tracker, 30, 20);
     EXPECT_TRUE(tracker.has_full_history());
     EXPECT_EQ(tracker.applied_revisions()->event, event(30));
-    // The board is restored in between: its newest event is below one already received.
+    // The board is restored between the polls, so its newest event has a lower number than an event already
+    // received.
     AppliedRevisionTracker restored;
     restored.on_generation(first);
     restored.on_poll_started(true);
@@ -117,7 +122,7 @@
     restored.on_poll_started(false);
     poll_completed(restored, 18, 20);
     EXPECT_TRUE(restored.applied_revisions()->history_lost);
-    // A new generation begins in between: the full history must be read again.
+    // A new generation begins between the polls, so the full history must be read again.
     AppliedRevisionTracker renewed;
     renewed.on_generation(first);
     renewed.on_poll_started(true);
@@ -171,7 +176,8 @@
 
 // --- the digest ------------------------------------------------------------------------------------------
 
-// A site whose heartbeats the test writes, with one snapshot per heartbeat interval.
+// Simulates a site. The test writes the members' heartbeats, and the owner takes one snapshot of them per
+// heartbeat interval.
 class SiteDigest : public ::testing::Test {
 protected:
     DigestBuilder builder{{MemberName{"m0"}, "k0", term, ms * 250, heartbeat_interval}};
@@ -185,7 +191,7 @@
         std::string id;
         std::optional<Generation> generation = first;
     };
-    std::map<MemberName, Member> members;  // besides the owner
+    std::map<MemberName, Member> members;  // without the owner
     std::int64_t own_event = 0;
     std::optional<std::string> former;
 
@@ -234,7 +240,8 @@
     EXPECT_TRUE(builder.has_lagging_members());
 }
 
-// A single heartbeat may arrive late, from a process that ended long ago.
+// A single heartbeat may arrive late, from a process that ended long ago. A member must therefore not count
+// as live after one new heartbeat.
 TEST_F(SiteDigest, AMemberCountsOnceTwoNewHeartbeatsOfItWereSeen) {
     join("m1", 10);
     EXPECT_EQ(take_snapshot().live_count, 1u);
@@ -242,8 +249,8 @@
     EXPECT_EQ(take_snapshot().live_count, 2u);
 }
 
-// A live member whose process sends no more heartbeats is listed as absent, with the time since when; that
-// time does not change later.
+// A member whose process sends no more heartbeats must be listed as absent, with the time since when the
+// member is absent. Later snapshots must not change this time.
 TEST_F(SiteDigest, AMemberWithoutNewHeartbeatsIsAbsentSinceThen) {
     join("m1", 10);
     take_snapshots(5);
@@ -254,17 +261,19 @@
     EXPECT_EQ(digest.absent[0].member, MemberName{"m1"});
     const std::int64_t since = digest.absent[0].since_ms;
     EXPECT_EQ(take_snapshots(10).absent[0].since_ms, since);
-    EXPECT_EQ(take_snapshots(1).highest, event(10));  // its last reported event still counts for the highest
+    EXPECT_EQ(take_snapshots(1).highest, event(10));  // the absent member's last event still counts
 }
 
-// The owner's next snapshot takes two terms, so the member's heartbeats are too old to count.
+// The owner is stopped during its next snapshot, which therefore takes two terms. The member's heartbeats in
+// this snapshot are too old to show that the member is live.
 TEST_F(SiteDigest, AnOwnerThatWasStoppedCountsNoMemberByOldSnapshots) {
     join("m1", 10);
     take_snapshots(5);
     EXPECT_EQ(take_snapshot(term * 2).live_count, 1u);
 }
 
-// A restored registry shows an earlier heartbeat of a member whose process has ended; the member is not live.
+// The process of a member has ended, and a restored registry shows an earlier heartbeat of this process. The
+// member must not count as live.
 TEST_F(SiteDigest, AHeartbeatOfARestoredRegistryDoesNotCount) {
     join("m1", 10);
     take_snapshots(5);
@@ -400,8 +409,8 @@
         digest.lowest = digest.highest = event(10);
         return digest;
     }
-    // Reads the registry. With `moves`, each owner has sent a new heartbeat and written a new digest since
-    // the last reading.
+    // Passes a reading of the registry to the status. If `moves` is set, each owner has sent a new heartbeat
+    // and written a new digest since the last reading.
     void read(bool moves = true) {
         FleetStatus::RegistryReading reading;
         reading.requested_at = now;
@@ -447,7 +456,8 @@
     EXPECT_EQ(reasons_of(v), (std::vector{Reason::stale_digest, Reason::stale_digest}));
 }
 
-// The digest arrives long after the heartbeat that it is as of was committed.
+// A digest that reaches the reader long after the heartbeat on which the digest is based must not count as
+// fresh.
 TEST_F(FleetStatusReader, ADigestThatComesLateIsNotFresh) {
     ASSERT_EQ(verdict().reach, Reach::everywhere);
     for (auto& [name, digest] : sites) ++digest.as_of_heartbeat;
@@ -510,7 +520,7 @@
     status.emplace(term, std::map<SiteName, std::size_t>{});
     sites.clear();
     EXPECT_EQ(reasons_of(verdict()), std::vector{Reason::no_inventory});
-    // The inventory has a site with no gateways, and that site has no digest.
+    // A site for which the inventory has no gateways needs no digest.
     sites[SiteName{"a"}] = site("a0", 2);
     status.emplace(term, std::map<SiteName, std::size_t>{{SiteName{"a"}, 2}, {SiteName{"e"}, 0}});
     EXPECT_EQ(verdict().reach, Reach::everywhere);
@@ -534,7 +544,8 @@
     EXPECT_EQ(verdict().reach, Reach::not_yet);
 }
 
-// The board was restored, and no gateway has detected it yet.
+// The board was restored and its newest event now has a lower number than an event that a gateway has
+// reported. No gateway has detected the restore yet.
 TEST_F(FleetStatusReader, ABoardBelowAReportedEventIsNotYet) {
     newest_event = event(9);
     EXPECT_EQ(reasons_of(verdict(8)), std::vector{Reason::newest_event_unknown});
@@ -543,7 +554,7 @@
     read();
     FleetStatus::RegistryReading reading;
     reading.requested_at = now;
-    status->on_reading(reading);  // the newest event from before this reading no longer counts
+    status->on_reading(reading);  // a newest event from before this reading no longer counts
     EXPECT_EQ(reasons_of(status->judge(now, {event(8), {}})).front(), Reason::newest_event_unknown);
 }
 
--- a/tests/fleet_event_test.cpp
+++ b/tests/fleet_event_test.cpp
@@ -12,8 +12,8 @@
     return ::testing::internal::GetCapturedStderr();
 }
 
-// Each event that needs an operator's action is logged as a warning with the name and the fields listed in
-// docs/operations/fleet.md.
+// Each event that needs an operator's action must be logged as a warning with the name and the fields listed
+// in docs/operations/fleet.md.
 TEST(FleetEvents, WarningsHaveTheDocumentedNamesAndFields) {
     const MemberName member{"g1"};
     const DutyName duty{"sweep"};
@@ -43,7 +43,7 @@
               "warning: fleet_token_store_failed operation=write reason=write_failed detail=/store: full\n");
 }
 
-// Events that need no action are logged with level info.
+// Events that need no operator's action must be logged with level info.
 TEST(FleetEvents, EventsThatNeedNoActionAreLoggedAtLevelInfo) {
     EXPECT_EQ(logged(LeaseStateChanged{DutyName{"sweep"}, LeaseState::expiring, FencingToken{5}}),
               "info: fleet_lease_changed duty=sweep state=expiring token=5\n");
--- a/tests/fleet_in_force_test.cpp
+++ b/tests/fleet_in_force_test.cpp
@@ -48,7 +48,8 @@
     while (w.verdict_of(event).reach != Reach::everywhere && w.now() < by) w.run(ms * 500);
     ASSERT_EQ(w.verdict_of(event).reach, Reach::everywhere) << event << '\n' << w.debug_state();
 }
-// Returns the verdict after a pause in publishing, so that the newest event was published a while ago.
+// Pauses publishing for 6 s, so that gateways have time to apply the newest event, and returns the verdict on
+// this event.
 Reach reach_at_rest(SiteSimulation& w) {
     w.set_publishing(false);
     w.run(ms * 6'000);
@@ -84,7 +85,7 @@
     }
 }
 
-// A simulation in which every event is in force everywhere and has been reported so.
+// Simulates sites without faults for 25 s. The readers then report `everywhere` for the events.
 struct AtRest : SiteSimulation {
     AtRest(std::uint32_t seed, const Options& shape)
         : SiteSimulation(seed, shape, shared_config(shape.drift)) {
@@ -94,15 +95,17 @@
     }
 };
 
-// The digest's owner and another member lack the newest events, and the owner is stopped and resumed. The
-// verdict is not `everywhere` until all members have applied the events.
+// A digest owner that was stopped must not make a reader count an old digest as new when the owner is
+// resumed. The digest's owner and another member are cut off from the board and lack the newest events, and
+// the owner is stopped and resumed. The verdict must not be `everywhere` until all members have applied the
+// events.
 TEST(SimulatedSites, ADigestOwnerThatIsStoppedAndResumedAnswersNothingUntrue) {
     for (std::uint32_t seed = 1; seed <= 20; ++seed) {
         SCOPED_TRACE(seed);
         AtRest w(seed, {.sites = {3, 1, 2}});
         for (const std::size_t site : {0u, 1u}) {
-            // The owner gets no events of the board, so it lacks those published while it is stopped; another
-            // member lacks them too.
+            // The owner is cut off from the board, so that it lacks the events published while it is stopped.
+            // Another member is cut off from the board too.
             const std::size_t owner = w.owner(site);
             ASSERT_LT(owner, w.members()) << w.debug_state();
             w.partition_board(owner, true);
@@ -121,8 +124,8 @@
     }
 }
 
-// The link between the digest's owner and the registry is cut in one or both directions. The verdict is
-// `all_but` and names that member.
+// The link between the digest's owner and the registry is cut in one or both directions. The verdict must
+// become `all_but` and name the owner that was cut off.
 TEST(SimulatedSites, ADigestOwnerThatIsCutOffIsNamed) {
     enum { out, in, both };
     for (const int ways : {out, in, both})
@@ -134,7 +137,8 @@
             w.partition(owner, ways != out, ways != in);
             w.partition_board(owner, true);
             w.run(ms * 30'000);
-            // Another member of the site owns the duty by now and names the one that is cut off.
+            // By now another member of the site owns the duty, and its digest names the former owner as
+            // absent.
             ASSERT_EQ(w.last_verdict().verdict.reach, Reach::all_but) << w.debug_state();
             ASSERT_EQ(w.last_verdict().verdict.missing.size(), 1u);
             EXPECT_EQ(w.last_verdict().verdict.missing[0].member.raw(), "m" + std::to_string(owner));
@@ -145,9 +149,10 @@
         }
 }
 
-// A site is cut off from the registry and the board while an event is published, and its gateways are
-// restarted with old state. After the links return, the verdict is not `everywhere` until the gateways have
-// applied the event.
+// The reports of a site's former processes must not count for new processes that lack an event. A site is cut
+// off from the registry and the board while events are published, and its gateways are restarted with older
+// state. After the links return, the verdict must not be `everywhere` until the gateways have applied the
+// newest event.
 TEST(SimulatedSites, ASiteThatReturnsWithOldStateDoesNotCount) {
     for (std::uint32_t seed = 1; seed <= 20; ++seed) {
         SCOPED_TRACE(seed);
@@ -165,14 +170,15 @@
             w.kill(m);
             w.start(m, 60);
             if (seed % 3 != 0) return;
-            // Not stopped by its being cut: it was told to leave, and that came through.
+            // With every third seed the link to the registry returns right after the restart, so that the new
+            // process can reach the registry with its old state for at least a second.
             w.partition(m, false, false);
         });
         w.run(ms * 1'000);
         site([&](std::size_t m) { w.partition(m, seed % 2 == 0, seed % 2 == 0); });
         w.run(ms * 60'000);
         EXPECT_NE(reach_at_rest(w), Reach::everywhere);
-        site([&](std::size_t m) { w.partition(m, false, false); });  // the board is still cut off
+        site([&](std::size_t m) { w.partition(m, false, false); });  // the links to the board stay cut
         w.run(ms * 20'000);
         EXPECT_EQ(reach_at_rest(w), Reach::not_yet);
         site([&](std::size_t m) { w.recover(m); });
@@ -181,8 +187,9 @@
     }
 }
 
-// A member that has reported an event dies and is restarted at once with older state, at any time of a
-// heartbeat interval. The verdict is no longer `everywhere` once its report has expired.
+// A report of a dead process must not count for its successor without limit. A member that has reported an
+// event is killed and restarted at once with older state, at different times within a heartbeat interval.
+// Once the former process's report has expired, the verdict must not be `everywhere`.
 TEST(SimulatedSites, AMemberThatReturnsWithOldStateAfterItsReportDoesNotCount) {
     for (std::uint32_t seed = 1; seed <= 40; ++seed) {
         SCOPED_TRACE(seed);
@@ -195,7 +202,7 @@
         if (seed % 2 == 0) w.partition(victim, true, true);
         w.run(ms * (seed % 7));
         w.start(victim, 5);
-        w.run(ms * 40'000);  // longer than its former report may be counted
+        w.run(ms * 40'000);  // longer than the former process's report may count
         EXPECT_NE(w.last_verdict().verdict.reach, Reach::everywhere) << w.debug_state();
         EXPECT_FALSE(w.in_force_everywhere());
         w.recover(victim);
@@ -204,8 +211,9 @@
     }
 }
 
-// A member has left, and a process with its name starts but can't join. The verdict names the member until an
-// operator removes it from the roster or it joins.
+// A member leaves the fleet, and a new process with the member's name starts but cannot reach the registry.
+// The verdict must name the member until the new process joins or an operator removes the name from the
+// roster.
 TEST(SimulatedSites, AMemberThatLeftIsNamedUntilItReturnsOrIsForgotten) {
     AtRest w(3, {.sites = {3, 2}});
     const std::size_t gone = w.member(0, 1);
@@ -222,21 +230,23 @@
     EXPECT_EQ(reach_at_rest(w), Reach::all_but);
     w.kill(gone);
     w.forget_member(gone);
-    // The site has fewer members than the inventory, so a gateway may exist that has not joined yet.
+    // The site has fewer members than the inventory expects, so a gateway may exist that has not joined yet.
     EXPECT_EQ(reach_at_rest(w), Reach::not_yet);
     w.recover(gone);
     expect_everywhere(w, settled);
     EXPECT_EQ(w.violations, std::vector<std::string>{});
 }
 
-// A gateway lacks the board's last events when the board is restored and assigns their numbers to other
-// events. The verdict is not `everywhere` until that gateway has read the board's full history again.
+// A restored board assigns event numbers again, so a number alone must not show that a gateway has applied an
+// event. A gateway is cut off and lacks the board's last events; the board is restored and assigns the
+// numbers of these events to other events. The verdict must not be `everywhere` until this gateway has read
+// the board's full history again.
 TEST(SimulatedSites, ARestoredBoardBeginsANewGeneration) {
     for (const bool announced : {true, false})
         for (std::uint32_t seed = 1; seed <= 20; ++seed) {
             SCOPED_TRACE(seed);
             AtRest w(seed, {.sites = {3, 2}, .publish_every = ms * 200});
-            // This gateway gets neither the board's last events nor the events that reuse their numbers.
+            // This gateway receives neither the board's last events nor the events that reuse their numbers.
             const std::size_t cut_off_gateway = w.member(0, seed % 3);
             w.partition_board(cut_off_gateway, true);
             w.run(ms * 4'000);
@@ -250,8 +260,9 @@
         }
 }
 
-// A member is restarted with old state and is cut off, the board is restored, and then the registry is
-// restored to before that. The verdict is not `everywhere` until the member has applied the newest event.
+// A member is cut off and restarted with old state. The board is restored, which begins a new generation, and
+// then the registry is restored to a backup from before the new generation. The verdict must not be
+// `everywhere` until the member has applied the newest event.
 TEST(SimulatedSites, ARestoredRegistryAnswersNothingUntrue) {
     for (std::uint32_t seed = 1; seed <= 20; ++seed) {
         SCOPED_TRACE(seed);
@@ -279,7 +290,7 @@
     expect_everywhere(one, settled);
     one.kill(0);
     one.run(ms * 15'000);
-    // No member of the site is left to write its digest, so the verdict names the whole site.
+    // No member of the site is left to write the site's digest, so the verdict names the whole site.
     ASSERT_EQ(reach_at_rest(one), Reach::all_but);
     EXPECT_EQ(one.last_verdict().verdict.missing[0].site.raw(), "s0");
     EXPECT_EQ(one.last_verdict().verdict.missing[0].reason, FleetStatus::MissingReason::stale_digest);
@@ -304,8 +315,8 @@
 }
 
 // Two of four sites are cut off from the registry and the board for an hour, while events are published and
-// some of their gateways are restarted. The verdict names the two sites all that time, and is `everywhere`
-// after they return.
+// some gateways of these two sites are restarted. The verdict must name the two sites during the whole hour,
+// and must be `everywhere` after the sites return.
 TEST(SimulatedSites, ARegionCutOffForAnHourIsNamedAndReturns) {
     AtRest w(6, {.sites = {2, 3, 2, 3}, .publish_every = ms * 5'000});
     const auto region = [&](auto action) {
@@ -342,8 +353,8 @@
     for (std::size_t n = 0; n < w.members(); ++n) w.start(n, n % 5);
     w.run(ms * 20'000);
     expect_everywhere(w, settled);
-    // Members get no records of other sites, so deliveries grow with the size of a site, not of the
-    // installation.
+    // Members receive no records of other sites, so the number of deliveries grows with the size of a site,
+    // not with the size of the installation.
     EXPECT_LE(w.deliveries - before, 570u * 15 * 12);
     EXPECT_EQ(w.violations, std::vector<std::string>{});
 }
--- a/tests/fleet_sites_test.cpp
+++ b/tests/fleet_sites_test.cpp
@@ -1,5 +1,6 @@
-// Tests `irismux fleet in-force` with gateway processes and faults between them. There are two sites: g1 and
-// g2 are in `a`, g3 is alone in `b`. The polls at the boards show which events each gateway has applied.
+// Tests `irismux fleet in-force` with gateway processes and faults on their links. There are two sites:
+// gateways g1 and g2 are in site `a`, and g3 is alone in site `b`. The polls at the boards show which events
+// each gateway has applied.
 #include <gtest/gtest.h>
 
 #include <sys/wait.h>
@@ -73,8 +74,9 @@
         return run({"in-force", "--event", std::to_string(event), "--board",
                     a->gateways[0].notice_board->address(), "--wait", std::to_string(wait_s)});
     }
-    // Repeats the command until its verdict is `answer` and its output contains `words`. Fails if any verdict
-    // before is `everywhere`. The time until digests are fresh depends on the machine; the verdict must not.
+    // Repeats the command until its verdict is `answer` and its output contains `words`. Returns false if an
+    // earlier verdict is `everywhere` or after 60 s. The command is repeated because the time until the
+    // digests are fresh depends on the machine.
     bool eventually_answers(int answer, const std::string& words, const std::vector<std::string>& question) {
         const TimePoint by = a->loop.now() + ms * 60'000;
         while (a->loop.now() < by) {
@@ -93,14 +95,15 @@
                 "--wait",
                 std::to_string(some_terms)};
     }
-    // Publishes a purge with the same event number at each gateway's board.
+    // Publishes a purge under the same event number at each gateway's board.
     std::int64_t purge() {
         std::int64_t number = 0;
         for (const auto& g : a->gateways)
             number = g.notice_board->post({{"flush", {{"ms", 1'000}, {"asset", "x"}}}});
         return number;
     }
-    // Returns whether the gateway has applied the event: it polls its board for later events.
+    // Returns whether the gateway has applied the event. A gateway that has applied it polls its board for
+    // later events.
     bool has_applied(std::size_t n, std::int64_t event) const {
         return a->gateways[n].notice_board->last_poll_since() >= event;
     }
@@ -141,8 +144,8 @@
     for (std::size_t n = 0; n < 3; ++n) EXPECT_TRUE(has_applied(n, event)) << n;
 }
 
-// The digest's owner does not receive a purge and is stopped and resumed. The verdict is not `everywhere`
-// until the owner has applied the purge.
+// The digest's owner is cut off from its board, so that it does not receive a purge, and is stopped and
+// resumed. The verdict must not be `everywhere` until the owner has applied the purge.
 TEST_F(SitesOfProcesses, ADigestOwnerThatIsStoppedAndResumedAnswersNothingUntrue) {
     ASSERT_EQ(in_force(1, 30), everywhere) << output;
     const std::size_t first = owner();
@@ -160,8 +163,9 @@
 class DigestOwnerCutOff : public SitesOfProcesses,
                           public ::testing::WithParamInterface<std::pair<bool, bool>> {};
 
-// The digest's owner does not receive a purge, and its link to the registry is cut in one or both directions.
-// The verdict names the owner, and is not `everywhere` until the owner has applied the purge.
+// The digest's owner is cut off from its board, so that it does not receive a purge, and its link to the
+// registry is cut in one or both directions. The verdict must name the owner, and must not be `everywhere`
+// until the owner has applied the purge.
 TEST_P(DigestOwnerCutOff, IsNamedAndNothingUntrueIsAnswered) {
     ASSERT_EQ(in_force(1, 30), everywhere) << output;
     const std::size_t first = owner();
@@ -169,7 +173,8 @@
     a->partition_registry(first, GetParam().first, GetParam().second);
     const std::int64_t event = purge();
     EXPECT_NE(in_force(event, some_terms), everywhere) << output;
-    // The other member of the site takes the duty over after a while and names this one as absent.
+    // The site's other member takes the duty over after a while, and its digest names the former owner as
+    // absent.
     EXPECT_TRUE(
         eventually_answers(all_but,
                            "site a g" + std::to_string(first + 1) +
@@ -187,15 +192,16 @@
                          ::testing::Values(std::pair{true, true}, std::pair{true, false},
                                            std::pair{false, true}));
 
-// A site is cut off while a purge is published, and its gateway is restarted with old state. After the link
-// returns, the verdict is not `everywhere` until the gateway has applied the purge.
+// A site is cut off from the registry and the board while a purge is published, and its gateway is restarted
+// with old state. After the link to the registry returns, the verdict must not be `everywhere` until the
+// gateway has applied the purge.
 TEST_F(SitesOfProcesses, ASiteThatReturnsWithOldStateDoesNotCount) {
     ASSERT_EQ(in_force(1, 30), everywhere) << output;
     set_board_cut_off(2, true);
     a->partition_registry(2, true, true);
     const std::int64_t event = purge();
     a->kill(2);
-    a->start(2);  // its configuration has the state of the first event
+    a->start(2);  // its configuration has only the first event
     EXPECT_TRUE(eventually_answers(all_but, "site b has no recent digest", question_of(event))) << output;
     a->partition_registry(2, false, false);
     EXPECT_NE(in_force(event, some_terms), everywhere) << output;
@@ -204,8 +210,8 @@
     EXPECT_EQ(in_force(event, 30), everywhere) << output;
 }
 
-// A member that has reported a purge dies and is restarted at once without it. It accepts no requests while
-// its former report may still count.
+// A member that has reported a purge is killed and restarted at once without the purge. The new process must
+// accept no requests while the former process's report may still count.
 TEST_F(SitesOfProcesses, AMemberThatDiesAfterItsReportTakesNoRequestsWithOldState) {
     const std::int64_t event = purge();
     ASSERT_EQ(in_force(event, 30), everywhere) << output;
