--- a/tests/fleet_process_test.cpp
+++ b/tests/fleet_process_test.cpp
@@ -1,5 +1,5 @@
-// Tests fleets of processes of the real program with faults between them. Violations are detected at the fake
-// registry, boards, caches and clients.
+// Tests fleets of real gateway processes with faults on their links. The fakes of the registry, boards,
+// caches and clients detect violations of the fleet's guarantees.
 #include <gtest/gtest.h>
 
 #include <signal.h>
@@ -60,7 +60,7 @@
         }
         return 0;
     }
-    // Returns whether garbage collection has an owner whose writes are accepted.
+    // Returns whether garbage collection has an owner whose writes the registry has accepted.
     bool working() const {
         const auto n = a->owner(sweep);
         return n && a->accepted_writes(sweep, *n, a->member_record(*n)->incarnation) > 0;
@@ -75,8 +75,8 @@
     }
 };
 
-// The owner of garbage collection is killed, another member takes the duty over, and hands it back to the
-// restarted first member, which owns it with a higher token and incarnation.
+// The owner of garbage collection is killed, and another member must take the duty over. After the first
+// member is restarted, the duty must be handed back to it under a higher token and incarnation.
 TEST_F(FleetOfProcesses, AKilledOwnerIsReplacedAndGetsItsDutyBack) {
     begin();
     const std::size_t first = *a->owner(sweep);
@@ -84,18 +84,20 @@
     a->kill(first);
     EXPECT_TRUE(a->wait_until([&] { return another_works(first); }));
     a->start(first);
-    // The restarted gateway is the first in the order, so the duty is handed back to its new incarnation.
+    // The restarted gateway is the first in the duty's order, so the duty is handed back to its new
+    // incarnation.
     EXPECT_TRUE(a->wait_until([&] { return works(first, Incarnation{former.raw() + 1}); }));
 }
 
-// Stops the owner while its n-th message to or from the registry is in flight. The message is held back until
-// a successor has written, and is delivered when the process is resumed.
+// Stops the owner while its n-th message to or from the registry is in flight. The test holds this message
+// back until a successor has made a write, and delivers it when it resumes the owner.
 class OwnerStoppedAtAMessage : public FleetOfProcesses,
                                public ::testing::WithParamInterface<std::pair<test_support::Direction, int>> {
 };
 
-// After a successor has written, the delayed message arrives and the former owner is resumed: the registry
-// accepts no write of the former owner.
+// A former owner must not write under its old token, neither by a message that arrives late nor after it is
+// resumed. Once a successor has written, the delayed message is delivered and the former owner is resumed.
+// The registry must accept no write of the former owner's old incarnation.
 TEST_P(OwnerStoppedAtAMessage, WritesNothingAfterItIsResumed) {
     begin();
     const std::size_t first = *a->owner(sweep);
@@ -118,8 +120,8 @@
     ASSERT_TRUE(a->wait_until([&] { return stopped; }));
     ASSERT_TRUE(a->wait_until([&] { return another_works(first); }));
     const std::size_t before = a->accepted_writes(sweep, first, former);
-    // The held messages to the registry are delivered first, then the process is resumed, then it gets
-    // replies.
+    // The registry receives the held messages first, then the process is resumed, and then the process
+    // receives the registry's replies.
     for (const auto& r : a->gateways[first].registry_proxies)
         r->hold(test_support::Direction::to_server, false);
     a->run_for(ms * 50);
@@ -140,7 +142,8 @@
                                            std::pair{test_support::Direction::to_client, 3},
                                            std::pair{test_support::Direction::to_client, 4}));
 
-// The reply to a committed claim is lost, twice. The duty has one owner nevertheless.
+// The registry commits a claim of the duty, but its reply to the claimant is lost. This happens twice. The
+// duty must have one owner nevertheless.
 TEST_F(FleetOfProcesses, ALostAnswerToTheWinningClaimLeavesOneOwner) {
     begin();
     const std::size_t first = *a->owner(sweep);
@@ -158,8 +161,8 @@
     EXPECT_TRUE(a->wait_until([&] { return lost > 1 && a->owner(sweep) == first && working(); }));
 }
 
-// After the owner is killed, the next two claimants are killed as their claims are committed. A third member
-// owns the duty.
+// The owner is killed, and the next two claimants are killed when the registry commits their claims. The
+// fourth member must take the duty over.
 TEST_F(FleetOfProcesses, ASuccessorKilledAsItsClaimLandsIsReplaced) {
     shape.gateways = 4;
     begin();
@@ -184,13 +187,15 @@
     EXPECT_TRUE(a->wait_until([&] { return working(); }));
 }
 
-// The owner is cut off from the registry but not from its clients and caches: it stops acting and goes on
-// serving.
+// The owner is cut off from the registry but not from its clients and caches. It must stop acting as owner
+// and go on serving requests.
 class OwnerCutOffFromTheRegistry : public FleetOfProcesses,
                                    public ::testing::WithParamInterface<std::pair<bool, bool>> {};
 
-// The owner's link to the registry is cut in one or both directions. Another member owns the duty, the former
-// owner writes nothing, and all its clients are served.
+// A member that is cut off from the registry must neither write as owner nor fail its clients. The owner's
+// link to the registry is cut in one or both directions. Another member must take the duty over, the registry
+// must accept no further write of the former owner's old incarnation, and the former owner must serve all its
+// clients.
 TEST_P(OwnerCutOffFromTheRegistry, StopsActingAndServesOn) {
     begin();
     const std::size_t first = *a->owner(sweep);
@@ -212,8 +217,9 @@
                          ::testing::Values(std::pair{true, true}, std::pair{true, false},
                                            std::pair{false, true}));
 
-// The registry is down for longer than every term. All clients are served meanwhile. After its return the
-// registry gets a bounded number of requests, and the duty has an owner.
+// The registry is down for three terms, so that every lease expires. The gateways must serve all clients
+// meanwhile. After the registry's return the gateways must send it a bounded number of requests, and the duty
+// must have an owner.
 TEST_F(FleetOfProcesses, ARegistryAwayForLongerThanEveryTermCostsNoRequest) {
     begin();
     for (std::size_t n = 0; n < a->gateways.size(); ++n) a->start_clients(n);
@@ -226,7 +232,7 @@
     for (std::size_t m = 0; m < shape.members; ++m) a->registry.restart_member(m);
     EXPECT_TRUE(
         a->wait_until([&] { return a->fenced_writes.size() > writes && a->owner(sweep) && working(); }));
-    // The highest number of requests in any eighth of a term after the return.
+    // Finds the highest number of requests in any eighth of a term after the registry's return.
     const auto& all = a->registry.ledger.request_times;
     std::size_t most = 0;
     for (std::size_t n = asked, from = asked; n < all.size(); ++n) {
@@ -249,13 +255,13 @@
             return a->fenced_writes.size() > before && a->owner(sweep) == first_of(sweep) && working();
         }));
     }
-    // Counted from the first start: each start gives the duty to some member and may hand it on to the first
-    // in the order, but the duty does not move back and forth.
+    // The owner changes are counted from the first start on. At each start some member claims the duty and
+    // may hand it on to the first member in the order, but the duty must not move back and forth.
     EXPECT_LE(a->ownership_changes.size(), 3u * 4u);
 }
 
-// Four of six gateways are killed at once, the owner among them, and restarted one after the other. The duty
-// has one owner, and the number of owner changes is bounded by the number of restarts.
+// Four of six gateways, among them the owner, are killed at once and restarted one after the other. The duty
+// must have one owner, and the number of owner changes must be bounded by the number of restarts.
 TEST_F(FleetOfProcesses, MostKilledAndStartedOneByOneHaveOneOwner) {
     shape.gateways = 6;
     begin();
@@ -276,8 +282,9 @@
               1u + 2u * 4u);  // at most one handover, of two steps, for each restarted gateway
 }
 
-// Two of three gateways are cut off from a cache, and one of these owns the cache's health checks. The third
-// gateway goes on using the cache without an error.
+// A gateway that relied on the health checks of another gateway would stop using a cache that it can reach
+// itself. Two of three gateways are cut off from a cache, and one of the two owns the cache's health checks.
+// The third gateway must go on using the cache without an error.
 TEST_F(FleetOfProcesses, AnOwnerCutOffFromACacheHarmsNoOtherGateway) {
     shape.caches = 3;
     begin();
@@ -297,9 +304,10 @@
     a->check_all_answered();
 }
 
-// The registry has records of a newer version and unreadable ones. After the owner of garbage collection is
-// killed and its successor has made a pass, they are unchanged, except for a health check's result without
-// its duty.
+// Garbage collection must not remove records that it cannot parse or that a newer version has written. The
+// registry has records of both kinds when the owner of garbage collection is killed. After the successor has
+// made a pass, the records must be unchanged, except that the result of a health check without a duty record
+// must be removed.
 TEST_F(FleetOfProcesses, UnknownAndUnreadableRecordsStay) {
     begin();
     const std::string at = std::string(test_support::ProcessFleet::prefix) + "roll/";
@@ -316,15 +324,17 @@
     EXPECT_TRUE(a->wait_until([&] { return another_works(first); }));
     a->run_for(shape.term * 4);  // two eviction timeouts and a garbage collection pass
     for (const auto& [key, value] : odd) EXPECT_TRUE(key == "seen/c9" || a->record(key) == value) << key;
-    EXPECT_FALSE(a->record("seen/c9")) << "a health check result without its duty";
+    EXPECT_FALSE(a->record("seen/c9"))
+        << "the result of a health check without a duty record must be removed";
 }
 
-// The registry is restored from a backup, so it shows lower tokens again. Members that have seen the higher
-// token refuse the lower one, and the owner claims the duty again under a higher token.
+// The registry is restored from a backup, so it shows lower tokens again. Members that have seen a higher
+// token must refuse the lower tokens, and an owner must claim the duty again under a higher token.
 class RestoredRegistry : public FleetOfProcesses, public ::testing::WithParamInterface<bool> {};
 
-// An owner is killed and replaced, and the registry is restored to before that. The duty is then owned under
-// a token above all that were seen, and the log has the event.
+// The owner is killed and replaced, and then the registry is restored to a backup from before the kill. The
+// duty must then be owned under a token above all tokens seen, and a gateway must log the event
+// registry_rolled_back.
 TEST_P(RestoredRegistry, GivesNoTokenToTwoOwnersAndIsLogged) {
     begin();
     const std::size_t first = *a->owner(sweep);
@@ -349,8 +359,9 @@
 
 INSTANTIATE_TEST_SUITE_P(ClusterIds, RestoredRegistry, ::testing::Values(false, true));
 
-// All members of the registry but one lag by 40 revisions. An owner that is stopped, replaced and resumed
-// writes nothing until it has joined again.
+// A gateway must not renew its lease by the outdated records of a registry member that lags, since it may
+// have been replaced as owner. All members of the registry but one lag by 40 revisions. An owner that is
+// stopped, replaced and resumed must write nothing until it has joined again.
 TEST_F(FleetOfProcesses, LaggingRegistryMembersRenewNoLease) {
     begin();
     const std::size_t first = *a->owner(sweep);
@@ -364,8 +375,8 @@
     EXPECT_EQ(a->accepted_writes(sweep, first, former), before);
 }
 
-// Links are slow and reset in the middle of messages, and one registry member never answers. Another member
-// owns the duty after its owner is killed.
+// Links to the registry are slow and are reset in the middle of messages, and one registry member answers no
+// request. After the owner is killed, another gateway must take the duty over nevertheless.
 TEST_F(FleetOfProcesses, SlowLinksResetsAndAHangingRegistryMemberDelayNoTakeover) {
     begin();
     const std::size_t first = *a->owner(sweep);
@@ -381,8 +392,11 @@
     EXPECT_TRUE(a->wait_until([&] { return another_works(first); }));
 }
 
-// The clocks are off by as much as is allowed: the owner's is slow, the others' are fast. After the owner is
-// cut off from the registry, a successor checks the cache, and both never do so at the same time.
+// With inaccurate clocks, a duty could have two owners: a former owner whose clock is slow could still regard
+// its lease as valid after members with fast clocks have replaced it. The test gives the owner the slowest
+// and the other gateways the fastest clock that the drift setting allows, and cuts the owner off from the
+// registry. A successor must take over the health checks of the cache, and once it has checked the cache, the
+// former owner must start no further check.
 TEST_F(FleetOfProcesses, ClocksAtTheLimitOfTheirDriftNeverHaveTwoOwners) {
     shape.drift = 0.25;
     shape.clock_library = IRISMUX_SKEWED_CLOCK;
@@ -410,8 +424,8 @@
     a->check_all_answered();
 }
 
-// The owner's machine is suspended for an hour. On resume it loses its lease at once, and it writes nothing
-// for a term.
+// The owner's machine is suspended for an hour. When it is resumed, the owner must lose its lease at once,
+// and its former incarnation must write nothing for a term.
 TEST_F(FleetOfProcesses, AMachineSuspendedForAnHourLosesItsLeaseAtOnce) {
     shape.clock_library = IRISMUX_SKEWED_CLOCK;
     begin();
@@ -422,8 +436,8 @@
     a->set_clock(first, 1, ms * 3'600'000);
     const TimePoint woke = a->loop.now();
     a->resume(first);
-    // The suspension takes no real time here, so no successor owns the duty yet. The owner must stop acting
-    // nevertheless until it has waited for a term.
+    // The test simulates the suspension by a jump of the owner's clock, so no successor owns the duty yet.
+    // The owner must nevertheless stop acting until it has waited for a term.
     EXPECT_TRUE(
         a->wait_until([&] { return a->logged(first, "warning: fleet_lease_lost duty=sweep token="); }));
     const std::size_t all = a->fenced_writes.size();
@@ -461,8 +475,9 @@
 
 // --- health checks of a cache ----------------------------------------------------------------------------
 
-// All gateways have ejected a dead cache. The owner of its health checks is stopped, and the cache recovers.
-// A successor continues the checks, the cache is readmitted, and the records of its checks are removed.
+// All gateways have ejected a dead cache, and one of them owns the cache's health checks. The owner is
+// stopped, and the cache recovers. A successor must continue the checks, the gateways must readmit the cache,
+// and the records of the checks must be removed.
 TEST_F(FleetOfProcesses, OneGatewayChecksACacheThatSeveralEjectedAndASuccessorContinues) {
     shape.caches = 3;
     begin();
@@ -487,19 +502,21 @@
     }));
     a->resume(owner);
     a->run_for(shape.term);
-    // The cache answers again: no gateway ejects it any more, and its health checks have no owner.
+    // The cache answers again, so that no gateway ejects it any more and its health checks have no owner.
     for (auto& g : a->gateways) g.cache_proxies[0]->set_partitioned(false);
     EXPECT_TRUE(a->wait_until([&] {
         const auto d = a->duty_record(watch);
         return (!d || d->owner.raw().empty()) && a->caches[0]->total > 0;
     }));
-    // Garbage collection removes the remaining records; the floor keeps their tokens from being given again.
+    // Garbage collection removes the records of the health checks. The record `floor` ensures that the tokens
+    // in the removed records are not given again.
     EXPECT_TRUE(a->wait_until([&] { return !a->record("duty/" + watch) && !a->record("seen/c1"); }));
     EXPECT_TRUE(a->record("floor"));
     a->check_all_answered();
 }
 
-// Where health checks are not permitted, the owner's own recovery probe replaces them.
+// If the deployment does not permit health checks, the recovery probe of the duty's owner must replace the
+// check.
 TEST_F(FleetOfProcesses, WithoutProbesTheOwnersRecoveryProbeIsTheCheck) {
     shape.caches = 3;
     shape.probes = false;
@@ -524,8 +541,8 @@
 
 // --- refused joins and reloads ---------------------------------------------------------------------------
 
-// A gateway with another's name and one of another installation do not join, and the log of each has the
-// reason.
+// A gateway whose name is used by another live gateway, and a gateway of another installation, must not join.
+// The log of each must have the reason.
 TEST_F(FleetOfProcesses, ANameInUseAndAnotherInstallationStayOutAndAreLogged) {
     begin();
     const std::size_t owner = *a->owner(sweep), n = (owner + 1) % 3, m = (n + 1) % 3;
@@ -553,8 +570,8 @@
     EXPECT_TRUE(working());
 }
 
-// On SIGHUP the process leaves the fleet if the table [fleet] has been removed, and joins again if it is
-// back.
+// On SIGHUP a process must leave the fleet if the table [fleet] was removed from its parts file, and must
+// join again if the table is back.
 TEST_F(FleetOfProcesses, AReloadWithoutAndWithTheTableLeavesAndJoinsAnew) {
     shape.stores_tokens = true;
     begin();
@@ -569,7 +586,8 @@
     fs::rename(kept, g.parts);
     g.process->signal(SIGHUP);
     EXPECT_TRUE(a->wait_until([&] { return works(first, Incarnation{former.raw() + 1}); }));
-    // With a changed table it leaves and joins in one step, although its former instance has only just left.
+    // If the table was changed, the process leaves and joins in one step, although its former instance has
+    // only just left.
     const Incarnation again = a->member_record(first)->incarnation;
     std::ofstream(g.parts, std::ios::app) << "\n# changed\n";
     std::ifstream in(g.parts);
@@ -581,8 +599,9 @@
     EXPECT_TRUE(a->wait_until([&] { return works(first, Incarnation{again.raw() + 1}); }));
 }
 
-// The gateways store the tokens seen. All are killed, the registry is restored to a lower token, and they
-// start again. The duty is owned under a token above all that were seen.
+// A gateway that stores the tokens it has seen must refuse lower tokens after a restart too. All gateways are
+// killed, the registry is restored to a lower token, and the gateways are started again. The duty must be
+// owned under a token above all tokens that the gateways had seen.
 TEST_F(FleetOfProcesses, TokensSeenBeforeARestartAreRefusedAfterIt) {
     shape.stores_tokens = true;
     begin();
@@ -602,7 +621,9 @@
     }));
 }
 
-// The table [fleet] applies only if the command line names its file with --parts.
+// The table [fleet] must apply only if the option --parts names the parts file. A gateway that finds the file
+// by the variable IRISMUX_PARTS must log that it ignores the table, and must serve its clients without
+// joining the fleet.
 TEST_F(FleetOfProcesses, TheTableCountsOnlyWithPartsOnTheCommandLine) {
     begin();
     auto& g = a->gateways[0];
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -19,8 +19,9 @@
 
 // --- single classes --------------------------------------------------------------------------------------
 
-// A fence that has accepted tokens 4 and 5 of a duty accepts no lower token, no other owner of a token and no
-// damaged stored state, also after a restart.
+// A fence that has accepted tokens 4 and 5 of a duty must refuse token 4 and must refuse token 5 with another
+// owner, also after a restart. It must refuse damaged stored state, which must not lower a token that the
+// fence knows.
 TEST(Fleet, AFenceRefusesLowerTokensAlsoAfterARestart) {
     const DutyName d{"d"};
     const LeaseHolder a{FencingToken{4}, MemberName{"a"}, Incarnation{1}},
@@ -37,7 +38,8 @@
     EXPECT_TRUE(again.restore(f.serialize()));
     EXPECT_FALSE(again.accepts(d, a));
     EXPECT_EQ(again.conflicting_token(d, a), FencingToken{5});
-    // A damaged stored state is refused as a whole, and never lowers a known token.
+    // A fence must refuse truncated stored state as a whole, and damaged stored state must never lower a
+    // known token.
     const std::string stored = f.serialize();
     for (std::size_t n = 0; n < stored.size(); ++n) {
         EXPECT_FALSE(Fence().restore(stored.substr(0, n))) << n;
@@ -53,8 +55,8 @@
     EXPECT_FALSE(f.accepts(d, a));
 }
 
-// The record of a duty with token 7 was removed. Holders with token 7 or lower are refused until the registry
-// shows the duty again.
+// The record of a duty with token 7 was removed, so the fence forgets the duty. For a duty that it does not
+// know, the fence must refuse holders with token 7 or lower until the registry shows that duty.
 TEST(Fleet, AFenceForgetsARemovedDutyAndAcceptsNoneOfItsTokens) {
     const DutyName d{"d"}, other{"o"};
     const auto by = [](std::int64_t e) {
@@ -129,7 +131,8 @@
               MemberName{});
 }
 
-// One gateway with a registry that replies at once, in steps of a tenth of a heartbeat interval.
+// Runs one member with a registry that replies at once. The time advances in steps of a tenth of a heartbeat
+// interval.
 class SingleMember : public ::testing::Test, public AgentTransport, public AgentObserver {
 protected:
     test_support::TransactionLedger ledger;
@@ -174,8 +177,8 @@
     void on_event(const FleetEvent& event) override { events.push_back(event); }
 };
 
-// The registry has the shared configuration of another installation. A member that starts writes nothing,
-// owns nothing and reports the reason once.
+// The registry has the shared configuration of another installation. A member that starts must write nothing,
+// own no duty and report the reason once.
 TEST_F(SingleMember, ARegistryOfAnotherInstallationIsNotWritten) {
     put("about", serialize(SharedConfig{"other", ms * 4000, 0.05}));
     const auto before = ledger.records();
@@ -188,8 +191,8 @@
     EXPECT_FALSE(agent->may_act(now, DutyName{"d"}));
 }
 
-// Another live gateway has the member's name. The member does not join and reports that, until the other
-// sends no more heartbeats.
+// Another live gateway uses the member's name. The member must report that the name is in use, and must not
+// join until the other gateway sends no more heartbeats.
 TEST_F(SingleMember, ANameInUseIsReportedAndTakenOnceItsHolderIsGone) {
     put("about", serialize(shared_config()));
     put("member/m", serialize(MemberRecord{Incarnation{4}, InstanceId{"other"}, "1", {}}));
@@ -206,8 +209,8 @@
     EXPECT_GT(agent->incarnation(), Incarnation{4});
 }
 
-// The registry has a duty's record in a newer format, and one of an unknown duty. A member reports the first
-// and writes neither.
+// The registry has a record of the member's duty in a newer format, and the record of a duty that the member
+// does not know. The member must report the record in the newer format, and must change neither record.
 TEST_F(SingleMember, AnUnreadableDutyRecordIsNotClaimedAndUnknownDutiesStay) {
     put("duty/d", "{\"format\":9}");
     put("duty/newer", serialize(DutyRecord{FencingToken{3}, MemberName{"gone"}, Incarnation{1}}));
@@ -220,8 +223,8 @@
     EXPECT_EQ(parse_duty(ledger.records().at(Key{"duty/newer"}))->owner, MemberName{"gone"});
 }
 
-// A member has seen token 40 of a duty when a restored registry shows token 7. It reports and publishes 40,
-// and the duty is claimed under 41.
+// A member has seen token 40 of a duty when a restored registry shows token 7. The member must report the
+// lower token and publish token 40 in its own record, and the duty must be claimed under token 41.
 TEST_F(SingleMember, ATokenBelowASeenOneIsRefusedUntilTheOwnerTakesAHigherOne) {
     start("m", shared_config());
     EXPECT_TRUE(agent->accepts_holder(DutyName{"d"}, {FencingToken{40}, MemberName{"x"}, Incarnation{1}}));
@@ -235,8 +238,8 @@
     EXPECT_EQ(agent->token_of(DutyName{"d"}), FencingToken{41});
 }
 
-// An owner whose member record can't be parsed keeps its duty while it sends heartbeats, and is evicted like
-// any other member afterwards.
+// An owner whose member record can't be parsed must keep its duty while it sends heartbeats, and must be
+// evicted like any other member once it sends none.
 TEST_F(SingleMember, AnOwnerWithARecordInANewerFormKeepsItsDutyWhileItSendsHeartbeats) {
     put("member/x", "{\"format\":9}");
     put("duty/d", serialize(DutyRecord{FencingToken{3}, MemberName{"x"}, Incarnation{1}}));
@@ -247,7 +250,7 @@
         EXPECT_FALSE(agent->may_act(now, DutyName{"d"}));
     });
     EXPECT_LT(submitted.size(),
-              400u);  // at most one per clock step and per sixteenth of a heartbeat interval
+              400u);  // at most one transaction per clock step and per sixteenth of a heartbeat interval
     run(ms * 12'000);
     EXPECT_TRUE(agent->may_act(now, DutyName{"d"}));
     EXPECT_EQ(agent->token_of(DutyName{"d"}), FencingToken{4});
@@ -265,9 +268,10 @@
     EXPECT_FALSE(ledger.records().contains(Key{"beat/m"}));
 }
 
-// A member owns the health checks of a cache, which are then no longer wanted, and later wanted again, while
-// a lagging watch shows the former record. The duty is given up, removed after two eviction timeouts, and
-// claimed again above its former token.
+// A member owns the health checks of a cache. The checks are no longer wanted, and then wanted again while a
+// lagging watch shows the record that still names the member. The member must give the duty up and must not
+// act by this record. Garbage collection must remove the records of the unwanted duty after two eviction
+// timeouts, and the next claim must have a token above the former one.
 TEST_F(SingleMember, AnUnwantedDutyIsGivenUpAndRemovedAndItsTokensDoNotComeAgain) {
     const DutyName w = health_check_duty(CacheId{"c"});
     start("m", shared_config());
@@ -306,7 +310,7 @@
     EXPECT_FALSE(ledger.records().contains(release_key(w)));
     EXPECT_GE(parse_floor(ledger.records().at(floor_key())), before);
     EXPECT_EQ(parse_collection_progress(ledger.records().at(collection_progress_key()))->removed_records, 3);
-    // The new claimant has no memory of the former token; only the registry has it.
+    // The new claimant does not know the former token, which only the registry has stored.
     on_outcome = [](WriteOutcome) {};
     start("n", shared_config());
     agent->set_duties(now, {garbage_collection_duty(), w});
@@ -365,7 +369,7 @@
     });
     ASSERT_TRUE(agent->may_act(now, health_check_duty(c)));
     for (std::size_t n = 1; n < checks.size(); ++n) EXPECT_GE(checks[n] - checks[n - 1], ms * 500);
-    // No check was answered.
+    // No check of this cache was answered; the results above are for an unknown cache.
     EXPECT_FALSE(health_record()->healthy);
     EXPECT_GT(health_record()->streak, 5);
     EXPECT_EQ(health_record()->token, agent->token_of(health_check_duty(c)));
@@ -377,7 +381,8 @@
     });
     EXPECT_TRUE(health_record()->healthy);
     EXPECT_GE(health_record()->streak, 2);
-    // A check that was started within the term must not be sent after a stop that lasted beyond the term.
+    // A check that was started within the term must not be sent after the process was stopped beyond the
+    // term.
     health_monitor.run_due_checks(now + ms * 500, *agent);
     EXPECT_TRUE(health_monitor.may_check(now + ms * 500, c, *agent));
     EXPECT_FALSE(health_monitor.may_check(now + ms * 5'000, c, *agent));
@@ -399,11 +404,12 @@
     for (std::int64_t streak = 1; streak < 5; ++streak) {
         health_monitor.on_published_result(
             now, c, {FencingToken{1}, {MemberName{"x"}, Incarnation{1}}, true, streak}, *agent);
-        EXPECT_EQ(postponements.size(), streak < 2 ? 1u : 2u) << "at the second answer, and once";
+        EXPECT_EQ(postponements.size(), streak < 2 ? 1u : 2u)
+            << "the probe must be brought forward once, at the second healthy result";
     }
     ASSERT_EQ(postponements.size(), 2u);
     EXPECT_LE(postponements[1].second - now, ms * 500);
-    // Each of three gateways that eject the cache probes it at a different time.
+    // Each of three gateways that eject the cache must probe it at a different time.
     std::set<Duration> instants;
     for (const char* name : {"a", "b", "m"}) {
         start(name, shared_config());
@@ -420,14 +426,16 @@
 }
 
 // A transaction arrives late, after a record that it compares has changed: by a heartbeat, by an owner that
-// is back, or by a restore of the registry to before this member's last heartbeat. It must not be committed.
+// is back, or by a restore of the registry to before this member's last heartbeat. The registry must not
+// commit the transaction.
 class LateTransaction : public SingleMember {
 protected:
     const std::string heartbeat_value =
         serialize(HeartbeatRecord{Incarnation{4}, InstanceId{"x"}, HeartbeatNumber{1}});
     const std::string member = serialize(MemberRecord{Incarnation{4}, InstanceId{"x"}, "1", {}});
 
-    // Lets member "x" own "d" and send no heartbeat, and returns the transaction that wrote the key.
+    // Lets member "x" own duty "d" and send no heartbeats, so that member "m" evicts it and claims the duty.
+    // Returns the last transaction that wrote the key.
     Transaction captured_transaction(const std::string& key) {
         put("member/x", member);
         put("beat/x", heartbeat_value);
@@ -444,8 +452,8 @@
         EXPECT_NE(it, submitted.rend());
         return it == submitted.rend() ? Transaction{} : *it;
     }
-    // Returns whether the transaction is committed after one of the records that it compares has changed.
-    // Expects that it is committed without that change.
+    // Returns whether the transaction is committed after the record `but`, which it compares, has changed to
+    // `now_is`. Expects that the transaction is committed without this change.
     bool lands(const Transaction& transaction, const std::string& but, const std::string& now_is) {
         test_support::TransactionLedger then;
         for (const auto& [key, value] : transaction.compares)
@@ -515,8 +523,8 @@
             .restore = 0.02};
 }
 
-// Expects never two owners and no late write while faults occur and, after they end, one stable owner per
-// duty.
+// Runs a fleet with faults, and expects that no duty ever has two owners and that no late write is accepted.
+// After the faults end, expects one stable owner per duty.
 void play(std::uint32_t seed, std::size_t members, const FleetSimulation::FaultRates& faults) {
     SCOPED_TRACE(seed);
     // Half of the seeds use a drift so large that a term without its allowance for drift would fail the test.
@@ -545,7 +553,7 @@
     }
 }
 
-// A simulation at rest, with the owner of the first duty.
+// A simulation that has run for 40 s without faults. `first` is the owner of the first duty.
 struct AtRest : FleetSimulation {
     AtRest(std::uint32_t seed, std::size_t members, std::size_t duty_count)
         : FleetSimulation(seed, {.members = members, .duties = duty_count, .drift = 0.05}, shared_config()) {
@@ -558,8 +566,8 @@
 };
 Duration without(std::size_t members) { return longest_without_owner(shared_config(), ms * 300, members); }
 
-// The owner of a duty is stopped for longer than its term and resumed. Another member owns the duty within
-// the stated time, and the former owner writes nothing.
+// The owner of a duty is stopped for longer than its term and resumed. Another member must own the duty
+// within the time that longest_without_owner() states, and the former owner must write nothing.
 TEST(SimulatedFleet, AnOwnerStoppedPastItsTermIsReplacedAndHarmlessWhenResumed) {
     for (std::uint32_t seed = 1; seed <= 20; ++seed) {
         AtRest w(seed, 3, 2);
@@ -576,8 +584,9 @@
     }
 }
 
-// An owner is killed, or its link to the registry is cut in one or both directions. Its duties, and no
-// others, have new owners within the stated time, and go back once it returns.
+// An owner is killed, or its link to the registry is cut in one or both directions. The owner's duties, and
+// no other duties, must get new owners within the time that longest_without_owner() states, and must go back
+// once the owner returns.
 TEST(SimulatedFleet, ALostOwnerIsReplacedWithinTheStatedTime) {
     enum { killed, cut_out, cut_in, cut_both };
     for (const int fault : {killed, cut_out, cut_in, cut_both})
@@ -598,8 +607,9 @@
         }
 }
 
-// The registry is down for longer than every term of a fleet of 30. No duty has an owner meanwhile, each has
-// one afterwards, and the number of requests stays bounded.
+// The registry is down for 20 s, which is longer than the term, and then serves a fleet of 30 again. No duty
+// may have an owner meanwhile, each duty must have an owner afterwards, and the members must not send the
+// returned registry a burst of transactions.
 TEST(SimulatedFleet, ARegistryAwayForLongerThanEveryTermReturnsWithoutALoadPeak) {
     AtRest w(3, 30, 6);
     w.run(ms * 5'000, {});
@@ -615,8 +625,8 @@
     EXPECT_EQ(w.violations, std::vector<std::string>{});
 }
 
-// All members of a fleet of 30 are killed and started, then seven in ten are killed and started one per
-// second. Each duty has an owner, which changes at most twice per duty.
+// All members of a fleet of 30 are killed and started again. Then seven in ten are killed and started again
+// one per second. Each duty must have an owner, and must change its owner at most twice.
 TEST(SimulatedFleet, DutiesHaveOwnersAfterAllOrMostMembersAreKilledAndRestarted) {
     AtRest w(4, 30, 6);
     const auto owned = [&] {
@@ -647,14 +657,14 @@
     EXPECT_EQ(w.violations, std::vector<std::string>{});
 }
 
-// An owner is killed and replaced, and the registry is restored to a time at which the killed one owned the
-// duty. There are never two owners, and there is one in the end.
+// An owner is killed and replaced, and the registry is restored to a time at which the killed member owned
+// the duty. The duty must never have two owners, and must have an owner in the end.
 TEST(SimulatedFleet, ARestoredRegistryNeverHasTwoOwners) {
     for (std::uint32_t seed = 1; seed <= 20; ++seed) {
         AtRest w(seed, 4, 2);
         w.kill(w.first);
         w.run(ms * 12'000, {});
-        w.restore_backup(ms * 9'000);  // to a time at which the killed member owned it
+        w.restore_backup(ms * 9'000);  // to a time at which the killed member owned the duty
         w.run(ms * 25'000, {});
         EXPECT_TRUE(w.owner(0));
         EXPECT_EQ(w.violations, std::vector<std::string>{});
--- a/tests/golden.hpp
+++ b/tests/golden.hpp
@@ -1,6 +1,6 @@
-// Golden files under tests/data: the exact bytes that the program wrote when the files were made. They are
-// never edited to make a test pass. If a format is changed on purpose, the commit says so, and the program's
-// own writers write the file anew.
+// Reads the golden files under tests/data, which contain the exact bytes that the program wrote when the
+// files were made. A golden file is never edited to make a test pass. If a format is changed on purpose, the
+// commit says so, and the program's own writers write the file anew.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -31,7 +31,7 @@
     EXPECT_EQ(bytes, golden(name)) << "differs from tests/data/" << name;
 }
 
-// Names with their values. A golden file holds one pair a line: "NAME<tab>VALUE".
+// A list of names with their values. A golden file has one pair per line: "NAME<tab>VALUE".
 using NamedValues = std::vector<std::pair<std::string, std::string>>;
 
 inline std::string text_of(const NamedValues& values) {
@@ -40,7 +40,7 @@
     return text;
 }
 
-// Returns the value of `name` in a golden file of such lines.
+// Returns the value of `name` in a golden file of NamedValues.
 inline std::string golden_value(const std::string& file, const std::string& name) {
     const std::string values = '\n' + golden(file), line_start = '\n' + name + '\t';
     const std::size_t at = values.find(line_start);
--- a/tests/interleaving_explorer_main.cpp
+++ b/tests/interleaving_explorer_main.cpp
@@ -1,5 +1,5 @@
-// Explores every interleaving of a few fleet members and faults within the bounds given as arguments. Exits
-// with 1 if an invariant was violated or the search stopped at MAX_STATES.
+// Explores every interleaving of the steps of a few fleet members and of a few faults, within the bounds
+// given as arguments. Exits with 1 if an invariant was violated or the search stopped at MAX_STATES.
 //
 //   irismux_explore [MEMBERS] [FAULTS] [TICKS] [MAX_STATES]
 #include <cstdlib>
@@ -17,7 +17,7 @@
     for (const bool slow : {true, false}) {
         bounds.first_is_slow = slow;
         const irismux::test_support::ExplorationResult result = irismux::test_support::explore(bounds);
-        std::cout << bounds.members << " members, the first " << (slow ? "slow" : "fast") << ", "
+        std::cout << bounds.members << " members, the first with a " << (slow ? "slow" : "fast") << " clock, "
                   << bounds.faults << " faults, " << bounds.ticks << " ticks: " << result.states
                   << " states, " << (result.complete ? "complete" : "stopped at the maximum number of states")
                   << '\n';
