--- a/tests/outer_names_test.cpp
+++ b/tests/outer_names_test.cpp
@@ -1,6 +1,6 @@
-// Guards against a renaming that changes a name which other processes, settings or stored data use:
-// tests/data/outer_names.txt lists these names by folder, and each must stand in a string of that folder's
-// sources.
+// A renaming in the source that also changes a name on the wire, in settings or in stored data would break
+// other processes and existing data. tests/data/outer_names.txt lists the names that must not change, by
+// folder. A test fails if a listed name occurs in no string of its folder's sources.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -42,7 +42,7 @@
         if (source.compare(at, 2, "//") == 0 || source.compare(at, 8, "#include") == 0) {
             at = std::min(source.find('\n', at), source.size());
         } else if (source[at] == '\'' && at + 2 < source.size()) {
-            // A closing quote ends a character literal; a digit separator has none.
+            // Skips a character literal, which has a closing quote; a digit separator has none.
             const std::size_t length = source[at + 1] == '\\' ? 3 : 2;
             if (at + length < source.size() && source[at + length] == '\'') at += length;
         } else if (source[at] == '"') {
--- a/tests/registry_cli_test.cpp
+++ b/tests/registry_cli_test.cpp
@@ -1,4 +1,5 @@
-// Tests `irismux registry put|drain` as processes against a fake registry with transactions and lost replies.
+// Tests the commands `irismux registry put` and `irismux registry drain`, run as processes against a fake
+// registry that can lose replies.
 #include <gtest/gtest.h>
 
 #include <sys/wait.h>
@@ -55,8 +56,8 @@
     bool draining(const std::string& id) { return value(id).find("Terminating") != std::string::npos; }
 };
 
-// Draining a known record and putting a new one write one transaction each. Draining an unknown record is an
-// error and writes nothing.
+// `drain` of a known record and `put` of a new record must make one transaction each. `drain` of an unknown
+// record must fail and write nothing.
 TEST_F(RegistryCommands, DrainAndPutWriteOnce) {
     EXPECT_EQ(run({"drain", "c1"}), (std::pair{0, std::string("written\n")}));
     EXPECT_TRUE(draining("c1"));
@@ -68,8 +69,8 @@
     EXPECT_EQ(registry.ledger.successful_transactions, 2);
 }
 
-// A member executes a write but its reply is lost. The command must find by a read that the record was
-// written, and must not write it again.
+// A registry member executes a write, but its reply is lost. The command must find out by a read that the
+// record was written, and must not write the record again.
 TEST_F(RegistryCommands, AWriteWithALostReplyIsNotRepeated) {
     registry.faults(0).drop_write_response = true;
     const auto newest = registry.model.newest();
@@ -79,9 +80,9 @@
     EXPECT_EQ(registry.model.newest().raw(), newest.raw() + 1);
 }
 
-// The first member accepts connections but reads nothing, so that the write does not arrive; reads go to the
-// second member. The command must report that nothing was written. Once the first member is down, the command
-// writes to the second one.
+// The first registry member accepts connections but reads nothing, so that the write does not arrive; reads
+// go to the second member. The command must report that nothing was written. Once the first member is down,
+// the command must write to the second member.
 TEST_F(RegistryCommands, AWriteThatDidNotArriveIsReported) {
     registry.faults(0).unresponsive = true;
     const auto [code, output] = run({"drain", "c1"});
--- a/tests/registry_client_test.cpp
+++ b/tests/registry_client_test.cpp
@@ -74,8 +74,8 @@
     void on_watch_warning(const WatchWarning& warning) override { warnings.push_back(warning); }
 };
 
-// A client reads a list longer than a page in pages, and then receives changes without another read. A change
-// outside of the prefix has no effect.
+// A client must read a list that is longer than a page in pages, and must then receive changes without
+// another read. A change outside of the prefix must have no effect.
 TEST_F(RegistryClientOnSockets, ReadsInPagesThenFollows) {
     create_client();
     start_and_follow();
@@ -120,7 +120,7 @@
 }
 
 // The registry changes and compacts while the client cannot reach it, so that a watch cannot deliver the
-// changes. The former list stays in force until one full read brings the differences.
+// changes. The former list must stay in force until one full read delivers the differences.
 TEST_F(RegistryClientOnSockets, ACompactionDuringAnOutageLeadsToOneFullRead) {
     create_client(1);
     start_and_follow();
@@ -156,8 +156,8 @@
     EXPECT_EQ(client->watch().cluster(), registry->model.cluster());
 }
 
-// The registry revokes its tokens. The client must fetch one new token for the refused one. With a wrong
-// password the client goes on trying, and no warning may contain the password.
+// The registry revokes its tokens. The client must fetch exactly one new token to replace the refused token.
+// A client with a wrong password must go on trying, and no warning may contain the password.
 TEST_F(RegistryClientOnSockets, ARefusedTokenIsRenewedOnce) {
     create_client(2);
     registry->user = "gateway";
@@ -207,8 +207,8 @@
     }
 };
 
-// The pages of a full read exceed the reply limit. The client must request them again with fewer records
-// instead of repeating the same request.
+// The pages of a full read exceed the reply limit. The client must request pages with fewer records;
+// repeating the same request would fail again.
 TEST_F(RegistryClientWithLongRecords, ReadsPagesThatFitTheReplyLimit) {
     start_with_long_records(60, 60'000, 40);
     ASSERT_TRUE(follows(60));
@@ -216,8 +216,8 @@
     EXPECT_EQ(registry->ledger.connections, 3);
 }
 
-// One change over the message limit arrives in one chunk, so that the watch cannot deliver it. One full read
-// in pages that fit must follow, and then the watch goes on.
+// The registry sends a change over the message limit in one chunk, so that the watch cannot deliver the
+// change. The client must make one full read in pages that fit the reply limit, and then watch again.
 TEST_F(RegistryClientWithLongRecords, AChangeOverTheMessageLimitLeadsToOneFullRead) {
     start_with_long_records(30, 60'000, 5);
     ASSERT_TRUE(follows(30));
@@ -235,8 +235,9 @@
     EXPECT_EQ(client->watch().full_reads(), 2u);
 }
 
-// One record alone exceeds the reply limit, so that no page can contain it. The list stays in force, requests
-// are as rare as after other failures, and the client follows the list again once the record is erased.
+// One record alone exceeds the reply limit, so that no page can contain the record. The former list must stay
+// in force, the client must make requests as rarely as after other failures, and must follow the list again
+// once the record is erased.
 TEST_F(RegistryClientWithLongRecords, ARecordOverTheReplyLimitLeavesTheListInForce) {
     start_with_long_records(3, 10, 40);
     ASSERT_TRUE(follows(3));
@@ -350,8 +351,8 @@
     }
 };
 
-// Members drop connections, compact, lag, corrupt replies and send fragments, drawn from a seed. Once the
-// faults end, the client must have the newest list.
+// Members of the registry drop connections, lag, corrupt replies and send fragments, and the registry
+// compacts its history, at random from a seed. Once the faults end, the client must have the newest list.
 TEST_F(RegistryClientUnderRandomFaults, EndsAtTheNewestList) {
     for (std::uint32_t seed = 1; seed <= 6; ++seed) {
         SCOPED_TRACE(seed);
--- a/tests/registry_log_test.cpp
+++ b/tests/registry_log_test.cpp
@@ -9,7 +9,7 @@
 namespace irismux::registry {
 namespace {
 
-// Each kind of warning is logged as the event that the operators' page lists.
+// Each kind of warning must be logged as the event that docs/operations/registry.md lists.
 TEST(RegistryLog, EachWarningHasItsEvent) {
     using Kind = WatchWarningKind;
     EXPECT_EQ(event_name(Kind::request_failed), "registry_request_failed");
@@ -21,7 +21,7 @@
     EXPECT_EQ(event_name(Kind::doubtful_read_confirmed), "registry_doubtful_list_applied");
 }
 
-// Each reason for a failed request is logged under its own name.
+// Each reason for a failed request must be logged under its own name.
 TEST(RegistryLog, EachRequestFailureHasItsReason) {
     using Reason = RequestFailureReason;
     EXPECT_EQ(to_string(Reason::connect_failed), "connect_failed");
@@ -40,7 +40,7 @@
     EXPECT_EQ(to_string(Reason::watch_timeout), "watch_timeout");
 }
 
-// Each sync state, each reason for a rejected snapshot and each error of a store is logged under its own
+// Each sync state, each reason for a rejected snapshot and each error of a store must be logged under its own
 // name.
 TEST(RegistryLog, StatesAndStorageErrorsHaveTheirNames) {
     EXPECT_EQ(to_string(SyncState::reading), "reading");
--- a/tests/registry_watch_test.cpp
+++ b/tests/registry_watch_test.cpp
@@ -27,8 +27,8 @@
     }
 };
 
-// A change that leaves no active endpoint (two drained, two deleted) is applied without a confirmation; only
-// full reads need one.
+// A change that leaves no active endpoint (two drained, two deleted) must be applied without a confirmation;
+// only full reads need a confirmation.
 TEST_F(WatchFollowing, ADrainOfAllEndpointsIsAppliedAtOnce) {
     registry.commit({{RecordKey{"c1"}, endpoint_value("c1", "Terminating")},
                      {RecordKey{"c2"}, endpoint_value("c2", "Terminating")},
@@ -39,8 +39,8 @@
     for (const auto& [id, endpoint] : harness.endpoints) EXPECT_EQ(endpoint.status, EndpointStatus::draining);
 }
 
-// A watch whose connection breaks resumes from the next revision at another member, after a pause of at most
-// the base and without a full read.
+// A watch whose connection breaks must resume from the next revision at another member, after a pause of at
+// most backoff_base and without a full read.
 TEST_F(WatchFollowing, ABrokenWatchResumesAtAnotherMember) {
     const MemberIndex first = harness.member;
     harness.advance(ms * 500);
@@ -52,7 +52,7 @@
     EXPECT_EQ(harness.pending_request, WatchHarness::Request::watch);
     EXPECT_NE(harness.member, first);
     EXPECT_EQ(harness.requested_revision, registry.newest());
-    EXPECT_LE(harness.now - start_time(), ms * 551) << "the first pause is at most the base";
+    EXPECT_LE(harness.now - start_time(), ms * 551) << "the first pause must be at most backoff_base";
     harness.watch.on_watch_opened(harness.now, harness.header(registry));
     harness.deliver_changes(registry);
     EXPECT_FALSE(harness.endpoints.contains(CacheId{"c1"}));
@@ -83,14 +83,14 @@
 }
 
 // All pages of a full read are read at one revision. If this revision is compacted between two pages, the
-// read restarts after a pause up to the cap, as often as needed, and the former list stays in force
-// meanwhile.
+// Watch must restart the read after a pause of at most backoff_cap, as often as needed. The former list must
+// stay in force meanwhile.
 TEST_F(WatchFollowing, AFullReadRestartsIfItsRevisionIsCompacted) {
     harness.watch.on_compacted(harness.now);
     harness.watch.on_page(harness.now, harness.page(registry, 2));
     ASSERT_EQ(harness.pending_request, WatchHarness::Request::read_page);
     EXPECT_EQ(harness.requested_revision, registry.newest())
-        << "the second page is read at the first one's revision";
+        << "the second page must be read at the revision of the first page";
     EXPECT_EQ(harness.after_key, RecordKey{"c2"});
     registry.erase("c1");
     registry.compact(registry.newest());
@@ -110,8 +110,8 @@
     EXPECT_EQ(harness.endpoints.size(), 3u);
 }
 
-// A watch that resumes at a member older than the view tries another member. It makes no full read from the
-// lagging member, which would bring the deleted c1 back.
+// A watch resumes at a member whose revision is lower than that of the view. The Watch must try another
+// member. A full read from the lagging member would bring the deleted endpoint c1 back.
 TEST_F(WatchFollowing, AMemberOlderThanTheViewIsSkipped) {
     RegistryModel outdated = registry;
     registry.erase("c1");
@@ -133,9 +133,9 @@
 
 class RolledBackRegistry : public ::testing::TestWithParam<bool> {};
 
-// A registry is restored from a backup, as the same or as another cluster. The Watch makes a full read only
-// after most members have been older than the view for the watch timeout; by watching alone it would keep c9,
-// which the restored registry never had.
+// A registry is restored from a backup, as the same cluster or as another cluster. A Watch that only went on
+// watching would keep the endpoint c9, which the restored registry does not have. The Watch must make a full
+// read, but only after most members have been older than the view for the watch timeout.
 TEST_P(RolledBackRegistry, IsReadAgainOnceMostMembersAreOlderThanTheView) {
     for (const std::size_t members : {1u, 3u}) {
         RegistryModel registry = model_of(4);
@@ -155,7 +155,7 @@
             else if (harness.pending_request == WatchHarness::Request::watch)
                 harness.watch.on_watch_opened(harness.now, harness.header(registry));
             EXPECT_TRUE(harness.endpoints.contains(CacheId{"c9"}))
-                << "applied before most members confirmed the restore";
+                << "c9 must stay until most members have confirmed the restore";
         }
         ASSERT_EQ(harness.pending_request, WatchHarness::Request::read_page);
         EXPECT_GE(harness.now - since, WatchHarness::policy(members).watch_timeout);
@@ -170,8 +170,8 @@
 }
 INSTANTIATE_TEST_SUITE_P(SameOrAnotherCluster, RolledBackRegistry, ::testing::Bool());
 
-// A full read that returns an empty list, or a list of unreadable records, is not applied until a read from
-// another member confirms it; otherwise one faulty member could remove all endpoints.
+// A full read that returns an empty list, or a list of unreadable records, must not be applied until a read
+// from another member confirms it. Otherwise one faulty member could remove all endpoints.
 TEST_F(WatchFollowing, AnEmptyOrUnreadableListNeedsAConfirmation) {
     for (const bool empty : {true, false}) {
         RegistryModel faulty = registry;
@@ -196,11 +196,12 @@
     read_again();
     EXPECT_EQ(harness.endpoints.size(), 4u);
     read_again();
-    EXPECT_TRUE(harness.endpoints.empty()) << "a second member has confirmed the empty list";
+    EXPECT_TRUE(harness.endpoints.empty())
+        << "a second member has confirmed the empty list, so it must be applied";
 }
 
-// A watch that delivers nothing for the watch timeout is reported as disconnected. The list stays in force,
-// and the next watch opens only after a history check.
+// A watch that delivers nothing for the watch timeout must be reported as disconnected. The list must stay in
+// force, and the Watch must make a history check before it opens the next watch.
 TEST_F(WatchFollowing, ASilentWatchIsReportedAsDisconnected) {
     const TimePoint last_message = harness.now;
     harness.advance(WatchHarness::policy(3).watch_timeout + ms);
@@ -215,8 +216,9 @@
     EXPECT_EQ(harness.watch.full_reads(), 1u);
 }
 
-// A watch that has been open for a while resets the backoff. Each of several timeouts with such a time
-// between them must cost a pause of at most the base.
+// A watch that has been open for a while must reset the backoff; otherwise the pauses after separate timeouts
+// would grow. The test lets twelve watches time out, each after it has been open for 300 ms. Each timeout
+// must cost a pause of at most backoff_base.
 TEST_F(WatchFollowing, PausesAfterSeparateTimeoutsDoNotGrow) {
     for (int n = 0; n < 12; ++n) {
         harness.advance(ms * 300);
@@ -231,9 +233,10 @@
     }
 }
 
-// A restored registry has grown past the revision of the view, so that revisions alone do not show the
-// restore. The history check after a disconnection must lead to a full read; a watch from the revision of the
-// view on would keep c9 and miss c7.
+// A registry is restored from a backup and then grows past the revision of the view, so that its revision
+// does not show the restore. A Watch that only resumed from the revision of the view would keep the endpoint
+// c9, which the backup lacks, and would miss c7, which was added since the restore at a revision that the
+// view already covers. The history check after the disconnection must lead to a full read instead.
 TEST_F(WatchFollowing, TheHistoryCheckDetectsARestoredRegistryPastTheView) {
     const Revision backup = registry.newest();
     registry.put("c9", endpoint_value("c9", "Ready"));
@@ -252,8 +255,9 @@
     EXPECT_TRUE(harness.endpoints.contains(CacheId{"c7"}));
 }
 
-// 50 changes outside of the prefix are announced only by a progress notification and are then compacted. A
-// watch that breaks must resume behind them, since it would otherwise ask for a compacted revision.
+// A progress notification announces 50 changes outside of the prefix, which the registry does not deliver to
+// the watch and then compacts. A watch that breaks must resume after the announced revision; an earlier
+// revision would be compacted.
 TEST_F(WatchFollowing, ProgressNoticesMoveTheRevisionToResumeFrom) {
     for (int n = 0; n < 50; ++n) registry.put("elsewhere", "x");  // outside of the prefix, so not delivered
     harness.watch.on_changes(harness.now, harness.header(registry), {}, false);
@@ -280,8 +284,8 @@
     EXPECT_EQ(harness.endpoints.size(), 2u);
 }
 
-// A change or a list over its limit is rejected, and the former list stays in force. A list that stays too
-// long is reported once, not at each attempt.
+// A change with too many entries and a list with too many records must be rejected, and the former list must
+// stay in force. A list that stays too long must be reported once, not at each attempt.
 TEST_F(WatchFollowing, TooManyFragmentsOrRecordsAreRefused) {
     std::vector<Change> many(WatchHarness::policy(3).max_pending_changes, {record("c1", "", 0, 100), true});
     harness.watch.on_changes(harness.now, {registry.cluster(), Revision{100}}, many, true);
@@ -303,8 +307,9 @@
         std::count(harness.warnings.begin(), harness.warnings.end(), WatchWarningKind::too_many_records), 1);
 }
 
-// A registry that was down for ten seconds must not be hit by all clients at once when it is up again: at
-// most a tenth of a thousand clients reconnect within any 100 ms, and all within the cap.
+// A registry that was down for ten seconds must not be hit by all clients at once when it is up again. Less
+// than a tenth of a thousand clients may reconnect within any slot of 100 ms, and all must reconnect within
+// the cap of the pauses.
 TEST(Watch, AThousandClientsDoNotReconnectAtOnce) {
     std::map<int, int> clients_by_slot;  // slots of 100 ms
     for (std::uint64_t seed = 0; seed < 1000; ++seed) {
@@ -325,11 +330,12 @@
     int most = 0;
     for (const auto& [slot, clients] : clients_by_slot) most = std::max(most, clients);
     EXPECT_LT(most, 1000 / 10) << "clients of a thousand that reconnected in the worst 100 ms";
-    EXPECT_LE(clients_by_slot.rbegin()->first, 50) << "no pause is longer than the cap";
+    EXPECT_LE(clients_by_slot.rbegin()->first, 50) << "no pause may be longer than backoff_cap";
 }
 
-// A Watch that starts from a stored list puts it in force at once and reports the state disconnected. A
-// history check precedes the watch, since the registry may have been restored after the list was stored.
+// A Watch that starts from a stored list must put the list in force at once and report the state
+// disconnected. The Watch must make a history check before it opens a watch, since the registry may have been
+// restored after the list was stored.
 TEST(Watch, AStoredListIsInForceAtOnceAndReportedAsDisconnected) {
     RegistryModel registry = model_of(3);
     WatchHarness harness;
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,5 +1,5 @@
-// Up to sixty stub gateways with fake control machines. The assertions use counts taken at the fake services
-// and the relays; durations only limit how long a test waits.
+// Tests fleets of up to sixty stub gateways with fake control machines. The assertions use counts taken at
+// the fake services and the relays; durations only limit how long a test waits.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -44,7 +44,7 @@
     return {l["transactions"].get<double>(), l["told"].get<double>()};
 }
 
-// Runs until the gateways have made that many registry transactions on average.
+// Runs until the gateways have made another `a_gateway` registry transactions each, on average.
 void run_for_transactions(Rig& rig, double a_gateway) {
     const double upto =
         ledger_of(rig).transactions + a_gateway * static_cast<double>(rig.topology().gateways);
@@ -62,9 +62,9 @@
     return sum;
 }
 
-// Counted costs of a fleet.
+// Costs of a fleet, counted at the registry and the relays.
 struct Cost {
-    // delivered changes per gateway
+    // Changes that the registry delivered, per gateway.
     double changes_at_rest = 0, changes_by_list = 0, changes_by_ejections = 0;
     double bytes_per_transaction = 0, bytes_per_poll = 0;
 };
@@ -103,19 +103,22 @@
 
 }  // namespace
 
-// The cost of an event per gateway does not grow with the number of gateways.
+// The cost of an event per gateway must not grow with the number of gateways. The test compares fleets of 20
+// and of 60 gateways.
 TEST(Scale, CostPerGatewayDoesNotGrowWithTheFleet) {
     const Cost small = cost_of(20), large = cost_of(60);
     ASSERT_FALSE(HasFailure());
     for (const Cost& c : {small, large}) {
-        // A sweep may have published its progress.
-        EXPECT_LE(c.changes_at_rest, 4) << "records that all are told of are written at rest";
+        // The bound allows for the progress record of a garbage collection pass.
+        EXPECT_LE(c.changes_at_rest, 4)
+            << "at rest the gateways write records that the registry delivers to all of them";
         EXPECT_GE(c.changes_by_list, 1);
-        EXPECT_LE(c.changes_by_list, 1 + 2) << "one change of the list";
-        // One publication per ejecting gateway, plus the duty, plus findings published while other gateways
-        // wait for theirs.
+        EXPECT_LE(c.changes_by_list, 1 + 2) << "one change of the endpoint list";
+        // Each ejecting gateway publishes its ejection. The registry also delivers the claim of the health
+        // check duty, and the results that the duty's owner publishes until each ejecting gateway has
+        // received one.
         EXPECT_GE(c.changes_by_ejections, 10);
-        EXPECT_LE(c.changes_by_ejections, 10 + 10) << "ten gateways mark one cache";
+        EXPECT_LE(c.changes_by_ejections, 10 + 10) << "ten gateways eject one cache";
         EXPECT_LE(c.bytes_per_transaction, 6'000);
         EXPECT_LE(c.bytes_per_poll, 400);
     }
@@ -123,8 +126,8 @@
     RecordProperty("bytes_a_transaction", std::to_string(large.bytes_per_transaction));
 }
 
-// Gateways are cut off, killed and restored, as whole sites and individually, while purges and list changes
-// occur. All gateways end with the same state.
+// Gateways are cut off, killed and restarted, as whole sites and individually, while purges are published and
+// the endpoint list changes. All gateways must end in the same state.
 TEST(Scale, AllGatewaysEndInTheSameStateAfterOutages) {
     Rig rig(rig_settings(60));
     start_all(rig);
@@ -139,7 +142,8 @@
     rig.purge(200);
     rig.change_list();
     rig.set_caches_removed(4, true);
-    // The members of the cut site and of the killed site, and the single killed gateway, are evicted by now.
+    // The other gateways must evict the members of the cut site and of the killed site, and the single killed
+    // gateway.
     const std::size_t left = 60 - t.of_site(0).size() - t.of_site(1).size() - one.size();
     const std::int64_t without = rig.expect(left);
     EXPECT_TRUE(rig.wait_until([&] { return rig.in_force("whole", without).size() >= left; }, wait_limit));
@@ -155,7 +159,8 @@
     rig.purge(1);
     ASSERT_TRUE(wait_until_complete(rig, rig.expect(60)));
 
-    // Waits until every gateway knows the rejoined members by their new start.
+    // Waits until all gateways have the same members, with the new incarnations of the restarted gateways,
+    // and the same number of endpoints.
     json states;
     const auto same = [&](const char* what) {
         for (const auto& [gateway, state] : states.items())
@@ -212,7 +217,7 @@
 TEST(Scale, RigThatNeedsTooManyProcessesIsRejected) {
     try {
         Rig rig(rig_settings(5'000));
-        FAIL() << "it was set up";
+        FAIL() << "the rig was set up although it needs more than 200 processes";
     } catch (const std::runtime_error& e) {
         EXPECT_STREQ(e.what(), "more than 200 processes would be needed");
     }
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -10,8 +10,8 @@
 namespace irismux {
 namespace {
 
-// A value larger than the store is written. The write must fail without losing the former value, which is
-// still there after the store is opened again.
+// A write of a value that is larger than the store must fail without losing the former value, which must
+// still be there after the store is opened again.
 TEST(Store, AFullStoreRefusesTheWriteAndKeepsTheFormerValue) {
     const auto folder =
         std::filesystem::temp_directory_path() / ("irismux_store." + std::to_string(::getpid()));
@@ -34,8 +34,8 @@
     EXPECT_TRUE(std::holds_alternative<StoreError>(Store::open("/proc/nowhere", 1 << 20)));
 }
 
-// A store whose file was truncated is rejected when opened, and its file is not changed. Reading the missing
-// pages would end the process.
+// A store whose file was truncated must be rejected when it is opened, since reading the missing pages would
+// end the process. The file must not be changed.
 TEST(Store, ATruncatedFileIsRefusedAndNotChanged) {
     namespace fs = std::filesystem;
     std::string folder = (fs::temp_directory_path() / "irismux-store-XXXXXX").string();
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -1,5 +1,6 @@
-// Tests the data that the program stores in its own folders and in the key-value registry. Files written by
-// an earlier program are read back and compared by value, and are written again and compared by byte.
+// Tests the data that the program stores in its own folders and in the key-value registry. The tests read
+// files that an earlier version of the program wrote and compare the values, and write the same data again
+// and compare the bytes.
 #include <nlohmann/json.hpp>
 
 #include "fleet/applied_revisions.hpp"
@@ -20,7 +21,7 @@
 namespace fs = std::filesystem;
 using namespace fleet;
 
-constexpr std::size_t small_store = std::size_t{64} * 1024;  // bytes, at most
+constexpr std::size_t small_store = std::size_t{64} * 1024;  // size limit in bytes
 const TimePoint kept_at = TimePoint{} + Duration::micros(1'790'000'000'123'456);
 const std::string kept_owner = "plant /caches/";
 const Duration hour = Duration::micros(3'600'000'000);
@@ -74,8 +75,8 @@
 
 // --- the endpoint list that is saved for the next start
 
-// Reads a file with two endpoints saved by an earlier program. Each value is unchanged, and the record that
-// could not be parsed is omitted.
+// An endpoint list that an earlier version saved must be read with unchanged values. The file has two
+// endpoints; a record that could not be parsed was omitted when the list was saved.
 TEST(StoredData, AKeptListIsReadBack) {
     const auto read =
         registry::parse_snapshot(golden("stored/kept_list.bin"), kept_owner, kept_at + hour, hour);
@@ -95,15 +96,15 @@
     EXPECT_EQ(kept->records[1].modified, registry::Revision{9});
 }
 
-// Saving the same list writes the same bytes.
+// Saving the same endpoint list must write the same bytes as the earlier version.
 TEST(StoredData, AKeptListIsWrittenAsBefore) {
     expect_golden("stored/kept_list.bin",
                   registry::serialize_snapshot(view_to_keep(), registry::ClusterId{"14841639068965178418"},
                                                kept_at, kept_owner));
 }
 
-// The file is refused if one byte has changed, for another owner, if it is too old, and if it is from the
-// future.
+// A saved endpoint list must be refused if one of its bytes has changed, if it belongs to another owner, if
+// it is too old, or if it is from the future.
 TEST(StoredData, AKeptListThatIsDamagedOrAnothersIsRefused) {
     const std::string bytes = golden("stored/kept_list.bin");
     for (std::size_t n = 0; n < bytes.size(); ++n) {
@@ -125,8 +126,8 @@
 
 // --- the fencing tokens seen
 
-// Restores the stored tokens of three duties and of a forgotten one. Holders are refused or accepted as
-// before, and the tokens are written as the same bytes.
+// Restores the tokens of three duties and of a forgotten duty, which an earlier version stored. The fence
+// must refuse and accept the same holders as before, and must write the tokens as the same bytes.
 TEST(StoredData, TheTokensSeenAreReadBackAndWrittenAsBefore) {
     expect_golden("stored/fleet_tokens_seen.json", fence_to_store().serialize());
     Fence fence;
@@ -138,8 +139,8 @@
 
 // --- the embedded store
 
-// Opens copies of an earlier program's store folders. The values have the names that the gateway uses, and
-// can be overwritten.
+// Opens copies of the store folders of an earlier version. The values must be stored under the names that the
+// gateway uses, and it must be possible to overwrite them.
 TEST(StoredData, AStoreOfAnEarlierProgramIsReadBack) {
     TemporaryFolder folder;
     fs::copy(golden_path("stored/store_list"), folder.path() + "/list", fs::copy_options::recursive);
@@ -199,7 +200,7 @@
     return d;
 }
 
-// Each kind of record with its path after the fleet's prefix.
+// Returns a record of each kind that the fleet writes, with the record's path after the fleet's prefix.
 NamedValues fleet_records() {
     const SiteName none, site{"north-1"};
     const MemberName g1{"g1"}, g2{"g2"};
@@ -236,7 +237,7 @@
 
 std::string fleet_record(const std::string& path) { return golden_value("stored/fleet_records.txt", path); }
 
-// The fleet's records are written with the same paths and the same bytes as in the files.
+// The fleet's records must be written with the same paths and bytes as an earlier version wrote them.
 TEST(StoredData, FleetRecordsAreWrittenAsBefore) {
     expect_golden("stored/fleet_records.txt", text_of(fleet_records()));
     const std::string prefixes = watched_prefix("/fleet/") + '\n' + digest_prefix("/fleet/") + '\n' +
@@ -244,7 +245,7 @@
     EXPECT_EQ(prefixes, "/fleet/roll/\n/fleet/digest/\n/fleet/site/north-1/\n");
 }
 
-// The paths in the files are parsed to the same names as before.
+// The paths of the fleet's records must be parsed to the same names as by an earlier version.
 TEST(StoredData, FleetPathsAreReadBack) {
     EXPECT_EQ(member_of(key_at("roll/member/g1")), MemberName{"g1"});
     EXPECT_EQ(heartbeat_owner(key_at("beat/g1")), MemberName{"g1"});
@@ -254,7 +255,7 @@
     EXPECT_EQ(health_record_cache(key_at("roll/seen/c1")), CacheId{"c1"});
 }
 
-// Member and heartbeat records in the files are parsed to the same values as before.
+// Member and heartbeat records that an earlier version wrote must be parsed to unchanged values.
 TEST(StoredData, MembersAndHeartbeatsAreReadBack) {
     const auto m = parse_member(fleet_record("roll/member/g1"));
     ASSERT_TRUE(m);
@@ -276,7 +277,8 @@
     }
 }
 
-// The applied revisions of heartbeats with and without them are parsed to the same values as before.
+// The applied revisions in heartbeats that an earlier version wrote must be parsed to unchanged values. A
+// heartbeat without applied revisions must give no value.
 TEST(StoredData, AcknowledgementsAreReadBack) {
     EXPECT_EQ(parse_applied_revisions(fleet_record("beat/g1")), std::nullopt);
     EXPECT_EQ(parse_applied_revisions(fleet_record("site/north-1/beat/g1")), applied_revisions);
@@ -286,7 +288,7 @@
     EXPECT_EQ(parse_generation(fleet_record("generation")), applied_revisions.generation);
 }
 
-// Duty records in the files are parsed to the same values as before.
+// Duty records, the floor and a release that an earlier version wrote must be parsed to unchanged values.
 TEST(StoredData, DutiesAreReadBack) {
     const auto owned = parse_duty(fleet_record("roll/duty/sweep"));
     ASSERT_TRUE(owned);
@@ -301,7 +303,8 @@
     EXPECT_EQ(parse_release(fleet_record("roll/aside/sweep")), owner);
 }
 
-// The records that owners of duties write are parsed to the same values as before.
+// The records in which owners of duties publish their results must be parsed to the values that an earlier
+// version wrote.
 TEST(StoredData, ResultsOfDutiesAreReadBack) {
     const auto progress = parse_collection_progress(fleet_record("roll/swept"));
     ASSERT_TRUE(progress);
@@ -318,7 +321,7 @@
     EXPECT_EQ(probed->streak, 6);
 }
 
-// Digests and rosters of two sites are parsed to the same values as before.
+// Digests and rosters of two sites that an earlier version wrote must be parsed to unchanged values.
 TEST(StoredData, DigestsAndRostersAreReadBack) {
     const Digest is = digest_to_write();
     const auto d = parse_digest(fleet_record("digest/north-1"));
@@ -349,7 +352,9 @@
 
 // --- records of endpoints in the registry
 
-// Endpoint records in the files, one of them with every field, are parsed to the same values as before.
+// The file stored/list_records.txt has three endpoint records that an earlier version wrote: c1 with a value
+// for every field, a draining endpoint c2 and a removed endpoint c4. Each record must be parsed to the values
+// that the earlier version wrote.
 TEST(StoredData, LinesOfTheListAreReadBack) {
     const auto line = [](const std::string& id) {
         return registry::parse_endpoint(
@@ -377,7 +382,7 @@
 
 // --- data stored by processes of the program
 
-// Provides a registry of one member, and a folder with the files that a process needs.
+// Provides a registry with one member, a notice board, and a folder with the files that a process needs.
 class StoredByProcess : public ::testing::Test {
 protected:
     EventLoop loop;
@@ -445,7 +450,8 @@
     }
 };
 
-// The commands that put three records and drain one write the same bytes to the registry as in the file.
+// The commands `registry put` and `registry drain` must write the same bytes to the registry as an earlier
+// version. The test puts three records and drains one of them.
 TEST_F(StoredByProcess, RecordsOfTheListAreWrittenAsBefore) {
     EXPECT_EQ(run({"put", full_line}), 0);
     EXPECT_EQ(run({"put", R"({"state": "Ready", "id": "c2"})"}), 0);
@@ -456,20 +462,21 @@
         text_of({{"c1", value("/caches/c1")}, {"c2", value("/caches/c2")}, {"c4", value("/caches/c4")}}));
 }
 
-// A gateway with the store of an earlier program, which had seen token 5 of a duty, joins an empty registry.
-// It claims the duty under token 6, and stores the tokens seen, its incarnation and the endpoint list with
-// the same names.
+// The store of an earlier version has token 5 of a duty. A gateway with this store joins a registry without
+// fleet records, and must claim the duty under token 6. It must store the tokens seen, its incarnation and
+// the endpoint list under the same names as the earlier version.
 TEST_F(StoredByProcess, AGatewayReadsTheTokensOfAnEarlierOneAndWritesItsOwn) {
     start_in_place_of_an_earlier_one();
     ASSERT_TRUE(stretches.run_until([&] { return !value("/fleet/roll/duty/sweep").empty(); }));
     EXPECT_EQ(parse_duty(value("/fleet/roll/duty/sweep"))->token, FencingToken{6});
     const auto start = std::to_string(parse_member(value("/fleet/roll/member/g1"))->incarnation.raw());
-    // Both are stored within a few seconds.
+    // The gateway stores the tokens and the endpoint list within a few seconds.
     ASSERT_TRUE(stretches.run_until([&] {
         return stored("fleet", R"("sweep":[6,"g1",)" + start) && stored("list", "as_of_us");
     })) << bytes_of_file(folder.path() + "/log");
     EXPECT_TRUE(stretches.run_until([&] { return read_store("fleet", "fleet last start") == start; }))
-        << read_store("fleet", "fleet last start") << " is stored, and the number is " << start;
+        << read_store("fleet", "fleet last start")
+        << " is stored as the last incarnation, but the member record has " << start;
     gateway->kill_and_wait();
     Fence fence;
     ASSERT_TRUE(fence.restore(read_store("fleet", "fleet epochs seen")));
@@ -478,8 +485,8 @@
     expect_kept_list(read_store("list", "registry list"));
 }
 
-// A gateway with the store of an earlier program, which had joined with incarnation 5000000, joins an empty
-// registry. Its incarnation is the next one.
+// The store of an earlier version has the incarnation 5000000. A gateway with this store that joins a
+// registry without fleet records must use the next incarnation.
 TEST_F(StoredByProcess, AGatewayReadsTheNumberOfAnEarlierOne) {
     start_in_place_of_an_earlier_one();
     ASSERT_TRUE(stretches.run_until([&] { return !value("/fleet/roll/member/g1").empty(); }));
--- a/tests/watch_harness.hpp
+++ b/tests/watch_harness.hpp
@@ -1,5 +1,5 @@
 // Runs a Watch without a registry. The harness records the pending request of the Watch and keeps the
-// endpoints that it reports; the test supplies the replies and the time.
+// endpoints that the Watch reports; the test supplies the replies and the time.
 #pragma once
 
 #include <gtest/gtest.h>
--- a/tests/watch_random_test.cpp
+++ b/tests/watch_random_test.cpp
@@ -1,4 +1,4 @@
-// Tests under random faults that the view of a Watch is always one revision of the registry.
+// Tests under random faults that the view of a Watch is always the state of one revision of the registry.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -50,8 +50,8 @@
     std::ranlux24_base random_;
     RegistryModel registry_;
     WatchHarness harness_;
-    std::map<Revision, RegistryModel::State> history_;                        // of the current registry
-    std::vector<std::map<Revision, RegistryModel::State>> former_histories_;  // before restores
+    std::map<Revision, RegistryModel::State> history_;                        // since the last restore
+    std::vector<std::map<Revision, RegistryModel::State>> former_histories_;  // before each restore
     std::pair<MemberIndex, int> lag_{MemberIndex{0}, 0};
     Revision last_revision_;
     std::uint64_t last_full_reads_ = 0;
@@ -73,7 +73,7 @@
         history_[registry_.newest()] = *registry_.at(registry_.newest());
     }
     // Restores the registry from an older revision. The connection is lost for the watch timeout, since a
-    // real restore takes longer than that.
+    // real restore takes longer than the watch timeout.
     void restore() {
         harness_.watch.on_request_failed(harness_.now, {RequestFailureReason::connection_lost, {}});
         harness_.now = harness_.now + WatchHarness::policy(1).watch_timeout;
@@ -168,8 +168,9 @@
         };
         const bool found = contains_view(history_) ||
                            std::any_of(former_histories_.begin(), former_histories_.end(), contains_view);
-        ASSERT_TRUE(found) << "the view differs from each revision of the registry; its revision is "
-                           << view.revision().raw();
+        ASSERT_TRUE(found)
+            << "the view differs from each state that the registry had; the revision of the view is "
+            << view.revision().raw();
         check_reported(view);
     }
     // Checks that the endpoints reported to the observer are those of the view.
@@ -187,9 +188,10 @@
     }
 };
 
-// The registry changes, compacts and restores at random and its members lag, while replies are lost,
-// repeated, fragmented and late. None of this may give a view that mixes revisions: after each step the view
-// is exactly one revision, and once the faults end it becomes the newest.
+// A view that mixes the records of several revisions is a list that the registry never had. The registry
+// changes, compacts and is restored at random and its members lag, while replies are lost, repeated,
+// fragmented and late. After each step the view must be the state of exactly one revision, and once the
+// faults end it must become the state of the newest revision.
 TEST(WatchUnderRandomFaults, TheViewIsAlwaysOneRevisionAndEndsAtTheNewest) {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
