--- a/tests/wire_names_test.cpp
+++ b/tests/wire_names_test.cpp
@@ -1,6 +1,6 @@
-// Names on the wire, in settings and in commands, which web servers, caches, the notice board, the registry
-// and operators use. A renaming in the source must not change them: the tests compare whole messages with
-// files under tests/data, or contain the names themselves.
+// Tests the names on the wire, in settings and in commands, which web servers, caches, the notice board, the
+// registry and operators use. A renaming in the source must not change these names. Each test compares whole
+// messages with a golden file under tests/data, or contains the names itself.
 #include <algorithm>
 #include <cctype>
 #include <sstream>
@@ -43,8 +43,8 @@
     return text;
 }
 
-// Replaces the numbers that depend on the time or on free ports by "N", and with them the length of the RESP
-// string that contains them.
+// Replaces the numbers that depend on the time or on free ports by "N". Also replaces the length of the RESP
+// string that contains the numbers, since the length depends on their digits.
 std::string mask_variable_numbers(std::string text) {
     const std::string digits = "0123456789", fields = "\\r\\nsort=";
     for (const std::string before : {"patience=", "fresh=", "Retry-After-Ms: ", "127.0.0.1:"})
@@ -76,8 +76,8 @@
     return {process.status().value_or(-1), bytes_of_file(folder.path() + "/out")};
 }
 
-// The help text of each sub-command must equal its file, so that no name of a sub-command, a flag or an
-// environment variable changes unnoticed.
+// The help text of each sub-command must equal its golden file, so that no name of a sub-command, a flag or
+// an environment variable changes unnoticed.
 TEST(WireNames, HelpTextsAreUnchanged) {
     const std::vector<std::vector<std::string>> commands = {{},
                                                             {"serve"},
@@ -105,8 +105,9 @@
     }
 }
 
-// `irismux serve` must read the environment variables under these names: with a missing or invalid value it
-// prints the variable or its value, and exits with status 2.
+// `irismux serve` must read the environment variables NODE_CONFIG, IRISMUX_PARTS and IRISMUX_LOG. If the
+// value of a variable is missing or invalid, the command must print the variable's name or value and exit
+// with status 2.
 TEST(WireNames, ReadsTheEnvironmentVariables) {
     const auto expect = [](std::vector<std::string> environment, const std::string& line) {
         const CommandOutput output = run({"serve"}, std::move(environment));
@@ -124,7 +125,7 @@
 
 std::string bytes_of(const Buffer& out) { return std::string(out.view()); }
 
-// Messages of each kind must be written with exactly the bytes of the file.
+// Messages of each kind must be written with exactly the bytes of the golden file.
 TEST(WireNames, WritesMessagesOfEachKind) {
     NamedValues all;
     const auto add = [&](const std::string& name, auto write) {
@@ -151,7 +152,7 @@
 
 // --- the registry
 
-// Each request to the registry must have the path and the fields of the file.
+// Each request to the registry must have the path and the fields of the golden file.
 TEST(WireNames, WritesRegistryRequests) {
     using registry::RecordKey;
     using registry::Revision;
@@ -189,7 +190,7 @@
     EXPECT_EQ(r.modified, registry::Revision{40});
 }
 
-// Each field that the program uses must be found in the registry's answers under its name.
+// The program must find each field that it uses in the registry's replies under the field's name.
 TEST(WireNames, ReadsRegistryAnswers) {
     const auto range = std::get<etcd::Range>(etcd::read_range(
         200, "{" + header + R"(,"more":true,"count":"9","kvs":[)" + record_c1 + "]}", "/caches/"));
@@ -214,8 +215,8 @@
     expect_c1(settled.records[0]);
 }
 
-// Each field that the program uses must be found in the messages of a watch, as must the error of a compacted
-// revision.
+// The program must find each field that it uses in the messages of a watch, and must recognize the message
+// for a compacted revision.
 TEST(WireNames, ReadsRegistryWatchMessages) {
     const std::string start = "{\"result\":{" + header;
     const auto created =
@@ -259,7 +260,7 @@
     R"({"rev": 3, "flush": {"ms": 1700000000456, "collection": 7}},)"
     R"({"rev": 4, "flush": {"ms": 1700000000789, "collection": 8, "asset": "00000000000000a1"}}]})";
 
-// Each field that the program uses must be found in the notice board's events under its name.
+// The program must find each field that it uses in the notice board's events under the field's name.
 TEST(WireNames, ReadsNoticeBoardEvents) {
     EventLoop loop;
     NoticeRecorder recorder;
@@ -285,8 +286,9 @@
     EXPECT_EQ(recorder.purges[1].object, ObjectName{"00000000000000a1"});
 }
 
-// The same events as an answer of the notice board, read in pieces of one byte: each event must have its
-// revision, and so must the answer.
+// The reader receives a response of the notice board in pieces of one byte. The response has the three events
+// of the test ReadsNoticeBoardEvents. The reader must return each event with the event's own revision, and
+// then the revision of the whole response.
 TEST(WireNames, ReadsNoticeBoardAnswersInPieces) {
     NoticeReader reader;
     std::vector<std::int64_t> revisions;
@@ -304,7 +306,7 @@
 
 // --- settings
 
-// Returns the tables and keys of the example file deploy/irismux.toml, in which they are commented out.
+// Returns the tables and keys of the example file deploy/irismux.toml. The file has them in comments.
 std::string enabled_parts_example() {
     std::ifstream in(golden_path("../../deploy/irismux.toml"));
     std::string text;
@@ -318,8 +320,8 @@
     return text;
 }
 
-// Each key of the example of the parts file must be read under its name. All keys of the example are enabled
-// here.
+// The program must read each key of the example file deploy/irismux.toml under its name. The test enables all
+// keys, which the example file has in comments.
 TEST(WireNames, ReadsThePartsExample) {
     TemporaryFolder folder;
     std::ofstream(folder.path() + "/password") << "secret\n";
@@ -356,7 +358,7 @@
     EXPECT_EQ(f.inventory, (std::map<fleet::SiteName, std::size_t>{{fleet::SiteName{"north-1"}, 15}}));
 }
 
-// Returns the error message for a parts file in which that key has a value of the wrong type.
+// Returns the error message for a parts file in which `key` of `table` has a value of the wrong type.
 std::string error_for_key(const std::string& table, const std::string& key) {
     const std::string needed = table == "registry" ? "members = [\"127.0.0.1:1\"]\nprefix = \"/c/\"\n"
                                                    : "members = [\"127.0.0.1:1\"]\nprefix = \"/f/\"\n"
@@ -370,8 +372,9 @@
     return error ? error->text() : "accepted";
 }
 
-// Each key of the parts file must be known under its name: an invalid value gives the message of the file,
-// which names the key, instead of an unknown key.
+// The program must know each key of the parts file under its name. The test gives each key a value of the
+// wrong type. The program must print the message of the golden file, which names the key and the expected
+// value; for an unknown key it would print another message.
 TEST(WireNames, KnowsEachKeyOfTheParts) {
     const std::vector<std::pair<std::string, std::string>> tables = {
         {"registry",
@@ -398,7 +401,8 @@
     const Deployment& d = c.settings.deployment;
 };
 
-// The fields outside of "settings" must be read under their names. The configuration file has every field.
+// The fields outside of "settings" must be read under their names. settings/configuration.json, which the
+// tests of this fixture read, has every field.
 TEST_F(ConfigurationFields, ReadsTheFieldsOutsideOfSettings) {
     EXPECT_EQ(c.name, "try");
     EXPECT_EQ(c.listen, "127.0.0.1:7100");
@@ -436,8 +440,8 @@
     EXPECT_TRUE(keyed.uncacheable);
 }
 
-// The fields of the gateway's place in the deployment and of the permitted features must be read under their
-// names.
+// The fields that describe the gateway's place in the deployment and the permitted features must be read
+// under their names.
 TEST_F(ConfigurationFields, ReadsTheDeploymentAndItsCapabilities) {
     EXPECT_EQ(d.gateways, 7);
     EXPECT_EQ(d.gateways_in_location, 3);
@@ -456,7 +460,7 @@
     EXPECT_TRUE(d.weights_known);
 }
 
-// The fields of capacities and times must be read under their names.
+// The fields with capacities and times must be read under their names.
 TEST_F(ConfigurationFields, ReadsCapacitiesAndTimes) {
     EXPECT_EQ(d.edge_slow_start.initial_capacity_share, 0.2);
     EXPECT_EQ(d.edge_slow_start.window, Duration::seconds(18));
@@ -509,7 +513,7 @@
     test_support::Acceptor acceptor_;
 };
 
-// A CacheConnectionPool with one cache.
+// Runs a CacheConnectionPool with one cache, whose responses the test chooses.
 class CacheProtocol : public ::testing::Test, public AttemptObserver, public ResponseSender {
 protected:
     EventLoop loop;
@@ -554,7 +558,7 @@
         })) << printable(cache.received);
         return std::exchange(cache.received, {});
     }
-    // Starts an attempt with that plan and returns the bytes that the cache receives.
+    // Starts an attempt with the plan `fill` and returns the bytes that the cache receives.
     std::string start_attempt_with(const std::optional<AttemptPlan>& fill) {
         ClientRequest a;
         a.request.id = RequestId{requests.size() + 1};
@@ -585,8 +589,8 @@
     }
 };
 
-// Attempts with each option of a fill, a cancellation and a health check must have exactly the bytes of the
-// file.
+// The pool must write attempts with each option of a fill, a cancellation and a health check with exactly the
+// bytes of the golden file.
 TEST_F(CacheProtocol, WritesEachOptionOfAnAttempt) {
     AttemptPlan fill;
     fill.cache = fill.source = CacheId{"e1"};
@@ -686,7 +690,8 @@
         json c = test_support::configuration("127.0.0.1:9", board.address(),
                                              {{"rev", 1}, {"notices", {{{"rev", 1}, {"pool", pool}}}}});
         json kind = c["settings"]["lanes"][0];
-        // Long enough that no attempt is cancelled and retried, even on a busy machine.
+        // The latency objective and the deadline are so long that no attempt is cancelled and retried, even
+        // on a busy machine.
         kind["aimS"] = kind["hardLimitS"] = 30.0;
         json keyed = kind;
         keyed.update({{"name", "keyed"}, {"effect", "by_key"}, {"windowS", 0.3}});
@@ -739,7 +744,8 @@
             return false;
         };
         EXPECT_TRUE(loop_runner.run_until(whole)) << printable(received_by_client);
-        // The lengths of the records depend on the number of digits of this value.
+        // The lengths of the records depend on the number of digits of the Retry-After-Ms value, so only the
+        // types and the contents of the records are compared.
         if (received_by_client.find("Retry-After-Ms: ") != std::string::npos)
             received_by_client = content_of(received_by_client);
         record("gateway to client", std::exchange(received_by_client, {}));
@@ -769,7 +775,8 @@
         record("cache to gateway", bytes_of(out));
         cache.send(out.view());
     }
-    // Sends a request that the cache answers.
+    // Sends a request that the gateway forwards to the cache, sends the cache's response, and waits for the
+    // gateway's response to the client.
     void send_request_to_cache(const Fields& fields, const std::string& body,
                                std::initializer_list<std::string_view> response) {
         send(request_of(fields, body));
@@ -777,7 +784,7 @@
         respond_from_cache(response);
         expect_response();
     }
-    // Sends a request that the gateway answers without the cache.
+    // Sends a request to which the gateway responds without the cache, and waits for the response.
     void send_request_to_gateway(const Fields& fields, const std::string& body = {}) {
         send(request_of(fields, body));
         expect_response();
@@ -792,8 +799,8 @@
     return all;
 }
 
-// Requests with each field of the client, and responses of the cache with a body and without one: the bytes
-// to the cache and to the client must be those of the file.
+// The gateway must forward requests and responses with exactly the bytes of the golden file. The requests
+// have each field that a client may send, and the cache responds with a body and without a body.
 TEST_F(GatewayProtocol, ForwardsRequestsAndResponses) {
     send_request_to_cache(fields_of("/api/v2/pages", "0000000000000001"), "",
                           {"0000000000000001", "HIT", "tag=t1,minted=1,n=cached", "a body"});
@@ -806,8 +813,8 @@
     expect_golden("wire/lookups.txt", transcript);
 }
 
-// A gateway that makes only one attempt a request. If the cache is overloaded or fails, the bytes to the
-// client must be those of the file.
+// Runs a gateway that makes only one attempt per request. If the cache is overloaded or fails, the gateway
+// must send the client exactly the bytes of the golden file.
 class GatewayWithOneAttempt : public GatewayProtocol {
 protected:
     void modify(json& c) const override { c["settings"]["ceilings"]["attemptsCap"] = 1; }
@@ -821,7 +828,8 @@
     expect_golden("wire/answers_without_a_body.txt", transcript);
 }
 
-// The health check of the gateway and invalid requests must get the status lines of the file.
+// The gateway must respond to a health check of the gateway itself and to invalid requests with the status
+// lines of the golden file.
 TEST_F(GatewayProtocol, AnswersRequestsWithoutTheCache) {
     send_request_to_gateway({{"SCRIPT_NAME", "/-/healthy"}});
     send_request_to_gateway({{"SCRIPT_NAME", "/elsewhere"}});
@@ -840,7 +848,8 @@
     expect_golden("wire/refusals.txt", transcript);
 }
 
-// A second request with the id of a request that is still open must be refused with the status of the file.
+// A second request with the id of a request that is still open must be refused with the status of the golden
+// file.
 TEST_F(GatewayProtocol, RefusesAnIdInUse) {
     send(request_of(fields_of("/api/v2/pages", "0000000000000001"), ""));
     expect_attempt();
@@ -858,7 +867,8 @@
     expect_golden("wire/open_id.txt", transcript);
 }
 
-// FCGI_GET_VALUES, a record of an unknown type and an unknown role must get the answers of the file.
+// The gateway must respond to FCGI_GET_VALUES, to a record of an unknown type and to an unknown role with the
+// bytes of the golden file.
 TEST_F(GatewayProtocol, AnswersManagementAndUnknownRecords) {
     std::string names;
     for (const char* name : {"FCGI_MAX_CONNS", "FCGI_MAX_REQS", "FCGI_MPXS_CONNS", "FCGI_OTHER"})
@@ -876,8 +886,8 @@
     expect_golden("wire/protocol.txt", transcript);
 }
 
-// The polls of the notice board must have the bytes of the file. The poll after a purge requests the events
-// after it, and attempts for the purged group then carry an age limit.
+// The gateway must poll the notice board with exactly the bytes of the golden file. After a purge the gateway
+// must request only events after the purge, and its attempts for the purged group must carry an age limit.
 TEST_F(GatewayProtocol, PollsTheNoticeBoard) {
     ASSERT_TRUE(loop_runner.run_until([&] { return board.received.find("\r\n\r\n") != std::string::npos; }));
     record("gateway to board", std::exchange(board.received, {}));
