--- a/tests/endpoint_snapshot_test.cpp
+++ b/tests/endpoint_snapshot_test.cpp
@@ -12,9 +12,9 @@
 
 const Duration ms = Duration::micros(1000);
 
-// A gateway must not start from a wrong list. A snapshot contains only the records that were readable, and is
-// rejected with the matching reason if it has another owner, is too old, is from the future, is truncated, or
-// has any changed byte.
+// A gateway must not start from a wrong endpoint list. A snapshot must contain only the records that were
+// readable. Parsing must reject a snapshot with the matching reason if the snapshot has another owner, is too
+// old, is from the future, is truncated, or has any changed byte.
 TEST(EndpointSnapshot, IsParsedCompletelyOrRejectedWithAReason) {
     const TimePoint stored_at = TimePoint::at_seconds(1000);
     EndpointView view;
--- a/tests/etcd_codec_test.cpp
+++ b/tests/etcd_codec_test.cpp
@@ -19,8 +19,8 @@
     EXPECT_EQ(error->message.find('\n'), std::string::npos);
 }
 
-// The parsers must return the fields of a valid reply. For a reply that is truncated or mutated at random
-// they must return a value or an error with a message of one short line, and must not crash.
+// The parsers must return the fields of a valid reply. For a reply that is truncated or mutated at random,
+// the parsers must return a value or an error with a message of one short line, and must not crash.
 TEST(EtcdCodec, MutatedRepliesGiveAValueOrAShortError) {
     const std::string good =
         R"({"header":{"cluster_id":"14841639068965178418","revision":"9"},"kvs":[{"key":"L2NhY2hlcy9jMQ==",)"
--- a/tests/fleet_digest_test.cpp
+++ b/tests/fleet_digest_test.cpp
@@ -240,8 +240,8 @@
     EXPECT_TRUE(builder.has_lagging_members());
 }
 
-// A single heartbeat may arrive late, from a process that ended long ago. A member must therefore not count
-// as live after one new heartbeat.
+// A single heartbeat may arrive late, from a process that ended long ago. A member must therefore count as
+// live only after two new heartbeats.
 TEST_F(SiteDigest, AMemberCountsOnceTwoNewHeartbeatsOfItWereSeen) {
     join("m1", 10);
     EXPECT_EQ(take_snapshot().live_count, 1u);
--- a/tests/fleet_process_test.cpp
+++ b/tests/fleet_process_test.cpp
@@ -76,7 +76,7 @@
 };
 
 // The owner of garbage collection is killed, and another member must take the duty over. After the first
-// member is restarted, the duty must be handed back to it under a higher token and incarnation.
+// member is restarted, the duty must be handed back to the first member under a higher token and incarnation.
 TEST_F(FleetOfProcesses, AKilledOwnerIsReplacedAndGetsItsDutyBack) {
     begin();
     const std::size_t first = *a->owner(sweep);
@@ -90,7 +90,7 @@
 }
 
 // Stops the owner while its n-th message to or from the registry is in flight. The test holds this message
-// back until a successor has made a write, and delivers it when it resumes the owner.
+// back until a successor has made a write, and delivers the message when the owner is resumed.
 class OwnerStoppedAtAMessage : public FleetOfProcesses,
                                public ::testing::WithParamInterface<std::pair<test_support::Direction, int>> {
 };
@@ -187,8 +187,8 @@
     EXPECT_TRUE(a->wait_until([&] { return working(); }));
 }
 
-// The owner is cut off from the registry but not from its clients and caches. It must stop acting as owner
-// and go on serving requests.
+// The owner is cut off from the registry but not from its clients and caches. The owner must stop acting for
+// the duty and go on serving requests.
 class OwnerCutOffFromTheRegistry : public FleetOfProcesses,
                                    public ::testing::WithParamInterface<std::pair<bool, bool>> {};
 
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -20,8 +20,8 @@
 // --- single classes --------------------------------------------------------------------------------------
 
 // A fence that has accepted tokens 4 and 5 of a duty must refuse token 4 and must refuse token 5 with another
-// owner, also after a restart. It must refuse damaged stored state, which must not lower a token that the
-// fence knows.
+// owner, also after a restart. Stored state that was truncated must be refused, and damaged stored state must
+// not lower a token that the fence knows.
 TEST(Fleet, AFenceRefusesLowerTokensAlsoAfterARestart) {
     const DutyName d{"d"};
     const LeaseHolder a{FencingToken{4}, MemberName{"a"}, Incarnation{1}},
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -463,8 +463,8 @@
 }
 
 // The store of an earlier version has token 5 of a duty. A gateway with this store joins a registry without
-// fleet records, and must claim the duty under token 6. It must store the tokens seen, its incarnation and
-// the endpoint list under the same names as the earlier version.
+// fleet records, and must claim the duty under token 6. The gateway must store the tokens seen, its
+// incarnation and the endpoint list under the same names as the earlier version.
 TEST_F(StoredByProcess, AGatewayReadsTheTokensOfAnEarlierOneAndWritesItsOwn) {
     start_in_place_of_an_earlier_one();
     ASSERT_TRUE(stretches.run_until([&] { return !value("/fleet/roll/duty/sweep").empty(); }));
