--- a/tests/cache_connection_pool_test.cpp
+++ b/tests/cache_connection_pool_test.cpp
@@ -1,4 +1,4 @@
-// CacheConnectionPool with caches that close their connections, stall, or send invalid responses.
+// Tests CacheConnectionPool with caches that close their connections, stall, or send invalid responses.
 #include <deque>
 
 #include "base/log.hpp"
@@ -203,9 +203,10 @@
     for (const auto& [id, o] : scenario.outcomes) EXPECT_EQ(o, Outcome::completed) << id;
 }
 
-// With one connection for two caches: an attempt must end as overloaded or connection_reset if its cache
-// accepts and resets, and as connection_refused if its cache refuses. An attempt for which no connection is
-// left must wait for one, and the shortage must not count against its cache.
+// The pool may open only one connection, and there are two caches. An attempt must end as overloaded or
+// connection_reset if its cache accepts the connection and resets it, and as connection_refused if its cache
+// refuses the connection. An attempt for which no connection is left must wait for a connection, and the
+// shortage must not count against the cache of the attempt.
 TEST(CacheConnectionPool, DistinguishesResetsRefusalsAndConnectionShortage) {
     PoolScenario scenario(1);
     bool resetting = true;
@@ -239,8 +240,8 @@
     EXPECT_EQ(scenario.outcomes.at("b4"), Outcome::connection_refused);
 }
 
-// An attempt must not wait for a new connection that is not established while the cache responds on another
-// one: it must be sent on that one after the next response.
+// If a new connection is not established while the cache responds on another connection, an attempt must not
+// wait for the new connection. The attempt must be sent on the other connection after the next response.
 TEST(CacheConnectionPool, MovesQueuedAttemptsToAConnectionThatResponds) {
     PoolScenario scenario(8, 0);
     std::vector<Poco::Net::StreamSocket> backlog(3);
@@ -259,26 +260,27 @@
     EXPECT_EQ(scenario.ended, (std::vector<std::string>{"b1", "b2"}));
 }
 
-// An attempt must not end as connection_reset because the cache closed the idle connection just before the
-// attempt was written: it must be sent on another connection. CacheConnection::on_write_ready ensures this.
+// The cache may close an idle connection just before an attempt is written to it. The attempt must then be
+// sent on another connection and must not end as connection_reset. CacheConnection::on_write_ready ensures
+// this.
 TEST(CacheConnectionPool, DoesNotWriteToAConnectionThatWasJustClosed) {
     PoolScenario scenario(4);
     scenario.caches_close_gracefully = true;
     scenario.start("b1");
-    scenario.run_steps(
-        {{[&] { return scenario.ended.size() == 1; },
-          [&] {
-              scenario.connections.at(0)->close();  // the close arrives, but is not read in this iteration
-              scenario.start("b2");
-          }},
-         {[&] { return scenario.ended.size() == 2; }, [] {}}});
+    scenario.run_steps({{[&] { return scenario.ended.size() == 1; },
+                         [&] {
+                             // The close arrives but is not read in this iteration of the loop.
+                             scenario.connections.at(0)->close();
+                             scenario.start("b2");
+                         }},
+                        {[&] { return scenario.ended.size() == 2; }, [] {}}});
     EXPECT_EQ(scenario.received, (std::vector<std::string>{"b1", "b2"}));
     EXPECT_EQ(scenario.outcomes.at("b2"), Outcome::cache_miss);
 }
 
-// Attempts whose clients have closed must not reach the cache unless they were written completely. The cache
-// does not read; the first attempt is too large for the socket and the second one waits behind it.
-// CacheConnectionPool::withdraw_unstarted_attempts withdraws both.
+// Attempts whose clients have closed must not reach the cache unless they were written completely. In the
+// test, the cache does not read. The first attempt is too large for the socket, and the second attempt waits
+// behind the first. CacheConnectionPool::withdraw_unstarted_attempts must withdraw both attempts.
 TEST(CacheConnectionPool, WithdrawsAttemptsThatAreNotWrittenWhole) {
     PoolScenario scenario(1);
     scenario.caches_read = false;
@@ -313,7 +315,7 @@
         bool is_wanted = true;
         scenario.pool->start_health_check(CacheId{"e1"}, [&] { return is_wanted; });
         is_wanted = still_wanted;
-        scenario.start("b1");  // on the same connection, behind it
+        scenario.start("b1");  // on the same connection, behind the health check
         scenario.run_steps({{[&] { return scenario.ended.size() == 1; }, [] {}}});
         EXPECT_EQ(scenario.health_checks_received, still_wanted ? 1 : 0);
         EXPECT_EQ(scenario.connections.size(), 1u);
--- a/tests/client_gone_test.cpp
+++ b/tests/client_gone_test.cpp
@@ -64,8 +64,8 @@
 }
 
 // A client with over a megabyte of unread responses and one more request in flight leaves. The gateway has
-// stopped reading its connection, but must notice the end, and must not retry the attempt when the cache
-// resets it (FastCgiConnection::scan_paused_input).
+// stopped reading the client's connection, but must notice that the client has left. When the cache resets
+// the attempt, the gateway must not retry it (FastCgiConnection::scan_paused_input).
 TEST_P(ClientGone, IsNoticedWhileResponsesAreUnread) {
     SingleProcess gateway(process_options(1));
     ScriptedCache& cache = *gateway.caches[0];
@@ -73,7 +73,8 @@
     first_client->send(1, {.id = id_of(1)});
     ASSERT_TRUE(gateway.wait_until([&] { return cache.count_received(id_of(1)) == 1; }));
     first_client->connection->enable_reading(false);
-    // Enough unread bytes that the gateway stops reading the connection, and too few for it to close it.
+    // These responses are large enough that the gateway stops reading the connection, and small enough that
+    // the gateway does not close it.
     constexpr int large = 20;
     for (int n = 2; n < 2 + large; ++n) first_client->send(static_cast<std::uint16_t>(n), {.id = id_of(n)});
     ASSERT_TRUE(gateway.wait_until([&] { return cache.received.size() == 1 + large; }));
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,4 +1,5 @@
-// Codecs: parsers get whole, truncated and corrupted messages, and must read back what the writers write.
+// Tests the codecs. The parsers get whole, truncated and corrupted messages, and must read back the messages
+// that the writers write.
 #include <rapidcheck.h>
 
 #include "codec/client_protocol.hpp"
@@ -18,7 +19,7 @@
 }
 
 // Checks that a parser needs more bytes at each prefix of a message, and that it neither crashes nor reads
-// past the end of a corrupted message (sanitizers detect this).
+// past the end of a corrupted message (sanitizers detect such a read).
 template <class Parse>
 void check_parser(std::string whole, Parse parse) {
     std::size_t used = 0;
@@ -209,7 +210,8 @@
     });
 }
 
-// Each error of a client's request must give exactly these bytes: its status line and no body.
+// Each error of a client's request must produce exactly the listed bytes: the status line of the error and no
+// body.
 TEST(ClientProtocol, WritesTheStatusOfEachRequestError) {
     using client_protocol::RequestError;
     const std::pair<RequestError, std::string> heads[] = {
@@ -231,7 +233,8 @@
     }
 }
 
-// The head of each other kind of response, byte by byte. Retry-After-Ms is rounded up to whole milliseconds.
+// Compares the head of each other kind of response byte by byte. Retry-After-Ms must be rounded up to whole
+// milliseconds.
 TEST(ClientProtocol, WritesTheHeadOfEachResponse) {
     using namespace client_protocol;
     EXPECT_EQ(response_head(17), "Status: 200 OK\r\nContent-Length: 17\r\n\r\n");
--- a/tests/long_notice_answer_test.cpp
+++ b/tests/long_notice_answer_test.cpp
@@ -1,5 +1,5 @@
-// NoticeClient with answers of the notice board that are long, arrive in pieces, break off or hold unreadable
-// events: all other events must take effect in order, with a bounded number of polls.
+// Tests NoticeClient with responses of the notice board that are long, arrive in pieces, break off or contain
+// unreadable events. All readable events must take effect in order, with a bounded number of polls.
 #include <cstdio>
 #include <functional>
 #include <random>
@@ -51,8 +51,8 @@
     return body + "]}";
 }
 
-// A notice board that has the purges 1 to `last_revision`, and a client that polls it. run() ends once all of
-// them have taken effect, and at the latest after 5 s.
+// A notice board that has the purges 1 to `last_revision`, and a client that polls it. run() ends once all
+// purges have taken effect, and at the latest after 5 s.
 struct BacklogScenario {
     explicit BacklogScenario(int purges) : last_revision(purges) {
         board.on_poll = [this](TestConnection& connection) {
@@ -74,7 +74,8 @@
         board.respond(connection, answer_of(after, last_revision));
     };
 
-    // Runs a timer each millisecond. The largest delay of this timer approximates the longest iteration.
+    // Runs a timer each millisecond. The largest delay of this timer approximates the duration of the longest
+    // iteration of the loop.
     void schedule_ticks() {
         loop.schedule_at(loop.now() + Duration::micros(1'000), [this] { schedule_ticks(); });
     }
@@ -91,7 +92,8 @@
     }
 };
 
-// An answer longer than 1 MiB must take effect whole after one poll: here two hours of three purges a second.
+// A response longer than 1 MiB must take effect completely after one poll. The response has the purges of two
+// hours, at three purges a second.
 TEST(LongNoticeAnswer, AppliesTwoHoursOfPurgesAfterOnePoll) {
     BacklogScenario scenario(21'600);
     ASSERT_GT(answer_of(0, scenario.last_revision).size(), std::size_t{1} << 20);
@@ -102,8 +104,8 @@
     EXPECT_EQ(scenario.board.polled_from.size(), 2u);
 }
 
-// The client must not request events again that arrived before an answer broke off. The answers to the first
-// seven polls break off after a tenth; each next poll requests the rest.
+// The client must not request events again that arrived before a response broke off. In the test, the first
+// seven responses break off after a tenth of their length, and each next poll must request the rest.
 TEST(LongNoticeAnswer, ResumesAfterTheLastEventBeforeABreak) {
     BacklogScenario scenario(2'000);
     scenario.answer = [&](TestConnection& connection, int after) {
@@ -124,8 +126,10 @@
     EXPECT_GT(std::stoi(scenario.board.polled_from[1]), 150);
 }
 
-// A long answer must not delay requests: one iteration of the loop handles its events for at most 2 ms and
-// one event. Each event takes 0.2 ms here. NoticeConnection::begin_batch enforces this.
+// A long response must not delay client requests. In one iteration of the loop, the client may handle events
+// of the response for at most 2 ms, plus the event in progress when this time is over.
+// NoticeConnection::begin_batch enforces this. Each event takes 0.2 ms in the test, so an iteration may
+// handle at most 11 events.
 TEST(LongNoticeAnswer, YieldsToTheLoopAfterAFewMilliseconds) {
     BacklogScenario scenario(1'000);
     const Duration work = Duration::micros(200);
@@ -147,7 +151,7 @@
     scenario.print_longest_iteration();
 }
 
-// A body of 14 MB must take effect whole after one poll, although its chunks end at random places.
+// A body of 14 MB must take effect completely after one poll, although its chunks end at random places.
 TEST(LongNoticeAnswer, FarLongerThanAnyBoundTakesEffect) {
     BacklogScenario scenario(200'000);
     std::ranlux24_base random(7);
@@ -169,7 +173,7 @@
     EXPECT_EQ(scenario.board.polled_from.size(), 2u);
 }
 
-// An answer that arrives in pieces of one byte to some KB must take effect whole after one poll.
+// A response that arrives in pieces of one byte to some KB must take effect completely after one poll.
 TEST(LongNoticeAnswer, AppliesAnAnswerInSmallPieces) {
     BacklogScenario scenario(1'500);
     std::ranlux24_base random(11);
@@ -194,8 +198,8 @@
     EXPECT_EQ(scenario.board.polled_from.size(), 2u);
 }
 
-// One unreadable event in the middle of a long answer must not block the events after it: the client requests
-// it once more and then skips it.
+// One unreadable event in the middle of a long response must not block the events after it. The client must
+// request the unreadable event once more and then skip it.
 TEST(LongNoticeAnswer, SkipsAnUnreadableEventInTheMiddle) {
     for (const std::string& bad : {std::string("{\"rev\":700,\"flush\":}"), std::string("#"),
                                    "{\"rev\":700,\"x\":\"" + std::string(2'000'000, 'x') + "\"}"}) {
@@ -214,8 +218,8 @@
     }
 }
 
-// An event without an end makes the rest of an answer unreadable. The events before it must take effect, and
-// the client must wait for the retry delay between polls.
+// An event without an end makes the rest of a response unreadable. The events before this event must take
+// effect, and the client must wait for the retry delay between polls.
 TEST(LongNoticeAnswer, PollsAfterTheRetryDelayIfTheRestIsUnreadable) {
     BacklogScenario scenario(1'400);
     scenario.answer = [&](TestConnection& connection, int after) {
@@ -228,13 +232,14 @@
     const TimePoint from = scenario.loop.now();
     scenario.run();
     EXPECT_EQ(scenario.recorder.events, objects_up_to(699));
-    // The polls after the first and the second one are sent at once: the first one brought events, and the
-    // second one was the first to fail.
+    // The second poll is sent at once because the first poll brought events. The third poll is sent at once
+    // because the second poll was the first to fail.
     EXPECT_GE(scenario.loop.now() - from, Duration::micros(100'000) * 5);
 }
 
-// A board that sends a blank now and then but never the whole answer must not hold a poll open for ever: the
-// client aborts the answer when its time is over, and the next poll requests the rest.
+// A board that sends a blank now and then but never the whole response must not hold a poll open for ever.
+// The client must abort the response after its time limit, and the next poll must request the rest of the
+// events.
 TEST(LongNoticeAnswer, AbortsAnAnswerThatNeverEnds) {
     BacklogScenario scenario(3);
     std::function<void(TestConnection&)> send_blanks = [&](TestConnection& connection) {
@@ -262,8 +267,8 @@
     EXPECT_LT(second_poll_at - first_poll_at, Duration::seconds(6));
 }
 
-// If the board's address changes in the middle of an answer, the first poll of the new board must request the
-// events after the last one that took effect.
+// If the board's address changes in the middle of a response, the first poll of the new board must request
+// the events after the last event that took effect.
 TEST(LongNoticeAnswer, ResumesAtTheNewBoardAfterAnAddressChange) {
     BacklogScenario scenario(2'000);
     NoticeBoardStandIn next(scenario.loop);
@@ -288,7 +293,8 @@
     for (const auto& connection : next.connections) connection->close();
 }
 
-// Endpoint lists, one of them complete, and purges of one answer must take effect in their order.
+// A response contains purges and several endpoint lists, one of which is complete. The lists and purges must
+// take effect in the order in which they stand in the response.
 TEST(LongNoticeAnswer, KeepsTheOrderOfListsAndPurges) {
     BacklogScenario scenario(900);
     scenario.answer = [&](TestConnection& connection, int after) {
@@ -310,8 +316,8 @@
     EXPECT_EQ(scenario.recorder.events, all);
 }
 
-// While the board holds a poll, the client must not wake the loop in each iteration: the idle program would
-// use a whole core. NoticeConnection::end_batch prevents this.
+// While the board holds a poll, the client must not wake the loop in each iteration. Otherwise the idle
+// program would use a whole core. NoticeConnection::end_batch prevents this.
 TEST(LongNoticeAnswer, DoesNotWakeTheLoopWhileThePollIsHeld) {
     log::set_level(log::Level::error);
     EventLoop loop;
--- a/tests/notice_board_stand_in.hpp
+++ b/tests/notice_board_stand_in.hpp
@@ -1,4 +1,4 @@
-// A notice board that records the polls and calls the test to answer them.
+// A notice board that records the polls and calls the test to respond to them.
 #pragma once
 
 #include <functional>
--- a/tests/notice_catch_up_test.cpp
+++ b/tests/notice_catch_up_test.cpp
@@ -15,7 +15,7 @@
 using test_support::SingleProcess;
 
 #if defined(__SANITIZE_ADDRESS__)
-constexpr bool memory_is_returned = false;  // the sanitizer does not return freed memory
+constexpr bool memory_is_returned = false;  // the sanitizer does not return freed memory to the system
 #else
 constexpr bool memory_is_returned = true;
 #endif
@@ -35,8 +35,8 @@
            "\",\"ms\":" + std::to_string(ms) + "}}";
 }
 
-// Requests one object until an attempt carries the age limit that a purge causes. Every request must be
-// answered.
+// Requests one object until an attempt carries the age limit that a purge causes. Every request must get a
+// response.
 struct Prober {
     SingleProcess& solo;
     std::shared_ptr<test_support::FastCgiClient> client = solo.connect_client();
@@ -59,9 +59,9 @@
     }
 };
 
-// An answer with 200,000 missed purges (12 MB) must neither stop the gateway from serving requests nor be
-// held whole in memory. The purges of the first half must be in force before the second half arrives, and
-// those of the second half after it.
+// A response with 200,000 missed purges (12 MB) must neither stop the gateway from serving requests nor be
+// held whole in memory. The purges of the first half must take effect before the second half arrives, and the
+// purges of the second half must take effect once the second half has arrived.
 TEST(NoticeCatchUp, ServesRequestsInTheMiddleOfAnAnswerInBoundedMemory) {
     SingleProcess solo(with_immediate_answers(process_options(2)));
     NoticeBoardStandIn board(solo.loop);
--- a/tests/notice_client_test.cpp
+++ b/tests/notice_client_test.cpp
@@ -1,5 +1,5 @@
-// NoticeClient with polls that break off, bring no events or events that it already has, or are answered
-// after the board's address has changed.
+// Tests NoticeClient with responses that break off, that bring no events or only events that the client
+// already has, or that arrive after the board's address has changed.
 #include "net/notice_client.hpp"
 #include "base/log.hpp"
 #include "notice_board_stand_in.hpp"
@@ -21,9 +21,10 @@
     return "{\"rev\":" + std::to_string(rev) + ",\"flush\":{\"asset\":\"" + object + "\",\"ms\":1}}";
 }
 
-// No event may be lost by an answer that breaks off, by one with an unreadable event, or by a change of the
-// board's address. The client polls again at once after each, requests the unreadable event once more before
-// it skips it, and continues from its last revision at the new address.
+// The client must lose no event if a response breaks off, if a response contains an unreadable event, or if
+// the board's address changes. In each of these cases the client must poll again at once. It must request the
+// unreadable event once more before it skips the event, and at the new address it must continue from its last
+// revision.
 TEST(NoticeClient, LosesNoEventByABreakAnUnreadableEventOrAnAddressChange) {
     log::set_level(log::Level::error);
     EventLoop loop;
@@ -68,7 +69,7 @@
         for (const auto& connection : b->connections) connection->close();
 }
 
-// A client that polls one board until the board's on_poll() stops the loop, and at the latest after 5 s.
+// Runs a client that polls one board until the board's on_poll() stops the loop, or for at most 5 s.
 struct PollScenario {
     static constexpr Duration retry_delay = Duration::micros(100'000);
     EventLoop loop;
@@ -87,8 +88,9 @@
     }
 };
 
-// A board whose revisions have gone back answers each poll at once with events that the client already has.
-// The client must wait for the retry delay between such polls; NoticeClient::on_poll_response enforces this.
+// A board whose revisions have gone back responds to each poll at once with events that the client already
+// has. The client must wait for the retry delay between such polls; NoticeClient::on_poll_response enforces
+// this.
 TEST(NoticeClient, WaitsBetweenPollsOfABoardWhoseRevisionsWentBack) {
     PollScenario scenario;
     NoticeBoardStandIn& board = scenario.board;
@@ -107,8 +109,8 @@
     EXPECT_EQ(board.polled_from, (std::vector<std::string>{"0", "7", "7", "7", "7", "8"}));
 }
 
-// A first poll that the board never answers must end when its time is over, and the next poll must bring the
-// events.
+// If the board never responds to the first poll, this poll must end after its time limit, and the next poll
+// must bring the events.
 TEST(NoticeClient, EndsAPollThatIsNeverAnswered) {
     PollScenario scenario;
     NoticeBoardStandIn& board = scenario.board;
@@ -117,19 +119,20 @@
         if (board.polled_from.size() == 3) return scenario.loop.stop();
         board.respond(connection, "{\"rev\":1,\"notices\":[" + purge_event(1, "a1") + "]}");
     };
-    EXPECT_LT(scenario.run(), Duration::seconds(2));  // the poll's linger and the retry delay
+    // The poll's linger and the retry delay together are shorter than 2 s.
+    EXPECT_LT(scenario.run(), Duration::seconds(2));
     EXPECT_EQ(scenario.recorder.purged, std::vector<std::string>{"a1"});
 }
 
-// An answer of the old board must not take effect if it is received in the iteration in which the client's
-// board address changes.
+// If a response of the old board arrives in the same iteration of the loop in which the client's board
+// address changes, the response must not take effect.
 TEST(NoticeClient, IgnoresTheOldBoardAfterAnAddressChange) {
     PollScenario scenario;
     NoticeBoardStandIn& old_board = scenario.board;
     NoticeBoardStandIn new_board(scenario.loop);
     old_board.on_poll = [&](TestConnection& connection) {
         old_board.respond(connection, "{\"rev\":1,\"notices\":[" + purge_event(1, "a1") + "]}");
-        // The answer is in transit when the client's board address changes.
+        // The response is in transit when the client's board address changes.
         scenario.loop.run_next_iteration([&] { scenario.client.set_address(new_board.listener.address()); });
     };
     new_board.on_poll = [&](TestConnection& connection) {
--- a/tests/notices_test.cpp
+++ b/tests/notices_test.cpp
@@ -1,5 +1,6 @@
-// NoticeReader and http::BodyReader: splitting an answer of the notice board must not change its events or
-// their order, memory must stay bounded, and the events before unreadable data must be delivered.
+// Tests NoticeReader and http::BodyReader. The pieces in which a response of the notice board arrives must
+// not change its events or their order. Memory must stay bounded, and the events before unreadable data must
+// be delivered.
 #include "codec/notice_reader.hpp"
 
 #include <gtest/gtest.h>
@@ -43,8 +44,8 @@
     std::int64_t revision = 0;
 };
 
-// A random answer: its revision stands before or after the list of events, it is indented or not, and it has
-// fields that the reader does not know.
+// Makes a random response. The revision of the response stands before or after the list of events, the list
+// is indented or not, and the response has fields that the reader does not use.
 Answer random_answer(Random& random, std::int64_t events, bool revision_first) {
     Answer answer;
     answer.revision = events;
@@ -106,7 +107,7 @@
     }
 }
 
-// The boundaries between received pieces must not change the events or their order. Feeds random answers
+// The boundaries between received pieces must not change the events or their order. Feeds random responses
 // whole, byte by byte and in pieces of random sizes.
 TEST(NoticeReader, ReadsTheSameEventsFromPiecesOfAnySize) {
     for (unsigned seed = 1; seed <= 60; ++seed) {
@@ -121,8 +122,8 @@
     }
 }
 
-// HTTP chunks may end anywhere, also within strings and escapes, and must not change the events. Feeds random
-// answers in random chunks, in pieces of random sizes.
+// HTTP chunks may end anywhere, also within strings and escapes, and must not change the events. Feeds
+// responses that are split into random chunks and arrive in pieces of random sizes.
 TEST(NoticeReader, ReadsTheSameEventsFromChunksOfAnySize) {
     for (unsigned seed = 1; seed <= 60; ++seed) {
         Random random(seed);
@@ -168,7 +169,7 @@
 TEST(HttpBodyReader, EndsALongBodyAtItsContentLength) {
     http::Head head;
     head.has_content_length = true;
-    head.length = (std::size_t{1} << 21) + 1;  // more than is ever held whole
+    head.length = (std::size_t{1} << 21) + 1;  // longer than any body held whole
     http::BodyReader body(head);
     const std::string some(100'000, 'b');
     std::size_t seen = 0, used = 0;
@@ -183,7 +184,8 @@
     EXPECT_EQ(seen, head.length);
 }
 
-// An unreadable event must not hide the other events of its answer: it is reported with an error of its own.
+// A response may contain an event that can't be read. The reader must report an error for this event only,
+// and must deliver all other events of the response.
 TEST(NoticeReader, ReportsAnUnreadableEventAndReadsTheOthers) {
     const Result read = read_whole(
         R"({"rev":5,"notices":[{"rev":1,"flush":{}},{"rev":2,"flush":},7,{"rev":"x"},{"rev":5,"flush":{}}]})");
@@ -198,7 +200,8 @@
     EXPECT_EQ(read.notices[4].revision, 5);
 }
 
-// The two whole events of an answer that breaks off in its third event must be delivered.
+// A response breaks off in the middle of its third event. The reader must deliver the two events before the
+// break.
 TEST(NoticeReader, DeliversTheEventsBeforeATruncation) {
     const std::string body = R"({"rev":3,"notices":[{"rev":1},{"rev":2},{"re)";
     const Result read = read_whole(body);
@@ -207,8 +210,8 @@
     EXPECT_EQ(read.error, std::nullopt);
 }
 
-// Bytes that are no answer, or only the beginning of one, must never be reported as a complete answer. The
-// reader reports an error or waits for more data.
+// Bytes that are not a response, or only the beginning of a response, must never be reported as a complete
+// response. The reader must report an error or wait for more data.
 TEST(NoticeReader, NeverCompletesAMalformedAnswer) {
     for (const char* body : {"[]", "7", "{\"rev\":1,}", "{7:1}", "{\"rev\":1,\"notices\":{}}",
                              "{\"rev\":1} x", "{\"rev\":\"1\",\"notices\":[]}", "{\"notices\":[] 7}"}) {
@@ -223,8 +226,8 @@
               ResponseError::notices_not_a_list);
 }
 
-// Events without a revision get the revision of the answer, whether it stands before or after them, and must
-// stay in order.
+// Events without a revision of their own must get the revision of the response, whether the response names
+// its revision before or after the events. All events must stay in order.
 TEST(NoticeReader, GivesUnnumberedEventsTheAnswersRevision) {
     for (const char* body : {R"({"rev":9,"notices":[{"a":1},{"rev":8},{"a":2}]})",
                              R"({"notices":[{"a":1},{"rev":8},{"a":2}],"rev":9})"}) {
@@ -238,8 +241,8 @@
     }
 }
 
-// Events without a revision are held until the revision of the answer arrives. If it never does, the reader
-// must report an error before it holds more than max_waiting_bytes.
+// The reader holds events without a revision until the revision of the response arrives. If this revision
+// never arrives, the reader must report an error before it holds more than max_waiting_bytes.
 TEST(NoticeReader, BoundsTheMemoryOfEventsWithoutARevision) {
     NoticeReader reader;
     reader.feed("{\"notices\":[");
@@ -270,7 +273,8 @@
     }
 }
 
-// Corrupted bytes must not hang the reader, and the events before the first of them must be delivered.
+// Corrupted bytes must not make the reader hang, and the events before the first corrupted byte must be
+// delivered.
 TEST(NoticeReader, DeliversTheEventsBeforeCorruptedBytes) {
     for (unsigned seed = 1; seed <= 400; ++seed) {
         Random random(seed);
--- a/tests/random_gateway_scenario.hpp
+++ b/tests/random_gateway_scenario.hpp
@@ -44,8 +44,9 @@
     return settings;
 }
 
-// Widens the ranges of what rule 4 depends on: shares, sizes and weights by a factor of ten, windows and
-// deadlines. The sizes and deadlines are drawn for each request, in RandomScenario::step.
+// Draws the values on which rule 4 depends from wider ranges than random_deployment(): shares, sizes and
+// weights vary by a factor of ten, and windows and deadlines vary too. RandomScenario::step draws the sizes
+// and deadlines for each request.
 inline Deployment wide_random_deployment() {
     Deployment settings = random_deployment();
     settings.gateways_in_location = random_int(1, 8);
@@ -65,7 +66,7 @@
     return all;
 }
 
-// Plays random events on one router, starting with a new router.
+// Plays random events on one router, which is new when the scenario starts.
 class RandomScenario {
 public:
     RandomScenario(const Deployment& settings, std::uint64_t seed)
@@ -111,10 +112,10 @@
 private:
     RouterHarness harness_;
     int requests_made_ = 0, replacements_ = 0;
-    bool cache_is_failing_ = random_bool();  // attempts at e1 end in one of five draws, hence late
-    std::vector<EndpointUpdate> endpoints_;  // true state of the endpoints, whether or not it is listed yet
+    bool cache_is_failing_ = random_bool();  // only one draw in five ends an attempt at e1, so most end late
+    std::vector<EndpointUpdate> endpoints_;  // true state; the endpoint list may name it later
     bool wide_ = false;
-    std::multimap<TimePoint, EndpointUpdate> late_updates_;  // updates by the time at which they are listed
+    std::multimap<TimePoint, EndpointUpdate> late_updates_;  // updates by the time when the router gets them
     std::map<CacheId, TimePoint> down_until_;
     std::map<CacheId, TimePoint> refused_while_idle_;
 
@@ -129,15 +130,17 @@
             random_int(0, 4) > 0)
             return;
         const Outcome outcome = random_bool() ? Outcome::completed : static_cast<Outcome>(random_int(0, 8));
-        // Only a finished request can be superseded; deadlines end attempts in advance().
+        // Only an attempt of a finished request can end as superseded. The end of attempts at their deadlines
+        // is played in advance().
         if (outcome == Outcome::superseded || outcome == Outcome::deadline_exceeded) return;
         const CacheStatus cache_status = static_cast<CacheStatus>(random_int(0, 10));
         if (wide_) return end_attempt_by_endpoint_state(position, outcome, cache_status);
         harness_.end_attempt(position, outcome, cache_status);
     }
 
-    // An endpoint that is down refuses connections. A cache that refused one with nothing else in flight
-    // warms up from its first response on, even if the list reports no start.
+    // An endpoint that is down refuses connections. A cache that refused a connection while none of its other
+    // attempts was in flight warms up from its first response on, even if the endpoint list names no new
+    // start.
     void end_attempt_by_endpoint_state(std::size_t position, Outcome outcome, CacheStatus cache_status) {
         const CacheId cache = harness_.callbacks.attempts[position].plan.cache;
         if (const auto down = down_until_.find(cache);
@@ -203,8 +206,8 @@
         harness_.update_endpoints({endpoint});
     }
 
-    // Restarts one endpoint or all caches of the location, possibly during a warm-up. The start is listed at
-    // once, late, twice, with two different start times, or never.
+    // Restarts one endpoint or all caches of the location, possibly during a warm-up. The endpoint list names
+    // the start at once, late, twice, with two different start times, or never.
     void change_starts() {
         const int choice = random_int(0, 9);
         const std::size_t first = choice <= 1 ? 0 : static_cast<std::size_t>(random_int(0, 4));
@@ -216,7 +219,7 @@
                 update(endpoint);
                 continue;
             }
-            if (choice == 3) {  // leaves the list and returns unchanged
+            if (choice == 3) {  // the endpoint leaves the list and returns unchanged
                 EndpointUpdate departure = endpoint;
                 departure.status = random_bool() ? EndpointStatus::draining : EndpointStatus::removed;
                 update(departure);
@@ -226,7 +229,7 @@
             endpoint.started_at =
                 harness_.now + Duration::seconds(random_bool() ? 0 : random_int(0, 20) / 10.0);
             down_until_[endpoint.cache] = endpoint.started_at;
-            if (choice == 4) continue;  // the start is never listed
+            if (choice == 4) continue;  // the list never names the start
             const TimePoint listed_at =
                 endpoint.started_at + Duration::seconds(random_bool() ? 0 : random_int(0, 80) / 10.0);
             late_updates_.emplace(listed_at, endpoint);
--- a/tests/random_seed_sweep.cpp
+++ b/tests/random_seed_sweep.cpp
@@ -4,7 +4,7 @@
 //   irismux_seed_sweep FIRST LAST [narrow|wide] [RUNS] [SECONDS]     (1 200 wide 150 600)
 //
 // The values in parentheses are the defaults; SECONDS limits the whole run. The exit code is 1 if a seed
-// fails and 2 if none was tried. To shrink a failing seed, run the command that the output gives:
+// fails and 2 if no seed was tried. To shrink a failing seed, run the command that the output gives:
 //   RC_PARAMS="seed=N max_success=150" irismux_tests --gtest_filter=...
 #include <chrono>
 #include <cstdio>
--- a/tests/router_congestion_test.cpp
+++ b/tests/router_congestion_test.cpp
@@ -1,4 +1,5 @@
-// Routing under overload: congested fills, overloaded caches, and a reduced share of fetches from the origin.
+// Tests routing under overload: congested fills, overloaded caches, and a reduced share of fetches from the
+// origin.
 #include "router_fixture.hpp"
 
 namespace irismux::testing {
@@ -6,13 +7,14 @@
 
 class RouterCongestionTest : public RouterTest {};
 
-// Guards against large requests that add fills to congested links. Attempts exceed their latency objective at
-// caches that respond. A large request then asks for a cached copy first; a known miss goes to the origin
-// within the origin's budget, or is rejected.
+// While fills are congested, a large request that starts one more fill would slow down the fills in progress.
+// In the test, attempts exceed their latency objective at caches that respond, so fills are congested. A
+// large request must then ask for a cached copy first. If the cache has no copy, the object must be fetched
+// from the origin within the origin's budget, or the request must be rejected.
 TEST_F(RouterCongestionTest, CongestedFillsMakeLargeRequestsTryCachedCopiesFirst) {
     for (int index = 0; index < 8; ++index) harness.request(new_request("o" + std::to_string(index)));
     harness.advance(second);
-    // All caches respond, so the late attempts count as congestion and no cache as unresponsive.
+    // All caches respond, so the late attempts count as congestion, and no cache counts as unresponsive.
     for (std::size_t index = 0; index < 3; ++index)
         harness.end_attempt(index, Outcome::completed, CacheStatus::hit);
     harness.advance(second * 0.1);
@@ -22,8 +24,8 @@
     ASSERT_TRUE(attempt);
     EXPECT_EQ(attempt->plan.source, attempt->plan.cache);
     harness.end_attempt(harness.callbacks.attempts.size() - 1, Outcome::cache_miss);
-    // Objects known to be missing bypass the parents: they are fetched from the origin within its budget, or
-    // the request is rejected at once.
+    // Requests whose cache has reported a miss bypass the parents: the object is fetched from the origin
+    // within the origin's budget, or the request is rejected at once.
     int at_origin = 0;
     for (int index = 0; index < 40 && harness.callbacks.rejected.empty(); ++index) {
         at_origin += harness.callbacks.attempts.back().plan.source == CacheId{"o"};
@@ -37,7 +39,8 @@
     EXPECT_FALSE(harness.callbacks.rejected.empty());
 }
 
-// Guards against continued load on a failing origin: most later requests allow cached copies only.
+// A gateway that went on fetching from a failing origin would keep the origin overloaded. In the test, 30
+// fetches fail at the origin. More than half of the next 100 requests must allow cached copies only.
 TEST_F(RouterCongestionTest, AFailingOriginGetsFewerFetches) {
     for (int n = 0; n < 30; ++n)
         request_and_end("o" + std::to_string(n), Outcome::overloaded, CacheStatus::origin_failed);
@@ -51,8 +54,9 @@
     EXPECT_GT(cached_only, 50);
 }
 
-// Guards against rejecting small requests together with large ones. Large requests stay in flight until all
-// caches are overloaded; then large requests are rejected, while a small one is still served.
+// A gateway that rejected small and large requests alike when all caches are overloaded would lose many small
+// requests for little link time. The test starts large requests, which all stay in flight, until the router
+// rejects one because all caches are overloaded. A small request must still be served.
 TEST_F(RouterCongestionTest, WhenAllCachesAreOverloadedLargeRequestsAreRejectedFirst) {
     int n = 0;
     for (; n < 500; ++n) {
@@ -66,9 +70,11 @@
     EXPECT_TRUE(harness.request(small));
 }
 
-// Guards against shedding objects of unknown size regardless of their transfer time. A small and a large
-// object have been served once each; when all caches are overloaded, only the request for the large one is
-// rejected.
+// Some requests do not name the size of their object. If all caches are overloaded, a gateway without another
+// estimate would reject these requests regardless of their transfer times. In the test, the router first
+// serves a small and a large object once each, and learns their transfer times. When all caches are
+// overloaded, the router must reject the request for the large object and serve the request for the small
+// object.
 TEST_F(RouterCongestionTest, TransferTimesOfObjectsWithoutASizeAreLearned) {
     for (const auto& [name, took] : {std::pair{"small", 0.02}, std::pair{"large", 2.0}}) {
         Request request = new_request(name);
@@ -89,8 +95,10 @@
     EXPECT_TRUE(harness.request(small));
 }
 
-// Guards against adding fills to congested links: a request does not spill from its loaded first cache to
-// another cache, which has no copy.
+// A request that spills from its loaded first cache to another cache finds no copy there and needs a fill.
+// While fills are congested, such a request would add to the congestion. In the test, fills are congested and
+// cache e1 is loaded, but the other caches have spare capacity. A request whose first cache is e1 must stay
+// at e1.
 TEST_F(RouterCongestionTest, ARequestStaysWithItsCacheWhileFillsAreCongested) {
     const std::string name = object_of_cache("e1");
     for (int n = 0; n < 30; ++n) harness.request(new_request(name));
@@ -108,8 +116,9 @@
     EXPECT_EQ(attempt->plan.cache, CacheId{"e1"});
 }
 
-// Guards against filling only from slow parents, and against moving all fills to the origin. While the fills
-// of the parents are late, the origin serves a part of the requests, but not all.
+// While fills through the parents are late, a gateway that filled from the parents only would stay slow, and
+// a gateway that moved all fills to the origin would overload the origin. In the test, a fill takes 1.5 s
+// through a parent and 0.1 s from the origin. The origin must serve a part of the requests, but not all.
 TEST_F(RouterCongestionTest, LateFillsReduceAParentsShareAndTheOriginTakesTheRest) {
     int at_origin = 0;
     for (int n = 0; n < 200; ++n) {
@@ -127,8 +136,9 @@
     EXPECT_LT(at_origin, 180);
 }
 
-// Guards against attributing the origin's delay to the parents: fills through parents are late because the
-// origin is slow, and the parents keep their share.
+// A slow origin also delays the fills through the parents. A gateway that attributed this delay to the
+// parents would reduce their share without need. In the test, each fill through a parent takes 0.8 s because
+// the parent waits for the origin. All requests must still be filled through the parents.
 TEST_F(RouterCongestionTest, ASlowOriginBehindAParentDoesNotReduceTheParentsShare) {
     for (int n = 0; n < 40; ++n) {
         const std::string name = "o" + std::to_string(n);
@@ -141,8 +151,10 @@
     }
 }
 
-// Guards against a reduced share of an origin that never recovers because no fetch succeeds meanwhile. Half a
-// minute after the failures, without a fetch in between, requests may fetch from the origin as before.
+// A gateway sends fewer fetches to an origin that fails. If only a successful fetch could restore the
+// origin's share, the share could stay reduced for ever, because there may be no fetch. In the test, fetches
+// fail, and then half a minute passes without a fetch. Requests must be allowed to fetch from the origin
+// again as before the failures.
 TEST_F(RouterCongestionTest, AReducedShareOfTheOriginRecoversWithoutFetches) {
     for (int n = 0; n < 30; ++n, harness.advance(second * 0.2))
         request_and_end("o" + std::to_string(n), Outcome::overloaded, CacheStatus::origin_failed);
@@ -152,9 +164,11 @@
                          .plan.only_if_cached);
 }
 
-// Guards against ignoring the load that other gateways put on a shared cache. Ten gateways share a cache, and
-// a slow hit there indicates the load of the other nine: large requests go elsewhere, small ones only when
-// the hit is much slower, and all return to the cache after a while.
+// A gateway that counted only its own attempts would overlook the load that other gateways put on a cache,
+// and keep sending large requests to an overloaded cache. In the test, ten gateways share a cache. The router
+// of one gateway gets a slow hit there, from which it must estimate the load by the other nine gateways.
+// Large requests must then go to another cache. Small requests must go to another cache only if the hit took
+// 1.7 s and not if it took 0.7 s. After a minute, requests must go to the first cache again.
 TEST(ManyGateways, LargeRequestsAvoidACacheWithSlowHitsFirst) {
     for (const auto& [took, small_stays] : {std::pair{0.7, true}, std::pair{1.7, false}}) {
         Deployment settings = deployment();
--- a/tests/router_fixture.hpp
+++ b/tests/router_fixture.hpp
@@ -16,7 +16,7 @@
         return request_for("l" + std::to_string(made++), object, harness.now + second * 5, kind);
     }
     // Plays a request whose first attempt ends with `outcome`, after which the client has its final response.
-    // @return the first attempt, or an empty one if the request is rejected
+    // @return the first attempt, or an empty StartedAttempt if the request is rejected
     StartedAttempt request_and_end(const std::string& object, Outcome outcome,
                                    CacheStatus status = CacheStatus::none) {
         const StartedAttempt* started = harness.request(new_request(object));
@@ -26,7 +26,7 @@
         return copy;
     }
     // Plays a request for an object of which no cache has a copy.
-    // @return the attempt that fills, or an empty one if the request is rejected
+    // @return the attempt that fills, or an empty StartedAttempt if the request is rejected
     StartedAttempt request_fill(const std::string& object, CacheStatus status = CacheStatus::filled) {
         std::vector<StartedAttempt>& attempts = harness.callbacks.attempts;
         if (!harness.request(new_request(object))) return {};
--- a/tests/router_health_test.cpp
+++ b/tests/router_health_test.cpp
@@ -1,4 +1,5 @@
-// Failing endpoints: which endpoints are ejected, and how the router handles the requests there.
+// Tests routing with failing endpoints: which endpoints the router ejects, and how it handles the requests at
+// these endpoints.
 #include "router_fixture.hpp"
 
 namespace irismux::testing {
@@ -6,8 +7,9 @@
 
 class RouterHealthTest : public RouterTest {};
 
-// Guards against sending more than a single request to a cache that still refuses connections when its
-// backoff ends. One request is the recovery probe; if it is refused too, the next backoff is twice as long.
+// A cache may still refuse connections when the backoff of its ejection ends. A gateway that then sent all
+// requests of this cache there would have each of them refused. The test expects that only one request goes
+// to the cache, as the recovery probe. If the probe is refused too, the next backoff must be twice as long.
 TEST_F(RouterHealthTest, ARefusedConnectionEjectsAndTheBackoffDoublesWithOneRecoveryProbe) {
     const std::string name = object_of_cache("e1");
     request_and_end(name, Outcome::connection_refused);
@@ -17,7 +19,8 @@
     ASSERT_TRUE(probe);
     EXPECT_EQ(probe->plan.cache, CacheId{"e1"});
     const std::size_t position = harness.callbacks.attempts.size() - 1;
-    EXPECT_NE(harness.request(new_request(name))->plan.cache, CacheId{"e1"}) << "a second recovery probe";
+    EXPECT_NE(harness.request(new_request(name))->plan.cache, CacheId{"e1"})
+        << "a second request goes to the cache during the recovery probe";
     harness.end_attempt(position, Outcome::connection_refused);
     harness.advance(second * 2.1);
     EXPECT_NE(harness.request(new_request(name))->plan.cache, CacheId{"e1"}) << "the backoff has not doubled";
@@ -25,10 +28,11 @@
     EXPECT_EQ(harness.request(new_request(name))->plan.cache, CacheId{"e1"});
 }
 
-// Guards against a cache that stays ejected because another gateway, which checks it on behalf of all, keeps
-// postponing its probe. That gateway's probe time brings the probe forward, or postpones it by the longest
-// backoff at most, however often it is passed. It has no effect on a cache that is not ejected. Ejection and
-// readmission are reported once each.
+// One gateway checks an ejected cache on behalf of all gateways, and passes the time of the next probe to the
+// other gateways. If that gateway postponed the probe again and again, the cache would stay ejected for ever.
+// A passed probe time may bring the probe of this gateway forward, or postpone the probe by the longest
+// backoff at most, however often a time is passed. A probe time must have no effect on a cache that is not
+// ejected. The router must report the ejection and the readmission once each.
 TEST_F(RouterHealthTest, AnotherGatewayPostponesTheRecoveryProbeWithinABound) {
     const std::string name = object_of_cache("e1");
     const auto probes = [&] { return harness.request(new_request(name))->plan.cache == CacheId{"e1"}; };
@@ -53,8 +57,9 @@
     EXPECT_EQ(harness.callbacks.ejection_changes.size(), 2u);
 }
 
-// Guards against keeping an unreachable parent in use because it is the last one. Caches report that they
-// have no connection to either parent; both parents are ejected and the origin serves the fills.
+// A gateway that never ejected the last parent would go on filling from a parent that no cache can reach. In
+// the test, caches report that they have no connection to either parent. The router must eject both parents
+// and fill from the origin.
 TEST_F(RouterHealthTest, AnUnreachableParentIsEjectedEvenIfAllOthersAre) {
     for (const char* parent : {"p1", "p2"}) {
         const std::string name = object_of_parent(parent);
@@ -63,8 +68,9 @@
     EXPECT_EQ(request_fill("x", CacheStatus::via_origin).plan.source, CacheId{"o"});
 }
 
-// Guards against ejecting the parents for a slow origin: the fills through all parents time out, and no
-// parent is ejected.
+// A slow origin makes the fills at all parents time out. A gateway that ejected the parents for this would
+// lose them without need. In the test, the fills through all parents time out. The router must eject no
+// parent, so the next fill must go through a parent.
 TEST_F(RouterHealthTest, FillsThatTimeOutAtEveryParentEjectNone) {
     for (int n = 0; n < 30; ++n) {
         const StartedAttempt* attempt = harness.request(new_request("o" + std::to_string(n)));
@@ -77,16 +83,18 @@
     EXPECT_TRUE(source == CacheId{"p1"} || source == CacheId{"p2"});
 }
 
-// Guards against preferring a cache that fails at once, and so looks fast: it is ejected if its peers don't
-// fail.
+// A cache that fails each attempt at once looks fast, so a gateway that looked at response times alone would
+// prefer this cache. In the test, three attempts at e2 fail at once, and no attempt at the peers of e2 fails.
+// The router must eject e2.
 TEST_F(RouterHealthTest, FastErrorsEjectTheCacheThatStandsOut) {
     const std::string name = object_of_cache("e2");
     for (int n = 0; n < 3; ++n) request_and_end(name, Outcome::errored);
     EXPECT_NE(request_and_end(name, Outcome::completed, CacheStatus::hit).plan.cache, CacheId{"e2"});
 }
 
-// Guards against keeping a slow cache in use because late hits are no errors: a cache that serves its own
-// copies late is ejected if its peers don't.
+// A cache may become slow without ever failing. A gateway that counted only failures would keep this cache in
+// use. In the test, e2 serves three hits from its own copies, each after the latency limit, and the peers of
+// e2 serve no hit late. The router must eject e2.
 TEST_F(RouterHealthTest, LateHitsEjectTheCacheThatStandsOut) {
     const std::string name = object_of_cache("e2");
     for (int n = 0; n < 3; ++n) {
@@ -98,8 +106,9 @@
     EXPECT_NE(request_and_end(name, Outcome::completed, CacheStatus::hit).plan.cache, CacheId{"e2"});
 }
 
-// Guards against ejecting caches for a fault of the network: it breaks every fourth transfer of all caches,
-// and all caches stay in use.
+// A fault of the network breaks transfers at all caches. A gateway that ejected caches for such a fault would
+// lose them without need. In the test, every fourth transfer breaks, regardless of its cache. All caches must
+// stay in use.
 TEST_F(RouterHealthTest, BrokenTransfersAtAllCachesEjectNone) {
     std::map<CacheId, int> attempts_at;
     for (int n = 0; n < 200; ++n, harness.advance(second * 0.1))
@@ -110,9 +119,10 @@
     for (const char* cache : {"e1", "e2", "e3"}) EXPECT_GT(attempts_at[CacheId{cache}], 30) << cache;
 }
 
-// Guards against missing a copy that exists, and against repeating at one cache only. After a broken
-// connection the second attempt goes to the same cache, which has the object, unless it is ejected; the third
-// goes to another cache.
+// After a broken transfer, a gateway that always chose another cache would give up the copy that the first
+// cache has, and a gateway that always chose the same cache might never get the object. In the test, the
+// connection breaks during the first two attempts of a request. The second attempt must go to the same cache
+// as the first, since this cache is not ejected. The third attempt must go to another cache.
 TEST_F(RouterHealthTest, ABrokenTransferIsRetriedOnceAtTheSameCache) {
     const CacheId home = harness.request(new_request("x"))->plan.cache;
     harness.end_attempt(harness.callbacks.attempts.size() - 1, Outcome::connection_reset);
@@ -121,8 +131,9 @@
     EXPECT_NE(harness.callbacks.attempts.back().plan.cache, home);
 }
 
-// Guards against waiting for a hung cache until the deadline. A cache has responded every 20 ms and then
-// stops while a peer responds; it is ejected and its attempts are cancelled.
+// Without the detection of hung caches, requests would wait for a hung cache until their deadlines. In the
+// test, a cache responds every 20 ms and then stops responding, while a peer goes on responding. The router
+// must eject the cache and cancel the attempts there.
 TEST_F(RouterHealthTest, AnUnresponsiveCacheIsEjectedAndItsAttemptsAreCancelled) {
     const std::string object_at_e1 = object_of_cache("e1"), object_at_e2 = object_of_cache("e2");
     for (int n = 0; n < 60; ++n) {
@@ -139,8 +150,9 @@
     EXPECT_NE(request_and_end(object_at_e1, Outcome::completed, CacheStatus::hit).plan.cache, CacheId{"e1"});
 }
 
-// Guards against taking rejections as a sign of health. A hung cache still rejects attempts as overloaded
-// while a peer responds; it is ejected as unresponsive.
+// A hung cache may still reject attempts as overloaded. A gateway that took these rejections for a sign of
+// health would keep the cache in use. In the test, a cache responds every 20 ms and then only rejects
+// attempts, while a peer goes on responding. The router must eject the cache as unresponsive.
 TEST_F(RouterHealthTest, ACacheThatOnlyRejectsIsUnresponsive) {
     const std::string object_at_e1 = object_of_cache("e1"), object_at_e2 = object_of_cache("e2");
     for (int n = 0; n < 60; ++n) {
@@ -157,10 +169,11 @@
     EXPECT_NE(request_and_end(object_at_e1, Outcome::completed, CacheStatus::hit).plan.cache, CacheId{"e1"});
 }
 
-// Guards against taking lost attempts for congestion, and against waiting for them until the deadline. A
-// cache never responds to every fourth attempt and responds to the others at once. Its late attempts don't
-// count as congestion; its next request begins with a cache-only attempt with a short timeout, which is
-// repeated at this cache if it is lost.
+// A cache that loses some attempts is not congested, and a gateway that waited for a lost attempt until the
+// deadline would lose the request. In the test, every fourth attempt at e1 gets no response, and each other
+// attempt there gets a response at once. The late attempts at e1 must not count as congestion. The next
+// request for an object of e1 must begin with a cache-only attempt that has a short timeout. If this attempt
+// is lost, the next attempt must go to e1 too.
 TEST_F(RouterHealthTest, ACacheThatLosesAttemptsGetsACacheOnlyAttemptFirst) {
     const std::string object_at_e1 = object_of_cache("e1"), object_at_e2 = object_of_cache("e2");
     std::vector<std::pair<TimePoint, std::size_t>> lost;
--- a/tests/router_slow_start_test.cpp
+++ b/tests/router_slow_start_test.cpp
@@ -1,4 +1,5 @@
-// Rule 4 through the whole router: the budgets of endpoints that are warming up and of the origin.
+// Tests rule 4 (an endpoint that is warming up is not overloaded) with a whole router: the budgets of
+// endpoints that are warming up, and the budget of the origin.
 #include "router_fixture.hpp"
 
 namespace irismux::testing {
@@ -6,9 +7,9 @@
 
 class RouterSlowStartTest : public RouterTest {};
 
-// Guards against overloading a restarted cache before its start is listed. A cache refuses a connection with
-// nothing in flight; when it responds again, it gets few requests at first, although the endpoint list has
-// reported no start.
+// A gateway that waited until the endpoint list names a restarted cache's new process would overload this
+// process until then. In the test, a cache refuses a connection while none of its attempts is in flight, and
+// later responds again. The endpoint list names no new start. The cache must get few requests at first.
 TEST_F(RouterSlowStartTest, ARestartedCacheWarmsUpBeforeItsStartIsListed) {
     const std::string name = object_of_cache("e1");
     request_and_end(name, Outcome::connection_refused);
@@ -21,8 +22,9 @@
     EXPECT_LT(at_endpoint, 20);
 }
 
-// Guards against overloading a parent that has just started, and against not using it at all: of many fills
-// it gets some, within its budget.
+// A gateway without a budget would overload a parent that has just started, and a gateway that avoided the
+// parent would leave its capacity unused. The test plays 400 fills after the start of p1. The parent must get
+// at least one fill, and fewer than 30.
 TEST_F(RouterSlowStartTest, AWarmingParentGetsOnlyItsBudget) {
     EndpointUpdate parent = endpoint_update("p1", parent_machine, 30);
     parent.started_at = harness.now;
@@ -36,8 +38,10 @@
     EXPECT_LT(at_endpoint, 30);
 }
 
-// Guards against rejecting hits for lack of the origin's budget. There is no parent, so the origin takes its
-// place. While all requests are hits, none is rejected; when all miss, the budget limits the fills.
+// If there is no parent, caches fill from the origin, and a budget limits these fills. A gateway that charged
+// hits to this budget would reject requests that need no fill. The test removes both parents. While all
+// requests are hits, the router must reject none of them. When all requests miss, the budget must limit the
+// fills.
 TEST_F(RouterSlowStartTest, TheOriginInPlaceOfParentsIsChargedForFillsAlone) {
     for (const char* parent : {"p1", "p2"}) {
         EndpointUpdate update = endpoint_update(parent, parent_machine, 30);
@@ -61,11 +65,12 @@
                 harness.callbacks.attempts.back().plan.source == CacheId{"o"} ? CacheStatus::via_origin
                                                                               : CacheStatus::none);
     }
-    EXPECT_FALSE(harness.callbacks.rejected.empty()) << "fills are not bounded";
+    EXPECT_FALSE(harness.callbacks.rejected.empty()) << "the budget of the origin does not limit the fills";
 }
 
-// Plays a new request whose misses are filled. @return the transfer time of its attempts that use p1, in
-// seconds
+// Plays a new request. Each cache-only attempt of the request misses, and each attempt with a source
+// completes its fill.
+// @return the sum of the transfer times of the attempts that fill from p1, in seconds
 double transfer_time_sent_to_p1(RouterHarness& harness, const Deployment& settings, int number) {
     const std::string id = std::to_string(number);
     const std::size_t first = harness.callbacks.attempts.size();
@@ -80,9 +85,10 @@
     return transfer_seconds;
 }
 
-// Guards against gateways that overload a parent together although each keeps to its budget. 120 gateways get
-// the start of a parent listed at the same time and all have requests for it. Together they stay below its
-// overload multiple, and use at least a quarter of its capacity.
+// Many gateways may overload a parent together although each gateway keeps to its own budget, for example if
+// all of them send at the same moment. In the test, the endpoint lists of 120 gateways name the start of p1
+// at the same time, and all these gateways have requests for p1. The transfers of all gateways to p1 must
+// together stay below the overload multiple of p1, and must use at least a quarter of the capacity of p1.
 TEST(ManyGateways, AHundredGatewaysTogetherDoNotOverloadAWarmingParent) {
     Deployment settings = deployment();
     settings.gateways = 120;
@@ -113,13 +119,13 @@
     double early = 0;
     for (int half_second = 0; half_second < 16; ++half_second)
         early += transfer_seconds[static_cast<std::size_t>(half_second)];
-    EXPECT_GT(early, 0.2 * 30 * 8 * 0.25) << "less than a quarter of its capacity is used";
+    EXPECT_GT(early, 0.2 * 30 * 8 * 0.25) << "the gateways use less than a quarter of the capacity of p1";
 }
 
 class StartListedLate : public RouterTest, public ::testing::WithParamInterface<const char*> {
 protected:
-    // Plays this many requests, `each` apart. @return the attempts that use the endpoint, as cache or as
-    // source
+    // Plays `requests` requests, one after each interval of `each`.
+    // @return the number of attempts that use the tested endpoint as cache or as source
     int attempts_during(int requests, Duration each) {
         const CacheId endpoint{GetParam()};
         int count = 0;
@@ -134,9 +140,10 @@
     }
 };
 
-// Guards against a full budget on top of earlier transfers. A restart is listed a second late, and the
-// gateway has kept sending meanwhile; it sends nothing more until those transfers have left the overload
-// window.
+// The endpoint list may name the start of an endpoint's new process late. A gateway that ignored its earlier
+// transfers to the new process would add a full budget to them and overload the endpoint. In the test, the
+// list names the start a second late, and the gateway has sent attempts to the endpoint during this second.
+// The gateway must send nothing more until the transfers of these attempts have left the overload window.
 TEST_P(StartListedLate, TransfersBeforeTheStartWasListedAreCharged) {
     const bool parent = GetParam()[0] == 'p';
     EndpointUpdate update = endpoint_update(GetParam(), parent ? parent_machine : edge_machine, 6);
@@ -145,7 +152,7 @@
     EXPECT_GT(attempts_during(100, second * 0.01), 15);
     harness.update_endpoints({update});
     EXPECT_EQ(attempts_during(50, second * 0.01), 0)
-        << "the earlier transfers are still in the overload window";
+        << "the endpoint gets attempts while earlier transfers are in the overload window";
     harness.advance(second * 2);
     EXPECT_GT(attempts_during(200, second * 0.01), 0)
         << "the endpoint gets no attempts after the overload window";
@@ -153,8 +160,9 @@
 
 INSTANTIATE_TEST_SUITE_P(AsCacheAndAsSource, StartListedLate, ::testing::Values("e1", "p1"));
 
-// Guards against charging the mean transfer time for large requests. Requests to a warming cache are much
-// larger than the mean of their kind; the budget is charged their own transfer time.
+// A gateway that charged the mean transfer time of the object kind for each request would send too many large
+// requests to a warming cache. In the test, all requests to a warming cache are much larger than the mean of
+// their kind. The budget must be charged the transfer time of each request itself.
 TEST_F(RouterSlowStartTest, AWarmingCacheIsChargedTheRequestsOwnTransferTime) {
     EndpointUpdate update = endpoint_update("e1", edge_machine, 6);
     update.started_at = harness.now;
@@ -172,15 +180,18 @@
         harness.end_attempt(harness.callbacks.attempts.size() - 1, Outcome::cache_miss, CacheStatus::none,
                             true);
     }
-    EXPECT_GT(transfer_seconds, 0) << "the cache gets no requests";
+    EXPECT_GT(transfer_seconds, 0) << "the warming cache gets no requests";
     // The limit is twice the capacity at the end of the two seconds, times two seconds, divided by two
     // gateways, plus one request (4 s of transfer time).
     EXPECT_LE(transfer_seconds, 2 * (0.2 + 0.8 * 2 / 15) * 6 * 2 / 2 + 4);
 }
 
-// Guards against gateways that overload a restarted cache together because its start is listed late. Eight
-// gateways get the start listed at the same time, after each has sent the cache the most; together they soon
-// stay below its overload multiple.
+// If the endpoint lists of several gateways name the start of a restarted cache late, each gateway has sent
+// the new process a full load until then, and together the gateways would overload the cache. In the test,
+// the lists of eight gateways name the start of e1 at the same time, 1.4 s late, and until then each gateway
+// has sent e1 as much as it could. In each step after that, the gateways may send to e1 only if their
+// transfers together stay below the overload multiple of e1. From step 41 on, their transfers must stay below
+// the overload multiple in any case.
 TEST(ManyGateways, GatewaysWithALateListTogetherDoNotOverloadAWarmingCache) {
     Deployment settings = deployment();
     settings.gateways = settings.gateways_in_location = 8;
@@ -219,7 +230,7 @@
     }
     double late = 0;
     for (std::size_t tenth = 50; tenth < 80; ++tenth) late += transfer_seconds[tenth];
-    EXPECT_GT(late, 0.3 * 6 * 3 * 0.25) << "less than a quarter of its capacity is used";
+    EXPECT_GT(late, 0.3 * 6 * 3 * 0.25) << "the gateways use less than a quarter of the capacity of e1";
 }
 
 }  // namespace
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -1,4 +1,4 @@
-// Routing of requests without faults, and the rules on idempotency (rule 2) and purges (rule 5).
+// Tests the routing of requests without faults, and the rules on idempotency (rule 2) and purges (rule 5).
 #include "router_fixture.hpp"
 
 namespace irismux::testing {
@@ -27,8 +27,10 @@
     }
 }
 
-// Guards against running a non-idempotent request twice: after an error the attempt may have run, so the
-// request fails instead of being repeated. After a refused connection it cannot have run and is repeated.
+// A gateway that repeated a non-idempotent request after an attempt that may have run could apply the effect
+// of the request twice. After an error the first attempt may have run, so the request must fail without
+// another attempt. After a refused connection the first attempt cannot have run, so the router must start
+// another attempt.
 TEST_F(RouterTest, ANonIdempotentRequestThatMayHaveRunFailsAtOnce) {
     harness.request(new_request("x", 1));
     harness.end_attempt(harness.callbacks.attempts.size() - 1, Outcome::errored);
@@ -36,7 +38,7 @@
     harness.request(new_request("x", 1));
     harness.end_attempt(harness.callbacks.attempts.size() - 1, Outcome::connection_refused);
     EXPECT_EQ(harness.callbacks.attempts_of[request_id_named("l1")].size(), 2u)
-        << "an attempt that never ran may be followed by another";
+        << "the request is not attempted again although its first attempt never ran";
 }
 
 TEST_F(RouterTest, APurgeLimitsTheAgeOfCopies) {
@@ -59,7 +61,7 @@
     request_and_end("z", Outcome::completed, CacheStatus::filled);
     harness.advance(second * 60);
     EXPECT_EQ(request_and_end("x", Outcome::completed, CacheStatus::hit).plan.storage_rank, 2)
-        << "two generations later";
+        << "the object still counts as repeated after two generations";
 }
 
 TEST_F(RouterTest, ResultsOfUnknownRequestsAreIgnored) {
--- a/tests/router_test_support.hpp
+++ b/tests/router_test_support.hpp
@@ -103,8 +103,8 @@
     std::vector<StartedAttempt> attempts;
     std::map<RequestId, Request> unanswered;                    // requests without a final response
     std::map<RequestId, std::vector<std::size_t>> attempts_of;  // positions in `attempts`
-    std::map<CacheId, TimePoint> not_active_since;              // when draining or removal was listed
-    std::map<CacheId, TimePoint> started_at;                    // start times that the list gave
+    std::map<CacheId, TimePoint> not_active_since;              // time of the update to draining or removed
+    std::map<CacheId, TimePoint> started_at;                    // start times that the updates named
     std::map<CacheId, double> weight;
     std::map<CacheId, CellId> cell;
     // Times and transfer times (in seconds) of the attempts at each endpoint within the overload window.
@@ -189,7 +189,8 @@
             violations.push_back("2: a non-idempotent request is repeated though it may have run");
         for (const std::size_t earlier : before) {
             if (attempts[earlier].in_flight && !settings.capabilities.hedged_requests)
-                violations.push_back("2: two attempts in flight");
+                violations.push_back(
+                    "2: two attempts of a request are in flight although requests are not hedged");
             if (kind.effect == Effect::deduplicated && now > attempts[earlier].started_at + kind.dedup_window)
                 violations.push_back("2: a deduplicated request is repeated after its deduplication window");
             if (kind.effect == Effect::deduplicated && kind.dedup_scope == DedupScope::cell &&
@@ -200,7 +201,7 @@
                 violations.push_back("2: a deduplicated request is repeated outside the location");
         }
         if (static_cast<int>(attempts_of[id].size()) >= settings.capabilities.max_attempts)
-            violations.push_back("too many attempts");
+            violations.push_back("a request has more than Capabilities::max_attempts attempts");
         for (const CacheId& endpoint : {plan.cache, plan.source})
             if (const auto inactive = not_active_since.find(endpoint);
                 inactive != not_active_since.end() && now - inactive->second > settings.drain_grace_period)
@@ -221,10 +222,10 @@
         attempts.push_back({id, AttemptIndex{attempts_of[id].size() - 1}, plan, now});
     }
 
-    // Checks rule 4 with the transfers of this gateway multiplied by the number of gateways that share the
-    // endpoint. The rule applies from the time the start is listed until the slow-start window ends.
-    // Transfers to the new process before its start was listed count; transfers to the previous process
-    // don't.
+    // Checks rule 4. Multiplies the transfers of this gateway by the number of gateways that share the
+    // endpoint. The rule applies from the time at which the endpoint list names the start of the endpoint's
+    // new process until the slow-start window ends. Transfers to the new process count even if they began
+    // before the list named its start. Transfers to the previous process do not count.
     void check_slow_start(const CacheId& cache, const Request& request) {
         const double transfer_seconds = request.size_kb / settings.transfer_rate_kb_per_s;
         auto& recent = recent_transfers[cache];
@@ -246,7 +247,8 @@
                                    std::max(0.0, (now - listed_start->second) / slow_start.window);
         const double window = settings.overload_window.seconds();
         const int gateways = parent ? settings.gateways : settings.gateways_in_location;
-        // The budget is spent in whole requests: this request and the largest earlier one are the tolerance.
+        // A budget is spent in whole requests, so the transfer times of this request and of the largest
+        // earlier request are allowed in addition.
         if (sum * gateways > slow_start.overload_multiple * present * weight[cache] * window +
                                  (transfer_seconds + largest) * gateways)
             violations.push_back("4: an endpoint that is warming up is overloaded: " + cache.raw());
@@ -303,7 +305,7 @@
         return callbacks.attempts.size() > before ? &callbacks.attempts.back() : nullptr;
     }
     // Reports the end of an attempt to the router.
-    // @param finished the client has received its final response
+    // @param finished whether the client has received its final response
     void end_attempt(std::size_t position, Outcome outcome, CacheStatus cache_status = CacheStatus::none,
                      bool finished = false) {
         sync_time();
--- a/tests/routing/adaptive_limit_test.cpp
+++ b/tests/routing/adaptive_limit_test.cpp
@@ -25,8 +25,9 @@
     EXPECT_EQ(limit.share(start + second * 60), 1);
 }
 
-// Guards against a limit that many bad results of one moment reduce more than once: ten bad results at the
-// same time reduce the share as much as one.
+// A limit that fell with each bad result would reduce the share of a busy gateway far more than the share of
+// an idle gateway. The test records ten bad results at the same time, and expects the same share as after a
+// single bad result.
 TEST(AdaptiveLimit, BadResultsAtTheSameTimeReduceTheLimitOnce) {
     AdaptiveLimit ten_results;
     AdaptiveLimit one_result;
--- a/tests/routing/congestion_test.cpp
+++ b/tests/routing/congestion_test.cpp
@@ -9,7 +9,8 @@
 
 class CongestionTest : public ::testing::Test {
 protected:
-    static constexpr double mean = 0.4;  // initial mean transfer time: the latency objective
+    // The initial mean transfer time in seconds, which is the latency objective.
+    static constexpr double mean = 0.4;
     Deployment deployment_ = deployment();
     TimePoint now_ = TimePoint::at_seconds(100);
     EndpointSet endpoints_ = endpoint_set(deployment_, now_);
@@ -46,15 +47,17 @@
     EXPECT_EQ(cache_.load.late, 0);
 }
 
-// The location has three caches of weight 6, so its link carries 9 transfers, which two gateways share.
-// Congestion begins at more than 0.2 late attempts for each transfer, that is 1.8 over both gateways.
+// The location has three caches of weight 6, so its link carries 9 transfers at once. Two gateways share the
+// link. Fills are congested when more than 0.2 attempts are late for each of these transfers, that is more
+// than 1.8 attempts. A gateway doubles the number of its own late attempts to estimate the number at both
+// gateways.
 TEST_F(CongestionTest, LateAttemptsIndicateCongestedFills) {
     start_attempts(2);
     EXPECT_FALSE(congestion_.fills_congested(mean));
     make_late(1);
     EXPECT_TRUE(congestion_.fills_congested(mean));
     EXPECT_FALSE(congestion_.fills_congested(mean / 2))
-        << "small objects are allowed at a higher share of late attempts";
+        << "requests for small objects must tolerate more late attempts";
 }
 
 TEST_F(CongestionTest, LateAttemptsAtAnUnresponsiveCacheAreNoCongestion) {
@@ -69,12 +72,12 @@
     cache_.health.loses_attempts_until = now_ + one_second;
     make_late(4);
     EXPECT_FALSE(congestion_.fills_congested(mean));
-    EXPECT_EQ(congestion_.load(cache_, now_), 0) << "lost attempts count as load";
+    EXPECT_EQ(congestion_.load(cache_, now_), 0) << "attempts that the cache loses count as load";
 }
 
 TEST_F(CongestionTest, KnownFillsExhaustCongestedFills) {
     start_attempts(4, true);
-    EXPECT_FALSE(congestion_.fills_exhausted(mean)) << "no attempt is late";
+    EXPECT_FALSE(congestion_.fills_exhausted(mean)) << "fills count as exhausted although no attempt is late";
     make_late(1);
     EXPECT_TRUE(congestion_.fills_exhausted(mean));
     congestion_.on_attempt_ended(attempts_[3], cache_, &parent_);
@@ -86,9 +89,10 @@
     EXPECT_DOUBLE_EQ(congestion_.load(cache_, now_), 3 * 2 / 6.0);
 }
 
-// Guards against ignoring the load that other gateways put on a cache. Two gateways share the cache, and a
-// hit takes three times its transfer time; the load of the other gateway is estimated as three transfers, and
-// the estimate decays.
+// A gateway that ignored the load that other gateways put on a cache would send too much to the cache. In the
+// test, two gateways share a cache, and a hit there takes three times its transfer time. The router must
+// estimate from this hit that the load by the other gateway is 3, so that the mean load by both gateways is
+// 1.5, since this gateway has no attempt in flight. The estimate must decay.
 TEST_F(CongestionTest, SlowHitsRaiseTheEstimatedLoadOfOtherGateways) {
     AttemptResult hit = result_of(Outcome::completed, CacheStatus::hit);
     attempts_[0].transfer_seconds = 0.4;
--- a/tests/routing/freshness_test.cpp
+++ b/tests/routing/freshness_test.cpp
@@ -25,14 +25,15 @@
     void purge(Duration age) { freshness_.on_purge(age, PurgeGroupId{3}, ObjectName{"object"}, now_); }
 };
 
-// Guards against serving copies from before a purge. One second after a purge of copies that were older than
-// 0.2 s, copies of up to 1.2 s, minus the resolution of timers, are allowed.
+// A gateway that ignored a purge, or forgot how long ago it happened, would let caches serve copies from
+// before the purge. The test purges all copies that are older than 0.2 s. One second later, a copy may be at
+// most 1.2 s old, minus the resolution of timers.
 TEST_F(FreshnessTest, APurgeLimitsTheAgeWhileOldCopiesMayRemain) {
     purge(Duration::seconds(0.2));
     EXPECT_EQ(freshness_.max_age(request_, false, now_ + one_second),
               Duration::seconds(1.2) - deployment_.timer_resolution);
     EXPECT_EQ(freshness_.max_age(request_, false, now_ + deployment_.purge_retention * 2), Duration{})
-        << "the purge applies after its retention";
+        << "the purge still limits the age after its retention has ended";
 }
 
 TEST_F(FreshnessTest, APurgeAtTheCurrentTimeLimitsTheAge) {
@@ -42,10 +43,10 @@
 
 TEST_F(FreshnessTest, StaleCopiesAreAllowedWithinTheirWindowOnly) {
     EXPECT_EQ(freshness_.max_age(ageing_request_, false, now_), Duration{})
-        << "no limit beyond the freshness of the kind";
+        << "while stale copies are not allowed, only ObjectKind::fresh_for may limit the age";
     EXPECT_EQ(freshness_.max_age(ageing_request_, true, now_), one_second * 15);
     EXPECT_EQ(freshness_.max_age(request_, true, now_), Duration{})
-        << "copies of this kind never become stale";
+        << "an age is set for a kind whose copies never become stale";
 }
 
 TEST_F(FreshnessTest, APurgeLimitsTheAgeOfStaleCopiesToo) {
@@ -60,7 +61,8 @@
     EXPECT_EQ(ageing_request_.plan.max_age, Duration{});
     EXPECT_TRUE(ageing_request_.plan.revalidate);
     FreshnessPolicy::on_result(ageing_request_, result_of(Outcome::overloaded, CacheStatus::no_fill_slot));
-    EXPECT_FALSE(ageing_request_.allow_stale) << "the fault is the cache's, not the source's";
+    EXPECT_FALSE(ageing_request_.allow_stale)
+        << "stale copies are allowed though the cache failed and not the source";
     FreshnessPolicy::on_result(ageing_request_, result_of(Outcome::errored, CacheStatus::origin_failed));
     freshness_.begin_plan(ageing_request_, now_);
     EXPECT_EQ(ageing_request_.plan.max_age, one_second * 15);
--- a/tests/routing/idempotency_test.cpp
+++ b/tests/routing/idempotency_test.cpp
@@ -13,7 +13,7 @@
     TimePoint now_ = TimePoint::at_seconds(100);
     IdempotencyPolicy policy_{deployment_};
 
-    // @return a request whose one attempt has ended with this outcome
+    // @return a request whose only attempt has ended with this outcome
     PendingRequest request_after(const ObjectKind& kind, Outcome outcome) const {
         PendingRequest request = pending_request(kind, now_ + one_second * 10);
         Attempt attempt = attempt_at("e1", now_);
@@ -48,7 +48,7 @@
     request.attempts.push_back(attempt_at("e1", now_));
     EXPECT_FALSE(policy_.may_attempt(request, nullptr, now_));
     EXPECT_TRUE(policy_.may_attempt(request, &request.attempts[0], now_))
-        << "the attempt to be started does not count against itself";
+        << "the attempt that is about to start counts against itself";
     EXPECT_FALSE(IdempotencyPolicy::may_reject(request));
 }
 
--- a/tests/routing/rendezvous_hash_test.cpp
+++ b/tests/routing/rendezvous_hash_test.cpp
@@ -28,7 +28,8 @@
     static ObjectName object(int n) { return ObjectName{"object" + std::to_string(n)}; }
 };
 
-// The expected values are the published FNV-1a offset basis and hash of "a", followed by the finalizer.
+// The expected values are the published FNV-1a offset basis and the published FNV-1a hash of "a", each passed
+// through the finalizer.
 TEST(RendezvousKey, IsFnv1aFinishedByMurmur3) {
     const auto finalizer = [](std::uint64_t h) { return rendezvous_score(h, 0); };
     EXPECT_EQ(rendezvous_key(""), finalizer(0xcbf29ce484222325ULL));
@@ -49,8 +50,9 @@
         EXPECT_EQ(rank_by_rendezvous_hash(object(n), all()), rank_by_rendezvous_hash(object(n), reversed));
 }
 
-// Guards against moving objects of other caches when one cache leaves: only its own objects move, each to the
-// next cache in its order.
+// If objects of the remaining caches moved when one cache leaves, these objects would have to be filled
+// again. The test removes one of five caches. Only the objects of the removed cache may move, each to the
+// next cache in the order of the object.
 TEST_F(RendezvousHash, WhenACacheLeavesOnlyItsObjectsMove) {
     std::vector<EndpointState*> rest = all();
     rest.erase(rest.begin() + 2);
--- a/tests/routing/retry_policy_test.cpp
+++ b/tests/routing/retry_policy_test.cpp
@@ -28,8 +28,8 @@
     EXPECT_FALSE(retries_.may_attempt(request_, now_));
 }
 
-// Guards against retries that multiply the load during a fault that fails all attempts: once the reserve is
-// used up, only every fourth request is retried.
+// During a fault that makes all attempts fail, unlimited retries would multiply the load. The test lets each
+// attempt fail. Once the reserve of retries is used up, only every fourth request may be retried.
 TEST_F(RetryPolicyTest, RetriesAreLimitedToAShareOfRequests) {
     const AttemptResult failed = result_of(Outcome::errored);
     int reserve = 0;
--- a/tests/routing/routing_test_support.hpp
+++ b/tests/routing/routing_test_support.hpp
@@ -14,7 +14,7 @@
 
 inline const Duration one_second = Duration::seconds(1);
 
-/// @return the endpoint set after `list` has arrived at `now`
+/// @return an endpoint set to which `list` was applied at `now`
 inline routing::EndpointSet endpoint_set(const Deployment& deployment, TimePoint now,
                                          const std::vector<EndpointUpdate>& list = usual_endpoints()) {
     routing::EndpointSet endpoints{deployment};
--- a/tests/routing/slow_start_test.cpp
+++ b/tests/routing/slow_start_test.cpp
@@ -19,8 +19,9 @@
     EndpointState& cache_ = endpoints_.at(CacheId{"e1"});
     EndpointState& origin_ = endpoints_.at(CacheId{"o"});
 
-    // Starts an attempt whenever the budget allows. @return the transfer time sent to the endpoint, in
-    // seconds
+    // Advances the time by `during` in steps of 10 ms, and starts an attempt at the endpoint in each step in
+    // which the endpoint's budget allows an attempt.
+    // @return the sum of the transfer times of these attempts, in seconds
     double sent_to(EndpointState& endpoint, Duration during) {
         double transferred = 0;
         const TimePoint end = now_ + during;
@@ -40,9 +41,10 @@
     }
 }
 
-// Guards against overloading a cache that has just started, and against leaving it idle. Attempts start as
-// often as the budget allows; the cache gets at most this gateway's share of the overload multiple, and more
-// than half of its share of the present capacity.
+// A budget that is too large would overload a cache that has just started, and a budget that is too small
+// would leave the cache idle. The test starts attempts as often as the budget allows. Their transfer time
+// must exceed half of this gateway's even share of the cache's present capacity, and must not exceed that
+// even share times the overload multiple.
 TEST_F(SlowStartTest, AWarmingEndpointGetsItsEvenShareOfPresentCapacity) {
     slow_start_.begin(cache_, now_, now_);
     const SlowStart& settings = deployment_.edge_slow_start;
@@ -62,8 +64,10 @@
     EXPECT_FALSE(cache_.warm_up.warming_up_since.has_value());
 }
 
-// Guards against a full budget on top of earlier transfers. A restart is listed a second late, after many
-// transfers to the cache; nothing more is sent until those have left the overload window.
+// The endpoint list may name the start of a cache's new process late. A gateway that ignored its earlier
+// transfers to the new process would add a full budget to them and overload the cache. In the test, the list
+// names the start a second late, after many transfers to the cache. The gateway must send nothing more until
+// these transfers have left the overload window.
 TEST_F(SlowStartTest, TransfersBeforeTheStartWasKnownAreCharged) {
     const TimePoint started_at = now_;
     for (int n = 0; n < 100; ++n) slow_start_.charge(cache_, transfer_seconds, now_);
@@ -74,14 +78,16 @@
     EXPECT_GT(sent_to(cache_, one_second * 2), 0);
 }
 
-// Guards against a full load on a restarted cache whose start is not yet listed. A cache that refuses a
-// connection with nothing in flight has stopped, so its first response comes from a new process.
+// A gateway that waited until the endpoint list names a restarted cache's new process would send this process
+// a full load until then. A cache that refuses a connection while none of its attempts is in flight has
+// stopped, so its next response comes from a new process. In the test, a cache refuses a connection and later
+// responds. The slow start must begin with this response.
 TEST_F(SlowStartTest, TheFirstResponseAfterAStopBeginsSlowStart) {
     slow_start_.on_cache_result(cache_, result_of(Outcome::connection_refused), now_);
     EXPECT_FALSE(cache_.warm_up.warming_up_since.has_value());
     slow_start_.on_cache_result(cache_, result_of(Outcome::overloaded), now_);
     EXPECT_FALSE(cache_.warm_up.warming_up_since.has_value())
-        << "a rejection is not a response of a working process";
+        << "a rejection counts as a response of a new process";
     slow_start_.on_cache_result(cache_, result_of(Outcome::completed), now_);
     EXPECT_EQ(cache_.warm_up.warming_up_since, now_);
 }
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -1,5 +1,5 @@
-// SIGTERM while requests are in flight, half received or not accepted yet, or while they arrive on idle
-// connections. None may be lost or answered twice.
+// Tests SIGTERM while requests are in flight, half received or not accepted yet, or while requests arrive on
+// idle connections. No request may be lost or get two responses.
 #include <csignal>
 #include <memory>
 
@@ -12,13 +12,14 @@
 using test_support::ScriptedCache;
 using test_support::SingleProcess;
 
-// From the platform's protocol: requests may arrive for this long after SIGTERM, and SIGKILL is sent no
-// sooner than 3 s after that.
+// The platform's protocol sets both times: requests may arrive for the acceptance period after SIGTERM, and
+// SIGKILL is sent no sooner than 3 s after this period.
 constexpr double acceptance_period_s = 0.7, sigkill_after_s = 3 + acceptance_period_s;
 
 // Two requests wait at caches that do not respond, with deadlines after the earliest SIGKILL. After SIGTERM
-// both must be answered before SIGKILL can be sent, the one without an effect as rejected and the one with an
-// effect as failed, and the process must exit by itself (Shutdown::begin, Router::on_drain).
+// both requests must get a response before SIGKILL can be sent: the request without an effect is rejected,
+// and the request with an effect fails. The process must then exit by itself (Shutdown::begin,
+// Router::on_drain).
 TEST(Shutdown, AnswersBeforeItCanBeKilled) {
     SingleProcess gateway(process_options(2));
     const auto client = gateway.connect_client();
@@ -34,8 +35,9 @@
     EXPECT_TRUE(client->has_response(2, "Status: 502"));
 }
 
-// The gateway is stopped (SIGSTOP) right after SIGTERM, so that everything that arrives meanwhile waits in
-// the kernel. It continues when the acceptance period has passed, and must still answer all of that.
+// The test stops the gateway (SIGSTOP) right after SIGTERM, so that every request that arrives meanwhile
+// waits in the kernel. The gateway continues when the acceptance period has passed, and must still respond to
+// every request that waited.
 class ShutdownAfterStandstill : public ::testing::Test {
 protected:
     SingleProcess gateway{with_immediate_answers(process_options(2))};
@@ -54,14 +56,16 @@
     }
 };
 
-// A request is unread on an open connection (FastCgiServer::drained).
+// A request waits unread on an open connection. The gateway must read the request before it exits
+// (FastCgiServer::drained).
 TEST_F(ShutdownAfterStandstill, AnswersARequestThatIsUnread) {
     shut_down_during([&] { idle->send(2, {.id = id_of(2)}); });
     EXPECT_TRUE(idle->has_response(2, "Status: 200"));
 }
 
-// Two connections are not accepted yet. The first one sends nothing, so that every known request is answered
-// while the second one still waits (FastCgiServer::stop_listening accepts it).
+// Two connections wait to be accepted. The first connection sends nothing, so when the gateway has accepted
+// it, the gateway has responded to every request that it has read, although a request still waits on the
+// second connection. FastCgiServer::stop_listening must accept the second connection too.
 TEST_F(ShutdownAfterStandstill, AnswersConnectionsThatWaitToBeAccepted) {
     std::unique_ptr<RawClient> silent, requesting;
     shut_down_during([&] {
@@ -73,8 +77,9 @@
     EXPECT_NE(requesting->received.find("Status: 200"), std::string::npos);
 }
 
-// A request arrives on one of two connections that the shutdown has closed. It must not be sent to a cache
-// (Connection::linger discards it), and the response before it must arrive without a reset.
+// A request arrives on one of two connections that the shutdown has closed. The new request must not be sent
+// to a cache (Connection::linger discards it). The responses to the earlier requests must arrive without a
+// reset of their connections.
 TEST(Shutdown, DiscardsRequestsOnClosedConnections) {
     SingleProcess gateway(with_immediate_answers(process_options(2)));
     const auto encoder = gateway.connect_client();
@@ -95,7 +100,7 @@
     }
 }
 
-// The second half of a request arrives after SIGTERM. The request must be answered.
+// The second half of a request arrives after SIGTERM. The request must get its response.
 TEST(Shutdown, AnswersARequestThatWasHalfReceived) {
     SingleProcess gateway(with_immediate_answers(process_options(2)));
     const auto client = gateway.connect_client();
@@ -110,8 +115,9 @@
     EXPECT_TRUE(gateway.exited_cleanly());
 }
 
-// While the shutdown waits for one request, SIGHUP, with another notice board in the configuration, and a
-// second SIGTERM arrive. The configuration must not be read, and the request gets its one response.
+// While the shutdown waits for one request, the configuration file changes to another notice board, and
+// SIGHUP and a second SIGTERM arrive. The gateway must not read the configuration, and the request must get
+// exactly one response.
 TEST(Shutdown, IgnoresFurtherSignals) {
     SingleProcess gateway(process_options(2));
     const auto client = gateway.connect_client();
--- a/tests/soak.cpp
+++ b/tests/soak.cpp
@@ -1,6 +1,6 @@
-// irismux_soak FIRST LAST [SECONDS [PROGRAM]]: runs a soak for each seed from FIRST to LAST, with SECONDS of
-// load before SIGTERM. Prints a line for each seed and, for a seed that fails, the violations and the command
-// that repeats it. Exits with 1 if any seed failed.
+// irismux_soak FIRST LAST [SECONDS [PROGRAM]]: runs a soak test for each seed from FIRST to LAST, with
+// SECONDS of load before SIGTERM. Prints a line for each seed and, for a seed that fails, the violations and
+// the command that repeats it. Exits with 1 if any seed failed.
 #include <cstdlib>
 #include <iostream>
 #include <string>
--- a/tests/waiting_attempt_test.cpp
+++ b/tests/waiting_attempt_test.cpp
@@ -30,8 +30,10 @@
     harness.callbacks.unanswered.clear();
 }
 
-// The cache or the source of a waiting attempt restarts. The attempt may begin only within the new slow-start
-// budget, which is charged once.
+// The cache of an attempt, or the source from which the cache is to fill, may restart while the attempt waits
+// for a connection. A router that did not check the attempt again would send too much to the new process. The
+// test restarts the cache or the source of a waiting attempt. The attempt must not begin until the budget of
+// the new slow start allows it, and the budget must be charged once, even if the attempt is checked twice.
 TEST_F(WaitingAttempt, MustFitTheBudgetOfAnEndpointThatHasRestarted) {
     for (const bool source : {false, true}) {
         const std::string id = source ? "s" : "c";
@@ -55,8 +57,9 @@
     }
 }
 
-// A request may be retried only within its cell, and its cache has long been removed when the attempt fails.
-// The retry must not leave that cell.
+// Some requests may be retried only within the cell of their first attempt. A router that lost the cell
+// together with a removed cache would retry the request in another cell. In the test, the cache has long been
+// removed when the attempt there fails. The request must not be retried, since its cell has no other cache.
 TEST(RemovedCache, ItsAttemptsAreNotRetriedOutsideTheirCell) {
     Deployment settings = deployment();
     settings.kinds[2].dedup_scope = DedupScope::cell;
@@ -81,12 +84,13 @@
     EndpointUpdate removed = endpoints[2];
     removed.status = EndpointStatus::removed;
     harness.update_endpoints({removed});
-    // The cache is kept while a result may arrive, and erased with the first endpoint update after that.
+    // The router keeps a removed cache while the result of an attempt may arrive. Otherwise it would erase
+    // the cache at this update, since the longest slow-start window (20 s) has passed.
     harness.advance(second * 30);
     harness.update_endpoints({endpoints[0]});
     const std::size_t count_before = harness.callbacks.attempts.size();
     harness.end_attempt(position, Outcome::connection_reset);
-    EXPECT_EQ(harness.callbacks.attempts.size(), count_before) << "retried outside its cell";
+    EXPECT_EQ(harness.callbacks.attempts.size(), count_before) << "the request is retried outside its cell";
     EXPECT_TRUE(harness.callbacks.violations.empty()) << harness.callbacks.violations.front();
 }
 
--- a/tests/wall_clock_test.cpp
+++ b/tests/wall_clock_test.cpp
@@ -1,5 +1,5 @@
-// The wall clock is wrong from the start of the process, or stepped while it runs. Purges and starts of
-// caches that an open poll brings must still be dated correctly.
+// The wall clock is wrong when the process starts, or is stepped while the process runs. Purges and starts of
+// caches that arrive in the response to an open poll must still be dated correctly.
 #include <chrono>
 #include <csignal>
 
@@ -15,7 +15,7 @@
 
 const test_support::ShimLibraries libraries{IRISMUX_SKEWED_CLOCK, IRISMUX_FAILING_CALLS};
 constexpr std::int64_t hour_us = 3'600'000'000;
-// Maximum fraction of its even share that a cache may get in the seconds after its start.
+// Maximum fraction of its even share of the requests that a cache may get in the seconds after its start.
 constexpr double max_slow_start_share = 0.5;
 
 enum class Stepped { before_start, while_running };
@@ -46,7 +46,8 @@
         skew.wall_ahead_us = GetParam().wall_ahead_us;
         shims.set_clock(skew);
     }
-    // Requests this many objects, one every 4 ms. Returns true if each request got a response.
+    // Requests `objects` different objects, one every 4 ms.
+    // @return true if each request got a response
     [[nodiscard]] bool request_objects(int objects) {
         const auto client = gateway->connect_client();
         for (int n = 0; n < objects; ++n) {
@@ -66,8 +67,8 @@
     int next_id_ = 1000;
 };
 
-// Rule 5: an open poll brings a purge. No attempt after it may be served a copy from before the purge
-// (EventTimeEstimator).
+// Rule 5 (no purged copy is served): a purge arrives in the response to an open poll. No later attempt may be
+// served a copy from before the purge (EventTimeEstimator).
 TEST_P(WallClock, APurgeByAnOpenPollBindsAtOnce) {
     start(process_options(2));
     const TimePoint posted_at = gateway->loop.now();
@@ -77,12 +78,13 @@
     for (const auto& cache : gateway->caches)
         for (const auto& attempt : cache->received) {
             const std::string max_age_ms(resp::field(attempt.fields, "fresh"));
-            ASSERT_FALSE(max_age_ms.empty()) << "any copy may be served";
+            ASSERT_FALSE(max_age_ms.empty()) << "the attempt names no maximum age, so any copy may be served";
             EXPECT_LE(std::stoll(max_age_ms), (attempt.at - posted_at).micros() / 1000 + 1);
         }
 }
 
-// After the retention of a purge is over, attempts carry no maximum age, even if the clock is off by an hour.
+// After the retention of a purge is over, attempts must carry no maximum age, even if the clock is off by an
+// hour.
 TEST_P(WallClock, APurgeIsForgottenInItsTime) {
     test_support::SingleProcess::Options options = process_options(2);
     options.adjust_configuration = [change = options.adjust_configuration](json& c) {
@@ -98,7 +100,8 @@
         for (const auto& attempt : cache->received) EXPECT_EQ(resp::field(attempt.fields, "fresh"), "");
 }
 
-// Rule 4: a cache that starts while the process runs gets a small share of the requests at first.
+// Rule 4 (a cache that is warming up is not overloaded): a cache that starts while the process runs must get
+// a small share of the requests at first.
 TEST_P(WallClock, ACacheThatStartsNowGetsASlowStart) {
     start(process_options(2));
     test_support::ScriptedCache new_cache(gateway->loop, "e3");
@@ -111,7 +114,7 @@
     ASSERT_TRUE(gateway->wait_until([&] { return gateway->notice_board->last_poll_since() == 2; }));
     constexpr int requests = 400;
     ASSERT_TRUE(request_objects(requests));
-    // By their objects, a third of the requests belong to the new cache.
+    // The order of preference of the objects assigns a third of the requests to the new cache.
     constexpr int own_requests = requests / 3;
     EXPECT_LT(new_cache.received.size(), static_cast<std::size_t>(own_requests * max_slow_start_share));
 }
