--- a/tests/cache_connection_pool_test.cpp
+++ b/tests/cache_connection_pool_test.cpp
@@ -267,13 +267,13 @@
     PoolScenario scenario(4);
     scenario.caches_close_gracefully = true;
     scenario.start("b1");
-    scenario.run_steps({{[&] { return scenario.ended.size() == 1; },
-                         [&] {
-                             // The close arrives but is not read in this iteration of the loop.
-                             scenario.connections.at(0)->close();
-                             scenario.start("b2");
-                         }},
-                        {[&] { return scenario.ended.size() == 2; }, [] {}}});
+    scenario.run_steps(
+        {{[&] { return scenario.ended.size() == 1; },
+          [&] {
+              scenario.connections.at(0)->close();  // the pool reads the close in a later iteration
+              scenario.start("b2");
+          }},
+         {[&] { return scenario.ended.size() == 2; }, [] {}}});
     EXPECT_EQ(scenario.received, (std::vector<std::string>{"b1", "b2"}));
     EXPECT_EQ(scenario.outcomes.at("b2"), Outcome::cache_miss);
 }
--- a/tests/event_order_test.cpp
+++ b/tests/event_order_test.cpp
@@ -1,5 +1,6 @@
-// Events that arrive in an unfavourable order: requests that arrive while the gateway closes idle connections
-// to free descriptors, retries that wait while the conditions for them change, and a shortage of descriptors.
+// Tests events that arrive in an unfavourable order: requests that arrive while the gateway closes idle
+// connections to free descriptors, retries that wait while the conditions for them change, and a shortage of
+// descriptors.
 #include <csignal>
 
 #include "single_process_fixture.hpp"
@@ -11,11 +12,12 @@
 using test_support::ScriptedCache;
 using test_support::SingleProcess;
 
-// The gateway has as many idle connections as the limit allows. While it is stopped, a request arrives on
-// each of them, and then one more connection, for which the gateway has to close one when it continues. A
-// connection with unread bytes is not idle, so all requests must be answered (FastCgiConnection::idle).
+// The gateway has as many idle connections as the limit allows. While the gateway is stopped, a request
+// arrives on each of these connections, and then a client opens one more connection. When the gateway
+// continues, it has to close a connection to make room. A connection with unread bytes is not idle, so all
+// requests must get their responses (FastCgiConnection::idle).
 TEST(IdleClose, AnswersRequestsThatAreUnread) {
-    // Half of the descriptors are for clients; a sixteenth of these is kept free.
+    // Half of the descriptors are for clients, and a sixteenth of the clients' descriptors is kept free.
     constexpr int descriptors = 64, client_connections = descriptors / 2,
                   idle_clients = client_connections - client_connections / 16;
     SingleProcess gateway(with_immediate_answers(process_options(2, {.descriptors = descriptors})));
@@ -54,8 +56,8 @@
 }
 
 // A client sends a request that is too large and goes on sending while the gateway refuses it and closes the
-// connection. A reset would make the client lose the refusal; it must arrive, followed by a regular end of
-// the connection (Connection::linger).
+// connection. A reset would make the client lose the refusal. The refusal must arrive, followed by a regular
+// end of the connection (Connection::linger).
 TEST(IdleClose, ARefusalArrivesWhileTheClientGoesOnSending) {
     SingleProcess gateway(process_options(1));
     const auto encoder = gateway.connect_client();
@@ -94,8 +96,8 @@
 }
 
 // The cache resets the first attempt of a deduplicated request. The first attempt and the retry must both
-// carry the client's idempotency key, by which caches drop duplicates. A key with a character that would end
-// its field is refused.
+// carry the client's idempotency key, by which caches drop duplicates. A request whose key contains a
+// character that would end the key's field must be refused.
 TEST(Retry, OfADeduplicatedRequestCarriesItsKey) {
     SingleProcess gateway(process_options(2, {.dedup_window_s = 5}));
     for (const auto& cache : gateway.caches)
--- a/tests/failing_calls_test.cpp
+++ b/tests/failing_calls_test.cpp
@@ -1,5 +1,5 @@
-// System calls fail for a moment, with errors that Linux documents. The program must start, serve, and lose
-// no request.
+// Tests system calls that fail for a moment, with errors that Linux documents. The program must start, serve,
+// and lose no request.
 #include "single_process_fixture.hpp"
 #include "testing/shims.hpp"
 
@@ -71,15 +71,15 @@
 
 class CallsFailOften : public ::testing::TestWithParam<unsigned> {};
 
-// From the start on, one call in ten of each kind fails, while clients and caches behave. Each request must
-// get one response, and nearly all must be served.
+// From the start on, one call in ten of each kind fails, while clients and caches work correctly. Each
+// request must get one response, and nearly all requests must be served.
 TEST_P(CallsFailOften, EachRequestGetsOneResponse) {
     Shims shims(libraries);
     CallFaults faults;
     faults.seed = GetParam();
     for (std::uint32_t& one_in : faults.one_in) one_in = 10;
-    faults.one_in[static_cast<std::size_t>(Call::write)] =
-        0;  // the test learns from the log that the process serves
+    // Writes do not fail, since the test reads in the log when the process begins to serve.
+    faults.one_in[static_cast<std::size_t>(Call::write)] = 0;
     shims.set_calls(faults);
     SingleProcess gateway(options_with(shims));
     constexpr int connections = 4, requests = 60;
--- a/tests/fatal_signal_test.cpp
+++ b/tests/fatal_signal_test.cpp
@@ -1,4 +1,4 @@
-// A process that a fatal signal ends prints the signal and its last events.
+// A process that a fatal signal ends must print the signal and the events that preceded it.
 #include <csignal>
 
 #include "single_process_fixture.hpp"
@@ -8,8 +8,8 @@
 
 class FatalSignal : public ::testing::TestWithParam<int> {};
 
-// A fatal signal ends a process that has answered a request. Its log must have the signal, and the request's
-// events with the time since each.
+// A fatal signal ends a process that has responded to a request. The process's log must name the signal and
+// the events of the request, each event with the time that has passed since.
 TEST_P(FatalSignal, IsPrintedWithTheLastEvents) {
     test_support::SingleProcess gateway(with_immediate_answers(process_options(1)));
     const auto client = gateway.connect_client();
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -1,6 +1,7 @@
-// Runs the gateway on loopback between fakes of clients, caches, notice board and registry that fail at
-// random from a fixed seed. The fakes check the rules at each message: one final response, attempts one at a
-// time, no repeated effect, no attempt to a draining cache, no copy from before a purge.
+// Runs the gateway on loopback between fakes of clients, caches, notice board and registry. The fakes fail at
+// random from a fixed seed, and check these rules at each message: a request gets one final response, has one
+// attempt at a time and takes effect once, no attempt goes to a draining cache, and no copy from before a
+// purge is served.
 #include <spawn.h>
 #include <sys/wait.h>
 
@@ -42,8 +43,10 @@
         TimePoint expires;
         bool answered = false, aborted = false;
         std::string expected;
-        int in_flight = 0;          // attempts that a cache has received whole and not ended
-        bool may_have_run = false;  // a cache received it whole and has not reported that it did not run
+        // Attempts that a cache has received completely and that have not ended.
+        int in_flight = 0;
+        // A cache has received the request completely and has not reported that the request did not run.
+        bool may_have_run = false;
     };
 
     EventLoop loop;
@@ -53,14 +56,15 @@
     std::map<std::string, RequestState> requests;
     std::map<std::string, std::unique_ptr<Acceptor>> caches;  // edge caches by id
     std::vector<std::shared_ptr<TestConnection>> connections;
-    std::set<std::string> withdrawn;  // listed as draining or gone
+    std::set<std::string> withdrawn;  // endpoints that the list names as draining or gone
     TimePoint drain_known_at, purged_at, shutdown_at;
     std::string purged_object = "00000000000000aa";
     json notices = json::array();
     std::vector<std::pair<std::shared_ptr<TestConnection>, std::int64_t>> open_polls;
     std::unique_ptr<Acceptor> notice_board;
     std::unique_ptr<Gateway> gateway;
-    // If set, the gateway takes the endpoint list from a registry. Called before the drain and after it.
+    // If set, the gateway takes the endpoint list from a registry, and this function is called before the
+    // drain and after it.
     std::function<void(test_support::FakeRegistry&, bool drained)> inject_faults;
     std::unique_ptr<test_support::FakeRegistry> registry;
     int attempts = 0, served = 0, rejected = 0, failed = 0;
@@ -238,7 +242,8 @@
         std::size_t used = 0;
         for (;;) {
             const ParseStatus status = fastcgi::parse_record(in.view(), record, used);
-            if (status == ParseStatus::invalid) add_violation("a response that is not FastCGI");
+            if (status == ParseStatus::invalid)
+                add_violation("the gateway sends bytes that are not a FastCGI record");
             if (status != ParseStatus::complete) return;
             const auto response = client.open_responses.find(record.request);
             if (response != client.open_responses.end()) {
@@ -263,8 +268,8 @@
         client->connection->on_received = [this, owner = client.get()](Buffer& in) {
             read_responses(*owner, in);
         };
-        // The gateway may close a client connection only while it shuts down, when it accepts no more
-        // requests, and only if the connection has no open request.
+        // The gateway may close a client connection only if it shuts down and accepts no more requests, and
+        // only if the connection has no open request.
         client->connection->on_end = [this, owner = client.get()] {
             if (!owner->open_responses.empty())
                 add_violation("the gateway closes a client's connection with an open request");
@@ -337,8 +342,8 @@
         client.connection->write();
     }
 
-    // The registry. The gateway then ignores the endpoint list of the notice board, which goes on listing
-    // caches that have left.
+    // The registry. With a registry, the gateway ignores the endpoint list of the notice board, which goes on
+    // listing caches that have left.
 
     Parts make_parts(const json& endpoints) {
         Parts parts;
@@ -368,7 +373,8 @@
         inject_faults(*registry, true);
         wait_for_drain(drained);
     }
-    // The drain counts as known once the gateway's view holds it, not once the registry does.
+    // Records the drain as known once the gateway's view of the registry holds the drain. The registry itself
+    // holds the drain earlier.
     void wait_for_drain(registry::Revision drained) {
         if (gateway->registry()->watch().view().revision() >= drained)
             drain_known_at = loop.now();
@@ -385,7 +391,7 @@
             add_cache(id);
             endpoints.push_back(endpoint_json(id, "edge", "here", caches[id]->address(), "Ready"));
         }
-        caches["e4"].reset();  // its connections are refused
+        caches["e4"].reset();  // connections to e4 are refused
         for (const char* id : {"p1", "p2"})
             endpoints.push_back(endpoint_json(id, "parent", "hub", "127.0.0.1:9", "Ready"));
         endpoints.push_back(endpoint_json("o", "origin", "hub", "127.0.0.1:9", "Ready"));
@@ -458,7 +464,7 @@
         schedule_changes(start);
         loop.run();
         for (const auto& [id, request] : requests)
-            if (!request.answered && !request.aborted) add_violation("no response: " + id);
+            if (!request.answered && !request.aborted) add_violation("a request got no response: " + id);
         EXPECT_EQ(gateway->pending_request_count(), 0u);
         for (const auto& connection : connections) connection->close();
         gateway.reset();
@@ -466,8 +472,9 @@
     }
 };
 
-// The rules hold at the caches, and the drain reaches the gateway, while the registry that serves the
-// endpoint list has one fault: before the drain and after it, except "compacted", which is injected after it.
+// The registry that serves the endpoint list has one fault, which is injected before the drain and again
+// after it. The fault "compacted" is injected only after the drain. The rules must hold at the caches
+// nevertheless, and the drain must reach the gateway.
 class GatewayWithRegistry : public ::testing::TestWithParam<const char*> {};
 
 TEST_P(GatewayWithRegistry, KeepsTheRulesAndLearnsOfTheDrain) {
@@ -487,13 +494,14 @@
     };
     scenario.run(250);
     EXPECT_TRUE(scenario.violations.empty()) << scenario.violations.front();
-    EXPECT_NE(scenario.drain_known_at, TimePoint{}) << "the gateway has not learned of the drain";
+    EXPECT_NE(scenario.drain_known_at, TimePoint{}) << "the drain has not reached the gateway";
     EXPECT_GT(scenario.served, 150);
 }
 INSTANTIATE_TEST_SUITE_P(RegistryFaults, GatewayWithRegistry,
                          ::testing::Values("none", "silent", "lag", "cut", "refuse", "compacted"));
 
-// A FastCgiServer without a router. Each request that it admits is answered at once.
+// A FastCgiServer without a router. The harness responds at once to each request that the server admits,
+// unless `withhold_responses` is set.
 struct FastCgiServerHarness final : RequestHandler {
     EventLoop loop;
     std::string address;
@@ -575,8 +583,8 @@
     fastcgi::write_record(out, fastcgi::Type::std_in, request, {});
 }
 
-// A request with an invalid, duplicate or missing value or an unexpected body is refused and does not reach
-// the RequestHandler; a valid one on the same connection is served.
+// A request with an invalid, duplicate or missing value or an unexpected body must be refused and must not
+// reach the RequestHandler. A valid request on the same connection must be served.
 TEST(FastCgiServer, RefusesInvalidRequests) {
     FastCgiServerHarness harness;
     const auto client = harness.connect_client();
@@ -615,7 +623,8 @@
 }
 
 // Clients that send nothing, half a request or endless parameters could take up all connections. The server
-// disconnects them within 3 s; they neither keep out nor disconnect a client that sends whole requests.
+// must disconnect these clients within 3 s. Until then, they must not prevent a client that sends whole
+// requests from connecting, and must not cause the server to disconnect this client.
 TEST(FastCgiServer, DisconnectsClientsThatSendNoWholeRequest) {
     FastCgiServerHarness harness;
     const auto active = harness.connect_client();
@@ -654,7 +663,8 @@
     EXPECT_EQ(harness.accepted_ids.size(), 2u);
 }
 
-// The bytes of requests whose ends have not arrived stay within a limit, for each connection and in total.
+// The server holds the bytes of requests until they are complete. These bytes must stay within one limit for
+// each connection, and within another limit for all connections together.
 TEST(FastCgiServer, BoundsTheBytesOfIncompleteRequests) {
     FastCgiServerHarness harness;
     std::vector<std::shared_ptr<FastCgiServerHarness::Client>> clients;
@@ -675,8 +685,8 @@
     }
 }
 
-// After SIGHUP the program polls the notice board that the configuration file names now. A file that can't be
-// parsed changes nothing. SIGTERM ends the program with exit code 0.
+// After SIGHUP the program must poll the notice board that the configuration file names at that time. A
+// configuration file that can't be parsed must change nothing. SIGTERM must end the program with exit code 0.
 TEST(Program, RereadsItsConfigurationAndExits) {
     EventLoop loop;
     NoticeBoardStandIn first_board(loop), second_board(loop);
@@ -750,7 +760,8 @@
         GatewayScenario scenario(seed);
         scenario.run(300);
         EXPECT_EQ(scenario.violations, std::vector<std::string>{}) << "seed " << seed;
-        // Without these the run would not have exercised the rules.
+        // The following checks ensure that the run has exercised the rules: requests were served, the drain
+        // reached the gateway, some requests were rejected or failed, and some requests had several attempts.
         EXPECT_GT(scenario.served, 100);
         EXPECT_GT(scenario.drain_known_at, TimePoint{});
         EXPECT_GT(scenario.rejected + scenario.failed, 0);
--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -1,5 +1,5 @@
-// The parts file: it is either read whole or refused with one line that names the file, the line and what is
-// allowed.
+// Tests the parts file. The file must either be read completely or be refused with one line that names the
+// file, the line and what is allowed.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -79,7 +79,7 @@
     const std::string empty = ::testing::TempDir() + "irismux_empty_parts.toml";
     std::ofstream(empty).flush();
     EXPECT_TRUE(std::holds_alternative<Parts>(read_parts(empty)))
-        << "an empty file is valid and names no part";
+        << "an empty file is refused, although it is valid and names no part";
     std::remove(empty.c_str());
     EXPECT_EQ(std::get<PartsError>(read_parts("/nowhere/p.toml")).text(), "cannot read /nowhere/p.toml");
 }
@@ -97,7 +97,7 @@
     EXPECT_EQ(settings->shared_config.term, Duration::seconds(8));
     EXPECT_LE(settings->registry.poll_policy.reply_timeout, Duration::seconds(2));
     EXPECT_TRUE(fleet_of(fleet + "members = [\"127.0.0.1:2379\"]\n"))
-        << "[fleet] with its own members needs no [registry]";
+        << "[fleet] is refused without [registry], although it has members of its own";
     EXPECT_FALSE(fleet_of(valid_text));
     const std::vector<std::pair<std::string, std::string>> mistakes = {
         {fleet, "p.toml:1: [fleet] needs 'members'"},
--- a/tests/platform_run_line_test.cpp
+++ b/tests/platform_run_line_test.cpp
@@ -1,6 +1,6 @@
-// Guards against an optional part being enabled by accident: runs exactly the `run` line of
-// deploy/balancer.toml, with parts files in the directories and unknown variables in the environment, and
-// observes the process from outside.
+// A file or a variable that happens to be present must not enable an optional part. The tests run exactly the
+// `run` line of deploy/balancer.toml, with parts files in the directories and unknown variables in the
+// environment, and observe the process from outside.
 #include <gtest/gtest.h>
 
 #include <signal.h>
@@ -86,7 +86,8 @@
             false};
     }
 
-    // Records everything about the process at this instant that the rules of the platform do not allow.
+    // Records each property that the process has at this instant and that the rules of the platform do not
+    // allow.
     void check_process(test_support::Process& process) {
         std::set<std::string> known = {notice_board.address()};
         for (const auto& c : caches) known.insert(c->address());
@@ -103,8 +104,8 @@
         if (test_support::children_of(process.id()) > 0) deviations.insert("starts other programs");
     }
 
-    // Runs the process under load until this many requests are served or the time limit has passed. Half way
-    // SIGHUP makes it read its configuration again; at the end SIGTERM ends it.
+    // Runs the process under load until `request_count` requests are served or the time limit has passed.
+    // Half way, SIGHUP makes the process read its configuration again. At the end, SIGTERM ends the process.
     void serve_and_check(test_support::Process& process, std::uint64_t request_count, Duration time_limit) {
         ASSERT_TRUE(runner.run_until([&] {
             const auto sockets = test_support::sockets_of(process.id());
@@ -147,7 +148,8 @@
     EXPECT_EQ(list_files(root), before);
 }
 
-// Shows that the checks above detect a part that is enabled: here the line names a parts file.
+// Shows that the checks of the previous test detect a part that is enabled: here the command line names a
+// parts file.
 TEST_F(Platform, TheSameLineWithPartsConnectsAndWrites) {
     const std::set<std::string> before = list_files(root);
     test_support::Process::Options start = launch_options(run_line() + " serve --parts parts.toml");
--- a/tests/repeated_id_test.cpp
+++ b/tests/repeated_id_test.cpp
@@ -1,5 +1,6 @@
-// Clients that use a request id again, while it is open and after its end, on one connection and on several.
-// Each request must get one final response, and a served one the body of the object that it requested.
+// Clients use a request id again while the first request with this id is open and after it has ended, on one
+// connection and on several connections. Each request must get one final response. A request that is served
+// must get the body of the object that it requested.
 #include <array>
 #include <random>
 
@@ -63,7 +64,8 @@
         aborted_.insert(number);
         connection_->abort(number);
     }
-    // The numbers of requests are few, too, and used again as soon as they are free.
+    // There are few FastCGI request numbers, as there are few ids, and each number is used again as soon as
+    // it is free.
     void send_request() {
         std::uint16_t number = 1;
         while (open_.contains(number) || aborted_.contains(number)) ++number;
@@ -96,7 +98,8 @@
     std::set<std::uint16_t> aborted_;
 };
 
-// The cache answers at once, late, twice or with an error, does not answer, or closes the connection.
+// Makes the cache respond at once, late, twice or with an error, or send no response, or close the
+// connection.
 void inject_cache_faults(SingleProcess& gateway, ScriptedCache& cache, std::mt19937& random) {
     cache.on_attempt = [&gateway, &cache, &random](const ScriptedCache::ReceivedAttempt& attempt) {
         const auto answer = [&cache, attempt](const std::string& result) {
@@ -121,9 +124,9 @@
     };
 }
 
-// Checks in what the caches have received whole that no request with an effect has run twice. Requests are
-// compared by everything that their client can choose. An equal request counts as a new one once the time of
-// the first one is over and the longest deadline has passed after it.
+// Checks, by the attempts that the caches have received whole, that no request with an effect has run twice.
+// Two requests are equal if everything that a client can choose is equal. If at least the longest deadline
+// lies between two equal requests, the second one counts as a new request.
 void expect_no_second_run(const SingleProcess& gateway) {
     std::map<std::string, std::vector<TimePoint>> runs;
     for (const auto& cache : gateway.caches)
@@ -161,16 +164,16 @@
     EXPECT_TRUE(all_done);
     int served = 0;
     for (const Client& client : clients) served += client.served;
-    // Most requests are refused because there are few ids. How many depends on how long caches hold each of
-    // them.
+    // Most requests are refused because there are few ids. How many requests are refused depends on how long
+    // the caches delay the responses to requests with each id.
     EXPECT_GT(served, 30);
     expect_no_second_run(gateway);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, RepeatedIds, ::testing::Values(1u, 2u, 3u, 4u));
 
-// For requests that share an id: a gateway with one cache, which answers only on a call of answer(), and two
-// clients.
+// A gateway with two clients and one cache, for tests with requests that share an id. The cache responds only
+// when answer() is called.
 struct RepeatedIdFixture {
     SingleProcess gateway{process_options(1, {.deadline_s = 3})};
     ScriptedCache& cache = *gateway.caches[0];
@@ -186,8 +189,9 @@
     }
 };
 
-// A request arrives with the id of an open request on the same connection. It must be refused at once, and
-// the first one must be served; after that the id is free.
+// While a request is open, another request with the same id arrives on the same connection. The second
+// request must be refused at once, and the first request must be served. After that, a request with this id
+// must be served again.
 TEST(RepeatedId, OnOneConnectionIsRefusedWhileTheFirstIsOpen) {
     RepeatedIdFixture fixture;
     fixture.first_client->send(1, {.id = id_of(7), .object = object_of(1)});
@@ -205,8 +209,9 @@
     EXPECT_EQ(fixture.first_client->responses.back().body, body_of(object_of(3)));
 }
 
-// A request of another client arrives with the id of an open request. Its attempt must use another connection
-// to the cache, where its response cannot be taken for that of the first one.
+// While a request is open, another client sends a request with the same id. The attempt of the second request
+// must use another connection to the cache. On the same connection, the response to one request could be
+// taken for the response to the other request.
 TEST(RepeatedId, OnTwoConnectionsEachIsServedItsOwn) {
     RepeatedIdFixture fixture;
     fixture.first_client->send(1, {.id = id_of(7), .object = object_of(1)});
@@ -259,8 +264,8 @@
         fixture.gateway.wait_until([&] { return fixture.other_client->has_response(1, "Status: 200"); }));
 }
 
-// As many requests with one id are open as there may be connections to the cache. One more must be refused
-// without having run.
+// As many requests with one id are open as there may be connections to the cache. One more request with this
+// id must be refused without having run.
 TEST(RepeatedId, BeyondItsConnectionsIsRefused) {
     RepeatedIdFixture fixture;
     const auto third_client = fixture.gateway.connect_client();
@@ -274,8 +279,9 @@
     EXPECT_EQ(fixture.cache.received.size(), 2u);
 }
 
-// A request equal to one with an effect arrives before and after the response of the first one. It must be
-// refused each time. A request with the same id and another body is another request, and runs.
+// Clients repeat a request that has an effect, before and after the first request gets its response. The
+// repeated request must be refused each time. A request with the same id and another body is another request,
+// and must run.
 TEST(RepeatedId, ARequestWithAnEffectRunsOnce) {
     RepeatedIdFixture fixture;
     const FastCgiClient::Request request{
--- a/tests/request_identity_test.cpp
+++ b/tests/request_identity_test.cpp
@@ -1,5 +1,6 @@
-// Ids and timestamps that clients, caches and writers of notices choose, without I/O: ids in flight on a
-// connection, equal requests, the estimated times of notices, and a router whose ids never repeat.
+// Tests, without I/O, how the gateway handles ids and timestamps that clients, caches and writers of notices
+// choose: ids in flight on a connection, equal requests, the estimated times of notices, and a router whose
+// ids never repeat.
 #include <random>
 
 #include "net/event_time_estimator.hpp"
@@ -23,7 +24,8 @@
     EXPECT_FALSE(ids.used_by_another(client_id(1), RequestId{2}, after(2)));
 }
 
-// A connection carries a flood of ids. Expired ids are dropped, and at the limit those that expire first.
+// A connection carries a flood of ids. Expired ids must be erased. When the limit is reached, the ids that
+// expire first must be erased.
 TEST(InFlightRequestIds, AreBounded) {
     InFlightRequestIds ids;
     std::uint64_t request_id = 0;
@@ -42,8 +44,8 @@
     return {ClientRequestId{std::to_string(id)}, "bids", "object", "0", body};
 }
 
-// Compares the filter with a plain list: an equal request is refused until the time of the first one is over,
-// and any difference makes another request.
+// Compares the filter with a plain list. While the filter remembers a request, an equal request must be
+// refused. A request that differs in any way must be accepted as another request.
 TEST(DuplicateRequestFilter, AgreesWithAPlainList) {
     std::mt19937 random(7);
     DuplicateRequestFilter filter;
@@ -87,10 +89,11 @@
     }
 }
 
-// Guards against copies from before a purge being served because clocks differ. The writer's clock is off by
-// any constant, this process's clock as well, and some responses of the notice board are late. A purge must
-// never be dated earlier than it happened, nor earlier than the previous poll; while responses are prompt, it
-// must be dated within their delay.
+// If a purge were dated earlier than it happened, copies from before the purge would be served. This could
+// happen because clocks differ. In the test, the clock of the purge's writer differs from the clock of this
+// process by a constant of up to an hour, and some responses of the notice board are late. A purge must never
+// be dated earlier than it happened, nor earlier than the previous poll. While responses are prompt, a purge
+// must be dated at most the delay of the responses after it happened.
 TEST(EventTimes, APurgeIsNeverTakenForOlderThanItIs) {
     std::mt19937 random(11);
     for (const double writer_ahead_s : {0.0, 3600.0, -3600.0, 2.5, -2.5}) {
@@ -106,7 +109,8 @@
             ASSERT_GE(at, happened);
             ASSERT_LE(at, now);
             if (n > 100) {
-                // Limited by the shortest delay seen so far and by the allowed drift between two clocks.
+                // The error is limited by the shortest delay seen so far and by the allowed drift between two
+                // clocks.
                 ASSERT_LE((at - happened).seconds(), 1.0);
             }
             previous_poll = now;
@@ -115,7 +119,7 @@
 }
 
 // The writer's clock is stepped back while the notice board is silent, and forward again afterwards. The
-// offset known before each step must be discarded.
+// clock offset that was estimated before each step must be discarded.
 TEST(EventTimes, AStepOfTheWritersClockIsDetected) {
     EventTimeEstimator times;
     times.begin_live(after(1), after(0));
@@ -126,8 +130,8 @@
     EXPECT_GE(times.purge_time(after(3)), after(3));
 }
 
-// The newest purge of a history is dated to the time at which the history was read, and the others by their
-// distance from it, whatever this process's clock says.
+// The newest purge of a history must be dated to the time at which the history was read, and each other purge
+// by its distance from the newest purge, whatever this process's clock says.
 TEST(EventTimes, HistoryIsDatedByItsNewestPurge) {
     for (const double own_clock_ahead_s : {0.0, 3600.0}) {
         EventTimeEstimator times;
@@ -139,8 +143,8 @@
     }
 }
 
-// A start that is announced again keeps its time. A start whose timestamp does not fit between two polls is
-// dated to the current time.
+// A start that the notice board announces again must keep its time. A start whose timestamp does not fit
+// between two polls must be dated to the current time.
 TEST(EventTimes, AStartThatDoesNotFitIsDatedToTheCurrentTime) {
     EventTimeEstimator times;
     const CacheId a{"a"}, b{"b"}, c{"c"};
@@ -168,7 +172,7 @@
     EXPECT_TRUE(harness.callbacks.violations.empty()) << harness.callbacks.violations.front();
 }
 
-// A second request with an id that was used before is ignored.
+// The router must ignore a second request with an id that was used before.
 TEST(Router, ASecondRequestOfTheSameIdIsIgnored) {
     RouterHarness harness;
     const Request request = request_for("twice", "object", harness.now + Duration::seconds(5));
--- a/tests/slow_start_fleet_test.cpp
+++ b/tests/slow_start_fleet_test.cpp
@@ -1,6 +1,6 @@
-// Rule 4 for a whole fleet: compares the transfers of all gateways to a restarted endpoint with what the
-// settings allow, plus a margin for random variation. Runs many routers in virtual time and counts at the
-// endpoint.
+// Tests rule 4 (an endpoint that is warming up is not overloaded) for a whole fleet. Runs many routers in
+// virtual time, sums the transfers of all gateways to a restarted endpoint, and compares the sum with what
+// the settings allow, plus a margin for random variation.
 #include <cmath>
 #include <deque>
 #include <queue>
@@ -57,7 +57,8 @@
 
 struct FleetWithRestart {
     static constexpr double transfer_seconds = 0.2;  // transfer time of each object
-    // Small enough that, with many gateways, the share of each gateway is far below one request.
+    // The weight of a parent. It is so small that, with many gateways, each gateway's share of the budget is
+    // far below one request.
     static constexpr double parent_weight = 10;
     Deployment settings = deployment();
     std::ranlux24_base random;
@@ -99,7 +100,8 @@
         routers[gateway] = std::make_unique<Router>(gateway_callbacks, settings, random(), now);
         routers[gateway]->on_endpoint_updates(now, endpoint_list(knows), true);
     }
-    // Sends few requests until `burst_after` seconds after the restart, when all gateways get many at once.
+    // Sends few requests at first. `burst_after` seconds after the restart, all gateways get many requests at
+    // once.
     void play(double burst_after) {
         const TimePoint burst = restarted_at + Duration::seconds(burst_after),
                         end = burst + Duration::seconds(3);
@@ -131,7 +133,8 @@
                     gateway_callbacks.knows_of_start = true;
                     routers[gateway]->on_endpoint_updates(now, endpoint_list(true), true);
                 }
-                // Gateways restart at random and lose their state: about half of them over the whole run.
+                // Gateways restart at random and lose their state. About half of the gateways restart during
+                // the whole run.
                 if (now > restarted_at + Duration::seconds(2) &&
                     random_fraction() < 0.01 * 0.5 / std::max(1.0, burst_after))
                     start(gateway, now, true);
@@ -156,8 +159,8 @@
         next.size_kb = transfer_seconds * settings.transfer_rate_kb_per_s;
         routers[gateway]->on_request(now, next);
     }
-    // Checks the transfers by gateways that knew of the start in each overload window that ends with an
-    // attempt.
+    // Checks each overload window that ends with an attempt. Only attempts of gateways whose endpoint list
+    // named the start of the endpoint count.
     void check() { check(settings.parent_slow_start, parent_weight); }
     void check(const SlowStart& slow_start, double capacity) {
         for (std::size_t last = 0, first = 0; last < sent.size(); ++last) {
@@ -181,8 +184,9 @@
 
 class RestartInAFleet : public ::testing::TestWithParam<int> {};
 
-// Guards against a fleet that overloads a restarted parent because idle gateways accumulate budget. During
-// the parent's warm-up all gateways get many requests at once; together they stay below its overload multiple
+// Gateways that are idle while a parent warms up accumulate budget. Without a bound, they could spend this
+// budget at the same time and overload the parent. In the test, all gateways get many requests at once during
+// the warm-up of a restarted parent. Together the gateways must stay below the parent's overload multiple
 // plus a margin for random variation. SlowStartPolicy::has_budget ensures this: it bounds the budget that an
 // idle gateway accumulates. docs/crossings.md quotes the printed figures.
 TEST_P(RestartInAFleet, AllGatewaysTogetherStayBelowTheOverloadMultiple) {
@@ -206,8 +210,8 @@
 // One of the three caches of a location restarts, its peers leave the list, and then a burst of requests
 // arrives. Weights are unknown, so the capacity of a cache is derived from the link of the location.
 struct LocationWithRestart : FleetWithRestart {
-    // How gateways learn that the peers leave: from an update, or by a restart with a list on which the peers
-    // drain.
+    // How the departure of the peers reaches a gateway: by an update of the endpoint list, or by a restart of
+    // the gateway with a first endpoint list on which the peers drain.
     enum class LearnsFrom { update, first_list };
     static constexpr double cache_capacity = 10;
     static constexpr double leave_before_burst = 0.5, all_learn_within = 0.3, drain = 0.2;
@@ -290,9 +294,10 @@
 class RestartInALocation : public ::testing::TestWithParam<std::tuple<int, LocationWithRestart::LearnsFrom>> {
 };
 
-// Guards against overloading a restarted cache when its peers leave. Dividing the link by the number of
-// remaining caches would add the peers' part to its capacity; EndpointSet::max_active_edges prevents this.
-// docs/crossings.md quotes the printed figures.
+// If a gateway divided the link of a location by the number of remaining caches, the estimated capacity of a
+// restarted cache would grow when its peers leave, and the gateways would overload this cache.
+// EndpointSet::max_active_edges prevents this. In the test, both peers of a restarted cache leave, and then a
+// burst of requests arrives. docs/crossings.md quotes the printed figures.
 TEST_P(RestartInALocation, TheRestartedCacheGetsNoMoreWhenItsPeersLeave) {
     const auto [gateways, source] = GetParam();
     std::size_t sent = 0, plays = 0;
