--- a/tests/cache_connection_pool_test.cpp
+++ b/tests/cache_connection_pool_test.cpp
@@ -226,7 +226,7 @@
             });
         };
         scenario.start("b2", "e1");
-        scenario.start("b3", "e2");  // the one connection is in use
+        scenario.start("b3", "e2");  // the only connection is in use
     });
     scenario.loop.schedule_at(scenario.loop.now() + Duration::seconds(0.8), [&] {
         EXPECT_EQ(scenario.outcomes.at("b2"), Outcome::cache_miss);
@@ -255,7 +255,7 @@
         for (auto& s : backlog) s.connectNB(Poco::Net::SocketAddress(scenario.listeners.at("e1")->address()));
         scenario.start("b2");
     });
-    scenario.run(0.18);  // before the connect timeout
+    scenario.run(0.18);  // ends before the connect timeout
     EXPECT_EQ(scenario.received, (std::vector<std::string>{"b1", "b2"}));
     EXPECT_EQ(scenario.ended, (std::vector<std::string>{"b1", "b2"}));
 }
--- a/tests/client_gone_test.cpp
+++ b/tests/client_gone_test.cpp
@@ -43,7 +43,7 @@
 }
 
 // The cache resets the first attempt, and the retry waits for a connection. The client leaves, and only then
-// connections are established. The retry must not arrive.
+// connections are established. The retry must not reach the cache.
 TEST_P(ClientGone, ARetryThatWaitsDoesNotBegin) {
     SingleProcess gateway(process_options(1, {}, 0));
     ScriptedCache& cache = *gateway.caches[0];
--- a/tests/event_loop_test.cpp
+++ b/tests/event_loop_test.cpp
@@ -1,4 +1,4 @@
-// Timers of the event loop and the handle that owns one.
+// Tests the timers of the event loop and ScopedTimer, the handle that owns a timer.
 #include "net/event_loop.hpp"
 
 #include <gtest/gtest.h>
@@ -29,7 +29,8 @@
     EXPECT_EQ(runs, 0);
 }
 
-// Assigning another timer to a handle must cancel the pending one: only the second callback runs, once.
+// Assigning another timer to a handle must cancel the pending timer. Only the second callback may run, and
+// only once.
 TEST(ScopedTimer, AssignmentCancelsThePreviousTimer) {
     EventLoop loop;
     int first = 0;
--- a/tests/fatal_signal_test.cpp
+++ b/tests/fatal_signal_test.cpp
@@ -9,7 +9,7 @@
 class FatalSignal : public ::testing::TestWithParam<int> {};
 
 // A fatal signal ends a process that has responded to a request. The process's log must name the signal and
-// the events of the request, each event with the time that has passed since.
+// the events of the request, and for each event the time that has passed since the event.
 TEST_P(FatalSignal, IsPrintedWithTheLastEvents) {
     test_support::SingleProcess gateway(with_immediate_answers(process_options(1)));
     const auto client = gateway.connect_client();
--- a/tests/random_gateway_scenario.hpp
+++ b/tests/random_gateway_scenario.hpp
@@ -130,8 +130,8 @@
             random_int(0, 4) > 0)
             return;
         const Outcome outcome = random_bool() ? Outcome::completed : static_cast<Outcome>(random_int(0, 8));
-        // Only an attempt of a finished request can end as superseded. The end of attempts at their deadlines
-        // is played in advance().
+        // Only an attempt of a finished request can end as superseded. RandomScenario::advance ends attempts
+        // at their deadlines.
         if (outcome == Outcome::superseded || outcome == Outcome::deadline_exceeded) return;
         const CacheStatus cache_status = static_cast<CacheStatus>(random_int(0, 10));
         if (wide_) return end_attempt_by_endpoint_state(position, outcome, cache_status);
--- a/tests/repeated_id_test.cpp
+++ b/tests/repeated_id_test.cpp
@@ -227,8 +227,9 @@
     EXPECT_EQ(fixture.other_client->responses[0].body, body_of(object_of(2)));
 }
 
-// A request equal to an open one arrives on another connection. It must be refused; once the first one is
-// answered, an equal request is served (DuplicateRequestFilter).
+// While a request is open, an equal request arrives on another connection. The second request must be
+// refused. After the first request has got its response, an equal request must be served
+// (DuplicateRequestFilter).
 TEST(RepeatedId, AnEqualRequestIsRefusedWhileTheFirstIsOpen) {
     RepeatedIdFixture fixture;
     const FastCgiClient::Request request{.id = id_of(7), .object = object_of(1)};
--- a/tests/router_health_test.cpp
+++ b/tests/router_health_test.cpp
@@ -8,7 +8,7 @@
 class RouterHealthTest : public RouterTest {};
 
 // A cache may still refuse connections when the backoff of its ejection ends. A gateway that then sent all
-// requests of this cache there would have each of them refused. The test expects that only one request goes
+// requests of this cache there would have each request refused. The test expects that only one request goes
 // to the cache, as the recovery probe. If the probe is refused too, the next backoff must be twice as long.
 TEST_F(RouterHealthTest, ARefusedConnectionEjectsAndTheBackoffDoublesWithOneRecoveryProbe) {
     const std::string name = object_of_cache("e1");
@@ -170,10 +170,10 @@
 }
 
 // A cache that loses some attempts is not congested, and a gateway that waited for a lost attempt until the
-// deadline would lose the request. In the test, every fourth attempt at e1 gets no response, and each other
-// attempt there gets a response at once. The late attempts at e1 must not count as congestion. The next
-// request for an object of e1 must begin with a cache-only attempt that has a short timeout. If this attempt
-// is lost, the next attempt must go to e1 too.
+// deadline could not repeat the attempt in time. In the test, every fourth attempt at e1 gets no response,
+// and each other attempt there gets a response at once. The late attempts at e1 must not count as congestion.
+// The next request for an object of e1 must begin with a cache-only attempt that has a short timeout. If this
+// attempt is lost, the next attempt must go to e1 too.
 TEST_F(RouterHealthTest, ACacheThatLosesAttemptsGetsACacheOnlyAttemptFirst) {
     const std::string object_at_e1 = object_of_cache("e1"), object_at_e2 = object_of_cache("e2");
     std::vector<std::pair<TimePoint, std::size_t>> lost;
--- a/tests/router_slow_start_test.cpp
+++ b/tests/router_slow_start_test.cpp
@@ -88,7 +88,8 @@
 // Many gateways may overload a parent together although each gateway keeps to its own budget, for example if
 // all of them send at the same moment. In the test, the endpoint lists of 120 gateways name the start of p1
 // at the same time, and all these gateways have requests for p1. The transfers of all gateways to p1 must
-// together stay below the overload multiple of p1, and must use at least a quarter of the capacity of p1.
+// together stay below the overload multiple of p1. In the first 8 s, they must use at least a quarter of the
+// capacity of p1.
 TEST(ManyGateways, AHundredGatewaysTogetherDoNotOverloadAWarmingParent) {
     Deployment settings = deployment();
     settings.gateways = 120;
@@ -189,9 +190,10 @@
 // If the endpoint lists of several gateways name the start of a restarted cache late, each gateway has sent
 // the new process a full load until then, and together the gateways would overload the cache. In the test,
 // the lists of eight gateways name the start of e1 at the same time, 1.4 s late, and until then each gateway
-// has sent e1 as much as it could. In each step after that, the gateways may send to e1 only if their
-// transfers together stay below the overload multiple of e1. From step 41 on, their transfers must stay below
-// the overload multiple in any case.
+// has sent e1 as much as it could. In each step of 0.1 s after that, the gateways may send to e1 only if
+// their transfers together stay below the overload multiple of e1. From step 41 on, their transfers must stay
+// below the overload multiple in any case. From step 50 on, they must use at least a quarter of the capacity
+// of e1.
 TEST(ManyGateways, GatewaysWithALateListTogetherDoNotOverloadAWarmingCache) {
     Deployment settings = deployment();
     settings.gateways = settings.gateways_in_location = 8;
--- a/tests/routing/congestion_test.cpp
+++ b/tests/routing/congestion_test.cpp
@@ -49,8 +49,8 @@
 
 // The location has three caches of weight 6, so its link carries 9 transfers at once. Two gateways share the
 // link. Fills are congested when more than 0.2 attempts are late for each of these transfers, that is more
-// than 1.8 attempts. A gateway doubles the number of its own late attempts to estimate the number at both
-// gateways.
+// than 1.8 attempts in total. A gateway doubles the number of its own late attempts to estimate the number at
+// both gateways.
 TEST_F(CongestionTest, LateAttemptsIndicateCongestedFills) {
     start_attempts(2);
     EXPECT_FALSE(congestion_.fills_congested(mean));
--- a/tests/routing/freshness_test.cpp
+++ b/tests/routing/freshness_test.cpp
@@ -25,9 +25,9 @@
     void purge(Duration age) { freshness_.on_purge(age, PurgeGroupId{3}, ObjectName{"object"}, now_); }
 };
 
-// A gateway that ignored a purge, or forgot how long ago it happened, would let caches serve copies from
-// before the purge. The test purges all copies that are older than 0.2 s. One second later, a copy may be at
-// most 1.2 s old, minus the resolution of timers.
+// A gateway that did not limit the age of copies after a purge would let caches serve copies from before the
+// purge. The test purges all copies that are older than 0.2 s. One second later, a copy may be at most 1.2 s
+// old, minus the resolution of timers.
 TEST_F(FreshnessTest, APurgeLimitsTheAgeWhileOldCopiesMayRemain) {
     purge(Duration::seconds(0.2));
     EXPECT_EQ(freshness_.max_age(request_, false, now_ + one_second),
--- a/tests/routing/outlier_detector_test.cpp
+++ b/tests/routing/outlier_detector_test.cpp
@@ -191,9 +191,10 @@
     EXPECT_EQ(parent_.health.last_seen, now_);
 }
 
-// Guards against waiting until the deadline for attempts that a cache loses. A cache responds to most
-// attempts but leaves some without a response, while its peers lose none; it is classified as losing attempts
-// for two seconds.
+// A gateway that did not detect a cache that loses attempts would wait for each lost attempt until the
+// deadline. In the test, a cache responds to one attempt and leaves two others without a response, while its
+// peers lose no attempt. After the second lost attempt, the cache must count as losing attempts for two
+// seconds.
 TEST_F(OutlierDetectorTest, ACacheThatLosesAttemptsStandsOutAmongItsPeers) {
     Attempt attempt = attempt_at("e1", now_);
     wait(1);
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -63,9 +63,10 @@
     EXPECT_TRUE(idle->has_response(2, "Status: 200"));
 }
 
-// Two connections wait to be accepted. The first connection sends nothing, so when the gateway has accepted
-// it, the gateway has responded to every request that it has read, although a request still waits on the
-// second connection. FastCgiServer::stop_listening must accept the second connection too.
+// Two connections wait to be accepted. The first connection sends nothing, and a request waits on the second
+// connection. When the gateway has accepted only the first connection, it has responded to every request that
+// it has read. If it exited then, the request on the second connection would be lost.
+// FastCgiServer::stop_listening must accept the second connection too.
 TEST_F(ShutdownAfterStandstill, AnswersConnectionsThatWaitToBeAccepted) {
     std::unique_ptr<RawClient> silent, requesting;
     shut_down_during([&] {
--- a/tests/slow_start_fleet_test.cpp
+++ b/tests/slow_start_fleet_test.cpp
@@ -215,7 +215,7 @@
     enum class LearnsFrom { update, first_list };
     static constexpr double cache_capacity = 10;
     static constexpr double leave_before_burst = 0.5, all_learn_within = 0.3, drain = 0.2;
-    // The duration of the burst in seconds; the rates are requests per second at the whole location.
+    // The burst lasts `burst_lasts` seconds. The rates are requests per second at the whole location.
     static constexpr double burst_lasts = 2, burst_rate = 400, quiet_rate = 8;
 
     LocationWithRestart(int gateways, std::uint32_t seed) : FleetWithRestart(gateways, seed) {
--- a/tests/waiting_attempt_test.cpp
+++ b/tests/waiting_attempt_test.cpp
@@ -1,5 +1,5 @@
-// Router::may_begin_attempt: an attempt that has waited is checked again before its first byte is sent.
-// Idempotency windows and shutdown are tested with whole processes (event_order_test, shutdown_test).
+// Tests Router::may_begin_attempt, which checks an attempt that has waited again before its first byte is
+// sent. Idempotency windows and shutdown are tested with whole processes (event_order_test, shutdown_test).
 #include "router_test_support.hpp"
 
 using namespace irismux;
