--- a/example/stub_cache.cpp
+++ b/example/stub_cache.cpp
@@ -208,6 +208,7 @@
         std::cerr << "irismux_stub_cache: " << e.displayText() << '\n';
         return 1;
     }
-    std::cerr << "usage: irismux_stub_cache serve | irismux_stub_cache ask KIND OBJECT (16 hex digits)\n";
+    std::cerr
+        << "usage: irismux_stub_cache serve | irismux_stub_cache ask KIND OBJECT; OBJECT has 16 hex digits\n";
     return 2;
 }
--- a/sim/simulator_host.cpp
+++ b/sim/simulator_host.cpp
@@ -69,7 +69,8 @@
     void on_request(TimePoint now, const json& message) {
         const std::string kind = get<std::string>(message, "kind");
         const auto index = kind_indexes_.find(kind);
-        if (index == kind_indexes_.end()) throw_parse_error("unknown kind '" + kind + "'");
+        if (index == kind_indexes_.end())
+            throw_parse_error("'kind' is '" + kind + "', which is not among the 'lanes' of the setup");
         Request request = read_request(message);
         request.kind = index->second;
         request.id = writer_.names.add(get<std::string>(message, "xid"));
@@ -113,10 +114,13 @@
         const std::string kind = get<std::string>(message, "how");
         if (kind == "lost") return router_->on_endpoint_updates_lost(now);
         if (kind != "incr" && kind != "total" && kind != "warm_copy")
-            throw_parse_error("unknown kind of list '" + kind + "'");
+            throw_parse_error("'how' of a 'View' message must be incr, total, warm_copy or lost, not '" +
+                              kind + "'");
         const auto number = get_or<std::int64_t>(message, "ref", 0);
         const auto list = lists.find(number);
-        if (list == lists.end()) throw_parse_error("unknown list number " + std::to_string(number));
+        if (list == lists.end())
+            throw_parse_error("'View' refers to endpoint list " + std::to_string(number) +
+                              ", which no 'Ledger' message has sent");
         router_->on_endpoint_updates(now, list->second, kind != "incr");
     }
 
@@ -163,7 +167,7 @@
     SimulatedGateway& gateway_for(const std::string& type, const std::string& name) {
         const auto gateway = gateways_.find(name);
         if (gateway == gateways_.end())
-            throw_parse_error("'" + type + "' for '" + name + "', which is not running");
+            throw_parse_error("message '" + type + "' is for gateway '" + name + "', which is not running");
         return *gateway->second;
     }
 
@@ -181,7 +185,7 @@
         else if (type == "ClientGone")
             gateway.on_client_closed(now, message);
         else if (!is_ignored(type))
-            throw_parse_error("unknown message '" + type + "'");
+            throw_parse_error("unknown message type '" + type + "'");
     }
 
     void read_endpoint_list(const json& message) {
--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -104,7 +104,7 @@
         if (now == before_) return std::nullopt;
         return print_error(
             "no reply to the write, and another writer changed the record; the write may or may not have "
-            "taken effect before that");
+            "taken effect before the other writer's change, check the record");
     }
 
     std::string path(const Key& key) const { return settings_.prefix + path_of(key); }
@@ -191,7 +191,9 @@
     return print_error(
         "release requested from " + former.owner.raw() +
         ", but no other member has taken the duty yet; check that another member has been in the "
-        "fleet for two terms. The request stays until it is withdrawn with 'restore'");
+        "fleet for two terms. The request to release the duty stays until the owner restarts or "
+        "'irismux fleet restore " +
+        name.raw() + "' withdraws it");
 }
 
 }  // namespace
--- a/src/cli/fleet_commands.hpp
+++ b/src/cli/fleet_commands.hpp
@@ -35,8 +35,9 @@
     /// Longest wait, in seconds, until the event and the configuration are in force everywhere.
     double wait_s = 0;
 };
-/// Prints whether the queried event and configuration are in force. Exit code 0: everywhere; 3: at all
-/// gateways but those printed; 4: not yet.
+/// Prints whether the queried event and configuration are in force. Returns exit code 0 if they are in force
+/// everywhere, 3 if they are in force at all gateways except the printed gateways and sites, and 4 if they
+/// are not in force everywhere yet.
 int fleet_in_force(const fleet::Settings& settings, const InForceQuery& query);
 /// Removes a permanently stopped gateway from the roster of its site.
 int fleet_forget(const fleet::Settings& settings, const std::string& site, const std::string& member);
--- a/src/cli/fleet_in_force_command.cpp
+++ b/src/cli/fleet_in_force_command.cpp
@@ -100,7 +100,7 @@
         case Reason::never_reported:
             return "named in 'sites', but has no readable digest";
         case Reason::too_few_members:
-            return "has fewer known gateways than 'sites' states";
+            return "has fewer gateways in its roster than 'sites' states";
         case Reason::too_many_members:
             return "has more gateways than its records can name";
         case Reason::other_generation:
@@ -108,10 +108,11 @@
         case Reason::outside_all_sites:
             return "a gateway without the setting 'site'";
         case Reason::no_inventory:
-            return "[fleet] has no 'sites'";
+            return "the table [fleet] of the parts file has no 'sites', which must name each site with its "
+                   "number of gateways";
         case Reason::newest_event_unknown:
-            return "the newest event of the notice board is unknown, or older than the queried event or one "
-                   "that a gateway reports";
+            return "the number of the notice board's newest event is unknown, or it is lower than the number "
+                   "of the queried event or of an event that a gateway reports";
     }
     return "";
 }
@@ -121,11 +122,11 @@
         case FleetStatus::Reach::everywhere:
             return "in force everywhere\n";
         case FleetStatus::Reach::all_but:
-            return "in force at all but\n";
+            return "in force at all gateways except these gateways and sites:\n";
         case FleetStatus::Reach::not_yet:
             break;
     }
-    return "not yet\n";
+    return "not in force everywhere yet:\n";
 }
 
 int exit_code(FleetStatus::Reach reach) {
--- a/src/cli/fleet_repair_commands.cpp
+++ b/src/cli/fleet_repair_commands.cpp
@@ -21,7 +21,8 @@
     const auto outcome = session.request_once(etcd::transaction(compares, writes, {}));
     const auto* reply = std::get_if<Reply>(&outcome);
     if (!reply)
-        return print_error("no reply to the write; it may or may not have taken effect, check the records");
+        return print_error(
+            "no reply to the write; the write may or may not have taken effect, check the records");
     const auto result =
         value_or_throw(etcd::read_transaction_result(reply->status, reply->body, settings.prefix));
     if (!result.succeeded)
@@ -40,7 +41,8 @@
         const ValuesByKey found = read_keys(session, settings.registry, {roster, record});
         const auto known = found.contains(roster) ? parse_site_roster(found.at(roster)) : std::nullopt;
         if (!known || !known->names.contains(MemberName{member}))
-            return print_error("no gateway " + member + " is known in site " + site);
+            return print_error("the roster of site " + site + " does not name a gateway " + member +
+                               "; check both names");
         if (found.contains(record))
             return print_error(member + " is still a member of the fleet; stop it first");
         SiteRoster remaining = *known;
--- a/src/cli/registry_commands.cpp
+++ b/src/cli/registry_commands.cpp
@@ -48,7 +48,10 @@
         if (reply_lost_ && result.conflicting_value == value)
             return print_written("; the reply to the write was lost");
         const char* const outcome =
-            reply_lost_ ? "the write may or may not have taken effect before that" : "nothing was written";
+            reply_lost_
+                ? "the write may or may not have taken effect before the other writer's change, check the "
+                  "record"
+                : "nothing was written";
         return print_error(id_ + " was changed by another writer; " + outcome);
     }
 
@@ -66,7 +69,9 @@
         if (record.modified == unchanged_since) return std::nullopt;
         if (record.value == value) return print_written("; the reply to the write was lost");
         return print_error(
-            id_ + " was changed by another writer; the write may or may not have taken effect before that");
+            id_ +
+            " was changed by another writer; the write may or may not have taken effect before the other "
+            "writer's change, check the record");
     }
 
     int print_unknown(const std::string& why) const {
--- a/src/fleet/agent.hpp
+++ b/src/fleet/agent.hpp
@@ -76,7 +76,8 @@
     /// shown by the result, see Transaction.
     void on_transaction_result(TimePoint now, registry::Revision at, bool succeeded,
                                const std::vector<KeyValue>& records);
-    /// The transaction has no reply: it may be committed, may still be committed, or never will be.
+    /// Called if the transaction in flight will have no reply. The registry may have committed the
+    /// transaction, may commit it later, or may never commit it.
     void on_transaction_timeout(TimePoint now);
     void on_wake(TimePoint now);
 
--- a/src/fleet/applied_revisions.hpp
+++ b/src/fleet/applied_revisions.hpp
@@ -69,9 +69,10 @@
     void on_generation(const Generation& shown);
     void on_configuration(ConfigurationNumber number) { configuration_ = number; }
 
-    /// Returns whether the next poll must request the board's full history because this process's position in
-    /// the generation is unknown. It is true until such a read has begun. The read may take several polls,
-    /// each of which continues where the last one ended.
+    /// Returns whether the next poll must request the notice board's full history. The history is needed
+    /// while the tracker cannot tell which events of the current generation this process has applied. As soon
+    /// as a poll has requested the history, the function returns false: reading the history may take several
+    /// polls, and each further poll continues where the previous poll ended.
     bool needs_full_history() const;
     void on_poll_started(bool from_start);
     /// Called once every event up to `newest` that the board still has is applied. `asked_from` is the number
--- a/src/fleet/duties.hpp
+++ b/src/fleet/duties.hpp
@@ -31,8 +31,9 @@
         Lease lease;            ///< of this member
     };
 
-    /// Sets the wanted duties; records of other duties are ignored.
-    /// @return false if there are more than max_duties, and some are not followed.
+    /// Sets the duties that this member follows. Records of all other duties are ignored.
+    /// @return false if this member does not follow some of the duties, because it would follow more than
+    /// max_duties.
     bool set_names(const std::set<DutyName>& names);
     /// Stops following the duty but keeps the token given up, since a late record may still name this member.
     void remove(const DutyName&);
--- a/src/fleet/garbage_collector.cpp
+++ b/src/fleet/garbage_collector.cpp
@@ -39,7 +39,9 @@
     return std::nullopt;
 }
 
-// The write stores the token of the removed duty in the floor, so that no later owner gets it again.
+// Returns the write that removes the duty's record if the record is garbage. The write also raises the floor
+// to the token of the removed record. The next owner of the duty gets a token above the floor, so no token of
+// the duty is given out twice.
 std::optional<FencedWrite> GarbageCollector::duty_removal(const Key& key, const std::string& text,
                                                           const DutyName& duty,
                                                           const RecordMirror& record_mirror,
--- a/src/fleet/health_monitor.cpp
+++ b/src/fleet/health_monitor.cpp
@@ -6,9 +6,11 @@
 namespace {
 
 constexpr std::size_t min_ejecting_members = 2;
-// Allows for one lost result and a late next one.
+// Number of check intervals for which a received result is valid. With 2.5 intervals the result stays valid
+// even if the next result is lost and the result after the lost one is up to half an interval late.
 constexpr double result_lifetime_intervals = 2.5;
-// One answer is not enough, since a process that has just started may fail again after it.
+// Number of consecutive passed checks after which the gateways probe the cache. One passed check is not
+// enough, since a process that has just started may fail again after that check.
 constexpr std::int64_t min_healthy_streak = 2;
 constexpr std::int64_t max_streak = 1'000'000;
 constexpr std::size_t max_monitored_caches = 1024;
--- a/src/fleet/records.hpp
+++ b/src/fleet/records.hpp
@@ -50,9 +50,13 @@
     bool operator==(const SharedConfig&) const = default;
 };
 
-/// Maximum number of refused tokens in a member's record; further ones, by duty name, wait.
+/// Maximum number of refused tokens in a member's record. While a record has this many tokens, the member
+/// refuses a token of a further duty but neither stores nor publishes that refusal. The member publishes the
+/// refusal only if the further duty's record changes to another refused token after one of the stored
+/// refusals has ended. A reader ignores the tokens beyond this number, in the order of the duties' names.
 constexpr std::size_t max_published_refusals = 16;
-/// Maximum number of ejected caches in a member's record; further ones are not published.
+/// Maximum number of ejected caches in a member's record. If the member has ejected more caches, it publishes
+/// the first ones in the order of their names.
 constexpr std::size_t max_published_ejections = 64;
 
 /// One live member.
--- a/src/fleet/transaction_client.hpp
+++ b/src/fleet/transaction_client.hpp
@@ -18,8 +18,8 @@
     /// the result, see Transaction.
     virtual void on_transaction_result(registry::Revision, bool succeeded,
                                        const std::vector<KeyValue>& records) = 0;
-    /// Called if there will be no reply: the transaction may be committed, may still be committed, or never
-    /// will be.
+    /// Called if the transaction will have no result, because the request has failed or the reply reports an
+    /// error. The registry may have committed the transaction, may commit it later, or may never commit it.
     virtual void on_transaction_lost() = 0;
 };
 
--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -20,7 +20,7 @@
 constexpr const char* footer =
     "NODE_CONFIG    path of the configuration (JSON), required to serve\n"
     "NODE_LISTEN    address to listen on, overrides that of the configuration\n"
-    "IRISMUX_PARTS  path of the parts file (TOML), used if --parts is not given\n"
+    "IRISMUX_PARTS  path of the parts file (TOML) if --parts is not given; only its registry settings apply\n"
     "IRISMUX_LOG    error, warning, info (the default) or debug; followed by \":json\" for JSON records\n";
 
 // Runs the command with the settings of one part in a parts file. `table` is the name of their table.
@@ -94,14 +94,18 @@
     CLI::App* add_group(const char* name, const char* help) {
         CLI::App* const group = app_.add_subcommand(name, help);
         group->require_subcommand(1);
-        group->add_option("--parts", parts_path_, "path of the parts file (TOML)")->required();
+        group
+            ->add_option("--parts", parts_path_,
+                         "path of the parts file (TOML): settings of the registry and the fleet")
+            ->required();
         return group;
     }
 
     void add_serve() {
         CLI::App* const command = add(&app_, "serve", "run a gateway (the default without a subcommand)",
                                       [this] { return serve(parts_path_); });
-        command->add_option("--parts", parts_path_, "path of the parts file (TOML)");
+        command->add_option("--parts", parts_path_,
+                            "path of the parts file (TOML): settings of the registry and the fleet");
     }
     void add_check() {
         CLI::App* const command = add(&app_, "check", "check whether a parts file is valid",
@@ -115,12 +119,13 @@
             [this] { return with_registry(parts_path_, cli::registry_dump); });
         add(group, "watch", "print the endpoint list, then each change as gateways receive it",
             [this] { return with_registry(parts_path_, cli::registry_watch); });
-        CLI::App* const put = add(group, "put", "write a record", [this] {
+        CLI::App* const put = add(group, "put", "write the endpoint record of one cache", [this] {
             return with_registry(parts_path_, [this](const registry::Settings& settings) {
                 return cli::registry_put(settings, record_);
             });
         });
-        put->add_option("line", record_, "JSON with an \"id\"")->required();
+        put->add_option("line", record_, "the record: a JSON object with the \"id\" of the cache")
+            ->required();
         CLI::App* const drain = add(group, "drain", "mark a cache as draining", [this] {
             return with_registry(parts_path_, [this](const registry::Settings& settings) {
                 return cli::registry_state(settings, cache_, "Terminating");
@@ -141,7 +146,7 @@
                 });
             });
         release->add_option("duty", duty_)->required();
-        CLI::App* const restore = add(group, "restore", "withdraw a release", [this] {
+        CLI::App* const restore = add(group, "restore", "withdraw the request to release a duty", [this] {
             return with_site(parts_path_, [this](const fleet::Settings& settings) {
                 return cli::fleet_restore(settings, duty_);
             });
@@ -164,7 +169,7 @@
         command->add_option("--configuration", in_force_.configuration, "number of the configuration");
         command->add_option("--board", in_force_.board, "address of the notice board");
         command->add_option("--wait", in_force_.wait_s,
-                            "longest time to wait until it is in force everywhere, in seconds");
+                            "longest time to wait for the queried event and configuration, in seconds");
     }
     void add_forget(CLI::App* group) {
         CLI::App* const command =
--- a/src/gateway/parts_section.hpp
+++ b/src/gateway/parts_section.hpp
@@ -36,7 +36,8 @@
     [[nodiscard]] Duration duration_or(std::string_view key, Duration default_value, Duration min) const;
     [[nodiscard]] std::size_t count_or(std::string_view key, std::size_t default_value, std::int64_t min,
                                        std::int64_t max) const;
-    /// Returns a name: a required string of 1 to 128 visible ASCII characters without spaces.
+    /// Returns the value of a required key that holds a name. A name is a string of 1 to 128 visible ASCII
+    /// characters without spaces.
     [[nodiscard]] std::string name_of(std::string_view key) const;
 
 private:
--- a/src/gateway/resource_limits.cpp
+++ b/src/gateway/resource_limits.cpp
@@ -5,7 +5,9 @@
 namespace irismux {
 namespace {
 
-// Clients that follow the protocol use a third of the descriptors; a half leaves room for 50% more.
+// Client connections may use at most 1 / client_descriptor_divisor of the file descriptors. Clients that
+// follow the protocol use a third of the descriptors, so a limit of one half leaves room for 50% more
+// connections.
 constexpr std::size_t client_descriptor_divisor = 2;
 // Client requests may use at most 1 / request_memory_divisor of the memory, and responses that clients have
 // not read yet may use the same amount.
--- a/src/registry/registry_connection.hpp
+++ b/src/registry/registry_connection.hpp
@@ -27,8 +27,10 @@
     void send_request(MemberIndex member, etcd::Request request, ReplyForm form);
     /// Drops the pending request and closes the connection.
     void close();
-    /// Repeats the request with a new token after the member refused the old one; at most once per request.
-    /// @return false if the request cannot be repeated.
+    /// Fetches a new token and sends the pending request again with the new token. Call this function if the
+    /// member has refused the token of the request.
+    /// @return false, and sends nothing, if the settings name no user or if this request has been repeated
+    /// before: a request is repeated at most once.
     [[nodiscard]] bool retry_with_new_token();
 
 private:
