--- a/src/fleet/agent.cpp
+++ b/src/fleet/agent.cpp
@@ -61,7 +61,8 @@
     std::vector<DutyName> finished;
     for (auto& [name, duty] : duties_.all()) {
         if (duty.wanted) continue;
-        // From here on this member does nothing under the duty's token; it gives the record up later.
+        // From here on this member does nothing under the duty's token. A later transaction of this member
+        // gives the duty up in the registry.
         if (owned_here(duty)) duty.given_up = std::max(duty.given_up, duty.record->token);
         if (duty.lease.state() != LeaseState::idle)
             observer_->on_lease_state(name, LeaseState::idle, FencingToken{});
@@ -115,7 +116,7 @@
     newest_revision_ = at;
     if (purpose == Purpose::write) finish_write(succeeded ? WriteOutcome::written : WriteOutcome::refused);
     if (purpose == Purpose::join) join_outcome_unknown_ = false;
-    // This comes before duties are updated, since a committed heartbeat extends the term.
+    // The heartbeat is confirmed before the duties are updated, since a committed heartbeat extends the term.
     if (succeeded && (purpose == Purpose::join || purpose == Purpose::heartbeat)) on_heartbeat_landed(now);
     if (succeeded && purpose != Purpose::read_own_records) apply_records(now, at, transaction_.writes);
     apply_records(now, at, records);
@@ -208,7 +209,8 @@
     }
 }
 
-// Submits the first transaction that is due. Each function returns whether it has submitted one.
+// Submits the first transaction that is due. Each called function returns whether it has submitted a
+// transaction.
 void Agent::submit_next_of_term(TimePoint now) {
     if (next_write(now)) return;
     if (next_duty(now)) return;
--- a/src/fleet/agent.hpp
+++ b/src/fleet/agent.hpp
@@ -5,10 +5,12 @@
 /// The writer of each record, and the comparisons that reject a former owner:
 ///   member/ME, beat/ME   written only by the member itself; an eviction removes them if the heartbeat has
 ///                        not changed
-///   duty/NAME            written by a member that claims the duty; the transaction compares the record, the
-///                        claimant's newest heartbeat and that the former owner's membership is gone
-///   any fenced write     done by the duty's owner; the transaction compares its newest heartbeat and the
-///                        duty's record as it was claimed, so the write of an evicted or replaced owner fails
+///   duty/NAME            written by a member that claims the duty; the transaction compares the record and
+///                        the claimant's newest heartbeat, and checks that the former owner is no longer a
+///                        member
+///   any fenced write     done by the duty's owner; the transaction compares the owner's newest heartbeat and
+///                        the duty's record as it was claimed, so the write of an evicted or replaced owner
+///                        fails
 ///
 /// Guarantees, whose premises are in docs/fleet.md; may_act() must be called right before acting:
 ///   1  at no time may two members act on one duty
@@ -16,8 +18,8 @@
 ///   3  no fencing token of a duty is given to two owners, also across restores of the registry
 ///
 /// One transaction is in flight at a time. A transaction without a reply has neither succeeded nor failed:
-/// the registry may have committed it, may still commit it, or never will. Each transaction compares enough
-/// records for a late commit to do no harm, and the next read shows its outcome.
+/// the registry may have committed the transaction, may commit it later, or may never commit it. Each
+/// transaction compares enough records for a late commit to do no harm, and the next read shows its outcome.
 ///
 /// Source files: agent.cpp (events, one transaction at a time), agent_join.cpp, agent_heartbeat.cpp (with
 /// evictions), agent_leases.cpp, agent_writes.cpp (with publications), agent_debug.cpp.
@@ -42,8 +44,8 @@
 
 /// The longest time for which a duty has no owner after its owner has stopped, if the registry answers within
 /// `reply_time` and `ranks_ahead` live members rank before the first member that can claim the duty. The
-/// bound holds for fleets whose heartbeats are all read in each interval; in larger fleets each interval in
-/// which the stopped owner's heartbeat is not read adds one interval.
+/// bound holds for fleets whose heartbeats are all read in each interval; in larger fleets each heartbeat
+/// interval in which the stopped owner's heartbeat is not read adds one heartbeat interval to the bound.
 [[nodiscard]] Duration longest_without_owner(const SharedConfig& shared_config, Duration reply_time,
                                              std::size_t ranks_ahead);
 
@@ -52,7 +54,7 @@
     /// The transport and the observer must outlive the agent.
     Agent(AgentTransport& transport, AgentObserver& observer, const SharedConfig& shared_config,
           MemberIdentity identity, std::uint64_t seed);
-    /// Copies the state but uses other callbacks, for exhaustive exploration.
+    /// Copies the state of another agent but uses other callbacks. Exhaustive models use this constructor.
     Agent(const Agent& other, AgentTransport& transport, AgentObserver& observer);
 
     void start(TimePoint now);
@@ -68,8 +70,8 @@
     void set_heartbeat_reads(TimePoint now, HeartbeatReads reads);
 
     /// Applies watched records with their values at revision `at`, which may be lower than the revisions of
-    /// earlier transaction results. With `full_list` there are no other records. Unknown kinds of keys are
-    /// ignored.
+    /// earlier transaction results. If `full_list` is true, the registry has no other records. Unknown kinds
+    /// of keys are ignored.
     void on_records(TimePoint now, registry::Revision at, const std::vector<KeyValue>& records,
                     bool full_list);
     /// `succeeded` is true if the comparisons held and all writes are committed. `records` are the records
@@ -91,11 +93,12 @@
     [[nodiscard]] bool accepts_holder(const DutyName& duty, const LeaseHolder& holder) {
         return fence_.accepts(duty, holder);
     }
-    /// Queues a write that is committed only if this member still owns the duty at that time. The outcome is
-    /// passed to the observer.
+    /// Queues a write that is committed only if this member still owns the duty at the time of the commit.
+    /// The outcome is passed to the observer.
     /// @return false if this member does not own the duty or 64 writes are queued already.
     bool write_fenced(TimePoint now, const DutyName&, const Key&, const std::string& value);
-    /// Queues a fenced write of several records like above; the outcome passed to the observer names `key`.
+    /// Queues a write of several records under the same conditions as the function above. The outcome that is
+    /// passed to the observer names `key`.
     bool write_fenced(TimePoint now, const DutyName&, const Key& key, FencedWrite write_request);
 
     [[nodiscard]] const Membership& membership() const { return membership_; }
@@ -106,14 +109,14 @@
     [[nodiscard]] Instance self() const { return {identity_.name, incarnation_}; }
     /// The last known value of the record that holds the highest token of all removed duties.
     [[nodiscard]] const RecordValue& token_floor() const { return token_floor_; }
-    /// Returns whether this exact instance is a member, according to the records received so far. A member
-    /// whose record can't be parsed counts as one.
+    /// Returns whether this exact instance is a member, according to the records received so far. If the
+    /// record under the instance's name can't be parsed, the instance counts as a member.
     [[nodiscard]] bool is_member(const Instance&) const;
     /// Returns the whole state as text with times relative to `now`. Agents with equal texts behave equally.
     [[nodiscard]] std::string debug_state(TimePoint now) const;
 
 private:
-    // Used only by the constructor that copies the state and uses other callbacks.
+    // Only the public constructor that copies the state of another agent uses this constructor.
     Agent(const Agent&) = default;
 
     // The purpose of the transaction in flight.
@@ -188,8 +191,8 @@
     bool unowned(const Duties::Duty&) const;
     FencingToken next_token(const DutyName&, const Duties::Duty&) const;
     FencingToken highest_refused_by_others(const DutyName&) const;
-    // Returns the number of live members that rank before this one for the duty. With `settled`, only members
-    // that have been members for long enough to be handed a duty are counted.
+    // Returns the number of live members that rank before this member in the duty's order. If `settled` is
+    // true, counts only members that have been in the fleet for long enough to be handed a duty.
     std::size_t rank(TimePoint now, const DutyName&, const Duties::Duty&, bool settled) const;
 
     // agent_writes.cpp
@@ -228,12 +231,13 @@
     TimePoint next_give_up_at_;     // no duty is handed over before this time
     int consecutive_timeouts_ = 0;  // consecutive transactions without a reply
 
-    // Keys written by transactions without a reply; the next heartbeat reads them.
+    // Keys of the records that transactions without a reply were to write. The next heartbeat transaction
+    // reads these records, since their values are unknown.
     std::set<Key> keys_of_unknown_outcome_;
 
     bool join_outcome_unknown_ = false;  // a join was submitted and its result is not known
     // Member record and heartbeat of another instance that uses this member's name, and the time since when
-    // they are unchanged.
+    // both are unchanged.
     std::optional<std::pair<RecordValue, RecordValue>> name_holder_;
     TimePoint name_holder_unchanged_since_;
     std::optional<JoinRefused> last_refusal_;  // the last refusal that was reported
@@ -246,7 +250,8 @@
     HeartbeatReads heartbeat_reads_;
     registry::Revision newest_revision_;
     TimePoint heartbeat_sent_at_;  // of the newest heartbeat
-    // From this time on the next heartbeat reads heartbeats of other members for the membership.
+    // For a member of a site: the next heartbeat that is sent at or after this time also reads heartbeats of
+    // other members, to detect members that send none.
     TimePoint next_member_reads_at_;
 };
 
--- a/src/fleet/agent_callbacks.hpp
+++ b/src/fleet/agent_callbacks.hpp
@@ -10,19 +10,21 @@
 
 namespace irismux::fleet {
 
-/// Sends an Agent's transactions to the registry. It never delivers a result from within one of its
-/// functions.
+/// Sends an Agent's transactions to the registry. A transport never delivers a result from within one of its
+/// own functions.
 class AgentTransport {
 public:
     virtual ~AgentTransport() = default;
-    /// Submits a transaction. It replaces the previous one, whose result must no longer be delivered.
+    /// Submits a transaction, which replaces the previous transaction. The result of the previous transaction
+    /// must no longer be delivered.
     virtual void submit(const Transaction&) = 0;
-    /// Schedules a call of Agent::on_wake() at time `at` of the agent's clock; replaces the previous
-    /// schedule.
+    /// Schedules a call of Agent::on_wake() at time `at` of the agent's clock, in place of the call that was
+    /// scheduled before.
     virtual void schedule_wake(TimePoint at) = 0;
 };
 
-/// Observer of an Agent's leases and writes. It is called from within calls to the Agent.
+/// Observer of an Agent's leases and writes. The observer's functions are called from within calls to the
+/// Agent.
 class AgentObserver {
 public:
     virtual ~AgentObserver() = default;
--- a/src/fleet/agent_heartbeat.cpp
+++ b/src/fleet/agent_heartbeat.cpp
@@ -52,8 +52,9 @@
     keys_of_unknown_outcome_.clear();
 }
 
-// Called after a failed transaction. If its records show another heartbeat under this member's name, either a
-// later heartbeat of this member was committed without a reply, or it is no longer a member.
+// Called after a transaction of which a comparison failed. If the returned records show another heartbeat
+// under this member's name, either the registry committed a later heartbeat of this member whose reply was
+// lost, or this member is no longer in the fleet.
 void Agent::check_own_heartbeat(TimePoint now, const std::vector<KeyValue>& records) {
     const Key own = heartbeat_key(identity_.name);
     const auto it =
--- a/src/fleet/agent_join.cpp
+++ b/src/fleet/agent_join.cpp
@@ -25,8 +25,8 @@
 }
 
 void Agent::on_own_records(TimePoint now, registry::Revision at, const std::vector<KeyValue>& records) {
-    // All earlier incarnations of this name are below the registry's revision, including those without a
-    // record.
+    // All earlier incarnations of this name are below the registry's revision, including incarnations whose
+    // records have been removed.
     identity_.last_incarnation = std::max(identity_.last_incarnation, Incarnation{at.raw()});
     next_submit_at_ = now + membership_.heartbeat_interval();
     const std::string own_config = serialize(shared_config_);
@@ -93,7 +93,8 @@
         {{shared_config_key(), serialize(shared_config_)}, {own, member}, {own_heartbeat, heartbeat}},
         {},
         {}};
-    // The roster has the member's name from its first join on, so that no digest omits a member that serves.
+    // The transaction of a member's first join also adds the member's name to the roster, so that no digest
+    // omits a member that serves requests.
     const SiteRoster known = roster ? parse_site_roster(*roster).value_or(SiteRoster{}) : SiteRoster{};
     if (const auto next = in_site() ? add_to_roster(known, identity_.name) : std::nullopt) {
         transaction.compares.emplace_back(roster_key(), roster);
--- a/src/fleet/agent_leases.cpp
+++ b/src/fleet/agent_leases.cpp
@@ -71,8 +71,8 @@
     return highest;
 }
 
-// Returns a token above every token that this duty can have had. The token of a removed record is at most the
-// floor.
+// Returns a token above every token that this duty can have had. If the duty's record was removed, the token
+// in the record was at most the floor.
 FencingToken Agent::next_token(const DutyName& name, const Duties::Duty& duty) const {
     FencingToken recorded;
     if (duty.record)
@@ -107,8 +107,9 @@
     refused_tokens_.erase(name);
 }
 
-// The registry was restored from a backup. This member publishes the refused token, and the owner claims the
-// duty again under a higher one.
+// Called if the duty's record has a lower token than this member has seen, because the registry was restored
+// from a backup. This member publishes the highest token seen, and the owner then claims the duty again under
+// a higher token.
 void Agent::on_lower_token(const DutyName& name, FencingToken shown, FencingToken seen) {
     if (refused_tokens_.size() < max_published_refusals || refused_tokens_.contains(name))
         refused_tokens_[name] = seen;
@@ -160,7 +161,8 @@
         return true;
     }
     if (!owned_here(duty)) return false;
-    // Other members refuse this token: the owner replaces it by one above all tokens that they have seen.
+    // Other members refuse the owner's token. The owner replaces the token by one that is higher than all
+    // tokens that the other members have seen.
     if (highest_refused_by_others(name) > duty.record->token) {
         claim_duty(now, name, duty);
         return true;
@@ -183,12 +185,14 @@
             it == membership_.members().end() ? RecordValue{} : RecordValue{it->second.text};
         transaction.compares.emplace_back(member_key(duty.record->owner), member);
     }
-    // The tokens of a removed record are at most the floor, which must not have changed since it was read.
+    // If the duty's record was removed, its tokens were at most the floor. The transaction checks that the
+    // floor has not changed since this member read it.
     if (!duty.text) transaction.compares.emplace_back(floor_key(), token_floor_);
     submit(now, Purpose::claim, std::move(transaction));
 }
 
-// From here on this member does nothing under the token, whatever the outcome of the transaction.
+// From here on this member does nothing under the duty's token, whatever the outcome of the transaction that
+// gives the duty up.
 void Agent::give_up_duty(TimePoint now, const DutyName& name, Duties::Duty& duty) {
     duty.given_up = duty.record->token;
     if (duty.wanted) next_give_up_at_ = now + membership_.heartbeat_interval();
--- a/src/fleet/agent_timing.hpp
+++ b/src/fleet/agent_timing.hpp
@@ -5,17 +5,19 @@
 
 namespace irismux::fleet {
 
-/// Number of other members' heartbeats that each heartbeat transaction reads: some chosen at random, and some
-/// of members whose last heartbeat is older than a heartbeat interval. A fleet no larger than the sum of both
-/// has all its heartbeats read.
+/// Numbers of other members' heartbeats that each heartbeat transaction reads. The first number of heartbeats
+/// are of members chosen at random. The second number limits the heartbeats of members whose last heartbeat
+/// is older than a heartbeat interval. If there are no more other members than the sum of the two numbers,
+/// each transaction reads the heartbeats of all of them.
 constexpr std::size_t heartbeats_read_at_random = 4;
 constexpr std::size_t max_overdue_heartbeats_read = 12;
 
-/// Delay of a claim for each member that ranks before the claimant in the duty's order.
+/// Delay of a claim, in heartbeat intervals, for each member that ranks before the claimant in the duty's
+/// order.
 constexpr double claim_delay_intervals_per_rank = 0.5;
-/// Longest time until the agent's next scheduled wake-up.
+/// Longest time until the agent's next scheduled wake-up, in heartbeat intervals.
 constexpr double max_sleep_intervals = 0.25;
-/// Pause after a transaction that failed or had no reply.
+/// Pause, in heartbeat intervals, after a transaction that failed or had no reply.
 constexpr double retry_pause_intervals = 1.0 / 16;
 
 }  // namespace irismux::fleet
--- a/src/fleet/agent_writes.cpp
+++ b/src/fleet/agent_writes.cpp
@@ -41,8 +41,8 @@
     if (pending_writes_.empty()) return false;
     const PendingWrite& write = pending_writes_.front();
     const auto& [compares, writes] = write.write_request;
-    // These comparisons are the fence: this member's newest heartbeat, and the duty's record as it was
-    // claimed.
+    // The write of a former owner fails because the transaction compares this member's newest heartbeat, and
+    // the duty's record as this member claimed it.
     Transaction transaction{
         {own_heartbeat(), {duty_key(write.duty), duties_.all().at(write.duty).text}}, writes, {}};
     transaction.compares.insert(transaction.compares.end(), compares.begin(), compares.end());
--- a/src/fleet/applied_revisions.cpp
+++ b/src/fleet/applied_revisions.cpp
@@ -78,8 +78,8 @@
     event_ = {};
 }
 
-// After history was lost, event numbers count again only in the next generation, so a full read would be of
-// no use before.
+// After the history of a generation was lost, event numbers count again only in the next generation. Until
+// then a read of the full history would be of no use.
 bool AppliedRevisionTracker::needs_full_history() const {
     if (full_history_poll_in_flight_ && generation_at_full_history_start_ == generation_) return false;
     return !has_full_history_ || (generation_.number > 0 && !event_known_in_generation_ && !history_lost_);
@@ -93,8 +93,9 @@
     generation_at_full_history_start_ = generation_;
 }
 
-// Ignores the reply to a poll that was sent before the generation was known: the reply may belong to the
-// board's former history, and this process would report events of the new history that it has never applied.
+// Ignores the reply to a poll that was sent before the current generation was known. Such a reply may belong
+// to the board's former history. If the reply counted, this process would report events of the new history
+// that it has never applied.
 void AppliedRevisionTracker::on_poll_completed(EventNumber newest, EventNumber asked_from) {
     if (!std::exchange(poll_in_flight_, false)) return;
     const bool full_history = std::exchange(full_history_poll_in_flight_, false);
--- a/src/fleet/digest.cpp
+++ b/src/fleet/digest.cpp
@@ -56,8 +56,8 @@
     return object;
 }
 
-// Calls `visit` with each entry of a list of arrays, each of one string and `numbers` integers.
-// Returns false if the list is malformed or longer than `most`.
+// Calls `visit` with each entry of the list `key`. Each entry must be an array of one string and `numbers`
+// integers. Returns false if the list is malformed or longer than `most`.
 template <class Visit>
 bool for_each_entry(const json& object, const char* key, std::size_t numbers, std::size_t most, Visit visit) {
     const auto it = object.find(key);
@@ -72,8 +72,8 @@
     return true;
 }
 
-// Adds the lowest revisions of the live members, and the members below the site's highest event or
-// configuration, the lowest first.
+// Adds to the digest the lowest revisions of the live members, and the list of the live members that have not
+// applied the site's highest event or configuration. Members with the lowest events come first in the list.
 void add_lagging(Digest& digest, std::vector<Digest::LaggingMember> live) {
     if (live.empty()) return;
     std::sort(live.begin(), live.end(), [](const auto& a, const auto& b) {
@@ -123,9 +123,10 @@
     return (max_unseen_time(term) + max_staleness(term)) * ((1 + drift) / (1 - drift));
 }
 
-// The delay adds up, in this order: the gateway's heartbeat, which waits for a transaction in flight; the
-// owner's next snapshot, at the usual interval if it knew of no lagging member; the digest, at its own
-// interval and after another transaction; the reader's next read.
+// The delay is the sum of four delays: until the gateway's heartbeat, which waits for a transaction in
+// flight; until the owner's next snapshot, which is taken at the usual interval if the owner knew of no
+// lagging member; until the digest is written, which waits for the digest's own interval and for another
+// transaction; and until the reader's next read.
 Duration max_report_delay(Duration term, double drift, Duration acknowledge_interval, Duration reply_time,
                           Duration read_interval) {
     const Duration heartbeat = acknowledge_interval + reply_time * 2;
@@ -204,7 +205,8 @@
     digest.lowest_configuration = ConfigurationNumber{*configuration};
     digest.absent_count = static_cast<std::size_t>(*absent);
     digest.lagging_count = static_cast<std::size_t>(*behind);
-    // A list may be shorter than its count, since its length is limited, but not longer.
+    // A list of members may be shorter than the corresponding count, since the length of a list is limited. A
+    // list that is longer than the count is malformed.
     if (!parse_lists(object, digest) || digest.absent.size() > digest.absent_count ||
         digest.lagging.size() > digest.lagging_count)
         return std::nullopt;
@@ -213,9 +215,9 @@
 
 // --- observations of the members' processes --------------------------------------------------------------
 
-// A restored registry shows old heartbeats again, by which a member would count as live although its process
-// has ended. So a heartbeat with a lower number than an earlier one of the same process does not prove that
-// the process runs.
+// A restored registry shows old heartbeats again. If old heartbeats counted, a member would count as live
+// although its process has ended. Therefore a heartbeat with a lower number than an earlier heartbeat of the
+// same process does not prove that the process runs.
 void DigestBuilder::record_heartbeat(const MemberName& name, const std::optional<std::string>& text_shown,
                                      TimePoint requested_at) {
     const auto heartbeat = text_shown ? parse_heartbeat(*text_shown) : std::nullopt;
@@ -241,8 +243,8 @@
     observed_heartbeats_[name] = std::move(next);
 }
 
-// The sender of the heartbeat ran after its previous heartbeat was committed, and the previous one was not
-// yet committed at `last_snapshot_without_previous_text`.
+// The sender of the last heartbeat ran after its previous heartbeat was committed. The previous heartbeat was
+// not committed yet at `last_snapshot_without_previous_text`. Therefore the process ran after that time.
 bool DigestBuilder::is_live(const MemberName& name, TimePoint received_at) const {
     const auto it = observed_heartbeats_.find(name);
     if (it == observed_heartbeats_.end() || it->second.instance_id.empty() ||
@@ -292,9 +294,9 @@
     digest.absent.push_back({name, since == absent_since_.end() ? now_unix_ms : since->second});
 }
 
-// A restored registry shows an old generation again, and event numbers of that generation would be taken for
-// event numbers of the newest generation. Members that report a higher generation, or the same number with
-// another id, reveal the restore.
+// A restored registry shows an old generation again. Event numbers of the old generation would then be taken
+// for event numbers of the newest generation. The restore is detected if a member reports a higher
+// generation, or a generation with the same number and another id.
 void DigestBuilder::record_generations(const std::optional<AppliedRevisions>& own) {
     generation_ids_conflict_ = false;
     const auto record_generation = [&](const Generation& g) {
--- a/src/fleet/digest.hpp
+++ b/src/fleet/digest.hpp
@@ -8,7 +8,8 @@
 ///
 /// A member counts as live only while its heartbeats prove that its process runs: a heartbeat compares the
 /// previous one, so its sender ran after the previous heartbeat was committed. A member that is not live is
-/// listed as absent, with the time since when, until it is live again or removed from the roster.
+/// listed as absent, with the time since when it is absent, until the member is live again or is removed from
+/// the roster.
 ///
 /// Guarantee: each live member has applied a digest's `lowest` event. The member's process ran at some time
 /// no earlier than max_unseen_time() before the owner's heartbeat on which the digest is based.
@@ -26,17 +27,19 @@
 
 namespace irismux::fleet {
 
-/// A roster with more names is incomplete. The limit exists because a transaction of the registry may have at
-/// most 128 reads.
+/// Maximum number of names in a site's roster. The roster of a site with more members is incomplete. The
+/// limit exists because a transaction of the registry may have at most 128 reads.
 constexpr std::size_t max_roster_names = 96;
-/// Longest list of members in a digest; the counts include members that are not listed.
+/// Maximum length of each list of members in a digest. The counts in the digest include members that are not
+/// listed.
 constexpr std::size_t max_named_members = 16;
-/// Number of ejected caches in a digest; caches that more members have ejected come first.
+/// Maximum number of ejected caches in a digest. Caches that more members have ejected come first.
 constexpr std::size_t max_reported_caches = 32;
 
 struct SiteRoster {
     std::set<MemberName> names;
-    /// A name did not fit: the site's members are not all known until an operator has repaired the roster.
+    /// True if a name did not fit into the roster. Until an operator has repaired the roster, not all members
+    /// of the site are known.
     bool incomplete = false;
     bool operator==(const SiteRoster&) const = default;
 };
@@ -55,18 +58,19 @@
     };
 
     MemberName owner;
-    std::string owner_id;              ///< of the owner's process
+    std::string owner_id;              ///< instance id of the owner's process
     std::int64_t as_of_heartbeat = 0;  ///< the owner's heartbeat whose transaction read the members' state
     std::int64_t as_of_unix_ms = 0;    ///< Unix time by the owner's clock; for display
     Generation generation;
-    bool history_lost = false;    ///< a member reports it
-    std::size_t known_count = 0;  ///< names in the roster
+    bool history_lost = false;    ///< a member reports that history was lost
+    std::size_t known_count = 0;  ///< number of names in the roster
     std::size_t live_count = 0;
     EventNumber lowest, highest;  ///< lowest of the live members, highest of all members
     ConfigurationNumber lowest_configuration;
     std::vector<AbsentMember> absent;
     std::size_t absent_count = 0;
-    /// Live members below the site's highest event or configuration, the lowest first.
+    /// Live members that have not applied the site's highest event or configuration. Members with the lowest
+    /// events come first.
     std::vector<LaggingMember> lagging;
     std::size_t lagging_count = 0;
     bool roster_incomplete = false;
@@ -81,7 +85,7 @@
 std::string serialize(const Digest&);
 std::optional<SiteRoster> parse_site_roster(std::string_view);
 std::optional<Digest> parse_digest(std::string_view);
-/// Returns the roster with that name added.
+/// Returns the roster with the name added.
 /// @return std::nullopt if nothing changes: the name is in the roster, or the roster is full and already
 /// marked incomplete.
 std::optional<SiteRoster> add_to_roster(const SiteRoster&, const MemberName&);
@@ -96,17 +100,17 @@
 Duration max_counted_time(Duration term, double drift);
 /// Returns the longest time from when the last gateway has applied an event until a reader that reads every
 /// `read_interval` reports the event as applied everywhere. Premises: all members are live, the registry
-/// replies within `reply_time`, and the duty is owned.
+/// replies within `reply_time`, and a member owns the duty `digest`.
 Duration max_report_delay(Duration term, double drift, Duration acknowledge_interval, Duration reply_time,
                           Duration read_interval);
 
-/// The records that the transaction of one of the owner's heartbeats read.
+/// The records that one heartbeat transaction of the digest's owner has read.
 struct FleetSnapshot {
     TimePoint requested_at, received_at;  ///< by the owner's clock
-    std::int64_t heartbeat_number = 0;    ///< of the owner's heartbeat
+    std::int64_t heartbeat_number = 0;    ///< number of the owner's heartbeat
     std::int64_t unix_ms = 0;
     std::optional<std::string> roster, former_digest, generation;
-    std::map<MemberName, std::optional<std::string>> heartbeats;  ///< of other members
+    std::map<MemberName, std::optional<std::string>> heartbeats;  ///< heartbeats of other members
 };
 
 class DigestBuilder {
@@ -115,8 +119,8 @@
         MemberName self;
         std::string own_id;
         Duration term;
-        Duration min_write_interval;  ///< between two digests, at least
-        Duration refresh_interval;    ///< a digest is written anew after so long, also if nothing has changed
+        Duration min_write_interval;  ///< minimum time between two digests
+        Duration refresh_interval;    ///< after this time an unchanged digest is written again
     };
     explicit DigestBuilder(Settings settings) : settings_(std::move(settings)) {}
 
@@ -126,27 +130,27 @@
     /// that this member has applied.
     void on_snapshot(const FleetSnapshot& snapshot, const std::optional<AppliedRevisions>& own,
                      const std::map<CacheId, std::size_t>& ejections);
-    /// Returns the digest that the duty's owner must write now, if any. The builder assumes that it is
-    /// written; if the write fails, a later digest replaces it.
+    /// Returns the digest that the duty's owner must write now, if any. The builder assumes that the caller
+    /// writes the returned digest. If the write fails, a later digest replaces the returned one.
     std::optional<std::string> next_digest(TimePoint now);
     /// Drops the current digest because another member owns the duty.
     void reset() { digest_.reset(); }
-    /// Returns whether a live member lacks a revision that another member has applied. Snapshots should be
-    /// frequent then.
+    /// Returns whether a live member lacks a revision that another member has applied. If there is such a
+    /// member, snapshots should be frequent.
     bool has_lagging_members() const { return digest_ && digest_->lagging_count > 0; }
     const std::optional<Digest>& digest() const { return digest_; }
-    /// Returns the generation that must replace the registry's, or std::nullopt if the registry's generation
-    /// may stay.
+    /// Returns the generation that must replace the one in the registry, or std::nullopt if the registry's
+    /// generation may stay.
     std::optional<Generation> next_generation(const std::string& new_id) const;
 
 private:
-    // The observations of one member's heartbeats, from which its process is known to have run.
+    // The observations of one member's heartbeats, which show at which times the member's process has run.
     struct ObservedHeartbeat {
         std::string text, instance_id;  // of the heartbeat last shown, and of its sender's process
         std::int64_t number = 0;
         TimePoint last_shown_at;  // request time of the last snapshot with this member
-        // Request times of the last snapshots that did not have this text yet, and that did not have the
-        // previous text of the same process yet.
+        // Request time of the last snapshot that did not have this text yet, and request time of the last
+        // snapshot that did not have the previous text of the same process yet.
         std::optional<TimePoint> last_snapshot_without_text, last_snapshot_without_previous_text;
     };
 
@@ -161,7 +165,7 @@
     Settings settings_;
     SiteRoster roster_;
     bool roster_readable_ = false;
-    std::map<MemberName, ObservedHeartbeat> observed_heartbeats_;  // of names in the roster
+    std::map<MemberName, ObservedHeartbeat> observed_heartbeats_;  // heartbeats of the members in the roster
     std::map<MemberName, std::int64_t> absent_since_;
     std::optional<Generation> shown_generation_;
     Generation known_generation_;  // the highest in the registry's record or in any member's heartbeat
--- a/src/fleet/fence.hpp
+++ b/src/fleet/fence.hpp
@@ -1,14 +1,14 @@
-/// Rejects fencing tokens that are lower than one already seen. Does no I/O.
+/// Rejects a fencing token that is lower than a token already seen for the same duty. Does no I/O.
 ///
 /// The fence forgets duties whose records were removed from the registry, so that its size does not grow with
 /// every name ever seen. It accepts a holder of an unknown duty only with a token above all forgotten tokens,
 /// until the registry itself shows the duty.
 ///
 /// Guarantee: for one duty this member never accepts a token lower than one that it has accepted, nor one
-/// token with two owners; this holds across a restart if restore() is given what serialize() returned.
-/// Premise: the stored state is not lost with the machine. A member without stored state is still safe for
-/// ownership, which the registry's transactions ensure, but does not reject the old tokens of a restored
-/// registry.
+/// token with two owners. The guarantee holds across a restart if restore() is called with the bytes that
+/// serialize() returned. Premise: the stored state is not lost with the machine. Without the stored state,
+/// the registry's transactions still ensure that no duty has two owners, but the member does not reject the
+/// old tokens of a restored registry.
 #pragma once
 
 #include <map>
@@ -33,19 +33,22 @@
     /// Stores the tokens of at most `most` duties and rejects the tokens of any other duty.
     explicit Fence(std::size_t most = 4096) : max_duties_(most) {}
 
-    /// Returns whether the holder's token is valid. If it is, the fence never again accepts a lower one.
+    /// Returns whether the holder's token is valid. If the token is valid, the fence accepts no lower token
+    /// of this duty from then on.
     bool accepts(const DutyName& duty, const LeaseHolder& holder);
-    /// Like accepts(), for the registry's own record, which may also name an unknown duty.
+    /// Like accepts(), but for the holder in the registry's own record of the duty. The duty may be unknown
+    /// to the fence.
     bool on_record(const DutyName& duty, const LeaseHolder& holder);
     /// Called after the duty's record has been removed; the duty's next owner has a higher token.
     void forget(const DutyName& duty);
-    /// Returns the token already seen because of which this holder is rejected, or zero if it is not.
+    /// Returns the token already seen that makes the fence reject this holder, or zero if the fence does not
+    /// reject the holder.
     FencingToken conflicting_token(const DutyName& duty, const LeaseHolder& holder) const;
     /// Returns the highest token seen for the duty, or zero if there is none.
     FencingToken highest(const DutyName& duty) const;
 
     std::string serialize() const;
-    /// @return false if the bytes can't be parsed; the fence is unchanged then.
+    /// @return false if the bytes can't be parsed; in this case the fence is unchanged.
     bool restore(std::string_view bytes);
 
 private:
--- a/src/fleet/fleet_client.cpp
+++ b/src/fleet/fleet_client.cpp
@@ -86,7 +86,8 @@
 
 void FleetClient::on_ejection_changed(const CacheId& cache, bool ejected) {
     health_monitor_.on_ejection_changed(cache, ejected);
-    // Where health checks are not permitted, the router's own recovery probe counts as a health check.
+    // If health checks of the cache are not permitted, the router's own recovery probe replaces the check.
+    // Therefore the readmission of a cache counts as a passed health check.
     call_soon([this, cache, ejected] {
         if (!ejected) health_monitor_.on_health_check_done(boot_time(), cache, true, agent_);
         agent_.set_ejected_caches(boot_time(), health_monitor_.ejected_caches());
@@ -175,8 +176,8 @@
 
 // --- duties
 
-// The records of newly followed duties were delivered while the agent ignored them, so they are delivered
-// again.
+// The agent has ignored the records of a duty that it did not follow. When the agent begins to follow the
+// duty, the records are therefore delivered again.
 void FleetClient::update_duties() {
     std::set<DutyName> duties{garbage_collection_duty()};
     if (site_reporter_) duties.insert(digest_duty());
@@ -267,7 +268,7 @@
 
 // --- state that is kept over a restart
 
-// A crash loses the tokens seen since the last save.
+// If the process crashes, the tokens seen since the last save are lost.
 void FleetClient::save_tokens() {
     constexpr Duration save_interval = Duration::micros(250'000);
     save_timer_ = ScopedTimer(event_loop_, event_loop_.now() + save_interval, [this] { save_tokens(); });
--- a/src/fleet/fleet_client.hpp
+++ b/src/fleet/fleet_client.hpp
@@ -1,6 +1,6 @@
-/// Connects one gateway to its fleet: it runs the Agent, and the duties that the agent may own, on the event
-/// loop with the registry and the gateway. It makes no decisions: Agent, HealthMonitor, GarbageCollector and
-/// SiteReporter determine what is due and how a reply is handled.
+/// Connects one gateway to its fleet: the client runs the Agent, and the duties that the agent may own, on
+/// the event loop with the registry and the gateway. The client makes no decisions: Agent, HealthMonitor,
+/// GarbageCollector and SiteReporter determine what is due and how a reply is handled.
 #pragma once
 
 #include <functional>
@@ -24,7 +24,8 @@
 
 namespace irismux::fleet {
 
-/// The loop and the gateway must outlive the client. Times in the interface are of the event loop's clock.
+/// The loop and the gateway must outlive the client. All times in the interface are times of the event loop's
+/// clock.
 class FleetClient final : private AgentTransport,
                           private AgentObserver,
                           private HealthCheckCallbacks,
@@ -35,8 +36,8 @@
                 const std::string& version, std::uint64_t seed);
 
     void start();
-    /// Stops acting at once, removes this member's records, and closes its store, so that a successor in this
-    /// process may open it.
+    /// Stops acting at once, removes this member's records, and closes the token store, so that a new
+    /// FleetClient of this process may open the store.
     void leave();
 
     /// Called when the router has ejected or readmitted the cache.
@@ -45,14 +46,14 @@
     void on_endpoint_removed(const CacheId& cache) { on_ejection_changed(cache, false); }
     /// Called with the outcome of a health check that was started.
     void on_health_check_done(const CacheId&, bool answered);
-    /// Returns whether the lease still covers a health check. Must be called right before the check's first
-    /// byte is sent.
+    /// Returns whether this member's lease still permits a health check of the cache. Must be called right
+    /// before the check's first byte is sent.
     [[nodiscard]] bool may_check_health(const CacheId& cache) const;
 
     // --- for a member of a site: the notices and the configuration that it has applied
 
-    /// Returns whether the gateway may accept requests yet. If not, it may at the latest from serves_from()
-    /// on.
+    /// Returns whether the gateway may accept requests yet. If the function returns false, the gateway may
+    /// accept requests from serves_from() on at the latest.
     [[nodiscard]] bool may_serve() const { return !site_reporter_ || site_reporter_->may_serve(boot_time()); }
     [[nodiscard]] TimePoint serves_from() const {
         return to_event_loop_time(site_reporter_->serving_allowed_at());
--- a/src/fleet/fleet_event.hpp
+++ b/src/fleet/fleet_event.hpp
@@ -26,7 +26,8 @@
     name_in_use,            ///< another living gateway has this member's name
 };
 
-/// This member stays out of the fleet and tries again; the gateway goes on serving.
+/// This member does not join the fleet for the given reason. The member tries again later, and the gateway
+/// continues to serve requests meanwhile.
 struct JoinRefused {
     JoinRefusal reason = JoinRefusal::shared_config_differs;
     MemberName member;
@@ -36,18 +37,19 @@
 
 enum class MembershipEnd {
     left,               ///< the member left by its own decision
-    evicted,            ///< other members saw no new heartbeat of it for a term
+    evicted,            ///< other members saw no new heartbeat of this member for a term
     registry_restored,  ///< the registry holds an older heartbeat than this member's newest
 };
 
-/// This member is no longer in the fleet and owns no duties. Unless it left, it joins again.
+/// This member is no longer in the fleet and owns no duties. The member joins again unless it left by its own
+/// decision.
 struct MembershipEnded {
     MembershipEnd reason = MembershipEnd::left;
     MemberName member;
     bool operator==(const MembershipEnded&) const = default;
 };
 
-/// There are more duties than a member follows; some are ignored.
+/// There are more duties than this member can follow, so the member ignores some of them.
 struct DutyLimitExceeded {
     std::size_t limit = 0;
     bool operator==(const DutyLimitExceeded&) const = default;
@@ -59,8 +61,8 @@
     bool operator==(const DutyRecordUnreadable&) const = default;
 };
 
-/// The registry shows a lower token for the duty than one already seen: it was restored from a backup. The
-/// owner claims the duty again under a higher token.
+/// The registry shows a lower token for the duty than this member has seen before, because the registry was
+/// restored from a backup. The owner claims the duty again under a higher token.
 struct FencingTokenRegressed {
     DutyName duty;
     FencingToken recorded;
@@ -84,7 +86,8 @@
 
 enum class TokenStoreOperation { open, parse, write };
 
-/// The fencing tokens seen can't be saved for the next start, or could not be restored at this start.
+/// The fencing tokens that this member has seen can't be saved for the next start, or could not be restored
+/// at this start.
 struct TokenStoreFailed {
     TokenStoreOperation operation = TokenStoreOperation::open;
     std::string reason;  ///< in snake_case
--- a/src/fleet/fleet_status.cpp
+++ b/src/fleet/fleet_status.cpp
@@ -31,8 +31,9 @@
     }
 }
 
-// The digest is fresh if a recently requested reading still showed a lower heartbeat of its owner: the
-// heartbeat on which the digest is based was committed after that request.
+// Returns whether the site has a fresh digest. A digest is fresh if a recent reading still showed a lower
+// heartbeat number of the digest's owner than the heartbeat on which the digest is based. In this case the
+// registry committed the latter heartbeat after the reading was requested.
 bool FleetStatus::fresh(TimePoint now, const SiteName& site) const {
     const auto digest = digests_.find(site);
     const auto shown = heartbeat_readings_.find(site);
@@ -69,8 +70,8 @@
             missing.push_back({MissingReason::lagging, site, lagging.member, 0});
             named = true;
         }
-    // Adds an entry without a member name in two cases: the digest names no lagging member because all
-    // members of the site lag equally, or it does not name all lagging members.
+    // Adds an entry without a member name in two cases: the digest names no lagging member, because all
+    // members of the site lag equally, or the digest names only some of the lagging members.
     if (!named || digest.lagging_count > digest.lagging.size())
         missing.push_back({MissingReason::lagging, site, {}, 0});
 }
@@ -78,8 +79,9 @@
 FleetStatus::Verdict FleetStatus::judge(TimePoint now, const Query& query) const {
     Verdict verdict;
     if (inventory_.empty()) verdict.missing.push_back({MissingReason::no_inventory, {}, {}, 0});
-    // After a restore of the notice board, members still report numbers of its former history, and these
-    // events would count as applied. The board's newest event is then lower than the reported ones.
+    // After a restore of the notice board, members still report event numbers of the board's former history,
+    // and the queried event would count as applied by mistake. In this case the board's newest event number
+    // is lower than a number that a member reports.
     if (query.event > EventNumber{} &&
         (!newest_event_ || *newest_event_ < query.event || *newest_event_ < highest_claimed_event()))
         verdict.missing.push_back({MissingReason::newest_event_unknown, {}, {}, 0});
--- a/src/fleet/fleet_status.hpp
+++ b/src/fleet/fleet_status.hpp
@@ -1,16 +1,16 @@
-/// Determines whether an event or a configuration is in force everywhere, at all gateways but some that are
-/// named, or not yet. It uses the digests of all sites, the inventory of sites, and the notice board's newest
-/// event. Does no I/O and reads no clock.
+/// Determines whether an event or a configuration is in force everywhere, at all gateways except some that
+/// the verdict names, or not yet. The verdict is based on the digests of all sites, the inventory of sites,
+/// and the notice board's newest event. Does no I/O and reads no clock.
 ///
 /// A digest counts only while it is fresh: no longer than max_staleness() ago, the reader itself has seen a
-/// heartbeat of the owner with a lower number than the heartbeat on which the digest is based. So several
-/// reads are needed before any verdict is possible, and neither a stopped owner nor a late message can make
-/// an old digest count as new.
+/// heartbeat of the owner with a lower number than the heartbeat on which the digest is based. Therefore
+/// several reads are needed before any verdict is possible, and neither a stopped owner nor a late message
+/// can make an old digest count as new.
 ///
 /// Guarantee: when judge() returns `everywhere`, no gateway acts without the event. Premises: those of
 /// AppliedRevisionTracker and DigestBuilder; the inventory names every site with the number of its gateways;
 /// no clock's rate is off by more than `drift`; a process without a reply from the notice board does not
-/// serve for max_counted_time() after its start; each name has one process.
+/// serve for max_counted_time() after its start; no two processes use the same member name at one time.
 #pragma once
 
 #include <deque>
@@ -52,7 +52,8 @@
     };
     struct Verdict {
         Reach reach = Reach::not_yet;
-        /// Limited to the members that digests name; if more members are missing, the verdict is `not_yet`.
+        /// The list contains only members that digests name. If further members are missing, `reach` is
+        /// `not_yet`.
         std::vector<Missing> missing;
     };
     struct Query {
@@ -68,7 +69,7 @@
         std::set<MemberName> members_outside_sites;
     };
 
-    /// The inventory gives each site with the minimum number of its gateways.
+    /// `inventory` has the minimum number of gateways of each site.
     FleetStatus(Duration term, std::map<SiteName, std::size_t> inventory)
         : term_(term), inventory_(std::move(inventory)) {}
 
@@ -98,7 +99,7 @@
     std::optional<Generation> generation_;
     std::map<SiteName, Digest> digests_;
     std::set<SiteName> unreadable_;
-    std::map<SiteName, std::deque<HeartbeatReading>> heartbeat_readings_;  // of the digests' owners
+    std::map<SiteName, std::deque<HeartbeatReading>> heartbeat_readings_;  // for each digest's owner
     std::set<MemberName> members_outside_sites_;
     std::optional<EventNumber> newest_event_;
 };
--- a/src/fleet/garbage_collector.cpp
+++ b/src/fleet/garbage_collector.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// Returns a comparison that holds only while the instance is not a member, or std::nullopt if it is a member
-// according to the records received so far.
+// Returns a comparison that holds only while the instance is not a member, or std::nullopt if the instance is
+// a member according to the records received so far.
 std::optional<KeyValue> absence_of(const Instance& instance, const RecordMirror& record_mirror,
                                    const Agent& agent) {
     if (agent.is_member(instance)) return std::nullopt;
@@ -17,8 +17,8 @@
 
 }  // namespace
 
-// Returns the write that removes the record if it is garbage. The write compares the records that make it
-// garbage.
+// Returns the write that removes the record, or std::nullopt if the record is not garbage. The write compares
+// all records from which it follows that the record is garbage.
 std::optional<FencedWrite> GarbageCollector::removal(const Key& key, const std::string& text,
                                                      const RecordMirror& record_mirror,
                                                      const Agent& agent) const {
@@ -81,7 +81,7 @@
     const RecordValue former = record_mirror.at(collection_progress_key());
     CollectionProgress progress =
         former ? parse_collection_progress(*former).value_or(CollectionProgress{}) : CollectionProgress{};
-    // A new owner continues the pass that it finds in the registry.
+    // A new owner continues the pass whose progress it finds in the registry.
     if (!scanned_) scan(now, record_mirror, agent);
     std::optional<FencedWrite> write_request;
     Key at;
@@ -103,8 +103,8 @@
     return write_request;
 }
 
-// A write that was refused or has an unknown outcome is retried in the next pass with the records of that
-// time.
+// A write that was refused or has an unknown outcome is not repeated. The next pass tries the removal again,
+// with the records as they are then.
 void GarbageCollector::on_written(TimePoint now, WriteOutcome) {
     write_under_way_ = false;
     if (!write_ends_pass_) return;
--- a/src/fleet/garbage_collector.hpp
+++ b/src/fleet/garbage_collector.hpp
@@ -1,14 +1,15 @@
 /// Removes records that dead members left behind. Garbage collection is a duty of the fleet, so one member at
 /// a time does it. Does no I/O. These records are garbage:
 ///
-///   duty/watch/...  the duty of an unowned health check that this member does not want; its token is stored
-///                   in the floor
-///   aside/...       a release that names an instance that is no longer a member
-///   seen/...        a health check's result whose duty has no record
+///   duty/watch/...  the duty to check a cache, if no live member owns the duty and this member does not
+///                   follow the duty; the floor keeps the token of the removed record
+///   aside/...       an operator's release of a duty, if the released instance is no longer a member
+///   seen/...        the result of a cache's health check, if the duty to check that cache has no record
 ///
-/// A record is removed only after it has been garbage, unchanged, for a minimum age by this owner's clock.
-/// Each removal is one transaction that also stores the position reached in the pass, so that the next owner
-/// continues after it. Records of other duties stay, since the number of their names is small.
+/// A record is removed only after it has been garbage, with an unchanged value, for a minimum time by this
+/// owner's clock. Each removal is one transaction that also stores the position reached in the pass, so that
+/// the next owner continues after this position. The records of all other duties are never removed, since
+/// only few names of such duties exist.
 #pragma once
 
 #include <map>
@@ -25,20 +26,21 @@
 
 class GarbageCollector {
 public:
-    /// A pass begins `interval` after the end of the one before, by this owner's clock.
+    /// A pass begins `interval` after the end of the previous pass, by this owner's clock.
     GarbageCollector(Duration interval, Duration minimum_age)
         : interval_(interval), minimum_age_(minimum_age) {}
 
     /// Returns the next write if one is due. One write is in flight at a time.
     std::optional<FencedWrite> next_write(TimePoint now, const RecordMirror& record_mirror,
                                           const Agent& agent);
-    /// Called with the outcome of that write.
+    /// Called with the outcome of the write that next_write() has returned.
     void on_written(TimePoint now, WriteOutcome outcome);
     /// Returns when next_write() must be called again if no write is in flight.
     TimePoint next_pass_at() const { return next_pass_at_; }
 
 private:
-    // A record that is garbage, as it was first seen.
+    // The value of a record that is garbage, and the time at which the record was first seen as garbage with
+    // this value.
     struct Candidate {
         std::string text;
         TimePoint since;
--- a/src/fleet/lease.hpp
+++ b/src/fleet/lease.hpp
@@ -1,5 +1,5 @@
-/// A member's own lease of one duty. Only Lease::update() changes its state; docs/fleet.md has the state
-/// table. Does no I/O.
+/// A member's own lease of one duty. Only Lease::update() changes the state of the lease; docs/fleet.md has
+/// the state table. Does no I/O.
 #pragma once
 
 #include <string_view>
--- a/src/fleet/member_identity.hpp
+++ b/src/fleet/member_identity.hpp
@@ -9,14 +9,15 @@
 
 namespace irismux::fleet {
 
-/// Does not change during the life of an Agent, except for the number of its last join.
+/// The identity does not change during the life of an Agent, except for the number of the last join.
 struct MemberIdentity {
     MemberName name;
     InstanceId instance_id;
     std::string version;           ///< of the program
     Incarnation last_incarnation;  ///< the highest known for that name; zero if none
     Duration reply_timeout = Duration::micros(1'000'000);
-    /// Heartbeats are sent at random times and read at random; false in exhaustive models.
+    /// True if the start, heartbeats and retries are delayed or advanced by random times. Exhaustive models
+    /// set this to false.
     bool randomized = true;
     /// For a member of a site: the time within which a heartbeat reports a change. The first join of such a
     /// member adds its name to the site's roster. Zero for a member outside of all sites.
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -3,9 +3,10 @@
 namespace irismux::fleet {
 namespace {
 
-// With this interval two consecutive heartbeats may be lost and the next one may be late.
+// With this interval a member's term does not end if two consecutive heartbeats are lost and the next
+// heartbeat is late.
 constexpr double heartbeat_interval_share_of_term = 0.25;
-// No work is begun in this last share of a term, since the next heartbeat is overdue by then.
+// Share at the end of a term in which a member begins no work, since the next heartbeat is overdue by then.
 constexpr double renewal_margin_share_of_term = 0.25;
 constexpr double suspected_after_intervals = 2.5;
 
--- a/src/fleet/membership.hpp
+++ b/src/fleet/membership.hpp
@@ -1,5 +1,5 @@
-/// The live members as one member sees them: its own term, and the heartbeats of the others. Does no I/O.
-/// Times are of this member's steady clock, which must also count the time during which the machine is
+/// The live members as one member sees them: its own term, and the heartbeats of the others. Does no I/O. All
+/// times are times of this member's steady clock, which must also count the time during which the machine is
 /// suspended.
 ///
 /// Guarantee: while in_term() holds at a member, no other member evicts it. Premises: no clock's rate is off
@@ -51,34 +51,36 @@
 
     // --- the other members
     /// Applies a member's record with its value at revision `at`; `text` is empty if there is no record. A
-    /// revision older than the known one is ignored.
+    /// record at an older revision than the known record is ignored.
     /// @return true if the member is new, has another instance, or is removed.
     bool on_member_record(TimePoint now, registry::Revision at, const MemberName&,
                           const std::optional<std::string>& text);
-    /// Called before all records are delivered again, possibly with their values at a lower revision. Members
-    /// that are not listed are removed.
+    /// Must be called before all records are delivered again, possibly with their values at a lower revision.
+    /// Removes the members that are not in `listed`.
     void on_full_list(TimePoint now, const std::set<MemberName>& listed);
-    /// Applies a heartbeat as the registry shows it. An unchanged heartbeat counts towards the eviction
-    /// timeout. A new one restarts the timeout or, unless `keep_observing`, ends it until the member is
-    /// observed again.
+    /// Applies a member's heartbeat as the registry shows it. An unchanged heartbeat counts towards the
+    /// eviction timeout. A new heartbeat restarts the timeout if `keep_observing` is true. Otherwise a new
+    /// heartbeat ends the timeout, and the next call for this member starts a new one.
     void on_heartbeat(TimePoint now, const MemberName&, const std::optional<std::string>& text,
                       bool keep_observing);
-    /// Called after the registry was restored: heartbeats observed before no longer count.
+    /// Called after this member has left the fleet or was removed, for example because the registry was
+    /// restored. Heartbeats that were observed before the call no longer count towards an eviction.
     void restart_observations();
 
-    /// Another member.
+    /// Another member of the fleet, as this member knows it.
     struct Member {
-        std::string text;  ///< of its record
-        /// False if the record has a newer format. The member counts nevertheless and keeps its duties.
+        std::string text;  ///< value of the member's record
+        /// False if the member's record can't be parsed, for example because a newer version wrote it. The
+        /// member is live nevertheless and keeps its duties.
         bool readable = true;
-        MemberRecord member;    ///< its record
+        MemberRecord member;    ///< the member's parsed record
         TimePoint first_seen;   ///< first seen with this incarnation
-        bool returned = false;  ///< it was a member before
+        bool returned = false;  ///< the name was a member before this incarnation
         bool observed = false;  ///< its heartbeats are being observed
         std::optional<std::string> heartbeat_text;
         TimePoint unchanged_since;    ///< when that heartbeat was first read
         TimePoint last_seen;          ///< when that heartbeat was last read
-        registry::Revision revision;  ///< of its record
+        registry::Revision revision;  ///< revision of the member's record
     };
     const std::map<MemberName, Member>& members() const { return members_; }
     MemberStatus status_of(TimePoint now, const MemberName&) const;
@@ -87,7 +89,7 @@
         return member.observed && member.last_seen - member.unchanged_since >= eviction_timeout_;
     }
     bool suspected(const Member& member) const;
-    /// Returns whether it has been a member for long enough to be handed a duty.
+    /// Returns whether the member has been in the fleet for long enough to be handed a duty.
     bool settled(TimePoint now, const Member& member) const {
         return now - member.first_seen >= eviction_timeout_ + eviction_timeout_;
     }
@@ -98,7 +100,8 @@
     Duration eviction_timeout() const { return eviction_timeout_; }
 
 private:
-    // Maximum number of remembered heartbeats without a reply; beyond this the oldest is dropped.
+    // Maximum number of heartbeats without a reply whose sending times are remembered. Beyond this number the
+    // oldest sending time is dropped.
     static constexpr std::size_t max_unconfirmed = 16;
     static constexpr std::size_t max_members = 1024;
 
@@ -109,7 +112,7 @@
     HeartbeatNumber last_confirmed_;
     TimePoint term_end_, grace_period_end_;
     std::map<MemberName, Member> members_;
-    // Removed members with the revision of the removal. All are dropped when there would be more than
+    // Removed members with the revision of the removal. All entries are dropped when there would be more than
     // max_members.
     std::map<MemberName, registry::Revision> removed_;
 };
--- a/src/fleet/record_mirror.hpp
+++ b/src/fleet/record_mirror.hpp
@@ -1,4 +1,4 @@
-/// A local copy of all watched records, which are all records except heartbeats. It may lag behind the
+/// A local copy of all watched records, which are all records except heartbeats. The copy may lag behind the
 /// results of this member's own transactions. Does no I/O.
 #pragma once
 
@@ -15,7 +15,8 @@
 public:
     using Records = std::map<Key, std::string>;
 
-    /// Applies the changes. With `all` they are the whole content.
+    /// Applies the changes. If `all` is true, the changes are the whole content, and all other records are
+    /// dropped.
     void apply(const std::vector<KeyValue>& changes, bool all) {
         if (all) records_.clear();
         for (const auto& [key, text] : changes)
@@ -32,7 +33,7 @@
     }
 
 private:
-    Records records_;  // bounded by the watch, which follows a limited number
+    Records records_;  // the watch limits the number of records
 };
 
 }  // namespace irismux::fleet
--- a/src/fleet/records.hpp
+++ b/src/fleet/records.hpp
@@ -1,16 +1,17 @@
 /// The records that a fleet keeps in its registry, all under one prefix:
 ///
-///   about          the shared configuration; a member whose own differs stays out
+///   about          the shared configuration; a member with another configuration does not join
 ///   member/NAME    the live instance of that name: written at its join, removed at its leave or eviction,
 ///                  and rewritten only to publish refused tokens and ejected caches
 ///   beat/NAME      the last heartbeat of that instance; no two heartbeats ever written are equal
 ///   duty/NAME      the owner of a duty and its fencing token; the owner is empty if the duty was given up
-///   floor          the highest token of any removed duty record; a duty without a record starts above it
+///   floor          the highest token of all removed duty records; a new duty record gets a higher token
 ///   aside/DUTY     an operator's release: the named instance must leave the duty to other members
 ///   swept          the progress of the garbage collector
 ///   seen/CACHE     the result of the last health check of that cache
 ///
-/// Values are JSON objects; a value that can't be parsed is treated as absent. Pure functions of bytes.
+/// Values are JSON objects. A value that can't be parsed is treated as absent. All functions of this file are
+/// pure functions of bytes.
 #pragma once
 
 #include <cstdint>
@@ -27,25 +28,26 @@
 
 using MemberName = Id<struct MemberNameTag, std::string>;
 using DutyName = Id<struct DutyNameTag, std::string>;
-/// Number of a member's join. It is higher at each join of that name, and above the registry's revision at
-/// the time of the join.
+/// Number of a member's join. Each join under a member name gets a higher number than all earlier joins under
+/// that name, and a number above the registry's revision at the time of the join.
 using Incarnation = Id<struct IncarnationTag, std::int64_t>;
 /// Random identifier of a process, which distinguishes instances of one name.
 using InstanceId = Id<struct InstanceIdTag, std::string>;
-/// Increases with each owner of a duty; zero if there is none. Writes and instructions under a lower token
-/// are refused.
+/// Number that increases with each new owner of a duty; zero if the duty has had no owner. Writes and
+/// instructions under a lower token are refused.
 using FencingToken = Id<struct FencingTokenTag, std::int64_t>;
-/// Increases with each heartbeat of one instance.
+/// Number of a heartbeat, which increases with each heartbeat of one instance.
 using HeartbeatNumber = Id<struct HeartbeatNumberTag, std::int64_t>;
 /// A record's key, relative to the fleet's prefix.
 using Key = Id<struct FleetKeyTag, std::string>;
 
-/// Settings that must be equal at all members, since the safety of each depends on the others using them.
+/// Settings that must be equal at all members, since the safety of each member depends on all other members
+/// using equal settings.
 struct SharedConfig {
     std::string installation;
-    /// How long a heartbeat allows its sender to act; the sender subtracts the drift.
+    /// Time for which a heartbeat allows its sender to act. The sender reduces this time by the drift.
     Duration term = Duration::micros(12'000'000);
-    /// Largest error of a clock's rate, either way; at most 0.5.
+    /// Largest relative error of a clock's rate in either direction; at most 0.5.
     double drift = 0.01;
     bool operator==(const SharedConfig&) const = default;
 };
@@ -64,7 +66,7 @@
     Incarnation incarnation;
     InstanceId instance_id;
     std::string version;  ///< of the program
-    /// Tokens seen that are higher than the token in the duty's record.
+    /// The highest token seen of each duty whose record has a lower token, which this member refuses.
     std::map<DutyName, FencingToken> refused_tokens;
     /// Caches that the member does not use because they do not answer.
     std::set<CacheId> ejected_caches = {};
@@ -84,22 +86,22 @@
     Incarnation incarnation;  ///< of the owner
 };
 
-/// One instance of a member, as others refer to it.
+/// The reference to one instance of a member in the records of other members.
 struct Instance {
     MemberName name;
     Incarnation incarnation;
     bool operator==(const Instance&) const = default;
 };
 
-/// The outcome of the last health checks of a cache, written by the owner of its duty.
+/// The outcome of the last health checks of a cache, written by the owner of the duty to check this cache.
 struct HealthRecord {
     FencingToken token;
     Instance owner;
     bool healthy = false;     ///< the last check was answered
-    std::int64_t streak = 0;  ///< consecutive checks with that outcome
+    std::int64_t streak = 0;  ///< number of consecutive checks with that outcome
 };
 
-/// The progress of the garbage collector, from which the next owner of its duty continues.
+/// The progress of the garbage collector. The next owner of the duty to collect garbage continues from here.
 struct CollectionProgress {
     FencingToken token;
     Instance owner;
@@ -119,14 +121,14 @@
 Key release_key(const DutyName&);
 Key health_record_key(const CacheId&);
 
-/// Each returns the name that the key contains, or std::nullopt if it is a key of another kind.
+/// Each function returns the name that the key contains, or std::nullopt if the key is of another kind.
 std::optional<MemberName> member_of(const Key&);
 std::optional<MemberName> heartbeat_owner(const Key&);
 std::optional<DutyName> duty_of(const Key&);
 std::optional<DutyName> released_duty_of(const Key&);
 std::optional<CacheId> health_record_cache(const Key&);
 
-/// The health checks of one cache are a duty of their own.
+/// Returns the duty to check the health of this cache. Each cache has its own duty.
 DutyName health_check_duty(const CacheId&);
 std::optional<CacheId> health_check_cache(const DutyName&);
 
@@ -140,7 +142,7 @@
 std::string serialize(const HealthRecord&);
 std::string serialize(const CollectionProgress&);
 std::string serialize_floor(FencingToken);
-/// Each returns std::nullopt if the value can't be parsed.
+/// Each function returns std::nullopt if the value can't be parsed.
 std::optional<MemberRecord> parse_member(std::string_view);
 std::optional<HeartbeatRecord> parse_heartbeat(std::string_view);
 std::optional<DutyRecord> parse_duty(std::string_view);
--- a/src/fleet/site_reporter.hpp
+++ b/src/fleet/site_reporter.hpp
@@ -13,18 +13,19 @@
 public:
     struct Settings {
         MemberName self;
-        std::string instance_id;  ///< of this process
+        std::string instance_id;  ///< instance id of this process
         Duration term, acknowledge_interval;
         double drift = 0;
     };
-    /// `process_start` is a time of the agent's clock.
+    /// `process_start` is the time at which this process started, by the agent's clock.
     SiteReporter(Settings settings, TimePoint process_start);
 
     /// The caller must report the notice board's polls and new configurations to the tracker.
     AppliedRevisionTracker& applied() { return applied_; }
     const AppliedRevisionTracker& applied() const { return applied_; }
-    /// Returns whether the gateway may accept requests. Before that, digests may still count a former process
-    /// with this name as having applied events that this process has not.
+    /// Returns whether the gateway may accept requests. Until then, a digest may still count a former process
+    /// with this gateway's name as live, and the former process may have applied events that this process has
+    /// not applied.
     bool may_serve(TimePoint now) const { return applied_.has_full_history() || now >= serving_allowed_at_; }
     TimePoint serving_allowed_at() const { return serving_allowed_at_; }
 
@@ -42,7 +43,7 @@
     AppliedRevisionTracker applied_;
     DigestBuilder digest_builder_;
     std::optional<std::string> shown_generation_text_;
-    std::int64_t proposed_generations_ = 0;  // by this process
+    std::int64_t proposed_generations_ = 0;  // number of generations that this process has proposed
     bool digest_write_pending_ = false;
     bool generation_write_pending_ = false;
 };
--- a/src/fleet/token_store.hpp
+++ b/src/fleet/token_store.hpp
@@ -1,5 +1,6 @@
-/// State that a gateway keeps over restarts: the fencing tokens that it has seen, so that it refuses lower
-/// ones after a restart too, and the number of its last join, so that the next one is higher.
+/// Stores the state that a gateway keeps over restarts. The stored fencing tokens let the gateway refuse
+/// lower tokens after a restart too. The stored number of its last join lets the next join have a higher
+/// number.
 #pragma once
 
 #include <optional>
@@ -14,21 +15,23 @@
 /// or restored, and the gateway runs without a store.
 class TokenStore {
 public:
-    /// No other process may use `folder`. If it is empty, nothing is saved.
+    /// No other process may use `folder`. If `folder` is an empty string, nothing is saved.
     explicit TokenStore(const std::string& folder);
 
-    /// Returns why the store could not be opened, or std::nullopt if it is open or there is no folder.
+    /// Returns why the store could not be opened, or std::nullopt if the store is open or no folder is given.
     [[nodiscard]] const std::optional<StoreError>& open_error() const { return open_error_; }
     /// Returns the saved number of the last join, or zero if there is none.
     [[nodiscard]] Incarnation last_incarnation() const;
     /// Adds the saved tokens to the fence.
-    /// @return false if they can't be parsed; the fence is unchanged then.
+    /// @return false if the saved tokens can't be parsed; in this case the fence is unchanged.
     [[nodiscard]] bool restore(Fence& fence) const;
-    /// Writes both values if they have changed since the last save.
-    /// @return the error of the first of a series of failed writes; std::nullopt if the values were written
-    /// or are unchanged, if the store is not open, or if an error was returned before.
+    /// Writes the tokens of the fence and the number of the last join if either has changed since the last
+    /// save.
+    /// @return the error if the write failed and the previous write did not. Returns std::nullopt for every
+    /// further failed write of the series, and if the values were written or are unchanged, or the store is
+    /// not open.
     [[nodiscard]] std::optional<StoreError> save(const Fence& fence, Incarnation incarnation);
-    /// Closes the store, so that a successor in this process may open the folder.
+    /// Closes the store, so that another TokenStore of this process may open the folder.
     void close() { store_.reset(); }
 
 private:
--- a/src/fleet/transaction.hpp
+++ b/src/fleet/transaction.hpp
@@ -15,8 +15,9 @@
 /// A record's key and value.
 using KeyValue = std::pair<Key, RecordValue>;
 
-/// Does its writes only if all records in `compares` have the given values. The result shows the records in
-/// `reads` as they are after the transaction or, if a comparison failed, all records in `compares`.
+/// The registry does the writes of a transaction only if all records in `compares` have the given values. The
+/// result shows the records in `reads` as they are after the transaction or, if a comparison failed, all
+/// records in `compares`.
 struct Transaction {
     std::vector<KeyValue> compares;
     std::vector<KeyValue> writes;
@@ -30,8 +31,8 @@
     std::vector<KeyValue> writes;
 };
 
-/// `refused` means that a comparison failed or that the duty was lost before the write was sent, `unknown`
-/// that there was no reply.
+/// `refused` means that a comparison failed or that the member lost the duty before the write was sent.
+/// `unknown` means that the write had no reply.
 enum class WriteOutcome { written, refused, unknown };
 
 }  // namespace irismux::fleet
--- a/src/fleet/transaction_client.hpp
+++ b/src/fleet/transaction_client.hpp
@@ -10,7 +10,8 @@
 
 namespace irismux::fleet {
 
-/// Observer of a TransactionClient's transactions. It is never called from within submit().
+/// Observer of a TransactionClient's transactions. The observer's functions are never called from within
+/// submit().
 class TransactionObserver {
 public:
     virtual ~TransactionObserver() = default;
@@ -31,7 +32,8 @@
     TransactionClient(EventLoop& loop, TransactionObserver& observer, const registry::Settings& settings,
                       SiteName site, registry::MemberIndex first_member);
 
-    /// Submits a transaction. It replaces the one in flight, whose result is no longer delivered.
+    /// Submits a transaction, which replaces the transaction in flight. The result of the replaced
+    /// transaction is no longer delivered.
     void submit(const Transaction& transaction);
 
 private:
