--- a/example/stub_cache.cpp
+++ b/example/stub_cache.cpp
@@ -1,5 +1,5 @@
 // Stub services to try a gateway with: three caches, which answer as if a parent and an origin were behind
-// them, their notice board, and a client. Makes no routing decisions and measures nothing.
+// them, their notice board, and a client. This program makes no routing decisions and measures nothing.
 //   irismux_stub_cache serve              runs the caches and the notice board; reads commands such as
 //                                         "stop c2" and "start c2" from standard input
 //   irismux_stub_cache ask KIND OBJECT    sends one lookup through the gateway
@@ -41,7 +41,8 @@
     return n > 0;
 }
 
-// The stored objects and open connections of one cache. The sources have all other objects.
+// The stored objects and open connections of one cache. The cache fetches all other objects from a parent or
+// the origin.
 struct CacheState {
     std::mutex mutex;
     std::set<std::string> objects;
--- a/sim/request_names.hpp
+++ b/sim/request_names.hpp
@@ -11,8 +11,9 @@
 
 namespace irismux::sim {
 
-/// A name is removed once its request has its final response and no attempt is in flight. find() then returns
-/// std::nullopt for the name, and a new request may use the name again.
+/// A name is removed once the request of this name has its final response and none of its attempts is in
+/// flight. After the removal find() returns std::nullopt for the name, and a new request may use the name
+/// again.
 class RequestNames {
 public:
     /// Adds a request and returns its id. find() no longer returns an earlier request of the same name.
--- a/sim/simulator_codec.cpp
+++ b/sim/simulator_codec.cpp
@@ -21,7 +21,7 @@
     {"terminating", EndpointStatus::draining},
     {"terminated", EndpointStatus::removed}};
 
-// Bits of the field "switches".
+// The bits of the field "switches" in messages to the simulator.
 constexpr int coalesce_bit = 1, only_if_cached_bit = 2, bypass_parent_cache_bit = 4, revalidate_bit = 8;
 
 CacheStatus cache_status_of(int number) {
--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -92,8 +92,8 @@
             "the records changed after they were read; nothing was written, check them and try again");
     }
 
-    // Reads the record after a lost reply. Returns std::nullopt if the record is unchanged and can be written
-    // again, and otherwise the exit code.
+    // Reads the record after the reply to a write was lost. Returns std::nullopt if the record is unchanged
+    // and can be written again. In all other cases returns the exit code.
     std::optional<int> on_no_reply() {
         const auto read = read_records(session_, settings_);
         if (const auto* error = std::get_if<etcd::Error>(&read))
@@ -116,7 +116,7 @@
     std::vector<KeyValue> conditions_;
 };
 
-// Prints one line for each record of one kind, in the order of their names.
+// Prints one line for each record of one kind, in the order of the records' names.
 template <class NameOf, class Parse, class Print>
 void print_each(const Records& records, NameOf name_of, Parse parse, Print print) {
     for (const auto& [key, text] : records) {
@@ -170,7 +170,8 @@
     print_health(records, name);
 }
 
-// Waits until a member other than the owner in `former` owns the duty. An owner releases one duty per round.
+// Waits until a member other than the owner in `former` owns the duty. An owner releases at most one duty per
+// heartbeat interval.
 int wait_for_next_owner(RegistrySession& session, const Settings& settings, const DutyName& name,
                         const DutyRecord& former) {
     constexpr double wait_per_term = 3;
--- a/src/cli/fleet_commands.hpp
+++ b/src/cli/fleet_commands.hpp
@@ -17,8 +17,9 @@
 /// Prints the duties, one per line, with their epochs, owners, release requests and health check results, and
 /// then the progress of the garbage collection.
 int fleet_duties(const fleet::Settings& settings);
-/// Asks the owner of a duty to release the duty, and waits for the next owner. The request holds until
-/// that owner is restarted. The owner itself gives up the duty, so two members never act on it at one time.
+/// Asks the owner of a duty to release the duty, and waits for the next owner. The request to the former
+/// owner stays in force until the former owner restarts or fleet_restore() withdraws the request. The former
+/// owner itself gives up the duty, so two members never act on the duty at one time.
 int fleet_release(const fleet::Settings& settings, const std::string& duty);
 /// Withdraws the request to release a duty.
 int fleet_restore(const fleet::Settings& settings, const std::string& duty);
@@ -30,7 +31,7 @@
     std::int64_t event = 0;
     /// Number of the queried configuration; zero: no configuration is queried.
     std::int64_t configuration = 0;
-    /// Address of the notice board that reports the newest event.
+    /// Address of the notice board, which is asked for the number of its newest event.
     std::string board;
     /// Longest wait, in seconds, until the event and the configuration are in force everywhere.
     double wait_s = 0;
@@ -41,7 +42,8 @@
 int fleet_in_force(const fleet::Settings& settings, const InForceQuery& query);
 /// Removes a permanently stopped gateway from the roster of its site.
 int fleet_forget(const fleet::Settings& settings, const std::string& site, const std::string& member);
-/// Begins a new generation of the notice board's event numbers. Must run before a restored board is started.
+/// Begins a new generation of the notice board's event numbers. After a restore of the notice board, the
+/// operator must run this command before the notice board is started.
 int fleet_new_generation(const fleet::Settings& settings);
 
 }  // namespace irismux::cli
--- a/src/cli/fleet_in_force_command.cpp
+++ b/src/cli/fleet_in_force_command.cpp
@@ -49,8 +49,8 @@
         reading.owner_heartbeats[sites.at(path)] = text;
 }
 
-// Reads the generation last, so that digests of a former generation can be told from digests of this
-// generation.
+// Reads the generation after the digests. If a new generation begins between the two reads, the digests name
+// the former generation and can be told from digests of the new generation.
 FleetStatus::RegistryReading read_status(RegistrySession& session, const Settings& settings,
                                          const FleetStatus& status) {
     FleetStatus::RegistryReading reading;
@@ -72,7 +72,8 @@
 // Throws Poco::Exception if the notice board does not reply.
 std::optional<EventNumber> read_newest_event(const std::string& address) {
     constexpr Duration reply_timeout = Duration::micros(2'000'000);
-    // Polls from a number above the numbers of all events: the reply has the newest number and no events.
+    // Polls for events above a number that no event has, so that the reply contains the newest event number
+    // and no events.
     constexpr const char* target = "/board/poll?watch=9007199254740991&linger=0";
     const Poco::Net::SocketAddress board(address);
     Poco::Net::HTTPClientSession session(board.host().toString(), board.port());
@@ -153,11 +154,12 @@
     }
 }
 
-// Reads the status repeatedly until the query is in force everywhere or the wait is over.
+// Reads the status repeatedly until the queried event and configuration are in force everywhere or the time
+// to wait is over.
 FleetStatus::Verdict poll_status(RegistrySession& session, const Settings& settings,
                                  const InForceQuery& query) {
-    // All gateways of a site report within a quarter of a term; after this wait every live site has been
-    // read.
+    // Minimum wait as a share of a term. All gateways of a site report within a quarter of a term, so after
+    // this wait the digest of every live site has been read.
     constexpr double min_wait_per_term = 0.75;
     constexpr double poll_interval_per_term = 1.0 / 24;
     const FleetStatus::Query status_query{EventNumber{query.event}, ConfigurationNumber{query.configuration}};
--- a/src/cli/fleet_repair_commands.cpp
+++ b/src/cli/fleet_repair_commands.cpp
@@ -13,8 +13,8 @@
 namespace etcd = registry::etcd;
 using namespace fleet;
 
-// Writes once, if all compared records have the given values. Prints `success` or an error, and returns the
-// exit code.
+// Sends one write, which takes effect only if all compared records have the given values. Prints `success` or
+// an error, and returns the exit code.
 int write_once(RegistrySession& session, const registry::Settings& settings,
                const std::vector<etcd::KeyValue>& compares, const std::vector<etcd::KeyValue>& writes,
                const std::string& success) {
@@ -51,7 +51,8 @@
         const std::string& prefix = settings.registry.prefix;
         std::vector<etcd::KeyValue> writes;
         writes.emplace_back(prefix + roster, site_empty ? RecordValue{} : RecordValue{serialize(remaining)});
-        // An empty site has no gateway that would update its digest.
+        // Deletes the digest of a site that becomes empty, since the site has no gateway that would update
+        // the digest.
         if (site_empty) writes.emplace_back(prefix + path_of(digest_key(), SiteName{site}), std::nullopt);
         const std::vector<etcd::KeyValue> compares{{prefix + roster, found.at(roster)},
                                                    {prefix + record, std::nullopt}};
--- a/src/cli/registry_commands.cpp
+++ b/src/cli/registry_commands.cpp
@@ -55,8 +55,8 @@
         return print_error(id_ + " was changed by another writer; " + outcome);
     }
 
-    // Reads the record after a lost reply. Returns std::nullopt if the record is unchanged and can be written
-    // again, and otherwise the exit code.
+    // Reads the record after the reply to a write was lost. Returns std::nullopt if the record is unchanged
+    // and can be written again. In all other cases returns the exit code.
     std::optional<int> on_no_reply(const std::string& value, Revision unchanged_since) {
         etcd::ReadResult<Record> found;
         try {
@@ -118,7 +118,8 @@
     EventLoop& loop_;
 };
 
-// Registers a listening socket that no client connects to, since a reactor without sockets runs no timers.
+// Registers a listening socket that no client connects to. Without any socket the event loop would run no
+// timers.
 class ReactorKeepAlive {
 public:
     explicit ReactorKeepAlive(EventLoop& loop) : socket_(Poco::Net::SocketAddress("127.0.0.1:0")) {
--- a/src/cli/registry_queries.hpp
+++ b/src/cli/registry_queries.hpp
@@ -20,18 +20,18 @@
     RegistrySession& session, const registry::Settings& settings, const std::string& prefix,
     const std::function<void(const registry::Record&)>& visit);
 
-/// Returns all records under a prefix at one revision; their keys are without the prefix.
+/// Returns all records under a prefix at one revision. The returned keys do not include the prefix.
 [[nodiscard]] registry::etcd::ReadResult<ValuesByKey> read_all(RegistrySession& session,
                                                                const registry::Settings& settings,
                                                                const std::string& prefix);
 
-/// Returns the records of `keys` that exist. `keys` and the returned keys are without the settings' prefix.
-/// Each group of up to 120 keys is read at one revision. Throws RegistryError.
+/// Returns the records of `keys` that exist. Neither `keys` nor the returned keys include the prefix of the
+/// settings. Each group of up to 120 keys is read at one revision. Throws RegistryError.
 [[nodiscard]] ValuesByKey read_keys(RegistrySession& session, const registry::Settings& settings,
                                     const std::vector<std::string>& keys);
 
-/// Returns the record of a key, which is without the prefix, or a record created at revision zero if there is
-/// none.
+/// Returns the record of a key, which is given without the prefix. If there is no such record, returns a
+/// record that was created at revision zero.
 [[nodiscard]] registry::etcd::ReadResult<registry::Record> read_record(RegistrySession& session,
                                                                        const registry::Settings& settings,
                                                                        const std::string& key);
--- a/src/cli/registry_session.hpp
+++ b/src/cli/registry_session.hpp
@@ -37,8 +37,8 @@
     /// `settings` must outlive the session.
     explicit RegistrySession(const registry::Settings& settings) : settings_(settings) {}
 
-    /// Sends a request to one member after the other until one replies; only for requests that may be sent
-    /// more than once. Throws Poco::Exception if no member replies.
+    /// Sends a request to one member after the other until a member replies. Use this function only for
+    /// requests that may be sent more than once. Throws Poco::Exception if no member replies.
     [[nodiscard]] Reply request(const registry::etcd::Request& request);
     /// Sends a request once, to the first member that can be reached. Throws Poco::Exception if no member can
     /// be reached.
--- a/src/gateway/deployment_reader.cpp
+++ b/src/gateway/deployment_reader.cpp
@@ -21,7 +21,7 @@
     {"hit", CacheStatusReporting::hits},
     {"all", CacheStatusReporting::all}};
 
-// Returns an element of the list `key`, or the default if the list or the element does not exist.
+// Returns an element of the list `key`, or `default_value` if the list or the element does not exist.
 template <class T>
 T element_or(const json& object, const char* key, std::size_t index, T default_value) {
     const auto list = object.find(key);
@@ -29,7 +29,7 @@
     return (*list)[index].get<T>();
 }
 
-// The settings, and those objects in them that more than one function reads.
+// The settings as JSON, and the objects in the settings that more than one function reads.
 struct Settings {
     explicit Settings(const json& settings)
         : all(settings),
--- a/src/gateway/endpoint_source.hpp
+++ b/src/gateway/endpoint_source.hpp
@@ -18,9 +18,9 @@
 class EndpointListObserver {
 public:
     virtual ~EndpointListObserver() = default;
-    /// @param complete true if the records are the whole list, false if they are only the changed ones.
+    /// @param complete true if `records` is the whole list, false if it has only the changed records.
     virtual void on_endpoint_list(const std::vector<EndpointRecord>& records, bool complete) = 0;
-    /// The connection to the source is lost. The last list stays in use, but it is no longer updated.
+    /// The connection to the source is lost. The last list stays in use, but is no longer updated.
     virtual void on_endpoint_source_lost(TimePoint now) = 0;
 };
 
@@ -34,7 +34,8 @@
     void open_registry();
     /// Connects to the registry.
     void start();
-    /// Applies new settings. Without a registry, the notice board's list is used from its next notice on.
+    /// Applies new settings. If the new settings have no registry, the source delivers the notice board's
+    /// list from the next notice on.
     void reload(const std::optional<registry::Settings>& settings);
     /// Passes the notice board's list on to the observer. Ignored while a registry is configured.
     void on_endpoint_notice(const std::vector<EndpointRecord>& records, bool complete);
--- a/src/gateway/fleet_participation.hpp
+++ b/src/gateway/fleet_participation.hpp
@@ -36,18 +36,20 @@
     /// new number; after any other change it leaves the fleet and joins again.
     void reload(const std::optional<fleet::Settings>& settings);
 
-    /// Whether this gateway has fleet settings and thus a fleet client.
+    /// Returns whether this gateway has fleet settings and thus a fleet client.
     [[nodiscard]] bool is_member() const { return client_ != nullptr; }
-    /// Failure prevented: a new process routes requests without a notice (a purge, for example) that the
-    /// fleet already counts as in force at this gateway, and stale copies are served. Therefore a gateway
+    /// Returns whether the gateway may serve requests. Failure prevented: the fleet counts a notice, for
+    /// example a purge, as in force at this gateway because the gateway's previous process had applied the
+    /// notice. A new process that has not read the notice yet would serve stale copies. Therefore a gateway
     /// with a site serves no request until it has read all notices of the notice board, or until the fleet no
-    /// longer counts the gateway's previous process.
+    /// longer counts the previous process.
     [[nodiscard]] bool may_serve() const { return !client_ || client_->may_serve(); }
-    /// The latest time at which to call may_serve() again. Call this only while may_serve() returns false.
+    /// Returns the time from which on may_serve() returns true at the latest. Call this function only while
+    /// may_serve() returns false.
     [[nodiscard]] TimePoint may_serve_from() const { return client_->serves_from(); }
 
     void on_endpoint_removed(const CacheId& cache);
-    // Events of the polls of the notice board; see NoticeObserver.
+    // Events of the gateway's polls of the notice board; see NoticeObserver.
     [[nodiscard]] bool wants_full_history() const;
     void on_poll_started(bool from_start);
     void on_poll_completed(std::int64_t newest, std::int64_t polled_from);
@@ -64,8 +66,8 @@
     void postpone_recovery_probe(const CacheId& cache, TimePoint not_before) override;
     void on_fleet_event(const fleet::FleetEvent& event) override;
 
-    // The endpoints that this gateway may check: the edge caches of its location, and also the others, such
-    // as parents and the origin, if it may send requests to parents and the origin directly.
+    // The endpoints whose health this gateway may check. They are the edge caches of the gateway's location
+    // or, if the gateway may send requests to parents and the origin directly, all endpoints.
     struct HealthCheckScope {
         bool allowed = false;
         bool parents_and_origin = false;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -35,7 +35,8 @@
       listener_start_(loop, server_, fleet_, configuration.name, configuration.listen),
       shutdown_(loop, dispatcher_, server_, cache_connections_, fleet_,
                 longest_deadline(configuration.settings.deployment)) {
-    // Until the registry has delivered its endpoint list, the gateway uses the one in the initial notices.
+    // Until the registry has delivered its endpoint list, the gateway uses the endpoint list in the initial
+    // notices.
     notice_client_.load_known_events(configuration.initial_notices);
     endpoint_source_.open_registry();
     fleet_.open_client();
@@ -87,8 +88,8 @@
     dispatcher_.on_purge(now, age, purge.group, purge.object);
 }
 
-// A member of a site may serve once it has read all notices of the notice board, so the listener is tried
-// again.
+// A gateway that is a member of a site may serve requests once it has read all notices of the notice board.
+// Therefore the gateway tries to open the listener again after each poll.
 void Gateway::on_poll_completed(std::int64_t newest, std::int64_t polled_from) {
     if (!fleet_.is_member()) return;
     fleet_.on_poll_completed(newest, polled_from);
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -28,14 +28,15 @@
 
     /// Connects to the notice board, the registry and the fleet, and opens the listener as soon as possible.
     void serve();
-    /// The reason why the listener could not be opened, if the event loop was stopped because of that.
+    /// Returns the reason why the listener could not be opened, if the event loop was stopped for this
+    /// reason.
     [[nodiscard]] const std::optional<ListenFailure>& start_failure() const {
         return listener_start_.failure();
     }
     /// Answers the pending requests, then stops the event loop. A second call does nothing.
     void begin_shutdown();
     /// Applies the new address of the notice board and the new settings of the registry and the fleet. All
-    /// other settings stay as they were at the start. Ignored during a shutdown.
+    /// other settings stay as they were at the start. The call is ignored during a shutdown.
     void reload(const Configuration& configuration, const Parts& parts);
 
     [[nodiscard]] std::size_t pending_request_count() const { return dispatcher_.pending_request_count(); }
--- a/src/gateway/listener_start.cpp
+++ b/src/gateway/listener_start.cpp
@@ -10,7 +10,7 @@
 namespace irismux {
 namespace {
 
-// The platform expects a gateway to be ready 10 s after its start.
+// Longest time for opening the listener. The platform expects a gateway to be ready 10 s after its start.
 constexpr Duration max_start_time = Duration::micros(8'000'000);
 constexpr Duration retry_interval = Duration::micros(50'000);
 
@@ -42,8 +42,8 @@
     retry_timer_ = ScopedTimer(event_loop_, due, [this] { try_now(); });
 }
 
-// Retries, because the previous process may still hold the address, or descriptors may be exhausted for a
-// moment.
+// Tries again after a pause, because the previous process may still use the address, or because the file
+// descriptors may be exhausted for a moment.
 void ListenerStart::on_listen_failed(const std::string& reason) {
     const TimePoint now = event_loop_.now();
     if (now >= give_up_at_) {
--- a/src/gateway/listener_start.hpp
+++ b/src/gateway/listener_start.hpp
@@ -1,4 +1,5 @@
-// Opens the listener for clients once the fleet permits it, and retries for a limited time if that fails.
+// Opens the listener for clients once the fleet permits the gateway to serve. If the listener cannot be
+// opened, retries for a limited time.
 #pragma once
 
 #include <optional>
@@ -10,7 +11,7 @@
 
 namespace irismux {
 
-/// The listener could not be opened in time, so the process ends.
+/// Describes why the listener could not be opened in time. The process ends in this case.
 struct ListenFailure {
     std::string address;
     std::string reason;  ///< the system's error message of the last attempt
@@ -26,10 +27,11 @@
     ListenerStart(const ListenerStart&) = delete;
     ListenerStart& operator=(const ListenerStart&) = delete;
 
-    /// Starts trying to open the listener. If that fails for too long, stops the event loop and sets
-    /// failure().
+    /// Starts trying to open the listener. If the listener cannot be opened for too long, stops the event
+    /// loop and sets failure().
     void start();
-    /// Tries to open the listener now, since the fleet may permit it by now.
+    /// Tries to open the listener now. Call this function when the fleet may have begun to permit the gateway
+    /// to serve.
     void try_now();
     /// Stops trying to open the listener.
     void give_up();
--- a/src/gateway/parts.cpp
+++ b/src/gateway/parts.cpp
@@ -19,7 +19,8 @@
 constexpr std::size_t max_registry_members = 16;
 constexpr std::int64_t max_page_records = 2'000, max_registry_records = 100'000;
 constexpr std::size_t max_sites = 1024;
-// Doubles do not represent all integers above this number, and JSON readers use doubles.
+// Highest number of a configuration. JSON readers may use doubles, which do not represent all integers above
+// this number.
 constexpr std::int64_t max_configuration_number = std::int64_t{1} << 53;
 constexpr double min_clock_drift = 0.0001, max_clock_drift = 0.25;
 constexpr Duration min_reply_timeout = Duration::micros(1'000);
--- a/src/gateway/parts.hpp
+++ b/src/gateway/parts.hpp
@@ -1,6 +1,6 @@
 // Reads the parts file (TOML): the settings of the optional parts of a gateway, which the platform's
-// configuration does not have. The path of the file is given at the start; without a file every part is
-// disabled.
+// configuration does not have. The path of the file is given when the process starts. Without a file every
+// part is disabled.
 //
 // Durations are strings with a unit ("250ms", "2s", "1min"). A file with any error is rejected as a whole; an
 // unknown key, or a value that has the wrong type or is out of bounds, is an error.
@@ -19,7 +19,7 @@
 struct Parts {
     /// The registry that provides the endpoint list in place of the notice board.
     std::optional<registry::Settings> registry;
-    /// Applied only if the command line names the file.
+    /// Settings of the fleet. `irismux serve` applies them only if its command line names the parts file.
     std::optional<fleet::Settings> fleet;
 };
 
--- a/src/gateway/parts_section.cpp
+++ b/src/gateway/parts_section.cpp
@@ -13,7 +13,7 @@
 constexpr double max_duration_s = 86'400;
 constexpr std::size_t max_name_length = 128;
 
-// Levenshtein distance.
+// Returns the Levenshtein distance of two strings.
 std::size_t edit_distance(std::string_view a, std::string_view b) {
     std::vector<std::size_t> row(b.size() + 1);
     std::iota(row.begin(), row.end(), std::size_t{0});
--- a/src/gateway/parts_section.hpp
+++ b/src/gateway/parts_section.hpp
@@ -19,7 +19,7 @@
 public:
     /// Throws PartsError if the table has a key that is not among `known_keys`.
     /// @param file, table must outlive the section.
-    /// @param name of the table; empty if the table is the whole file.
+    /// @param name the table's name; empty if the table is the whole file.
     PartsSection(const std::string& file, std::string name, const toml::table& table,
                  std::initializer_list<std::string_view> known_keys);
 
--- a/src/gateway/process_signals.hpp
+++ b/src/gateway/process_signals.hpp
@@ -17,11 +17,11 @@
     ProcessSignals(const ProcessSignals&) = delete;
     ProcessSignals& operator=(const ProcessSignals&) = delete;
 
-    /// Unblocks the signals for a moment, so that pending ones are handled.
+    /// Unblocks the signals for a moment, so that pending signals are handled.
     void deliver() const;
-    /// Whether SIGTERM or SIGINT has been delivered.
+    /// Returns whether SIGTERM or SIGINT has been delivered.
     [[nodiscard]] bool shutdown_requested() const;
-    /// Whether SIGHUP has been delivered since the last call.
+    /// Returns whether SIGHUP has been delivered since the last call of this function.
     [[nodiscard]] bool take_reload_request();
 
 private:
--- a/src/gateway/request_admission.hpp
+++ b/src/gateway/request_admission.hpp
@@ -1,5 +1,5 @@
-// Decides whether a client request is admitted while others are open. Holds the rules for ids that are used
-// twice and for requests that are sent twice; docs/architecture.md has the table of cases.
+// Decides whether a client request is admitted while other requests are open. Holds the rules for ids that
+// are used twice and for requests that are sent twice; docs/architecture.md has the table of cases.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,8 @@
 public:
     explicit RequestAdmission(const Deployment& deployment);
 
-    /// Decides whether the request is run, and remembers it if it is accepted. Request::id must be set.
+    /// Decides whether the request is run. If the request is accepted, this object remembers the request.
+    /// Request::id must be set.
     [[nodiscard]] RequestHandler::Admission admit(const ClientStream& stream, const ClientRequest& request,
                                                   TimePoint now);
     /// Must be called once the request has its final response or its client has disconnected. Its client
--- a/src/gateway/request_dispatcher.cpp
+++ b/src/gateway/request_dispatcher.cpp
@@ -70,8 +70,8 @@
 }
 
 // Attempts in flight continue: the router decides whether to cancel them, and their results show the state of
-// the cache. Attempts that wait for a connection, or are to be moved to another connection, are withdrawn and
-// do not begin.
+// the caches. Attempts that wait for a connection, or are to be moved to another connection, are withdrawn
+// and do not begin.
 void RequestDispatcher::on_client_closed(const ClientStream& stream) {
     const auto it = by_client_stream_.find(stream);
     if (it == by_client_stream_.end()) return;
@@ -98,8 +98,8 @@
         return;
     }
     end_all_attempts(request, Outcome::deadline_exceeded);
-    // Failure prevented: the router waits for an event that does not occur, and the client gets no response.
-    // Such a request has no response at its deadline, so every request without a response is failed here.
+    // Failure prevented: the router waits for an event that never occurs, and the client gets no response.
+    // Therefore every request that has no response at its deadline is failed here.
     if (request.fail()) {
         release(request, false);
         request_log::unanswered_at_deadline(request);
@@ -173,8 +173,9 @@
     erase_if_finished(id);
 }
 
-// Occurs only if clients reuse an id after a short time or use it for several requests at once. The first
-// attempt of a request has not run in this case, so the request is rejected without effect.
+// This case occurs only if clients reuse a request id after a short time or use one id for several requests
+// at once. The attempt has not run. If the attempt is the first one of its request, the request is therefore
+// rejected without effect.
 void RequestDispatcher::on_request_id_in_use(ActiveRequest& request, std::size_t attempt) {
     request_log::id_in_use_at_cache(request, attempt);
     if (attempt > 0) return on_attempt_ended(request, attempt, {.outcome = Outcome::overloaded});
--- a/src/gateway/request_dispatcher.hpp
+++ b/src/gateway/request_dispatcher.hpp
@@ -42,10 +42,11 @@
     void on_purge(TimePoint now, Duration age, PurgeGroupId group, const std::optional<ObjectName>& object);
     void postpone_recovery_probe(const CacheId& cache, TimePoint not_before);
 
-    /// Shortens the deadline of every pending request, and of every later one, to `deadline`.
+    /// Shortens the deadline of every pending request and of every later request to `deadline`.
     void begin_drain(TimePoint deadline);
     [[nodiscard]] std::size_t pending_request_count() const { return pending_requests_.size(); }
-    /// Whether any client still waits for its final response. Attempts may still be in flight after that.
+    /// Returns whether any client still waits for its final response. Attempts may be in flight even if no
+    /// client waits.
     [[nodiscard]] bool has_unanswered_request() const;
 
     // Functions of RequestHandler:
--- a/src/gateway/request_log.hpp
+++ b/src/gateway/request_log.hpp
@@ -13,14 +13,17 @@
 void attempt_ended(const ActiveRequest& request, const AttemptResult& result);
 void rejected(const ActiveRequest& request, Duration retry_after);
 void failed(const ActiveRequest& request);
-/// The request has its final response, or no longer needs one because its client has disconnected.
+/// Called when the request has its final response, or needs no response because its client has disconnected.
 void answered(const ActiveRequest& request);
-/// The router had not given a final response by the deadline, so the gateway failed the request.
+/// Called when the router had not given a final response by the deadline, so that the gateway failed the
+/// request.
 void unanswered_at_deadline(const ActiveRequest& request);
-/// Every connection that could carry the attempt already uses the request's id for another request.
+/// Called when every connection that could carry the attempt already uses the request's id for another
+/// request.
 void id_in_use_at_cache(const ActiveRequest& request, std::size_t attempt);
 
-/// The router no longer selects the endpoint until it is readmitted.
+/// Called when the router has ejected the endpoint. The router does not select the endpoint until it has
+/// readmitted the endpoint.
 void endpoint_ejected(const CacheId& cache, EjectionReason reason);
 void endpoint_readmitted(const CacheId& cache);
 
--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -25,13 +25,15 @@
 // Longest time and interval for retrying a step of the start that has failed temporarily.
 constexpr std::chrono::milliseconds max_start_retry_time{8'000}, start_retry_interval{50};
 constexpr Duration signal_check_interval = Duration::micros(50'000);
-// Number of attempts to read a configuration that temporarily cannot be read; one attempt per signal check.
+// Number of attempts to read a configuration that cannot be read for a moment. The gateway makes one attempt
+// per signal check.
 constexpr int max_reload_attempts = 20;
-// Larger blocks are returned to the system when they are freed, so that the process does not keep the memory
-// of a burst's buffers.
+// Blocks of memory above these sizes are returned to the system when they are freed. Otherwise the process
+// would keep the memory of the buffers that a burst of requests needed.
 constexpr int mmap_threshold_bytes = 64 * 1024, trim_threshold_bytes = 128 * 1024;
 
-// Logs exceptions that leave an event handler. They end only that handler, not the event loop.
+// Logs exceptions that leave an event handler. Such an exception ends only the call of the handler, not the
+// event loop.
 class LoggingErrorHandler final : public Poco::ErrorHandler {
 public:
     void exception(const Poco::Exception& e) override { log_exception(e.displayText()); }
@@ -125,7 +127,7 @@
     }
 
 private:
-    // If a file cannot be used, the running configuration stays unchanged.
+    // If the configuration or the parts file cannot be used, the running configuration stays unchanged.
     void try_reload() {
         --reload_attempts_;
         try {
--- a/src/gateway/serve.hpp
+++ b/src/gateway/serve.hpp
@@ -5,7 +5,7 @@
 
 namespace irismux {
 
-/// Reads the environment and the files it names, and runs a gateway.
+/// Reads the environment variables and the files that they name, and runs a gateway.
 /// @param parts_path the value of --parts; if it is empty, IRISMUX_PARTS is used, if set.
 /// @return the exit code: 0 after a shutdown; 2 with one line on standard error if the start failed.
 [[nodiscard]] int serve(std::string parts_path);
--- a/src/gateway/shutdown.cpp
+++ b/src/gateway/shutdown.cpp
@@ -7,8 +7,9 @@
 namespace irismux {
 namespace {
 
-// By the platform's protocol, requests may arrive for `acceptance_period` after SIGTERM. SIGKILL is sent no
-// earlier than the longest deadline, of which at most `max_counted_deadline` counts, after that period.
+// By the platform's protocol, requests may arrive for `acceptance_period` after SIGTERM. The platform sends
+// SIGKILL no earlier than the longest deadline after the acceptance period. Of the longest deadline at most
+// `max_counted_deadline` counts.
 constexpr Duration acceptance_period = Duration::micros(700'000);
 constexpr Duration max_counted_deadline = Duration::micros(3'000'000);
 // Share of the acceptance period that is reserved for closing connections: the gateway handles the signal up
@@ -28,9 +29,9 @@
       fleet_(fleet),
       longest_deadline_(longest_deadline) {}
 
-// Failure prevented: SIGKILL arrives while requests have no response, and clients see their connection end
-// before the response. The deadlines of requests that are already pending are shortened too, so that all
-// requests are answered before SIGKILL can arrive.
+// Failure prevented: SIGKILL arrives while requests have no response, and the connections of their clients
+// end before the response. Therefore the deadlines of all requests, including the pending ones, are
+// shortened, so that every request is answered before SIGKILL can arrive.
 void Shutdown::begin() {
     if (state_ != State::none) return;
     state_ = State::draining;
@@ -57,8 +58,8 @@
 
 bool Shutdown::all_answered() const { return !dispatcher_.has_unanswered_request() && server_.drained(); }
 
-// The listener is closed first. Requests on the connections that it has accepted until then are answered too,
-// before any connection is closed.
+// Closes the listener first, and then the connections. Requests on connections that were accepted before the
+// listener was closed are answered before any connection is closed, unless the time to close has come.
 void Shutdown::finish_draining_if_due(TimePoint now) {
     if (now < accepts_until_) return;
     if (all_answered()) server_.stop_listening();
--- a/src/gateway/shutdown.hpp
+++ b/src/gateway/shutdown.hpp
@@ -1,6 +1,6 @@
 // Shuts the process down after SIGTERM. The states and the conditions of their transitions:
 //
-//   none -> draining     begin() is called; requests are still admitted, and are answered by a deadline
+//   none -> draining     begin() is called; requests are still admitted and are answered by answer_deadline_
 //   draining -> closing  no more requests can arrive and all are answered, or the time to close has come
 //   closing -> stopped   all client connections are closed, or the grace period for that has ended
 #pragma once
@@ -21,7 +21,8 @@
     Shutdown(EventLoop& loop, RequestDispatcher& dispatcher, FastCgiServer& server,
              CacheConnectionPool& cache_connections, FleetParticipation& fleet, Duration longest_deadline);
 
-    /// Begins the shutdown, which stops the event loop when it is complete. Further calls do nothing.
+    /// Begins the shutdown. The event loop is stopped when the shutdown is complete. Further calls do
+    /// nothing.
     void begin();
     [[nodiscard]] bool has_begun() const { return state_ != State::none; }
 
@@ -43,8 +44,8 @@
     ScopedTimer check_timer_;
     TimePoint accepts_until_;    // clients may send requests until this time
     TimePoint answer_deadline_;  // deadline of every request that is pending or arrives while draining
-    TimePoint close_at_;         // client connections are closed, even if requests are pending
-    TimePoint stop_at_;          // the event loop is stopped, even if connections are open
+    TimePoint close_at_;         // client connections are closed at this time, even if requests are pending
+    TimePoint stop_at_;          // the event loop is stopped at this time, even if connections are open
 };
 
 }  // namespace irismux
--- a/src/gateway/stored_endpoint_list.hpp
+++ b/src/gateway/stored_endpoint_list.hpp
@@ -1,5 +1,5 @@
 // Stores the registry's endpoint list on disk. After a restart the gateway uses the stored list until the
-// registry answers.
+// registry replies.
 #pragma once
 
 #include <optional>
@@ -14,11 +14,12 @@
 
 namespace irismux {
 
-/// Reads the list once and writes it periodically. Failures are logged and affect only the stored list.
+/// Reads the list once and writes it periodically. Failures are logged. They affect only the stored list, not
+/// the list in use.
 class StoredEndpointList {
 public:
     /// Stores nothing if the settings name no folder.
-    /// @param watch has the list that is stored; must outlive this object.
+    /// @param watch the watch whose list is stored; must outlive this object.
     StoredEndpointList(EventLoop& loop, const registry::Settings& settings, const LocationId& location,
                        const registry::Watch& watch);
     StoredEndpointList(const StoredEndpointList&) = delete;
@@ -33,7 +34,7 @@
 
     EventLoop& event_loop_;
     const registry::Watch& watch_;
-    std::string owner_;  // location and prefix; a list with another owner is not read
+    std::string owner_;  // location and prefix of the list; the list of another owner is not read
     Duration max_age_;
     std::optional<Store> store_;
     registry::Revision written_revision_;
--- a/src/registry/endpoint_snapshot.hpp
+++ b/src/registry/endpoint_snapshot.hpp
@@ -1,5 +1,5 @@
-// Stored form of the endpoint list, for the next start of the process. It has a checksum and is used whole or
-// not at all.
+// Stored form of the endpoint list, for the next start of the process. The stored form has a checksum, and is
+// used whole or not at all.
 //
 // Format: 8 bytes of XXH64 over the rest, then CBOR (RFC 8949) of an object with "format" 1, "owner",
 // "cluster", "revision", "as_of_us" (Unix clock, microseconds) and "records", each [key, value, created,
@@ -23,17 +23,17 @@
     std::vector<Record> records;
 };
 
-/// Why a snapshot cannot be used.
+/// The reason why a snapshot cannot be used.
 enum class SnapshotError {
     checksum_mismatch,
     unsupported_format,
-    other_owner,  ///< from another deployment or prefix
+    other_owner,  ///< the snapshot is from another deployment or prefix
     from_future,  ///< `as_of` is later than the current time
     too_old,
     malformed  ///< the checksum matches, but the content does not have the format above
 };
 
-/// The error in snake_case, for the log.
+/// Returns the error in snake_case, for the log.
 std::string_view to_string(SnapshotError error);
 
 /// Serializes the view without the records that have never been readable.
--- a/src/registry/endpoint_view.cpp
+++ b/src/registry/endpoint_view.cpp
@@ -48,7 +48,8 @@
 
 void EndpointView::update_endpoint(Entry& entry, const Record& record, EndpointRecord endpoint, TimePoint now,
                                    std::vector<EndpointRecord>& updates) {
-    // For endpoints of the first list it is unknown whether they are new, so their start times stay.
+    // Keeps the start times of endpoints in the first list, since it is unknown whether these endpoints are
+    // new.
     if (complete_ && !entry.endpoint) set_start_of_new_endpoint(record.key, endpoint.first, now);
     // A later value of the record does not undo the start time set by set_start_of_new_endpoint().
     if (entry.endpoint)
@@ -59,8 +60,8 @@
     updates.push_back(std::move(endpoint));
 }
 
-// A record that was created again describes another process. If it has no start time, or one that is not
-// later than its predecessor's, the process counts as started now, and therefore as cold.
+// A record that was created again describes another process. If the record has no start time, or a start time
+// that is not later than that of the removed record, the process counts as started now and therefore as cold.
 void EndpointView::set_start_of_new_endpoint(const RecordKey& key, EndpointUpdate& update, TimePoint now) {
     const auto predecessor = started_at_of_removed_.find(key);
     if (predecessor == started_at_of_removed_.end()) {
--- a/src/registry/endpoint_view.hpp
+++ b/src/registry/endpoint_view.hpp
@@ -2,8 +2,8 @@
 // call.
 //
 // Each change of the view returns the updates for a Router. A Router that applies all updates in order has
-// the same list. A record that cannot be parsed does not delay the others: its last readable value stays in
-// use.
+// the same list as the view. A record that cannot be parsed does not delay the other records. The last
+// readable value of such a record stays in use.
 #pragma once
 
 #include <map>
@@ -24,7 +24,7 @@
 public:
     struct Entry {
         Revision created, modified;
-        std::string value;  ///< the last readable value, as the registry has it; empty: none so far
+        std::string value;  ///< the last value that could be parsed; empty if there was none
         std::optional<EndpointRecord> endpoint;  ///< the endpoint in the last returned update
         bool unreadable = false;                 ///< the newest value cannot be parsed
     };
@@ -34,8 +34,9 @@
     /// Number of records whose newest value cannot be parsed.
     std::size_t unreadable() const { return unreadable_; }
 
-    /// Replaces the list with a full one. Returns a missing record as removed, a record that was deleted and
-    /// created again as removed and then as new, a changed record once, and an unchanged record not at all.
+    /// Replaces the list with a full list, and returns the differences as updates. A record that is missing
+    /// in the full list is returned as removed. A record that was deleted and created again is returned as
+    /// removed and then as new. A changed record is returned once, and an unchanged record is not returned.
     std::vector<EndpointRecord> replace(Revision at, const std::vector<Record>& records, TimePoint now);
 
     /// Applies changes, which are in order of their revisions. Changes that are not newer than the view are
--- a/src/registry/etcd_codec.hpp
+++ b/src/registry/etcd_codec.hpp
@@ -1,4 +1,4 @@
-// Encodes requests to the HTTP/JSON gateway of etcd's API, version 3, and parses its replies. No I/O.
+// Encodes requests to the HTTP/JSON gateway of etcd's API, version 3, and parses its replies. Does no I/O.
 //
 // Source: the published API of etcd 3.4 and later (services KV, Watch, Lease, Auth; paths under /v3/). 64-bit
 // numbers are encoded as text, bytes as base64. A reply that cannot be parsed is returned as an Error, never
@@ -17,7 +17,7 @@
 
 namespace irismux::registry::etcd {
 
-/// An HTTP POST.
+/// An HTTP request with the method POST.
 struct Request {
     std::string target;
     std::string body;
@@ -42,11 +42,11 @@
 // --- requests. Keys include the prefix; prefixes are those of the settings.
 
 /// Reads records under a prefix, in order of their keys.
-/// @param after read only records whose keys follow this one; std::nullopt: from the first record on.
+/// @param after the key after which to begin; std::nullopt: begin with the first record.
 /// @param at the revision to read; zero: the newest.
 Request range(const std::string& prefix, const std::optional<RecordKey>& after, Revision at,
               std::size_t limit);
-/// Reads the number of records at a revision, and up to `limit` of them, the most recently changed ones.
+/// Reads the number of records at a revision, and the `limit` most recently changed records.
 Request most_recently_changed(const std::string& prefix, Revision at, std::size_t limit);
 Request watch(const std::string& prefix, Revision from);
 /// @param lease the id of the lease to attach; zero: none.
@@ -55,7 +55,8 @@
 Request put_if(const std::string& key, const std::string& value, Revision unchanged_since,
                std::int64_t lease);
 
-/// A key and its value. Without a value, a comparison expects no such record, and a write deletes the record.
+/// A key and its value. If the value is std::nullopt, a comparison expects that there is no such record, and
+/// a write deletes the record.
 using KeyValue = std::pair<std::string, std::optional<std::string>>;
 /// Writes only if all compared records have the given values. The reply contains the records of `reads`, or,
 /// if a comparison failed, the compared records.
@@ -105,7 +106,7 @@
 struct TransactionResult {
     ReplyHeader header;
     bool succeeded = false;
-    std::vector<Record> records;  ///< the records read, or compared, that exist
+    std::vector<Record> records;  ///< the existing records that were read or compared
 };
 [[nodiscard]] ReadResult<TransactionResult> read_transaction_result(int status, std::string_view body,
                                                                     const std::string& prefix);
--- a/src/registry/record.hpp
+++ b/src/registry/record.hpp
@@ -1,7 +1,8 @@
 // Records of a key-value registry, and how the registry numbers its changes.
 //
 // Source: the published interface of etcd 3 (KV and Watch services): one revision for the whole store, raised
-// by each transaction; every record carries the revision that created it and the one that last changed it.
+// by each transaction; every record carries the revision at which it was created and the revision at which it
+// was last changed.
 #pragma once
 
 #include <cstdint>
@@ -25,18 +26,18 @@
 
 /// The state of a record after one transaction, or its deletion.
 struct Change {
-    /// For a deletion only the key is set, and `modified`, the revision of the deletion.
+    /// For a deletion only `key` and `modified` are set, and `modified` is the revision of the deletion.
     Record record;
     bool deleted = false;
 };
 
-/// The cluster that a reply comes from, and the newest revision that its sender has.
+/// The cluster that a reply comes from, and the newest revision that the sender of the reply has.
 struct ReplyHeader {
     ClusterId cluster;
     Revision revision;
 };
 
-/// A part of a full read.
+/// One reply of a full read, with a part of the records.
 struct Page {
     ReplyHeader header;
     std::vector<Record> records;  ///< in ascending order of keys
--- a/src/registry/registry_client.cpp
+++ b/src/registry/registry_client.cpp
@@ -77,7 +77,7 @@
     const Page& page = range.page;
     if (operation == Operation::check_revision)
         return watch_.on_check_result(event_loop_.now(), page.header, range.count, page.records);
-    // Pages that on_reply_too_long() halved grow again once the replies are far below the limit.
+    // The page size that on_reply_too_long() has halved grows again once the replies are far below the limit.
     constexpr std::size_t small_reply_bytes = max_reply_bytes / 4;
     if (reply_bytes < small_reply_bytes) page_size_ = std::min(page_size_ * 2, settings_.page_size);
     watch_.on_page(event_loop_.now(), page);
@@ -107,11 +107,12 @@
     }
 }
 
-// Handled like a compaction: a full read, in pages below the limit, delivers the same changes.
+// Reads all records again, as after a compaction. The full read uses pages below the limit and delivers the
+// same changes.
 void RegistryClient::on_message_too_long() { watch_.on_compacted(event_loop_.now()); }
 
-// Changes the request, so that the same too long reply does not repeat endlessly: a page is requested again
-// with half the records, and a history check whose reply is too long is replaced by a full read.
+// Sends a changed request, since the same request would lead to the same reply, which is too long. A page is
+// requested again with half the records. A full read replaces a history check.
 void RegistryClient::on_reply_too_long() {
     if (pending_request_.operation == Operation::check_revision)
         return watch_.on_compacted(event_loop_.now());
--- a/src/registry/registry_client.hpp
+++ b/src/registry/registry_client.hpp
@@ -1,4 +1,5 @@
-// Runs a Watch against a registry: sends its requests as etcd requests and passes the parsed replies to it.
+// Runs a Watch against a registry: sends the requests of the Watch as etcd requests, and passes the parsed
+// replies to the Watch.
 #pragma once
 
 #include <cstdint>
--- a/src/registry/registry_connection.cpp
+++ b/src/registry/registry_connection.cpp
@@ -50,14 +50,15 @@
     socket_->write_request(address, request_, token_, reply_form_);
 }
 
-// Reports a failure from the event loop, since the handler must not be called from within a call that sends.
+// Reports a failure in a later call from the event loop, since the handler must not be called from within a
+// call that sends a request.
 bool RegistryConnection::connect(const std::string& address) {
     ReplyHandler& replies = *this;
     socket_ = std::make_shared<RegistrySocket>(event_loop_, replies, member_);
     try {
         if (socket_->start(address)) return true;
     } catch (const Poco::Exception&) {
-        // Reported below like any other connection that cannot be opened.
+        // The failure is reported below, like that of any other connection that cannot be opened.
     }
     close_socket();
     failure_timer_ = ScopedTimer(event_loop_, event_loop_.now(), [this] {
--- a/src/registry/registry_connection.hpp
+++ b/src/registry/registry_connection.hpp
@@ -23,7 +23,8 @@
     RegistryConnection(const RegistryConnection&) = delete;
     RegistryConnection& operator=(const RegistryConnection&) = delete;
 
-    /// Sends a request in place of the pending one, whose reply is no longer passed on.
+    /// Sends a request in place of the pending request. A reply to the replaced request is no longer passed
+    /// on.
     void send_request(MemberIndex member, etcd::Request request, ReplyForm form);
     /// Drops the pending request and closes the connection.
     void close();
--- a/src/registry/registry_log.hpp
+++ b/src/registry/registry_log.hpp
@@ -8,14 +8,14 @@
 
 namespace irismux::registry {
 
-/// The name of the warning's log event.
+/// Returns the name of the log event for the warning.
 std::string_view event_name(WatchWarningKind kind);
 
 /// Logs a warning with the member's address.
 /// @param settings the settings of the registry that the warning is about.
 void log_watch_warning(const WatchWarning& warning, const Settings& settings);
 
-/// Logs a new state, SyncState::disconnected as a warning.
+/// Logs a new state. The state SyncState::disconnected is logged as a warning.
 /// @param complete_at when the view was last known to be complete; zero: never.
 void log_sync_state(TimePoint now, SyncState state, TimePoint complete_at);
 
--- a/src/registry/registry_socket.cpp
+++ b/src/registry/registry_socket.cpp
@@ -94,7 +94,8 @@
     handler_->on_reply(head_.status, text);
 }
 
-// One message per line; a chunk may hold a part of one, or several. The handler may close this socket.
+// Each line is one message. A chunk may contain a part of a message or several messages. The handler may
+// close this socket.
 void RegistrySocket::deliver_messages() {
     std::size_t begin = 0;
     while (handler_) {
--- a/src/registry/registry_socket.hpp
+++ b/src/registry/registry_socket.hpp
@@ -24,11 +24,11 @@
     /// @return false if no connection attempt was possible.
     [[nodiscard]] bool start(const std::string& address);
     MemberIndex member() const { return member_; }
-    /// Whether the socket can take a request.
+    /// Returns whether the socket can take a request.
     bool idle() const;
     void write_request(const std::string& host, const etcd::Request& request, const std::string& token,
                        ReplyForm form);
-    /// Closes without a call to the handler.
+    /// Closes the connection without a call to the handler.
     void close_silently();
 
 protected:
@@ -47,7 +47,7 @@
     void deliver_messages();
     void reject_long_reply();
     void fail(RequestFailureReason reason);
-    // Closes the connection and returns the handler; null if the connection was closed before.
+    // Closes the connection and returns the handler. Returns null if the connection was closed before.
     ReplyHandler* detach();
 
     ReplyHandler* handler_;  // null after the connection was closed
--- a/src/registry/reply_handler.hpp
+++ b/src/registry/reply_handler.hpp
@@ -22,9 +22,9 @@
     virtual void on_reply(int status, const std::string& body) = 0;
     /// Receives one message of a stream. The stream continues.
     virtual void on_stream_message(std::string_view message) = 0;
-    /// A message of a stream exceeds max_reply_bytes.
+    /// Called if a message of a stream exceeds max_reply_bytes.
     virtual void on_message_too_long() = 0;
-    /// The reply exceeds max_reply_bytes. The same request would lead to the same reply.
+    /// Called if the reply exceeds max_reply_bytes. The same request would lead to the same reply again.
     virtual void on_reply_too_long() { on_request_failed({RequestFailureReason::reply_too_long, {}}); }
     virtual void on_request_failed(const RequestFailure& failure) = 0;
 };
--- a/src/registry/request_failure.hpp
+++ b/src/registry/request_failure.hpp
@@ -23,7 +23,7 @@
     watch_timeout           ///< an open watch delivered nothing within PollPolicy::watch_timeout
 };
 
-/// The reason in snake_case, for the log.
+/// Returns the reason in snake_case, for the log.
 std::string_view to_string(RequestFailureReason reason);
 
 /// The failure of a request, which the registry may nevertheless have carried out.
--- a/src/registry/rollback_detector.hpp
+++ b/src/registry/rollback_detector.hpp
@@ -1,7 +1,7 @@
 // Tells a lagging registry member from a registry that was rolled back.
 //
 // A single member whose replies are older than the view may merely lag. The registry counts as rolled back
-// once the replies of most members have been older for PollPolicy::watch_timeout.
+// once the replies of most members have been older than the view for PollPolicy::watch_timeout.
 #pragma once
 
 #include <set>
@@ -23,7 +23,8 @@
     explicit RollbackDetector(const PollPolicy& policy)
         : members_(policy.members), confirmation_delay_(policy.watch_timeout) {}
 
-    /// Call when a member replied with a revision below the newest revision seen, or from another cluster.
+    /// Must be called when a member's reply has a revision below the newest revision seen, or comes from
+    /// another cluster.
     [[nodiscard]] Verdict on_older_reply(TimePoint now, MemberIndex member) {
         if (older_members_.empty()) first_older_reply_at_ = now;
         older_members_.insert(member);
@@ -34,13 +35,14 @@
         return verdict;
     }
 
-    /// Call when a member is current or a full read has replaced the view.
+    /// Must be called when a member is current, or when a full read has replaced the view.
     void reset() {
         older_members_.clear();
         confirmed_ = false;
     }
 
-    /// When the replies of most members will have been older for long enough.
+    /// Returns the time at which the replies of most members will have been older than the view for
+    /// watch_timeout.
     TimePoint confirmation_time() const { return first_older_reply_at_ + confirmation_delay_; }
 
 private:
--- a/src/registry/watch.cpp
+++ b/src/registry/watch.cpp
@@ -45,7 +45,7 @@
 void Watch::enter(TimePoint now, SyncState state) {
     if (state == SyncState::disconnected && recovery_ == Recovery::watch) recovery_ = Recovery::history_check;
     if (state == sync_state_) return;
-    // Only an open and current watch ends the state disconnected.
+    // The state disconnected ends only when a watch is open and current.
     if (sync_state_ == SyncState::disconnected && state != SyncState::following) return;
     sync_state_ = state;
     observer_.on_sync_state(now, state, last_complete_at_);
@@ -54,7 +54,8 @@
 void Watch::expect(TimePoint now, PendingOperation operation, Duration timeout) {
     pending_operation_ = operation;
     operation_deadline_ = now + timeout;
-    // Wakes in time to report a disconnection, even if the pending operation has a later deadline.
+    // Schedules a wake-up at which a disconnection is reported, even if the pending operation has a later
+    // deadline.
     const TimePoint disconnected_at = last_contact_at_ + policy_.watch_timeout;
     if (sync_state_ == SyncState::disconnected || disconnected_at <= now)
         transport_.schedule_wake(operation_deadline_);
@@ -100,7 +101,8 @@
     transport_.open_watch(member_, Revision{resume_revision_.raw() + 1});
 }
 
-// Full jitter: clients that lose a registry at the same time spread their retries over the whole pause.
+// The pause has full jitter: clients that lose their connections to a registry at the same time spread their
+// retries over the whole pause.
 void Watch::back_off(TimePoint now, PauseLimit limit) {
     constexpr int max_doublings = 16;
     const int doublings = std::min(consecutive_failures_, max_doublings);
@@ -129,7 +131,8 @@
     full_read_.records.clear();
     pending_changes_.clear();
     transport_.close();
-    // The first of several consecutive full reads starts without a pause: the missed changes may be urgent.
+    // The first of several consecutive full reads starts without a pause, since the changes that the watch
+    // has missed may be urgent.
     const bool immediate = recovery_ != Recovery::full_read && read_restarts_ == 0;
     recovery_ = Recovery::full_read;
     ++read_restarts_;
@@ -233,8 +236,8 @@
     return static_cast<double>(readable) < min_readable_share * static_cast<double>(records.size());
 }
 
-// A doubtful list is confirmed by a doubtful list from another member. In a registry with one member, the
-// same member confirms it once watch_timeout has passed.
+// A doubtful list is confirmed by a doubtful list from another member. In a registry with only one member, a
+// second doubtful list from this member confirms the first list once watch_timeout has passed.
 bool Watch::is_confirmed(TimePoint now) const {
     if (!doubtful_read_) return false;
     if (policy_.members == 1) return now - doubtful_read_->at >= policy_.watch_timeout;
@@ -273,9 +276,9 @@
 
 // --- history check ---------------------------------------------------------------------------------------
 
-// Compares the registry's history with the view's, because the two differ after the registry was restored. If
-// the registry's revision has since passed the view's, the revision does not reveal the restore, and a watch
-// alone would not report the records that the restore removed.
+// Compares the registry's history with the view's history, because the two histories differ after the
+// registry was restored. If the registry has since reached a higher revision than the view, its revision does
+// not reveal the restore, and a watch alone would not report the records that the restore removed.
 void Watch::on_check_result(TimePoint now, const ReplyHeader& header, std::size_t records,
                             const std::vector<Record>& newest) {
     if (pending_operation_ != PendingOperation::check) return;
@@ -337,8 +340,9 @@
 
 void Watch::apply_pending_changes(TimePoint now, const ReplyHeader& header) {
     std::vector<Change> changes = std::exchange(pending_changes_, {});
-    // A member's revision may be ahead of the changes that it has sent. Only a progress notice, which has no
-    // changes, covers all changes up to its revision.
+    // The revision in a member's message may be ahead of the changes that the member has sent. Only after a
+    // progress notice, which is a message without changes, are all changes up to the revision in the message
+    // known.
     const Revision covered = changes.empty() ? header.revision : Revision{};
     const Revision before = view_.revision();
     const std::vector<EndpointRecord> updates = view_.apply(covered, changes, now);
@@ -350,7 +354,8 @@
 
 void Watch::mark_current(TimePoint now) {
     // A watch that has been open for this share of backoff_cap resets the count of consecutive failures. With
-    // a much smaller share, a registry that accepts and drops connections would be retried at the base pause.
+    // a much smaller share, a gateway would always retry at the base pause a registry that accepts
+    // connections and then drops them.
     constexpr double stable_share_of_cap = 0.02;
     last_contact_at_ = last_complete_at_ = now;
     if (pending_operation_ == PendingOperation::watch_opening) watch_opened_at_ = now;
--- a/src/registry/watch.hpp
+++ b/src/registry/watch.hpp
@@ -19,8 +19,9 @@
 
 namespace irismux::registry {
 
-/// Content of the records. With `endpoints`, a full read is also doubtful if most of its records cannot be
-/// parsed as endpoints. With `opaque`, only the observer interprets the records, in on_records().
+/// The content of the records. If it is `endpoints`, a full read is also doubtful if most of the records
+/// cannot be parsed as endpoints. If it is `opaque`, only the observer interprets the records, in
+/// on_records().
 enum class RecordKind { endpoints, opaque };
 
 /// The on_* functions receive the outcome of the pending request. Calls that do not fit the pending operation
@@ -32,7 +33,8 @@
           RecordKind kind = RecordKind::endpoints);
 
     /// Restores a stored view. Must be called before start().
-    /// @param as_of when the stored view was known to be complete; the age of the view counts from there.
+    /// @param as_of the time at which the stored view was known to be complete. The age of the view counts
+    /// from this time.
     void start_from(TimePoint now, const ClusterId& cluster, Revision at, const std::vector<Record>& records,
                     TimePoint as_of);
     void start(TimePoint now);
@@ -56,15 +58,15 @@
     SyncState sync_state() const { return sync_state_; }
     const EndpointView& view() const { return view_; }
     const ClusterId& cluster() const { return cluster_; }
-    /// When the view was last known to be complete.
+    /// Returns the time at which the view was last known to be complete.
     TimePoint last_complete_at() const { return last_complete_at_; }
-    /// Number of full reads that were completed and applied.
+    /// Returns the number of full reads that were completed and applied.
     std::uint64_t full_reads() const { return full_reads_; }
 
 private:
     enum class PendingOperation { nothing, pause, page, check, watch_opening, watch_message };
-    /// How the view becomes current again. A watch alone misses changes after a compaction or a rollback, and
-    /// after a disconnection it does not detect that the registry was restored.
+    /// The step by which the view becomes current again. A watch alone misses changes after a compaction or a
+    /// rollback, and after a disconnection it does not detect that the registry was restored.
     enum class Recovery { full_read, history_check, watch };
     enum class PauseLimit { growing, cap };
     struct FullRead {
--- a/src/registry/watch_callbacks.hpp
+++ b/src/registry/watch_callbacks.hpp
@@ -23,10 +23,10 @@
     disconnected  ///< nothing received for PollPolicy::watch_timeout; the view ages
 };
 
-/// The state's name in lower case, for logs and command-line output.
+/// Returns the state's name in lower case, for logs and command-line output.
 std::string_view to_string(SyncState state);
 
-/// Number of records that a history check compares: the most recently changed ones.
+/// Number of records that a history check compares. The check compares the most recently changed records.
 constexpr std::size_t max_checked_records = 8;
 
 /// Sends the requests of a Watch, one at a time. Each request replaces the previous one, whose reply must no
@@ -44,19 +44,20 @@
     virtual void open_watch(MemberIndex member, Revision from) = 0;
     /// Drops the pending request.
     virtual void close() = 0;
-    /// Schedules a call of Watch::on_wake at the given time, in place of the one scheduled before.
+    /// Schedules a call of Watch::on_wake at the given time, in place of the call that was scheduled before.
     virtual void schedule_wake(TimePoint at) = 0;
 };
 
-/// Conditions that are logged. The view does not change unless stated. "full read": a full read follows.
+/// Conditions that a Watch logs. The view does not change unless the comment says so. "full read" means that
+/// the Watch then reads all records again.
 enum class WatchWarningKind {
     request_failed,            ///< the first of consecutive failures; `failure` has the reason
-    registry_rolled_back,      ///< most members are older than the view or another cluster; full read
+    registry_rolled_back,      ///< most members have an older revision or another cluster; full read
     history_diverged,          ///< the registry's history differs from the view's; full read
     too_many_records,          ///< more than PollPolicy::max_records; the list is rejected
     too_many_pending_changes,  ///< more than PollPolicy::max_pending_changes; full read
     doubtful_read_rejected,    ///< an empty or mostly unreadable list awaits confirmation
-    doubtful_read_confirmed    ///< such a list was confirmed and applied
+    doubtful_read_confirmed    ///< an empty or mostly unreadable list was confirmed and applied
 };
 
 struct WatchWarning {
@@ -69,10 +70,11 @@
 class WatchObserver {
 public:
     virtual ~WatchObserver() = default;
-    /// @param complete true: the first list; false: the differences from the previous updates.
+    /// @param complete true if `updates` is the first list; false if it has the differences from the list so
+    /// far.
     virtual void on_endpoints(TimePoint now, const std::vector<EndpointRecord>& updates, bool complete) = 0;
-    /// Receives the unparsed records at a revision: all of them if complete, otherwise the changes since the
-    /// previous call.
+    /// Receives unparsed records at a revision. If `complete` is true, they are all records; otherwise they
+    /// are the changes since the previous call.
     virtual void on_records(TimePoint, Revision, const std::vector<Change>&, bool /*complete*/) {}
     /// @param complete_at when the view was last known to be complete; zero: never.
     virtual void on_sync_state(TimePoint now, SyncState state, TimePoint complete_at) = 0;
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -21,7 +21,7 @@
     return !failed && size >= (info.me_last_pgno + 1) * stat.ms_psize;
 }
 
-// Aborts on destruction unless it has been committed.
+// A transaction that is aborted on destruction unless it has been committed.
 class Transaction {
 public:
     Transaction() = default;
@@ -51,7 +51,8 @@
 public:
     static std::variant<std::unique_ptr<Environment>, StoreError> open(const std::string& folder,
                                                                        std::size_t max_bytes) {
-        // LMDB reports the error if the folder could not be created.
+        // The error is ignored here: if the folder could not be created, LMDB reports an error when it opens
+        // the folder.
         std::error_code ignored;
         std::filesystem::create_directories(folder, ignored);
         auto environment = std::make_unique<Environment>(folder);
--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -15,7 +15,7 @@
 
 namespace irismux {
 
-/// Why a store cannot be opened or a value cannot be written.
+/// The reason why a store cannot be opened or a value cannot be written.
 struct StoreError {
     enum class Code {
         open_failed,   ///< the folder cannot be created or read, or holds no store
@@ -26,7 +26,7 @@
     std::string folder;
     std::string detail;  ///< LMDB's message; empty: none
 
-    /// The code in snake_case, for the log.
+    /// Returns the code in snake_case, for the log.
     std::string_view reason() const;
 };
 
