--- a/src/cli/registry_commands.cpp
+++ b/src/cli/registry_commands.cpp
@@ -167,7 +167,7 @@
         return print_error("the record must be a JSON object with a string \"id\"");
     const auto id = record["id"].get<std::string>();
     if (!registry::parse_endpoint({registry::RecordKey{id}, line, {}, {}}))
-        return print_error("the record is not an endpoint record that gateways can read");
+        return print_error("gateways cannot read the given record as an endpoint record");
     return with_session(settings, [&](RegistrySession& session) {
         const Record present = value_or_throw(read_record(session, settings, id));
         return RecordWriter(session, settings, id).write(line, present.modified);
@@ -179,7 +179,7 @@
         const Record present = value_or_throw(read_record(session, settings, id));
         auto fields = nlohmann::json::parse(present.value, nullptr, false);
         if (present.created == Revision{} || !fields.is_object())
-            return print_error("the record is missing or is not a JSON object: " + id);
+            return print_error("the registry's record of " + id + " is missing or is not a JSON object");
         fields["state"] = state;
         return RecordWriter(session, settings, id).write(fields.dump(), present.modified);
     });
--- a/src/fleet/agent.cpp
+++ b/src/fleet/agent.cpp
@@ -14,8 +14,8 @@
 
 }  // namespace
 
-// In the worst case the owner's last heartbeat is first read one interval late, and is found unchanged for
-// the eviction timeout another interval late. An eviction and a claim follow, each after a sleep of the
+// In the worst case another member reads the owner's last heartbeat one interval late, and finds it unchanged
+// for the eviction timeout another interval late. An eviction and a claim follow, each after a sleep of the
 // agent.
 Duration longest_without_owner(const SharedConfig& shared_config, Duration reply_time,
                                std::size_t ranks_ahead) {
--- a/src/fleet/agent.hpp
+++ b/src/fleet/agent.hpp
@@ -63,9 +63,10 @@
     /// Sets the duties that this member may own. A duty that is no longer named is given up. The caller must
     /// deliver the records of newly named duties again through on_records().
     void set_duties(TimePoint now, const std::set<DutyName>& names);
-    /// Sets the caches that this gateway has ejected; they are published at most once a heartbeat interval.
+    /// Sets the caches that this gateway has ejected. The member publishes these caches at most once per
+    /// heartbeat interval.
     void set_ejected_caches(TimePoint now, std::set<CacheId> caches);
-    /// Sets the revisions that this gateway has applied; its heartbeats report them.
+    /// Sets the revisions that this gateway has applied. The member's heartbeats report these revisions.
     void set_applied_revisions(TimePoint now, const std::optional<AppliedRevisions>& revisions);
     void set_heartbeat_reads(TimePoint now, HeartbeatReads reads);
 
@@ -250,8 +251,8 @@
     HeartbeatReads heartbeat_reads_;
     registry::Revision newest_revision_;
     TimePoint heartbeat_sent_at_;  // of the newest heartbeat
-    // For a member of a site: the next heartbeat that is sent at or after this time also reads heartbeats of
-    // other members, to detect members that send none.
+    // At or after this time the next heartbeat of a site's member also reads heartbeats of other members, to
+    // detect members that send none.
     TimePoint next_member_reads_at_;
 };
 
--- a/src/fleet/agent_join.cpp
+++ b/src/fleet/agent_join.cpp
@@ -25,8 +25,8 @@
 }
 
 void Agent::on_own_records(TimePoint now, registry::Revision at, const std::vector<KeyValue>& records) {
-    // All earlier incarnations of this name are below the registry's revision, including incarnations whose
-    // records have been removed.
+    // All earlier incarnations of this name have numbers below the registry's revision, including
+    // incarnations whose records have been removed.
     identity_.last_incarnation = std::max(identity_.last_incarnation, Incarnation{at.raw()});
     next_submit_at_ = now + membership_.heartbeat_interval();
     const std::string own_config = serialize(shared_config_);
--- a/src/fleet/fence.hpp
+++ b/src/fleet/fence.hpp
@@ -39,7 +39,8 @@
     /// Like accepts(), but for the holder in the registry's own record of the duty. The duty may be unknown
     /// to the fence.
     bool on_record(const DutyName& duty, const LeaseHolder& holder);
-    /// Called after the duty's record has been removed; the duty's next owner has a higher token.
+    /// Called after the duty's record has been removed from the registry. The next owner of the duty will
+    /// have a higher token.
     void forget(const DutyName& duty);
     /// Returns the token already seen that makes the fence reject this holder, or zero if the fence does not
     /// reject the holder.
--- a/src/fleet/health_monitor.hpp
+++ b/src/fleet/health_monitor.hpp
@@ -46,7 +46,7 @@
     const std::set<CacheId>& update_monitored(const Agent& agent);
     /// Applies a result that the owner of a cache's duty has published.
     void on_published_result(TimePoint now, const CacheId&, const HealthRecord&, const Agent& agent);
-    /// Called with the outcome of this member's own check; ignored if no check is in flight.
+    /// Called with the outcome of this member's own check. The call is ignored if no check is in flight.
     void on_health_check_done(TimePoint now, const CacheId&, bool healthy, Agent& agent);
     /// Returns whether a check that was started may still be sent.
     bool may_check(TimePoint now, const CacheId&, const Agent& agent) const;
--- a/src/fleet/member_identity.hpp
+++ b/src/fleet/member_identity.hpp
@@ -19,8 +19,9 @@
     /// True if the start, heartbeats and retries are delayed or advanced by random times. Exhaustive models
     /// set this to false.
     bool randomized = true;
-    /// For a member of a site: the time within which a heartbeat reports a change. The first join of such a
-    /// member adds its name to the site's roster. Zero for a member outside of all sites.
+    /// Time within which a heartbeat of a site's member reports a change of the applied revisions; zero for a
+    /// member outside of all sites. The first join of a site's member also adds the member's name to the
+    /// site's roster.
     Duration acknowledge_interval = {};
 };
 
--- a/src/fleet/site_reporter.hpp
+++ b/src/fleet/site_reporter.hpp
@@ -23,9 +23,9 @@
     /// The caller must report the notice board's polls and new configurations to the tracker.
     AppliedRevisionTracker& applied() { return applied_; }
     const AppliedRevisionTracker& applied() const { return applied_; }
-    /// Returns whether the gateway may accept requests. Until then, a digest may still count a former process
-    /// with this gateway's name as live, and the former process may have applied events that this process has
-    /// not applied.
+    /// Returns whether the gateway may accept requests. While the function returns false, a digest may still
+    /// count a former process with this gateway's name as live, and the former process may have applied
+    /// events that this process has not applied.
     bool may_serve(TimePoint now) const { return applied_.has_full_history() || now >= serving_allowed_at_; }
     TimePoint serving_allowed_at() const { return serving_allowed_at_; }
 
--- a/src/gateway/fleet_participation.hpp
+++ b/src/gateway/fleet_participation.hpp
@@ -17,7 +17,7 @@
 
 namespace irismux {
 
-/// Without fleet settings no call has any effect.
+/// If the gateway has no fleet settings, no call has any effect.
 class FleetParticipation final : public EndpointHealthObserver, private fleet::GatewayCallbacks {
 public:
     /// All references must outlive this object. The dispatcher and the pool are not used before start(), so
--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -23,7 +23,8 @@
     "IRISMUX_PARTS  path of the parts file (TOML) if --parts is not given; only its registry settings apply\n"
     "IRISMUX_LOG    error, warning, info (the default) or debug; followed by \":json\" for JSON records\n";
 
-// Runs the command with the settings of one part in a parts file. `table` is the name of their table.
+// Runs the command with the settings of one part in a parts file. `table` is the name of the table that holds
+// these settings.
 template <class Settings, class Command>
 int with_part(const std::string& path, std::optional<Settings> Parts::*part, const std::string& table,
               Command command) {
@@ -43,7 +44,7 @@
     return with_part(path, &Parts::fleet, "fleet", command);
 }
 
-// Runs the command for the site that the parts file names, or for the whole fleet if it names none.
+// Runs the command for the site that the parts file names, or for the whole fleet if the file names no site.
 template <class Command>
 int with_site(const std::string& path, Command command) {
     return with_fleet(path, [&](fleet::Settings settings) {
@@ -84,7 +85,7 @@
     }
 
 private:
-    // Adds a subcommand. If it is given, `command` is run.
+    // Adds a subcommand. `command` is run if the command line contains the subcommand.
     CLI::App* add(CLI::App* parent, const char* name, const char* help, std::function<int()> command) {
         CLI::App* const subcommand = parent->add_subcommand(name, help);
         subcommand->callback([this, command = std::move(command)] { command_ = command; });
--- a/src/gateway/request_admission.hpp
+++ b/src/gateway/request_admission.hpp
@@ -22,10 +22,10 @@
     /// Request::id must be set.
     [[nodiscard]] RequestHandler::Admission admit(const ClientStream& stream, const ClientRequest& request,
                                                   TimePoint now);
-    /// Must be called once the request has its final response or its client has disconnected. Its client
-    /// request id may then be used again on its connection.
-    /// @param without_effect true if the request was rejected without having run; the same request is then
-    /// accepted again.
+    /// Must be called once the request has its final response or its client has disconnected. After this call
+    /// a new request on the same connection may use the client request id again.
+    /// @param without_effect true if the request was rejected without having run. In this case a repetition
+    /// of the request is accepted.
     void release(const ActiveRequest& request, bool without_effect);
 
 private:
--- a/src/registry/etcd_codec.cpp
+++ b/src/registry/etcd_codec.cpp
@@ -80,7 +80,7 @@
     Poco::Base64Decoder decoder(in);
     std::string bytes(text.size(), '\0');
     decoder.read(bytes.data(), static_cast<std::streamsize>(bytes.size()));
-    if (decoder.bad()) throw_parse_error("invalid base64");
+    if (decoder.bad()) throw_parse_error("a key or value is not valid base64");
     bytes.resize(static_cast<std::size_t>(decoder.gcount()));
     return bytes;
 }
@@ -112,7 +112,8 @@
 
 Record parse_record(const json& key_value, const std::string& prefix) {
     const std::string key = decode_base64(irismux::get<std::string>(key_value, "key"));
-    if (key.compare(0, prefix.size(), prefix) != 0) throw_parse_error("key is outside the prefix");
+    if (key.compare(0, prefix.size(), prefix) != 0)
+        throw_parse_error("a returned key does not begin with the requested prefix");
     return {RecordKey{key.substr(prefix.size())}, decode_base64(get_or<std::string>(key_value, "value", "")),
             Revision{parse_number(key_value, "create_revision")},
             Revision{parse_number(key_value, "mod_revision")}};
@@ -131,7 +132,8 @@
 
 Change parse_change(const json& event, const std::string& prefix) {
     const std::string type = get_or<std::string>(event, "type", "PUT");
-    if (type != "PUT" && type != "DELETE") throw_parse_error("event type is neither PUT nor DELETE");
+    if (type != "PUT" && type != "DELETE")
+        throw_parse_error("the type of a watch event is neither PUT nor DELETE");
     return {parse_record(require(event, "kv"), prefix), type == "DELETE"};
 }
 
@@ -177,7 +179,7 @@
     const json reply = json::parse(body, nullptr, false);
     if (!reply.is_object())
         return make_error(status == http_ok ? ErrorCode::unreadable : ErrorCode::other,
-                          "status " + std::to_string(status) + ", not JSON");
+                          "the reply with status " + std::to_string(status) + " is not JSON");
     try {
         if (status != http_ok || reply.contains("error")) return parse_error(reply, status);
         return parse(reply);
--- a/src/registry/registry_connection.cpp
+++ b/src/registry/registry_connection.cpp
@@ -58,7 +58,7 @@
     try {
         if (socket_->start(address)) return true;
     } catch (const Poco::Exception&) {
-        // The failure is reported below, like that of any other connection that cannot be opened.
+        // The failure is reported below, like the failure of any other connection that cannot be opened.
     }
     close_socket();
     failure_timer_ = ScopedTimer(event_loop_, event_loop_.now(), [this] {
--- a/src/registry/reply_handler.hpp
+++ b/src/registry/reply_handler.hpp
@@ -12,7 +12,7 @@
 /// Size limit of a whole reply and of one message of a stream, however they are divided into chunks.
 constexpr std::size_t max_reply_bytes = 1 << 20;
 
-/// Whether a reply is read whole or as a stream of messages that does not end.
+/// The form in which a reply is read: as a whole, or as a stream of messages that does not end.
 enum class ReplyForm { whole, stream };
 
 /// These functions are never called from within a call that sends a request or closes the connection.
--- a/src/registry/watch_callbacks.hpp
+++ b/src/registry/watch_callbacks.hpp
@@ -14,7 +14,7 @@
 
 namespace irismux::registry {
 
-/// How current the view is.
+/// The states of a Watch, which show how current the view is.
 enum class SyncState {
     reading,      ///< a full read is in progress; the former view stays in use
     resuming,     ///< the connection broke; the watch resumes from the next revision
