--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -92,8 +92,8 @@
             "the records changed after they were read; nothing was written, check them and try again");
     }
 
-    // Reads the record after a lost reply. Returns std::nullopt if the record is unchanged and can be written
-    // again, and otherwise the exit code.
+    // Reads the record after the reply to a write was lost. Returns std::nullopt if the record is unchanged
+    // and can be written again. In all other cases returns the exit code.
     std::optional<int> on_no_reply() {
         const auto read = read_records(session_, settings_);
         if (const auto* error = std::get_if<etcd::Error>(&read))
@@ -104,7 +104,7 @@
         if (now == before_) return std::nullopt;
         return print_error(
             "no reply to the write, and another writer changed the record; the write may or may not have "
-            "taken effect before that");
+            "taken effect before the other writer's change, check the record");
     }
 
     std::string path(const Key& key) const { return settings_.prefix + path_of(key); }
@@ -116,7 +116,7 @@
     std::vector<KeyValue> conditions_;
 };
 
-// Prints one line for each record of one kind, in the order of their names.
+// Prints one line for each record of one kind, in the order of the records' names.
 template <class NameOf, class Parse, class Print>
 void print_each(const Records& records, NameOf name_of, Parse parse, Print print) {
     for (const auto& [key, text] : records) {
@@ -170,7 +170,8 @@
     print_health(records, name);
 }
 
-// Waits until a member other than the owner in `former` owns the duty. An owner releases one duty per round.
+// Waits until a member other than the owner in `former` owns the duty. An owner releases at most one duty per
+// heartbeat interval.
 int wait_for_next_owner(RegistrySession& session, const Settings& settings, const DutyName& name,
                         const DutyRecord& former) {
     constexpr double wait_per_term = 3;
@@ -191,7 +192,9 @@
     return print_error(
         "release requested from " + former.owner.raw() +
         ", but no other member has taken the duty yet; check that another member has been in the "
-        "fleet for two terms. The request stays until it is withdrawn with 'restore'");
+        "fleet for two terms. The request to release the duty stays until the owner restarts or "
+        "'irismux fleet restore " +
+        name.raw() + "' withdraws it");
 }
 
 }  // namespace
--- a/src/cli/registry_commands.cpp
+++ b/src/cli/registry_commands.cpp
@@ -48,12 +48,15 @@
         if (reply_lost_ && result.conflicting_value == value)
             return print_written("; the reply to the write was lost");
         const char* const outcome =
-            reply_lost_ ? "the write may or may not have taken effect before that" : "nothing was written";
+            reply_lost_
+                ? "the write may or may not have taken effect before the other writer's change, check the "
+                  "record"
+                : "nothing was written";
         return print_error(id_ + " was changed by another writer; " + outcome);
     }
 
-    // Reads the record after a lost reply. Returns std::nullopt if the record is unchanged and can be written
-    // again, and otherwise the exit code.
+    // Reads the record after the reply to a write was lost. Returns std::nullopt if the record is unchanged
+    // and can be written again. In all other cases returns the exit code.
     std::optional<int> on_no_reply(const std::string& value, Revision unchanged_since) {
         etcd::ReadResult<Record> found;
         try {
@@ -66,7 +69,9 @@
         if (record.modified == unchanged_since) return std::nullopt;
         if (record.value == value) return print_written("; the reply to the write was lost");
         return print_error(
-            id_ + " was changed by another writer; the write may or may not have taken effect before that");
+            id_ +
+            " was changed by another writer; the write may or may not have taken effect before the other "
+            "writer's change, check the record");
     }
 
     int print_unknown(const std::string& why) const {
@@ -113,7 +118,8 @@
     EventLoop& loop_;
 };
 
-// Registers a listening socket that no client connects to, since a reactor without sockets runs no timers.
+// Registers a listening socket that no client connects to. Without any socket the event loop would run no
+// timers.
 class ReactorKeepAlive {
 public:
     explicit ReactorKeepAlive(EventLoop& loop) : socket_(Poco::Net::SocketAddress("127.0.0.1:0")) {
@@ -161,7 +167,7 @@
         return print_error("the record must be a JSON object with a string \"id\"");
     const auto id = record["id"].get<std::string>();
     if (!registry::parse_endpoint({registry::RecordKey{id}, line, {}, {}}))
-        return print_error("the record is not an endpoint record that gateways can read");
+        return print_error("gateways cannot read the given record as an endpoint record");
     return with_session(settings, [&](RegistrySession& session) {
         const Record present = value_or_throw(read_record(session, settings, id));
         return RecordWriter(session, settings, id).write(line, present.modified);
@@ -173,7 +179,7 @@
         const Record present = value_or_throw(read_record(session, settings, id));
         auto fields = nlohmann::json::parse(present.value, nullptr, false);
         if (present.created == Revision{} || !fields.is_object())
-            return print_error("the record is missing or is not a JSON object: " + id);
+            return print_error("the registry's record of " + id + " is missing or is not a JSON object");
         fields["state"] = state;
         return RecordWriter(session, settings, id).write(fields.dump(), present.modified);
     });
--- a/src/fleet/transaction_client.hpp
+++ b/src/fleet/transaction_client.hpp
@@ -10,7 +10,8 @@
 
 namespace irismux::fleet {
 
-/// Observer of a TransactionClient's transactions. It is never called from within submit().
+/// Observer of a TransactionClient's transactions. The observer's functions are never called from within
+/// submit().
 class TransactionObserver {
 public:
     virtual ~TransactionObserver() = default;
@@ -18,8 +19,8 @@
     /// the result, see Transaction.
     virtual void on_transaction_result(registry::Revision, bool succeeded,
                                        const std::vector<KeyValue>& records) = 0;
-    /// Called if there will be no reply: the transaction may be committed, may still be committed, or never
-    /// will be.
+    /// Called if the transaction will have no result, because the request has failed or the reply reports an
+    /// error. The registry may have committed the transaction, may commit it later, or may never commit it.
     virtual void on_transaction_lost() = 0;
 };
 
@@ -31,7 +32,8 @@
     TransactionClient(EventLoop& loop, TransactionObserver& observer, const registry::Settings& settings,
                       SiteName site, registry::MemberIndex first_member);
 
-    /// Submits a transaction. It replaces the one in flight, whose result is no longer delivered.
+    /// Submits a transaction, which replaces the transaction in flight. The result of the replaced
+    /// transaction is no longer delivered.
     void submit(const Transaction& transaction);
 
 private:
--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -20,10 +20,11 @@
 constexpr const char* footer =
     "NODE_CONFIG    path of the configuration (JSON), required to serve\n"
     "NODE_LISTEN    address to listen on, overrides that of the configuration\n"
-    "IRISMUX_PARTS  path of the parts file (TOML), used if --parts is not given\n"
+    "IRISMUX_PARTS  path of the parts file (TOML) if --parts is not given; only its registry settings apply\n"
     "IRISMUX_LOG    error, warning, info (the default) or debug; followed by \":json\" for JSON records\n";
 
-// Runs the command with the settings of one part in a parts file. `table` is the name of their table.
+// Runs the command with the settings of one part in a parts file. `table` is the name of the table that holds
+// these settings.
 template <class Settings, class Command>
 int with_part(const std::string& path, std::optional<Settings> Parts::*part, const std::string& table,
               Command command) {
@@ -43,7 +44,7 @@
     return with_part(path, &Parts::fleet, "fleet", command);
 }
 
-// Runs the command for the site that the parts file names, or for the whole fleet if it names none.
+// Runs the command for the site that the parts file names, or for the whole fleet if the file names no site.
 template <class Command>
 int with_site(const std::string& path, Command command) {
     return with_fleet(path, [&](fleet::Settings settings) {
@@ -84,7 +85,7 @@
     }
 
 private:
-    // Adds a subcommand. If it is given, `command` is run.
+    // Adds a subcommand. `command` is run if the command line contains the subcommand.
     CLI::App* add(CLI::App* parent, const char* name, const char* help, std::function<int()> command) {
         CLI::App* const subcommand = parent->add_subcommand(name, help);
         subcommand->callback([this, command = std::move(command)] { command_ = command; });
@@ -94,14 +95,18 @@
     CLI::App* add_group(const char* name, const char* help) {
         CLI::App* const group = app_.add_subcommand(name, help);
         group->require_subcommand(1);
-        group->add_option("--parts", parts_path_, "path of the parts file (TOML)")->required();
+        group
+            ->add_option("--parts", parts_path_,
+                         "path of the parts file (TOML): settings of the registry and the fleet")
+            ->required();
         return group;
     }
 
     void add_serve() {
         CLI::App* const command = add(&app_, "serve", "run a gateway (the default without a subcommand)",
                                       [this] { return serve(parts_path_); });
-        command->add_option("--parts", parts_path_, "path of the parts file (TOML)");
+        command->add_option("--parts", parts_path_,
+                            "path of the parts file (TOML): settings of the registry and the fleet");
     }
     void add_check() {
         CLI::App* const command = add(&app_, "check", "check whether a parts file is valid",
@@ -115,12 +120,13 @@
             [this] { return with_registry(parts_path_, cli::registry_dump); });
         add(group, "watch", "print the endpoint list, then each change as gateways receive it",
             [this] { return with_registry(parts_path_, cli::registry_watch); });
-        CLI::App* const put = add(group, "put", "write a record", [this] {
+        CLI::App* const put = add(group, "put", "write the endpoint record of one cache", [this] {
             return with_registry(parts_path_, [this](const registry::Settings& settings) {
                 return cli::registry_put(settings, record_);
             });
         });
-        put->add_option("line", record_, "JSON with an \"id\"")->required();
+        put->add_option("line", record_, "the record: a JSON object with the \"id\" of the cache")
+            ->required();
         CLI::App* const drain = add(group, "drain", "mark a cache as draining", [this] {
             return with_registry(parts_path_, [this](const registry::Settings& settings) {
                 return cli::registry_state(settings, cache_, "Terminating");
@@ -141,7 +147,7 @@
                 });
             });
         release->add_option("duty", duty_)->required();
-        CLI::App* const restore = add(group, "restore", "withdraw a release", [this] {
+        CLI::App* const restore = add(group, "restore", "withdraw the request to release a duty", [this] {
             return with_site(parts_path_, [this](const fleet::Settings& settings) {
                 return cli::fleet_restore(settings, duty_);
             });
@@ -164,7 +170,7 @@
         command->add_option("--configuration", in_force_.configuration, "number of the configuration");
         command->add_option("--board", in_force_.board, "address of the notice board");
         command->add_option("--wait", in_force_.wait_s,
-                            "longest time to wait until it is in force everywhere, in seconds");
+                            "longest time to wait for the queried event and configuration, in seconds");
     }
     void add_forget(CLI::App* group) {
         CLI::App* const command =
