--- a/testing/failing_calls.cpp
+++ b/testing/failing_calls.cpp
@@ -1,6 +1,6 @@
-// A shim library, loaded into a process with LD_PRELOAD, that makes system calls fail, each with an error
-// that Linux documents for it. Failures are drawn from a seed; testing/failing_calls.hpp describes the
-// settings.
+// A shim library that makes system calls of a process fail, each with an error that Linux documents for this
+// call. LD_PRELOAD loads the library into the process. The failures are drawn from a seed;
+// testing/failing_calls.hpp describes the settings.
 #include "testing/failing_calls.hpp"
 
 #include <dlfcn.h>
@@ -113,7 +113,8 @@
     return fails(Call::listen) ? fail_with(address_errors) : next(s, backlog);
 }
 
-// If a signal interrupts the call, the connection is still established asynchronously.
+// A quarter of the failures are EINTR. The shim then starts the connection nevertheless, because Linux goes
+// on to establish a connection whose connect() call a signal has interrupted.
 int connect(int s, const sockaddr* a, socklen_t n) {
     static const auto next = real<int (*)(int, const sockaddr*, socklen_t)>("connect");
     if (!fails(Call::connect)) return next(s, a, n);
@@ -123,7 +124,8 @@
     return result;
 }
 
-// Half of the failures are short reads. A quarter are ENOMEM, as if the kernel had given up the connection.
+// Half of the failures are short reads and a quarter are EINTR. The other quarter are ENOMEM, as if the
+// kernel had given up the connection.
 ssize_t recv(int s, void* to, size_t n, int flags) {
     static const auto next = real<ssize_t (*)(int, void*, size_t, int)>("recv");
     if (!fails(Call::recv)) return next(s, to, n, flags);
@@ -158,7 +160,9 @@
     return next(e, what, s, event);
 }
 
-// Fails only for the configuration, because libraries open files of their own.
+// Lets only the opening of the configuration file fail, whose path the environment variable NODE_CONFIG
+// holds. All other calls pass through unchanged, because the libraries in the process open files of their
+// own.
 int open(const char* path, int flags, ...) {
     va_list rest;
     va_start(rest, flags);
@@ -176,7 +180,7 @@
     return fail_with(read_errors);
 }
 
-// Fails only for the log on standard error.
+// Lets only writes to standard error fail. The process writes its log there.
 ssize_t write(int descriptor, const void* from, size_t n) {
     static const auto next = real<ssize_t (*)(int, const void*, size_t)>("write");
     if (descriptor != STDERR_FILENO || !fails(Call::write)) return next(descriptor, from, n);
--- a/testing/failing_calls.hpp
+++ b/testing/failing_calls.hpp
@@ -1,6 +1,6 @@
-// The settings of the shim testing/failing_calls.cpp: which system calls fail, and how often. The process
-// maps a file of this layout, whose path the environment variable IRISMUX_CALL_FAULTS_FILE holds; the file
-// may change while the process runs.
+// Settings of the shim library testing/failing_calls.cpp: which system calls fail, and how often. A process
+// that runs under the shim maps a file of this layout into its memory. The environment variable
+// IRISMUX_CALL_FAULTS_FILE holds the path of the file. A test may change the file while the process runs.
 #pragma once
 
 #include <cstddef>
@@ -28,9 +28,10 @@
 
 struct CallFaults {
     std::uint64_t seed = 1;
-    // One in this many calls fails, at random; zero disables random failures.
+    // An entry of n lets one in n calls of its system call fail, at random. Zero disables random failures.
     std::uint32_t one_in[call_count] = {};
-    // The call with this number fails, counted from one since the process started; zero selects no call.
+    // An entry of n lets the n-th call of its system call fail, counted from one since the process started.
+    // Zero selects no call.
     std::uint32_t nth[call_count] = {};
 };
 
--- a/testing/fake_registry.cpp
+++ b/testing/fake_registry.cpp
@@ -12,7 +12,7 @@
 
 using nlohmann::json;
 
-constexpr int accept_backlog = 4096;  // of a member
+constexpr int accept_backlog = 4096;  // backlog of a member's listening socket
 
 std::string base64_encoded(const std::string& bytes) {
     std::ostringstream out;
@@ -38,7 +38,8 @@
             {"value", base64_encoded(r.value)}};
 }
 
-// Records with keys from `first` up to, not including, `end`. If `end` is empty, the record of `first` alone.
+// Returns the records with keys from `first` up to, but not including, `end`. If `end` is empty, returns only
+// the record with the key `first`.
 std::vector<Record> records_between(const RegistryModel::State& state, const std::string& first,
                                     const std::string& end) {
     std::vector<Record> found;
@@ -52,7 +53,7 @@
     return it == state.end() ? Record{} : it->second;
 }
 
-// The writes among a transaction's steps. std::nullopt as the value deletes the key.
+// Returns the writes among a transaction's steps. A write whose value is std::nullopt deletes the key.
 std::vector<std::pair<std::string, std::optional<std::string>>> writes_of(const json& steps) {
     std::vector<std::pair<std::string, std::optional<std::string>>> writes;
     for (const json& step : steps) {
@@ -265,7 +266,8 @@
     return hold;
 }
 
-// A member that lags still commits transactions at the newest revision, because the members agree on them.
+// A member that lags still commits transactions at the newest revision, because all members agree on each
+// transaction.
 json FakeRegistry::transact(std::size_t member, const json& request) {
     ++ledger.transactions;
     SettledTransaction done{loop_.now(), member, {}, {}, false};
@@ -328,8 +330,8 @@
     }
 }
 
-// The messages to a watch of this prefix from this revision on. Returns std::nullopt if the revision is
-// compacted.
+// Encodes the changes of keys with this prefix, from revision `from` on, as watch messages. Returns
+// std::nullopt if this revision is compacted.
 std::optional<FakeRegistry::Messages> FakeRegistry::messages(const Member& m, const std::string& prefix,
                                                              Revision from) const {
     const auto all = model.changes(from, visible_revision(m));
--- a/testing/fake_registry.hpp
+++ b/testing/fake_registry.hpp
@@ -1,5 +1,6 @@
-// A fake of the members of a key-value registry: etcd's HTTP/JSON interface to a RegistryModel, on an event
-// loop, with fault injection per member. It counts the requests that it receives.
+// A fake of a key-value registry with several members. The members serve a RegistryModel through etcd's
+// HTTP/JSON interface, all on one event loop. Tests set faults for each member. The fake counts the requests
+// that it receives.
 #pragma once
 
 #include <functional>
@@ -20,30 +21,32 @@
 class FakeRegistry {
 public:
     struct Faults {
-        /// Closes each new connection.
+        /// The member closes each new connection.
         bool refuse = false;
-        /// Keeps watches open and sends neither changes nor progress notifications on them.
+        /// The member keeps watches open but sends neither changes nor progress notifications on them.
         bool silent_watches = false;
-        /// Answers no request.
+        /// The member reads requests but replies to none of them.
         bool unresponsive = false;
-        /// Sends half of the next watch message and then closes the connection.
+        /// The member sends half of the next watch message and then closes the connection.
         bool truncate_watch = false;
-        /// Sends the next response's body with its bytes reversed.
+        /// The member sends the body of its next reply with the bytes in reverse order.
         bool corrupt_response = false;
-        /// Runs the next transaction and closes the connection without a response.
+        /// The member runs the next transaction and closes the connection without a reply.
         bool drop_write_response = false;
-        /// Number of revisions that this member is behind.
+        /// Number of revisions by which this member is behind the newest revision.
         int lag = 0;
-        /// Maximum number of changes in a fragment of a watch message; zero sends the message whole.
+        /// Maximum number of changes in each fragment of a watch message. If zero, the member sends the
+        /// message in one piece.
         int fragment_size = 0;
-        /// Delay of each response and watch message.
+        /// Delay of each reply and watch message that the member sends.
         Duration delay;
     };
     struct Ledger {
         int reads = 0, checks = 0, watches = 0, connections = 0, refused = 0, logins = 0;
         /// `successful_transactions` counts only the transactions whose comparisons held.
         int transactions = 0, successful_transactions = 0;
-        /// Changes sent to watches; a change counts once for each watch.
+        /// Number of changes sent to watches. A change that is sent to several watches counts once for each
+        /// of them.
         std::uint64_t delivered_changes = 0;
         std::vector<TimePoint> request_times;
     };
@@ -61,14 +64,14 @@
         std::vector<std::pair<std::string, std::optional<std::string>>> writes;
         bool succeeded = false;
     };
-    // Called after a transaction has run and before its response is sent. The callback must not change the
+    // Called after a transaction has run and before the reply to it is sent. The callback must not change the
     // registry.
     std::function<void(const SettledTransaction&)> on_settled = [](const SettledTransaction&) {};
     std::string user, password;  // an empty user disables authentication
     Faults& faults(std::size_t member) { return members_[member]->faults; }
 
-    // Sends the changes since the last call to the watches. The time of this call counts as that of the
-    // commit.
+    // Sends to each watch the changes that the watch has not received yet. The time of this call counts as
+    // the time of the commit of these changes.
     void publish();
     void break_connections(std::size_t member);
     void stop_member(std::size_t member);
@@ -107,11 +110,11 @@
     void open_watch(const Call& call);
     void answer_transaction(const Call& call);
     void answer_write(const Call& call);
-    // Whether all comparisons hold at the newest revision. Appends the compared keys to `keys`.
+    // Returns whether all comparisons hold at the newest revision. Appends the compared keys to `keys`.
     bool compares_hold(const nlohmann::json& compares, std::vector<std::string>& keys) const;
     void answer(Member& m, const std::shared_ptr<TestConnection>& connection, int status, std::string body);
     void stream(Member& m, const std::shared_ptr<TestConnection>& connection, std::string message);
-    // Runs a transaction and returns its response.
+    // Runs a transaction and returns the reply to it.
     nlohmann::json transact(std::size_t member, const nlohmann::json& request);
     void cancel_watch(Member& m, const std::shared_ptr<TestConnection>& connection);
     void deliver_changes(Member& m);
--- a/testing/fake_services.cpp
+++ b/testing/fake_services.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::size_t max_kept_attempts = 4096;
-constexpr int accept_backlog = 4096;  // of a notice board
+constexpr int accept_backlog = 4096;  // backlog of a notice board's listening socket
 
 void drop_ended(std::vector<std::shared_ptr<TestConnection>>& connections) {
     std::erase_if(connections,
--- a/testing/fake_services.hpp
+++ b/testing/fake_services.hpp
@@ -1,6 +1,6 @@
 // Fakes of the services around a gateway, on one event loop: clients that send requests over FastCGI, caches
-// that answer over RESP, and the notice board. The cache records each attempt and when its first byte
-// arrived, the client counts responses.
+// that respond over RESP, and the notice board. A cache records each attempt and the time at which the
+// attempt's first byte arrived. A client counts the responses.
 #pragma once
 
 #include <deque>
@@ -16,7 +16,7 @@
 
 namespace irismux::test_support {
 
-// A cache that answers each attempt with a hit after a fixed delay.
+// A cache that responds to each attempt with a hit after a fixed delay.
 class FakeCache {
 public:
     FakeCache(EventLoop& loop, std::string id, Duration response_delay);
@@ -27,7 +27,7 @@
         TimePoint first_byte;
         std::string request_id;
     };
-    std::deque<ReceivedAttempt> received;  // the last 4,096
+    std::deque<ReceivedAttempt> received;  // the last 4,096 attempts
     std::uint64_t total = 0, health_checks = 0;
     // Simulates the end of the cache's process: resets all connections and refuses new ones.
     void stop();
@@ -44,22 +44,23 @@
     std::unique_ptr<Acceptor> acceptor_;
 };
 
-// A notice board that answers a long poll when there is a new event or when the poll's linger time is over.
+// A notice board that responds to a long poll as soon as there is an event with a higher number than the poll
+// names, and at the latest when the poll's linger time is over.
 class FakeNoticeBoard {
 public:
     explicit FakeNoticeBoard(EventLoop& loop);
     std::string address() const { return acceptor_.address(); }
-    // Publishes one event under the next number, which it returns.
+    // Publishes one event under the next event number. Returns this number.
     std::int64_t post(nlohmann::json event);
-    // Publishes several events at once, so that the next answer to a poll holds all of them. Returns the last
-    // number.
+    // Publishes several events at once, so that the next response to a poll holds all of them. Returns the
+    // number of the last event.
     std::int64_t post_all(std::vector<nlohmann::json> events);
-    // All events, in the form that a gateway's configuration has under "known".
+    // Returns all events in the form that a gateway's configuration holds under "known".
     nlohmann::json known() const;
     void break_connections();
-    // The event number after which the last waiting poll asks for events; -1 if no poll waits.
+    // Returns the event number after which the last waiting poll asks for events, or -1 if no poll waits.
     std::int64_t last_poll_since() const { return polls_.empty() ? -1 : polls_.back().since; }
-    bool silent = false;  // leaves polls unanswered
+    bool silent = false;  // if true, polls get no response
 
 private:
     struct Poll {
@@ -85,7 +86,7 @@
 
     std::uint64_t requests_sent = 0, served = 0, rejected = 0, failed = 0, duplicate_responses = 0;
     std::size_t open_requests() const { return open_requests_.size(); }
-    std::vector<double> latencies_ms;  // of served requests
+    std::vector<double> latencies_ms;  // latencies of the served requests
 
 private:
     void send_request();
@@ -99,11 +100,11 @@
     std::uint16_t next_request_number_ = 1;
 };
 
-// A gateway's configuration in the form that its platform writes.
+// Returns a gateway's configuration in the form that its platform writes.
 nlohmann::json configuration(const std::string& listen, const std::string& notice_board,
                              const nlohmann::json& known);
 
-// An endpoint's entry in the form that the notice board and the registry hold.
+// Returns an endpoint's entry in the form that the notice board and the registry hold.
 nlohmann::json endpoint_json(const std::string& id, const std::string& kind, const std::string& zone,
                              const std::string& address, const std::string& state);
 
--- a/testing/fault_proxy.hpp
+++ b/testing/fault_proxy.hpp
@@ -1,5 +1,5 @@
-// A TCP proxy between two processes that injects faults: per proxy and direction, and through callbacks at a
-// chosen chunk of data.
+// A TCP proxy between two processes that injects faults. Tests set faults for each direction, or inject a
+// fault from a callback at a chosen chunk of data.
 #pragma once
 
 #include <array>
@@ -20,33 +20,38 @@
 class FaultProxy {
 public:
     struct Faults {
-        /// Holds back data and ends of connections. FaultProxy::hold(direction, false) forwards them.
+        /// Holds back the data of this direction and the ends of its connections. FaultProxy::hold(direction,
+        /// false) forwards what was held back.
         bool hold = false;
-        /// Delay of each chunk.
+        /// Delay before the proxy forwards a chunk.
         Duration delay;
-        /// Throughput limit; zero is unlimited.
+        /// Throughput limit of each connection; zero means unlimited.
         std::size_t bytes_per_second = 0;
-        /// Resets both ends of a connection after this many more bytes; zero is never.
+        /// Number of bytes that this direction still forwards before the proxy resets both ends of the
+        /// connection that carried the last of these bytes. Zero disables the reset.
         std::size_t reset_after_bytes = 0;
     };
 
     FaultProxy(EventLoop& loop, std::string target);
     ~FaultProxy();
     const std::string& address() const { return address_; }
-    // Connects new connections to this address; open ones keep theirs.
+    // Sets the server address to which the proxy connects new connections. Open connections keep their
+    // server.
     void set_target(std::string target) { target_ = std::move(target); }
 
     Faults& faults(Direction direction) { return faults_[static_cast<std::size_t>(direction)]; }
     void hold(Direction direction, bool enabled);
-    // Holds back both directions: new connections are accepted, and no data passes.
+    // Holds back both directions: the proxy accepts new connections, but passes no data.
     void set_partitioned(bool enabled);
-    // Resets all connections and stops listening, so that the kernel refuses new ones.
+    // If enabled, resets all connections and stops listening, so that the kernel refuses new connections. If
+    // disabled, listens again.
     void set_down(bool enabled);
     void reset_all();
 
-    // Called with each chunk on arrival, before the proxy handles it.
+    // Called with each chunk when it arrives, before the proxy forwards the chunk or holds it back.
     std::function<void(Direction, std::string_view)> on_chunk = [](Direction, std::string_view) {};
-    // Like on_chunk, with the number of the connection. A number is never used twice.
+    // Called like on_chunk, with the number of the connection. Each connection gets a number that no other
+    // connection had.
     std::function<void(std::uint64_t connection, Direction, std::string_view)> on_connection_chunk =
         [](std::uint64_t, Direction, std::string_view) {};
     std::function<void(std::uint64_t connection)> on_connection_closed = [](std::uint64_t) {};
@@ -55,12 +60,12 @@
     }
 
 private:
-    // The two connections of one proxied connection.
+    // A proxied connection, which consists of a connection to the client and a connection to the server.
     struct Pair {
         std::uint64_t number = 0;
         std::array<std::shared_ptr<TestConnection>, 2> ends;  // to the client, to the server
         std::array<std::deque<std::string>, 2> held_chunks;
-        std::array<TimePoint, 2> next_send;  // when the chunks before have been sent
+        std::array<TimePoint, 2> next_send;  // earliest time to send the next chunk
         std::array<bool, 2> ended{};
         bool finished = false;
     };
--- a/testing/fleet_simulation.cpp
+++ b/testing/fleet_simulation.cpp
@@ -23,7 +23,7 @@
     std::unique_ptr<Agent> agent;
     double rate = 1;
     bool stopped = false, outbound_blocked = false, inbound_blocked = false;
-    std::uint64_t transaction_number = 0;  // of the last submitted transaction
+    std::uint64_t transaction_number = 0;  // number of the last submitted transaction
     std::uint64_t process_number = 0;      // counts the member's processes
     std::optional<TimePoint> wake_at;
     std::uint64_t wake_no = 0;
@@ -50,7 +50,8 @@
     void on_lease_state(const DutyName&, LeaseState, FencingToken) override {}
     void on_write_outcome(const DutyName&, const Key&, WriteOutcome) override {}
     void on_event(const FleetEvent&) override {}
-    // Runs the function now or, if the process is stopped, when it resumes; never in a later process.
+    // Runs the function now or, if the process is stopped, when the process resumes. If the process ends
+    // before it resumes, the function does not run.
     void when_running(std::function<void()> then) {
         if (!agent) return;
         if (stopped)
@@ -68,7 +69,7 @@
     unowned_since_.resize(options.duties, now_);
     for (std::size_t n = 0; n < options.members; ++n) {
         nodes_.push_back(std::make_unique<Node>(*this, n));
-        // The first two members have the slowest and the fastest allowed clock.
+        // The first member has the slowest clock that the drift allows, the second member the fastest.
         const double deviation = n == 0 ? -1 : n == 1 ? 1 : 2 * random_fraction() - 1;
         nodes_.back()->rate = 1 + deviation * options.drift;
     }
@@ -153,7 +154,7 @@
 }
 
 // Checks a write with the value DUTY/TOKEN/NAME/INCARNATION: the writer must be a member with this
-// incarnation, and the token must not be lower than that of an earlier write.
+// incarnation, and the token must not be lower than the token of an earlier write.
 void FleetSimulation::check_fenced_write(const std::string& value) {
     const std::size_t duty_end = value.find('/');
     const std::size_t token_end = value.find('/', duty_end + 1);
@@ -168,12 +169,12 @@
         violations.push_back("a fenced write by an instance that is not a member: " + value);
     for (int n = 0; n < 2; ++n) send_order(DutyName{duty}, holder);
     if (token < highest_token_[duty])
-        violations.push_back("a write by token " + std::to_string(token) + " after a write by token " +
-                             std::to_string(highest_token_[duty]));
+        violations.push_back("a write on duty " + duty + " under token " + std::to_string(token) +
+                             " after a write under token " + std::to_string(highest_token_[duty]));
     highest_token_[duty] = std::max(highest_token_[duty], token);
 }
 
-// Checks that no token of a duty goes to two owners.
+// Checks that the registry does not give the same token of a duty to two owners.
 void FleetSimulation::check_owner(const Key& key, const std::string& value) {
     const auto duty = duty_of(key);
     const auto record = duty ? parse_duty(value) : std::nullopt;
@@ -182,7 +183,7 @@
     const std::string who = record->owner.raw() + '/' + std::to_string(record->incarnation.raw());
     const auto [it, fresh] = token_owners_.try_emplace({duty->raw(), record->token.raw()}, who);
     if (!fresh && it->second != who)
-        violations.push_back("token " + std::to_string(record->token.raw()) + " of " + duty->raw() +
+        violations.push_back("token " + std::to_string(record->token.raw()) + " of duty " + duty->raw() +
                              " was given to " + it->second + " and " + who);
 }
 
@@ -221,8 +222,8 @@
     });
 }
 
-// Sends an owner's order to a random member, bypassing the registry. Orders arrive late, out of order and
-// also from former owners.
+// Sends an order from a duty's owner directly to a random member, without the registry. Orders arrive late
+// and in any order, and may still arrive after their sender has lost the duty.
 void FleetSimulation::send_order(const DutyName& duty, const LeaseHolder& holder) {
     Node& n = *nodes_[random_() % nodes_.size()];
     schedule(now_ + shared_config_.term * (3 * random_fraction()), [this, &n, duty, holder] {
@@ -230,13 +231,14 @@
         FencingToken& heeded = accepted_tokens_[{n.number, duty}];
         if (holder.token < heeded)
             violations.push_back(n.name.raw() + " accepts an order with token " +
-                                 std::to_string(holder.token.raw()) + " after " +
+                                 std::to_string(holder.token.raw()) + " after an order with token " +
                                  std::to_string(heeded.raw()));
         heeded = std::max(heeded, holder.token);
     });
 }
 
-// Simulates the watch: delivers all changes up to the newest revision after a delay, in order.
+// Simulates the member's watch: after a delay, delivers all changes up to the newest revision, in their
+// order.
 void FleetSimulation::deliver_records(Node& n) {
     if (n.delivering || !n.agent) return;
     n.delivering = true;
@@ -280,7 +282,8 @@
         restore_backup(shared_config_.term * (1 + 2 * random_fraction()));
 }
 
-// The guarantees assume that a backup is more than a term old when the registry answers from it.
+// Restores a backup that is older than `age`. The fleet's guarantees assume that a backup is more than a term
+// old when the registry is restored from it.
 void FleetSimulation::restore_backup(Duration age) {
     for (auto b = backups_.rbegin(); b != backups_.rend(); ++b) {
         if (now_ - b->taken <= age) continue;
@@ -375,8 +378,8 @@
     for (TimePoint& t : unowned_since_) t = now_;
 }
 
-// Checks that at most one member may act on a duty now, each by its own clock. In a fleet of more than 12
-// members only every 64th call checks, unless `all` is true.
+// Checks that at most one member may act on each duty now, where each member judges by its own clock. In a
+// fleet of more than 12 members only every 64th call checks the duties, unless `all` is true.
 void FleetSimulation::check(bool all) {
     if (nodes_.size() > 12 && !all && ++checks_ % 64 != 0) return;
     for (std::size_t d = 0; d < duties_.size(); ++d) {
@@ -384,8 +387,9 @@
         for (const auto& n : nodes_) {
             if (!n->agent || !n->agent->may_act(n->clock(), duties_[d])) continue;
             if (first)
-                violations.push_back("m" + std::to_string(*first) + " and " + n->name.raw() + " may act on " +
-                                     duties_[d].raw() + " at " + std::to_string(now_.seconds() - 1000));
+                violations.push_back("m" + std::to_string(*first) + " and " + n->name.raw() +
+                                     " may both act on duty " + duties_[d].raw() + " at " +
+                                     std::to_string(now_.seconds() - 1000) + " s");
             first = n->number;
         }
         if (!first) longest_unowned = std::max(longest_unowned, now_ - unowned_since_[d]);
--- a/testing/fleet_simulation.hpp
+++ b/testing/fleet_simulation.hpp
@@ -1,7 +1,8 @@
-// A simulation of a fleet in virtual time, from one seed: Agents with drifting clocks share one registry.
+// A simulation of a fleet in virtual time, from one seed. Agents with drifting clocks share one registry.
 // Messages are lost, delayed and repeated, processes stop, crash and restart, links are partitioned, and the
-// registry is restored from a backup. After every event the simulation checks the invariants, both on the
-// registry's ledger and by asking each process, stopped ones included, whether it would act at this time.
+// registry is restored from a backup. After every event the simulation checks the invariants: it checks the
+// registry's ledger and asks each process, including stopped processes, whether the process would act at this
+// time.
 #pragma once
 
 #include <functional>
@@ -20,15 +21,15 @@
 
 class FleetSimulation {
 public:
-    // lose, late and repeat are probabilities per message, the others per second and member; restore is per
-    // second.
+    // `lose`, `late` and `repeat` are probabilities per message. `stop`, `crash` and `partition` are rates
+    // per second and member. `restore` is a rate per second.
     struct FaultRates {
         double lose = 0, late = 0, repeat = 0;
         double stop = 0, crash = 0, partition = 0, restore = 0;
     };
     struct Options {
         std::size_t members = 3, duties = 2;
-        double drift = 0.01;  // of the simulated clocks; the shared configuration has its own bound
+        double drift = 0.01;  // drift of the simulated clocks; independent of SharedConfig::drift
         bool randomized = true;
         bool fenced_writes = true;  // owners of duties make fenced writes all the time
     };
@@ -41,15 +42,15 @@
     void start(std::size_t member);
     void stop(std::size_t member);
     void resume(std::size_t member);
-    // Starts or resumes the member and ends its partition.
+    // Starts the member if its process has ended, otherwise resumes it. Ends the member's partition.
     void recover(std::size_t member);
-    void set_registry_down(bool down);  // for all members
-    // Restores the registry from the newest backup that is older than `age`. The guarantees hold only if
-    // `age` is more than a term.
+    void set_registry_down(bool down);  // the registry is down for all members
+    // Restores the registry from the newest backup that is older than `age`. The fleet's guarantees hold only
+    // if `age` is longer than a term.
     void restore_backup(Duration age);
     void partition(std::size_t member, bool inbound, bool outbound);
-    // The largest number of transactions that reached the registry within a window of this length since
-    // reset_measurements().
+    // Returns the largest number of transactions that reached the registry within any period of length
+    // `window` since the last call of reset_measurements().
     std::size_t max_transactions_within(Duration window) const;
 
     TimePoint now() const { return now_; }
@@ -57,10 +58,11 @@
     std::string debug_state() const;
 
     std::vector<std::string> violations;  // broken invariants, checked on each event
-    // Counted at the registry.
+    // The simulated registry counts the transactions that it has run, the fenced writes that it has accepted
+    // and refused, and the writes that gave a duty to an owner.
     std::uint64_t transactions = 0, accepted_writes = 0, refused_writes = 0, owner_changes = 0;
     std::vector<TimePoint> transaction_times;  // arrival of each transaction at the registry
-    // The longest time that any duty had no owner since the last reset_measurements().
+    // Longest time for which a duty had no owner since the last call of reset_measurements().
     Duration longest_unowned;
     void reset_measurements();
 
@@ -100,10 +102,11 @@
     std::vector<Backup> backups_;
     std::vector<std::unique_ptr<Node>> nodes_;
     std::vector<fleet::DutyName> duties_;
-    // By duty, the highest token of an accepted write since the last restore.
+    // Highest token of the writes that the registry has accepted since its last restore, by duty.
     std::map<std::string, std::int64_t> highest_token_;
     std::map<std::pair<std::string, std::int64_t>, std::string> token_owners_;
-    // By member and duty, the highest token of an order that the member has accepted, across its restarts.
+    // Highest token of the orders that a member has accepted, by member and duty. A restart of the member
+    // does not clear the token.
     std::map<std::pair<std::size_t, fleet::DutyName>, fleet::FencingToken> accepted_tokens_;
     std::vector<std::optional<std::size_t>> owned_;
     std::vector<TimePoint> unowned_since_;
--- a/testing/interleaving_explorer.cpp
+++ b/testing/interleaving_explorer.cpp
@@ -51,7 +51,7 @@
     Incarnation previous_incarnation;
     Revision told;
     int history = -1;
-    std::optional<TransactionLedger::Outcome> answer;  // waits until a stopped process resumes
+    std::optional<TransactionLedger::Outcome> answer;  // result that waits until the stopped process resumes
 
     Node() = default;
     Node(const Node& o)
@@ -74,7 +74,7 @@
     }
 };
 
-// The events that led to a state. Earlier states themselves are not kept.
+// The events that led to a state. The search does not keep the earlier states themselves.
 struct Trace {
     int tick;
     std::string told;
@@ -92,7 +92,7 @@
         TransactionLedger::Records records;
         Revision revision;
     };
-    std::vector<std::shared_ptr<const Backup>> backups;  // one every half term
+    std::vector<std::shared_ptr<const Backup>> backups;  // one backup every half term
     std::int64_t highest = 0;
     std::string violation;
     std::shared_ptr<const Trace> before;
@@ -119,7 +119,7 @@
         for (const auto& [key, value] : transaction.writes) {
             if (!o.succeeded || !value || key.raw().rfind("work/", 0) != 0) continue;
             // The value is TOKEN/NAME/INCARNATION. The writer must be a member with this incarnation, and the
-            // token must not be lower than that of an earlier write.
+            // token must not be lower than the token of an earlier write.
             const std::size_t a = value->find('/'), b = value->rfind('/');
             const std::int64_t token = std::atoll(value->c_str());
             const auto it = ledger.records().find(member_key(MemberName{value->substr(a + 1, b - a - 1)}));
@@ -127,7 +127,8 @@
             if (!writer || writer->incarnation.raw() != std::atoll(value->c_str() + b + 1))
                 violation = "a fenced write by an instance that is not a member: " + *value;
             if (token < highest)
-                violation = "a write by token " + *value + " after " + std::to_string(highest);
+                violation = "a write under a lower token: " + *value + " after a write under token " +
+                            std::to_string(highest);
             highest = std::max(highest, token);
         }
         return o;
@@ -158,7 +159,8 @@
         n.agent->start(n.clock(tick));
     }
 
-    // Runs one process through one tick. A fault of a transaction hits the first one in the tick.
+    // Runs one process through one tick. A fault that hits a transaction hits the first transaction of the
+    // tick.
     void run_tick(Node& n, Fault fault) {
         const TimePoint now = n.clock(tick);
         if (fault == Fault::die) {
@@ -240,17 +242,18 @@
             root->nodes.back()->rate = n == 0 ? 1 - deviation : n == 1 ? 1 + deviation : 1;
         }
         for (auto& n : root->nodes) root->begin(*n);
-        // Brings the fleet to rest: all members have joined, and the first in the duty's order owns it.
+        // Brings the fleet to rest: all members have joined, and the member that is first in the duty's order
+        // owns the duty.
         for (int t = 0; t < 6 * ticks_per_term; ++t) {
             ++root->tick;
             for (auto& n : root->nodes) root->run_tick(*n, Fault::none);
             back_up(*root);
         }
-        // A fleet in which no member acts can't violate an invariant, so a search from such a state would
-        // show nothing and is reported as failed.
+        // A fleet in which no member acts can't violate an invariant. A search from such a state would prove
+        // nothing, so the explorer reports a failure.
         if (std::none_of(root->nodes.begin(), root->nodes.end(),
                          [&](const auto& n) { return n->agent->may_act(n->clock(root->tick), the_duty); })) {
-            found_.path.push_back("nobody owns the duty at rest");
+            found_.path.push_back("no member owns the duty after the fleet has come to rest");
             return found_;
         }
         root->faults_left = bounds_.faults;
@@ -275,7 +278,8 @@
         if (s.backups.size() > 4) s.backups.erase(s.backups.begin());
     }
 
-    // Branches over the events of the registry and of late requests before the processes run.
+    // Branches over the events that can happen before the processes run: none, the arrival of a late request,
+    // or a restore of the registry.
     void branch(const StatePtr& s) {
         auto fresh = [&] {
             auto c = std::make_shared<State>(*s);
@@ -308,8 +312,8 @@
                 }
     }
 
-    // Branches over recoveries: each process resumes, restarts or is reconnected, or stays as it is. Then one
-    // process may have a fault.
+    // Branches over recoveries: each process that is stopped, crashed or partitioned either recovers or stays
+    // as it is. Then branch_faults() branches over the faults of one process.
     void branch_recoveries(const std::shared_ptr<State>& c, std::size_t n = 0) {
         if (n == c->nodes.size()) return branch_faults(c);
         Node& node = *c->nodes[n];
--- a/testing/interleaving_explorer.hpp
+++ b/testing/interleaving_explorer.hpp
@@ -1,14 +1,20 @@
 // Explores every interleaving of a few Agents and a bounded number of faults. The search starts from a fleet
-// at rest and goes breadth first, tick by tick, visiting each state once, so that the first violated
-// invariant is reported with a shortest path to it.
+// at rest. It proceeds breadth first, tick by tick, and visits each state once. Therefore it reports the
+// first violated invariant with a shortest path to the violation.
 //
-// A tick is an eighth of a term. In a tick each running process receives the watch's changes, wakes, makes
-// one fenced write if it may begin one, and has its transactions committed and answered; the processes run in
-// either order. Each fault can hit any member at any tick, up to a total number of faults: its request is
-// lost, its response is lost, its request arrives at any later tick, it stops (and resumes at any later
-// tick), it stops after sending its request, it stops after its request was committed, it is partitioned
-// (until any later tick), it crashes (and restarts at any later tick). The registry can also be restored from
-// a backup that is a term old.
+// A tick is an eighth of a term. In a tick, each running process receives the watch's changes, wakes, makes
+// one fenced write if it may begin one, and has its transactions committed and their results delivered. The
+// search tries both orders in which the processes can run.
+//
+// Each fault can hit any member at any tick, up to a total number of faults. The faults of a member are:
+//    a request of the member is lost, or the reply to it is lost
+//    a request of the member arrives at any later tick
+//    the process stops, stops after sending a request, or stops after its request was committed; it resumes
+//      at any later tick
+//    the member is partitioned until any later tick
+//    the process crashes and restarts at any later tick
+//
+// The registry can also be restored from a backup that is at least a term old, which counts as a fault.
 #pragma once
 
 #include <cstdint>
@@ -21,10 +27,10 @@
     std::size_t members = 2;
     int ticks = 24;
     int faults = 1;
-    /// The search stops at this number of states and is then incomplete.
+    /// The search stops when it has visited this number of states, and its result is then incomplete.
     std::uint64_t max_states = 2'000'000;
-    /// Drift of the clocks: the first member's clock is slow and the second's is fast by this share, or the
-    /// other way round.
+    /// Drift of the clocks, as a share of real time. The first member's clock is slow and the second member's
+    /// clock is fast by this share, or the other way round if `first_is_slow` is false.
     double drift = 0.25;
     bool first_is_slow = true;
 };
@@ -32,8 +38,8 @@
 struct ExplorationResult {
     std::uint64_t states = 0;
     bool complete = true;  // false if the search stopped at max_states
-    /// The events that led to a violation, a line for each tick with an event; empty if no invariant was
-    /// violated.
+    /// The events that led to a violation, with one line for each tick that had an event. Empty if no
+    /// invariant was violated.
     std::vector<std::string> path;
 };
 
--- a/testing/known_endpoints.hpp
+++ b/testing/known_endpoints.hpp
@@ -1,4 +1,4 @@
-// The endpoint list that results from applying all updates in order.
+// The endpoint list that results when all endpoint updates are applied in order.
 #pragma once
 
 #include <map>
--- a/testing/process.cpp
+++ b/testing/process.cpp
@@ -28,7 +28,8 @@
     return all;
 }
 
-// Converts "0100007F:1F90" to 127.0.0.1:8080. Returns longer addresses (IPv6) unchanged.
+// Converts an address from the kernel's tables: "0100007F:1F90" becomes 127.0.0.1:8080. Returns longer
+// addresses (IPv6) unchanged.
 std::string address_of(const std::string& hex) {
     unsigned ip = 0, port = 0;
     if (hex.size() != 13 || std::sscanf(hex.c_str(), "%8X:%4X", &ip, &port) != 2) return hex;
@@ -54,9 +55,9 @@
     const std::vector<char*> argv = pointers(options.command), env = pointers(options.environment);
     const std::string log = options.log.empty() ? "/dev/null" : options.log;
     id_ = ::fork();
-    if (id_ < 0) throw std::runtime_error("cannot create a process");
+    if (id_ < 0) throw std::runtime_error("cannot create a process to run " + options.command.front());
     if (id_ > 0) return;
-    // The caller may have threads, so only calls that are safe between fork and exec follow.
+    // The caller may have several threads, so the child makes only calls that are safe between fork and exec.
     const int out = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
     if (out >= 0) {
         ::dup2(out, 1);
@@ -129,7 +130,8 @@
         std::ifstream stat(entry.path() / "stat");
         std::string line;
         if (!std::getline(stat, line)) continue;
-        // PID (NAME) STATE PPID; the name may contain any character.
+        // The line begins with PID (NAME) STATE PPID. NAME may contain any character, so the parsing starts
+        // after the last parenthesis.
         std::istringstream rest(line.substr(std::min(line.size(), line.rfind(')') + 1)));
         std::string state;
         pid_t parent = 0;
@@ -147,7 +149,8 @@
     std::ifstream stat(proc_path(id, "stat"));
     std::string line;
     if (!std::getline(stat, line)) return 0;
-    // PID (NAME) STATE PPID ... UTIME STIME (fields 14 and 15); the name may contain any character.
+    // The line holds PID (NAME) STATE PPID ... UTIME STIME; the last two are fields 14 and 15. NAME may
+    // contain any character, so the parsing starts after the last parenthesis.
     std::istringstream rest(line.substr(std::min(line.size(), line.rfind(')') + 1)));
     std::string skipped;
     for (int field = 3; field < 14; ++field) rest >> skipped;
--- a/testing/process.hpp
+++ b/testing/process.hpp
@@ -1,5 +1,6 @@
-// Starts a program as a child process and ends it, and reads its state from outside through Linux's /proc:
-// sockets, threads, children, executable. The process itself does not take part.
+// Starts a program as a child process and ends the process. The functions below read the state of any process
+// from Linux's /proc, without help from the process: its sockets, threads, children, executable and use of
+// resources.
 #pragma once
 
 #include <sys/types.h>
@@ -16,13 +17,14 @@
     struct Options {
         std::vector<std::string> command;  // path and arguments
         std::vector<std::string> environment;
-        /// Working directory; empty is the caller's.
+        /// Working directory of the process. If empty, the process keeps the caller's.
         std::string folder;
-        /// File to which the process appends its output; empty discards it.
+        /// File to which the process appends its output. If empty, the output is discarded.
         std::string log;
-        /// If false, the first byte that the process writes to a file kills it (SIGXFSZ).
+        /// If false, the kernel kills the process (SIGXFSZ) when the process writes the first byte to a file.
         bool may_write = true;
-        /// Kills the process when the thread that started it ends for any reason.
+        /// If true, the kernel kills the process when the thread that started the process ends for any
+        /// reason.
         bool kill_with_parent = false;
     };
     // Throws std::runtime_error if no process can be created.
@@ -35,7 +37,7 @@
     bool running();
     // The status from waitpid() after the process has ended.
     std::optional<int> status() const { return status_; }
-    // Whether the process has exited by itself with code 0.
+    // Returns whether the process has exited by itself with code 0.
     bool exited_cleanly() const { return status_ == 0; }
     void signal(int number);
     void kill_and_wait();
@@ -52,7 +54,8 @@
     auto operator<=>(const SocketInfo&) const = default;
 };
 
-// Omits sockets that no table lists: those that are neither bound nor connected.
+// Returns the process's sockets that a table in /proc/net lists. No table lists sockets that are neither
+// bound nor connected, so the result lacks these sockets.
 std::vector<SocketInfo> sockets_of(pid_t id);
 std::size_t threads_of(pid_t id);
 std::size_t children_of(pid_t id);
@@ -60,6 +63,6 @@
 double processor_seconds(pid_t id);    // user and system time used so far
 std::size_t resident_bytes(pid_t id);  // resident set size
 std::size_t descriptors_of(pid_t id);
-bool maps(pid_t id, const std::string& part_of_name);  // whether a file with such a name is mapped
+bool maps(pid_t id, const std::string& part_of_name);  // whether it maps a file with this part in its path
 
 }  // namespace irismux::test_support
--- a/testing/process_fleet.cpp
+++ b/testing/process_fleet.cpp
@@ -21,7 +21,7 @@
     return i.name.raw() + '/' + std::to_string(i.incarnation.raw());
 }
 
-// An address with a port on which no process listens now.
+// Returns an address with a port on which no process listens now.
 std::string free_address() {
     Poco::Net::ServerSocket s(Poco::Net::SocketAddress("127.0.0.1:0"));
     return s.address().toString();
@@ -150,7 +150,7 @@
 
 void ProcessFleet::set_clock(std::size_t n, double rate, Duration ahead) {
     const std::int64_t us = ahead.micros();
-    // Writes in place, because the process has the file mapped.
+    // Overwrites the file in place, because the process has this file mapped and would not see a new file.
     std::fstream file(gateways[n].clock_file, std::ios::in | std::ios::out | std::ios::binary);
     file.write(reinterpret_cast<const char*>(&rate), sizeof rate);
     file.write(reinterpret_cast<const char*>(&us), sizeof us);
@@ -234,11 +234,11 @@
             violations.insert(std::to_string(g.clients->open_requests()) + " requests of " + g.name +
                               " have no response");
         if (g.clients->duplicate_responses > 0)
-            violations.insert("a request of " + g.name + " got two responses");
+            violations.insert("a request of " + g.name + " got more than one response");
     }
 }
 
-// Checks each transaction that the registry has run.
+// Checks a transaction that the registry has run. Records its fenced writes and changes of owner.
 void ProcessFleet::check(const FakeRegistry::SettledTransaction& t) {
     for (const auto& [path, value] : t.writes) {
         if (!value || path.rfind(prefix, 0) != 0) continue;
@@ -251,7 +251,7 @@
             if (by.name.raw().empty()) continue;
             const auto [it, fresh] = token_owners_.try_emplace({d->raw(), r->token}, by);
             if (!fresh && it->second != by)
-                violations.insert("token " + std::to_string(r->token.raw()) + " of " + d->raw() +
+                violations.insert("token " + std::to_string(r->token.raw()) + " of duty " + d->raw() +
                                   " was given to " + instance_name(it->second) + " and " + instance_name(by));
         }
         std::optional<FencedWriteRecord> w;
@@ -267,18 +267,21 @@
         const auto now_owns = duty_record(w->duty);
         if (!now_owns || now_owns->token != w->token || now_owns->owner != w->by.name ||
             now_owns->incarnation != w->by.incarnation)
-            violations.insert("a write on " + w->duty + " by " + instance_name(w->by) + " under token " +
-                              std::to_string(w->token.raw()) + ", which does not own the duty");
+            violations.insert("a write on duty " + w->duty + " by " + instance_name(w->by) + " under token " +
+                              std::to_string(w->token.raw()) +
+                              ", but this instance does not own the duty under this token");
         FencingToken& highest = highest_token_[w->duty];
         if (w->token < highest)
-            violations.insert("a write on " + w->duty + " by token " + std::to_string(w->token.raw()) +
-                              " after one by " + std::to_string(highest.raw()));
+            violations.insert("a write on duty " + w->duty + " under token " +
+                              std::to_string(w->token.raw()) + " after a write under token " +
+                              std::to_string(highest.raw()));
         highest = std::max(highest, w->token);
     }
 }
 
-// A gateway that checked a cache before another gateway did is a former owner of the cache's health check
-// duty until it owns the duty again.
+// Checks that no former owner goes on with health checks of the cache. A gateway that checked the cache
+// before another gateway did is a former owner of the cache's health check duty until it owns the duty again.
+// One late check is allowed, because it may have been in flight.
 void ProcessFleet::check_health_check(std::size_t gateway, std::size_t cache) {
     health_checks.push_back({loop.now(), gateway, cache});
     auto& order = health_checkers_[cache];
@@ -289,8 +292,8 @@
         order.push_back(gateway);
         late_health_checks_[cache] = 0;
     } else if (++late_health_checks_[cache] > max_late_health_checks) {
-        violations.insert(gateways[gateway].name + " keeps checking " + caches[cache]->id() +
-                          " after another gateway has begun to");
+        violations.insert(gateways[gateway].name + " goes on with health checks of " + caches[cache]->id() +
+                          " after another gateway has taken them over");
     }
 }
 
--- a/testing/process_fleet.hpp
+++ b/testing/process_fleet.hpp
@@ -2,14 +2,15 @@
 // registry, to its notice board, to each cache and from its clients. Tests inject faults into the links and
 // the processes.
 //
-// The fakes record what they receive. Each transaction that the registry commits and each health check that a
-// cache's proxy forwards is checked for violations:
-//
-//   a fenced write by an instance that does not own the duty under the token in the write
-//   a write under a token after a write under a higher token
-//   one token of a duty for two instances, also across restores of the registry
-//   a health check by a former owner after its successor's first one, except one that was in flight
-//   a request without exactly one response
+// The fakes record what they receive. The fleet checks each transaction that the registry runs and each
+// health check that reaches a cache's proxy; check_all_answered() checks the requests of the clients. The
+// following are violations:
+//    a fenced write by an instance that does not own the duty under the token of the write
+//    a fenced write under a token after the registry has accepted a write under a higher token of the duty
+//    one token of a duty given to two instances, also across restores of the registry
+//    a health check by a former owner after the first health check by its successor, except a health check
+//      that was in flight
+//    a request that does not get exactly one response
 #pragma once
 
 #include <array>
@@ -41,11 +42,11 @@
                  collection_interval = Duration::micros(100'000);
         Duration request_interval = Duration::micros(10'000);  // interval of each gateway's clients
         bool probes = true;
-        /// Each gateway stores the tokens that it has seen in a folder of its own.
+        /// If true, each gateway stores the fencing tokens that it has seen in a folder of its own.
         bool stores_tokens = false;
-        /// Returns more keys for the [fleet] section of the gateway with this number.
+        /// Returns additional lines for the [fleet] section of the gateway with this number.
         std::function<std::string(std::size_t)> fleet_lines = [](std::size_t) { return std::string(); };
-        /// Path of the shim with skewed clocks; empty leaves all gateways the machine's clocks.
+        /// Path of the shim library that skews clocks. If empty, all gateways use the machine's clocks.
         std::string clock_library;
     };
 
@@ -71,18 +72,18 @@
     void resume(std::size_t n);  // SIGCONT
     void partition_registry(std::size_t n, bool outbound, bool inbound);
     void partition_caches(std::size_t n, bool enabled);
-    void set_cache_dead(std::size_t c, bool dead);  // for all gateways
-    // Starts the gateway's clients once the gateway listens.
+    void set_cache_dead(std::size_t c, bool dead);  // stops or restarts the cache for all gateways
+    // Waits until the gateway listens and then starts its clients.
     void start_clients(std::size_t n);
     // Sets rate and offset of the gateway's steady clocks. Needs Options::clock_library.
     void set_clock(std::size_t n, double rate, Duration ahead = {});
     bool wait_until(std::function<bool()> condition, Duration timeout = Duration::micros(20'000'000));
-    // Runs the loop for a fixed time, for checks that something does not happen.
+    // Runs the loop for a fixed time, so that a test can check that something does not happen.
     void run_for(Duration time);
 
     // --- what the fakes and proxies observe
     std::optional<fleet::DutyRecord> duty_record(const std::string& name) const;
-    // The gateway that owns the duty and is a live member according to the registry.
+    // Returns the gateway that, according to the registry, owns the duty and is a live member.
     std::optional<std::size_t> owner(const std::string& duty) const;
     std::optional<fleet::MemberRecord> member_record(std::size_t n) const;
     std::optional<std::string> record(const std::string& key) const;  // value of a key below the prefix
@@ -94,7 +95,7 @@
         fleet::Instance by;
         bool accepted = false;
     };
-    std::vector<FencedWriteRecord> fenced_writes;  // includes refused ones
+    std::vector<FencedWriteRecord> fenced_writes;  // includes refused writes
     struct HealthCheckRecord {
         TimePoint at;
         std::size_t gateway = 0, cache = 0;
@@ -110,8 +111,8 @@
     std::size_t accepted_writes(const std::string& duty, std::size_t n, fleet::Incarnation start) const;
     std::set<std::string> violations;
     bool logged(std::size_t n, const std::string& part_of_a_line) const;
-    // Stops all clients, waits for their open requests and adds a violation for each gateway with a request
-    // that has no response or several.
+    // Stops all clients and waits for their open requests. Adds a violation for each gateway with a request
+    // that has no response or several responses.
     void check_all_answered();
 
     EventLoop loop;
@@ -119,7 +120,7 @@
     std::vector<std::unique_ptr<FakeCache>> caches;
     std::vector<Gateway> gateways;
     const Options options;
-    // Called for each transaction that has run, after its checks.
+    // Called for each transaction after the registry has run it and the fleet has checked it.
     std::function<void(const FakeRegistry::SettledTransaction&)> on_transaction =
         [](const FakeRegistry::SettledTransaction&) {};
 
@@ -133,7 +134,8 @@
 
     std::map<std::string, fleet::FencingToken> highest_token_;
     std::map<std::pair<std::string, fleet::FencingToken>, fleet::Instance> token_owners_;
-    // The gateways that have checked a cache, in order of their turns as owner.
+    // The gateways that have checked each cache, in the order in which they became owner of the cache's
+    // health check duty.
     std::map<std::size_t, std::vector<std::size_t>> health_checkers_;
     std::map<std::size_t, int> late_health_checks_;
     LoopRunner loop_runner_{loop};  // last member: destroyed first, which ends the loop
--- a/testing/registry_model.hpp
+++ b/testing/registry_model.hpp
@@ -35,13 +35,13 @@
     }
     Revision erase(const std::string& key) { return commit({{RecordKey{key}, std::nullopt}}); }
 
-    // Drops the history before this revision; reads at this revision still work.
+    // Drops the history before this revision. Reads at this revision still work.
     void compact(Revision to);
-    // Restores the backup of a revision and drops all later revisions. The registry then answers as a new
-    // cluster or as the same one.
+    // Restores the backup of a revision and drops all later revisions. If `another_cluster` is true, the
+    // registry replies under a new cluster id afterwards.
     void restore(Revision backup, bool another_cluster);
 
-    // Returns nullptr if the revision is compacted or does not exist yet.
+    // Returns the state at a revision, or nullptr if the revision is compacted or does not exist yet.
     const State* at(Revision r) const;
     // Returns the changes with revisions in [from, upto], oldest first, or std::nullopt if `from` is
     // compacted.
@@ -53,7 +53,7 @@
     std::map<Revision, std::vector<Change>> history_;
 };
 
-// The value of an endpoint's record in the registry, in the form that line_of() reads.
+// Returns the value of an endpoint's record in the registry, in the form that parse_endpoint_record() reads.
 std::string endpoint_value(const std::string& id, const std::string& state, double weight = 1,
                            std::int64_t started_ms = 0, const std::string& address = "");
 
--- a/testing/shims.cpp
+++ b/testing/shims.cpp
@@ -10,7 +10,7 @@
 
 namespace fs = std::filesystem;
 
-// Writes in place, because the process has the file mapped.
+// Overwrites the file in place, because the process has this file mapped and would not see a new file.
 template <class Settings>
 void write_settings(const std::string& path, const Settings& settings) {
     if (!fs::exists(path)) std::ofstream(path).flush();
@@ -23,7 +23,8 @@
 Shims::Shims(ShimLibraries libraries) : libraries_(std::move(libraries)) {
     folder_ = (fs::temp_directory_path() / "irismux-shims-XXXXXX").string();
     if (!::mkdtemp(folder_.data()))
-        throw std::runtime_error("cannot create a temporary folder for the shims");
+        throw std::runtime_error("cannot create a temporary folder for the shims in " +
+                                 fs::temp_directory_path().string());
     clock_file_ = folder_ + "/clock";
     calls_file_ = folder_ + "/calls";
     set_clock({});
--- a/testing/shims.hpp
+++ b/testing/shims.hpp
@@ -1,4 +1,5 @@
-// Starts processes under the shims and controls which system calls fail in them and what their clocks show.
+// Provides the environment that loads the shim libraries into a process. Controls which system calls fail in
+// this process and what its clocks show.
 #pragma once
 
 #include <string>
@@ -10,7 +11,7 @@
 
 namespace irismux::test_support {
 
-// Paths of the built libraries.
+// Paths of the built shim libraries: skewed_clock and failing_calls.
 struct ShimLibraries {
     std::string clock, calls;
 };
@@ -23,9 +24,9 @@
     Shims(const Shims&) = delete;
     Shims& operator=(const Shims&) = delete;
 
-    // The environment variables that load the shims into a process.
+    // Returns the environment variables that load the shims into a process.
     std::vector<std::string> environment() const;
-    // Both take effect at once, also in a process that already runs.
+    // set_calls() and set_clock() take effect at once, also in a process that already runs.
     void set_calls(const CallFaults& faults);
     void set_clock(const ClockSkew& skew);
 
--- a/testing/single_process.cpp
+++ b/testing/single_process.cpp
@@ -140,7 +140,9 @@
 
 SingleProcess::SingleProcess(const Options& options) {
     folder = (fs::temp_directory_path() / ("irismux-solo-XXXXXX")).string();
-    if (!::mkdtemp(folder.data())) throw std::runtime_error("cannot create a temporary folder");
+    if (!::mkdtemp(folder.data()))
+        throw std::runtime_error("cannot create a temporary folder for the gateway in " +
+                                 fs::temp_directory_path().string());
     notice_board = std::make_unique<FakeNoticeBoard>(loop);
     nlohmann::json lines = nlohmann::json::array();
     for (std::size_t c = 0; c < options.caches; ++c) {
@@ -166,10 +168,9 @@
         if (options.answer_at_once)
             c->on_attempt = [&c = *c](const ScriptedCache::ReceivedAttempt& p) { c.answer(p); };
     if (!wait_until([&] { return logged("listening gateway="); }))
-        throw std::runtime_error(
-            "the gateway does not listen, " +
-            std::string(process->running() ? "and its process runs" : "its process has ended") + ":\n" +
-            log_tail());
+        throw std::runtime_error("the gateway did not start to listen within 10 s; its process " +
+                                 std::string(process->running() ? "still runs" : "has ended") +
+                                 "; its log:\n" + log_tail());
 }
 
 SingleProcess::~SingleProcess() {
--- a/testing/single_process.hpp
+++ b/testing/single_process.hpp
@@ -1,6 +1,6 @@
-// One gateway process with caches and clients that the test controls step by step: caches that answer, close,
-// reset or stop reading on command, connections that are never accepted, and clients that send byte by byte.
-// The caches and clients record each complete message and when it arrived.
+// One gateway process with caches and clients that the test controls step by step: caches that respond,
+// close, reset or stop reading on command, connections that are never accepted, and clients that send byte by
+// byte. The caches and clients record each complete message and the time at which the message arrived.
 #pragma once
 
 #include <deque>
@@ -16,7 +16,7 @@
 
 namespace irismux::test_support {
 
-// A cache that takes no action except those of the test.
+// A cache that responds, closes and stops reading only when the test makes it do so.
 class ScriptedCache {
 public:
     ScriptedCache(EventLoop& loop, std::string id, int backlog = 64);
@@ -33,8 +33,8 @@
     void answer(const ReceivedAttempt&, const std::string& result = "HIT",
                 const std::string& body = "a body");
 
-    // Fills the backlog so that no new connection is established until resume_accepting(). Needs a backlog of
-    // 0.
+    // Fills the backlog of the listening socket, so that no new connection is established until
+    // resume_accepting(). The cache must have been created with a backlog of 0.
     void hold_connections();
     void resume_accepting();
     std::vector<std::shared_ptr<TestConnection>> connections;  // in order of acceptance
@@ -71,7 +71,7 @@
         std::string body = {};
     };
     std::vector<Response> responses;
-    // Whether the response to this request has arrived and begins with this status.
+    // Returns whether the response to this request has arrived and begins with this status.
     bool has_response(std::uint16_t number, const std::string& status = "Status: ") const;
     bool ended = false;  // the gateway closed the connection
     std::shared_ptr<TestConnection> connection;
@@ -89,9 +89,10 @@
         int backlog = 64;
         bool answer_at_once = false;  // each cache answers each attempt at once
         std::function<void(nlohmann::json&)> adjust_configuration = [](auto&) {};
-        std::vector<std::string> environment = {};  // added to the variables for the configuration
+        std::vector<std::string> environment = {};  // variables in addition to those for the configuration
     };
-    // Returns when the gateway listens. Throws std::runtime_error if it does not.
+    // Starts the gateway and returns when the gateway listens. Throws std::runtime_error if the gateway does
+    // not listen within 10 s.
     explicit SingleProcess(const Options& options);
     ~SingleProcess();
 
@@ -99,16 +100,17 @@
         return loop_runner_.run_until(std::move(condition), timeout);
     }
     std::shared_ptr<FastCgiClient> connect_client();
-    // Waits for the process to end. Returns whether it exited by itself with code 0.
+    // Waits for the process to end. Returns whether the process exited by itself with code 0.
     bool exited_cleanly();
-    // The first cache that has received the request completely, or nullptr.
+    // Returns the first cache that has completely received an attempt of this request, or nullptr if no cache
+    // has.
     ScriptedCache* cache_serving(const std::string& request_id);
     std::size_t attempts_received(const std::string& request_id) const;
-    // The number of connections that the gateway has started to this cache and that the cache has not
+    // Returns the number of connections that the gateway has started to this cache and that the cache has not
     // accepted.
     std::size_t pending_connections(const ScriptedCache&) const;
     bool logged(const std::string& part_of_a_line) const;
-    // The end of the process's log without debug lines, which report each request.
+    // Returns the end of the process's log. Omits the debug lines, because they report each request.
     std::string log_tail() const;
 
     EventLoop loop;
--- a/testing/site_simulation.cpp
+++ b/testing/site_simulation.cpp
@@ -14,8 +14,8 @@
 constexpr std::size_t max_backups = 64, max_violations = 20;
 constexpr const char* outside = "-";  // site name of members without a site
 
-// The ledger's key for a site's key: records that no watch delivers are below `beat/`, the others below the
-// site's name.
+// Returns the ledger's key for a key of a site. Records that no watch delivers are below `beat/`, all other
+// records of the site below the site's name. The generation's record belongs to all sites and keeps its key.
 std::string ledger_key(const std::string& site, const Key& key) {
     if (key == generation_key()) return key.raw();
     if (const auto member = heartbeat_owner(key)) return "beat/" + site + '/' + member->raw();
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-// A member: its process, if one runs, and the state of its links.
+// A member, with its process if the process runs, and with the state of its links.
 struct SiteSimulation::Process final : public AgentTransport, public AgentObserver {
     Process(SiteSimulation& w, std::size_t n, std::string in) : world(w), number(n), site(std::move(in)) {}
 
@@ -41,7 +41,7 @@
     std::uint64_t transaction_number = 0, process_number = 0, polls = 0, wake_no = 0, restores_seen = 0;
     Revision delivered;
     bool delivering = false;
-    std::set<int> in_force;  // events
+    std::set<int> in_force;  // events in force at the member
     std::int64_t position = 0;
     Incarnation previous_incarnation;
     std::string saved_fence;
@@ -104,7 +104,7 @@
     for (std::size_t n = 0; n < options.legacy_members; ++n)
         processes_.push_back(std::make_unique<Process>(*this, processes_.size(), outside));
     for (const auto& p : processes_) {
-        // The first two members have the slowest and the fastest allowed clock.
+        // The first member has the slowest clock that the drift allows, the second member the fastest.
         const double deviation = p->number == 0 ? -1 : p->number == 1 ? 1 : 2 * random_fraction() - 1;
         p->rate = 1 + deviation * options.drift;
     }
@@ -280,8 +280,8 @@
     });
 }
 
-// Simulates the watch on the site's records: delivers all changes up to the newest revision after a delay, in
-// order.
+// Simulates the member's watch on the records of its site: after a delay, delivers all changes up to the
+// newest revision, in their order.
 void SiteSimulation::deliver_records(Process& p) {
     if (p.delivering || !p.agent || p.inbound_blocked) return;
     p.delivering = true;
@@ -307,7 +307,8 @@
     });
 }
 
-// The guarantees assume that a backup is more than a term old when the registry answers from it.
+// Restores a backup that is older than `age`. The fleet's guarantees assume that a backup is more than a term
+// old when the registry is restored from it.
 void SiteSimulation::restore_registry(Duration age) {
     for (auto b = backups_.rbegin(); b != backups_.rend(); ++b) {
         if (now_ - b->taken <= age) continue;
@@ -322,7 +323,8 @@
     }
 }
 
-// Removes the name from the roster if no member runs under it, like the command `forget`.
+// Does what the operator's command `forget` does: removes the member's name from the site's roster if no
+// member is registered under this name.
 void SiteSimulation::forget_member(std::size_t member) {
     const Process& p = *processes_[member];
     const Key roster{ledger_key(p.site, roster_key())}, is_member{ledger_key(p.site, member_key(p.name))};
@@ -340,7 +342,7 @@
     note_in_force();
 }
 
-// Polls like the notice client: the last response takes effect before the next poll is sent.
+// Polls the board like the notice client, which applies a response before it sends the next poll.
 void SiteSimulation::poll(Process& p) {
     const std::uint64_t process_number = p.process_number, mine = ++p.polls;
     p.when_running([this, &p, process_number, mine] {
@@ -477,8 +479,8 @@
             return m.site.raw() == p->site && (m.member == p->name || m.member.raw().empty());
         });
         if (excepted || !acts_without(*p, event) || violations.size() >= max_violations) continue;
-        violations.push_back((all ? "everywhere" : "all but others") + std::string(" reported for event ") +
-                             std::to_string(n) + " at " + std::to_string(now_.seconds() - 1000) + ", and " +
+        violations.push_back((all ? "`everywhere`" : "`all_but`") + std::string(" was reported for event ") +
+                             std::to_string(n) + " at " + std::to_string(now_.seconds() - 1000) + " s, but " +
                              p->name.raw() + " acts without the event");
     }
 }
--- a/testing/site_simulation.hpp
+++ b/testing/site_simulation.hpp
@@ -1,8 +1,9 @@
-// A simulation of all sites of an installation in virtual time, from one seed: members share one registry and
-// acknowledge the events of a notice board, and readers judge which events are in force everywhere. Messages
-// are lost, delayed and repeated, processes stop, crash and restart with old state, links to the registry and
-// to the board are partitioned, and both are restored from backups. Whenever a reader reports `everywhere` or
-// `all_but`, the simulation inspects every process that the verdict covers: none may act without the event.
+// A simulation of all sites of an installation in virtual time, from one seed. Members share one registry and
+// acknowledge the events of a notice board. Readers judge which events are in force everywhere. Messages are
+// lost, delayed and repeated, processes stop, crash and restart with old state, links to the registry and to
+// the board are partitioned, and both the registry and the board are restored from backups. Whenever a reader
+// reports `everywhere` or `all_but`, the simulation inspects every process that the verdict covers: none of
+// these processes may act without the event.
 #pragma once
 
 #include <functional>
@@ -22,25 +23,26 @@
 
 class SiteSimulation {
 public:
-    // lose, late and repeat are probabilities per message, the others per second and member; restores are per
-    // second.
+    // `lose`, `late` and `repeat` are probabilities per message. `registry_restore` and `board_restore` are
+    // rates per second. The others are rates per second and member.
     struct FaultRates {
         double lose = 0, late = 0, repeat = 0;
         double stop = 0, crash = 0, partition = 0, board_partition = 0, registry_restore = 0,
                board_restore = 0;
     };
     struct Options {
-        /// The number of members of each site.
+        /// Number of members at each site.
         std::vector<std::size_t> sites = {3, 3};
-        /// Members that belong to no site and report nothing.
+        /// Number of members that belong to no site and report nothing.
         std::size_t legacy_members = 0;
-        /// Further sites of the readers' inventory, and other member counts for the sites above.
+        /// Entries of the readers' inventory that differ from `sites`: additional sites, and other member
+        /// counts for the sites in `sites`.
         std::map<std::string, std::size_t> inventory = {};
         double drift = 0.05;
         Duration publish_every = Duration::micros(1'000'000);
         bool readers = true;
     };
-    // A reader's last verdict on the newest event at its time.
+    // A reader's last verdict on the event that was the newest at the time of the verdict.
     struct ReportedVerdict {
         TimePoint at;
         std::int64_t event = 0;
@@ -59,7 +61,8 @@
     std::int64_t newest() const;                // number of the board's newest event
 
     void kill(std::size_t member);
-    // Starts the member with the state that it had this many events ago; zero is the board's current state.
+    // Starts the member with an old state: all events of the board are in force at the member except the
+    // newest `events_ago`. Zero means the board's current state.
     void start(std::size_t member, std::size_t events_ago = 0);
     void leave(std::size_t member);
     void stop(std::size_t member);
@@ -69,26 +72,26 @@
     void recover(std::size_t member);
     void set_publishing(bool enabled) { publishing_ = enabled; }
     void publish();
-    // Restores the board to its state this many events ago. If announced, the operator starts a new
-    // generation before the board continues.
+    // Restores the board to its state before the newest `events` events. If `announced` is true, the operator
+    // starts a new generation before the board continues.
     void restore_board(std::size_t events, bool announced);
     void restore_registry(Duration age);
     void forget_member(std::size_t member);  // the operator's command `forget`
 
     TimePoint now() const { return now_; }
     const ReportedVerdict& last_verdict() const { return last_verdicts_.front(); }
-    // The first reader's last verdict on this event. From the first call on, the readers judge the event at
-    // each reading, however old it is.
+    // Returns the first reader's last verdict on this event. After the first call for an event, the readers
+    // judge the event at each reading, however old the event is.
     fleet::FleetStatus::Verdict verdict_of(std::int64_t event);
-    // Whether no process acts without the newest event now.
+    // Returns whether no process acts without the board's newest event now.
     bool in_force_everywhere() const;
     std::string debug_state() const;
 
     std::vector<std::string> violations;
-    std::uint64_t transactions = 0, deliveries = 0;  // at the registry; records sent to watches
+    std::uint64_t transactions = 0, deliveries = 0;  // transactions run; records sent to watches
     std::uint64_t everywhere_verdicts = 0, all_but_verdicts = 0;
-    // The longest time since reset_measurements() from an event being in force everywhere until the first
-    // reader reported it.
+    // Longest delay since the last call of reset_measurements(). The delay of an event begins when the event
+    // is in force everywhere and ends when the first reader reports that.
     Duration longest_verdict_delay;
     void reset_measurements();
 
--- a/testing/skewed_clock.cpp
+++ b/testing/skewed_clock.cpp
@@ -1,6 +1,7 @@
-// A shim library, loaded into a process with LD_PRELOAD, that changes the rate of the process's steady clocks
-// and makes them jump, as on a machine that was suspended. It also steps the wall clock. The file named by
-// IRISMUX_CLOCK_SKEW_FILE holds a test_support::ClockSkew, which may change while the process runs.
+// A shim library that changes the rate of a process's steady clocks and makes these clocks jump, as on a
+// machine that was suspended. It also steps the process's wall clock. LD_PRELOAD loads the library into the
+// process. The environment variable IRISMUX_CLOCK_SKEW_FILE holds the path of a file with a
+// test_support::ClockSkew; a test may change the file while the process runs.
 #include "testing/skewed_clock.hpp"
 
 #include <dlfcn.h>
--- a/testing/skewed_clock.hpp
+++ b/testing/skewed_clock.hpp
@@ -1,6 +1,7 @@
-// The settings of the shim testing/skewed_clock.cpp: rate and offsets of the clocks that a process sees. The
-// process maps a file of this layout, whose path the environment variable IRISMUX_CLOCK_SKEW_FILE holds. In a
-// shorter file the fields behind its end are zero.
+// Settings of the shim library testing/skewed_clock.cpp: rate and offsets of the clocks that a process sees.
+// A process that runs under the shim maps a file of this layout into its memory. The environment variable
+// IRISMUX_CLOCK_SKEW_FILE holds the path of the file. If the file is shorter than the layout, the fields
+// beyond its end are zero.
 #pragma once
 
 #include <cstdint>
--- a/testing/soak.cpp
+++ b/testing/soak.cpp
@@ -14,7 +14,7 @@
 
 using nlohmann::json;
 
-// Limits from the platform's documentation.
+// Limits that the platform's documentation states.
 constexpr Duration grace_after_drain = Duration::micros(700'000),
                    max_drain_time = Duration::micros(3'000'000);
 constexpr Duration new_connections_after_term = Duration::micros(300'000);
@@ -24,7 +24,7 @@
                    drain_grace = Duration::micros(250'000);
 constexpr double timeout_slack_ms = 150;
 constexpr std::size_t max_descriptors = 256;
-// Allowed delay of the fakes themselves on a machine with other load.
+// Delay that the checks allow for the fakes themselves, which run late on a machine with other load.
 constexpr Duration slack = Duration::micros(60'000);
 constexpr Duration tick = Duration::micros(2'000);
 
@@ -34,7 +34,8 @@
         .count();
 }
 
-// An event of the board and the time at which a poll showed that the gateway has it.
+// An event of the notice board, and the time at which one of the gateway's polls showed that the gateway has
+// received the event.
 struct PostedEvent {
     TimePoint posted;
     std::int64_t revision = 0;
@@ -138,7 +139,7 @@
                     attempt.connection->output().append("*4\r\n$3\r\nspoilt");
                     return attempt.connection->write();
                 default:
-                    return;  // no answer
+                    return;  // the cache does not respond
             }
         };
     }
@@ -156,7 +157,7 @@
         add(ClientBehaviour::garbling, script_.garbling);
     }
 
-    // Schedules the script's events by the time since the start of the clients.
+    // Schedules the events of the script by their times after the start of the load.
     void plan() {
         const auto at = [&](double share, std::function<void()> what) {
             plan_.emplace(Duration::seconds(options_.seconds * share), std::move(what));
@@ -180,7 +181,7 @@
         events_.back().revision =
             gateway_->notice_board->post({{"flush", {{"collection", 1}, {"ms", unix_now_ms()}}}});
     }
-    // Drains the last cache; the others remain.
+    // Drains the last cache. All other caches stay in service.
     void drain() {
         const ScriptedCache& cache = *gateway_->caches.back();
         events_.push_back({gateway_->loop.now(), 0, cache.id(), {}});
@@ -208,11 +209,12 @@
         if (!gateway_->process->running() && !leaving_ && !std::exchange(died_, true))
             violation("the process ended before SIGTERM");
         if (descriptors_of(gateway_->process->id()) > max_descriptors)
-            violation("more open descriptors than the limit");
+            violation("the process has more open descriptors than its limit of " +
+                      std::to_string(max_descriptors));
     }
 
-    // Sends SIGTERM, further signals and, at the earliest allowed time, SIGKILL. Clients keep sending until
-    // then.
+    // Sends SIGTERM, further signals and, at the earliest allowed time, SIGKILL. The clients go on sending
+    // requests until the process ends.
     void leave() {
         const TimePoint told = gateway_->loop.now();
         leaving_ = true;
@@ -226,8 +228,8 @@
                           [this, n] { gateway_->process->signal(n % 2 == 0 ? SIGTERM : SIGHUP); });
         while (gateway_->loop.now() < kill_at && gateway_->process->running())
             step(gateway_->loop.now() > told + new_connections_after_term);
-        // By the platform's documentation, requests without a response at SIGKILL are lost; check_request()
-        // judges each request by that.
+        // The platform's documentation states that a request without a response at SIGKILL is lost.
+        // check_request() therefore judges such a request like any other request without a response.
         result_.killed = !died_ && gateway_->process->running();
         if (!died_ && !result_.killed && !gateway_->process->exited_cleanly())
             violation("the process exited with a status other than 0");
@@ -287,7 +289,8 @@
         const double left_ms = (r.due() - attempt.at).seconds() * 1000;
         const std::string patience(resp::field(attempt.fields, "patience"));
         if (std::atof(patience.c_str()) > left_ms + timeout_slack_ms + slack.seconds() * 1000)
-            violation("the attempt's timeout is longer than the time left: " + attempt.request_id);
+            violation("the attempt's timeout is longer than the time left until the client's timeout: " +
+                      attempt.request_id);
         if (r.cancelled && attempt.at > *r.cancelled + max_attempt_after_cancel + slack)
             violation("1: attempt started after the client had cancelled: " + attempt.request_id);
     }
@@ -312,7 +315,7 @@
             std::sort(at.begin(), at.end());
             for (std::size_t n = 1; n < at.size(); ++n)
                 if ((at[n] - at[n - 1]).seconds() < script_.deadline_s)
-                    violation("2: executed twice: " + what);
+                    violation("2: a request that must not be repeated was executed twice: " + what);
         }
     }
 
--- a/testing/soak.hpp
+++ b/testing/soak.hpp
@@ -1,12 +1,12 @@
-// A soak test of one gateway process, from a seed. Clients behave well, cancel requests, repeat ids, send
-// malformed bytes or only open connections. Caches answer late, twice, with errors or not at all, close
-// connections and drain. The notice board falls silent, breaks connections and publishes purges. System calls
-// fail, and the wall clock is stepped. The process gets SIGHUP while it runs, then SIGTERM and further
-// signals while clients keep using their connections, and SIGKILL at the earliest time that the platform
-// allows.
+// A soak test of one gateway process, with a script that is drawn from a seed. Clients behave well, cancel
+// requests, repeat ids, send malformed bytes or only open connections. Caches respond late, twice, with
+// errors or not at all, close connections and drain. The notice board falls silent, breaks connections and
+// publishes purges. System calls fail, and the wall clock is stepped. The process gets SIGHUP while it runs.
+// At the end it gets SIGTERM and further signals while clients keep using their connections, and SIGKILL at
+// the earliest time that the platform allows.
 //
-// The verdicts come from the records of clients and caches. The same seed draws the same script; the timing
-// between its steps depends on the machine.
+// The test judges the gateway by what the clients and caches have recorded. The same seed draws the same
+// script, but the timing between the steps of the script depends on the machine.
 #pragma once
 
 #include <cstddef>
@@ -26,7 +26,7 @@
 };
 
 struct SoakResult {
-    std::vector<std::string> violations;  // each begins with the number of its rule if it has one
+    std::vector<std::string> violations;  // a text begins with the rule's number if the rule has one
     bool killed = false;                  // the process still ran at SIGKILL
     std::size_t requests = 0, served = 0, rejected = 0, failed = 0, attempts = 0;
     std::string script;    // the drawn script in one line
--- a/testing/soak_client.cpp
+++ b/testing/soak_client.cpp
@@ -18,7 +18,7 @@
 }  // namespace
 
 std::string soak_bytes(std::string_view object) {
-    // Objects have several sizes, some larger than the kernel takes in one write.
+    // Objects have several sizes. Some are larger than what the kernel takes in one write.
     const std::size_t size = 20 + 3'000 * (static_cast<std::size_t>(object.back()) % 16);
     std::string bytes = "bytes of " + std::string(object) + ' ';
     bytes.resize(std::max(bytes.size(), size), 'x');
@@ -98,8 +98,8 @@
     client_->abort(number);
 }
 
-// Sends malformed bytes on this connection. The open requests count as cancelled by the client from before
-// the gateway can close the connection because of these bytes.
+// Sends malformed bytes on this connection. Because of these bytes the gateway may close the connection at
+// any time from now on, so the open requests count as cancelled by the client before the bytes are sent.
 void SoakClient::send_garbage() {
     for (const auto& [number, index] : open_) requests_[index].cancelled = gateway_.loop.now();
     open_.clear();
--- a/testing/soak_client.hpp
+++ b/testing/soak_client.hpp
@@ -1,5 +1,5 @@
-// A client of the soak test: sends requests on a connection according to its behaviour and records each of
-// them.
+// A client of the soak test. It sends requests on a connection according to its behaviour and records each
+// request.
 #pragma once
 
 #include <functional>
@@ -32,8 +32,9 @@
 public:
     SoakClient(SingleProcess& gateway, std::mt19937_64& random, ClientBehaviour behaviour, int number,
                int max_timeout_ms);
-    // Takes the next random action, or none. If keep_connection is true, the client opens no further
-    // connections.
+    // Takes the next random action, or no action. If keep_connection is true, the client does not reconnect
+    // after the gateway has closed the connection and does not leave the connection by itself. A garbling
+    // client still opens a new connection after it has sent malformed bytes.
     void step(bool keep_connection);
     // Records the responses that have arrived.
     void receive_responses();
@@ -59,12 +60,12 @@
     std::shared_ptr<FastCgiClient> client_;
     std::size_t processed_responses_ = 0;
     std::vector<SoakRequest> requests_;
-    std::map<std::uint16_t, std::size_t> open_;  // index in requests_, by number on the connection
+    std::map<std::uint16_t, std::size_t> open_;  // index in requests_, by request number on the connection
     std::map<std::uint16_t, bool> aborted_;
     std::vector<std::string> violations_;
 };
 
-// The content of an object in the caches of a soak test.
+// Returns the content of an object in the caches of a soak test.
 std::string soak_bytes(std::string_view object);
 
 }  // namespace irismux::test_support
--- a/testing/soak_script.hpp
+++ b/testing/soak_script.hpp
@@ -1,4 +1,4 @@
-// The parameters of a soak test, drawn from its seed before it begins.
+// The parameters of a soak test, drawn from the test's seed before the test begins.
 #pragma once
 
 #include <cstdint>
--- a/testing/sockets.hpp
+++ b/testing/sockets.hpp
@@ -1,5 +1,5 @@
-// Listening sockets and connections for the fakes, and a runner for the event loop that they share with the
-// test.
+// Listening sockets and connections for the fakes, and a runner for the event loop that the fakes share with
+// the test.
 #pragma once
 
 #include <Poco/Exception.h>
@@ -28,7 +28,7 @@
         loop_.addEventHandler(socket_, observer());
     }
     ~Acceptor() { stop(); }
-    // Stops accepting: new connections wait in the backlog.
+    // Stops accepting connections. New connections wait in the backlog.
     void stop() { loop_.removeEventHandler(socket_, observer()); }
     void resume() { loop_.addEventHandler(socket_, observer()); }
     std::string address() const { return socket_.address().toString(); }
@@ -61,13 +61,13 @@
     }
     Buffer& output() { return output_; }
     void write() { schedule_write(); }
-    // Whether the kernel has taken all output.
+    // Returns whether the kernel has taken all output.
     bool all_written() const { return output_.empty(); }
     // Resumes reading if `enabled` is true; otherwise pauses reading, so that input stays in the kernel's
     // buffer.
     void enable_reading(bool enabled) { set_reading(enabled); }
-    // Sets the smallest receive buffer that the kernel allows, so that the peer's writes block early. Call it
-    // before start().
+    // Sets the smallest receive buffer that the kernel allows, so that the peer's writes block early. This
+    // function must be called before start().
     void shrink_receive_buffer() { socket_.setReceiveBufferSize(1); }
     // Closes the connection so that the peer gets a reset.
     void reset() {
@@ -90,9 +90,10 @@
     Poco::Net::StreamSocket socket_;  // shares its handle with the base class's socket
 };
 
-// Runs an event loop only within run_until(). Between these calls the loop is paused, and the caller may use
-// it and its objects. A reactor of POCO 1.11 can be run only once, so it runs in a thread of its own; at any
-// time only one of the two threads runs.
+// Runs an event loop only during run_until(). Between two calls of run_until() the loop is paused, and the
+// caller may use the loop and the objects on it. A reactor of POCO 1.11 can be run only once, so the loop
+// runs in a thread of its own. At any time only one of the two threads runs: the caller's thread or the
+// loop's.
 class LoopRunner {
 public:
     explicit LoopRunner(EventLoop& loop)
@@ -125,7 +126,8 @@
     }
     void check_condition() {
         condition_met_ = condition_();
-        // Pauses in the next iteration: a socket's handler holds a lock of the reactor.
+        // Pauses in the loop's next iteration, because this function may run in a socket's handler, which
+        // holds a lock of the reactor.
         if (condition_met_ || loop_.now() > deadline_) return loop_.run_next_iteration([this] { pause(); });
         loop_.schedule_at(loop_.now() + Duration::micros(500), [this] { check_condition(); });
     }
--- a/testing/stub_gateway.cpp
+++ b/testing/stub_gateway.cpp
@@ -7,7 +7,7 @@
 const Duration purge_done = Duration::micros(6'000'000);
 const Duration probe_answered_in = Duration::micros(1'000);
 
-// FNV-1a: gives the same result in every process and run.
+// Computes an FNV-1a hash, which is the same in every process and run.
 std::uint64_t digest(std::string_view text) {
     std::uint64_t sum = 14695981039346656037ULL;
     for (const char c : text) sum = (sum ^ static_cast<unsigned char>(c)) * 1099511628211ULL;
--- a/testing/stub_gateway.hpp
+++ b/testing/stub_gateway.hpp
@@ -1,8 +1,9 @@
 // A gateway without its data path. It runs the program's classes for control (notice client, registry client,
 // fleet member and token store) with its own connections, seed and store folder. It serves no requests and
-// has no Router; the test sets the ejection state that the Router would decide on.
+// has no Router. The test sets the ejection state that a Router would decide on.
 //
-// Many stub gateways share one event loop and one process; each has its own connections, like a gateway.
+// Many stub gateways share one event loop and one process. Each stub gateway has its own connections, like a
+// gateway.
 #pragma once
 
 #include <cstdint>
@@ -52,18 +53,18 @@
     StubGateway& operator=(const StubGateway&) = delete;
 
     void start();
-    // Reports that a Router has ejected or readmitted the cache.
+    // Tells the fleet client that a Router has ejected or readmitted the cache.
     void set_ejected(const CacheId& cache, bool ejected);
     // Sets whether the cache answers health checks; by default no cache does.
     void set_cache_answers(const CacheId& cache, bool answers);
 
     // --- the state in force
     const std::map<CacheId, EndpointUpdate>& endpoints() const { return endpoints_by_id_; }
-    std::uint64_t purge_count() const { return purge_count_; }    // including those of a catch-up
-    std::uint64_t purge_digest() const { return purge_digest_; }  // of all purges, independent of their order
+    std::uint64_t purge_count() const { return purge_count_; }    // includes the purges of a catch-up
+    std::uint64_t purge_digest() const { return purge_digest_; }  // digest of all purges in any order
     bool joined() const;
     std::size_t known_members() const;    // includes this gateway after it has joined
-    std::uint64_t member_digest() const;  // of the members' names and incarnations
+    std::uint64_t member_digest() const;  // digest of the members' names and incarnations
     bool follows_endpoints() const;
     const fleet::Agent* member() const { return fleet_client_ ? &fleet_client_->agent() : nullptr; }
 
--- a/testing/transaction_ledger.hpp
+++ b/testing/transaction_ledger.hpp
@@ -1,5 +1,5 @@
 // An in-memory registry as an Agent's transactions see it: records, one revision, a history for watches, and
-// restores from backups. Simulations use it; FakeRegistry is the fake with sockets.
+// restores from backups. The simulations use it. FakeRegistry is a fake registry that serves sockets.
 #pragma once
 
 #include <map>
@@ -32,8 +32,8 @@
     Revision revision() const { return revision_; }
     std::vector<KeyValue> watched_records()
         const;  // all records that a new watch delivers, without heartbeats
-    // The changes that a watch delivers with revisions in (after, upto]. A watch delivers all changes of a
-    // revision or none.
+    // Returns the changes with revisions in (after, upto] that a watch delivers. A watch delivers either all
+    // changes of a revision or none of them.
     std::vector<KeyValue> changes(Revision after, Revision upto) const;
     bool compacted(Revision after) const { return after < oldest_; }
     // Restores the records and the revision of a backup and drops the history.
