--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -24,16 +24,18 @@
     std::filesystem::path root = ".";
     bool check = false;
     CLI::App app{"Writes docs/CAPACITY.md from docs/measurements and bench/targets.toml.", "capacity"};
-    app.add_option("--root", root, "the repository's folder")->check(CLI::ExistingDirectory);
-    app.add_flag("--check", check, "only say whether the page is what the figures make");
+    app.add_option("--root", root, "root folder of the repository")->check(CLI::ExistingDirectory);
+    app.add_flag("--check", check,
+                 "write nothing; fail if the page differs from the page that the figures give");
     CLI11_PARSE(app, count, words);
     try {
         const std::string page = irismux::bench::capacity_page_of(root);
         const std::filesystem::path file = root / irismux::bench::capacity_page_file;
         if (!check) return std::ofstream(file) << page ? 0 : 1;
         if (content_of(file) == page) return 0;
-        std::cerr << "capacity: " << file.string()
-                  << " is not what the figures make; run capacity without --check\n";
+        std::cerr
+            << "capacity: " << file.string()
+            << " differs from the page that the figures give; run capacity without --check to write it\n";
     } catch (const std::exception& e) {
         std::cerr << "capacity: " << e.what() << '\n';
     }
--- a/bench/capacity_files.hpp
+++ b/bench/capacity_files.hpp
@@ -13,7 +13,7 @@
 constexpr const char* data_path_file = "docs/measurements/data_path.json";
 constexpr const char* scale_file = "docs/measurements/scale.json";
 
-/// Renders the page from the committed figures. Throws std::runtime_error if a file is unusable.
+/// Renders docs/CAPACITY.md from the committed figures. Throws std::runtime_error if a file is unusable.
 inline std::string capacity_page_of(const std::filesystem::path& root) {
     const Targets targets = read_targets(root / targets_file);
     std::optional<Results> data_path;
--- a/bench/capacity_page.cpp
+++ b/bench/capacity_page.cpp
@@ -20,7 +20,7 @@
     return cells(titles) + cells(std::vector<std::string>(titles.size(), "---"));
 }
 
-/// Formats the ratio of need to budget, in bold if it exceeds the budget.
+/// Formats the need as a multiple of the budget, in bold if the need exceeds the budget.
 std::string ratio_shown(const std::optional<double>& need, double budget) {
     if (!need) return not_measured;
     const double ratio = *need / budget;
@@ -43,7 +43,7 @@
     return std::to_string(s.points.size()) + " points, " + shown(f.smallest) + " to " + shown(f.largest);
 }
 
-/// Builds the page and collects the quantities that exceed their budget.
+/// Builds the page and collects the names of the quantities that exceed their budget.
 class Page {
 public:
     Page(const Targets& targets, const Results* data_path, const std::vector<ControlVariant>& control)
@@ -80,7 +80,7 @@
             over_.push_back(what + ": " + shown(*value / budget) + " times its budget");
     }
     void lacks(const std::string& what) { without_.push_back(what); }
-    /// Formats the slope of one quantity as the last columns of a table.
+    /// Formats the fitted line of a series and the sizes at which the series was measured.
     static std::string basis(const Results* results, const std::string& series) {
         const Series* s = results ? results->find_series(series) : nullptr;
         return s ? line_shown(*s) + "; " + sizes_shown(*s) + ' ' + s->size_unit : not_measured;
@@ -158,7 +158,7 @@
     const double rate = t_.lookups_per_gateway_s();
     std::string text = head({"quantity", "mean gateway", "loaded gateway", "bound", "ratio, mean",
                              "ratio, loaded", "slope and sizes behind it", "mechanism"});
-    // Adds a row with one quantity at the mean and at the loaded gateway.
+    // Adds a row that shows one quantity at the mean gateway and at the loaded gateway.
     const auto row = [&](const std::string& title, const std::string& series, double size, double loaded_size,
                          double scale, double loaded_scale, const std::string& unit, double bound,
                          const std::string& bound_text, const std::string& mechanism) {
@@ -380,7 +380,8 @@
     return text;
 }
 
-// Formats the measurements of an event for every variant: times of the last gateway, or rates.
+// Formats the measurements of an event for every variant. If `times` is true, shows how long each change took
+// to reach the last gateway; otherwise shows traffic rates.
 std::string Page::measured_in_event(const std::string& event, const std::vector<std::string>& whats,
                                     bool times) const {
     std::string all;
--- a/bench/capacity_page.hpp
+++ b/bench/capacity_page.hpp
@@ -12,9 +12,9 @@
 
 namespace irismux::bench {
 
-/// An estimated value at a size that was not necessarily measured, with its basis.
+/// An estimated value at a size that was not necessarily measured, with the basis of the estimate.
 struct Estimate {
-    std::optional<double> value;  // std::nullopt if it was not measured
+    std::optional<double> value;  // std::nullopt if the series was not measured
     std::string unit;
     bool extrapolated = false;  // size beyond four times the largest measured size
     std::string basis;          // series, line and sizes behind the estimate
--- a/bench/control_results.cpp
+++ b/bench/control_results.cpp
@@ -108,12 +108,13 @@
         std::vector<ControlVariant> all;
         all.reserve(by_name.size());
         for (auto& [name, v] : by_name) all.push_back(std::move(v));
-        // Puts the program's default settings first; a variant's name grows with each setting.
+        // Puts the variant with the program's default settings first. This variant has the shortest name,
+        // because each further setting makes a name longer.
         std::stable_sort(all.begin(), all.end(),
                          [](const auto& a, const auto& b) { return a.name.size() < b.name.size(); });
         return all;
     } catch (const json::exception& e) {
-        throw std::runtime_error(file.string() + " cannot be used: " + e.what());
+        throw std::runtime_error(file.string() + " is not a valid result file: " + e.what());
     }
 }
 
--- a/bench/data_path.cpp
+++ b/bench/data_path.cpp
@@ -33,7 +33,7 @@
 
 void pause_for(double seconds) { std::this_thread::sleep_for(std::chrono::duration<double>(seconds)); }
 
-/// Work of a gateway within a period.
+/// Lookups of a gateway, and the resources that the gateway used, during one measurement.
 struct Stretch {
     double seconds = 0, processor_seconds = 0, lookups = 0, refused = 0, memory_mb = 0;
 
@@ -62,7 +62,7 @@
 class Measurement {
 public:
     explicit Measurement(const Options& options) : options_(options) {
-        // Keeps the results of the parts that are not measured this time.
+        // Keeps the earlier results of the parts that this run does not measure.
         if (!options.only.empty() && std::filesystem::exists(options.results + ".json"))
             results_ = read_results(options.results + ".json");
         results_.title = "Slopes of the data path of one gateway";
@@ -143,7 +143,8 @@
     Results results_;
 };
 
-// The largest size is the largest that fits the protocol's limit on one response.
+// Measures the cost of a lookup against the size of the response. The largest size measured is the largest
+// that the protocol allows for one response.
 void Measurement::answer_sizes() {
     Series cost{"cpu_us_per_lookup.answer_kb",
                 "Processor time a lookup against the size of its answer",
@@ -182,8 +183,8 @@
                "counted at the clients"});
 }
 
-// Measures the share of a core and the memory at a fixed lookup rate, as in production. Each response is half
-// of the target's mean object, because the whole does not fit one response.
+// Measures the share of a core and the memory at a fixed lookup rate, as in production. Each response has
+// half the size of the target's mean object, because the whole object does not fit into one response.
 void Measurement::lookup_rates() {
     constexpr std::size_t half_a_mean_object = 189'000;
     constexpr double loaded = 6'032;  // four times the rate of the mean gateway
@@ -224,7 +225,8 @@
     add(std::move(memory));
 }
 
-// Measures the memory and descriptors of a lookup in flight, with caches that never respond.
+// Measures how much memory and how many descriptors lookups in flight take. The caches never respond, so that
+// the lookups stay in flight.
 void Measurement::held_lookups() {
     Series memory{
         "memory_mb.held",
@@ -288,7 +290,8 @@
     add(std::move(memory));
 }
 
-// Each lookup requests a new object; memory is sampled as the number of objects grows.
+// Measures memory against the number of distinct objects. Each lookup requests a new object, and the memory
+// is sampled while the number of objects grows.
 void Measurement::objects_over_sockets() {
     Series memory{
         "memory_mb.objects_over_sockets",
@@ -431,17 +434,21 @@
 
 int run(int count, char** words) {
     Options options;
-    CLI::App app{"Slopes of the data path of one gateway process."};
+    CLI::App app{"Measures how the cost of the data path of one gateway process grows."};
     app.add_option("program", options.program, "path of irismux")->check(CLI::ExistingFile);
-    app.add_option("--router", options.router, "one run of the Router alone; the program starts itself so");
-    app.add_option("--results", options.results, "writes PATH.json and PATH.md")->capture_default_str();
-    app.add_option("--seed", options.seed, "of objects asked for and of the decisions")
-        ->capture_default_str();
     app.add_option(
-           "--only", options.only,
-           "of answers, pace, held, caches, objects, router, others; what PATH.json holds of the rest stays")
+        "--router", options.router,
+        "measure the Router alone under this load (JSON); the program starts itself with this option");
+    app.add_option("--results", options.results,
+                   "path without suffix; the results are written to PATH.json and PATH.md")
+        ->capture_default_str();
+    app.add_option("--seed", options.seed, "seed for the requested objects and for the gateway's decisions")
+        ->capture_default_str();
+    app.add_option("--only", options.only,
+                   "parts to measure: answers, pace, held, caches, objects, router, others; PATH.json keeps "
+                   "its results of the parts that are not measured")
         ->delimiter(',');
-    app.add_option("--seconds", options.seconds, "of each measured stretch")
+    app.add_option("--seconds", options.seconds, "length of each measurement in seconds")
         ->capture_default_str()
         ->check(CLI::Range(0.5, 30.0));
     CLI11_PARSE(app, count, words);
@@ -450,7 +457,8 @@
             run_router(options.router);
             return 0;
         }
-        if (options.program.empty()) throw std::runtime_error("the path of irismux is needed");
+        if (options.program.empty())
+            throw std::runtime_error("argument PROGRAM is missing: the path of irismux");
         Measurement(options).run();
     } catch (const std::exception& e) {
         std::cerr << "data_path: " << e.what() << '\n';
--- a/bench/data_path_load.cpp
+++ b/bench/data_path_load.cpp
@@ -14,11 +14,12 @@
 namespace fs = std::filesystem;
 using nlohmann::json;
 
-/// Link capacity at which no lookup is rejected, so that the forwarding cost is measured and not a limit.
+/// A link capacity at which the gateway rejects no lookup, so that the measurement shows the cost of
+/// forwarding and not the effect of a limit.
 constexpr double wide_link_kb_per_s = 8.3e10;
 /// Concurrent lookups that the client protocol (FastCGI) allows on one connection.
 constexpr std::size_t max_lookups_per_connection = 32;
-/// Limits the burst of lookups that one tick starts.
+/// Maximum number of lookups that the clients send in one burst.
 constexpr std::size_t max_lookups_per_tick = 64;
 const Duration tick_interval = Duration::micros(1'000), stop_check_interval = Duration::micros(20'000);
 
@@ -99,7 +100,7 @@
     }
 }
 
-// Returns false if all connections are full.
+// Sends a lookup. Returns false if every connection carries its maximum number of concurrent lookups.
 bool LoadClients::send_lookup() {
     for (std::size_t n = 0; n < connections_.size(); ++n) {
         Connection& c = *connections_[next_connection_++ % connections_.size()];
@@ -133,7 +134,9 @@
     : folder_((fs::temp_directory_path() / "irismux-load-XXXXXX").string()),
       listen_(free_address()),
       answer_(load.answer_bytes, 'x') {
-    if (!::mkdtemp(folder_.data())) throw std::runtime_error("cannot create a temporary folder");
+    if (!::mkdtemp(folder_.data()))
+        throw std::runtime_error("cannot create a temporary folder for the gateway in " +
+                                 fs::temp_directory_path().string());
     board_ = std::make_unique<test_support::FakeNoticeBoard>(board_thread_.loop);
     for (std::size_t n = 0; n < cache_threads; ++n) cache_loops_.push_back(std::make_unique<LoopThread>());
     for (std::size_t n = 0; n < cache_servers; ++n) {
@@ -194,7 +197,7 @@
             if (line.find("listening gateway=") != std::string::npos) return;
         std::this_thread::sleep_for(std::chrono::milliseconds(10));
     }
-    throw std::runtime_error("the gateway did not start to listen");
+    throw std::runtime_error("the gateway did not start to listen within 5 s, or its process ended");
 }
 
 std::uint64_t LoadedGateway::requests_sent() const {
--- a/bench/data_path_load.hpp
+++ b/bench/data_path_load.hpp
@@ -19,8 +19,8 @@
 struct Load {
     std::string program;
     std::uint64_t seed = 1;
-    std::size_t listed_caches = 20;  // listed caches share the sockets of a few cache servers
-    // size of each response's body; 0: caches hold lookups and never respond
+    std::size_t listed_caches = 20;  // they share the sockets of a few cache servers
+    // size of the body of each cache's response; 0: the caches receive lookups and never respond
     std::size_t answer_bytes = 1'000;
     std::size_t connections = 32;   // total over all clients
     std::size_t outstanding = 64;   // concurrent lookups, total over all clients
@@ -38,7 +38,8 @@
     LoopThread(const LoopThread&) = delete;
     LoopThread& operator=(const LoopThread&) = delete;
 
-    /// Other threads may use it only before start().
+    /// Before start(), the thread that created the LoopThread may use the loop. After start(), only the
+    /// started thread may use it.
     EventLoop loop;
     void start();
     void end();
@@ -50,7 +51,7 @@
     std::thread thread_;
 };
 
-/// Clients on one event loop. They either keep a number of lookups in flight or send at a fixed rate.
+/// Clients on one event loop. They either keep a number of lookups in flight or send lookups at a fixed rate.
 class LoadClients {
 public:
     LoadClients(EventLoop& loop, const Load& load, std::size_t group_count, std::uint64_t number);
@@ -90,7 +91,7 @@
 
     pid_t id() const { return process_->id(); }
     std::uint64_t requests_sent() const, satisfied() const, refused() const;
-    /// Sets the number of lookups in flight, total over all clients.
+    /// Sets the number of lookups that all clients together keep in flight.
     void set_outstanding(std::size_t lookups);
 
 private:
--- a/bench/data_path_router.cpp
+++ b/bench/data_path_router.cpp
@@ -85,7 +85,7 @@
     return lines;
 }
 
-/// Records the last attempt and the timers; counts rejected and failed requests.
+/// Records the Router's last attempt and its timers. Counts the requests that the Router rejects or fails.
 class RecordingCallbacks final : public RouterCallbacks {
 public:
     void start_direct_attempt(const RequestId&, const CacheId& cache, Duration) override {
@@ -203,14 +203,16 @@
 RouterCost measure_router(const std::string& self, const RouterLoad& load) {
     std::string output = (fs::temp_directory_path() / "router-cost-XXXXXX").string();
     const int file = ::mkstemp(output.data());
-    if (file < 0) throw std::runtime_error("cannot create a temporary file");
+    if (file < 0)
+        throw std::runtime_error("cannot create the temporary file " + output + " for the Router's results");
     ::close(file);
     test_support::Process child({{self, "--router", json(load).dump()}, {}, "", output});
     while (child.running()) std::this_thread::sleep_for(std::chrono::milliseconds(5));
     const json output_json = json::parse(std::ifstream(output), nullptr, false);
     fs::remove(output);
     if (!child.exited_cleanly() || output_json.is_discarded())
-        throw std::runtime_error("the Router process failed or printed no valid result");
+        throw std::runtime_error(
+            "the child process that measures the Router failed or printed no valid result");
     return output_json.get<RouterCost>();
 }
 
--- a/bench/fit.cpp
+++ b/bench/fit.cpp
@@ -8,8 +8,8 @@
 namespace irismux::bench {
 namespace {
 
-/// Sums over the points, with sizes shifted by their mean and scaled by their spread. Without this the normal
-/// equations of a parabola over several decades of sizes are badly conditioned.
+/// Sums over the points, with sizes shifted by their mean and scaled by their spread. Without this scaling
+/// the normal equations of a parabola over several decades of sizes are badly conditioned.
 struct Scaled {
     explicit Scaled(const std::vector<Point>& points) {
         for (const Point& p : points) mean += p.size / static_cast<double>(points.size());
@@ -153,8 +153,8 @@
 }
 
 double t_bound(std::size_t freedom) {
-    // Table of Student's t, two-sided 5%. Above 20 degrees of freedom the value for 20 is used, which is
-    // conservative.
+    // Table of Student's t, two-sided 5%. Above 20 degrees of freedom the function returns the value for 20,
+    // which is conservative.
     static constexpr std::array<double, 20> bounds = {12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365,
                                                       2.306,  2.262, 2.228, 2.201, 2.179, 2.160, 2.145,
                                                       2.131,  2.120, 2.110, 2.101, 2.093, 2.086};
--- a/bench/fit.hpp
+++ b/bench/fit.hpp
@@ -23,10 +23,10 @@
     double quadratic_t = 0;      // quadratic / quadratic_error; 0 without degrees of freedom
     double quadratic_share = 0;  // share of c n^2 in the parabola's value at the largest size
     double parabola_intercept = 0, parabola_slope = 0;  // a and b of the same parabola
-    std::size_t freedom = 0;                            // degrees of freedom of that test
+    std::size_t freedom = 0;                            // degrees of freedom of the test for a quadratic term
     // True if the quadratic term exceeds the two-sided 5% bound and makes up a tenth or more of the value at
-    // the largest size. Without the second condition a negligible term would count if the points lie close to
-    // a line.
+    // the largest size. Without the second condition a negligible term would count whenever the points lie
+    // close to a line.
     bool bends = false;
     double smallest = 0, largest = 0;  // range of the fitted sizes
     std::vector<double> residuals;     // residuals of the line, in the order of the points
@@ -37,16 +37,16 @@
     }
 };
 
-/// The line needs two different sizes, the test four points with three different sizes. Fields that can't be
-/// fitted stay 0.
+/// Fits a line to the points and tests for a quadratic term. The line needs two different sizes, the test
+/// needs four points with three different sizes. Fields that can't be fitted stay 0.
 Fit fit(const std::vector<Point>& points);
 
-/// Estimates the value at a size: the mean of the values measured there, else the line. If the points bend,
-/// interpolates between the two neighbouring measured sizes; beyond the largest, takes the higher of line and
-/// parabola.
+/// Estimates the value at a size. Returns the mean of the values measured at this size if there are any,
+/// otherwise the value of the fitted line. If the points bend, interpolates between the two neighbouring
+/// measured sizes instead; beyond the largest measured size, returns the higher of line and parabola.
 double value_at(const std::vector<Point>& points, double size);
 
-/// Two-sided 5% bound of Student's t.
+/// Returns the two-sided 5% bound of Student's t for this number of degrees of freedom.
 double t_bound(std::size_t freedom);
 
 /// Beyond this multiple of the largest measured size, an estimate counts as an extrapolation.
--- a/bench/fleet_owner.cpp
+++ b/bench/fleet_owner.cpp
@@ -5,7 +5,7 @@
 //   fleet_owner PROGRAM cost [SECONDS]
 //       measures one gateway of three: memory, descriptors, processor time, lookups
 //   fleet_owner - model [MEMBERS...]
-//       simulates the fleet logic in virtual time: requests at the registry
+//       simulates the fleet logic in virtual time and counts the requests at the registry
 // All counts are taken at the fake services. Prints Markdown tables.
 #include <signal.h>
 #include <unistd.h>
@@ -44,14 +44,16 @@
 
 struct TakeoverCounts {
     std::vector<double> ownerless_ms;  // from the fault to the first accepted write of another owner
-    // writes with the former fencing token after a write of the next owner was accepted
+    // tried: writes under the former owner's fencing token that reached the registry after it had accepted a
+    // write of the next owner; landed: the number of these writes that the registry accepted
     std::size_t tried = 0, landed = 0;
-    // ownership changes after a loss; the minimum, the duties that the lost owner had
+    // moved: changes of owner after the faults; min_moves: the smallest possible number of changes, which is
+    // one for each fault that makes the owner lose the duty
     std::size_t moved = 0, min_moves = 0;
     std::size_t not_taken_over = 0;  // faults after which no other gateway took over
 };
 
-// A fleet of gateway processes that is exposed to one fault repeatedly.
+// A fleet of gateway processes that is exposed to the same fault several times.
 class Fleet {
 public:
     Fleet(const std::string& program, const std::string& fault, const fs::path& folder)
@@ -62,7 +64,7 @@
         fleet_.start_all();
         for (int n = 0; n < times; ++n)
             if (!fleet_.wait_until([&] { return ready(); }) || !run_fault(counted)) ++counted.not_taken_over;
-        for (const std::string& what : fleet_.violations) std::cerr << "broken: " << what << '\n';
+        for (const std::string& what : fleet_.violations) std::cerr << "violation: " << what << '\n';
     }
     static test_support::ProcessFleet::Options fleet_options(const std::string& program) {
         test_support::ProcessFleet::Options s;
@@ -127,7 +129,8 @@
                 if (!is) r->reset_all();  // drops the data that the slow link still holds
             }
         if (fault_ == "registry member lost") {
-            // Stops each member in turn, so that the one that the owner uses is among them.
+            // Stops the registry members in turn, so that the faults also hit the member to which the owner
+            // is connected.
             if (is) lost_ = (lost_ + 1) % fleet_.options.members;
             is ? fleet_.registry.stop_member(lost_) : fleet_.registry.restart_member(lost_);
         }
@@ -214,8 +217,8 @@
     return n;
 }
 
-// Measures the first gateway of three with the fleet part off, on, and on while another gateway is repeatedly
-// killed and restarted.
+// Measures the first gateway of three: without the fleet part, with the fleet part, and with the fleet part
+// while another gateway is repeatedly killed and restarted.
 void cost(const std::string& program, double seconds) {
     std::printf(
         "| [fleet] | lookups a second | memory MB | descriptors | processor at rest, %% | under load, %% | "
@@ -311,8 +314,9 @@
 int main(int argc, char** argv) {
     const std::vector<std::string> words(argv + 1, argv + argc);
     if (words.size() < 2) {
-        std::cerr << "usage: fleet_owner PROGRAM takeovers [TIMES] [FAULT...] | cost [SECONDS] | model "
-                     "[MEMBERS...]\n";
+        std::cerr << "usage: fleet_owner PROGRAM takeovers [TIMES] [FAULT...]\n"
+                     "       fleet_owner PROGRAM cost [SECONDS]\n"
+                     "       fleet_owner - model [MEMBERS...]\n";
         return 2;
     }
     const std::string third = words.size() > 2 ? words[2] : "";
--- a/bench/registry_load.cpp
+++ b/bench/registry_load.cpp
@@ -38,8 +38,8 @@
     return most;
 }
 
-// Breaks all connections of `clients` following clients, or stops the registry for five seconds, and counts
-// the requests until all follow again.
+// Starts `clients` registry clients and waits until all of them follow the registry. Then breaks all their
+// connections or stops the registry for five seconds, and counts the requests until all clients follow again.
 void measure_outage(std::size_t clients, bool registry_down) {
     EventLoop loop;
     test_support::FakeRegistry r(loop, members, ms * 100);
--- a/bench/registry_staleness.cpp
+++ b/bench/registry_staleness.cpp
@@ -3,10 +3,10 @@
 // client under each fault, the notice board alone, and a client that polls the registry and posts the changes
 // to the notice board.
 //   registry_staleness PROGRAM [DRAINS] [CASE...]      writes a Markdown table to standard output
-// The staleness of a drain is the time from its commit to the last first byte of a send to the cache within
-// one second. Sends later than the drain grace (250 ms) after the commit count as late. This program can't
-// see when the gateway received the drain; the WithRegistry tests in tests/ check that nothing is sent later
-// than the grace after that.
+// The staleness of a drain is the time from its commit to the last attempt that the cache receives within one
+// second; an attempt counts from its first byte. Attempts later than the drain grace (250 ms) after the
+// commit count as late. This program can't see when the gateway received the drain. The WithRegistry tests in
+// tests/ check that the gateway sends no attempt later than the grace after it has received the drain.
 #include <signal.h>
 #include <spawn.h>
 #include <sys/wait.h>
@@ -29,7 +29,7 @@
 
 const std::string prefix = "/caches/";
 constexpr std::size_t edge_caches = 6, members = 3;
-// The interval between drains is long enough that no cache drains again before it is ready.
+// The interval between drains is so long that no cache drains again before it is ready again.
 const Duration drain_interval = Duration::micros(200'000), observation_time = Duration::micros(1'000'000);
 const Duration grace = Duration::micros(250'000);
 
@@ -111,7 +111,7 @@
         return ::posix_spawn(&pid_, program_.c_str(), nullptr, nullptr, argv, env.data()) == 0;
     }
 
-    // Applies the fault of this case, repeatedly where it recurs.
+    // Applies the fault of this case. If the fault recurs, schedules the next call of this function.
     void apply_fault() {
         if (name_ == "dropped" || name_ == "dropped, compacted" || name_ == "board, dropped") {
             for (std::size_t m = 0; m < members; ++m) registry_.break_connections(m);
@@ -143,7 +143,8 @@
         }
     }
 
-    // The polling baseline: reads the list once a second and posts the records that changed.
+    // Implements the polling baseline: reads the registry's list once a second and posts the changed records
+    // to the notice board.
     void poll() {
         const auto* state = registry_.model.at(registry_.model.newest());
         for (std::size_t n = 0; n < edge_caches; ++n) {
--- a/bench/results.cpp
+++ b/bench/results.cpp
@@ -122,7 +122,7 @@
 
 Results read_results(const std::filesystem::path& file) {
     std::ifstream in(file);
-    if (!in) throw std::runtime_error("cannot read " + file.string());
+    if (!in) throw std::runtime_error("cannot open the result file " + file.string());
     try {
         const json all = json::parse(in);
         Results r;
@@ -138,7 +138,7 @@
                                  f.value("note", "")});
         return r;
     } catch (const json::exception& e) {
-        throw std::runtime_error(file.string() + " cannot be used: " + e.what());
+        throw std::runtime_error(file.string() + " is not a valid result file: " + e.what());
     }
 }
 
--- a/bench/results.hpp
+++ b/bench/results.hpp
@@ -1,4 +1,4 @@
-// Result files: written by the measurements, and the input of docs/CAPACITY.md.
+// Result files. The measurement programs write them, and docs/CAPACITY.md is rendered from them.
 #pragma once
 
 #include <filesystem>
@@ -49,13 +49,14 @@
 /// Returns the current date as YYYY-MM-DD (UTC).
 std::string today();
 
-/// Includes the fit of each series, so that readers of the file need no other program.
+/// Converts the results to JSON. The JSON includes the fit of each series, so that readers of the file need
+/// no other program.
 nlohmann::json to_json(const Results& results);
-/// Throws std::runtime_error with a one-line message if the file is unusable.
+/// Reads a result file. Throws std::runtime_error with a one-line message if the file is unusable.
 Results read_results(const std::filesystem::path& file);
 /// Formats the results as Markdown tables, including residuals.
 std::string to_markdown(const Results& results);
-/// Writes FILE.json and FILE.md.
+/// Writes the results to FILE.json and FILE.md, where `without_suffix` is FILE.
 void write_results(const Results& results, const std::filesystem::path& without_suffix);
 
 /// Formats a number for tables: three significant digits, thousands grouped.
--- a/bench/scale/counting.cpp
+++ b/bench/scale/counting.cpp
@@ -7,7 +7,8 @@
 
 using nlohmann::json;
 
-// Registry keys are encoded in base 64; these are the encoded beginnings of the prefixes that the rig uses.
+// Registry keys are encoded in base 64 in requests. These constants are the encoded beginnings of the key
+// prefixes that the rig uses.
 constexpr std::string_view coded_list = "\"L2NhY2hlc", coded_fleet = "\"L2ZsZWV0";
 
 Channel channel_of(std::string_view first_bytes) {
--- a/bench/scale/counting.hpp
+++ b/bench/scale/counting.hpp
@@ -15,7 +15,7 @@
 
 namespace irismux::scale {
 
-// Purpose of a connection, detected from its first request.
+// Purpose of a connection, detected from the connection's first request.
 enum class Channel { unknown, board, list, fleet, transactions };
 constexpr std::size_t channels = 5;
 const char* name_of(Channel channel);
@@ -63,10 +63,10 @@
 nlohmann::json to_json(std::int64_t second, const std::map<TrafficKey, Traffic>& rows);
 void add_from_json(TrafficBySecond& to, const nlohmann::json& message);
 
-// Mean and worst-second rates over a period, per gateway unless stated otherwise.
+// Rates over a period: the mean and the worst second, per gateway unless stated otherwise.
 struct Rate {
     double messages = 0, bytes = 0;              // mean, per second and gateway
-    double bytes_out = 0, bytes_back = 0;        // the bytes from and to the gateway within `bytes`
+    double bytes_out = 0, bytes_back = 0;        // the parts of `bytes` that the gateway sent and received
     double worst_messages = 0, worst_bytes = 0;  // worst second, mean over all gateways
     double worst_gateway_bytes = 0;              // largest value of a single gateway in one second
     std::map<std::string, double> bytes_by_channel, messages_by_channel;  // mean
--- a/bench/scale/events.cpp
+++ b/bench/scale/events.cpp
@@ -15,9 +15,11 @@
 constexpr std::size_t purges_per_hour = 3600 * purges_per_second;
 constexpr std::size_t batches_per_hour = 20;  // one batch per second
 constexpr std::size_t ejecting_sites = 2;
-// One in four sites ejects the cache in the event that scales with the number of sites.
+// In the event `mark_quarter`, which scales with the number of sites, the gateways of one in four sites eject
+// the cache.
 constexpr std::size_t ejecting_sites_divisor = 4;
-// Nine rounds of a 12 s term: long enough for each gateway to publish once at 570 gateways.
+// Duration of the ejection events: nine rounds of 3 s each, at a term of 12 s. This is long enough for each
+// of 570 gateways to publish its ejections once.
 constexpr double ejections_last_s = 27;
 const std::string bad_cache = "cache-100";
 
@@ -56,7 +58,7 @@
         result_.in_force[what] = reached(seen, since_us, stubs_among(rig_, gateways));
     }
     void note(const std::string& text) { result_.note = text; }
-    // Leaves `gateway` and those after it out of the comparison with the real gateways.
+    // Compares only stub gateways with numbers below `gateway` with the real gateways.
     void compare_stubs_before(std::size_t gateway) { first_uncompared_stub_ = gateway; }
     void until_second(double since_begin) {
         const std::int64_t end = begun_us_ + static_cast<std::int64_t>(since_begin * 1e6);
@@ -83,7 +85,7 @@
             result_.bytes_per_real_gateway =
                 static_cast<double>(resident.at("real")) / static_cast<double>(real);
         }
-        // The relays report the traffic of a second right after it ends.
+        // Waits for the relays, which report the traffic of a second right after this second has ended.
         rig_.run_for(one_second * 1.2);
         result_.stubs = rate_over(rig_.traffic(), from_, until, real, stubs);
         if (real > 0) {
@@ -126,7 +128,7 @@
         posted.push_back(rig.purge(1).front());
     }
     m.until_second(14);
-    // Combines every purge at every gateway into one distribution.
+    // Combines the times of all purges at all gateways into one distribution.
     Reached all;
     std::vector<double> took;
     for (const std::int64_t p : posted)
@@ -189,7 +191,8 @@
     rig.clear_in_force();
     EventMeasurement m(rig, "restart_all");
     const std::int64_t since = rig.now_us();
-    // expect() follows the restart, because the old processes had already reached the expected state.
+    // Calls expect() after the restart, because the old processes had already reached the expected state and
+    // would report it at once.
     rig.start(rig.topology().all());
     const std::int64_t expected = rig.expect(rig.topology().gateways);
     wait_until_complete(rig, expected, rig.topology().all(), 50);
@@ -231,7 +234,7 @@
 }
 
 // Posts the purges of one hour within 20 seconds while the region is cut off. The event lasts longer than a
-// term, so that the region's members are evicted.
+// term, so that the fleet evicts the region's members.
 EventResult region_cut(Rig& rig) {
     const auto cut = rig.topology().of_region(rig.topology().regions() - 1),
                left = without(rig.topology().all(), cut);
@@ -294,8 +297,8 @@
     return all;
 }
 
-// Counts the different values of each part of the gateways' state. With membership by site, the parts about
-// members are compared within each site, and the largest count is returned.
+// Counts for each part of the gateways' state how many different values the gateways have. With membership by
+// site, the parts about members are compared within each site, and the largest count of a site is returned.
 json distinct_states(Rig& rig) {
     const json states = rig.states();
     std::map<std::string, std::map<std::size_t, std::set<std::string>>> values;
@@ -369,14 +372,15 @@
 }
 
 json run_events(Rig& rig, const std::vector<std::string>& names) {
-    progress(rig, "all start");
+    progress(rig, "starting all gateways");
     const std::int64_t begun = rig.now_us();
     std::int64_t expected = rig.expect(rig.topology().gateways);
     rig.start(rig.topology().all());
     const bool up = wait_until_complete(rig, expected, rig.topology().all(), 60);
     const Reached first =
         reached(rig.in_force("whole", expected), begun, stubs_among(rig, rig.topology().all()));
-    progress(rig, std::to_string(first.reached) + " of " + std::to_string(first.of) + " know of all");
+    progress(rig, std::to_string(first.reached) + " of " + std::to_string(first.of) +
+                      " stub gateways have the complete state");
     // A gateway that has joined waits and listens before it claims duties.
     rig.run_for(one_second * 15);
     rig.check_memory();
@@ -384,7 +388,7 @@
     json results = json::array(), lookups;
     for (const Event& e : events()) {
         if (std::find(names.begin(), names.end(), e.name) == names.end()) continue;
-        // The clients do not reconnect to a restarted gateway, so their counts are read before the restart.
+        // The clients do not reconnect to a restarted gateway, so the lookups are counted before the restart.
         if (e.name == "restart") lookups = rig.lookups();
         for (const EventResult& r : e.run(rig)) results.push_back(to_json(r));
     }
--- a/bench/scale/main.cpp
+++ b/bench/scale/main.cpp
@@ -28,7 +28,8 @@
     return json::parse(in);
 }
 
-// Replaces an earlier run with the same settings, but keeps its events that the new run lacks.
+// Adds a run to the file. If the file has an earlier run with the same settings, the new run replaces it, but
+// keeps the earlier run's events that the new run lacks.
 void add_run(const std::string& path, json run) {
     json all = read_runs(path);
     for (json& old : all["runs"]) {
@@ -73,7 +74,10 @@
 // Writes FOLDER/scale.md and FOLDER/scale.svg from FOLDER/scale.json.
 int report(const std::string& folder) {
     const json figures = read_runs(folder + "/scale.json");
-    if (figures["runs"].empty()) return std::cerr << "scale: no figures in " << folder << "/scale.json\n", 2;
+    if (figures["runs"].empty())
+        return std::cerr << "scale: " << folder
+                         << "/scale.json holds no runs; measure some with scale run --out\n",
+               2;
     std::ofstream(folder + "/scale.md") << scale::table(figures);
     std::ofstream(folder + "/scale.svg") << scale::chart(figures);
     return 0;
@@ -84,34 +88,40 @@
 int main(int argc, char** argv) try {
     std::signal(SIGPIPE, SIG_IGN);
     log::set_level(log::Level::error);
-    CLI::App app("what control costs a fleet of many gateways", "scale");
+    CLI::App app("Measures the cost of control traffic in a fleet of many gateways.", "scale");
     app.require_subcommand(1);
     scale::RigSettings settings;
     settings.self = std::filesystem::read_symlink("/proc/self/exe").string();
     settings.program = (std::filesystem::path(settings.self).parent_path() / "irismux").string();
     std::vector<std::string> events = scale::event_names();
     std::string out;
-    CLI::App* const running = app.add_subcommand("run", "one size through the events");
+    CLI::App* const running =
+        app.add_subcommand("run", "run a fleet of one size through the events and measure it");
     running->add_option("--gateways", settings.topology.gateways)->required();
-    running->add_option("--real", settings.real_gateways, "of them, processes of the program");
+    running->add_option("--real", settings.real_gateways,
+                        "number of gateways that run as real processes of the program");
     running->add_option("--caches", settings.topology.caches);
     running->add_option("--events", events)->delimiter(',');
     running->add_option("--program", settings.program);
     running->add_option("--fleet-line", settings.fleet_lines,
-                        "one more line of [fleet] of each gateway; {site} stands for its site");
+                        "additional line in the [fleet] section of each gateway; {site} is replaced by the "
+                        "name of the gateway's site");
     running->add_option("--term", settings.term);
     running->add_option("--seed", settings.seed);
-    running->add_option("--out", out, "JSON that the run is added to; else it is printed");
+    running->add_option("--out", out,
+                        "JSON file to which the run is added; without this option the run is printed");
     std::string role, control;
     std::size_t number = 0;
-    CLI::App* const being = app.add_subcommand("role", "one of the rig's processes; the rig starts it");
+    CLI::App* const being =
+        app.add_subcommand("role", "run as one of the rig's processes; only the rig uses this command");
     being->add_option("role", role)->required();
     being->add_option("control", control)->required();
     being->add_option("number", number)->required();
-    CLI::App* const reporting = app.add_subcommand("report", "tables and a chart from the figures measured");
+    CLI::App* const reporting =
+        app.add_subcommand("report", "write tables and a chart of the measured figures");
     reporting->add_option("folder", out)->required();
     std::vector<std::string> from;
-    CLI::App* const merging = app.add_subcommand("merge", "adds the runs of other files to one");
+    CLI::App* const merging = app.add_subcommand("merge", "add the runs of other files to one file");
     merging->add_option("file", out)->required();
     merging->add_option("from", from)->required();
     CLI11_PARSE(app, argc, argv);
--- a/bench/scale/output.cpp
+++ b/bench/scale/output.cpp
@@ -25,7 +25,7 @@
     return out.data();
 }
 
-// The runs with one setting of [fleet]. The first variant is the one with the program's defaults.
+// All runs that used the same [fleet] settings. The variant with the program's default settings comes first.
 struct Variant {
     std::string name;
     std::vector<json> runs;  // ordered by number of gateways
@@ -64,8 +64,8 @@
     return run["gateways"].get<double>() - run["real_gateways"].get<double>();
 }
 
-// A fitted quantity: the total over all stub gateways, so that traffic from every gateway to every other
-// shows as a quadratic term.
+// A fitted quantity. The fit uses the total over all stub gateways, so that traffic that every gateway sends
+// to every other shows as a quadratic term.
 struct Quantity {
     std::string name, unit;
     double scale;
--- a/bench/scale/rig.cpp
+++ b/bench/scale/rig.cpp
@@ -23,7 +23,8 @@
 constexpr std::size_t max_resident_bytes = std::size_t{12} << 30;  // half of a machine with 24 GB
 const Duration lookup_interval = ms * 20;    // interval of the lookups sent to each real gateway
 constexpr std::size_t reachable_caches = 4;  // number of listed caches that the real gateways can connect to
-// Interval of the progress messages on the registry's watches: two fit into the shortest `quiet` time, 2 s.
+// Interval of the progress messages on the registry's watches. Two of them fit into the shortest `quiet`
+// time, 2 s.
 constexpr std::int64_t watch_progress_ms = 800;
 const std::string registry_prefix = "/caches/", real_zone = "plant";
 
@@ -85,8 +86,8 @@
     children_.clear();
 }
 
-// Checks the descriptor limit against the process that needs most. A relay process needs two descriptors for
-// each connection of a gateway and one listener per control machine.
+// Checks the descriptor limit against the need of the process that uses most descriptors. A relay process
+// needs two descriptors for each connection of a gateway and one listener per control machine.
 void Rig::check_descriptors() const {
     rlimit limit{};
     ::getrlimit(RLIMIT_NOFILE, &limit);
@@ -105,8 +106,8 @@
     std::size_t all = 0;
     for (const auto& [role, bytes] : resident_bytes()) all += bytes;
     if (all > max_resident_bytes)
-        throw std::runtime_error("the processes use " + std::to_string(all >> 20) + " MB, more than the " +
-                                 std::to_string(max_resident_bytes >> 20) + " allowed");
+        throw std::runtime_error("the rig's processes use " + std::to_string(all >> 20) + " MB; at most " +
+                                 std::to_string(max_resident_bytes >> 20) + " MB are allowed");
 }
 
 // --- children --------------------------------------------------------------------------------------------
@@ -142,7 +143,7 @@
     }
     if (message.contains("traffic")) return add_from_json(traffic_, message);
     if (message.contains("force")) {
-        // Only the first report of a gateway counts.
+        // Only the first report of each gateway about a change counts.
         for (const json& f : message["force"])
             in_force_times_[{f[1].get<std::string>(), f[2].get<std::int64_t>()}].try_emplace(
                 f[0].get<std::size_t>(), f[3].get<std::int64_t>());
@@ -187,7 +188,7 @@
 
 json Rig::answer(Child& child, std::int64_t id) {
     if (!wait_until([&] { return child.answers.contains(id); }, ms * 60'000))
-        throw std::runtime_error("no response within 60 s from " + child.role + ' ' +
+        throw std::runtime_error("no response to an order within 60 s from process " + child.role + ' ' +
                                  std::to_string(child.number));
     json reply = std::move(child.answers[id]);
     child.answers.erase(id);
@@ -400,8 +401,8 @@
                        [](const std::string& line) { return line.rfind("site ", 0) == 0; });
 }
 
-// Each process of stub gateways represents one site. With membership by site, its members know only one
-// another.
+// Each process of stub gateways represents one site. With membership by site, the members of a site have only
+// members of their own site in view.
 std::int64_t Rig::expect(std::size_t members) {
     const std::int64_t id = next_expected_++;
     std::vector<std::pair<Child*, std::int64_t>> sent_orders;
@@ -418,8 +419,8 @@
 
 // --- time ------------------------------------------------------------------------------------------------
 
-// A termination signal ends the wait with an exception, so that the rig's destructor ends its processes and
-// removes its folder.
+// A termination signal ends the wait with an exception. The destructor of the rig then ends the rig's
+// processes and removes the rig's folder.
 bool Rig::wait_until(std::function<bool()> condition, Duration most) {
     const bool fulfilled =
         loop_runner_->run_until([&] { return termination_requested || condition(); }, most);
--- a/bench/scale/rig.hpp
+++ b/bench/scale/rig.hpp
@@ -1,5 +1,5 @@
-// The test rig: starts the processes, sends them orders, and collects measurements from their peers and from
-// the operating system.
+// The test rig. It starts the processes, sends orders to them, and collects measurements from the processes
+// that the gateways communicate with and from the operating system.
 #pragma once
 
 #include <filesystem>
@@ -26,12 +26,13 @@
     std::string program;      // path of irismux; needed for real gateways
     std::string self;         // path of this program, which also runs the roles
     std::uint64_t seed = 1;
-    // Additional lines for the [fleet] section of each gateway; "{site}" is replaced by the name of its site.
+    // Additional lines for the [fleet] section of each gateway. "{site}" is replaced by the name of the
+    // gateway's site.
     std::vector<std::string> fleet_lines;
     std::string term = "12s";
 };
 
-// The time at which a change came into force, by gateway; gateways that it did not reach are absent.
+// The time at which a change came into force, by gateway. Gateways that the change did not reach are absent.
 using InForceTimes = std::map<std::size_t, std::int64_t>;  // microseconds of the Unix clock
 
 class Rig {
@@ -48,28 +49,30 @@
     std::size_t stub_gateways() const { return topology().gateways - settings_.real_gateways; }
 
     // --- orders
-    // Starts the gateways; those that are running are restarted as after SIGKILL.
+    // Starts the gateways. Gateways that already run are restarted as if SIGKILL had ended them.
     void start(const std::vector<std::size_t>& gateways);
     void kill(const std::vector<std::size_t>& gateways);
     void start_lookups();  // starts the clients of the real gateways
-    // For each real gateway the numbers of lookups sent, satisfied, nacked and failed.
+    // Returns for each real gateway how many lookups were sent, satisfied, nacked and failed.
     nlohmann::json lookups();
-    // Changes the relays of the gateways; `change` is one of {"cut": true}, {"down": false}, {"delay_ms": 5},
-    // {"bytes_a_second": 10000}, {"break": true}, or several of these keys.
+    // Changes the relays on the links of the gateways. `change` has one or several of the keys in {"cut":
+    // true}, {"down": false}, {"delay_ms": 5}, {"bytes_a_second": 10000} and {"break": true}.
     void change_links(const std::vector<std::size_t>& gateways, nlohmann::json change);
     void set_ejected(const std::string& cache, bool ejected, const std::vector<std::size_t>& gateways);
     void set_continuous_ejections(bool enabled);  // every stub gateway ejects another cache each second
-    // Posts `count` purges in one batch. Returns their timestamps: milliseconds of the Unix clock, all
-    // different.
+    // Posts `count` purges in one batch. Returns the timestamps of the purges, which are all different, in
+    // milliseconds of the Unix clock.
     std::vector<std::int64_t> purge(std::size_t count);
     std::int64_t change_list();  // returns the new version of the endpoint list
-    // Removes the last `count` caches of the endpoint list, or lists them again.
+    // If `removed` is true, removes the last `count` caches from the endpoint list; otherwise adds them
+    // again.
     void set_caches_removed(std::size_t count, bool removed);
     void set_purge_reports(bool enabled);
-    // Whether a line of [fleet] restricts each member's view to the members of its own site.
+    // Returns whether a line of [fleet] restricts each member's view to the members of the member's own site.
     bool membership_by_site() const;
-    // Sets the state to wait for: `members` fleet members, the current endpoint list and all purges posted.
-    // Each stub gateway that has reached it reports "whole" once, under the number returned.
+    // Sets the state that the stub gateways have to reach: `members` fleet members, the current endpoint list
+    // and all posted purges. Each stub gateway that has reached this state reports "whole" once, under the
+    // number that this function returns.
     std::int64_t expect(std::size_t members);
 
     // --- time
@@ -96,7 +99,7 @@
     std::uint64_t purges_posted() const { return purges_posted_; }
 
 private:
-    // A temporary folder that is removed with the rig, also if the rig's constructor throws.
+    // A temporary folder that is removed when the rig ends, also if the rig's constructor throws.
     struct Folder {
         Folder();
         ~Folder();
@@ -114,7 +117,7 @@
         double processor_seconds() const;
 
         std::string configuration, parts, log, listen;
-        double spent = 0;  // processor time in seconds of its earlier processes
+        double spent = 0;  // processor time of the gateway's earlier processes, in seconds
         std::unique_ptr<test_support::Process> process;
     };
 
--- a/bench/scale/roles.cpp
+++ b/bench/scale/roles.cpp
@@ -28,7 +28,8 @@
 
 std::int64_t unix_us(TimePoint at) { return (at - TimePoint{}).micros(); }
 
-// Base of all roles: an event loop, and the control channel on which each order is answered with its id.
+// Base of all roles. It has an event loop and the control channel, and confirms each order with the id of the
+// order.
 class Role {
 public:
     virtual ~Role() = default;
@@ -55,8 +56,8 @@
 
 // --- the registry ----------------------------------------------------------------------------------------
 
-// All registry members share one history, so one process runs all of them; each has its own listener and
-// connections.
+// All registry members share one history, so one process runs all of them. Each member has its own listener
+// and connections.
 class RegistryRole final : public Role {
     static constexpr std::int64_t min_history = 600;  // minimum number of revisions kept
 
@@ -106,7 +107,7 @@
 
 // --- relays ----------------------------------------------------------------------------------------------
 
-// Runs one relay per gateway and control machine, and counts the traffic through each.
+// Runs one relay per gateway and control machine, and counts the traffic through each relay.
 class RelayRole final : public Role {
     json handle_order(const json& order) override {
         if (order.contains("targets")) {
@@ -152,7 +153,7 @@
                 relay.faults(way).bytes_per_second = order["bytes_a_second"].get<std::size_t>();
         }
     }
-    // Reports at each full second the traffic of the previous one.
+    // Reports at each full second the traffic of the previous second.
     void report_traffic() {
         const std::int64_t second = unix_us(loop_.now()) / 1'000'000;
         if (reported_second_ > 0 && second > reported_second_)
@@ -169,7 +170,8 @@
 
 // --- stub gateways ---------------------------------------------------------------------------------------
 
-// index and number of the listed caches that change_ejections() cycles through
+// change_ejections() cycles through a range of listed caches; the constants are the index of the first cache
+// and the number of caches.
 constexpr std::size_t first_ejected_cache = 50, ejected_caches = 40;
 
 class StubGatewayRole final : public Role, public test_support::StubGatewayObserver {
@@ -235,7 +237,8 @@
             if (s.gateway) s.gateway->set_ejected(cache, order["is"].get<bool>());
         });
     }
-    // Each gateway ejects a different cache, and every second the next one.
+    // Lets each gateway eject one cache at a time, and every second the next cache. Gateways with consecutive
+    // numbers eject different caches.
     void change_ejections(bool enabled) {
         loop_.cancel(ejection_timer_);
         for (auto& [number, slot] : slots_) {
--- a/bench/scale/topology.hpp
+++ b/bench/scale/topology.hpp
@@ -13,7 +13,7 @@
     static constexpr std::size_t zone_size = 25, zone_caches = 10;
 
     std::size_t gateways = target_gateways;
-    std::size_t caches = 240;  // The same at every size, so that only the number of gateways varies.
+    std::size_t caches = 240;  // the same at every size, so that only the number of gateways varies
 
     std::size_t sites() const;
     std::size_t zones() const;
@@ -23,7 +23,8 @@
     std::size_t region_of(std::size_t gateway) const;
     std::vector<std::size_t> of_site(std::size_t site) const;
     std::vector<std::size_t> of_region(std::size_t region) const;
-    // The gateways that fail with a zone: as many as a zone has at the target size, at most a third of all.
+    // Returns the gateways that fail when a zone is lost. Their number is the number of gateways that a zone
+    // has at the target size (zone_size), but at most a third of all gateways.
     std::vector<std::size_t> lost_zone() const;
     std::vector<std::size_t> all() const;
 
--- a/bench/targets.hpp
+++ b/bench/targets.hpp
@@ -29,7 +29,8 @@
     double gbit_per_gateway_s() const { return load.tbit_per_s * 1e3 / fleet.gateways; }
 };
 
-/// Throws std::runtime_error with a one-line message if a figure is missing, not a number or not above zero.
+/// Reads the figures. Throws std::runtime_error with a one-line message if a figure is missing, not a number
+/// or not above zero.
 Targets read_targets(const std::filesystem::path& file);
 
 }  // namespace irismux::bench
