--- a/bench/control_results.hpp
+++ b/bench/control_results.hpp
@@ -11,7 +11,7 @@
 
 /// Results of all runs that used the same [fleet] settings.
 struct ControlVariant {
-    std::string name;  // the setting
+    std::string name;  // the settings of the variant
     /// Series by name, `ROLE.QUANTITY.EVENT`:
     ///   gateway.{messages_per_s,kb_per_s,worst_kb_per_s,core_percent,memory_mb}.EVENT
     ///   machine.{messages_per_s,kb_per_s,worst_kb_per_s}.EVENT   the busiest control machine
--- a/bench/data_path.cpp
+++ b/bench/data_path.cpp
@@ -163,7 +163,7 @@
     busy.title = "Share of one core that the gateway had meanwhile";
     busy.unit = "cores";
     double refused = 0;
-    // Each size is measured twice to show the scatter.
+    // Measures each size twice to show the scatter.
     for (const std::size_t bytes : {1'000u, 4'000u, 16'000u, 60'000u, 120'000u, 180'000u, 240'000u,  //
                                     1'000u, 4'000u, 16'000u, 60'000u, 120'000u, 180'000u, 240'000u}) {
         Load l = load();
--- a/bench/data_path_load.cpp
+++ b/bench/data_path_load.cpp
@@ -17,7 +17,7 @@
 /// A link capacity at which the gateway rejects no lookup, so that the measurement shows the cost of
 /// forwarding and not the effect of a limit.
 constexpr double wide_link_kb_per_s = 8.3e10;
-/// Concurrent lookups that the client protocol (FastCGI) allows on one connection.
+/// Maximum number of concurrent lookups that the client protocol (FastCGI) allows on one connection.
 constexpr std::size_t max_lookups_per_connection = 32;
 /// Maximum number of lookups that the clients send in one burst.
 constexpr std::size_t max_lookups_per_tick = 64;
--- a/bench/data_path_load.hpp
+++ b/bench/data_path_load.hpp
@@ -19,7 +19,7 @@
 struct Load {
     std::string program;
     std::uint64_t seed = 1;
-    std::size_t listed_caches = 20;  // they share the sockets of a few cache servers
+    std::size_t listed_caches = 20;  // listed caches share the sockets of a few cache servers
     // size of the body of each cache's response; 0: the caches receive lookups and never respond
     std::size_t answer_bytes = 1'000;
     std::size_t connections = 32;   // total over all clients
--- a/bench/data_path_router.hpp
+++ b/bench/data_path_router.hpp
@@ -1,5 +1,5 @@
-// Measures the Router alone, driven through its callback interface in virtual time, for sizes that would take
-// too long over sockets.
+// Measures the Router alone, for sizes that would take too long over sockets. The measurement drives the
+// Router through its callback interface in virtual time.
 #pragma once
 
 #include <cstdint>
--- a/bench/fit.hpp
+++ b/bench/fit.hpp
@@ -1,4 +1,4 @@
-// Least-squares fits of measured values against a size, and the range in which they may be used.
+// Least-squares fits of measured values against a size, and the range of sizes in which the fits may be used.
 #pragma once
 
 #include <cstddef>
--- a/bench/fleet_owner.cpp
+++ b/bench/fleet_owner.cpp
@@ -43,7 +43,7 @@
 }
 
 struct TakeoverCounts {
-    std::vector<double> ownerless_ms;  // from the fault to the first accepted write of another owner
+    std::vector<double> ownerless_ms;  // times from a fault to the first accepted write of another owner
     // tried: writes under the former owner's fencing token that reached the registry after it had accepted a
     // write of the next owner; landed: the number of these writes that the registry accepted
     std::size_t tried = 0, landed = 0;
--- a/bench/registry_staleness.cpp
+++ b/bench/registry_staleness.cpp
@@ -134,7 +134,7 @@
             after(down_ ? 10 : 5, [this] { apply_fault(); });
         }
         if (name_ == "restored") {
-            // Restores the same records under other revisions and another cluster id.
+            // Restores the registry with the same records, but under other revisions and another cluster id.
             const auto state = *registry_.model.at(registry_.model.newest());
             registry_.model.restore(registry::Revision{registry_.model.newest().raw() - 30}, true);
             for (const auto& [key, r] : state) registry_.model.put(key.raw(), r.value);
--- a/bench/results.hpp
+++ b/bench/results.hpp
@@ -19,7 +19,7 @@
     std::string size_unit;  // e.g. "caches"
     std::string unit;       // unit of the values
     std::vector<Point> points;
-    std::string note;  // how it was measured, in a sentence or two
+    std::string note;  // how the series was measured, in a sentence or two
 };
 
 /// A quantity measured once, or a bound that was observed to hold.
--- a/bench/scale/counting.hpp
+++ b/bench/scale/counting.hpp
@@ -28,8 +28,8 @@
     std::uint64_t messages() const { return messages_out + messages_back; }
 };
 
-// Counts the messages in one direction of a connection, regardless of how the bytes are split. A message is
-// the head of a request or a response, or a line of a watch stream (other bodies contain no line breaks).
+// Counts the messages in one direction of a connection, however the bytes are split into chunks. A message is
+// the head of a request or a response, or a line of a watch stream. All other bodies contain no line breaks.
 class MessageScanner {
 public:
     std::uint64_t scan(std::string_view bytes);
@@ -49,15 +49,15 @@
     MessageScanner out_, back_;
 };
 
-// Key of a traffic row: a gateway, a control machine (the notice board's index follows that of the last
-// registry member) and a channel.
+// Key of a traffic row: a gateway, a control machine and a channel. The notice board's machine index follows
+// the index of the last registry member.
 struct TrafficKey {
     std::size_t gateway = 0, machine = 0;
     Channel channel = Channel::unknown;
     auto operator<=>(const TrafficKey&) const = default;
 };
 
-// Traffic rows by second of the Unix clock; rows without traffic are absent.
+// Traffic rows by second of the Unix clock. Rows without traffic are absent.
 using TrafficBySecond = std::map<std::int64_t, std::map<TrafficKey, Traffic>>;
 
 nlohmann::json to_json(std::int64_t second, const std::map<TrafficKey, Traffic>& rows);
@@ -69,7 +69,7 @@
     double bytes_out = 0, bytes_back = 0;        // the parts of `bytes` that the gateway sent and received
     double worst_messages = 0, worst_bytes = 0;  // worst second, mean over all gateways
     double worst_gateway_bytes = 0;              // largest value of a single gateway in one second
-    std::map<std::string, double> bytes_by_channel, messages_by_channel;  // mean
+    std::map<std::string, double> bytes_by_channel, messages_by_channel;  // mean, per second and gateway
     double machine_bytes = 0, machine_messages = 0;  // mean per second at the busiest control machine
     double machine_worst_bytes = 0, machine_worst_messages = 0;
     double control_bytes = 0, control_messages = 0;  // mean per second, sum over all control machines
--- a/bench/scale/events.cpp
+++ b/bench/scale/events.cpp
@@ -173,8 +173,8 @@
     return result;
 }
 
-// Every second each gateway ejects another cache, so it publishes its record as often as its rate limit
-// permits.
+// Every second each gateway ejects another cache. Each gateway therefore publishes its record as often as its
+// rate limit permits.
 EventResult ejections_change(Rig& rig) {
     rig.set_continuous_ejections(true);
     rig.run_for(one_second * 6);
--- a/bench/scale/events.hpp
+++ b/bench/scale/events.hpp
@@ -1,4 +1,4 @@
-// The events that a fleet of a given size is exposed to, and the measurements of each event.
+// The events that a fleet of a given size is exposed to, and the measurements taken during each event.
 #pragma once
 
 #include <functional>
--- a/bench/scale/main.cpp
+++ b/bench/scale/main.cpp
@@ -1,5 +1,5 @@
-// Measures the cost of control traffic in a fleet of many gateways. Most of them are stubs
-// (testing/stub_gateway.hpp), some are real; a relay sits on each link between a gateway and a control
+// Measures the cost of control traffic in a fleet of many gateways. Most of the gateways are stubs
+// (testing/stub_gateway.hpp), some are real. A relay sits on each link between a gateway and a control
 // machine.
 //   scale run --gateways N [--real N] [--events A,B] [--program irismux] [--fleet-line TEXT]... --out FILE
 //   scale merge FILE FROM...      adds the runs of the FROM files to FILE
--- a/bench/scale/output.cpp
+++ b/bench/scale/output.cpp
@@ -144,7 +144,7 @@
     return rows;
 }
 
-// The quadratic term at the largest size, as a share of the line's value there.
+// Returns the quadratic term at the largest size as a share of the fitted line's value at this size.
 double quadratic_share_at_largest(const bench::Fit& f) {
     const double value = f.line(f.largest);
     return value != 0 ? f.quadratic * f.largest * f.largest / value : 0;
@@ -152,7 +152,7 @@
 
 std::string fits_of(const Variant& v) {
     constexpr double min_share = 0.1;
-    // With fewer degrees of freedom, the test would miss a quadratic term of relevant size.
+    // A test with fewer degrees of freedom would miss a quadratic term of relevant size.
     constexpr std::size_t min_degrees_of_freedom = 2;
     std::string rows;
     for (const std::string& name : order)
--- a/bench/scale/rig.hpp
+++ b/bench/scale/rig.hpp
@@ -90,7 +90,7 @@
     const TrafficBySecond& traffic() const { return traffic_; }
     nlohmann::json states();  // states of the stub gateways, by gateway number
     nlohmann::json registry_ledger();
-    std::map<std::string, double> processor_seconds();    // by role
+    std::map<std::string, double> processor_seconds();    // sum over all processes of a role
     std::map<std::string, std::size_t> resident_bytes();  // sum over all processes of a role
     std::size_t resident_of_empty_stub_process() const { return empty_stub_process_bytes_; }
     void check_memory();  // Throws std::runtime_error if the rig's processes use more memory than allowed.
@@ -159,7 +159,7 @@
     std::int64_t next_order_ = 1, next_expected_ = 1, list_version_ = 1000, last_purge_ms_ = 0;
     std::uint64_t purges_posted_ = 0;
     std::size_t empty_stub_process_bytes_ = 0;
-    // Declared last: the members above must outlive the running loop.
+    // loop_runner_ is declared last, because the members above must outlive the running loop.
     std::unique_ptr<test_support::LoopRunner> loop_runner_;
 };
 
--- a/bench/scale/roles.cpp
+++ b/bench/scale/roles.cpp
@@ -275,12 +275,12 @@
         return all;
     }
 
-    // test_support::StubGatewayObserver
+    // Functions of test_support::StubGatewayObserver:
     void on_endpoints_applied(const std::string& gateway, TimePoint at) override {
         Slot& slot = slots_.at(numbers_.at(gateway));
         if (!slot.gateway) return;
         std::int64_t version = 0;
-        // The list version is encoded as the weight of the first cache, in thousandths.
+        // The weight of the first cache carries the version of the endpoint list, in thousandths.
         const auto first = slot.gateway->endpoints().find(CacheId{Topology::cache_name(0)});
         if (first != slot.gateway->endpoints().end()) version = std::llround(first->second.weight * 1000);
         if (version <= slot.list_version) return;
--- a/testing/fake_registry.cpp
+++ b/testing/fake_registry.cpp
@@ -311,7 +311,7 @@
         return !connection || connection->state() == ConnectionState::closed;
     });
     if (m.faults.silent_watches) return;
-    // Watchers with the same prefix and next revision get the same messages, which are encoded once.
+    // Encodes the messages only once for all watchers with the same prefix and the same next revision.
     std::map<std::pair<std::string, Revision>, std::optional<Messages>> encoded;
     for (Watcher& x : m.watchers) {
         const auto connection = x.connection.lock();
--- a/testing/fake_registry.hpp
+++ b/testing/fake_registry.hpp
@@ -43,7 +43,8 @@
     };
     struct Ledger {
         int reads = 0, checks = 0, watches = 0, connections = 0, refused = 0, logins = 0;
-        /// `successful_transactions` counts only the transactions whose comparisons held.
+        /// `transactions` counts all transactions, `successful_transactions` only those whose comparisons
+        /// held.
         int transactions = 0, successful_transactions = 0;
         /// Number of changes sent to watches. A change that is sent to several watches counts once for each
         /// of them.
@@ -60,7 +61,7 @@
     struct SettledTransaction {
         TimePoint at;
         std::size_t member = 0;
-        std::vector<std::string> compared;  // keys
+        std::vector<std::string> compared;  // the compared keys
         std::vector<std::pair<std::string, std::optional<std::string>>> writes;
         bool succeeded = false;
     };
@@ -100,7 +101,7 @@
         std::shared_ptr<TestConnection> connection;
         std::string target;
         nlohmann::json body;
-        nlohmann::json header;  // of the response
+        nlohmann::json header;  // header of the reply
     };
     void on_request(const Call& call, const std::string& token);
     nlohmann::json header(const Member& m) const;
--- a/testing/fake_services.hpp
+++ b/testing/fake_services.hpp
@@ -29,7 +29,7 @@
     };
     std::deque<ReceivedAttempt> received;  // the last 4,096 attempts
     std::uint64_t total = 0, health_checks = 0;
-    // Simulates the end of the cache's process: resets all connections and refuses new ones.
+    // Simulates the end of the cache's process: resets all connections and refuses new connections.
     void stop();
     void restart();
 
--- a/testing/fault_proxy.cpp
+++ b/testing/fault_proxy.cpp
@@ -97,7 +97,7 @@
         loop_.schedule_at(send_time, go);
 }
 
-// Forwards the end of a connection, unless this direction is held back.
+// Forwards the end of a connection, unless the proxy holds this direction back.
 void FaultProxy::on_end_of_stream(const PairPtr& pair, Direction direction) {
     pair->ended[index_of(direction)] = true;
     if (faults(direction).hold || pair->finished) return;
--- a/testing/process.hpp
+++ b/testing/process.hpp
@@ -63,6 +63,7 @@
 double processor_seconds(pid_t id);    // user and system time used so far
 std::size_t resident_bytes(pid_t id);  // resident set size
 std::size_t descriptors_of(pid_t id);
-bool maps(pid_t id, const std::string& part_of_name);  // whether it maps a file with this part in its path
+// Returns whether the process maps a file whose path contains `part_of_name`.
+bool maps(pid_t id, const std::string& part_of_name);
 
 }  // namespace irismux::test_support
--- a/testing/process_fleet.hpp
+++ b/testing/process_fleet.hpp
@@ -40,7 +40,7 @@
         double drift = 0.05;
         Duration health_check_interval = Duration::micros(200'000),
                  collection_interval = Duration::micros(100'000);
-        Duration request_interval = Duration::micros(10'000);  // interval of each gateway's clients
+        Duration request_interval = Duration::micros(10'000);  // interval between requests at each gateway
         bool probes = true;
         /// If true, each gateway stores the fencing tokens that it has seen in a folder of its own.
         bool stores_tokens = false;
--- a/testing/single_process.hpp
+++ b/testing/single_process.hpp
@@ -50,7 +50,7 @@
     std::unique_ptr<Acceptor> acceptor_;
 };
 
-// A web server's connection to the gateway.
+// A web server's connection to the gateway, with the requests and responses on it.
 class FastCgiClient {
 public:
     FastCgiClient(EventLoop& loop, const std::string& gateway);
--- a/testing/stub_gateway.cpp
+++ b/testing/stub_gateway.cpp
@@ -93,7 +93,8 @@
     const TimePoint now = event_loop_.now();
     roster_.add_purge(purge.at, purge.group, purge.object, now);
     ++purge_count_;
-    // Uses the time in the event, which is the same at each gateway; purge.at is each gateway's own estimate.
+    // The digest uses the time in the event, which is the same at each gateway. purge.at is each gateway's
+    // own estimate.
     purge_digest_ +=
         digest(std::to_string((purge.timestamp - TimePoint{}).micros()) + '/' +
                std::to_string(purge.group.raw()) + '/' + (purge.object ? purge.object->raw() : ""));
@@ -103,7 +104,7 @@
 bool StubGateway::start_health_check(const CacheId& cache) {
     const auto it = answers_.find(cache);
     if (it == answers_.end() || !it->second)
-        return true;  // the cache does not answer; the next probe notices that
+        return true;  // the cache does not answer; the next probe detects this
     event_loop_.schedule_at(event_loop_.now() + probe_answered_in,
                             [this, cache, alive = std::weak_ptr<bool>(alive_)] {
                                 if (alive.lock() && fleet_client_)
--- a/testing/stub_gateway.hpp
+++ b/testing/stub_gateway.hpp
@@ -29,11 +29,11 @@
     Duration notice_board_pause = Duration::micros(400'000);  // pause after a failed poll
     nlohmann::json known = {{"rev", 0},
                             {"notices", nlohmann::json::array()}};  // the board's events at the start
-    std::optional<registry::Settings> registry;  // source of the cache list; if unset, the board
+    std::optional<registry::Settings> registry;  // source of the endpoint list; if unset, the board is
     std::optional<fleet::Settings> fleet;
 };
 
-// Receives a call when an update takes effect at a stub gateway.
+// Receives a call when a stub gateway applies an endpoint list or a purge, or postpones a recovery probe.
 class StubGatewayObserver {
 public:
     virtual ~StubGatewayObserver() = default;
@@ -55,7 +55,7 @@
     void start();
     // Tells the fleet client that a Router has ejected or readmitted the cache.
     void set_ejected(const CacheId& cache, bool ejected);
-    // Sets whether the cache answers health checks; by default no cache does.
+    // Sets whether the cache answers this gateway's health checks. By default no cache answers them.
     void set_cache_answers(const CacheId& cache, bool answers);
 
     // --- the state in force
