--- a/testing/stub_gateway.cpp
+++ b/testing/stub_gateway.cpp
@@ -7,7 +7,7 @@
 const Duration purge_done = Duration::micros(6'000'000);
 const Duration probe_answered_in = Duration::micros(1'000);
 
-// FNV-1a: gives the same result in every process and run.
+// Computes an FNV-1a hash, which is the same in every process and run.
 std::uint64_t digest(std::string_view text) {
     std::uint64_t sum = 14695981039346656037ULL;
     for (const char c : text) sum = (sum ^ static_cast<unsigned char>(c)) * 1099511628211ULL;
@@ -93,7 +93,8 @@
     const TimePoint now = event_loop_.now();
     roster_.add_purge(purge.at, purge.group, purge.object, now);
     ++purge_count_;
-    // Uses the time in the event, which is the same at each gateway; purge.at is each gateway's own estimate.
+    // The digest uses the time in the event, which is the same at each gateway. purge.at is each gateway's
+    // own estimate.
     purge_digest_ +=
         digest(std::to_string((purge.timestamp - TimePoint{}).micros()) + '/' +
                std::to_string(purge.group.raw()) + '/' + (purge.object ? purge.object->raw() : ""));
@@ -103,7 +104,7 @@
 bool StubGateway::start_health_check(const CacheId& cache) {
     const auto it = answers_.find(cache);
     if (it == answers_.end() || !it->second)
-        return true;  // the cache does not answer; the next probe notices that
+        return true;  // the cache does not answer; the next probe detects this
     event_loop_.schedule_at(event_loop_.now() + probe_answered_in,
                             [this, cache, alive = std::weak_ptr<bool>(alive_)] {
                                 if (alive.lock() && fleet_client_)
