--- a/include/irismux/deployment.hpp
+++ b/include/irismux/deployment.hpp
@@ -48,7 +48,7 @@
     bool cancellation = false;  ///< attempts can be cancelled
     bool probes = false;        ///< health checks can be sent
     bool retry_after = false;   ///< clients honour a retry-after time
-    /// Several attempts of one request may be in flight at once. Not used by decisions.
+    /// Several attempts of one request may be in flight at the same time. Not used by decisions.
     bool hedged_requests = false;
     bool direct_attempts = false;  ///< attempts may bypass the caches and go to parents and to the origin
     bool coalescing = false;       ///< an attempt may wait for a fill that another request has started
@@ -61,7 +61,7 @@
 /// How the capacity of an endpoint grows after a restart.
 struct SlowStart {
     double initial_capacity_share = 1;  ///< share of the full capacity at the start
-    Duration window;                    ///< maximum time in which the share rises linearly to 1
+    Duration window;                    ///< longest time until the share, which rises linearly, reaches 1
     double overload_multiple = 1;  ///< load above this multiple of the current capacity stops the endpoint
 };
 
--- a/include/irismux/router.hpp
+++ b/include/irismux/router.hpp
@@ -39,8 +39,8 @@
     void on_request(TimePoint now, const Request& request);
     /// Processes the result of an attempt. Results of unknown requests and of ended attempts are ignored.
     void on_attempt_result(TimePoint now, const AttemptResult& result);
-    /// Ends a request whose client has disconnected or has received its final response from another source.
-    /// No further attempt is started.
+    /// Ends a request whose client has disconnected or has received a final response that the router did not
+    /// decide on. No further attempt is started.
     void on_client_closed(TimePoint now, const RequestId& request);
     /// Checks an attempt again right before its first byte is written, since the attempt may have waited for
     /// a connection.
--- a/include/irismux/router_callbacks.hpp
+++ b/include/irismux/router_callbacks.hpp
@@ -19,14 +19,15 @@
     virtual void start_direct_attempt(const RequestId& request, const CacheId& origin, Duration timeout) = 0;
     /// Starts an attempt at a cache.
     virtual void start_attempt(const RequestId& request, const AttemptPlan& plan) = 0;
-    /// Cancels an attempt. Its result must still be reported to the router.
+    /// Cancels an attempt. The result of the attempt must still be reported to the router.
     virtual void cancel_attempt(const RequestId& request, AttemptIndex attempt) = 0;
 
     /// Sends the final response that rejects the request. The request has had no effect, or the client can
     /// safely repeat it.
     /// @param retry_after how long the client should wait before it retries; zero if not specified
     virtual void reject(const RequestId& request, Duration retry_after) = 0;
-    /// Sends the final response that the request has failed. The request may have had an effect.
+    /// Sends the final response that reports the failure of the request. It is unknown whether the request
+    /// has had an effect.
     virtual void fail(const RequestId& request) = 0;
 
     /// Schedules a call of Router::on_timer with this id at this time. Timers are never cancelled, and at
--- a/src/routing/adaptive_limit.cpp
+++ b/src/routing/adaptive_limit.cpp
@@ -8,7 +8,7 @@
 
 // Time in which the share falls by a factor of e while all results are bad.
 constexpr Duration cut_time = Duration::micros(800'000);
-// A single bad result cuts the share for at most this much of the time since the last cut.
+// The cut by a single bad result grows with the time since the last cut, but only up to this time.
 constexpr Duration longest_time_per_cut = Duration::micros(1'000'000);
 // Lower bound of the share. This bound limits the time until the share is full again, however long the bad
 // results lasted.
--- a/src/routing/adaptive_limit.hpp
+++ b/src/routing/adaptive_limit.hpp
@@ -5,12 +5,13 @@
 
 namespace irismux::routing {
 
-/// Bad results cut the share. The share recovers with time alone, since otherwise an endpoint that gets few
-/// requests would have too few results to recover. The size of a cut depends on the time since the last cut,
-/// so that gateways with many results and gateways with few results reduce their shares equally.
+/// Bad results cut the share of the traffic that the endpoint may get. The share recovers with time alone,
+/// since otherwise an endpoint that gets few requests would have too few results to recover. The size of a
+/// cut depends on the time since the last cut, so that gateways with many results and gateways with few
+/// results reduce their shares equally.
 class AdaptiveLimit {
 public:
-    /// The time in which a cut share doubles.
+    /// The time in which the share doubles after a cut.
     static constexpr Duration default_doubling_time = Duration::micros(2'000'000);
 
     explicit AdaptiveLimit(Duration doubling_time = default_doubling_time) : doubling_time_(doubling_time) {}
--- a/src/routing/attempt_monitor.cpp
+++ b/src/routing/attempt_monitor.cpp
@@ -7,7 +7,7 @@
 
 // Interval between two checks, as a share of the shortest latency objective.
 constexpr double interval_share_of_objective = 0.1;
-// The interval is derived from a latency objective of at most this value.
+// If all latency objectives are longer than this value, the interval is derived from this value instead.
 constexpr Duration longest_objective_counted = Duration::micros(2'000'000);
 
 }  // namespace
@@ -66,8 +66,8 @@
         }
 }
 
-// Cancels the attempts that wait for the endpoint, if their requests may be sent again. The results of these
-// attempts are reported as Outcome::cancelled.
+// Cancels the attempts that wait for the endpoint, if their requests are safe to send again. The results of
+// these attempts are reported as Outcome::cancelled.
 void AttemptMonitor::cancel_attempts_at(const EndpointState& endpoint, PendingRequests& requests) const {
     if (!can_cancel_) return;
     for (auto& [id, request] : requests) {
--- a/src/routing/congestion.cpp
+++ b/src/routing/congestion.cpp
@@ -9,7 +9,8 @@
 namespace irismux::routing {
 namespace {
 
-// The following limits are multiples of the number of transfers that the link in question carries at once.
+// The following four limits are multiples of the number of concurrent transfers that a link carries. For late
+// attempts and fills, this is the link into the location; for spilling and shedding, the link of the cache.
 constexpr double congested_late_attempts = 0.2;
 constexpr double exhausted_fills = 1;
 constexpr double spill_transfers = 2;
@@ -23,7 +24,8 @@
 // Time constant with which an observed load decays, as a multiple of the longest latency objective.
 constexpr double observed_load_decay_objectives = 4;
 
-// Counts an attempt in flight and records the start of a busy period if there was none.
+// Counts an attempt in flight. If no other attempt is in flight, also records that a busy period of the
+// endpoint begins.
 void add_in_flight(EndpointState& endpoint, TimePoint now) {
     if (endpoint.load.in_flight == 0) endpoint.load.busy_since = now;
     ++endpoint.load.in_flight;
@@ -121,7 +123,7 @@
     return shedding_transfers * size_allowance(transfer_seconds);
 }
 
-// Prefers small requests, which yield the most for each second of link time.
+// Prefers requests for small objects, which yield the most utility for each second of link time.
 double Congestion::size_allowance(double transfer_seconds) const {
     return std::clamp(statistics_.mean_transfer_seconds() / std::max(transfer_seconds, min_transfer_seconds),
                       min_size_allowance, max_size_allowance);
--- a/src/routing/edge_selection.hpp
+++ b/src/routing/edge_selection.hpp
@@ -29,7 +29,7 @@
         EndpointState* below_spill_load = nullptr;
         // Cache with the lowest load among the caches whose load is not below the spill load.
         EndpointState* least_loaded = nullptr;
-        // Cache with the earliest next_probe_at among the caches that may not be chosen.
+        // Cache with the earliest next_probe_at among the caches that OutlierDetector::may_choose() excludes.
         EndpointState* last_resort = nullptr;
     };
     [[nodiscard]] Candidates candidates(const PendingRequest& request, double spill_load,
--- a/src/routing/endpoint_set.hpp
+++ b/src/routing/endpoint_set.hpp
@@ -34,9 +34,9 @@
     /// @return the active endpoints of the role in the object's order of preference
     [[nodiscard]] std::vector<EndpointState*> ranked(const ObjectName& object, EndpointRole role) const;
 
-    /// @return the largest number of edge caches that have been active at once, at least 1
+    /// @return the largest number of edge caches that have been active at the same time, at least 1
     [[nodiscard]] std::size_t max_active_edges() const { return max_active_edges_; }
-    /// @return the largest number of parents that have been active at once, at least 1
+    /// @return the largest number of parents that have been active at the same time, at least 1
     [[nodiscard]] std::size_t max_active_parents() const { return max_active_parents_; }
 
 private:
--- a/src/routing/endpoint_state.hpp
+++ b/src/routing/endpoint_state.hpp
@@ -48,7 +48,8 @@
     int in_flight = 0;     ///< attempts in flight at this cache or with this fill source
     int late = 0;          ///< attempts at this cache that are past their latency limit
     TimePoint busy_since;  ///< start of the period in which attempts have been in flight without a break
-    /// Load estimated from the latency of hits, as a multiple of the transfers that the link carries at once.
+    /// Load estimated from the latency of hits, as a multiple of the number of concurrent transfers that the
+    /// cache's link carries.
     double observed_load = 1;
     TimePoint observed_at;  ///< time of the last estimate; zero: no estimate yet
 };
@@ -71,7 +72,7 @@
 struct EndpointState {
     CacheId id;
     std::uint64_t rendezvous_key = 0;
-    std::uint64_t rendezvous_score = 0;  ///< score for the object that was ranked last
+    std::uint64_t rendezvous_score = 0;  ///< score for the object of the most recent ranking
 
     // Values from the endpoint list.
     EndpointRole role = EndpointRole::other_location;
--- a/src/routing/fill_source.cpp
+++ b/src/routing/fill_source.cpp
@@ -10,12 +10,14 @@
 // An origin that stops when it is overloaded needs longer to recover than other origins, so its fetch limit
 // recovers more slowly.
 constexpr Duration stopping_origin_doubling_time = Duration::micros(6'000'000);
-// A fetch that waits longer than this multiple of the mean indicates an origin close to overload.
+// A fetch that waits longer than this multiple of the mean wait indicates that the origin is close to
+// overload.
 constexpr double unusual_wait_multiple = 2;
 // The mean wait covers approximately this many of the latest fetches.
 constexpr double mean_over_fetches = 256;
 // A cache-only attempt at a cache that loses attempts times out after `lost_after_transfer_times` times the
-// transfer time under the cache's load, plus `lost_after_objective_share` times the latency objective.
+// object's transfer time under the current load of the cache, plus `lost_after_objective_share` times the
+// latency objective.
 constexpr double lost_after_transfer_times = 1.2;
 constexpr double lost_after_objective_share = 0.2;
 
@@ -65,9 +67,9 @@
     return true;
 }
 
-// Only a known miss justifies a fill while fills are congested, or if the fill would be charged to a budget.
-// In both cases a cache-only attempt comes first. If fills are not congested, a cache that is warming up gets
-// a single attempt instead, since each attempt is charged to the cache's own budget.
+// While fills are congested, or if the fill would be charged to a budget, only a known miss justifies a fill.
+// A cache-only attempt therefore comes first. If fills are not congested, a cache that is warming up gets no
+// cache-only attempt, since each attempt is charged to the cache's own budget.
 bool FillSourceSelection::should_try_cache_only(const PendingRequest& request, const EndpointState& cache,
                                                 const Endpoints& parents, double transfer_seconds,
                                                 TimePoint now) const {
@@ -91,8 +93,8 @@
     return found == parents.end() ? nullptr : *found;
 }
 
-// Checks whether the origin takes a fill that parents cannot complete in time. The origin must have budget,
-// and its own fills must be in time.
+// Checks whether the origin takes a fill that parents cannot complete in time. The origin must have budget
+// for this fill, and the recent fills from the origin must have been in time.
 bool FillSourceSelection::origin_takes_parents_fill(const EndpointState* parent, EndpointState* origin,
                                                     bool fills_exhausted, double transfer_seconds,
                                                     TimePoint now) const {
@@ -104,7 +106,8 @@
            dependencies_.slow_start.has_budget(*origin, transfer_seconds, now);
 }
 
-// Checks whether the origin may fill because no parent is available or no parent has budget left.
+// Checks whether the origin may be the fill source in place of the parents. Called if no parent is available
+// or no parent has budget left.
 bool FillSourceSelection::origin_replaces_parents(const PendingRequest& request, EndpointState* origin,
                                                   double transfer_seconds, TimePoint now) const {
     if (!origin || request.avoids(origin->id)) return false;
--- a/src/routing/fill_source.hpp
+++ b/src/routing/fill_source.hpp
@@ -29,13 +29,13 @@
     /// Sets the fill source of the request's plan for the cache that has been selected.
     /// @return false if an earlier attempt found no copy and the miss cannot be filled now
     [[nodiscard]] bool select(PendingRequest& request, const EndpointState& cache, TimePoint now);
-    /// Updates the limits of fills from the source and of fetches from the origin, which select() reads, and
-    /// decides whether the request avoids the source from now on.
+    /// Updates the limit on fills from the source and the limit on fetches from the origin; select() reads
+    /// both limits. Also decides whether the request avoids the source from now on.
     /// @param source null for attempts without a fill source
     void on_result(PendingRequest& request, const Attempt& attempt, const AttemptResult& result,
                    EndpointState* source, TimePoint now);
-    /// Updates the limit of fills from the source when a fill passes its latency limit, before the result of
-    /// the attempt arrives.
+    /// Updates the limit on fills from the source as soon as a fill from this source is late, before the
+    /// result of the late attempt arrives.
     void on_late_attempt(EndpointState& source, TimePoint now) const;
 
 private:
--- a/src/routing/freshness.cpp
+++ b/src/routing/freshness.cpp
@@ -52,7 +52,7 @@
     return allow_stale ? by_kind : Duration{};
 }
 
-// Returns the oldest age that the purges allow, or zero if no purge applies.
+// Returns the maximum age that the purges allow for a copy, or zero if no purge applies.
 Duration FreshnessPolicy::max_age_by_purges(const Request& request, TimePoint now) const {
     const std::optional<TimePoint> purged_at = purges_.newest(request.object, request.purge_group, now);
     if (!purged_at) return Duration{};
--- a/src/routing/freshness.hpp
+++ b/src/routing/freshness.hpp
@@ -1,5 +1,5 @@
-// Ensures that no purged copy is served (rule 5). Also decides the maximum age of a served copy and the rank
-// at which a copy is stored.
+// Ensures that a purged copy is never served. Also decides the maximum age of a served copy and the rank at
+// which a copy is stored.
 #pragma once
 
 #include <optional>
@@ -17,7 +17,7 @@
     /// Applies a purge; see Router::on_purge().
     void on_purge(Duration age, PurgeGroupId group, const std::optional<ObjectName>& object, TimePoint now);
 
-    /// Begins a new plan and sets how a copy may be served and stored. Stale copies are allowed once
+    /// Begins a new plan and sets how a copy may be served and stored. Stale copies are allowed after
     /// on_result() has recorded a failure of the source.
     void begin_plan(PendingRequest& request, TimePoint now) const;
     /// Allows stale copies for the request if the result reports a failure of the source.
--- a/src/routing/idempotency.hpp
+++ b/src/routing/idempotency.hpp
@@ -1,5 +1,5 @@
-// Ensures that no request takes effect twice (rule 2). The possible effects of earlier attempts determine
-// whether further attempts are allowed and whether the request may be rejected.
+// Ensures that a request with an effect is never run twice. The possible effects of earlier attempts
+// determine whether further attempts are allowed and whether the request may be rejected.
 #pragma once
 
 #include "irismux/deployment.hpp"
@@ -13,15 +13,16 @@
     explicit IdempotencyPolicy(const Deployment& deployment)
         : timer_resolution_(deployment.timer_resolution) {}
 
-    /// Checks whether one more attempt may begin, given the attempts that may have run according to
-    /// record_result(). Called when an attempt is planned, and called again before the first byte is written
-    /// of an attempt that has waited.
+    /// Checks whether one more attempt is allowed. This depends on the earlier attempts that have possibly
+    /// run; record_result() records these attempts. Called when an attempt is planned. Called again for an
+    /// attempt that has waited, before its first byte is written.
     /// @param except the waiting attempt, which is not counted; null while the attempt is planned
     [[nodiscard]] bool may_attempt(const PendingRequest& request, const Attempt* except, TimePoint now) const;
     /// Checks whether an attempt may go to the cell. If idempotency keys are shared only within a cell, a
     /// request that may already have run stays in the cell that may have stored its key.
     [[nodiscard]] static bool may_use_cell(const PendingRequest& request, CellId cell);
-    /// Checks whether the request may be rejected, so that the client can safely send it again.
+    /// Checks whether a rejection of the request is allowed: after a rejection, the client must be able to
+    /// send the request again safely.
     [[nodiscard]] static bool may_reject(const PendingRequest& request);
 
     /// Derives from the result of an attempt whether the attempt may have run, and records this in the
--- a/src/routing/link_capacity.cpp
+++ b/src/routing/link_capacity.cpp
@@ -11,7 +11,8 @@
 // Assumed link capacity of a parent, as a share of the capacity that each parent would have if all links were
 // divided evenly among the parents. Parents differ in size, so a parent may have less than this even part.
 constexpr double parent_share_of_even = 0.6;
-// Assumed link capacity of an endpoint about which nothing is known.
+// Assumed link capacity of an endpoint if the deployment specifies neither endpoint weights nor link
+// capacities.
 constexpr double unknown_capacity_transfers = 4;
 // Share of the links into all locations that all gateways together may request from the origin in place of
 // parents.
--- a/src/routing/link_capacity.hpp
+++ b/src/routing/link_capacity.hpp
@@ -1,5 +1,6 @@
-// The number of concurrent transfers at full rate that the links of endpoints and locations carry. The
-// numbers are taken or derived from the deployment as far as possible.
+// The number of concurrent transfers, each at the maximum rate of one transfer, that the links of endpoints
+// and locations carry. The numbers are taken from the deployment or derived from it. Where the deployment
+// does not give enough data, they are assumed.
 #pragma once
 
 #include "irismux/deployment.hpp"
@@ -15,7 +16,9 @@
     /// transfers that all gateways together may request from the origin in place of parents. The capacity
     /// does not grow when other endpoints leave.
     [[nodiscard]] double endpoint(const EndpointState& endpoint) const;
-    /// @return capacity of the link into this location, in transfers; at least 1 if the capacity is derived
+    /// @return capacity of the link into this location, in transfers. If the deployment does not specify this
+    /// capacity, it is derived from the link capacities of the location's active caches, and the result is at
+    /// least 1.
     [[nodiscard]] double location_link() const;
 
 private:
--- a/src/routing/object_statistics.hpp
+++ b/src/routing/object_statistics.hpp
@@ -9,7 +9,8 @@
 
 namespace irismux::routing {
 
-/// Transfer times are in seconds, at the full rate of one transfer. Objects are recorded by generations,
+/// A transfer time is the time in seconds that a transfer takes if nothing slows it down, that is, at the
+/// maximum rate of one transfer (Deployment::transfer_rate_kb_per_s). Objects are recorded by generations,
 /// which are periods of a fixed length. Only the current and the previous generation are kept.
 class ObjectStatistics {
 public:
--- a/src/routing/outlier_detector.cpp
+++ b/src/routing/outlier_detector.cpp
@@ -88,9 +88,10 @@
     if (endpoint.health.recovery_probe_in_flight()) endpoint.health.ejection = EjectionState::ejected;
 }
 
-// The gateway that checks the health of endpoints on behalf of all gateways may have lost its connection to
-// an endpoint that this gateway can reach. The checking gateway can therefore postpone the probe by at most
-// the longest backoff.
+// Postpones the recovery probe of an ejected endpoint, but by at most the longest backoff beyond this
+// gateway's own backoff. The postponement comes from the gateway that checks the health of endpoints on
+// behalf of all gateways. The limit is needed because the checking gateway may have lost its connection to an
+// endpoint that this gateway can reach.
 void OutlierDetector::postpone_recovery_probe(EndpointState& endpoint, TimePoint not_before) {
     if (endpoint.health.ejection != EjectionState::ejected) return;
     endpoint.health.next_probe_at = std::min(not_before, endpoint.health.backoff_ends_at + longest_backoff);
@@ -133,8 +134,8 @@
     if (health.error_share < ejection_error_share / error_averaging_results) health.consecutive_ejections = 0;
 }
 
-// Ejects an endpoint that fails fast, which would otherwise seem to be the least loaded. Its error share must
-// be an outlier, since errors at all endpoints have a common cause.
+// Ejects an endpoint that fails fast, which would otherwise seem to be the least loaded. The endpoint's error
+// share must be an outlier, since errors at all endpoints have a common cause.
 void OutlierDetector::record_error(EndpointState& endpoint, TimePoint now) const {
     EndpointHealth& health = endpoint.health;
     health.error_share += (1.0 - health.error_share) / error_averaging_results;
@@ -165,7 +166,8 @@
     if (cache.health.last_seen > attempt.started_at && !attempt.has_source()) record_lost_attempt(cache, now);
 }
 
-// A late response reverts what on_late_attempt() has counted.
+// If an attempt that on_late_attempt() has counted as lost gets a response after all, the attempt is no
+// longer counted as lost.
 void OutlierDetector::record_lost_or_answered(EndpointState& cache, const Attempt& attempt,
                                               const AttemptResult& result, TimePoint now) const {
     const bool counted_as_lost = attempt.counted_as_late && !attempt.has_source();
@@ -244,9 +246,9 @@
     if (attempt.probes_source) end_recovery_probe(source);
 }
 
-// A cache that rejects the attempt at once has no connection to the source. A fill that broke off early is an
-// error of the source. Otherwise the fill timed out; if the origin is slow or a link is full, the fills of
-// all parents time out.
+// A cache that rejects the attempt immediately has no connection to the source. A fill that broke off early
+// is an error of the source. Otherwise the fill timed out. A timeout alone does not show that the source is
+// at fault: if the origin is slow or a link is full, the fills of all parents time out.
 void OutlierDetector::on_source_unreachable(EndpointState& source, const Attempt& attempt,
                                             const AttemptResult& result, TimePoint now) const {
     if (result.outcome == Outcome::overloaded) {
--- a/src/routing/outlier_detector.hpp
+++ b/src/routing/outlier_detector.hpp
@@ -4,7 +4,7 @@
 // it does not respond while its peers do. The backoff doubles with each consecutive ejection. When the
 // backoff ends, one idempotent request is used as the recovery probe. Errors and silence count only in
 // comparison with the peers, since a failure of all endpoints has a common cause. A refused connection ejects
-// the endpoint at once.
+// the endpoint immediately.
 #pragma once
 
 #include "irismux/deployment.hpp"
--- a/src/routing/pending_request.hpp
+++ b/src/routing/pending_request.hpp
@@ -24,7 +24,8 @@
     CellId cell;                      ///< copied from the cache, which may be erased before the next attempt
     TimePoint started_at;             ///< time at which the router decided on the attempt
     TimePoint slow_start_checked_at;  ///< time of the last check by SlowStartPolicy
-    std::optional<TimePoint> late_after;  ///< end of the latency limit; not set if the attempt is not watched
+    /// Time after which the attempt is late; std::nullopt if the attempt is not watched.
+    std::optional<TimePoint> late_after;
     AttemptState state = AttemptState::in_flight;
     bool may_have_run = false;
     bool counted_as_late = false;  ///< included in EndpointLoad::late of its cache
--- a/src/routing/purge_table.hpp
+++ b/src/routing/purge_table.hpp
@@ -20,7 +20,8 @@
 
     /// Maximum number of purges of objects, and also the maximum number of purges of groups. If more are
     /// added, the older half is merged into one purge that applies to all objects and has the time of the
-    /// newest purge of this half. No purged copy is served (rule 5), at the cost of additional fills.
+    /// newest purge of this half. A purged copy is never served after such a merge, but some valid copies are
+    /// not served either, which costs additional fills.
     static constexpr std::size_t max_purges = 16'384;
 
     void add(TimePoint at, PurgeGroupId group, const std::optional<ObjectName>& object, TimePoint now);
--- a/src/routing/retry_policy.cpp
+++ b/src/routing/retry_policy.cpp
@@ -10,7 +10,7 @@
 // attempt that a request may have.
 constexpr double retries_per_request = 0.25;
 constexpr double reserve_per_max_attempt = 5;
-// Minimum retry-after time, as a share of the longest time that clients honour.
+// Minimum retry-after time, as a share of the longest retry-after time that clients honour.
 constexpr double min_retry_after_share = 0.1;
 
 }  // namespace
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -168,9 +168,10 @@
 
 // --- processing results ---
 
-// Calls the policies in reverse order. Lost attempts are detected before the counters of attempts in flight
-// change, and health is updated afterwards. Edge selection reads the health as updated by this result. The
-// caller consults the retry policy next, which reads what all other policies have recorded on the request.
+// Calls the policies in the reverse of the order in which they plan an attempt. Lost attempts are detected
+// before the counters of attempts in flight change, and health is updated afterwards. Edge selection reads
+// the health as updated by this result. The caller consults the retry policy next, which reads what all other
+// policies have recorded on the request.
 void Router::Core::process_result(PendingRequest& request, Attempt& attempt, const AttemptResult& result,
                                   TimePoint now) {
     EndpointState& cache = endpoints_.at(attempt.cache);
@@ -238,9 +239,9 @@
     erase_if_finished(id);
 }
 
-// Rechecks an attempt that has waited for a connection. Meanwhile its client may have disconnected, its
-// idempotency window may have ended, or an endpoint may have restarted, so that the endpoint's slow start
-// applies.
+// Rechecks an attempt that has waited for a connection. Meanwhile the client may have disconnected, the
+// caches may have discarded the request's idempotency key, or an endpoint may have restarted, so that the
+// endpoint's slow start applies.
 bool Router::Core::may_begin_attempt(const RequestId& id, AttemptIndex index, TimePoint now) {
     const auto entry = pending_requests_.find(id);
     if (entry == pending_requests_.end()) return false;
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -6,17 +6,19 @@
 namespace irismux::routing {
 namespace {
 
-// The budget grows at `rate_per_capacity` times the current capacity. This multiple is limited to
-// `rate_share_of_overload` times the overload multiple.
+// The budget of an endpoint that is warming up grows at `rate_per_capacity` times the endpoint's current
+// capacity. This multiple is limited to `rate_share_of_overload` times the overload multiple.
 constexpr double rate_per_capacity = 1.2;
 constexpr double rate_share_of_overload = 0.5;
-// Maximum budget that accumulates, as a share of the budget that accrues in an overload window.
+// Maximum unused budget that is kept, as a share of the budget that accrues in one overload window.
 constexpr double burst_share_of_window = 0.15;
-// While they are idle, all gateways together may accumulate this share of the headroom, which is the capacity
-// between the budget's rate and the overload multiple.
+// While all gateways are idle, they are allowed to accumulate, together, this share of the headroom as
+// budget. The headroom is the difference between the load that stops the endpoint (the overload multiple of
+// its capacity) and the load that the growth of the budgets permits.
 constexpr double headroom_share = 0.7;
-// Maximum transfer time of the requests sent to an endpoint in an overload window, as a multiple of the
-// budget that accrues in the same window.
+// Limit on the sum of the transfer times of all requests that this gateway sends to an endpoint within one
+// overload window. The limit is a multiple of the endpoint's budget that this gateway accrues in the same
+// time.
 constexpr double max_sent_per_window = 1.3;
 
 double rate_multiple(const SlowStart& settings) {
@@ -45,8 +47,8 @@
 
 // All gateways detect the start of an endpoint's process at the same time. If the budget of each gateway is
 // less than the transfer time of one request, all gateways would also have the budget for their first request
-// at the same time. To spread the first requests, the budget needs to cover only a share of the transfer
-// time, which each gateway chooses at random.
+// at the same time. To spread the first requests, each gateway chooses a random share, and the gateway's
+// budget needs to cover only this share of the transfer time.
 void SlowStartPolicy::begin(EndpointState& endpoint, TimePoint since, TimePoint now) const {
     EndpointWarmUp& warm_up = endpoint.warm_up;
     warm_up.refused_while_idle = false;
@@ -78,7 +80,8 @@
     const double max_budget = std::max(budget_per_window * burst_share_of_window, transfer_seconds);
     const double elapsed = (now - warm_up.accrued_until).seconds();
 
-    // The rate has risen linearly since the last accrual.
+    // The rate has risen linearly since the budget was last accrued, so the mean of the old and the new rate
+    // applies.
     warm_up.budget += (rate_at(warm_up.accrued_until, since, full_capacity, settings) - rate) / 2 * elapsed;
     warm_up.budget += rate * elapsed;
     warm_up.accrued_until = now;
--- a/src/routing/slow_start.hpp
+++ b/src/routing/slow_start.hpp
@@ -1,9 +1,10 @@
-// Prevents overload of an endpoint that is warming up (rule 4).
+// Ensures that a starting cache or parent (an endpoint that is warming up) is not overloaded by all gateways
+// together.
 //
-// Each gateway limits the requests that it sends to the endpoint: the sum of their transfer times is limited
-// by the gateway's even share of a budget. This budget grows at the rate of the slowest warm-up that the
-// settings allow. Requests that go to the origin in place of parents are limited by a budget of the same
-// form.
+// Each gateway limits the requests that it sends to such an endpoint: the sum of their transfer times is
+// limited by the gateway's even share of a budget. The rate at which this budget grows is based on the
+// slowest warm-up that the settings allow. Requests that go to the origin in place of parents are limited by
+// a budget of the same form.
 #pragma once
 
 #include "irismux/deployment.hpp"
