--- a/src/base/json_reader.hpp
+++ b/src/base/json_reader.hpp
@@ -13,13 +13,13 @@
 
 using nlohmann::json;
 
-/// The input is invalid.
+/// Thrown if the input is invalid.
 class ParseError : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
 };
 
-/// The input cannot be read at present; another attempt may succeed soon.
+/// Thrown if the input cannot be read at present. A later attempt to read the input can succeed.
 class TransientError : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
@@ -30,9 +30,10 @@
 /// Returns the field `key`, which must exist and must not be null.
 inline const json& require(const json& object, const char* key) {
     if (!object.is_object())
-        throw_parse_error(std::string("expected a JSON object with the field '") + key + "'");
+        throw_parse_error(std::string("the value that should contain the field '") + key +
+                          "' is not a JSON object");
     const auto it = object.find(key);
-    if (it == object.end() || it->is_null()) throw_parse_error(std::string("missing field '") + key + "'");
+    if (it == object.end() || it->is_null()) throw_parse_error(std::string("field '") + key + "' is missing");
     return *it;
 }
 
@@ -73,12 +74,12 @@
 }
 
 /// Returns the value that `names` assigns to `text`.
-/// @param what describes the text in the error message.
+/// @param what the name of the field that contains the text; used in the error message.
 template <class T, std::size_t N>
 T parse_enum(const std::string& text, const char* what, const std::pair<const char*, T> (&names)[N]) {
     for (const auto& [name, value] : names)
         if (text == name) return value;
-    throw_parse_error(std::string("unknown ") + what + " '" + text + "'");
+    throw_parse_error(std::string("field '") + what + "' has the unknown value '" + text + "'");
 }
 
 }  // namespace irismux
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -61,7 +61,7 @@
     return record.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-// The line does not contain the level.
+// Returns the event as a line of text. write_text() adds the level in front of the line.
 std::string format_text(std::string_view event, std::initializer_list<Field> fields) {
     std::string line(event);
     for (const Field& field : fields) line.append(" ").append(field.name).append("=").append(field.text);
--- a/src/codec/cache_protocol.cpp
+++ b/src/codec/cache_protocol.cpp
@@ -39,7 +39,8 @@
      {"root_failed", CacheStatus::origin_failed}}};
 
 constexpr std::size_t response_arguments = 4;  // id, result, fields, body
-// A longer wait is replaced by this value, so that any number that a cache may report fits into a Duration.
+// Longest fill wait that is used. A longer wait is replaced by this value, so that any number that a cache
+// reports fits into a Duration.
 constexpr double max_fill_wait_ms = 1e9;
 
 template <class Value, std::size_t size>
--- a/src/codec/client_protocol.cpp
+++ b/src/codec/client_protocol.cpp
@@ -77,7 +77,7 @@
         return found;
     }
     std::string_view get(std::string_view name) { return find(name).value_or(std::string_view{}); }
-    // Whether a parameter that has been looked up so far occurs more than once.
+    // Whether any of the parameters that have been looked up so far occurs more than once.
     bool has_duplicates() const { return has_duplicates_; }
 
 private:
--- a/src/codec/http.hpp
+++ b/src/codec/http.hpp
@@ -34,7 +34,7 @@
 
     /// Reads the next part of the body. `bytes` must begin after the bytes that earlier calls used; `piece`
     /// is set to a view into `bytes`.
-    /// @return ParseStatus::complete once the body has ended. If the result is ParseStatus::incomplete and
+    /// @return ParseStatus::complete if the body has ended. If the result is ParseStatus::incomplete and
     /// `used` is 0, more bytes have to arrive first.
     [[nodiscard]] ParseStatus next(std::string_view bytes, std::string_view& piece, std::size_t& used);
 
--- a/src/codec/notice_reader.hpp
+++ b/src/codec/notice_reader.hpp
@@ -60,8 +60,8 @@
     /// endpoint list of some 5,000 caches.
     static constexpr std::size_t max_notice_bytes = 1'048'576;
     static constexpr int max_depth = 32;  ///< maximum nesting of brackets
-    /// Maximum size of all events that wait for the revision of the response because they have no revision of
-    /// their own.
+    /// Maximum total size of the events that wait for the revision of the response because they have no
+    /// revision of their own.
     static constexpr std::size_t max_waiting_bytes = max_notice_bytes;
 
     /// Passes the next bytes of the response. Must be called only after next() has returned std::nullopt.
--- a/src/net/cache_connection.cpp
+++ b/src/net/cache_connection.cpp
@@ -194,9 +194,9 @@
     cache_protocol::write_cancellation(output_, cancelled.request->client_request_id());
     write_pending();
     update_progress();
-    // Prevents two attempts of one request from running at once: the next attempt must not start before the
-    // cancellation has been written. If the cache's socket takes no more input, the connection is closed,
-    // which cancels the attempt too.
+    // Prevents two attempts of one request from running at the same time: the next attempt must not start
+    // before the cancellation has been written. If the cache's socket takes no more input, the connection is
+    // closed, which cancels the attempt too.
     if (!output_.empty() && writable()) run_soon([this] { disconnect(); });
     cancelled.request->delay_reuse_until(loop_.now() + context_.limits.reuse_delay);
 }
--- a/src/net/cache_connection.hpp
+++ b/src/net/cache_connection.hpp
@@ -160,7 +160,7 @@
     std::uint64_t last_sequence_ = 0;
     std::deque<WriteRange> unwritten_;                // attempts that are not fully written to the socket
     std::map<std::string, TimePoint> health_checks_;  // start time of each health check, by tag
-    // Health checks to be sent once the connection is open.
+    // Health checks to be sent as soon as the connection is open.
     std::vector<std::pair<std::string, StillWanted>> deferred_health_checks_;
     ScopedTimer connect_or_idle_timer_;
     ScopedTimer partial_response_timer_;
--- a/src/net/cache_connection_pool.cpp
+++ b/src/net/cache_connection_pool.cpp
@@ -9,9 +9,9 @@
 // Each cache gets half of its even share of the connections. The other half is reserved for caches that are
 // added to the endpoint list later.
 constexpr std::size_t used_share_divisor = 2;
-// Once a cache has this many connections, no further connection is opened for a request whose id conflicts on
-// the existing connections. Two requests with the same id can therefore be served at once, and a client that
-// repeats ids does not use up the connections.
+// As soon as a cache has this many connections, no further connection is opened for a request whose id
+// conflicts on the existing connections. Two requests with the same id can therefore be served at the same
+// time, and a client that repeats ids does not use up the connections.
 constexpr std::size_t max_connections_for_repeated_id = 2;
 // An attempt for which no connection is available is retried after this fraction of the connect timeout.
 constexpr double connection_retry_share = 0.1;
@@ -95,8 +95,8 @@
     }
 }
 
-// Closes the connection, so that the cache does not receive the rest of the attempt, unless the connection
-// carries other attempts.
+// Closes the connection, so that the cache does not receive the rest of the attempt. A connection that
+// carries other attempts stays open.
 void CacheConnectionPool::withdraw_partially_written(const Attempt& attempt) {
     for (const ConnectionPtr& connection : connections_to(attempt.cache)) {
         if (connection->number() != attempt.connection || connection->load() != 1) continue;
@@ -119,9 +119,9 @@
 
 // --- choosing a connection -------------------------------------------------------------------------------
 
-// Divides the connections evenly among the caches of this location, to which all attempts go. With too few
-// connections to a cache, responses queue behind each other and a backlog is not worked off. With one
-// connection per attempt, the handshakes of a burst delay everything else.
+// Divides the connections evenly among the caches of this gateway's location, since all attempts go to these
+// caches. With too few connections to a cache, responses queue behind each other and a backlog is not worked
+// off. With one connection per attempt, the handshakes of a burst delay everything else.
 std::size_t CacheConnectionPool::max_connections_per_cache() const {
     const std::size_t even_share =
         limits_.connections / std::max<std::size_t>(1, endpoints_.count_at(location_));
--- a/src/net/cache_connection_pool.hpp
+++ b/src/net/cache_connection_pool.hpp
@@ -41,7 +41,7 @@
 
     /// Sends a health check to the cache. Does nothing if the cache is not active or no connection is
     /// available.
-    /// @param still_wanted called once the connection is open, if the connection has to be established first.
+    /// @param still_wanted called when the connection is open, if the connection has to be established first.
     void start_health_check(const CacheId& cache, StillWanted still_wanted);
 
     void close_all();
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -180,9 +180,10 @@
     update_watch();
 }
 
-// Prevents a busy loop: POCO 1.11 reduces the events that it polls a socket for only when the socket's last
-// handler is removed, so both handlers are removed and the handler that is still needed is added again. On an
-// error, the loop calls whichever handler is registered.
+// Prevents a busy loop: after one of a socket's two handlers is removed, POCO 1.11 still polls the socket for
+// the events of the removed handler. It stops only when the socket has no handler left. Both handlers are
+// therefore removed, and the handler that is still needed is added again. If the socket has an error, the
+// loop calls the registered handler, for input or for output.
 void Connection::update_watch() {
     const Events wanted{.readable = wanted_.readable && !read_pause_.pending(),
                         .writable = wanted_.writable && !write_pause_.pending()};
@@ -314,7 +315,8 @@
         const auto alive = self.lock();
         if (!alive) return;
         write_scheduled_ = false;
-        // While the socket is full, on_writable() will be called once the socket has room again.
+        // If the socket is full, nothing is written now: on_writable() is called as soon as the socket has
+        // room.
         if (state_ == ConnectionState::open && !wanted_.writable && !lingering()) on_write_ready();
     });
 }
@@ -336,8 +338,8 @@
     watch({.readable = read_state_ != ReadState::pause, .writable = !output_.empty()});
 }
 
-// Reports the failure from the loop, because the caller may be a handler. Nothing more is written before the
-// report. Otherwise a caller that writes as long as there is output would never finish.
+// Reports the failure from the loop, because the caller of write_pending() may be a handler. Nothing more is
+// written before the report. Otherwise a caller that writes as long as there is output would never finish.
 void Connection::on_write_failed() {
     write_state_ = WriteState::failed;
     run_soon([this] { on_broken(); });
--- a/src/net/event_time_estimator.cpp
+++ b/src/net/event_time_estimator.cpp
@@ -10,8 +10,8 @@
 constexpr Duration tolerance = Duration::micros(50'000);
 // Two clocks drift apart by less than the elapsed time divided by this number.
 constexpr std::int64_t drift_divisor = 1'000;
-// While no offset of the writers' clock has been measured, timestamps of starts are read as times of this
-// process's clock, but only if the previous poll was sent at most this long ago.
+// While no offset of the writers' clock has been measured, the timestamps of cache starts are read as times
+// of this process's clock, but only if the previous poll was sent at most this long ago.
 constexpr Duration max_unproven_age = Duration::micros(2'000'000);
 
 }  // namespace
--- a/src/net/event_time_estimator.hpp
+++ b/src/net/event_time_estimator.hpp
@@ -11,8 +11,9 @@
 // - History, which is received as a whole, may be of any age. An event of the history is dated no earlier
 //   than its timestamp, read as a time of this process's clock, but no later than the time at which the
 //   history was received.
-// - The timestamps of starts come from the caches' clocks. A start whose timestamp does not fit between the
-//   previous poll and the current time is dated to the current time, so that the cache gets a slow start.
+// - The start times of caches come from the caches' clocks. If the start time in a live event does not fit
+//   between the previous poll and the current time, the current time is used as the start time, so that the
+//   cache gets a slow start.
 //
 // Performs no I/O.
 #pragma once
@@ -28,14 +29,15 @@
 
 class EventTimeEstimator {
 public:
-    /// Maximum number of starts that are remembered, so that a start keeps its estimated time when a later
-    /// event names it again. When this many starts are stored, the older half is discarded. A discarded start
-    /// that a later event names again would be dated to the time of this later event.
+    /// Maximum number of cache starts whose estimated times are stored, so that a start keeps its estimated
+    /// time when a later event reports this start again. When this many starts are stored, the older half is
+    /// discarded. If a later event reports a discarded start again, the time of the later event is used as
+    /// the start time.
     static constexpr std::size_t max_starts = 16'384;
 
     /// Begins a period whose events belong to the history, which had happened by `known_at`.
-    /// @param newest the newest timestamp of a purge in the history, or of a start if there is no purge; zero
-    /// if there is neither.
+    /// @param newest the newest timestamp of a purge in the history, or of a cache's start if there is no
+    /// purge; zero if there is neither.
     void begin_history(TimePoint known_at, TimePoint newest);
     /// Begins a period whose events have happened since `earliest`, the time at which the previous poll was
     /// sent.
--- a/src/net/fastcgi_connection.hpp
+++ b/src/net/fastcgi_connection.hpp
@@ -88,7 +88,7 @@
     };
     using OpenRequests = std::map<std::uint16_t, IncomingRequest>;  // keyed by FastCGI request id
 
-    // How input is handled. The mode never changes again once it is `discarding`.
+    // How input is handled. After the mode has become `discarding`, it never changes again.
     enum class InputMode {
         parsing,
         paused,  // parsing waits until the client has read its responses
@@ -98,7 +98,7 @@
     };
     enum class Lifecycle {
         serving,
-        closing,   // the connection closes once every open request has a response
+        closing,   // the connection closes as soon as every open request has a response
         abandoned  // the open requests have been reported to on_client_closed()
     };
 
--- a/src/net/fastcgi_server.cpp
+++ b/src/net/fastcgi_server.cpp
@@ -92,8 +92,9 @@
 //
 // Prevents a busy loop while accept() fails: the connection stays in the queue and would wake the loop at
 // once. A system-wide shortage is not relieved by closing connections of this process. A shortage of the
-// process's own descriptors may be temporary. The second failure in a row therefore closes an idle connection
-// or, if no connection is idle, pauses accepting for longer.
+// process's own descriptors may be temporary, so the first failure only delays accepting for a short time.
+// The second failure in a row closes an idle connection or, if no connection is idle, pauses accepting for
+// longer.
 void FastCgiServer::on_acceptable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
     const AcceptResult result = accept_one();
     const bool no_descriptor = result == AcceptResult::no_descriptor;
@@ -210,7 +211,8 @@
     return true;
 }
 
-// Closes the longest idle connection while there is still time to close it gracefully.
+// Closes the connection that has been idle for the longest time, while there is still time to close it
+// gracefully.
 void FastCgiServer::keep_connections_free() {
     const std::size_t limit = context_.limits.connections;
     const std::size_t kept_free = limit / free_connections_divisor;
--- a/src/net/notice_client.cpp
+++ b/src/net/notice_client.cpp
@@ -66,8 +66,9 @@
     next_poll_ = ScopedTimer(event_loop_, due, [this] { poll(); });
 }
 
-// Avoids polling the board in a busy loop: a board that neither holds a poll nor has new events, such as a
-// board whose revisions have gone back, is polled again only after the retry delay.
+// Avoids polling the board in a busy loop: the next poll waits for the retry delay if the board has neither
+// held the poll nor sent new events. For example, a board whose revisions have gone back responds in this
+// way.
 void NoticeClient::on_poll_response(std::int64_t revision) {
     observer_.on_poll_completed(revision, polled_from_);
     last_complete_poll_at_ = polled_at_;
@@ -156,8 +157,8 @@
     if (const auto* const purge = std::get_if<PurgeEvent>(&event)) deliver_purge(*purge);
     auto* const unreadable = std::get_if<UnreadableEvent>(&event);
     if (!unreadable) return std::nullopt;
-    // Estimates the start times even if the event can be read only in part, because a start is dated to the
-    // first event that names it.
+    // Estimates the start times of caches even if the event can be read only in part, because the estimate
+    // for a start is based on the first event that reports this start.
     estimate_starts(unreadable->endpoints);
     return unreadable->error;
 }
--- a/src/net/notice_client.hpp
+++ b/src/net/notice_client.hpp
@@ -52,8 +52,8 @@
 class NoticeClient final : private PollHandler {
 public:
     /// @param observer must outlive the client.
-    /// @param retry_delay the delay between polls if several polls in a row have failed or have returned at
-    /// once without new events.
+    /// @param retry_delay the delay between polls if several polls in a row have failed or have returned
+    /// immediately without new events.
     NoticeClient(EventLoop& loop, NoticeObserver& observer, std::string address, Duration retry_delay);
     ~NoticeClient() override;
     NoticeClient(const NoticeClient&) = delete;
@@ -92,8 +92,8 @@
     // If set, the event after this revision could not be read when the client last received this event.
     std::optional<std::int64_t> revision_before_unreadable_;
 
-    // The history consists of the events up to `revision`. They had happened by `known_at`, but may have
-    // happened at any time before.
+    // The history consists of the events up to `revision`. They had happened by `known_at`; how long before
+    // this time is unknown.
     struct History {
         std::int64_t revision = 0;
         TimePoint known_at;
--- a/src/request/client_request.hpp
+++ b/src/request/client_request.hpp
@@ -39,7 +39,7 @@
     /// Reports that the request is refused and has had no effect.
     /// @param retry_after how long the client should wait before it retries; zero if not specified
     virtual void send_rejection(const ClientStream& stream, Duration retry_after) = 0;
-    /// Reports that the request has failed and may have had an effect.
+    /// Reports that the request has failed. It is unknown whether the request has had an effect.
     virtual void send_failure(const ClientStream& stream) = 0;
 };
 
