--- a/include/irismux/deployment.hpp
+++ b/include/irismux/deployment.hpp
@@ -50,7 +50,7 @@
     bool retry_after = false;   ///< clients honour a retry-after time
     /// Several attempts of one request may be in flight at the same time. Not used by decisions.
     bool hedged_requests = false;
-    bool direct_attempts = false;  ///< attempts may bypass the caches and go to parents and to the origin
+    bool direct_attempts = false;  ///< attempts can bypass the caches and go to parents and to the origin
     bool coalescing = false;       ///< an attempt may wait for a fill that another request has started
     Siblings siblings = Siblings::none;
     CacheStatusReporting cache_status = CacheStatusReporting::none;
--- a/include/irismux/router.hpp
+++ b/include/irismux/router.hpp
@@ -35,7 +35,7 @@
     /// again after a backoff.
     void on_endpoint_updates_lost(TimePoint now);
 
-    /// Starts the first attempt of a new request, or rejects the request, before it returns.
+    /// Starts the first attempt of a new request, or rejects the request, before the call returns.
     void on_request(TimePoint now, const Request& request);
     /// Processes the result of an attempt. Results of unknown requests and of ended attempts are ignored.
     void on_attempt_result(TimePoint now, const AttemptResult& result);
--- a/src/net/cache_connection.cpp
+++ b/src/net/cache_connection.cpp
@@ -72,7 +72,7 @@
     const auto alive = shared_from_this();
     connect_or_idle_timer_.cancel();
     partial_response_timer_.cancel();
-    // A reset while connecting shows that the peer had accepted the connection, so the cache is not dead.
+    // A reset while connecting shows that the peer had accepted the connection, so the cache is running.
     was_connected_ = was_connected_ || was_reset();
     if (was_connected_) {
         const auto id = cache_protocol::find_partial_response(input_.view());
@@ -97,8 +97,8 @@
 
 // A cache runs an attempt only after receiving the whole attempt. If the connection was never established,
 // the attempt ends as refused. If an established connection broke, the attempt is restarted on a new
-// connection to find out whether the cache is alive. A cache that accepts connections but breaks two of them
-// in a row is overloaded, not dead.
+// connection to find out whether the cache is running. A cache that accepts connections but breaks two of
+// them in a row is running but overloaded.
 void CacheConnection::restart_or_end(const CarriedAttempt& carried) {
     if (!was_connected_) return end_attempt(carried, Outcome::connection_refused);
     if (carried.request->answered()) return end_attempt(carried, Outcome::cancelled);
--- a/src/net/cache_connection.hpp
+++ b/src/net/cache_connection.hpp
@@ -25,7 +25,7 @@
 struct CacheConnectionLimits {
     std::size_t connections = 0;  ///< maximum number of connections to all caches together
     std::size_t streams = 1;      ///< maximum number of attempts in flight on one connection
-    /// Maximum time for establishing a connection, and also for the rest of a partial response.
+    /// Maximum time for establishing a connection, and also for receiving the rest of a partial response.
     Duration connect_timeout;
     Duration idle_timeout;  ///< an idle connection is closed after this time
     /// Delay between the end of an attempt and the next attempt of the same request, if the cache may detect
--- a/src/net/cache_connection_pool.cpp
+++ b/src/net/cache_connection_pool.cpp
@@ -59,8 +59,8 @@
     start_attempt(request, index);
 }
 
-// After the delay, waits for one more poll of the sockets. If the loop runs late, input that has arrived in
-// the meantime is thus handled first.
+// After the delay, the attempt also waits for one more poll of the sockets. If the loop runs late, input that
+// has arrived in the meantime is thus handled first.
 void CacheConnectionPool::start_after_reuse_delay(ActiveRequest& request, std::size_t index) {
     const AttemptKey key(request.id(), index);
     const auto start = [this, key, weak = std::weak_ptr(request.shared_from_this())] {
--- a/src/net/fastcgi_connection.cpp
+++ b/src/net/fastcgi_connection.cpp
@@ -339,7 +339,7 @@
 }
 
 // Detects that a client closes its connection or aborts a request while the parsing of its input is paused.
-// Otherwise the attempts for this client would continue. Aborts are handled at once. The end of the
+// Otherwise the attempts for this client would continue. Aborts are handled immediately. The end of the
 // connection is detected only while the unparsed input is not larger than max_paused_input_bytes.
 void FastCgiConnection::scan_paused_input() {
     fastcgi::Record record;
--- a/src/net/fastcgi_connection.hpp
+++ b/src/net/fastcgi_connection.hpp
@@ -51,8 +51,8 @@
     /// Whether a request has been received in part, or there is unread input.
     [[nodiscard]] bool has_incomplete_request() const;
     /// The idle connection with the lowest rank is closed first. Connections that never sent a complete
-    /// request rank below all other connections; among equal connections, a longer idle time means a lower
-    /// rank.
+    /// request rank below all other connections; within each of these two groups, a longer idle time means a
+    /// lower rank.
     [[nodiscard]] std::pair<bool, TimePoint> eviction_rank() const { return {has_dispatched_, idle_since_}; }
 
     /// Refuses requests that have been incomplete for too long, and closes the connection if it has been idle
--- a/src/net/fastcgi_server.cpp
+++ b/src/net/fastcgi_server.cpp
@@ -201,7 +201,7 @@
     return it == connections_.end() ? nullptr : it->second;
 }
 
-// Frees a descriptor at once.
+// Frees a descriptor immediately.
 // @return false if no connection can be closed without losing requests or responses.
 bool FastCgiServer::close_idle_connection() {
     ConnectionPtr connection = find_lingering();
--- a/src/net/in_flight_request_ids.hpp
+++ b/src/net/in_flight_request_ids.hpp
@@ -13,9 +13,9 @@
 
 class InFlightRequestIds {
 public:
-    /// When this many ids are stored, the half that expires first is erased. A response that arrives after so
-    /// many further attempts on the connection could then be mistaken for a response to another request with
-    /// the same id.
+    /// Maximum number of stored ids. When this many ids are stored, the half that expires first is erased. If
+    /// a response to a request whose id was erased arrives afterwards, it could be mistaken for a response to
+    /// another request with the same id.
     static constexpr std::size_t max_entries = 4'096;
 
     /// Records that the connection carries the id for `request`. Responses to the request may arrive until
--- a/src/net/notice_client.cpp
+++ b/src/net/notice_client.cpp
@@ -55,7 +55,7 @@
     }
 }
 
-// Events that are sent again are treated as history, however recent the last poll is.
+// Events that are sent again are treated as history, even if the last poll was recent.
 void NoticeClient::begin_full_history() {
     history_.revision = std::max(history_.revision, revision_);
     history_.known_at = event_loop_.now();
--- a/src/net/notice_connection.cpp
+++ b/src/net/notice_connection.cpp
@@ -104,8 +104,8 @@
     });
 }
 
-// Continues a batch only if it was cut short. A batch that waits for data must not wake the loop in each
-// iteration.
+// Continues a batch of events in the next iteration only if the time limit has cut the batch short. A batch
+// that waits for data must not wake the loop in each iteration.
 void NoticeConnection::end_batch() {
     const Batch ended = std::exchange(batch_, Batch::none);
     if (ended != Batch::cut_short || state() != ConnectionState::open) return;
--- a/src/routing/congestion.hpp
+++ b/src/routing/congestion.hpp
@@ -21,8 +21,8 @@
     /// Removes an attempt that has ended from the counts.
     /// @param source the source that was passed to on_attempt_started()
     void on_attempt_ended(Attempt& attempt, EndpointState& cache, EndpointState* source);
-    /// Estimates the load of a cache from the time by which a hit took longer than the transfer of the object
-    /// alone. A result is ignored if the transfer time of its object is unknown.
+    /// Estimates the load of a cache from the difference between the time that a hit took and the object's
+    /// transfer time. A result is ignored if the transfer time of its object is unknown.
     void on_cache_result(EndpointState& cache, const PendingRequest& request, const Attempt& attempt,
                          const AttemptResult& result, TimePoint now) const;
     /// Counts an attempt that has passed its latency limit as late.
--- a/src/routing/edge_selection.hpp
+++ b/src/routing/edge_selection.hpp
@@ -25,7 +25,8 @@
 
 private:
     struct Candidates {
-        // First cache in the object's order of preference whose load is below the spill load.
+        // First cache in the object's order of preference whose load is below the spill load
+        // (Congestion::spill_load()).
         EndpointState* below_spill_load = nullptr;
         // Cache with the lowest load among the caches whose load is not below the spill load.
         EndpointState* least_loaded = nullptr;
--- a/src/routing/fill_source.cpp
+++ b/src/routing/fill_source.cpp
@@ -50,7 +50,7 @@
         return true;
     }
     EndpointState* parent = parent_with_budget(request, parents, transfer_seconds, now);
-    // Stale copies are allowed from the next attempt on.
+    // If the object's preferred parent cannot be used now, stale copies are allowed from the next attempt on.
     if (!parent || parent != parents.front()) request.allow_stale = true;
     const bool exhausted = dependencies_.congestion.fills_exhausted(transfer_seconds);
     if (origin_takes_parents_fill(parent, origin, exhausted, transfer_seconds, now)) {
--- a/src/routing/purge_table.cpp
+++ b/src/routing/purge_table.cpp
@@ -8,7 +8,7 @@
 namespace irismux {
 namespace {
 
-// Interval at which expired purges are erased, as a share of their retention.
+// Interval at which expired purges are erased, as a share of the time for which purges are kept.
 constexpr double erase_interval_share = 0.05;
 
 std::size_t hash_of(const ObjectName& object) { return std::hash<std::string>{}(object.raw()); }
