--- a/src/net/cache_connection.cpp
+++ b/src/net/cache_connection.cpp
@@ -72,7 +72,7 @@
     const auto alive = shared_from_this();
     connect_or_idle_timer_.cancel();
     partial_response_timer_.cancel();
-    // A reset while connecting shows that the peer had accepted the connection, so the cache is not dead.
+    // A reset while connecting shows that the peer had accepted the connection, so the cache is running.
     was_connected_ = was_connected_ || was_reset();
     if (was_connected_) {
         const auto id = cache_protocol::find_partial_response(input_.view());
@@ -97,8 +97,8 @@
 
 // A cache runs an attempt only after receiving the whole attempt. If the connection was never established,
 // the attempt ends as refused. If an established connection broke, the attempt is restarted on a new
-// connection to find out whether the cache is alive. A cache that accepts connections but breaks two of them
-// in a row is overloaded, not dead.
+// connection to find out whether the cache is running. A cache that accepts connections but breaks two of
+// them in a row is running but overloaded.
 void CacheConnection::restart_or_end(const CarriedAttempt& carried) {
     if (!was_connected_) return end_attempt(carried, Outcome::connection_refused);
     if (carried.request->answered()) return end_attempt(carried, Outcome::cancelled);
@@ -194,9 +194,9 @@
     cache_protocol::write_cancellation(output_, cancelled.request->client_request_id());
     write_pending();
     update_progress();
-    // Prevents two attempts of one request from running at once: the next attempt must not start before the
-    // cancellation has been written. If the cache's socket takes no more input, the connection is closed,
-    // which cancels the attempt too.
+    // Prevents two attempts of one request from running at the same time: the next attempt must not start
+    // before the cancellation has been written. If the cache's socket takes no more input, the connection is
+    // closed, which cancels the attempt too.
     if (!output_.empty() && writable()) run_soon([this] { disconnect(); });
     cancelled.request->delay_reuse_until(loop_.now() + context_.limits.reuse_delay);
 }
--- a/src/net/cache_connection.hpp
+++ b/src/net/cache_connection.hpp
@@ -25,7 +25,7 @@
 struct CacheConnectionLimits {
     std::size_t connections = 0;  ///< maximum number of connections to all caches together
     std::size_t streams = 1;      ///< maximum number of attempts in flight on one connection
-    /// Maximum time for establishing a connection, and also for the rest of a partial response.
+    /// Maximum time for establishing a connection, and also for receiving the rest of a partial response.
     Duration connect_timeout;
     Duration idle_timeout;  ///< an idle connection is closed after this time
     /// Delay between the end of an attempt and the next attempt of the same request, if the cache may detect
@@ -160,7 +160,7 @@
     std::uint64_t last_sequence_ = 0;
     std::deque<WriteRange> unwritten_;                // attempts that are not fully written to the socket
     std::map<std::string, TimePoint> health_checks_;  // start time of each health check, by tag
-    // Health checks to be sent once the connection is open.
+    // Health checks to be sent as soon as the connection is open.
     std::vector<std::pair<std::string, StillWanted>> deferred_health_checks_;
     ScopedTimer connect_or_idle_timer_;
     ScopedTimer partial_response_timer_;
--- a/src/net/fastcgi_connection.hpp
+++ b/src/net/fastcgi_connection.hpp
@@ -51,8 +51,8 @@
     /// Whether a request has been received in part, or there is unread input.
     [[nodiscard]] bool has_incomplete_request() const;
     /// The idle connection with the lowest rank is closed first. Connections that never sent a complete
-    /// request rank below all other connections; among equal connections, a longer idle time means a lower
-    /// rank.
+    /// request rank below all other connections; within each of these two groups, a longer idle time means a
+    /// lower rank.
     [[nodiscard]] std::pair<bool, TimePoint> eviction_rank() const { return {has_dispatched_, idle_since_}; }
 
     /// Refuses requests that have been incomplete for too long, and closes the connection if it has been idle
@@ -88,7 +88,7 @@
     };
     using OpenRequests = std::map<std::uint16_t, IncomingRequest>;  // keyed by FastCGI request id
 
-    // How input is handled. The mode never changes again once it is `discarding`.
+    // How input is handled. After the mode has become `discarding`, it never changes again.
     enum class InputMode {
         parsing,
         paused,  // parsing waits until the client has read its responses
@@ -98,7 +98,7 @@
     };
     enum class Lifecycle {
         serving,
-        closing,   // the connection closes once every open request has a response
+        closing,   // the connection closes as soon as every open request has a response
         abandoned  // the open requests have been reported to on_client_closed()
     };
 
