--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -89,7 +89,7 @@
         for (const auto& record : result.records)
             if (reply_lost_before && record.key.raw() == path_of(key_) && after_ == record.value) return 0;
         return print_error(
-            "the records changed after they were read; nothing was written, check them and try again");
+            "the records changed after they were read; nothing was written; check the records and try again");
     }
 
     // Reads the record after the reply to a write was lost. Returns std::nullopt if the record is unchanged
@@ -98,13 +98,13 @@
         const auto read = read_records(session_, settings_);
         if (const auto* error = std::get_if<etcd::Error>(&read))
             return print_error("no reply to the write, and the record could not be read: " + error->message +
-                               "; the write may or may not have taken effect");
+                               "; it is unknown whether the write took effect");
         const RecordValue now = text_of(std::get<Records>(read), key_);
         if (now == after_) return 0;
         if (now == before_) return std::nullopt;
         return print_error(
-            "no reply to the write, and another writer changed the record; the write may or may not have "
-            "taken effect before the other writer's change, check the record");
+            "no reply to the write, and another writer has changed the record since; it is unknown whether "
+            "this write took effect before that change; check the record");
     }
 
     std::string path(const Key& key) const { return settings_.prefix + path_of(key); }
@@ -183,18 +183,19 @@
         const RecordValue text = records ? text_of(*records, duty_key(name)) : RecordValue{};
         const auto duty = text ? parse_duty(*text) : std::nullopt;
         if (duty && !duty->owner.raw().empty() && duty->token > former.token && duty->owner != former.owner) {
-            std::cout << name.raw() << " is now owned by " << duty->owner.raw() << " under epoch "
+            std::cout << name.raw() << " is now owned by " << duty->owner.raw() << " under fencing token "
                       << duty->token.raw() << '\n';
             return 0;
         }
         std::this_thread::sleep_for(std::chrono::microseconds((term * poll_interval_per_term).micros()));
     }
     return print_error(
-        "release requested from " + former.owner.raw() +
-        ", but no other member has taken the duty yet; check that another member has been in the "
-        "fleet for two terms. The request to release the duty stays until the owner restarts or "
-        "'irismux fleet restore " +
-        name.raw() + "' withdraws it");
+        former.owner.raw() + " was asked to release " + name.raw() +
+        ", but no other member has taken the duty yet; check that another member has been in the fleet for "
+        "two terms. The request to release the duty stays in effect until " +
+        former.owner.raw() +
+        " leaves the fleet or joins it again, for example after a restart, or until 'irismux fleet restore " +
+        name.raw() + "' withdraws the request");
 }
 
 }  // namespace
--- a/src/cli/fleet_commands.hpp
+++ b/src/cli/fleet_commands.hpp
@@ -14,12 +14,13 @@
 
 /// Prints the live members, one per line.
 int fleet_members(const fleet::Settings& settings);
-/// Prints the duties, one per line, with their epochs, owners, release requests and health check results, and
-/// then the progress of the garbage collection.
+/// Prints the duties, one per line, with their fencing tokens, owners, release requests and health check
+/// results, and then the progress of the garbage collection.
 int fleet_duties(const fleet::Settings& settings);
-/// Asks the owner of a duty to release the duty, and waits for the next owner. The request to the former
-/// owner stays in force until the former owner restarts or fleet_restore() withdraws the request. The former
-/// owner itself gives up the duty, so two members never act on the duty at one time.
+/// Asks the owner of a duty to release the duty, and waits for the next owner. The request stays in effect
+/// until the former owner leaves the fleet or joins it again, for example after a restart, or until
+/// fleet_restore() withdraws the request. The former owner itself gives up the duty, so two members never act
+/// on the duty at one time.
 int fleet_release(const fleet::Settings& settings, const std::string& duty);
 /// Withdraws the request to release a duty.
 int fleet_restore(const fleet::Settings& settings, const std::string& duty);
--- a/src/cli/fleet_in_force_command.cpp
+++ b/src/cli/fleet_in_force_command.cpp
@@ -49,8 +49,9 @@
         reading.owner_heartbeats[sites.at(path)] = text;
 }
 
-// Reads the generation after the digests. If a new generation begins between the two reads, the digests name
-// the former generation and can be told from digests of the new generation.
+// Reads the records with several requests, which may see different revisions. Reads the generation after the
+// digests: if a new generation begins between the two reads, the digests name the former generation and are
+// not mistaken for digests of the new generation.
 FleetStatus::RegistryReading read_status(RegistrySession& session, const Settings& settings,
                                          const FleetStatus& status) {
     FleetStatus::RegistryReading reading;
--- a/src/cli/fleet_repair_commands.cpp
+++ b/src/cli/fleet_repair_commands.cpp
@@ -22,12 +22,12 @@
     const auto* reply = std::get_if<Reply>(&outcome);
     if (!reply)
         return print_error(
-            "no reply to the write; the write may or may not have taken effect, check the records");
+            "no reply to the write; it is unknown whether the write took effect; check the records");
     const auto result =
         value_or_throw(etcd::read_transaction_result(reply->status, reply->body, settings.prefix));
     if (!result.succeeded)
         return print_error(
-            "the records changed after they were read; nothing was written, check them and try again");
+            "the records changed after they were read; nothing was written; check the records and try again");
     std::cout << success << '\n';
     return 0;
 }
--- a/src/cli/registry_commands.cpp
+++ b/src/cli/registry_commands.cpp
@@ -48,11 +48,9 @@
         if (reply_lost_ && result.conflicting_value == value)
             return print_written("; the reply to the write was lost");
         const char* const outcome =
-            reply_lost_
-                ? "the write may or may not have taken effect before the other writer's change, check the "
-                  "record"
-                : "nothing was written";
-        return print_error(id_ + " was changed by another writer; " + outcome);
+            reply_lost_ ? "it is unknown whether this write took effect before that change; check the record"
+                        : "nothing was written";
+        return print_error("another writer has changed " + id_ + " since it was read; " + outcome);
     }
 
     // Reads the record after the reply to a write was lost. Returns std::nullopt if the record is unchanged
@@ -69,14 +67,14 @@
         if (record.modified == unchanged_since) return std::nullopt;
         if (record.value == value) return print_written("; the reply to the write was lost");
         return print_error(
-            id_ +
-            " was changed by another writer; the write may or may not have taken effect before the other "
-            "writer's change, check the record");
+            "no reply to the write of " + id_ +
+            ", and another writer has changed the record since; it is unknown whether this write took effect "
+            "before that change; check the record");
     }
 
     int print_unknown(const std::string& why) const {
         return print_error("no reply to the write of " + id_ + ", and the record could not be read: " + why +
-                           "; the write may or may not have taken effect");
+                           "; it is unknown whether the write took effect");
     }
     static int print_written(const char* how) {
         std::cout << "written" << how << '\n';
--- a/src/gateway/parts.cpp
+++ b/src/gateway/parts.cpp
@@ -182,7 +182,8 @@
     if (!registry || folder.empty()) return;
     const std::string& other = registry->snapshot_folder;
     if (starts_with(other, folder) && other.find_first_not_of('/', folder.size()) == std::string::npos)
-        section.fail(section.find("keep_in"), "'keep_in' must not be the folder of 'keep_in' in [registry]");
+        section.fail(section.find("keep_in"),
+                     "'keep_in' in [fleet] must not name the same folder as 'keep_in' in [registry]");
 }
 
 fleet::Settings read_fleet(const std::string& file, const toml::table& table,
--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -112,7 +112,7 @@
         {valid_text + "[fleet]\ninstallation = \"n\"\nprefix = \"/caches/fleet/\"\n",
          "p.toml:10: 'prefix' must not overlap with the prefix of [registry], '/caches/'"},
         {valid_text + "keep_in = \"/k\"\n" + fleet + "keep_in = \"/k\"\n",
-         "p.toml:12: 'keep_in' must not be the folder of 'keep_in' in [registry]"},
+         "p.toml:12: 'keep_in' in [fleet] must not name the same folder as 'keep_in' in [registry]"},
     };
     for (const auto& [text, line] : mistakes) EXPECT_EQ(error_of(text), line);
 }
