--- a/src/fleet/agent.cpp
+++ b/src/fleet/agent.cpp
@@ -14,9 +14,9 @@
 
 }  // namespace
 
-// In the worst case another member reads the owner's last heartbeat one interval late, and finds it unchanged
-// for the eviction timeout another interval late. An eviction and a claim follow, each after a sleep of the
-// agent.
+// In the worst case another member first reads the owner's last heartbeat one heartbeat interval late. That
+// member detects another heartbeat interval late that the eviction timeout has passed without a new
+// heartbeat. An eviction and a claim follow, each after a sleep of the agent.
 Duration longest_without_owner(const SharedConfig& shared_config, Duration reply_time,
                                std::size_t ranks_ahead) {
     const Membership membership(shared_config, MemberName{});
--- a/src/fleet/agent.hpp
+++ b/src/fleet/agent.hpp
@@ -42,10 +42,11 @@
 
 namespace irismux::fleet {
 
-/// The longest time for which a duty has no owner after its owner has stopped, if the registry answers within
-/// `reply_time` and `ranks_ahead` live members rank before the first member that can claim the duty. The
-/// bound holds for fleets whose heartbeats are all read in each interval; in larger fleets each heartbeat
-/// interval in which the stopped owner's heartbeat is not read adds one heartbeat interval to the bound.
+/// Returns the longest time for which a duty has no owner after its owner has stopped. Premises: the registry
+/// replies within `reply_time`, and `ranks_ahead` live members rank before the first member that can claim
+/// the duty. The bound holds for a fleet in which each member reads all heartbeats in each heartbeat
+/// interval. In a larger fleet each heartbeat interval in which the stopped owner's heartbeat is not read
+/// adds one heartbeat interval to the bound.
 [[nodiscard]] Duration longest_without_owner(const SharedConfig& shared_config, Duration reply_time,
                                              std::size_t ranks_ahead);
 
@@ -237,7 +238,7 @@
     std::set<Key> keys_of_unknown_outcome_;
 
     bool join_outcome_unknown_ = false;  // a join was submitted and its result is not known
-    // Member record and heartbeat of another instance that uses this member's name, and the time since when
+    // Member record and heartbeat of another instance that uses this member's name, and the time since which
     // both are unchanged.
     std::optional<std::pair<RecordValue, RecordValue>> name_holder_;
     TimePoint name_holder_unchanged_since_;
--- a/src/fleet/agent_join.cpp
+++ b/src/fleet/agent_join.cpp
@@ -62,8 +62,8 @@
 }
 
 // Another instance uses this member's name: either this gateway's former process, which is dead, or another
-// gateway. A new heartbeat shows that it is alive; no new heartbeat for the eviction timeout shows that it is
-// dead.
+// gateway. A new heartbeat shows that the other instance is alive. If there is no new heartbeat for the
+// eviction timeout, the other instance is dead.
 void Agent::wait_for_name(TimePoint now, const RecordValue& member, const RecordValue& heartbeat,
                           const RecordValue& roster) {
     const std::pair<RecordValue, RecordValue> holder{member, heartbeat};
--- a/src/fleet/agent_leases.cpp
+++ b/src/fleet/agent_leases.cpp
@@ -167,8 +167,8 @@
         claim_duty(now, name, duty);
         return true;
     }
-    // The owner hands the duty to the first member in the order once that member has settled, at most one
-    // duty per heartbeat interval.
+    // The owner hands the duty to the first member in the order once that member has been in the fleet for
+    // long enough. The owner hands over at most one duty per heartbeat interval.
     if (now < next_give_up_at_ || rank(now, name, duty, true) == 0) return false;
     give_up_duty(now, name, duty);
     return true;
--- a/src/fleet/agent_timing.hpp
+++ b/src/fleet/agent_timing.hpp
@@ -5,10 +5,10 @@
 
 namespace irismux::fleet {
 
-/// Numbers of other members' heartbeats that each heartbeat transaction reads. The first number of heartbeats
-/// are of members chosen at random. The second number limits the heartbeats of members whose last heartbeat
-/// is older than a heartbeat interval. If there are no more other members than the sum of the two numbers,
-/// each transaction reads the heartbeats of all of them.
+/// Each heartbeat transaction reads heartbeats of other members: of `heartbeats_read_at_random` members that
+/// are chosen at random, and of at most `max_overdue_heartbeats_read` members whose last heartbeat is older
+/// than a heartbeat interval. If there are no more other members than the sum of the two numbers, each
+/// transaction reads the heartbeats of all other members.
 constexpr std::size_t heartbeats_read_at_random = 4;
 constexpr std::size_t max_overdue_heartbeats_read = 12;
 
--- a/src/fleet/digest.cpp
+++ b/src/fleet/digest.cpp
@@ -9,8 +9,8 @@
 
 using nlohmann::json;
 
-// A snapshot is taken once a quarter of a term. Three snapshots are needed to see two consecutive new
-// heartbeats, and one more snapshot may be lost.
+// A snapshot is taken four times per term. Three snapshots are needed to see two consecutive new heartbeats,
+// and one more snapshot may be lost.
 constexpr double max_unseen_share_of_term = 1.25;
 // The Agent's heartbeat interval, and its longest sleep before it checks for due work again. Both must match
 // the Agent.
@@ -73,7 +73,8 @@
 }
 
 // Adds to the digest the lowest revisions of the live members, and the list of the live members that have not
-// applied the site's highest event or configuration. Members with the lowest events come first in the list.
+// applied the event or the configuration with the highest number in the site. Members with the lowest event
+// numbers come first in the list.
 void add_lagging(Digest& digest, std::vector<Digest::LaggingMember> live) {
     if (live.empty()) return;
     std::sort(live.begin(), live.end(), [](const auto& a, const auto& b) {
@@ -123,10 +124,14 @@
     return (max_unseen_time(term) + max_staleness(term)) * ((1 + drift) / (1 - drift));
 }
 
-// The delay is the sum of four delays: until the gateway's heartbeat, which waits for a transaction in
-// flight; until the owner's next snapshot, which is taken at the usual interval if the owner knew of no
-// lagging member; until the digest is written, which waits for the digest's own interval and for another
-// transaction; and until the reader's next read.
+// The result is the sum of the longest times of four steps:
+//   1. The gateway reports the event in a heartbeat, which waits for the acknowledgement interval and for a
+//      transaction in flight.
+//   2. The digest's owner takes a snapshot. If the owner has seen no lagging member, the snapshot waits for
+//      the usual heartbeat interval.
+//   3. The owner writes the digest, which waits for the minimum interval between two digests, a sleep of the
+//      agent and a transaction in flight.
+//   4. The reader reads the digest at its next read.
 Duration max_report_delay(Duration term, double drift, Duration acknowledge_interval, Duration reply_time,
                           Duration read_interval) {
     const Duration heartbeat = acknowledge_interval + reply_time * 2;
--- a/src/fleet/digest.hpp
+++ b/src/fleet/digest.hpp
@@ -6,10 +6,10 @@
 ///   digest    computed and written by the duty's owner after one of its own heartbeats. That heartbeat's
 ///             transaction read the roster and all heartbeats at one revision; the digest is based on them.
 ///
-/// A member counts as live only while its heartbeats prove that its process runs: a heartbeat compares the
-/// previous one, so its sender ran after the previous heartbeat was committed. A member that is not live is
-/// listed as absent, with the time since when it is absent, until the member is live again or is removed from
-/// the roster.
+/// A member counts as live only while its heartbeats prove that its process runs: the transaction of a
+/// heartbeat compares the sender's previous heartbeat, so the sender ran after the previous heartbeat was
+/// committed. A member that is not live is listed as absent, with the time since when it is absent, until the
+/// member is live again or is removed from the roster.
 ///
 /// Guarantee: each live member has applied a digest's `lowest` event. The member's process ran at some time
 /// no earlier than max_unseen_time() before the owner's heartbeat on which the digest is based.
@@ -69,8 +69,8 @@
     ConfigurationNumber lowest_configuration;
     std::vector<AbsentMember> absent;
     std::size_t absent_count = 0;
-    /// Live members that have not applied the site's highest event or configuration. Members with the lowest
-    /// events come first.
+    /// Live members that have not applied the event or the configuration with the highest number in the site.
+    /// Members with the lowest event numbers come first.
     std::vector<LaggingMember> lagging;
     std::size_t lagging_count = 0;
     bool roster_incomplete = false;
@@ -94,9 +94,9 @@
 Duration max_unseen_time(Duration term);
 /// Returns how long a reader regards a digest as fresh, by the reader's own clock.
 Duration max_staleness(Duration term);
-/// Returns how long a process may still be counted as live after it last ran, with clocks off by `drift`
-/// either way. A new process that has no reply from the notice board must not serve for this time after its
-/// start.
+/// Returns the longest time for which a process is still counted as live after it last ran. The result allows
+/// for clock rates that are wrong by `drift` in either direction. A new process that has no reply from the
+/// notice board must not serve for this time after its start.
 Duration max_counted_time(Duration term, double drift);
 /// Returns the longest time from when the last gateway has applied an event until a reader that reads every
 /// `read_interval` reports the event as applied everywhere. Premises: all members are live, the registry
--- a/src/fleet/duties.hpp
+++ b/src/fleet/duties.hpp
@@ -1,5 +1,6 @@
-/// The duties of a fleet as one member knows them, and the order of the members for each duty. The order uses
-/// rendezvous hashing, so that the loss of one member moves only that member's duties. Does no I/O.
+/// The duties of a fleet, according to the records that one member has received, and the order of the members
+/// for each duty. The order uses rendezvous hashing, so that the loss of one member moves only that member's
+/// duties. Does no I/O.
 #pragma once
 
 #include <map>
@@ -18,7 +19,7 @@
     /// Maximum number of duties followed at one time, including the duties that this member has given up.
     static constexpr std::size_t max_duties = 4096;
 
-    /// One duty as this member knows it.
+    /// One duty, according to the records that this member has received.
     struct Duty {
         std::optional<std::string> text;            ///< value of the newest known record
         std::optional<DutyRecord> record;           ///< empty if there is no record or it can't be parsed
@@ -38,8 +39,9 @@
     /// Stops following the duty but keeps the token that this member has given up, since a late record may
     /// still name this member as the owner.
     void remove(const DutyName&);
-    /// Must be called when this member begins a new incarnation. No record can name the new incarnation
-    /// together with a token that the member gave up earlier.
+    /// Drops the given-up tokens of removed duties. Must be called when this member begins a new incarnation.
+    /// No record can name the new incarnation together with a token that the member gave up earlier, so these
+    /// tokens are no longer needed.
     void forget_given_up() { given_up_.clear(); }
     std::map<DutyName, Duty>& all() { return all_; }
     const std::map<DutyName, Duty>& all() const { return all_; }
--- a/src/fleet/fleet_client.cpp
+++ b/src/fleet/fleet_client.cpp
@@ -105,7 +105,8 @@
 
 void FleetClient::start_health_check(const CacheId& cache) {
     call_soon([this, cache] {
-        // The process may have been stopped since the call was scheduled, so its lease may have ended.
+        // This process may have been suspended since the call was scheduled, so this member's lease may have
+        // ended.
         if (!may_check_health(cache)) return;
         if (!gateway_.start_health_check(cache))
             health_monitor_.on_check_not_permitted(boot_time(), cache, agent_);
--- a/src/fleet/fleet_client.hpp
+++ b/src/fleet/fleet_client.hpp
@@ -1,6 +1,6 @@
-/// Connects one gateway to its fleet: the client runs the Agent, and the duties that the agent may own, on
-/// the event loop with the registry and the gateway. The client makes no decisions: Agent, HealthMonitor,
-/// GarbageCollector and SiteReporter determine what is due and how a reply is handled.
+/// Connects one gateway to its fleet: the client runs the Agent and the tasks of the agent's duties on the
+/// event loop, and connects them to the registry and the gateway. The client makes no decisions: Agent,
+/// HealthMonitor, GarbageCollector and SiteReporter determine what is due and how a reply is handled.
 #pragma once
 
 #include <functional>
--- a/src/fleet/fleet_status.cpp
+++ b/src/fleet/fleet_status.cpp
@@ -31,9 +31,9 @@
     }
 }
 
-// Returns whether the site has a fresh digest. A digest is fresh if a recent reading still showed a lower
-// heartbeat number of the digest's owner than the heartbeat on which the digest is based. In this case the
-// registry committed the latter heartbeat after the reading was requested.
+// Returns whether the site has a fresh digest. Each digest is based on one heartbeat of its owner. The digest
+// is fresh if a recent reading still showed a heartbeat of the owner with a lower number. In this case the
+// registry committed the digest's heartbeat after that reading was requested.
 bool FleetStatus::fresh(TimePoint now, const SiteName& site) const {
     const auto digest = digests_.find(site);
     const auto shown = heartbeat_readings_.find(site);
--- a/src/fleet/fleet_status.hpp
+++ b/src/fleet/fleet_status.hpp
@@ -1,6 +1,6 @@
-/// Determines whether an event or a configuration is in force everywhere, at all gateways except some that
-/// the verdict names, or not yet. The verdict is based on the digests of all sites, the inventory of sites,
-/// and the notice board's newest event. Does no I/O and reads no clock.
+/// Determines whether an event or a configuration is in force everywhere, at all gateways except some, or not
+/// yet. The result is a verdict, which names the excepted gateways. The verdict is based on the digests of
+/// all sites, the inventory of sites, and the notice board's newest event. Does no I/O and reads no clock.
 ///
 /// A digest counts only while it is fresh: no longer than max_staleness() ago, the reader itself has seen a
 /// heartbeat of the owner with a lower number than the heartbeat on which the digest is based. Therefore
@@ -60,7 +60,10 @@
         EventNumber event;                  ///< zero if the query has no event
         ConfigurationNumber configuration;  ///< zero if the query has no configuration
     };
-    /// The records of one read of the registry, all at one revision.
+    /// The records that one reading of the registry has returned. A reading may consist of several requests,
+    /// so different kinds of records may be at different revisions. `requested_at` must be the time before
+    /// the first request. The generation must not be read before the digests: otherwise a generation that
+    /// begins between the two reads would not be noticed.
     struct RegistryReading {
         TimePoint requested_at;
         std::optional<std::string> generation;
--- a/src/fleet/garbage_collector.hpp
+++ b/src/fleet/garbage_collector.hpp
@@ -7,8 +7,8 @@
 ///   seen/...        the result of a cache's health check, if the duty to check that cache has no record
 ///
 /// A record is removed only after it has been garbage, with an unchanged value, for a minimum time by this
-/// owner's clock. Each removal is one transaction that also stores the position reached in the pass, so that
-/// the next owner continues after this position. The records of all other duties are never removed, since
+/// owner's clock. Each removal is one transaction that also stores the key of the removed record, so that the
+/// next owner continues the pass after this key. The records of all other duties are never removed, since
 /// only few names of such duties exist.
 #pragma once
 
--- a/src/fleet/health_monitor.cpp
+++ b/src/fleet/health_monitor.cpp
@@ -9,8 +9,8 @@
 // Number of check intervals for which a received result is valid. With 2.5 intervals the result stays valid
 // even if the next result is lost and the result after the lost one is up to half an interval late.
 constexpr double result_lifetime_intervals = 2.5;
-// Number of consecutive passed checks after which the gateways probe the cache. One passed check is not
-// enough, since a process that has just started may fail again after that check.
+// Number of consecutive passed checks after which the gateways send their recovery probes to the cache. One
+// passed check is not enough, since a process that has just started may fail again after that check.
 constexpr std::int64_t min_healthy_streak = 2;
 constexpr std::int64_t max_streak = 1'000'000;
 constexpr std::size_t max_monitored_caches = 1024;
@@ -48,8 +48,8 @@
         return callbacks_.postpone_recovery_probe(cache, now + interval_ * result_lifetime_intervals);
     }
     if (result.streak < min_healthy_streak || !healthy_.insert(cache).second) return;
-    // The gateways probe one after the other, so that a recovering cache does not get all their probes at
-    // once.
+    // The gateways send their recovery probes one after the other, so that a recovering cache does not get
+    // all probes at the same time.
     std::vector<MemberName> others;
     for (const auto& [name, member] : agent.membership().members())
         if (member.member.ejected_caches.contains(cache)) others.push_back(name);
--- a/src/fleet/health_monitor.hpp
+++ b/src/fleet/health_monitor.hpp
@@ -4,13 +4,13 @@
 ///
 /// Monitoring of a cache begins when two members have ejected the cache, and ends when no member ejects the
 /// cache any more. A published result only moves the time of a gateway's own recovery probe. While the cache
-/// does not answer, the probe is postponed by a time that the router bounds. After two consecutive answers
-/// the gateways probe at once, one after the other. A check shows only that the process runs; the recovery
-/// probe decides whether the cache is readmitted.
+/// does not answer, the recovery probe is postponed by a time that the router bounds. After two consecutive
+/// passed checks the gateways send their recovery probes one after the other within one check interval. A
+/// check shows only that the process runs; the recovery probe decides whether the cache is readmitted.
 ///
-/// Premise: a check is harmless at any time, even a late check by an owner whose process had been stopped. A
-/// result is valid for two and a half check intervals after its receipt, by the receiver's clock. After that
-/// time recovery probes continue as if there had been no result.
+/// Premise: a check is harmless at any time, even a late check by an owner whose process had been suspended.
+/// A result is valid for two and a half check intervals after its receipt, by the receiver's clock. After
+/// that time recovery probes continue as if there had been no result.
 #pragma once
 
 #include <map>
--- a/src/fleet/lease.hpp
+++ b/src/fleet/lease.hpp
@@ -22,7 +22,7 @@
 struct LeaseConditions {
     bool record_names_us = false;  ///< the newest record known names this exact instance
     bool in_term = false;          ///< a heartbeat was committed so recently that this member may act
-    bool near_term_end = false;    ///< that term ends soon
+    bool near_term_end = false;    ///< the term of that heartbeat ends soon
     bool should_claim = false;     ///< the duty is unowned, and this member is the first in its order
 };
 
--- a/src/fleet/member_identity.hpp
+++ b/src/fleet/member_identity.hpp
@@ -9,7 +9,7 @@
 
 namespace irismux::fleet {
 
-/// The identity does not change during the life of an Agent, except for the number of the last join.
+/// The identity does not change during the life of an Agent, except for `last_incarnation`.
 struct MemberIdentity {
     MemberName name;
     InstanceId instance_id;
@@ -25,8 +25,8 @@
     Duration acknowledge_interval = {};
 };
 
-/// Additional records that each heartbeat of a site's member reads, and whether its heartbeats are sent at
-/// the acknowledgement interval.
+/// Additional records that each heartbeat of a site's member reads, and whether that member sends its
+/// heartbeats at the acknowledgement interval.
 struct HeartbeatReads {
     std::set<MemberName> heartbeats;
     std::vector<Key> records;
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -6,7 +6,8 @@
 // With this interval a member's term does not end if two consecutive heartbeats are lost and the next
 // heartbeat is late.
 constexpr double heartbeat_interval_share_of_term = 0.25;
-// Share at the end of a term in which a member begins no work, since the next heartbeat is overdue by then.
+// Length of the last part of a term, as a share of the term. A member begins no new work in this part, since
+// the heartbeats that would have renewed the term are overdue by then.
 constexpr double renewal_margin_share_of_term = 0.25;
 constexpr double suspected_after_intervals = 2.5;
 
@@ -26,7 +27,7 @@
 
 void Membership::on_heartbeat_confirmed(TimePoint now, HeartbeatNumber heartbeat) {
     const auto it = unconfirmed_.find(heartbeat);
-    // A heartbeat whose sending time is forgotten does not extend the term.
+    // A heartbeat whose sending time is no longer stored does not extend the term.
     const bool term_had_ended = !joined_ || it == unconfirmed_.end() || it->second >= term_end_;
     joined_ = true;
     last_confirmed_ = heartbeat;
--- a/src/fleet/membership.hpp
+++ b/src/fleet/membership.hpp
@@ -60,14 +60,14 @@
     void on_full_list(TimePoint now, const std::set<MemberName>& listed);
     /// Applies a member's heartbeat as the registry shows it. An unchanged heartbeat counts towards the
     /// eviction timeout. A new heartbeat restarts the timeout if `keep_observing` is true. Otherwise a new
-    /// heartbeat ends the timeout, and the next call for this member starts a new one.
+    /// heartbeat cancels the timeout, and the next call for this member starts a new timeout.
     void on_heartbeat(TimePoint now, const MemberName&, const std::optional<std::string>& text,
                       bool keep_observing);
     /// Called after this member has left the fleet or was removed, for example because the registry was
     /// restored. Heartbeats that were observed before the call no longer count towards an eviction.
     void restart_observations();
 
-    /// Another member of the fleet, as this member knows it.
+    /// Another member of the fleet, according to the records that this member has received.
     struct Member {
         std::string text;  ///< value of the member's record
         /// False if the member's record can't be parsed, for example because a newer version wrote it. The
--- a/src/fleet/records.hpp
+++ b/src/fleet/records.hpp
@@ -52,10 +52,11 @@
     bool operator==(const SharedConfig&) const = default;
 };
 
-/// Maximum number of refused tokens in a member's record. While a record has this many tokens, the member
-/// refuses a token of a further duty but neither stores nor publishes that refusal. The member publishes the
-/// refusal only if the further duty's record changes to another refused token after one of the stored
-/// refusals has ended. A reader ignores the tokens beyond this number, in the order of the duties' names.
+/// Maximum number of refused tokens in a member's record. While the record has this many tokens, the member
+/// also refuses a token of a further duty, but neither stores nor publishes this refusal. Later the member
+/// publishes a refusal for the further duty only if two things happen in this order: one of the stored
+/// refusals ends, and the duty's record changes to another refused token. A reader ignores the tokens beyond
+/// this number, in the order of the duties' names.
 constexpr std::size_t max_published_refusals = 16;
 /// Maximum number of ejected caches in a member's record. If the member has ejected more caches, it publishes
 /// the first ones in the order of their names.
@@ -66,7 +67,8 @@
     Incarnation incarnation;
     InstanceId instance_id;
     std::string version;  ///< of the program
-    /// The highest token seen of each duty whose record has a lower token, which this member refuses.
+    /// For each duty whose record this member refuses: the highest token of the duty that this member has
+    /// seen. A member refuses a record that has a lower token.
     std::map<DutyName, FencingToken> refused_tokens;
     /// Caches that the member does not use because they do not answer.
     std::set<CacheId> ejected_caches = {};
--- a/src/fleet/transaction_client.cpp
+++ b/src/fleet/transaction_client.cpp
@@ -20,7 +20,7 @@
       member_(first_member) {}
 
 void TransactionClient::submit(const Transaction& transaction) {
-    // The previous transaction has had no reply, so the member of the registry to which it was sent may hang.
+    // The previous transaction has had no reply, so the registry member to which it was sent may hang.
     if (pending_) use_next_member();
     pending_ = transaction;
     const auto path = [&](const Key& key) { return settings_.prefix + path_of(key, site_); };
--- a/src/fleet/transaction_client.hpp
+++ b/src/fleet/transaction_client.hpp
@@ -24,11 +24,11 @@
     virtual void on_transaction_lost() = 0;
 };
 
-/// After a lost connection or a missing reply the next transaction is sent to the registry's next member.
+/// After a lost connection or a missing reply the next transaction is sent to the next registry member.
 class TransactionClient final : private registry::ReplyHandler {
 public:
-    /// The settings and the observer must outlive the client. `first_member` is the member of the registry
-    /// that gets the first transaction.
+    /// The settings and the observer must outlive the client. `first_member` is the registry member that gets
+    /// the first transaction.
     TransactionClient(EventLoop& loop, TransactionObserver& observer, const registry::Settings& settings,
                       SiteName site, registry::MemberIndex first_member);
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -68,8 +68,8 @@
     endpoint_source_.on_endpoint_notice(records, complete);
 }
 
-// Updates the table before the router, because the router's attempts are checked against the table when they
-// are written.
+// Updates the endpoint table before the router, because each attempt of the router is checked against the
+// endpoint table when the attempt is written to a connection.
 void Gateway::on_endpoint_list(const std::vector<EndpointRecord>& records, bool complete) {
     endpoints_.apply(records, complete);
     std::vector<EndpointUpdate> updates;
--- a/src/gateway/listener_start.cpp
+++ b/src/gateway/listener_start.cpp
@@ -10,7 +10,8 @@
 namespace irismux {
 namespace {
 
-// Longest time for opening the listener. The platform expects a gateway to be ready 10 s after its start.
+// Time after start() from which on a failed attempt to open the listener is not repeated. The platform
+// expects a gateway to be ready 10 s after its start.
 constexpr Duration max_start_time = Duration::micros(8'000'000);
 constexpr Duration retry_interval = Duration::micros(50'000);
 
@@ -43,7 +44,7 @@
 }
 
 // Tries again after a pause, because the previous process may still use the address, or because the file
-// descriptors may be exhausted for a moment.
+// descriptors may be temporarily exhausted.
 void ListenerStart::on_listen_failed(const std::string& reason) {
     const TimePoint now = event_loop_.now();
     if (now >= give_up_at_) {
--- a/src/gateway/listener_start.hpp
+++ b/src/gateway/listener_start.hpp
@@ -27,8 +27,8 @@
     ListenerStart(const ListenerStart&) = delete;
     ListenerStart& operator=(const ListenerStart&) = delete;
 
-    /// Starts trying to open the listener. If the listener cannot be opened for too long, stops the event
-    /// loop and sets failure().
+    /// Starts trying to open the listener. A failed attempt is repeated. If an attempt fails 8 s or more
+    /// after this call, it is not repeated; this object then stops the event loop and sets failure().
     void start();
     /// Tries to open the listener now. Call this function when the fleet may have begun to permit the gateway
     /// to serve.
--- a/src/gateway/request_dispatcher.cpp
+++ b/src/gateway/request_dispatcher.cpp
@@ -173,9 +173,10 @@
     erase_if_finished(id);
 }
 
-// This case occurs only if clients reuse a request id after a short time or use one id for several requests
-// at once. The attempt has not run. If the attempt is the first one of its request, the request is therefore
-// rejected without effect.
+// Called if all connections that could carry the attempt already use the request's id for another request.
+// This occurs only if clients reuse a request id after a short time or use one id for several requests at the
+// same time. The attempt has not run. If the attempt is the first one of its request, the request is
+// therefore rejected without effect.
 void RequestDispatcher::on_request_id_in_use(ActiveRequest& request, std::size_t attempt) {
     request_log::id_in_use_at_cache(request, attempt);
     if (attempt > 0) return on_attempt_ended(request, attempt, {.outcome = Outcome::overloaded});
--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -22,11 +22,12 @@
 namespace irismux {
 namespace {
 
-// Longest time and interval for retrying a step of the start that has failed temporarily.
+// Longest time for which a step of the start is retried after a temporary failure, and the interval between
+// the retries.
 constexpr std::chrono::milliseconds max_start_retry_time{8'000}, start_retry_interval{50};
 constexpr Duration signal_check_interval = Duration::micros(50'000);
-// Number of attempts to read a configuration that cannot be read for a moment. The gateway makes one attempt
-// per signal check.
+// Number of attempts to read a configuration that temporarily cannot be read. The gateway makes one attempt
+// each time it checks for signals.
 constexpr int max_reload_attempts = 20;
 // Blocks of memory above these sizes are returned to the system when they are freed. Otherwise the process
 // would keep the memory of the buffers that a burst of requests needed.
--- a/src/gateway/shutdown.cpp
+++ b/src/gateway/shutdown.cpp
@@ -7,9 +7,10 @@
 namespace irismux {
 namespace {
 
-// By the platform's protocol, requests may arrive for `acceptance_period` after SIGTERM. The platform sends
-// SIGKILL no earlier than the longest deadline after the acceptance period. Of the longest deadline at most
-// `max_counted_deadline` counts.
+// The platform's protocol allows requests to arrive for `acceptance_period` after SIGTERM. After the
+// acceptance period the platform waits for at least the longest deadline of any object kind before it sends
+// SIGKILL. If the longest deadline exceeds `max_counted_deadline`, the platform waits for at least
+// `max_counted_deadline` instead.
 constexpr Duration acceptance_period = Duration::micros(700'000);
 constexpr Duration max_counted_deadline = Duration::micros(3'000'000);
 // Share of the acceptance period that is reserved for closing connections: the gateway handles the signal up
@@ -59,7 +60,7 @@
 bool Shutdown::all_answered() const { return !dispatcher_.has_unanswered_request() && server_.drained(); }
 
 // Closes the listener first, and then the connections. Requests on connections that were accepted before the
-// listener was closed are answered before any connection is closed, unless the time to close has come.
+// listener was closed are answered before any connection is closed, unless `close_at_` is reached before.
 void Shutdown::finish_draining_if_due(TimePoint now) {
     if (now < accepts_until_) return;
     if (all_answered()) server_.stop_listening();
--- a/src/gateway/shutdown.hpp
+++ b/src/gateway/shutdown.hpp
@@ -1,8 +1,9 @@
 // Shuts the process down after SIGTERM. The states and the conditions of their transitions:
 //
-//   none -> draining     begin() is called; requests are still admitted and are answered by answer_deadline_
-//   draining -> closing  no more requests can arrive and all are answered, or the time to close has come
-//   closing -> stopped   all client connections are closed, or the grace period for that has ended
+//   none -> draining     begin() is called; requests are still admitted, and every request is answered
+//                        by answer_deadline_
+//   draining -> closing  no more requests can arrive and all are answered, or close_at_ is reached
+//   closing -> stopped   all client connections are closed, or stop_at_ is reached
 #pragma once
 
 #include "gateway/fleet_participation.hpp"
--- a/src/gateway/stored_endpoint_list.cpp
+++ b/src/gateway/stored_endpoint_list.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr Duration write_interval = Duration::micros(2'000'000);
-// Share of the maximum age of a stored list after which an unchanged list is written again. The maximum age
-// is the age up to which a stored list may be read.
+// Share of the maximum age of a stored list after which an unchanged list is written again. A stored list
+// that is older than the maximum age is not used.
 constexpr double rewrite_after_share_of_max_age = 0.25;
 // Address space that is reserved for the store's file. Only the used part takes memory or disk space.
 constexpr std::size_t max_store_bytes = 64 << 20;
--- a/src/registry/poll_policy.hpp
+++ b/src/registry/poll_policy.hpp
@@ -14,7 +14,7 @@
     Duration backoff_base = Duration::micros(50'000);
     /// Upper limit of the pause after a failure.
     Duration backoff_cap = Duration::micros(5'000'000);
-    /// After a member has not replied for this long, the next member is used.
+    /// If a registry member does not reply for this long, the Watch uses the next registry member.
     Duration reply_timeout = Duration::micros(1'000'000);
     /// An open watch counts as broken once it has delivered neither a change nor a progress notice for this
     /// long.
--- a/src/registry/registry_connection.hpp
+++ b/src/registry/registry_connection.hpp
@@ -1,5 +1,5 @@
-// Sends one request at a time to a member of a registry, and manages the connection and the authentication
-// token. The caller chooses the member for each request.
+// Sends one request at a time to a registry member, and manages the connection and the authentication token.
+// The caller chooses the member for each request.
 #pragma once
 
 #include <memory>
--- a/src/registry/watch.cpp
+++ b/src/registry/watch.cpp
@@ -224,8 +224,8 @@
     apply_full_read(now);
 }
 
-// A member that lost its data returns an empty or mostly unreadable list. Applying such a list would remove
-// the fleet, so the list is doubtful and needs a confirmation, see is_confirmed().
+// A registry member that lost its data returns an empty or mostly unreadable list. Applying such a list would
+// remove the fleet, so the list is doubtful and needs a confirmation, see is_confirmed().
 bool Watch::is_doubtful(const std::vector<Record>& records) const {
     constexpr double min_readable_share = 0.5;
     if (!list_reported_ || view_.entries().empty()) return false;
@@ -354,8 +354,8 @@
 
 void Watch::mark_current(TimePoint now) {
     // A watch that has been open for this share of backoff_cap resets the count of consecutive failures. With
-    // a much smaller share, a gateway would always retry at the base pause a registry that accepts
-    // connections and then drops them.
+    // a much smaller share, a gateway would always wait only for the base pause before it retries a registry
+    // that accepts connections and then drops them.
     constexpr double stable_share_of_cap = 0.02;
     last_contact_at_ = last_complete_at_ = now;
     if (pending_operation_ == PendingOperation::watch_opening) watch_opened_at_ = now;
--- a/src/registry/watch.hpp
+++ b/src/registry/watch.hpp
@@ -65,8 +65,9 @@
 
 private:
     enum class PendingOperation { nothing, pause, page, check, watch_opening, watch_message };
-    /// The step by which the view becomes current again. A watch alone misses changes after a compaction or a
-    /// rollback, and after a disconnection it does not detect that the registry was restored.
+    /// The operation that the Watch starts next to make the view current again. A watch alone is not always
+    /// enough. After a compaction or a rollback a watch misses changes, so a full read is needed. After a
+    /// disconnection a watch does not detect that the registry was restored, so a history check is needed.
     enum class Recovery { full_read, history_check, watch };
     enum class PauseLimit { growing, cap };
     struct FullRead {
