--- a/src/cli/registry_session.cpp
+++ b/src/cli/registry_session.cpp
@@ -18,7 +18,7 @@
 
 Reply RegistrySession::request(const etcd::Request& request) {
     authenticate(request);
-    std::string last_error = "no member can be reached";
+    std::string last_error = "no registry member can be reached";
     for (const std::string& address : settings_.members) {
         try {
             Poco::Net::HTTPClientSession session{Poco::Net::SocketAddress(address)};
@@ -33,7 +33,7 @@
 std::variant<Reply, NoReply> RegistrySession::request_once(const etcd::Request& request) {
     authenticate(request);
     const Poco::Timespan timeout(settings_.poll_policy.reply_timeout.micros());
-    std::string last_error = "no member can be reached";
+    std::string last_error = "no registry member can be reached";
     for (const std::string& address : settings_.members) {
         Poco::Net::StreamSocket socket;
         try {
--- a/src/fleet/agent.hpp
+++ b/src/fleet/agent.hpp
@@ -99,8 +99,8 @@
     /// The outcome is passed to the observer.
     /// @return false if this member does not own the duty or 64 writes are queued already.
     bool write_fenced(TimePoint now, const DutyName&, const Key&, const std::string& value);
-    /// Queues a write of several records under the same conditions as the function above. The outcome that is
-    /// passed to the observer names `key`.
+    /// Queues a write of several records under the same conditions as the other write_fenced(). The outcome
+    /// that is passed to the observer names `key`.
     bool write_fenced(TimePoint now, const DutyName&, const Key& key, FencedWrite write_request);
 
     [[nodiscard]] const Membership& membership() const { return membership_; }
--- a/src/fleet/digest.hpp
+++ b/src/fleet/digest.hpp
@@ -8,8 +8,8 @@
 ///
 /// A member counts as live only while its heartbeats prove that its process runs: the transaction of a
 /// heartbeat compares the sender's previous heartbeat, so the sender ran after the previous heartbeat was
-/// committed. A member that is not live is listed as absent, with the time since when it is absent, until the
-/// member is live again or is removed from the roster.
+/// committed. A member that is not live is listed as absent, with the time since which it has been absent,
+/// until the member is live again or is removed from the roster.
 ///
 /// Guarantee: each live member has applied a digest's `lowest` event. The member's process ran at some time
 /// no earlier than max_unseen_time() before the owner's heartbeat on which the digest is based.
--- a/src/fleet/fence.hpp
+++ b/src/fleet/fence.hpp
@@ -1,14 +1,14 @@
 /// Rejects a fencing token that is lower than a token already seen for the same duty. Does no I/O.
 ///
 /// The fence forgets duties whose records were removed from the registry, so that its size does not grow with
-/// every name ever seen. It accepts a holder of an unknown duty only with a token above all forgotten tokens,
-/// until the registry itself shows the duty.
+/// every name ever seen. If the fence has no token of a duty, it accepts only a token above all forgotten
+/// tokens. This restriction ends once the registry's own record of the duty is received.
 ///
-/// Guarantee: for one duty this member never accepts a token lower than one that it has accepted, nor one
-/// token with two owners. The guarantee holds across a restart if restore() is called with the bytes that
-/// serialize() returned. Premise: the stored state is not lost with the machine. Without the stored state,
-/// the registry's transactions still ensure that no duty has two owners, but the member does not reject the
-/// old tokens of a restored registry.
+/// Guarantee: for one duty this member never accepts a token that is lower than a token accepted before, and
+/// never accepts one token of two owners. The guarantee holds across a restart if restore() is called with
+/// the bytes that serialize() returned. Premise: the stored state is not lost with the machine. Without the
+/// stored state, the registry's transactions still ensure that no duty has two owners, but the member does
+/// not reject the old tokens of a restored registry.
 #pragma once
 
 #include <map>
--- a/src/fleet/fleet_status.hpp
+++ b/src/fleet/fleet_status.hpp
@@ -41,7 +41,7 @@
         other_generation,      ///< the site's numbers are of another generation of the notice board
         outside_all_sites,     ///< a gateway outside of all sites, which reports no revisions
         no_inventory,          ///< the settings name no sites
-        newest_event_unknown,  ///< the notice board's newest number is unknown, or lower than a reported one
+        newest_event_unknown,  ///< the newest event number is unknown, or below the queried or a reported one
     };
     struct Missing {
         MissingReason reason;
--- a/src/fleet/lease.hpp
+++ b/src/fleet/lease.hpp
@@ -13,7 +13,9 @@
     seeking,   ///< this member should own the duty: a claim is due or in flight
     owning,    ///< the record names this member, and its term has not ended
     expiring,  ///< like owning, but too near the end of the term to begin new work
-    lost,  ///< the duty was owned, and the term has ended or the record names another: acting is forbidden
+    /// This member owned the duty, and either the term has ended or the record names another instance. Acting
+    /// is forbidden.
+    lost,
 };
 /// Returns the state's name in the log.
 std::string_view to_string(LeaseState);
--- a/src/fleet/membership.hpp
+++ b/src/fleet/membership.hpp
@@ -100,7 +100,7 @@
     Duration eviction_timeout() const { return eviction_timeout_; }
 
 private:
-    // Maximum number of heartbeats without a reply whose sending times are remembered. Beyond this number the
+    // Maximum number of heartbeats without a reply whose sending times are stored. Beyond this number the
     // oldest sending time is dropped.
     static constexpr std::size_t max_unconfirmed = 16;
     static constexpr std::size_t max_members = 1024;
--- a/src/registry/etcd_codec.hpp
+++ b/src/registry/etcd_codec.hpp
@@ -26,7 +26,7 @@
 enum class ErrorCode {
     unreadable,            ///< the reply does not follow the API
     compacted,             ///< the requested revision has been compacted
-    revision_not_reached,  ///< the member has not reached the requested revision
+    revision_not_reached,  ///< the registry member has not reached the requested revision
     unauthenticated,       ///< credentials are missing, wrong or expired
     other
 };
--- a/src/registry/registry_connection.hpp
+++ b/src/registry/registry_connection.hpp
@@ -29,7 +29,7 @@
     /// Drops the pending request and closes the connection.
     void close();
     /// Fetches a new token and sends the pending request again with the new token. Call this function if the
-    /// member has refused the token of the request.
+    /// registry member has refused the token of the request.
     /// @return false, and sends nothing, if the settings name no user or if this request has been repeated
     /// before: a request is repeated at most once.
     [[nodiscard]] bool retry_with_new_token();
--- a/src/registry/registry_log.hpp
+++ b/src/registry/registry_log.hpp
@@ -11,7 +11,7 @@
 /// Returns the name of the log event for the warning.
 std::string_view event_name(WatchWarningKind kind);
 
-/// Logs a warning with the member's address.
+/// Logs a warning with the address of the registry member that the warning is about.
 /// @param settings the settings of the registry that the warning is about.
 void log_watch_warning(const WatchWarning& warning, const Settings& settings);
 
--- a/src/registry/registry_socket.cpp
+++ b/src/registry/registry_socket.cpp
@@ -46,7 +46,7 @@
         fail(RequestFailureReason::malformed_http);
         return Progress::needs_input;
     }
-    // A member that refuses a stream sends a whole reply instead.
+    // A registry member that refuses a stream sends a whole reply instead.
     if (head_.status != 200 || !head_.chunked) form_ = ReplyForm::whole;
     if (head_.has_content_length && head_.length > max_reply_bytes) {
         reject_long_reply();
--- a/src/registry/request_failure.hpp
+++ b/src/registry/request_failure.hpp
@@ -14,9 +14,9 @@
     reply_too_long,         ///< the reply exceeds max_reply_bytes
     record_too_long,        ///< one record alone exceeds max_reply_bytes
     authentication_failed,  ///< no token for this user and password
-    error_reply,            ///< an error reported by the member, or a reply that cannot be parsed
-    watch_refused,          ///< the member sent a reply instead of a watch stream
-    watch_cancelled,        ///< the member cancelled the watch
+    error_reply,            ///< an error reported by the registry member, or a reply that cannot be parsed
+    watch_refused,          ///< the registry member sent a reply instead of a watch stream
+    watch_cancelled,        ///< the registry member cancelled the watch
     watch_ended,            ///< the stream ended without a cancellation
     empty_page,             ///< a page without records that announces more
     reply_timeout,          ///< no reply within PollPolicy::reply_timeout
@@ -29,7 +29,7 @@
 /// The failure of a request, which the registry may nevertheless have carried out.
 struct RequestFailure {
     RequestFailureReason reason = RequestFailureReason::connection_lost;
-    std::string detail;  ///< the member's own message, if there is one
+    std::string detail;  ///< the registry member's own message, if there is one
 };
 
 }  // namespace irismux::registry
--- a/src/registry/settings.hpp
+++ b/src/registry/settings.hpp
@@ -9,8 +9,8 @@
 namespace irismux::registry {
 
 struct Settings {
-    /// Address and port of each member. The addresses are numeric, since the lookup of a host name would
-    /// block the event loop.
+    /// Address and port of each registry member. The addresses are numeric, since the lookup of a host name
+    /// would block the event loop.
     std::vector<std::string> members;
     std::string prefix;           ///< prefix of all keys; the rest of a key is the record's id
     std::string user, password;   ///< empty: no authentication
--- a/src/registry/watch.cpp
+++ b/src/registry/watch.cpp
@@ -150,8 +150,8 @@
     return header.revision < resume_revision_;
 }
 
-// Returns true if this member's replies can be used: either the member is current, or the registry counts as
-// rolled back and a full read is due.
+// Returns true if the replies of the registry member in use are acceptable: either the registry member is
+// current, or the registry counts as rolled back and a full read is due.
 bool Watch::accept_header(TimePoint now, const ReplyHeader& header) {
     if (!is_older(header)) {
         rollback_detector_.reset();
@@ -182,7 +182,8 @@
     expect(now, PendingOperation::pause, rollback_detector_.confirmation_time() - now + jitter);
 }
 
-// The reply does not contain the member's revision, which is at least one below the requested revision.
+// The reply does not contain the registry member's revision, which is at least one below the requested
+// revision.
 void Watch::on_revision_not_reached(TimePoint now) {
     if (!is_request_pending()) return;
     if (accept_header(now, {cluster_, Revision{resume_revision_.raw() - 1}})) request_next(now);
@@ -236,8 +237,8 @@
     return static_cast<double>(readable) < min_readable_share * static_cast<double>(records.size());
 }
 
-// A doubtful list is confirmed by a doubtful list from another member. In a registry with only one member, a
-// second doubtful list from this member confirms the first list once watch_timeout has passed.
+// A doubtful list is confirmed by a doubtful list from another registry member. In a registry with only one
+// member, a second doubtful list from this member confirms the first list once watch_timeout has passed.
 bool Watch::is_confirmed(TimePoint now) const {
     if (!doubtful_read_) return false;
     if (policy_.members == 1) return now - doubtful_read_->at >= policy_.watch_timeout;
@@ -340,9 +341,9 @@
 
 void Watch::apply_pending_changes(TimePoint now, const ReplyHeader& header) {
     std::vector<Change> changes = std::exchange(pending_changes_, {});
-    // The revision in a member's message may be ahead of the changes that the member has sent. Only after a
-    // progress notice, which is a message without changes, are all changes up to the revision in the message
-    // known.
+    // The revision in a registry member's message may be ahead of the changes that the registry member has
+    // sent. Only after a progress notice, which is a message without changes, are all changes up to the
+    // revision in the message known.
     const Revision covered = changes.empty() ? header.revision : Revision{};
     const Revision before = view_.revision();
     const std::vector<EndpointRecord> updates = view_.apply(covered, changes, now);
--- a/src/registry/watch.hpp
+++ b/src/registry/watch.hpp
@@ -50,7 +50,7 @@
                     bool fragment);
     /// The registry has compacted the requested revision.
     void on_compacted(TimePoint now);
-    /// The member has not reached the requested revision.
+    /// The registry member has not reached the requested revision.
     void on_revision_not_reached(TimePoint now);
     void on_request_failed(TimePoint now, const RequestFailure& failure);
     void on_wake(TimePoint now);
--- a/src/registry/watch_callbacks.hpp
+++ b/src/registry/watch_callbacks.hpp
@@ -19,7 +19,7 @@
     reading,      ///< a full read is in progress; the former view stays in use
     resuming,     ///< the connection broke; the watch resumes from the next revision
     following,    ///< a watch is open and current
-    lagging,      ///< the member in use lags; the Watch tries another one
+    lagging,      ///< the registry member in use lags; the Watch tries another one
     disconnected  ///< nothing received for PollPolicy::watch_timeout; the view ages
 };
 
@@ -48,11 +48,11 @@
     virtual void schedule_wake(TimePoint at) = 0;
 };
 
-/// Conditions that a Watch logs. The view does not change unless the comment says so. "full read" means that
-/// the Watch then reads all records again.
+/// Conditions that a Watch logs. A condition leaves the view unchanged unless its comment says otherwise.
+/// "full read" means that the Watch then reads all records again.
 enum class WatchWarningKind {
     request_failed,            ///< the first of consecutive failures; `failure` has the reason
-    registry_rolled_back,      ///< most members have an older revision or another cluster; full read
+    registry_rolled_back,      ///< most registry members have an older revision or another cluster; full read
     history_diverged,          ///< the registry's history differs from the view's; full read
     too_many_records,          ///< more than PollPolicy::max_records; the list is rejected
     too_many_pending_changes,  ///< more than PollPolicy::max_pending_changes; full read
@@ -62,7 +62,7 @@
 
 struct WatchWarning {
     WatchWarningKind kind;
-    MemberIndex member;                     ///< the member in use
+    MemberIndex member;                     ///< the registry member in use
     std::optional<RequestFailure> failure;  ///< set only for request_failed
 };
 
