--- a/src/fleet/applied_revisions.hpp
+++ b/src/fleet/applied_revisions.hpp
@@ -78,7 +78,7 @@
     bool needs_full_history() const;
     void on_poll_started(bool from_start);
     /// Called after this process has applied every event up to `newest` that the notice board still has.
-    /// `asked_from` is the event number that the request of this poll named.
+    /// The poll requested the events after number `asked_from`.
     void on_poll_completed(EventNumber newest, EventNumber asked_from);
     /// Called for an event that could not be parsed and therefore is not applied. From then on this process
     /// reports no event as applied.
