--- a/src/registry/registry_connection.hpp
+++ b/src/registry/registry_connection.hpp
@@ -1,5 +1,5 @@
-// Sends one request at a time to a member of a registry, and manages the connection and the authentication
-// token. The caller chooses the member for each request.
+// Sends one request at a time to a registry member, and manages the connection and the authentication token.
+// The caller chooses the member for each request.
 #pragma once
 
 #include <memory>
@@ -29,7 +29,7 @@
     /// Drops the pending request and closes the connection.
     void close();
     /// Fetches a new token and sends the pending request again with the new token. Call this function if the
-    /// member has refused the token of the request.
+    /// registry member has refused the token of the request.
     /// @return false, and sends nothing, if the settings name no user or if this request has been repeated
     /// before: a request is repeated at most once.
     [[nodiscard]] bool retry_with_new_token();
