--- a/testing/fake_registry.cpp
+++ b/testing/fake_registry.cpp
@@ -12,7 +12,7 @@
 
 using nlohmann::json;
 
-constexpr int accept_backlog = 4096;  // backlog of a member's listening socket
+constexpr int accept_backlog = 4096;  // backlog of a registry member's listening socket
 
 std::string base64_encoded(const std::string& bytes) {
     std::ostringstream out;
@@ -266,8 +266,8 @@
     return hold;
 }
 
-// A member that lags still commits transactions at the newest revision, because all members agree on each
-// transaction.
+// A registry member that lags still commits transactions at the newest revision, because all registry members
+// agree on each transaction.
 json FakeRegistry::transact(std::size_t member, const json& request) {
     ++ledger.transactions;
     SettledTransaction done{loop_.now(), member, {}, {}, false};
--- a/testing/fake_registry.hpp
+++ b/testing/fake_registry.hpp
@@ -1,6 +1,6 @@
-// A fake of a key-value registry with several members. The members serve a RegistryModel through etcd's
-// HTTP/JSON interface, all on one event loop. Tests set faults for each member. The fake counts the requests
-// that it receives.
+// A fake of a key-value registry with several registry members, which are its servers. The registry members
+// serve a RegistryModel through etcd's HTTP/JSON interface, all on one event loop. Tests set faults for each
+// registry member. The fake counts the requests that it receives.
 #pragma once
 
 #include <functional>
@@ -21,24 +21,26 @@
 class FakeRegistry {
 public:
     struct Faults {
-        /// The member closes each new connection.
+        /// The registry member closes each new connection.
         bool refuse = false;
-        /// The member keeps watches open but sends neither changes nor progress notifications on them.
+        /// The registry member keeps watches open but sends neither changes nor progress notifications on
+        /// them.
         bool silent_watches = false;
-        /// The member reads requests but replies to none of them.
+        /// The registry member reads requests but replies to none of them.
         bool unresponsive = false;
-        /// The member sends half of the next watch message and then closes the connection.
+        /// The registry member sends only the first half of the next watch message and then closes the
+        /// connection.
         bool truncate_watch = false;
-        /// The member sends the body of its next reply with the bytes in reverse order.
+        /// The registry member sends the body of its next reply with the bytes in reverse order.
         bool corrupt_response = false;
-        /// The member runs the next transaction and closes the connection without a reply.
+        /// The registry member runs the next transaction and then closes the connection without a reply.
         bool drop_write_response = false;
-        /// Number of revisions by which this member is behind the newest revision.
+        /// Number of revisions by which this registry member is behind the newest revision.
         int lag = 0;
-        /// Maximum number of changes in each fragment of a watch message. If zero, the member sends the
-        /// message in one piece.
+        /// Maximum number of changes in each fragment of a watch message. If zero, the registry member sends
+        /// the message in one piece.
         int fragment_size = 0;
-        /// Delay of each reply and watch message that the member sends.
+        /// Delay of each reply and watch message that the registry member sends.
         Duration delay;
     };
     struct Ledger {
@@ -95,7 +97,7 @@
     };
 
     void listen(Member& m, const std::string& at);
-    // A request that one member received.
+    // A request that one registry member received.
     struct Call {
         Member& member;
         std::shared_ptr<TestConnection> connection;
--- a/testing/fleet_simulation.cpp
+++ b/testing/fleet_simulation.cpp
@@ -153,8 +153,9 @@
                  [this, no, number, transaction] { settle(no, number, transaction); });
 }
 
-// Checks a write with the value DUTY/TOKEN/NAME/INCARNATION: the writer must be a member with this
-// incarnation, and the token must not be lower than the token of an earlier write.
+// Checks a write with the value DUTY/TOKEN/NAME/INCARNATION. The writer must be a fleet member with this
+// incarnation. The fencing token must not be lower than the token of any write on this duty that the registry
+// has accepted since its last restore.
 void FleetSimulation::check_fenced_write(const std::string& value) {
     const std::size_t duty_end = value.find('/');
     const std::size_t token_end = value.find('/', duty_end + 1);
@@ -166,11 +167,13 @@
     const auto it = ledger_.records().find(member_key(who));
     const auto writer = it == ledger_.records().end() ? std::nullopt : parse_member(it->second);
     if (!writer || writer->incarnation != holder.incarnation)
-        violations.push_back("a fenced write by an instance that is not a member: " + value);
+        violations.push_back(
+            "the registry accepted a fenced write by an instance that is not a fleet member: " + value);
     for (int n = 0; n < 2; ++n) send_order(DutyName{duty}, holder);
     if (token < highest_token_[duty])
-        violations.push_back("a write on duty " + duty + " under token " + std::to_string(token) +
-                             " after a write under token " + std::to_string(highest_token_[duty]));
+        violations.push_back("the registry accepted a write on duty " + duty + " under the fencing token " +
+                             std::to_string(token) + " after a write under the higher token " +
+                             std::to_string(highest_token_[duty]));
     highest_token_[duty] = std::max(highest_token_[duty], token);
 }
 
@@ -183,8 +186,8 @@
     const std::string who = record->owner.raw() + '/' + std::to_string(record->incarnation.raw());
     const auto [it, fresh] = token_owners_.try_emplace({duty->raw(), record->token.raw()}, who);
     if (!fresh && it->second != who)
-        violations.push_back("token " + std::to_string(record->token.raw()) + " of duty " + duty->raw() +
-                             " was given to " + it->second + " and " + who);
+        violations.push_back("the registry gave the fencing token " + std::to_string(record->token.raw()) +
+                             " of duty " + duty->raw() + " to " + it->second + " and " + who);
 }
 
 // Checks the writes of a transaction in the order in which the registry commits them.
@@ -230,15 +233,15 @@
         if (!n.agent || n.stopped || !n.agent->accepts_holder(duty, holder)) return;
         FencingToken& heeded = accepted_tokens_[{n.number, duty}];
         if (holder.token < heeded)
-            violations.push_back(n.name.raw() + " accepts an order with token " +
-                                 std::to_string(holder.token.raw()) + " after an order with token " +
-                                 std::to_string(heeded.raw()));
+            violations.push_back(n.name.raw() + " accepted an order with the fencing token " +
+                                 std::to_string(holder.token.raw()) +
+                                 " after an order with the higher token " + std::to_string(heeded.raw()));
         heeded = std::max(heeded, holder.token);
     });
 }
 
-// Simulates the member's watch: after a delay, delivers all changes up to the newest revision, in their
-// order.
+// Simulates the watch of a fleet member: after a delay, delivers all changes up to the newest revision, in
+// the order of their revisions.
 void FleetSimulation::deliver_records(Node& n) {
     if (n.delivering || !n.agent) return;
     n.delivering = true;
@@ -388,7 +391,7 @@
             if (!n->agent || !n->agent->may_act(n->clock(), duties_[d])) continue;
             if (first)
                 violations.push_back("m" + std::to_string(*first) + " and " + n->name.raw() +
-                                     " may both act on duty " + duties_[d].raw() + " at " +
+                                     " are both allowed to act on duty " + duties_[d].raw() + " at " +
                                      std::to_string(now_.seconds() - 1000) + " s");
             first = n->number;
         }
--- a/testing/interleaving_explorer.cpp
+++ b/testing/interleaving_explorer.cpp
@@ -19,7 +19,9 @@
 constexpr int ticks_per_term = 8;
 constexpr std::int64_t tick_us = 1000;
 constexpr int transactions_per_tick = 4;
-constexpr std::size_t max_history = 8;  // a watch that is further behind reads all records again
+// Number of revisions with changes that the registry keeps. A watch that is further behind reads all records
+// again.
+constexpr std::size_t max_history = 8;
 const DutyName the_duty{"d"};
 
 enum class Fault { none, request_lost, answer_lost, late, stop, stop_sent, stop_settled, cut, die };
@@ -118,17 +120,20 @@
         TransactionLedger::Outcome o = ledger.settle(transaction);
         for (const auto& [key, value] : transaction.writes) {
             if (!o.succeeded || !value || key.raw().rfind("work/", 0) != 0) continue;
-            // The value is TOKEN/NAME/INCARNATION. The writer must be a member with this incarnation, and the
-            // token must not be lower than the token of an earlier write.
+            // The value is TOKEN/NAME/INCARNATION. The writer must be a fleet member with this incarnation.
+            // The fencing token must not be lower than the token of any write since the registry's last
+            // restore.
             const std::size_t a = value->find('/'), b = value->rfind('/');
             const std::int64_t token = std::atoll(value->c_str());
             const auto it = ledger.records().find(member_key(MemberName{value->substr(a + 1, b - a - 1)}));
             const auto writer = it == ledger.records().end() ? std::nullopt : parse_member(it->second);
             if (!writer || writer->incarnation.raw() != std::atoll(value->c_str() + b + 1))
-                violation = "a fenced write by an instance that is not a member: " + *value;
+                violation =
+                    "the registry accepted a fenced write by an instance that is not a fleet member: " +
+                    *value;
             if (token < highest)
-                violation = "a write under a lower token: " + *value + " after a write under token " +
-                            std::to_string(highest);
+                violation = "the registry accepted the write " + *value +
+                            " after a write under the higher fencing token " + std::to_string(highest);
             highest = std::max(highest, token);
         }
         return o;
@@ -137,7 +142,7 @@
     void check_exclusive() {
         int acting = 0;
         for (const auto& n : nodes) acting += n->agent && n->agent->may_act(n->clock(tick), the_duty);
-        if (acting > 1) violation = "two members may act at the same time";
+        if (acting > 1) violation = "two members are allowed to act at the same time";
     }
 
     void begin(Node& n) {
--- a/testing/interleaving_explorer.hpp
+++ b/testing/interleaving_explorer.hpp
@@ -2,9 +2,10 @@
 // at rest. It proceeds breadth first, tick by tick, and visits each state once. Therefore it reports the
 // first violated invariant with a shortest path to the violation.
 //
-// A tick is an eighth of a term. In a tick, each running process receives the watch's changes, wakes, makes
-// one fenced write if it may begin one, and has its transactions committed and their results delivered. The
-// search tries both orders in which the processes can run.
+// A tick is an eighth of a term. In a tick, each running process receives the changes from its watch and
+// wakes. It makes one fenced write if its Agent permits it to begin one. The registry then runs the
+// transactions of the process, and their results are delivered to the process. The search tries both orders
+// in which the processes can run.
 //
 // Each fault can hit any member at any tick, up to a total number of faults. The faults of a member are:
 //    a request of the member is lost, or the reply to it is lost
--- a/testing/process_fleet.cpp
+++ b/testing/process_fleet.cpp
@@ -251,8 +251,9 @@
             if (by.name.raw().empty()) continue;
             const auto [it, fresh] = token_owners_.try_emplace({d->raw(), r->token}, by);
             if (!fresh && it->second != by)
-                violations.insert("token " + std::to_string(r->token.raw()) + " of duty " + d->raw() +
-                                  " was given to " + instance_name(it->second) + " and " + instance_name(by));
+                violations.insert("the registry gave the fencing token " + std::to_string(r->token.raw()) +
+                                  " of duty " + d->raw() + " to " + instance_name(it->second) + " and " +
+                                  instance_name(by));
         }
         std::optional<FencedWriteRecord> w;
         if (const auto s =
@@ -267,14 +268,15 @@
         const auto now_owns = duty_record(w->duty);
         if (!now_owns || now_owns->token != w->token || now_owns->owner != w->by.name ||
             now_owns->incarnation != w->by.incarnation)
-            violations.insert("a write on duty " + w->duty + " by " + instance_name(w->by) + " under token " +
+            violations.insert("the registry accepted a write on duty " + w->duty + " by " +
+                              instance_name(w->by) + " under the fencing token " +
                               std::to_string(w->token.raw()) +
                               ", but this instance does not own the duty under this token");
         FencingToken& highest = highest_token_[w->duty];
         if (w->token < highest)
-            violations.insert("a write on duty " + w->duty + " under token " +
-                              std::to_string(w->token.raw()) + " after a write under token " +
-                              std::to_string(highest.raw()));
+            violations.insert("the registry accepted a write on duty " + w->duty +
+                              " under the fencing token " + std::to_string(w->token.raw()) +
+                              " after a write under the higher token " + std::to_string(highest.raw()));
         highest = std::max(highest, w->token);
     }
 }
@@ -292,8 +294,8 @@
         order.push_back(gateway);
         late_health_checks_[cache] = 0;
     } else if (++late_health_checks_[cache] > max_late_health_checks) {
-        violations.insert(gateways[gateway].name + " goes on with health checks of " + caches[cache]->id() +
-                          " after another gateway has taken them over");
+        violations.insert(gateways[gateway].name + " continued its health checks of " + caches[cache]->id() +
+                          " after another gateway had taken over these checks");
     }
 }
 
--- a/testing/process_fleet.hpp
+++ b/testing/process_fleet.hpp
@@ -1,16 +1,17 @@
-// A fleet of gateway processes. Each process has its own fault proxy on every link: to each member of the
-// registry, to its notice board, to each cache and from its clients. Tests inject faults into the links and
-// the processes.
+// A fleet of gateway processes. Each process has its own fault proxy on every link: to each registry member,
+// to its notice board, to each cache and from its clients. Tests inject faults into the links and the
+// processes.
 //
 // The fakes record what they receive. The fleet checks each transaction that the registry runs and each
 // health check that reaches a cache's proxy; check_all_answered() checks the requests of the clients. The
 // following are violations:
-//    a fenced write by an instance that does not own the duty under the token of the write
-//    a fenced write under a token after the registry has accepted a write under a higher token of the duty
-//    one token of a duty given to two instances, also across restores of the registry
-//    a health check by a former owner after the first health check by its successor, except a health check
-//      that was in flight
-//    a request that does not get exactly one response
+//    the registry accepts a fenced write by an instance that does not own the duty under the token of the
+//      write
+//    the registry accepts a fenced write after it has accepted a write on the same duty under a higher token
+//    the registry gives one token of a duty to two instances, also across restores of the registry
+//    a former owner checks a cache after the first health check by the next owner, unless the late check was
+//      already in flight
+//    a request gets no response or several responses
 #pragma once
 
 #include <array>
@@ -83,7 +84,7 @@
 
     // --- what the fakes and proxies observe
     std::optional<fleet::DutyRecord> duty_record(const std::string& name) const;
-    // Returns the gateway that, according to the registry, owns the duty and is a live member.
+    // Returns the gateway that, according to the registry, owns the duty and is a live fleet member.
     std::optional<std::size_t> owner(const std::string& duty) const;
     std::optional<fleet::MemberRecord> member_record(std::size_t n) const;
     std::optional<std::string> record(const std::string& key) const;  // value of a key below the prefix
--- a/testing/registry_model.hpp
+++ b/testing/registry_model.hpp
@@ -1,6 +1,6 @@
 // An in-memory model of a key-value registry: records with a numbered history, compaction, reads of older
-// revisions for members that lag, and restores from a backup. FakeRegistry serves the model over sockets.
-// Tests of the watch read the model directly.
+// revisions for registry members that lag, and restores from a backup. FakeRegistry serves the model over
+// sockets. Tests of the watch read the model directly.
 #pragma once
 
 #include <map>
--- a/testing/site_simulation.cpp
+++ b/testing/site_simulation.cpp
@@ -34,7 +34,7 @@
     std::string site;
     MemberName name{"m" + std::to_string(number)};
     std::unique_ptr<Agent> agent;
-    std::unique_ptr<SiteReporter> reporter;  // unset for a member without a site
+    std::unique_ptr<SiteReporter> reporter;  // unset for a fleet member without a site
     double rate = 1;
     bool stopped = false, outbound_blocked = false, inbound_blocked = false, board_blocked = false,
          leaving = false;
@@ -280,8 +280,8 @@
     });
 }
 
-// Simulates the member's watch on the records of its site: after a delay, delivers all changes up to the
-// newest revision, in their order.
+// Simulates a fleet member's watch on the records of the member's site: after a delay, delivers all changes
+// up to the newest revision, in the order of their revisions.
 void SiteSimulation::deliver_records(Process& p) {
     if (p.delivering || !p.agent || p.inbound_blocked) return;
     p.delivering = true;
--- a/testing/site_simulation.hpp
+++ b/testing/site_simulation.hpp
@@ -91,7 +91,7 @@
     std::uint64_t transactions = 0, deliveries = 0;  // transactions run; records sent to watches
     std::uint64_t everywhere_verdicts = 0, all_but_verdicts = 0;
     // Longest delay since the last call of reset_measurements(). The delay of an event begins when the event
-    // is in force everywhere and ends when the first reader reports that.
+    // is in force everywhere and ends when reader 0 reports `everywhere` for this event.
     Duration longest_verdict_delay;
     void reset_measurements();
 
--- a/testing/soak.cpp
+++ b/testing/soak.cpp
@@ -265,11 +265,13 @@
             if (served && r.body != soak_bytes(r.request.object))
                 violation("1: the response is not the content of the requested object: " + r.request.id);
             if (*r.answered > r.due() + max_response_delay + slack)
-                violation("1: response too late: " + r.request.id);
+                violation("1: the response arrived too late: " + r.request.id);
             return;
         }
         if (r.cancelled || died_) return;
-        if (!r.connection_ended) return violation("1: no response: " + r.request.id);
+        if (!r.connection_ended)
+            return violation("1: the request got no response although its connection did not end: " +
+                             r.request.id);
         if (*r.connection_ended > r.sent + max_close_crossing + slack)
             violation("1: the connection ended without a response, " +
                       std::to_string((*r.connection_ended - r.sent).micros() / 1000) +
@@ -280,7 +282,7 @@
         for (const PostedEvent& e : events_) {
             if (!e.seen || attempt.at <= *e.seen + slack) continue;
             if (e.drained == cache.id() && attempt.at > *e.seen + drain_grace + slack)
-                violation("3: attempt sent to a draining cache: " + attempt.request_id);
+                violation("3: the gateway sent an attempt to a draining cache: " + attempt.request_id);
             if (e.drained.empty()) check_fresh(e, attempt);
         }
         const auto known = by_id_.find(attempt.request_id);
@@ -292,7 +294,8 @@
             violation("the attempt's timeout is longer than the time left until the client's timeout: " +
                       attempt.request_id);
         if (r.cancelled && attempt.at > *r.cancelled + max_attempt_after_cancel + slack)
-            violation("1: attempt started after the client had cancelled: " + attempt.request_id);
+            violation("1: the gateway started an attempt after the client had cancelled the request: " +
+                      attempt.request_id);
     }
 
     void check_fresh(const PostedEvent& purge, const ScriptedCache::ReceivedAttempt& attempt) {
--- a/testing/soak.hpp
+++ b/testing/soak.hpp
@@ -26,7 +26,7 @@
 };
 
 struct SoakResult {
-    std::vector<std::string> violations;  // a text begins with the rule's number if the rule has one
+    std::vector<std::string> violations;  // a text begins with the number of the violated rule, if any
     bool killed = false;                  // the process still ran at SIGKILL
     std::size_t requests = 0, served = 0, rejected = 0, failed = 0, attempts = 0;
     std::string script;    // the drawn script in one line
--- a/testing/soak_client.cpp
+++ b/testing/soak_client.cpp
@@ -117,7 +117,7 @@
     if (aborted_.erase(answer.number) > 0) return;
     if (!open_.contains(answer.number)) {
         if (behaviour_ != ClientBehaviour::garbling)
-            violations_.push_back("1: a response to a request that is not open");
+            violations_.push_back("1: the gateway sent a response to a request that is not open");
         return;
     }
     SoakRequest& r = request(answer.number);
--- a/testing/stub_gateway.hpp
+++ b/testing/stub_gateway.hpp
@@ -29,7 +29,7 @@
     Duration notice_board_pause = Duration::micros(400'000);  // pause after a failed poll
     nlohmann::json known = {{"rev", 0},
                             {"notices", nlohmann::json::array()}};  // the board's events at the start
-    std::optional<registry::Settings> registry;  // source of the endpoint list; if unset, the board is
+    std::optional<registry::Settings> registry;  // source of the endpoint list; unset: the notice board
     std::optional<fleet::Settings> fleet;
 };
 
