--- a/bench/data_path.cpp
+++ b/bench/data_path.cpp
@@ -225,8 +225,8 @@
     add(std::move(memory));
 }
 
-// Measures how much memory and how many descriptors lookups in flight take. The caches never respond, so that
-// the lookups stay in flight.
+// Measures the memory and the number of descriptors that the gateway uses against the number of lookups in
+// flight. The caches never respond, so that the lookups stay in flight.
 void Measurement::held_lookups() {
     Series memory{
         "memory_mb.held",
--- a/bench/fleet_owner.cpp
+++ b/bench/fleet_owner.cpp
@@ -44,11 +44,12 @@
 
 struct TakeoverCounts {
     std::vector<double> ownerless_ms;  // times from a fault to the first accepted write of another owner
-    // tried: writes under the former owner's fencing token that reached the registry after it had accepted a
-    // write of the next owner; landed: the number of these writes that the registry accepted
+    // `tried` counts late writes. A write is late if it carries the former owner's fencing token and reaches
+    // the registry after the registry has accepted a write of the next owner. `landed` counts the late writes
+    // that the registry accepted.
     std::size_t tried = 0, landed = 0;
-    // moved: changes of owner after the faults; min_moves: the smallest possible number of changes, which is
-    // one for each fault that makes the owner lose the duty
+    // `moved` counts the changes of owner after the faults. `min_moves` is the smallest possible number of
+    // changes: one for each fault that makes the owner lose the duty.
     std::size_t moved = 0, min_moves = 0;
     std::size_t not_taken_over = 0;  // faults after which no other gateway took over
 };
--- a/bench/registry_staleness.cpp
+++ b/bench/registry_staleness.cpp
@@ -1,7 +1,7 @@
-// Measures how long a gateway keeps sending to a cache after its drain was committed. Runs the real program
-// as a process under load, with fake caches, a fake notice board and a fake registry. Compares the registry
-// client under each fault, the notice board alone, and a client that polls the registry and posts the changes
-// to the notice board.
+// Measures how long a gateway keeps sending to a cache after the cache's drain was committed. Runs the real
+// program as a process under load, with fake caches, a fake notice board and a fake registry. Compares the
+// registry client under each fault, the notice board alone, and a client that polls the registry and posts
+// the changes to the notice board.
 //   registry_staleness PROGRAM [DRAINS] [CASE...]      writes a Markdown table to standard output
 // The staleness of a drain is the time from its commit to the last attempt that the cache receives within one
 // second; an attempt counts from its first byte. Attempts later than the drain grace (250 ms) after the
@@ -118,7 +118,7 @@
             board_.break_connections();
             after(0.3, [this] { apply_fault(); });
         }
-        if (name_ == "silent") {  // silences one member after the other
+        if (name_ == "silent") {  // silences one registry member after the other
             silent_ = (silent_ + 1) % members;
             for (std::size_t m = 0; m < members; ++m) registry_.faults(m).silent_watches = m == silent_;
             after(2, [this] { apply_fault(); });
--- a/bench/scale/counting.hpp
+++ b/bench/scale/counting.hpp
@@ -63,7 +63,8 @@
 nlohmann::json to_json(std::int64_t second, const std::map<TrafficKey, Traffic>& rows);
 void add_from_json(TrafficBySecond& to, const nlohmann::json& message);
 
-// Rates over a period: the mean and the worst second, per gateway unless stated otherwise.
+// Traffic rates over a period. Each rate is either the mean over all seconds of the period or the value of
+// the worst second. Rates are per gateway unless stated otherwise.
 struct Rate {
     double messages = 0, bytes = 0;              // mean, per second and gateway
     double bytes_out = 0, bytes_back = 0;        // the parts of `bytes` that the gateway sent and received
--- a/bench/scale/events.cpp
+++ b/bench/scale/events.cpp
@@ -15,8 +15,8 @@
 constexpr std::size_t purges_per_hour = 3600 * purges_per_second;
 constexpr std::size_t batches_per_hour = 20;  // one batch per second
 constexpr std::size_t ejecting_sites = 2;
-// In the event `mark_quarter`, which scales with the number of sites, the gateways of one in four sites eject
-// the cache.
+// In the event `mark_quarter`, the stub gateways of a quarter of the sites eject `bad_cache`. The number of
+// ejecting gateways therefore grows with the number of sites.
 constexpr std::size_t ejecting_sites_divisor = 4;
 // Duration of the ejection events: nine rounds of 3 s each, at a term of 12 s. This is long enough for each
 // of 570 gateways to publish its ejections once.
@@ -173,8 +173,8 @@
     return result;
 }
 
-// Every second each gateway ejects another cache. Each gateway therefore publishes its record as often as its
-// rate limit permits.
+// Once per second, each gateway readmits the cache that it has ejected and ejects another one. Each gateway
+// therefore publishes its record as often as its rate limit permits.
 EventResult ejections_change(Rig& rig) {
     rig.set_continuous_ejections(true);
     rig.run_for(one_second * 6);
--- a/bench/scale/events.hpp
+++ b/bench/scale/events.hpp
@@ -25,8 +25,9 @@
     std::string name;
     double seconds = 0;  // length of the measurement
     Rate stubs;          // written as "hollow" to result files
-    // Set only if there are real gateways. `compared_stubs` covers the stub gateways that were exposed to the
-    // event like the real gateways. Result files name this field "beside".
+    // `real` and `compared_stubs` are set only if there are real gateways. `compared_stubs` covers the stub
+    // gateways that were exposed to the event in the same way as the real gateways. Result files name this
+    // field "beside".
     std::optional<Rate> real, compared_stubs;
     double cores_per_gateway = 0, cores_per_real_gateway = 0;  // share of one core
     std::map<std::string, double> cores_by_role;               // share of one core
--- a/bench/scale/main.cpp
+++ b/bench/scale/main.cpp
@@ -2,7 +2,7 @@
 // (testing/stub_gateway.hpp), some are real. A relay sits on each link between a gateway and a control
 // machine.
 //   scale run --gateways N [--real N] [--events A,B] [--program irismux] [--fleet-line TEXT]... --out FILE
-//   scale merge FILE FROM...      adds the runs of the FROM files to FILE
+//   scale merge FILE FROM...      adds the runs of the FROM files to FILE; creates FILE if it does not exist
 //   scale report FOLDER           writes FOLDER/scale.md and scale.svg from FOLDER/scale.json
 // Uses loopback only, exits by itself and leaves only its output behind.
 #include <CLI/CLI.hpp>
@@ -109,7 +109,8 @@
     running->add_option("--term", settings.term);
     running->add_option("--seed", settings.seed);
     running->add_option("--out", out,
-                        "JSON file to which the run is added; without this option the run is printed");
+                        "JSON file to which the results of the run are added; created if it does not exist; "
+                        "without this option the results are printed");
     std::string role, control;
     std::size_t number = 0;
     CLI::App* const being =
@@ -118,10 +119,15 @@
     being->add_option("control", control)->required();
     being->add_option("number", number)->required();
     CLI::App* const reporting =
-        app.add_subcommand("report", "write tables and a chart of the measured figures");
+        app.add_subcommand("report",
+                           "read `folder`/scale.json and write its tables to `folder`/scale.md "
+                           "and its chart to `folder`/scale.svg");
     reporting->add_option("folder", out)->required();
     std::vector<std::string> from;
-    CLI::App* const merging = app.add_subcommand("merge", "add the runs of other files to one file");
+    CLI::App* const merging = app.add_subcommand(
+        "merge",
+        "add the runs of all `from` files to `file`, which is created if it does not exist; "
+        "a run in `file` with the same settings is replaced");
     merging->add_option("file", out)->required();
     merging->add_option("from", from)->required();
     CLI11_PARSE(app, argc, argv);
--- a/bench/scale/rig.cpp
+++ b/bench/scale/rig.cpp
@@ -97,7 +97,7 @@
     const std::size_t registry = topology().gateways * 4 + 64;
     const std::size_t needed = std::max(relay, registry);
     if (limit.rlim_cur < needed)
-        throw std::runtime_error("file descriptor limit is too low: " + std::to_string(limit.rlim_cur) +
+        throw std::runtime_error("the file descriptor limit is too low: " + std::to_string(limit.rlim_cur) +
                                  " per process are allowed, " + std::to_string(needed) + " are needed for " +
                                  std::to_string(topology().gateways) + " gateways");
 }
@@ -179,8 +179,8 @@
 
 std::int64_t Rig::send_order(Child& child, json order) {
     if (!wait_until([&] { return child.channel != nullptr; }, ms * 20'000))
-        throw std::runtime_error("process did not connect to the rig within 20 s: " + child.role + ' ' +
-                                 std::to_string(child.number));
+        throw std::runtime_error("process " + child.role + ' ' + std::to_string(child.number) +
+                                 " did not connect to the rig within 20 s");
     order["id"] = next_order_++;
     child.channel->send(order);
     return order["id"];
@@ -188,8 +188,8 @@
 
 json Rig::answer(Child& child, std::int64_t id) {
     if (!wait_until([&] { return child.answers.contains(id); }, ms * 60'000))
-        throw std::runtime_error("no response to an order within 60 s from process " + child.role + ' ' +
-                                 std::to_string(child.number));
+        throw std::runtime_error("process " + child.role + ' ' + std::to_string(child.number) +
+                                 " did not respond to an order within 60 s");
     json reply = std::move(child.answers[id]);
     child.answers.erase(id);
     return reply;
@@ -401,8 +401,8 @@
                        [](const std::string& line) { return line.rfind("site ", 0) == 0; });
 }
 
-// Each process of stub gateways represents one site. With membership by site, the members of a site have only
-// members of their own site in view.
+// Each process of stub gateways represents one site. With membership by site, the member list of a gateway
+// holds only gateways of its own site.
 std::int64_t Rig::expect(std::size_t members) {
     const std::int64_t id = next_expected_++;
     std::vector<std::pair<Child*, std::int64_t>> sent_orders;
@@ -424,7 +424,7 @@
 bool Rig::wait_until(std::function<bool()> condition, Duration most) {
     const bool fulfilled =
         loop_runner_->run_until([&] { return termination_requested || condition(); }, most);
-    if (termination_requested) throw std::runtime_error("interrupted by a termination signal");
+    if (termination_requested) throw std::runtime_error("a termination signal interrupted the run");
     return fulfilled;
 }
 
--- a/bench/scale/rig.hpp
+++ b/bench/scale/rig.hpp
@@ -55,11 +55,18 @@
     void start_lookups();  // starts the clients of the real gateways
     // Returns for each real gateway how many lookups were sent, satisfied, nacked and failed.
     nlohmann::json lookups();
-    // Changes the relays on the links of the gateways. `change` has one or several of the keys in {"cut":
-    // true}, {"down": false}, {"delay_ms": 5}, {"bytes_a_second": 10000} and {"break": true}.
+    // Changes the relays on the links of the gateways. `change` is a JSON object with one or several of these
+    // keys:
+    //    cut             true: the relays accept connections, but hold back all data; false: they forward
+    //                    the data again
+    //    down            true: the relays reset all connections and refuse new ones; false: they listen again
+    //    delay_ms        the relays delay each chunk of data by this number of milliseconds
+    //    bytes_a_second  limits the throughput of each connection in each direction; 0 removes the limit
+    //    break           the relays reset all connections once, whatever the value of the key is
     void change_links(const std::vector<std::size_t>& gateways, nlohmann::json change);
     void set_ejected(const std::string& cache, bool ejected, const std::vector<std::size_t>& gateways);
-    void set_continuous_ejections(bool enabled);  // every stub gateway ejects another cache each second
+    // If enabled, each stub gateway ejects one cache at a time and changes this cache once per second.
+    void set_continuous_ejections(bool enabled);
     // Posts `count` purges in one batch. Returns the timestamps of the purges, which are all different, in
     // milliseconds of the Unix clock.
     std::vector<std::int64_t> purge(std::size_t count);
@@ -68,7 +75,8 @@
     // again.
     void set_caches_removed(std::size_t count, bool removed);
     void set_purge_reports(bool enabled);
-    // Returns whether a line of [fleet] restricts each member's view to the members of the member's own site.
+    // Returns whether one of the additional [fleet] lines restricts the member list of each gateway to the
+    // gateways of its own site.
     bool membership_by_site() const;
     // Sets the state that the stub gateways have to reach: `members` fleet members, the current endpoint list
     // and all posted purges. Each stub gateway that has reached this state reports "whole" once, under the
--- a/bench/scale/roles.cpp
+++ b/bench/scale/roles.cpp
@@ -56,8 +56,8 @@
 
 // --- the registry ----------------------------------------------------------------------------------------
 
-// All registry members share one history, so one process runs all of them. Each member has its own listener
-// and connections.
+// All registry members share one history, so one process runs all of them. Each registry member has its own
+// listener and connections.
 class RegistryRole final : public Role {
     static constexpr std::int64_t min_history = 600;  // minimum number of revisions kept
 
@@ -237,8 +237,9 @@
             if (s.gateway) s.gateway->set_ejected(cache, order["is"].get<bool>());
         });
     }
-    // Lets each gateway eject one cache at a time, and every second the next cache. Gateways with consecutive
-    // numbers eject different caches.
+    // Once per second, makes each stub gateway readmit the cache that it has ejected and eject the next one,
+    // so that each stub gateway ejects exactly one cache at a time. Gateways with consecutive numbers eject
+    // different caches. If `enabled` is false, all these caches are readmitted and no more are ejected.
     void change_ejections(bool enabled) {
         loop_.cancel(ejection_timer_);
         for (auto& [number, slot] : slots_) {
@@ -368,7 +369,7 @@
     if (role == "relay") made = std::make_unique<RelayRole>();
     if (role == "hollow") made = std::make_unique<StubGatewayRole>();
     if (role == "data") made = std::make_unique<DataPathRole>();
-    if (!made) return std::cerr << "scale: no such role: " << role << '\n', 2;
+    if (!made) return std::cerr << "scale: the rig has no role named " << role << '\n', 2;
     try {
         made->run(control, role, number);
     } catch (const std::exception& e) {
