--- a/bench/registry_staleness.cpp
+++ b/bench/registry_staleness.cpp
@@ -5,8 +5,9 @@
 //   registry_staleness PROGRAM [DRAINS] [CASE...]      writes a Markdown table to standard output
 // The staleness of a drain is the time from its commit to the last attempt that the cache receives within one
 // second; an attempt counts from its first byte. Attempts later than the drain grace (250 ms) after the
-// commit count as late. This program can't see when the gateway received the drain. The WithRegistry tests in
-// tests/ check that the gateway sends no attempt later than the grace after it has received the drain.
+// commit count as late. This program cannot observe when the gateway received the drain. The WithRegistry
+// tests in tests/ check that the gateway sends no attempt later than the grace after it has received the
+// drain.
 #include <signal.h>
 #include <spawn.h>
 #include <sys/wait.h>
--- a/bench/scale/events.cpp
+++ b/bench/scale/events.cpp
@@ -234,7 +234,7 @@
 }
 
 // Posts the purges of one hour within 20 seconds while the region is cut off. The event lasts longer than a
-// term, so that the fleet evicts the region's members.
+// term, so that the fleet evicts the region's gateways.
 EventResult region_cut(Rig& rig) {
     const auto cut = rig.topology().of_region(rig.topology().regions() - 1),
                left = without(rig.topology().all(), cut);
@@ -298,7 +298,8 @@
 }
 
 // Counts for each part of the gateways' state how many different values the gateways have. With membership by
-// site, the parts about members are compared within each site, and the largest count of a site is returned.
+// site, the parts about fleet members are compared within each site, and the largest count of a site is
+// returned.
 json distinct_states(Rig& rig) {
     const json states = rig.states();
     std::map<std::string, std::map<std::size_t, std::set<std::string>>> values;
--- a/bench/scale/events.hpp
+++ b/bench/scale/events.hpp
@@ -40,8 +40,8 @@
 // Names of all events, in execution order.
 const std::vector<std::string>& event_names();
 
-// Starts all gateways and waits until each stub gateway has the complete list of members, the endpoint list
-// and all purges. Then runs the named events. Prints progress on standard error.
+// Starts all gateways and waits until each stub gateway has the complete list of fleet members, the endpoint
+// list and all purges. Then runs the named events. Prints progress on standard error.
 nlohmann::json run_events(Rig& rig, const std::vector<std::string>& names);
 
 }  // namespace irismux::scale
--- a/bench/scale/rig.hpp
+++ b/bench/scale/rig.hpp
@@ -167,7 +167,7 @@
     std::int64_t next_order_ = 1, next_expected_ = 1, list_version_ = 1000, last_purge_ms_ = 0;
     std::uint64_t purges_posted_ = 0;
     std::size_t empty_stub_process_bytes_ = 0;
-    // loop_runner_ is declared last, because the members above must outlive the running loop.
+    // loop_runner_ is declared last, because the data members above must outlive the running loop.
     std::unique_ptr<test_support::LoopRunner> loop_runner_;
 };
 
--- a/testing/fleet_simulation.cpp
+++ b/testing/fleet_simulation.cpp
@@ -226,7 +226,7 @@
 }
 
 // Sends an order from a duty's owner directly to a random member, without the registry. Orders arrive late
-// and in any order, and may still arrive after their sender has lost the duty.
+// and not in the order in which they were sent. Some arrive after their sender has lost the duty.
 void FleetSimulation::send_order(const DutyName& duty, const LeaseHolder& holder) {
     Node& n = *nodes_[random_() % nodes_.size()];
     schedule(now_ + shared_config_.term * (3 * random_fraction()), [this, &n, duty, holder] {
@@ -381,8 +381,8 @@
     for (TimePoint& t : unowned_since_) t = now_;
 }
 
-// Checks that at most one member may act on each duty now, where each member judges by its own clock. In a
-// fleet of more than 12 members only every 64th call checks the duties, unless `all` is true.
+// Checks that at most one fleet member is allowed to act on each duty now, where each member judges by its
+// own clock. In a fleet of more than 12 members only every 64th call checks the duties, unless `all` is true.
 void FleetSimulation::check(bool all) {
     if (nodes_.size() > 12 && !all && ++checks_ % 64 != 0) return;
     for (std::size_t d = 0; d < duties_.size(); ++d) {
--- a/testing/fleet_simulation.hpp
+++ b/testing/fleet_simulation.hpp
@@ -54,7 +54,7 @@
     std::size_t max_transactions_within(Duration window) const;
 
     TimePoint now() const { return now_; }
-    std::optional<std::size_t> owner(std::size_t duty) const;  // the member that may act on the duty now
+    std::optional<std::size_t> owner(std::size_t duty) const;  // the member allowed to act on the duty now
     std::string debug_state() const;
 
     std::vector<std::string> violations;  // broken invariants, checked on each event
--- a/testing/interleaving_explorer.hpp
+++ b/testing/interleaving_explorer.hpp
@@ -7,7 +7,8 @@
 // transactions of the process, and their results are delivered to the process. The search tries both orders
 // in which the processes can run.
 //
-// Each fault can hit any member at any tick, up to a total number of faults. The faults of a member are:
+// Each fault can hit any fleet member at any tick, up to a total number of faults. The faults of a member
+// are:
 //    a request of the member is lost, or the reply to it is lost
 //    a request of the member arrives at any later tick
 //    the process stops, stops after sending a request, or stops after its request was committed; it resumes
--- a/testing/process_fleet.cpp
+++ b/testing/process_fleet.cpp
@@ -283,7 +283,7 @@
 
 // Checks that no former owner goes on with health checks of the cache. A gateway that checked the cache
 // before another gateway did is a former owner of the cache's health check duty until it owns the duty again.
-// One late check is allowed, because it may have been in flight.
+// One late check is allowed, because it could already have been in flight when the other gateway took over.
 void ProcessFleet::check_health_check(std::size_t gateway, std::size_t cache) {
     health_checks.push_back({loop.now(), gateway, cache});
     auto& order = health_checkers_[cache];
--- a/testing/process_fleet.hpp
+++ b/testing/process_fleet.hpp
@@ -139,7 +139,7 @@
     // health check duty.
     std::map<std::size_t, std::vector<std::size_t>> health_checkers_;
     std::map<std::size_t, int> late_health_checks_;
-    LoopRunner loop_runner_{loop};  // last member: destroyed first, which ends the loop
+    LoopRunner loop_runner_{loop};  // last data member: destroyed first, which ends the loop
 };
 
 }  // namespace irismux::test_support
--- a/testing/single_process.hpp
+++ b/testing/single_process.hpp
@@ -122,7 +122,7 @@
 
 private:
     std::vector<std::shared_ptr<FastCgiClient>> clients_;
-    LoopRunner loop_runner_{loop};  // last member: destroyed first, which ends the loop
+    LoopRunner loop_runner_{loop};  // last data member: destroyed first, which ends the loop
 };
 
 }  // namespace irismux::test_support
--- a/testing/site_simulation.cpp
+++ b/testing/site_simulation.cpp
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-// A member, with its process if the process runs, and with the state of its links.
+// A fleet member, with its process if the process runs, and with the state of the member's links.
 struct SiteSimulation::Process final : public AgentTransport, public AgentObserver {
     Process(SiteSimulation& w, std::size_t n, std::string in) : world(w), number(n), site(std::move(in)) {}
 
--- a/testing/site_simulation.hpp
+++ b/testing/site_simulation.hpp
@@ -1,9 +1,9 @@
-// A simulation of all sites of an installation in virtual time, from one seed. Members share one registry and
-// acknowledge the events of a notice board. Readers judge which events are in force everywhere. Messages are
-// lost, delayed and repeated, processes stop, crash and restart with old state, links to the registry and to
-// the board are partitioned, and both the registry and the board are restored from backups. Whenever a reader
-// reports `everywhere` or `all_but`, the simulation inspects every process that the verdict covers: none of
-// these processes may act without the event.
+// A simulation of all sites of an installation in virtual time, from one seed. Fleet members share one
+// registry and acknowledge the events of a notice board. Readers judge which events are in force everywhere.
+// Messages are lost, delayed and repeated, processes stop, crash and restart with old state, links to the
+// registry and to the board are partitioned, and both the registry and the board are restored from backups.
+// Whenever a reader reports `everywhere` or `all_but`, the simulation inspects every process that the verdict
+// covers. It is a violation if one of these processes acts without the event.
 #pragma once
 
 #include <functional>
@@ -33,7 +33,7 @@
     struct Options {
         /// Number of members at each site.
         std::vector<std::size_t> sites = {3, 3};
-        /// Number of members that belong to no site and report nothing.
+        /// Number of fleet members that belong to no site and report nothing.
         std::size_t legacy_members = 0;
         /// Entries of the readers' inventory that differ from `sites`: additional sites, and other member
         /// counts for the sites in `sites`.
--- a/testing/soak_client.cpp
+++ b/testing/soak_client.cpp
@@ -98,8 +98,9 @@
     client_->abort(number);
 }
 
-// Sends malformed bytes on this connection. Because of these bytes the gateway may close the connection at
-// any time from now on, so the open requests count as cancelled by the client before the bytes are sent.
+// Sends malformed bytes on this connection. Because of these bytes the gateway is allowed to close the
+// connection at any time from now on, so the open requests count as cancelled by the client before the bytes
+// are sent.
 void SoakClient::send_garbage() {
     for (const auto& [number, index] : open_) requests_[index].cancelled = gateway_.loop.now();
     open_.clear();
--- a/testing/sockets.hpp
+++ b/testing/sockets.hpp
@@ -126,8 +126,8 @@
     }
     void check_condition() {
         condition_met_ = condition_();
-        // Pauses in the loop's next iteration, because this function may run in a socket's handler, which
-        // holds a lock of the reactor.
+        // Pauses the loop only in its next iteration, because this function can be called from a socket's
+        // handler, and the reactor holds a lock while the handler runs.
         if (condition_met_ || loop_.now() > deadline_) return loop_.run_next_iteration([this] { pause(); });
         loop_.schedule_at(loop_.now() + Duration::micros(500), [this] { check_condition(); });
     }
--- a/testing/transaction_ledger.hpp
+++ b/testing/transaction_ledger.hpp
@@ -1,5 +1,6 @@
-// An in-memory registry as an Agent's transactions see it: records, one revision, a history for watches, and
-// restores from backups. The simulations use it. FakeRegistry is a fake registry that serves sockets.
+// An in-memory registry that runs an Agent's transactions. It has records, one revision, a history for
+// watches, and restores from backups. The simulations use it. FakeRegistry is a fake registry that serves
+// sockets.
 #pragma once
 
 #include <map>
