--- a/bench/registry_staleness.cpp
+++ b/bench/registry_staleness.cpp
@@ -1,12 +1,13 @@
-// Measures how long a gateway keeps sending to a cache after its drain was committed. Runs the real program
-// as a process under load, with fake caches, a fake notice board and a fake registry. Compares the registry
-// client under each fault, the notice board alone, and a client that polls the registry and posts the changes
-// to the notice board.
+// Measures how long a gateway keeps sending to a cache after the cache's drain was committed. Runs the real
+// program as a process under load, with fake caches, a fake notice board and a fake registry. Compares the
+// registry client under each fault, the notice board alone, and a client that polls the registry and posts
+// the changes to the notice board.
 //   registry_staleness PROGRAM [DRAINS] [CASE...]      writes a Markdown table to standard output
 // The staleness of a drain is the time from its commit to the last attempt that the cache receives within one
 // second; an attempt counts from its first byte. Attempts later than the drain grace (250 ms) after the
-// commit count as late. This program can't see when the gateway received the drain. The WithRegistry tests in
-// tests/ check that the gateway sends no attempt later than the grace after it has received the drain.
+// commit count as late. This program cannot observe when the gateway received the drain. The WithRegistry
+// tests in tests/ check that the gateway sends no attempt later than the grace after it has received the
+// drain.
 #include <signal.h>
 #include <spawn.h>
 #include <sys/wait.h>
@@ -118,7 +119,7 @@
             board_.break_connections();
             after(0.3, [this] { apply_fault(); });
         }
-        if (name_ == "silent") {  // silences one member after the other
+        if (name_ == "silent") {  // silences one registry member after the other
             silent_ = (silent_ + 1) % members;
             for (std::size_t m = 0; m < members; ++m) registry_.faults(m).silent_watches = m == silent_;
             after(2, [this] { apply_fault(); });
--- a/bench/scale/events.hpp
+++ b/bench/scale/events.hpp
@@ -25,8 +25,9 @@
     std::string name;
     double seconds = 0;  // length of the measurement
     Rate stubs;          // written as "hollow" to result files
-    // Set only if there are real gateways. `compared_stubs` covers the stub gateways that were exposed to the
-    // event like the real gateways. Result files name this field "beside".
+    // `real` and `compared_stubs` are set only if there are real gateways. `compared_stubs` covers the stub
+    // gateways that were exposed to the event in the same way as the real gateways. Result files name this
+    // field "beside".
     std::optional<Rate> real, compared_stubs;
     double cores_per_gateway = 0, cores_per_real_gateway = 0;  // share of one core
     std::map<std::string, double> cores_by_role;               // share of one core
@@ -39,8 +40,8 @@
 // Names of all events, in execution order.
 const std::vector<std::string>& event_names();
 
-// Starts all gateways and waits until each stub gateway has the complete list of members, the endpoint list
-// and all purges. Then runs the named events. Prints progress on standard error.
+// Starts all gateways and waits until each stub gateway has the complete list of fleet members, the endpoint
+// list and all purges. Then runs the named events. Prints progress on standard error.
 nlohmann::json run_events(Rig& rig, const std::vector<std::string>& names);
 
 }  // namespace irismux::scale
