--- a/tests/routing/adaptive_limit_test.cpp
+++ b/tests/routing/adaptive_limit_test.cpp
@@ -25,9 +25,9 @@
     EXPECT_EQ(limit.share(start + second * 60), 1);
 }
 
-// A limit that fell with each bad result would reduce the share of a busy gateway far more than the share of
-// an idle gateway. The test records ten bad results at the same time, and expects the same share as after a
-// single bad result.
+// If each bad result reduced the limit, the limit of a busy gateway would fall far more than the limit of an
+// idle gateway. The test records ten bad results at the same time, and expects that AdaptiveLimit::share
+// returns the same value as after a single bad result.
 TEST(AdaptiveLimit, BadResultsAtTheSameTimeReduceTheLimitOnce) {
     AdaptiveLimit ten_results;
     AdaptiveLimit one_result;
--- a/tests/routing/congestion_test.cpp
+++ b/tests/routing/congestion_test.cpp
@@ -57,7 +57,7 @@
     make_late(1);
     EXPECT_TRUE(congestion_.fills_congested(mean));
     EXPECT_FALSE(congestion_.fills_congested(mean / 2))
-        << "requests for small objects must tolerate more late attempts";
+        << "fills count as congested for a small object, which must tolerate more late attempts";
 }
 
 TEST_F(CongestionTest, LateAttemptsAtAnUnresponsiveCacheAreNoCongestion) {
@@ -77,7 +77,8 @@
 
 TEST_F(CongestionTest, KnownFillsExhaustCongestedFills) {
     start_attempts(4, true);
-    EXPECT_FALSE(congestion_.fills_exhausted(mean)) << "fills count as exhausted although no attempt is late";
+    EXPECT_FALSE(congestion_.fills_exhausted(mean))
+        << "the capacity for fills counts as exhausted although no attempt is late";
     make_late(1);
     EXPECT_TRUE(congestion_.fills_exhausted(mean));
     congestion_.on_attempt_ended(attempts_[3], cache_, &parent_);
@@ -90,9 +91,9 @@
 }
 
 // A gateway that ignored the load that other gateways put on a cache would send too much to the cache. In the
-// test, two gateways share a cache, and a hit there takes three times its transfer time. The router must
-// estimate from this hit that the load by the other gateway is 3, so that the mean load by both gateways is
-// 1.5, since this gateway has no attempt in flight. The estimate must decay.
+// test, two gateways share a cache, and a hit there takes three times its transfer time. From this hit, the
+// router must estimate that the load by the other gateway is 3. This gateway has no attempt in flight, so the
+// mean load by both gateways is 1.5. The estimate must decay.
 TEST_F(CongestionTest, SlowHitsRaiseTheEstimatedLoadOfOtherGateways) {
     AttemptResult hit = result_of(Outcome::completed, CacheStatus::hit);
     attempts_[0].transfer_seconds = 0.4;
--- a/tests/routing/endpoint_set_test.cpp
+++ b/tests/routing/endpoint_set_test.cpp
@@ -57,9 +57,9 @@
     EXPECT_EQ(update(started), nullptr);
 }
 
-// A removed endpoint is erased after the slow-start window, once none of its attempts is in flight. If
+// A removed endpoint is erased after the slow-start window, once no attempt at the endpoint is in flight. If
 // removed endpoints were never erased, the EndpointSet would grow without bound as endpoints come and go. If
-// an endpoint were erased earlier, an attempt that has yet to end could lose its endpoint.
+// an endpoint were erased earlier, an attempt that has yet to end could refer to an erased endpoint.
 TEST_F(EndpointSetTest, ErasesRemovedEndpointsOnceTheyAreIdle) {
     EndpointUpdate leaving = endpoint_update("e1", edge_machine);
     leaving.status = EndpointStatus::removed;
@@ -75,11 +75,11 @@
     EXPECT_FALSE(endpoints_.find(CacheId{"e1"}));
 }
 
-// If no weights are known, the capacity of a cache is derived from the link of the location. If the link were
-// divided by the number of remaining caches, the estimate for each remaining cache would grow when other
-// caches leave, and gateways would overload the remaining caches. EndpointSet::max_active_edges prevents
-// this. The test removes two of three caches, and expects that the capacity of the third cache stays the
-// same.
+// If the link weights of the caches are unknown, a gateway estimates the capacity of a cache from the link
+// capacity of the location. If it divided the link capacity by the number of remaining caches, each estimate
+// would grow when other caches leave, and gateways would overload the remaining caches.
+// EndpointSet::max_active_edges prevents this. The test removes two of three caches, and expects that the
+// capacity of the third cache stays the same.
 TEST_F(EndpointSetTest, ACachesCapacityDoesNotGrowWhenItsPeersLeave) {
     deployment_.weights_known = false;
     deployment_.location_link_capacity_kb_per_s = 30 * deployment_.transfer_rate_kb_per_s;
--- a/tests/routing/freshness_test.cpp
+++ b/tests/routing/freshness_test.cpp
@@ -26,14 +26,14 @@
 };
 
 // A gateway that did not limit the age of copies after a purge would let caches serve copies from before the
-// purge. The test purges all copies that are older than 0.2 s. One second later, a copy may be at most 1.2 s
-// old, minus the resolution of timers.
+// purge. The test purges all copies that are older than 0.2 s. One second later, a served copy must be at
+// most 1.2 s old, minus the resolution of timers.
 TEST_F(FreshnessTest, APurgeLimitsTheAgeWhileOldCopiesMayRemain) {
     purge(Duration::seconds(0.2));
     EXPECT_EQ(freshness_.max_age(request_, false, now_ + one_second),
               Duration::seconds(1.2) - deployment_.timer_resolution);
     EXPECT_EQ(freshness_.max_age(request_, false, now_ + deployment_.purge_retention * 2), Duration{})
-        << "the purge still limits the age after its retention has ended";
+        << "the purge still limits the age after the purge retention has ended";
 }
 
 TEST_F(FreshnessTest, APurgeAtTheCurrentTimeLimitsTheAge) {
@@ -43,10 +43,10 @@
 
 TEST_F(FreshnessTest, StaleCopiesAreAllowedWithinTheirWindowOnly) {
     EXPECT_EQ(freshness_.max_age(ageing_request_, false, now_), Duration{})
-        << "while stale copies are not allowed, only ObjectKind::fresh_for may limit the age";
+        << "a maximum age is set although only ObjectKind::fresh_for limits the age";
     EXPECT_EQ(freshness_.max_age(ageing_request_, true, now_), one_second * 15);
     EXPECT_EQ(freshness_.max_age(request_, true, now_), Duration{})
-        << "an age is set for a kind whose copies never become stale";
+        << "a maximum age is set for a kind whose copies never become stale";
 }
 
 TEST_F(FreshnessTest, APurgeLimitsTheAgeOfStaleCopiesToo) {
--- a/tests/routing/idempotency_test.cpp
+++ b/tests/routing/idempotency_test.cpp
@@ -48,7 +48,7 @@
     request.attempts.push_back(attempt_at("e1", now_));
     EXPECT_FALSE(policy_.may_attempt(request, nullptr, now_));
     EXPECT_TRUE(policy_.may_attempt(request, &request.attempts[0], now_))
-        << "the attempt that is about to start counts against itself";
+        << "the attempt that is about to start counts as another attempt in flight";
     EXPECT_FALSE(IdempotencyPolicy::may_reject(request));
 }
 
--- a/tests/routing/object_statistics_test.cpp
+++ b/tests/routing/object_statistics_test.cpp
@@ -42,7 +42,7 @@
 
 TEST_F(ObjectStatisticsTest, WithoutASizeTheShortestTransferTimeIsUsed) {
     EXPECT_DOUBLE_EQ(statistics_.transfer_seconds(unsized_.request), 0.4)
-        << "before the first hit of an object, the mean of the object's kind must be used";
+        << "the mean transfer time of the kind is not used before the first hit of the object";
     hit(unsized_, 0.3);
     hit(unsized_, 0.2);
     hit(unsized_, 2);
--- a/tests/routing/outlier_detector_test.cpp
+++ b/tests/routing/outlier_detector_test.cpp
@@ -74,7 +74,7 @@
     EXPECT_FALSE(outliers_.may_choose(cache_, non_idempotent_, now_));
     ASSERT_TRUE(OutlierDetector::recovery_probe_is_due(cache_, now_));
     OutlierDetector::begin_recovery_probe(cache_);
-    EXPECT_FALSE(may_choose()) << "a second probe is allowed while the first is in flight";
+    EXPECT_FALSE(may_choose()) << "a second recovery probe is allowed while the first one is in flight";
     Attempt probe = attempt_at("e1", now_);
     probe.probes_cache = true;
     outliers_.on_cache_result(cache_, probe, result_of(Outcome::completed), false, now_);
@@ -95,12 +95,13 @@
 
 TEST_F(OutlierDetectorTest, AProbeIsPostponedByOneLongestBackoffAtMost) {
     OutlierDetector::postpone_recovery_probe(cache_, now_ + one_second * 100);
-    EXPECT_TRUE(may_choose()) << "a probe time excludes a cache that is not ejected";
+    EXPECT_TRUE(may_choose())
+        << "a cache that is not ejected is excluded because a time for a recovery probe is set";
     result(cache_, Outcome::connection_refused);
     OutlierDetector::postpone_recovery_probe(cache_, now_ + one_second * 100);
     EXPECT_EQ(cache_.health.next_probe_at, now_ + one_second * 32);
     OutlierDetector::postpone_recovery_probe(cache_, now_);
-    EXPECT_TRUE(may_choose()) << "an earlier probe time does not bring the probe forward";
+    EXPECT_TRUE(may_choose()) << "an earlier probe time does not bring the recovery probe forward";
 }
 
 TEST_F(OutlierDetectorTest, ErrorsAtOneCacheAloneEjectIt) {
@@ -132,10 +133,10 @@
     EXPECT_TRUE(cache_.health.ejected());
 }
 
-// A detector that judged by silence alone would take an idle cache for hung, and all caches during a common
-// fault. In the test, a cache responds every 20 ms and then stays silent for longer than the latency
-// objective. The cache may count as unresponsive only if a peer has responded during the silence and an
-// attempt waits for the cache.
+// A detector that looked at silence alone would take an idle cache for a hung cache. During a fault that
+// silences all caches, it would take all caches for hung caches. In the test, a cache responds every 20 ms
+// and then stays silent for longer than the latency objective. The cache must count as unresponsive only if a
+// peer has responded during the silence and an attempt waits for the cache.
 TEST_F(OutlierDetectorTest, SilenceIsComparedWithTheEndpointsOwnGapsAndItsPeers) {
     cache_.load.in_flight = 1;
     cache_.load.busy_since = now_;
@@ -144,19 +145,20 @@
         result(cache_, Outcome::completed);
     }
     wait(0.5);
-    EXPECT_FALSE(outliers_.is_unresponsive(cache_, now_)) << "unresponsive although no peer has responded";
+    EXPECT_FALSE(outliers_.is_unresponsive(cache_, now_))
+        << "the cache counts as unresponsive although no peer has responded";
     result(peer_, Outcome::completed);
     EXPECT_TRUE(outliers_.is_unresponsive(cache_, now_));
     cache_.load.in_flight = 0;
     EXPECT_FALSE(outliers_.is_unresponsive(cache_, now_))
-        << "unresponsive although no attempt waits for the cache";
+        << "the cache counts as unresponsive although no attempt waits for the cache";
 }
 
 TEST_F(OutlierDetectorTest, ADeadlineEjectsOnlyWhatHasBeenSilentWhilePeersResponded) {
     const Attempt attempt = attempt_at("e1", now_);
     wait(1);
     outliers_.on_cache_result(cache_, attempt, result_of(Outcome::deadline_exceeded), false, now_);
-    EXPECT_FALSE(cache_.health.ejected()) << "ejected although no peer has responded";
+    EXPECT_FALSE(cache_.health.ejected()) << "the cache is ejected although no peer has responded";
     result(peer_, Outcome::completed);
     outliers_.on_cache_result(cache_, attempt, result_of(Outcome::deadline_exceeded), false, now_);
     EXPECT_TRUE(cache_.health.ejected());
@@ -169,7 +171,7 @@
 
 // A slow origin makes the fills at all parents time out, and ejecting a parent would only shift its load to
 // the other parents. In the test, the fills at both parents time out, and no parent may be ejected. After one
-// parent has completed a fill, the other parent must be ejected when a fill there times out.
+// parent has completed a fill, the other parent must be ejected when a fill through it times out.
 TEST_F(OutlierDetectorTest, FillsThatTimeOutEjectOnlyASilentParent) {
     wait(1);
     for (int n = 0; n < 20; ++n)
--- a/tests/routing/rendezvous_hash_test.cpp
+++ b/tests/routing/rendezvous_hash_test.cpp
@@ -52,7 +52,7 @@
 
 // If objects of the remaining caches moved when one cache leaves, these objects would have to be filled
 // again. The test removes one of five caches. Only the objects of the removed cache may move, each to the
-// next cache in the order of the object.
+// next cache in the object's order of preference.
 TEST_F(RendezvousHash, WhenACacheLeavesOnlyItsObjectsMove) {
     std::vector<EndpointState*> rest = all();
     rest.erase(rest.begin() + 2);
--- a/tests/routing/retry_policy_test.cpp
+++ b/tests/routing/retry_policy_test.cpp
@@ -29,7 +29,8 @@
 }
 
 // During a fault that makes all attempts fail, unlimited retries would multiply the load. The test lets each
-// attempt fail. Once the reserve of retries is used up, only every fourth request may be retried.
+// attempt fail. Once the reserve of retries is used up, only one retry must be allowed for each four
+// requests.
 TEST_F(RetryPolicyTest, RetriesAreLimitedToAShareOfRequests) {
     const AttemptResult failed = result_of(Outcome::errored);
     int reserve = 0;
--- a/tests/routing/slow_start_test.cpp
+++ b/tests/routing/slow_start_test.cpp
@@ -42,9 +42,9 @@
 }
 
 // A budget that is too large would overload a cache that has just started, and a budget that is too small
-// would leave the cache idle. The test starts attempts as often as the budget allows. Their transfer time
-// must exceed half of this gateway's even share of the cache's present capacity, and must not exceed that
-// even share times the overload multiple.
+// would leave the cache idle. The test starts attempts as often as the budget allows. The sum of their
+// transfer times must exceed half of this gateway's even share of the cache's present capacity. The sum must
+// not exceed this even share times the overload multiple.
 TEST_F(SlowStartTest, AWarmingEndpointGetsItsEvenShareOfPresentCapacity) {
     slow_start_.begin(cache_, now_, now_);
     const SlowStart& settings = deployment_.edge_slow_start;
@@ -64,10 +64,10 @@
     EXPECT_FALSE(cache_.warm_up.warming_up_since.has_value());
 }
 
-// The endpoint list may name the start of a cache's new process late. A gateway that ignored its earlier
-// transfers to the new process would add a full budget to them and overload the cache. In the test, the list
-// names the start a second late, after many transfers to the cache. The gateway must send nothing more until
-// these transfers have left the overload window.
+// The endpoint list may name the start of a cache's new process late. A gateway that ignored the transfers
+// that it has sent to the new process by then would add a full budget to these transfers and overload the
+// cache. In the test, the list names the start a second late, after many transfers to the cache. The gateway
+// must send nothing more until these transfers have left the overload window.
 TEST_F(SlowStartTest, TransfersBeforeTheStartWasKnownAreCharged) {
     const TimePoint started_at = now_;
     for (int n = 0; n < 100; ++n) slow_start_.charge(cache_, transfer_seconds, now_);
@@ -100,8 +100,8 @@
 }
 
 // If an endpoint restarts while an admitted attempt waits for a connection, the attempt must fit the
-// endpoint's new budget. Otherwise the attempt would be sent on the strength of a check made before the
-// restart.
+// endpoint's new budget. Otherwise the gateway would send the attempt because of a check that it made before
+// the restart.
 TEST_F(SlowStartTest, AWaitingAttemptIsCheckedAgainAfterARestart) {
     Attempt attempt = attempt_at("e1", now_);
     attempt.transfer_seconds = 100;
