--- a/tests/random_gateway_scenario.hpp
+++ b/tests/random_gateway_scenario.hpp
@@ -44,9 +44,9 @@
     return settings;
 }
 
-// Draws the values on which rule 4 depends from wider ranges than random_deployment(): shares, sizes and
-// weights vary by a factor of ten, and windows and deadlines vary too. RandomScenario::step draws the sizes
-// and deadlines for each request.
+// Draws the values on which rule 4 (an endpoint that is warming up is not overloaded) depends from wider
+// ranges than random_deployment(). Shares, sizes and weights vary by a factor of ten, and windows and
+// deadlines vary too. RandomScenario::step draws the sizes and deadlines for each request.
 inline Deployment wide_random_deployment() {
     Deployment settings = random_deployment();
     settings.gateways_in_location = random_int(1, 8);
@@ -139,8 +139,8 @@
     }
 
     // An endpoint that is down refuses connections. A cache that refused a connection while none of its other
-    // attempts was in flight warms up from its first response on, even if the endpoint list names no new
-    // start.
+    // attempts was in flight warms up from its first response on, even if the endpoint list does not name the
+    // new process.
     void end_attempt_by_endpoint_state(std::size_t position, Outcome outcome, CacheStatus cache_status) {
         const CacheId cache = harness_.callbacks.attempts[position].plan.cache;
         if (const auto down = down_until_.find(cache);
@@ -206,8 +206,9 @@
         harness_.update_endpoints({endpoint});
     }
 
-    // Restarts one endpoint or all caches of the location, possibly during a warm-up. The endpoint list names
-    // the start at once, late, twice, with two different start times, or never.
+    // Restarts one endpoint or all caches of the location, possibly during a warm-up. The endpoint list may
+    // name the start of the new process at once, late or never. It may also name the start twice, with equal
+    // or different start times.
     void change_starts() {
         const int choice = random_int(0, 9);
         const std::size_t first = choice <= 1 ? 0 : static_cast<std::size_t>(random_int(0, 4));
--- a/tests/router_congestion_test.cpp
+++ b/tests/router_congestion_test.cpp
@@ -54,9 +54,10 @@
     EXPECT_GT(cached_only, 50);
 }
 
-// A gateway that rejected small and large requests alike when all caches are overloaded would lose many small
-// requests for little link time. The test starts large requests, which all stay in flight, until the router
-// rejects one because all caches are overloaded. A small request must still be served.
+// A gateway that rejected small and large requests alike when all caches are overloaded would reject many
+// small requests although these need little link time. The test starts large requests, which all stay in
+// flight, until the router rejects one because all caches are overloaded. A small request must still be
+// served.
 TEST_F(RouterCongestionTest, WhenAllCachesAreOverloadedLargeRequestsAreRejectedFirst) {
     int n = 0;
     for (; n < 500; ++n) {
@@ -137,8 +138,8 @@
 }
 
 // A slow origin also delays the fills through the parents. A gateway that attributed this delay to the
-// parents would reduce their share without need. In the test, each fill through a parent takes 0.8 s because
-// the parent waits for the origin. All requests must still be filled through the parents.
+// parents would reduce the parents' share of the fills without need. In the test, each fill through a parent
+// takes 0.8 s because the parent waits for the origin. All requests must still be filled through the parents.
 TEST_F(RouterCongestionTest, ASlowOriginBehindAParentDoesNotReduceTheParentsShare) {
     for (int n = 0; n < 40; ++n) {
         const std::string name = "o" + std::to_string(n);
@@ -152,9 +153,9 @@
 }
 
 // A gateway sends fewer fetches to an origin that fails. If only a successful fetch could restore the
-// origin's share, the share could stay reduced for ever, because there may be no fetch. In the test, fetches
-// fail, and then half a minute passes without a fetch. Requests must be allowed to fetch from the origin
-// again as before the failures.
+// origin's share of the fetches, this share could stay reduced for ever, because there may be no fetch. In
+// the test, fetches fail, and then half a minute passes without a fetch. Requests must be allowed to fetch
+// from the origin again as before the failures.
 TEST_F(RouterCongestionTest, AReducedShareOfTheOriginRecoversWithoutFetches) {
     for (int n = 0; n < 30; ++n, harness.advance(second * 0.2))
         request_and_end("o" + std::to_string(n), Outcome::overloaded, CacheStatus::origin_failed);
--- a/tests/router_fixture.hpp
+++ b/tests/router_fixture.hpp
@@ -15,7 +15,7 @@
     Request new_request(const std::string& object, std::size_t kind = 0) {
         return request_for("l" + std::to_string(made++), object, harness.now + second * 5, kind);
     }
-    // Plays a request whose first attempt ends with `outcome`, after which the client has its final response.
+    // Plays a request. Its first attempt ends with `outcome`, and the client then has its final response.
     // @return the first attempt, or an empty StartedAttempt if the request is rejected
     StartedAttempt request_and_end(const std::string& object, Outcome outcome,
                                    CacheStatus status = CacheStatus::none) {
@@ -26,7 +26,7 @@
         return copy;
     }
     // Plays a request for an object of which no cache has a copy.
-    // @return the attempt that fills, or an empty StartedAttempt if the request is rejected
+    // @return the attempt that fills the object, or an empty StartedAttempt if the request is rejected
     StartedAttempt request_fill(const std::string& object, CacheStatus status = CacheStatus::filled) {
         std::vector<StartedAttempt>& attempts = harness.callbacks.attempts;
         if (!harness.request(new_request(object))) return {};
@@ -36,11 +36,11 @@
         harness.end_attempt(attempts.size() - 1, Outcome::completed, status);
         return copy;
     }
-    // @return the name of an object whose first attempt goes to this cache
+    // @return the name of an object whose requests go to this cache first
     std::string object_of_cache(const std::string& cache) {
         return object_with([&](const AttemptPlan& plan) { return plan.cache == CacheId{cache}; });
     }
-    // @return the name of an object whose first attempt fills from this parent
+    // @return the name of an object whose requests have this parent as their first source
     std::string object_of_parent(const std::string& parent) {
         return object_with([&](const AttemptPlan& plan) { return plan.source == CacheId{parent}; });
     }
--- a/tests/router_health_test.cpp
+++ b/tests/router_health_test.cpp
@@ -7,9 +7,10 @@
 
 class RouterHealthTest : public RouterTest {};
 
-// A cache may still refuse connections when the backoff of its ejection ends. A gateway that then sent all
-// requests of this cache there would have each request refused. The test expects that only one request goes
-// to the cache, as the recovery probe. If the probe is refused too, the next backoff must be twice as long.
+// A cache may still refuse connections when the backoff of its ejection ends. A gateway that then sent this
+// cache all requests for the cache's objects would have each request refused. The test expects that only one
+// request goes to the cache, as the recovery probe. If the probe is refused too, the next backoff must be
+// twice as long.
 TEST_F(RouterHealthTest, ARefusedConnectionEjectsAndTheBackoffDoublesWithOneRecoveryProbe) {
     const std::string name = object_of_cache("e1");
     request_and_end(name, Outcome::connection_refused);
@@ -28,11 +29,11 @@
     EXPECT_EQ(harness.request(new_request(name))->plan.cache, CacheId{"e1"});
 }
 
-// One gateway checks an ejected cache on behalf of all gateways, and passes the time of the next probe to the
-// other gateways. If that gateway postponed the probe again and again, the cache would stay ejected for ever.
-// A passed probe time may bring the probe of this gateway forward, or postpone the probe by the longest
-// backoff at most, however often a time is passed. A probe time must have no effect on a cache that is not
-// ejected. The router must report the ejection and the readmission once each.
+// One gateway checks an ejected cache on behalf of all gateways, and passes the time of the next recovery
+// probe to the other gateways. If that gateway postponed the probe again and again, the cache would stay
+// ejected for ever. A passed probe time may bring the probe of this gateway forward, or postpone the probe by
+// the longest backoff at most, however often a time is passed. A probe time must have no effect on a cache
+// that is not ejected. The router must report the ejection and the readmission once each.
 TEST_F(RouterHealthTest, AnotherGatewayPostponesTheRecoveryProbeWithinABound) {
     const std::string name = object_of_cache("e1");
     const auto probes = [&] { return harness.request(new_request(name))->plan.cache == CacheId{"e1"}; };
@@ -68,9 +69,9 @@
     EXPECT_EQ(request_fill("x", CacheStatus::via_origin).plan.source, CacheId{"o"});
 }
 
-// A slow origin makes the fills at all parents time out. A gateway that ejected the parents for this would
-// lose them without need. In the test, the fills through all parents time out. The router must eject no
-// parent, so the next fill must go through a parent.
+// A slow origin makes the fills at all parents time out. A gateway that ejected the parents for this reason
+// would stop using them without need. In the test, the fills through all parents time out. The router must
+// eject no parent, so the next fill must go through a parent.
 TEST_F(RouterHealthTest, FillsThatTimeOutAtEveryParentEjectNone) {
     for (int n = 0; n < 30; ++n) {
         const StartedAttempt* attempt = harness.request(new_request("o" + std::to_string(n)));
@@ -107,8 +108,8 @@
 }
 
 // A fault of the network breaks transfers at all caches. A gateway that ejected caches for such a fault would
-// lose them without need. In the test, every fourth transfer breaks, regardless of its cache. All caches must
-// stay in use.
+// stop using them without need. In the test, every fourth transfer breaks, regardless of its cache. All
+// caches must stay in use.
 TEST_F(RouterHealthTest, BrokenTransfersAtAllCachesEjectNone) {
     std::map<CacheId, int> attempts_at;
     for (int n = 0; n < 200; ++n, harness.advance(second * 0.1))
--- a/tests/router_slow_start_test.cpp
+++ b/tests/router_slow_start_test.cpp
@@ -9,7 +9,8 @@
 
 // A gateway that waited until the endpoint list names a restarted cache's new process would overload this
 // process until then. In the test, a cache refuses a connection while none of its attempts is in flight, and
-// later responds again. The endpoint list names no new start. The cache must get few requests at first.
+// later responds again. The endpoint list does not name the new process. The cache must get few requests at
+// first.
 TEST_F(RouterSlowStartTest, ARestartedCacheWarmsUpBeforeItsStartIsListed) {
     const std::string name = object_of_cache("e1");
     request_and_end(name, Outcome::connection_refused);
@@ -125,7 +126,7 @@
 
 class StartListedLate : public RouterTest, public ::testing::WithParamInterface<const char*> {
 protected:
-    // Plays `requests` requests, one after each interval of `each`.
+    // Plays `requests` requests at intervals of `each`.
     // @return the number of attempts that use the tested endpoint as cache or as source
     int attempts_during(int requests, Duration each) {
         const CacheId endpoint{GetParam()};
@@ -141,10 +142,11 @@
     }
 };
 
-// The endpoint list may name the start of an endpoint's new process late. A gateway that ignored its earlier
-// transfers to the new process would add a full budget to them and overload the endpoint. In the test, the
-// list names the start a second late, and the gateway has sent attempts to the endpoint during this second.
-// The gateway must send nothing more until the transfers of these attempts have left the overload window.
+// The endpoint list may name the start of an endpoint's new process late. A gateway that ignored the
+// transfers that it has sent to the new process by then would add a full budget to these transfers and
+// overload the endpoint. In the test, the list names the start a second late, and the gateway has sent
+// attempts to the endpoint during this second. The gateway must send nothing more until the transfers of
+// these attempts have left the overload window.
 TEST_P(StartListedLate, TransfersBeforeTheStartWasListedAreCharged) {
     const bool parent = GetParam()[0] == 'p';
     EndpointUpdate update = endpoint_update(GetParam(), parent ? parent_machine : edge_machine, 6);
@@ -187,13 +189,13 @@
     EXPECT_LE(transfer_seconds, 2 * (0.2 + 0.8 * 2 / 15) * 6 * 2 / 2 + 4);
 }
 
-// If the endpoint lists of several gateways name the start of a restarted cache late, each gateway has sent
-// the new process a full load until then, and together the gateways would overload the cache. In the test,
-// the lists of eight gateways name the start of e1 at the same time, 1.4 s late, and until then each gateway
-// has sent e1 as much as it could. In each step of 0.1 s after that, the gateways may send to e1 only if
-// their transfers together stay below the overload multiple of e1. From step 41 on, their transfers must stay
-// below the overload multiple in any case. From step 50 on, they must use at least a quarter of the capacity
-// of e1.
+// The endpoint lists of several gateways may name the start of a restarted cache late. Each gateway has then
+// sent the new process a full load, and together the gateways would overload the cache if they went on. In
+// the test, the lists of eight gateways name the start of e1 at the same time, 1.4 s late, and until then
+// each gateway has sent e1 as much as it could. After that, no gateway may send to e1 in a step of 0.1 s in
+// which the transfers of all gateways in the last 2 s exceed the overload multiple of e1. From step 41 on,
+// the transfers must not exceed the overload multiple at all. From step 50 on, the gateways must use at least
+// a quarter of the capacity of e1.
 TEST(ManyGateways, GatewaysWithALateListTogetherDoNotOverloadAWarmingCache) {
     Deployment settings = deployment();
     settings.gateways = settings.gateways_in_location = 8;
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -1,4 +1,5 @@
-// Tests the routing of requests without faults, and the rules on idempotency (rule 2) and purges (rule 5).
+// Tests the routing of requests without faults. Also tests that no request takes effect twice (rule 2) and
+// that no purged copy is served (rule 5).
 #include "router_fixture.hpp"
 
 namespace irismux::testing {
--- a/tests/router_test_support.hpp
+++ b/tests/router_test_support.hpp
@@ -107,7 +107,8 @@
     std::map<CacheId, TimePoint> started_at;                    // start times that the updates named
     std::map<CacheId, double> weight;
     std::map<CacheId, CellId> cell;
-    // Times and transfer times (in seconds) of the attempts at each endpoint within the overload window.
+    // Start times and transfer times (in seconds) of the attempts at each endpoint within the overload
+    // window.
     std::map<CacheId, std::vector<std::pair<TimePoint, double>>> recent_transfers;
     std::map<ObjectName, TimePoint> purged_at;
     std::set<CacheId> parents;
@@ -138,7 +139,8 @@
     }
     void reject(const RequestId& id, Duration) override {
         const auto it = unanswered.find(id);
-        if (it == unanswered.end()) return (void)violations.push_back("1: a second final response");
+        if (it == unanswered.end())
+            return (void)violations.push_back("1: a request gets a second final response");
         const ObjectKind& kind = settings.kinds[it->second.kind.raw()];
         if (kind.effect == Effect::non_idempotent && may_have_run(id))
             violations.push_back("2: a non-idempotent request is rejected though it may have run");
@@ -148,7 +150,7 @@
         unanswered.erase(it);
     }
     void fail(const RequestId& id) override {
-        if (unanswered.erase(id) == 0) violations.push_back("1: a second final response");
+        if (unanswered.erase(id) == 0) violations.push_back("1: a request gets a second final response");
         failed.push_back(id);
     }
     void set_timer(TimerId timer, TimePoint at) override { timers.emplace_back(timer, at); }
@@ -182,7 +184,7 @@
     void record(const RequestId& id, const AttemptPlan& plan, bool by_age) {
         const auto it = unanswered.find(id);
         if (it == unanswered.end())
-            return (void)violations.push_back("1: an attempt after the final response");
+            return (void)violations.push_back("1: an attempt starts after the final response");
         const ObjectKind& kind = settings.kinds[it->second.kind.raw()];
         const std::vector<std::size_t> before = attempts_that_may_have_run(id);
         if (kind.effect == Effect::non_idempotent && !before.empty())
@@ -222,10 +224,11 @@
         attempts.push_back({id, AttemptIndex{attempts_of[id].size() - 1}, plan, now});
     }
 
-    // Checks rule 4. Multiplies the transfers of this gateway by the number of gateways that share the
-    // endpoint. The rule applies from the time at which the endpoint list names the start of the endpoint's
-    // new process until the slow-start window ends. Transfers to the new process count even if they began
-    // before the list named its start. Transfers to the previous process do not count.
+    // Checks rule 4 (an endpoint that is warming up is not overloaded). Multiplies the transfers of this
+    // gateway by the number of gateways that share the endpoint. The rule applies from the time at which the
+    // endpoint list names the start of the endpoint's new process until the slow-start window ends. Transfers
+    // to the new process count even if they began before the list named its start. Transfers to the previous
+    // process do not count.
     void check_slow_start(const CacheId& cache, const Request& request) {
         const double transfer_seconds = request.size_kb / settings.transfer_rate_kb_per_s;
         auto& recent = recent_transfers[cache];
--- a/tests/slow_start_fleet_test.cpp
+++ b/tests/slow_start_fleet_test.cpp
@@ -57,8 +57,8 @@
 
 struct FleetWithRestart {
     static constexpr double transfer_seconds = 0.2;  // transfer time of each object
-    // The weight of a parent. It is so small that, with many gateways, each gateway's share of the budget is
-    // far below one request.
+    // The link weight of a parent. The weight is so small that, with many gateways, each gateway's share of
+    // the budget is far below one request.
     static constexpr double parent_weight = 10;
     Deployment settings = deployment();
     std::ranlux24_base random;
@@ -69,7 +69,8 @@
     std::vector<std::unique_ptr<Router>> routers;
     std::vector<TimePoint> learns_at;
     TimePoint restarted_at = TimePoint::at_seconds(1001);
-    // The largest ratio of the transfers in an overload window to the number that the window allows.
+    // The largest ratio of the number of transfers in an overload window to the number that is allowed in
+    // this window.
     double worst = 0;
     std::uint64_t requests = 0;
 
@@ -197,7 +198,8 @@
             FleetWithRestart fleet(GetParam(), seed);
             fleet.play(after);
             fleet.check();
-            EXPECT_LE(fleet.worst, 1) << "burst after " << after << " s, seed " << seed;
+            EXPECT_LE(fleet.worst, 1)
+                << "the parent is overloaded by the burst after " << after << " s, seed " << seed;
             worst = std::max(worst, fleet.worst);
             sent += fleet.sent.size();
             ++plays;
@@ -207,11 +209,12 @@
 }
 INSTANTIATE_TEST_SUITE_P(Sizes, RestartInAFleet, ::testing::Values(3, 20, 30, 300));
 
-// One of the three caches of a location restarts, its peers leave the list, and then a burst of requests
-// arrives. Weights are unknown, so the capacity of a cache is derived from the link of the location.
+// Plays a location with three caches. One cache restarts, the two other caches leave the endpoint list, and
+// then a burst of requests arrives. The link weights of the caches are unknown, so each gateway estimates the
+// capacity of a cache from the link capacity of the location. The restarted cache must not be overloaded.
 struct LocationWithRestart : FleetWithRestart {
-    // How the departure of the peers reaches a gateway: by an update of the endpoint list, or by a restart of
-    // the gateway with a first endpoint list on which the peers drain.
+    // The cause for which a gateway removes the peers. Either an update of the endpoint list removes them, or
+    // the gateway restarts and its first endpoint list has them as draining.
     enum class LearnsFrom { update, first_list };
     static constexpr double cache_capacity = 10;
     static constexpr double leave_before_burst = 0.5, all_learn_within = 0.3, drain = 0.2;
@@ -297,7 +300,8 @@
 // If a gateway divided the link of a location by the number of remaining caches, the estimated capacity of a
 // restarted cache would grow when its peers leave, and the gateways would overload this cache.
 // EndpointSet::max_active_edges prevents this. In the test, both peers of a restarted cache leave, and then a
-// burst of requests arrives. docs/crossings.md quotes the printed figures.
+// burst of requests arrives. The transfers to the restarted cache must stay below its overload multiple plus
+// a margin for random variation. docs/crossings.md quotes the printed figures.
 TEST_P(RestartInALocation, TheRestartedCacheGetsNoMoreWhenItsPeersLeave) {
     const auto [gateways, source] = GetParam();
     std::size_t sent = 0, plays = 0;
@@ -306,7 +310,8 @@
         for (const std::uint32_t seed : {1u, 2u, 3u}) {
             LocationWithRestart location(gateways, seed);
             location.play_peers_leave(after, source);
-            EXPECT_LE(location.worst, 1) << "burst after " << after << " s, seed " << seed;
+            EXPECT_LE(location.worst, 1)
+                << "the cache is overloaded by the burst after " << after << " s, seed " << seed;
             worst = std::max(worst, location.worst);
             sent += location.sent.size();
             ++plays;
--- a/tests/waiting_attempt_test.cpp
+++ b/tests/waiting_attempt_test.cpp
@@ -1,5 +1,6 @@
-// Tests Router::may_begin_attempt, which checks an attempt that has waited again before its first byte is
-// sent. Idempotency windows and shutdown are tested with whole processes (event_order_test, shutdown_test).
+// Tests Router::may_begin_attempt. This function checks an attempt a second time, after the attempt has
+// waited for a connection and before its first byte is sent. Idempotency windows and shutdown are tested with
+// whole processes (event_order_test, shutdown_test).
 #include "router_test_support.hpp"
 
 using namespace irismux;
@@ -57,9 +58,10 @@
     }
 }
 
-// Some requests may be retried only within the cell of their first attempt. A router that lost the cell
-// together with a removed cache would retry the request in another cell. In the test, the cache has long been
-// removed when the attempt there fails. The request must not be retried, since its cell has no other cache.
+// Some requests may be retried only within the cell of their first attempt. A router that forgot the cell of
+// a removed cache would retry the request in another cell. In the test, a cache is removed 30 s before the
+// attempt at this cache fails. The request must not be retried, since the cell of the removed cache has no
+// other cache.
 TEST(RemovedCache, ItsAttemptsAreNotRetriedOutsideTheirCell) {
     Deployment settings = deployment();
     settings.kinds[2].dedup_scope = DedupScope::cell;
@@ -84,8 +86,8 @@
     EndpointUpdate removed = endpoints[2];
     removed.status = EndpointStatus::removed;
     harness.update_endpoints({removed});
-    // The router keeps a removed cache while the result of an attempt may arrive. Otherwise it would erase
-    // the cache at this update, since the longest slow-start window (20 s) has passed.
+    // The router keeps a removed cache while an attempt at this cache is in flight. Without this attempt, the
+    // router would erase the cache at the next update, since the longest slow-start window (20 s) has passed.
     harness.advance(second * 30);
     harness.update_endpoints({endpoints[0]});
     const std::size_t count_before = harness.callbacks.attempts.size();
