--- a/tests/cache_connection_pool_test.cpp
+++ b/tests/cache_connection_pool_test.cpp
@@ -96,8 +96,8 @@
         loop.schedule_at(loop.now() + Duration::seconds(seconds), [this] { loop.stop(); });
         loop.run();
     }
-    // An action that runs once its condition holds; then the next step begins. run_steps() stops the loop
-    // after the last step, and at the latest after 10 s.
+    // A step runs its action as soon as its condition holds; then the next step begins. run_steps() stops the
+    // loop after the last step, and at the latest after 10 s.
     struct Step {
         std::function<bool()> condition;
         std::function<void()> action;
@@ -203,10 +203,10 @@
     for (const auto& [id, o] : scenario.outcomes) EXPECT_EQ(o, Outcome::completed) << id;
 }
 
-// The pool may open only one connection, and there are two caches. An attempt must end as overloaded or
-// connection_reset if its cache accepts the connection and resets it, and as connection_refused if its cache
-// refuses the connection. An attempt for which no connection is left must wait for a connection, and the
-// shortage must not count against the cache of the attempt.
+// The pool has two caches but is allowed only one connection. If a cache accepts the connection and resets
+// it, the attempt must end as overloaded or connection_reset. If a cache refuses the connection, the attempt
+// must end as connection_refused. If the other cache uses the only connection, the attempt must wait, and the
+// wait must not count as a failure of the attempt's cache.
 TEST(CacheConnectionPool, DistinguishesResetsRefusalsAndConnectionShortage) {
     PoolScenario scenario(1);
     bool resetting = true;
@@ -287,7 +287,8 @@
     scenario.start("b1", "e1", std::string(16 << 20, 'w'));
     const auto close_client = [&](std::size_t n) {
         scenario.requests.at(n)->on_client_closed();
-        // This call must not report a result, as the observer may release the request when it gets one.
+        // This call must not report a result, since the observer may release the request when it gets a
+        // result.
         scenario.expect_no_result = true;
         scenario.pool->withdraw_unstarted_attempts(*scenario.requests.at(n));
         scenario.expect_no_result = false;
@@ -322,7 +323,8 @@
     }
 }
 
-// A queued attempt that may no longer begin must end as overloaded, and the attempt behind it must be sent.
+// A queued attempt that may no longer begin must end as overloaded, and the next attempt in the queue must be
+// sent.
 TEST(CacheConnectionPool, DoesNotSendAnAttemptThatMayNoLongerBegin) {
     PoolScenario scenario(1);
     scenario.start("b1");
--- a/tests/client_gone_test.cpp
+++ b/tests/client_gone_test.cpp
@@ -1,5 +1,5 @@
-// When a client closes its connection or aborts its request while the attempt waits, the attempt must not
-// begin. The scripted caches count the attempts that have arrived.
+// If a client closes its connection or aborts its request while the attempt of the request waits, the attempt
+// must not begin. The scripted caches count the attempts that have arrived.
 #include "single_process_fixture.hpp"
 
 namespace irismux::testing {
@@ -22,8 +22,9 @@
 };
 
 // The first attempt waits because no connection to the only cache is established. The client leaves, and only
-// then connections are established. An attempt that began now would run for a client that is gone
-// (CacheConnectionPool::withdraw_unstarted_attempts, and behind it Router::may_begin_attempt).
+// then connections are established. The attempt must not begin, since its client is gone.
+// CacheConnectionPool::withdraw_unstarted_attempts ensures this, and Router::may_begin_attempt checks it once
+// more.
 TEST_P(ClientGone, AFirstAttemptThatWaitsForAConnectionDoesNotBegin) {
     SingleProcess gateway(process_options(1, {}, 0));
     gateway.caches[0]->hold_connections();
@@ -34,8 +35,8 @@
     ASSERT_TRUE(
         gateway.wait_until([&] { return gateway.logged("client_closed client_request_id=" + id_of(1)); }));
     gateway.caches[0]->resume_accepting();
-    // All connections that the gateway has started to the cache are established, then one more request
-    // passes.
+    // The test waits until all connections that the gateway has started to the cache are established. Then
+    // one more request reaches the cache.
     ASSERT_TRUE(gateway.wait_until([&] { return gateway.pending_connections(*gateway.caches[0]) == 0; }));
     other_client->send(1, {.id = id_of(2)});
     ASSERT_TRUE(gateway.wait_until([&] { return gateway.attempts_received(id_of(2)) == 1; }));
@@ -63,9 +64,9 @@
     EXPECT_EQ(gateway.attempts_received(id_of(1)), 1u);
 }
 
-// A client with over a megabyte of unread responses and one more request in flight leaves. The gateway has
-// stopped reading the client's connection, but must notice that the client has left. When the cache resets
-// the attempt, the gateway must not retry it (FastCgiConnection::scan_paused_input).
+// A client closes its connection while over a megabyte of its responses is unread and one more request is in
+// flight. The gateway has stopped reading the client's connection, but must notice that the client has left.
+// When the cache resets the attempt, the gateway must not retry it (FastCgiConnection::scan_paused_input).
 TEST_P(ClientGone, IsNoticedWhileResponsesAreUnread) {
     SingleProcess gateway(process_options(1));
     ScriptedCache& cache = *gateway.caches[0];
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -233,7 +233,7 @@
     }
 }
 
-// Compares the head of each other kind of response byte by byte. Retry-After-Ms must be rounded up to whole
+// Compares the heads of the other kinds of responses byte by byte. Retry-After-Ms must be rounded up to whole
 // milliseconds.
 TEST(ClientProtocol, WritesTheHeadOfEachResponse) {
     using namespace client_protocol;
--- a/tests/event_loop_test.cpp
+++ b/tests/event_loop_test.cpp
@@ -17,7 +17,7 @@
     loop.run();
 }
 
-// The callback of a timer must not run after its handle was destroyed.
+// The callback of a timer must not run after the timer's handle was destroyed.
 TEST(ScopedTimer, DestroyedHandleNeverRunsItsCallback) {
     EventLoop loop;
     int runs = 0;
--- a/tests/event_order_test.cpp
+++ b/tests/event_order_test.cpp
@@ -45,7 +45,7 @@
     gateway.process->signal(SIGCONT);
     ASSERT_TRUE(all_answered(2));
     for (const auto& client : clients) EXPECT_TRUE(client->has_response(2));
-    // The new connection must not be closed either though it has sent nothing yet
+    // The new connection must not be closed either, although its client has sent nothing yet
     // (FastCgiServer::keep_connections_free).
     one_more.send(clients[0]->request(1, {.id = id_of(300)}));
     EXPECT_TRUE(gateway.wait_until([&] {
@@ -55,9 +55,9 @@
     EXPECT_NE(one_more.received.find("Status: 200"), std::string::npos);
 }
 
-// A client sends a request that is too large and goes on sending while the gateway refuses it and closes the
-// connection. A reset would make the client lose the refusal. The refusal must arrive, followed by a regular
-// end of the connection (Connection::linger).
+// A client sends a request that is too large. The client goes on sending while the gateway refuses the
+// request and closes the connection. A reset of the connection would discard the refusal before the client
+// reads it. The refusal must arrive, followed by a regular end of the connection (Connection::linger).
 TEST(IdleClose, ARefusalArrivesWhileTheClientGoesOnSending) {
     SingleProcess gateway(process_options(1));
     const auto encoder = gateway.connect_client();
@@ -74,9 +74,9 @@
     EXPECT_EQ(gateway.attempts_received(id_of(1)), 0u);
 }
 
-// The first attempt of a deduplicated request may have run, and its retry waits for a connection until the
-// time within which caches drop duplicates has passed. The retry must not begin, since the request could run
-// twice (Router::may_begin_attempt).
+// The first attempt of a deduplicated request may have run. The retry of the request waits for a connection
+// for longer than the time within which caches drop duplicates. The retry must not begin, since the request
+// could run twice (Router::may_begin_attempt).
 TEST(Retry, OfADeduplicatedRequestDoesNotBeginAfterItsWindow) {
     SingleProcess gateway(process_options(1, {.dedup_window_s = 0.5}, 0));
     ScriptedCache& cache = *gateway.caches[0];
@@ -148,7 +148,7 @@
 
 // Silent clients take all descriptors that they can while the notice board is down. When the notice board
 // accepts connections again, the gateway must poll it after one retry delay: the limit on client descriptors
-// leaves some for the notice board (client_limits).
+// leaves descriptors for the connection to the notice board (client_limits).
 TEST(Descriptors, OneIsLeftForTheNoticeBoard) {
     auto options = process_options(1, {.connect_timeout_s = 0.4, .descriptors = 64});
     options.adjust_configuration = [change = options.adjust_configuration](json& configuration) {
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -1,7 +1,7 @@
 // Runs the gateway on loopback between fakes of clients, caches, notice board and registry. The fakes fail at
-// random from a fixed seed, and check these rules at each message: a request gets one final response, has one
-// attempt at a time and takes effect once, no attempt goes to a draining cache, and no copy from before a
-// purge is served.
+// random from a fixed seed. At each message they check that a request gets one final response, has one
+// attempt at a time and takes effect once. They also check that no attempt goes to a draining cache and that
+// no copy from before a purge is served.
 #include <spawn.h>
 #include <sys/wait.h>
 
@@ -131,14 +131,14 @@
     void check_attempt(const RequestState& request, const std::string& cache, const std::string& fields) {
         const TimePoint now = loop.now();
         const std::string via(resp::field(fields, "via"));
-        if (request.answered) add_violation("an attempt after the final response");
-        if (request.in_flight > 0) add_violation("two attempts of a request at the same time");
+        if (request.answered) add_violation("an attempt arrives after the final response");
+        if (request.in_flight > 0) add_violation("two attempts of a request are in flight at the same time");
         if (request.may_have_run && request.kind == 1)
             add_violation("a request with an effect is retried after it may have run");
         for (const std::string& endpoint : {cache, via})
             if (withdrawn.contains(endpoint) && drain_known_at > TimePoint{} &&
                 now > drain_known_at + Duration::seconds(0.25))
-                add_violation("an attempt to a draining endpoint: " + endpoint);
+                add_violation("an attempt uses a draining endpoint: " + endpoint);
         if (drain_known_at > TimePoint{} && now > drain_known_at + Duration::seconds(0.3) &&
             resp::field(fields, "asset") == purged_object) {
             const double max_age_ms = std::atof(std::string(resp::field(fields, "fresh")).c_str());
@@ -184,7 +184,7 @@
         connection.write();
     }
 
-    // The notice board.
+    // The next functions act as the notice board.
 
     json endpoint_json(const std::string& id, const char* kind, const char* zone, const std::string& addr,
                        const char* state) {
@@ -256,7 +256,7 @@
                     check_response(id, answer);
                 }
             } else if (record.type == fastcgi::Type::std_out && !record.content.empty()) {
-                add_violation("response bytes for a request that is not open");
+                add_violation("response bytes arrive for a request that is not open");
             }
             in.consume(used);
         }
@@ -274,7 +274,7 @@
             if (!owner->open_responses.empty())
                 add_violation("the gateway closes a client's connection with an open request");
             if (shutdown_at == TimePoint{} || loop.now() < shutdown_at + Duration::seconds(0.7))
-                add_violation("the gateway closes a client's connection");
+                add_violation("the gateway closes a client's connection although it still accepts requests");
         };
         client->connection->start(address);
         clients.push_back(client);
@@ -283,10 +283,11 @@
     void check_response(const std::string& id, const std::string& answer) {
         RequestState& request = requests[id];
         if (request.aborted) return;
-        if (std::exchange(request.answered, true)) return add_violation("a second final response");
+        if (std::exchange(request.answered, true))
+            return add_violation("a request gets a second final response");
         if (loop.now() > request.expires + Duration::seconds(0.058)) add_violation("an answer too late");
         const std::size_t head_end = answer.find("\r\n\r\n");
-        if (head_end == std::string::npos) return add_violation("a response without a header");
+        if (head_end == std::string::npos) return add_violation("a response has no header");
         if (answer.find("Status: 200") == 0) {
             ++served;
             if (answer.substr(head_end + 4) != request.expected)
@@ -342,8 +343,8 @@
         client.connection->write();
     }
 
-    // The registry. With a registry, the gateway ignores the endpoint list of the notice board, which goes on
-    // listing caches that have left.
+    // The next functions act as the registry. With a registry, the gateway ignores the endpoint list of the
+    // notice board, which goes on listing caches that have left.
 
     Parts make_parts(const json& endpoints) {
         Parts parts;
@@ -383,7 +384,7 @@
                              [this, drained] { wait_for_drain(drained); });
     }
 
-    // The course of a scenario.
+    // The next functions run a scenario.
 
     json start_caches() {
         json endpoints = json::array();
@@ -464,7 +465,7 @@
         schedule_changes(start);
         loop.run();
         for (const auto& [id, request] : requests)
-            if (!request.answered && !request.aborted) add_violation("a request got no response: " + id);
+            if (!request.answered && !request.aborted) add_violation("a request has got no response: " + id);
         EXPECT_EQ(gateway->pending_request_count(), 0u);
         for (const auto& connection : connections) connection->close();
         gateway.reset();
@@ -623,8 +624,8 @@
 }
 
 // Clients that send nothing, half a request or endless parameters could take up all connections. The server
-// must disconnect these clients within 3 s. Until then, they must not prevent a client that sends whole
-// requests from connecting, and must not cause the server to disconnect this client.
+// must disconnect these clients within 3 s. Until then, a client that sends whole requests must be able to
+// connect, and the server must not disconnect this client.
 TEST(FastCgiServer, DisconnectsClientsThatSendNoWholeRequest) {
     FastCgiServerHarness harness;
     const auto active = harness.connect_client();
--- a/tests/notice_board_stand_in.hpp
+++ b/tests/notice_board_stand_in.hpp
@@ -1,4 +1,4 @@
-// A notice board that records the polls and calls the test to respond to them.
+// A notice board that records each poll and then calls `on_poll`, in which the test responds to the poll.
 #pragma once
 
 #include <functional>
--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -44,7 +44,8 @@
     EXPECT_EQ(parts->registry->poll_policy.backoff_cap, Duration::seconds(60));
     EXPECT_EQ(parts->registry->page_size, 100u);
     const auto none = read_parts_text("", "p.toml");
-    EXPECT_FALSE(std::get<Parts>(none).registry) << "parts that the file does not name must be off";
+    EXPECT_FALSE(std::get<Parts>(none).registry)
+        << "the registry is enabled although the file does not name it";
 }
 
 TEST(Parts, ReportsEachMistakeWithItsLineAndWhatIsAllowed) {
--- a/tests/repeated_id_test.cpp
+++ b/tests/repeated_id_test.cpp
@@ -37,7 +37,7 @@
         const TimePoint now = gateway_.loop.now();
         for (const auto& [number, open_request] : open_)
             EXPECT_LT((now - open_request.deadline).seconds(), response_slack)
-                << "no response: " << open_request.request.id;
+                << "the gateway has sent no response in time to request " << open_request.request.id;
     }
     bool all_answered() const { return open_.empty(); }
     int served = 0;
@@ -64,8 +64,8 @@
         aborted_.insert(number);
         connection_->abort(number);
     }
-    // There are few FastCGI request numbers, as there are few ids, and each number is used again as soon as
-    // it is free.
+    // The test uses few FastCGI request numbers, just as it uses few ids. It uses each number again as soon
+    // as the number is free.
     void send_request() {
         std::uint16_t number = 1;
         while (open_.contains(number) || aborted_.contains(number)) ++number;
@@ -82,7 +82,8 @@
     void check(const FastCgiClient::Response& response) {
         if (aborted_.erase(response.number) > 0) return;
         const auto it = open_.find(response.number);
-        ASSERT_NE(it, open_.end()) << "a second final response to request " << response.number;
+        ASSERT_NE(it, open_.end()) << "the client got a response to no open request; the number is "
+                                   << response.number;
         if (response.head.starts_with("Status: 200")) {
             EXPECT_EQ(response.body, body_of(it->second.request.object));
             ++served;
@@ -265,8 +266,9 @@
         fixture.gateway.wait_until([&] { return fixture.other_client->has_response(1, "Status: 200"); }));
 }
 
-// As many requests with one id are open as there may be connections to the cache. One more request with this
-// id must be refused without having run.
+// Each open request with the same id needs a connection of its own to the cache, and the gateway opens at
+// most two connections to a cache for one id. While two requests with one id are open, a third request with
+// this id must be refused without having run.
 TEST(RepeatedId, BeyondItsConnectionsIsRefused) {
     RepeatedIdFixture fixture;
     const auto third_client = fixture.gateway.connect_client();
--- a/tests/request_identity_test.cpp
+++ b/tests/request_identity_test.cpp
@@ -24,8 +24,8 @@
     EXPECT_FALSE(ids.used_by_another(client_id(1), RequestId{2}, after(2)));
 }
 
-// A connection carries a flood of ids. Expired ids must be erased. When the limit is reached, the ids that
-// expire first must be erased.
+// A connection carries more ids than the limit allows. Expired ids must be erased. When the limit is reached,
+// the ids that expire first must be erased.
 TEST(InFlightRequestIds, AreBounded) {
     InFlightRequestIds ids;
     std::uint64_t request_id = 0;
@@ -89,11 +89,11 @@
     }
 }
 
-// If a purge were dated earlier than it happened, copies from before the purge would be served. This could
-// happen because clocks differ. In the test, the clock of the purge's writer differs from the clock of this
-// process by a constant of up to an hour, and some responses of the notice board are late. A purge must never
-// be dated earlier than it happened, nor earlier than the previous poll. While responses are prompt, a purge
-// must be dated at most the delay of the responses after it happened.
+// If the gateway dated a purge earlier than the purge happened, copies from before the purge would be served.
+// Clocks that differ could cause such a date. In the test, the clock of the purge's writer differs from the
+// clock of this process by a constant of up to an hour, and some responses of the notice board are late. The
+// date of a purge must be neither earlier than the purge nor earlier than the previous poll. While responses
+// are prompt, the date must be later than the purge by at most the delay of the responses.
 TEST(EventTimes, APurgeIsNeverTakenForOlderThanItIs) {
     std::mt19937 random(11);
     for (const double writer_ahead_s : {0.0, 3600.0, -3600.0, 2.5, -2.5}) {
@@ -109,8 +109,8 @@
             ASSERT_GE(at, happened);
             ASSERT_LE(at, now);
             if (n > 100) {
-                // The error is limited by the shortest delay seen so far and by the allowed drift between two
-                // clocks.
+                // The error of the date is limited by the shortest delay seen so far and by the allowed drift
+                // between two clocks.
                 ASSERT_LE((at - happened).seconds(), 1.0);
             }
             previous_poll = now;
@@ -143,8 +143,8 @@
     }
 }
 
-// A start that the notice board announces again must keep its time. A start whose timestamp does not fit
-// between two polls must be dated to the current time.
+// If the notice board announces the start of a cache again, the start must keep its estimated time. A start
+// whose timestamp does not fit between two polls must be dated to the current time.
 TEST(EventTimes, AStartThatDoesNotFitIsDatedToTheCurrentTime) {
     EventTimeEstimator times;
     const CacheId a{"a"}, b{"b"}, c{"c"};
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -116,9 +116,9 @@
     EXPECT_TRUE(gateway.exited_cleanly());
 }
 
-// While the shutdown waits for one request, the configuration file changes to another notice board, and
-// SIGHUP and a second SIGTERM arrive. The gateway must not read the configuration, and the request must get
-// exactly one response.
+// While the shutdown waits for one request, the test changes the configuration file to name another notice
+// board, and SIGHUP and a second SIGTERM arrive. The gateway must not read the configuration, and the request
+// must get exactly one response.
 TEST(Shutdown, IgnoresFurtherSignals) {
     SingleProcess gateway(process_options(2));
     const auto client = gateway.connect_client();
--- a/tests/single_process_fixture.hpp
+++ b/tests/single_process_fixture.hpp
@@ -1,4 +1,4 @@
-// Shared by the tests with one gateway process: a configuration with an object kind of each effect, and a
+// Support for tests with one gateway process: a configuration with one object kind for each Effect, and a
 // client socket outside the event loop.
 #pragma once
 
@@ -53,8 +53,8 @@
     return id;
 }
 
-// A client connection that reads only when the test asks for it, and that distinguishes a regular end of the
-// connection from a reset.
+// A client connection that reads only when the test calls read_available(). It distinguishes a regular end of
+// the connection from a reset.
 class RawClient {
 public:
     explicit RawClient(const std::string& address) { socket_.connect(Poco::Net::SocketAddress(address)); }
