--- a/tests/cache_connection_pool_test.cpp
+++ b/tests/cache_connection_pool_test.cpp
@@ -25,7 +25,7 @@
     std::map<std::string, Outcome> outcomes;
     std::map<std::string, Duration> elapsed;
     std::deque<std::shared_ptr<ActiveRequest>> requests;
-    bool caches_close_gracefully = false;  // otherwise they close with a reset
+    bool caches_close_gracefully = false;  // if not set, the caches reset their connections
     bool caches_read = true;
     int health_checks_received = 0;
     bool expect_no_result = false;  // while set, an attempt that ends fails the test
@@ -278,9 +278,10 @@
     EXPECT_EQ(scenario.outcomes.at("b2"), Outcome::cache_miss);
 }
 
-// Attempts whose clients have closed must not reach the cache unless they were written completely. In the
-// test, the cache does not read. The first attempt is too large for the socket, and the second attempt waits
-// behind the first. CacheConnectionPool::withdraw_unstarted_attempts must withdraw both attempts.
+// Attempts whose clients have closed their connections must not reach the cache unless they were written
+// completely. In the test, the cache does not read. The first attempt is too large for the socket, and the
+// second attempt waits behind the first. CacheConnectionPool::withdraw_unstarted_attempts must withdraw both
+// attempts.
 TEST(CacheConnectionPool, WithdrawsAttemptsThatAreNotWrittenWhole) {
     PoolScenario scenario(1);
     scenario.caches_read = false;
--- a/tests/event_order_test.cpp
+++ b/tests/event_order_test.cpp
@@ -17,7 +17,7 @@
 // continues, it has to close a connection to make room. A connection with unread bytes is not idle, so all
 // requests must get their responses (FastCgiConnection::idle).
 TEST(IdleClose, AnswersRequestsThatAreUnread) {
-    // Half of the descriptors are for clients, and a sixteenth of the clients' descriptors is kept free.
+    // The gateway uses half of its descriptors for clients, and keeps a sixteenth of this half free.
     constexpr int descriptors = 64, client_connections = descriptors / 2,
                   idle_clients = client_connections - client_connections / 16;
     SingleProcess gateway(with_immediate_answers(process_options(2, {.descriptors = descriptors})));
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -374,8 +374,8 @@
         inject_faults(*registry, true);
         wait_for_drain(drained);
     }
-    // Records the drain as known once the gateway's view of the registry holds the drain. The registry itself
-    // holds the drain earlier.
+    // Records the drain as known as soon as the gateway's view of the registry holds the drain. The registry
+    // itself holds the drain earlier.
     void wait_for_drain(registry::Revision drained) {
         if (gateway->registry()->watch().view().revision() >= drained)
             drain_known_at = loop.now();
@@ -760,7 +760,7 @@
     for (const std::uint32_t seed : {1u, 2u, 3u}) {
         GatewayScenario scenario(seed);
         scenario.run(300);
-        EXPECT_EQ(scenario.violations, std::vector<std::string>{}) << "seed " << seed;
+        EXPECT_EQ(scenario.violations, std::vector<std::string>{}) << "a rule is violated with seed " << seed;
         // The following checks ensure that the run has exercised the rules: requests were served, the drain
         // reached the gateway, some requests were rejected or failed, and some requests had several attempts.
         EXPECT_GT(scenario.served, 100);
--- a/tests/long_notice_answer_test.cpp
+++ b/tests/long_notice_answer_test.cpp
@@ -147,7 +147,7 @@
     scenario.run();
     EXPECT_EQ(scenario.recorder.events, objects_up_to(scenario.last_revision));
     EXPECT_LE(max_in_an_iteration, 11u);
-    std::printf("events in an iteration: %zu at most\n", max_in_an_iteration);
+    std::printf("an iteration handled at most %zu events\n", max_in_an_iteration);
     scenario.print_longest_iteration();
 }
 
--- a/tests/notice_catch_up_test.cpp
+++ b/tests/notice_catch_up_test.cpp
@@ -106,8 +106,10 @@
     ASSERT_TRUE(solo.wait_until([&] { return board.polled_from.size() == 2; }));
     EXPECT_EQ(board.polled_from, (std::vector<std::string>{std::to_string(first - 1), std::to_string(last)}));
     const long grown_kb = peak_memory_kb(solo.process->id()) - before_kb;
-    std::printf("%zu bytes; %d requests meanwhile, the slowest %lld us; memory grew by %ld KB\n", length,
-                prober.requests, static_cast<long long>(prober.slowest.micros()), grown_kb);
+    std::printf(
+        "the response has %zu bytes; meanwhile %d requests were sent, and the slowest took %lld us; memory "
+        "grew by %ld KB\n",
+        length, prober.requests, static_cast<long long>(prober.slowest.micros()), grown_kb);
     EXPECT_TRUE(!memory_is_returned || grown_kb < 4096);
     for (const auto& connection : board.connections) connection->close();
 }
--- a/tests/platform_run_line_test.cpp
+++ b/tests/platform_run_line_test.cpp
@@ -100,7 +100,7 @@
         }
         if (!test_support::maps(process.id(), "/libc.so")) deviations.insert("is not linked dynamically");
         if (const auto n = test_support::threads_of(process.id()); n > 1)
-            deviations.insert(std::to_string(n) + " threads");
+            deviations.insert("has " + std::to_string(n) + " threads");
         if (test_support::children_of(process.id()) > 0) deviations.insert("starts other programs");
     }
 
--- a/tests/random_gateway_scenario.hpp
+++ b/tests/random_gateway_scenario.hpp
@@ -1,5 +1,5 @@
 // Runs a router with random settings and a random sequence of events. Each step checks the five routing
-// rules.
+// rules, which router_test_support.hpp lists.
 #pragma once
 
 #include <rapidcheck.h>
@@ -113,7 +113,7 @@
     RouterHarness harness_;
     int requests_made_ = 0, replacements_ = 0;
     bool cache_is_failing_ = random_bool();  // only one draw in five ends an attempt at e1, so most end late
-    std::vector<EndpointUpdate> endpoints_;  // true state; the endpoint list may name it later
+    std::vector<EndpointUpdate> endpoints_;  // the true state, which the endpoint list may name later
     bool wide_ = false;
     std::multimap<TimePoint, EndpointUpdate> late_updates_;  // updates by the time when the router gets them
     std::map<CacheId, TimePoint> down_until_;
@@ -186,7 +186,7 @@
             return harness_.update_endpoints({all[0], all[1]});
         }
         EndpointUpdate endpoint = all[static_cast<std::size_t>(random_int(0, 4))];
-        if (choice <= 2) {  // an endpoint drains or is removed, and one with a new id replaces it
+        if (choice <= 2) {  // an endpoint drains or is removed, and an endpoint with a new id replaces it
             endpoint.status = random_bool() ? EndpointStatus::draining : EndpointStatus::removed;
             EndpointUpdate replacement =
                 endpoint_update(endpoint.cache.raw() + std::to_string(++replacements_), endpoint.machine_type,
@@ -230,7 +230,7 @@
             endpoint.started_at =
                 harness_.now + Duration::seconds(random_bool() ? 0 : random_int(0, 20) / 10.0);
             down_until_[endpoint.cache] = endpoint.started_at;
-            if (choice == 4) continue;  // the list never names the start
+            if (choice == 4) continue;  // the list never names the new process
             const TimePoint listed_at =
                 endpoint.started_at + Duration::seconds(random_bool() ? 0 : random_int(0, 80) / 10.0);
             late_updates_.emplace(listed_at, endpoint);
--- a/tests/router_health_test.cpp
+++ b/tests/router_health_test.cpp
@@ -170,7 +170,7 @@
     EXPECT_NE(request_and_end(object_at_e1, Outcome::completed, CacheStatus::hit).plan.cache, CacheId{"e1"});
 }
 
-// A cache that loses some attempts is not congested, and a gateway that waited for a lost attempt until the
+// A cache that loses some attempts is not congested. A gateway that waited for a lost attempt until the
 // deadline could not repeat the attempt in time. In the test, every fourth attempt at e1 gets no response,
 // and each other attempt there gets a response at once. The late attempts at e1 must not count as congestion.
 // The next request for an object of e1 must begin with a cache-only attempt that has a short timeout. If this
--- a/tests/router_slow_start_test.cpp
+++ b/tests/router_slow_start_test.cpp
@@ -116,7 +116,7 @@
         for (int half_second = std::max(0, step - 3); half_second <= step; ++half_second)
             sum += transfer_seconds[static_cast<std::size_t>(half_second)];
         const double present = std::min(1.0, 0.06 + 0.94 * std::max(0, step - 3) * 0.5 / 20);
-        EXPECT_LT(sum, 2 * present * 30 * 2) << "step " << step;
+        EXPECT_LT(sum, 2 * present * 30 * 2) << "the parent is overloaded in step " << step;
     }
     double early = 0;
     for (int half_second = 0; half_second < 16; ++half_second)
@@ -229,8 +229,9 @@
             window += transfer_seconds[static_cast<std::size_t>(tenth)];
         const double present = std::min(1.0, 0.2 + 0.8 * step * 0.1 / 15);
         const bool above_multiple = window > 2 * present * 6 * 2;
-        EXPECT_FALSE(step >= 15 && above_multiple && transfer_seconds.back() > 0) << "step " << step;
-        EXPECT_FALSE(step > 40 && above_multiple) << "step " << step;
+        EXPECT_FALSE(step >= 15 && above_multiple && transfer_seconds.back() > 0)
+            << "a gateway sends to the overloaded cache in step " << step;
+        EXPECT_FALSE(step > 40 && above_multiple) << "the cache is overloaded in step " << step;
     }
     double late = 0;
     for (std::size_t tenth = 50; tenth < 80; ++tenth) late += transfer_seconds[tenth];
--- a/tests/slow_start_fleet_test.cpp
+++ b/tests/slow_start_fleet_test.cpp
@@ -160,8 +160,8 @@
         next.size_kb = transfer_seconds * settings.transfer_rate_kb_per_s;
         routers[gateway]->on_request(now, next);
     }
-    // Checks each overload window that ends with an attempt. Only attempts of gateways whose endpoint list
-    // named the start of the endpoint count.
+    // Checks each overload window that ends with an attempt. Counts only attempts of gateways whose endpoint
+    // list had named the start of the endpoint.
     void check() { check(settings.parent_slow_start, parent_weight); }
     void check(const SlowStart& slow_start, double capacity) {
         for (std::size_t last = 0, first = 0; last < sent.size(); ++last) {
@@ -204,7 +204,8 @@
             sent += fleet.sent.size();
             ++plays;
         }
-    std::printf("%d gateways: %.2f of what is allowed at most, in %zu plays\n", GetParam(), worst, plays);
+    std::printf("%d gateways sent at most %.2f times the allowed transfers, in %zu plays\n", GetParam(),
+                worst, plays);
     EXPECT_GT(sent, plays * 5) << "too few attempts reached the endpoint for a meaningful check";
 }
 INSTANTIATE_TEST_SUITE_P(Sizes, RestartInAFleet, ::testing::Values(3, 20, 30, 300));
@@ -316,8 +317,8 @@
             sent += location.sent.size();
             ++plays;
         }
-    std::printf("%d gateways, %s: %.2f of what is allowed at most, in %zu plays\n", gateways,
-                source == LocationWithRestart::LearnsFrom::update ? "peers removed by an update"
+    std::printf("%d gateways, %s, sent at most %.2f times the allowed transfers, in %zu plays\n", gateways,
+                source == LocationWithRestart::LearnsFrom::update ? "with the peers removed by an update"
                                                                   : "restarted with the peers draining",
                 worst, plays);
     EXPECT_GT(sent, plays * 50) << "too few attempts reached the endpoint for a meaningful check";
--- a/tests/wall_clock_test.cpp
+++ b/tests/wall_clock_test.cpp
@@ -15,7 +15,7 @@
 
 const test_support::ShimLibraries libraries{IRISMUX_SKEWED_CLOCK, IRISMUX_FAILING_CALLS};
 constexpr std::int64_t hour_us = 3'600'000'000;
-// Maximum fraction of its even share of the requests that a cache may get in the seconds after its start.
+// In the seconds after its start, a cache must get at most this fraction of its even share of the requests.
 constexpr double max_slow_start_share = 0.5;
 
 enum class Stepped { before_start, while_running };
