--- a/tests/random_gateway_scenario.hpp
+++ b/tests/random_gateway_scenario.hpp
@@ -1,5 +1,5 @@
 // Runs a router with random settings and a random sequence of events. Each step checks the five routing
-// rules.
+// rules, which router_test_support.hpp lists.
 #pragma once
 
 #include <rapidcheck.h>
@@ -44,9 +44,9 @@
     return settings;
 }
 
-// Draws the values on which rule 4 depends from wider ranges than random_deployment(): shares, sizes and
-// weights vary by a factor of ten, and windows and deadlines vary too. RandomScenario::step draws the sizes
-// and deadlines for each request.
+// Draws the values on which rule 4 (an endpoint that is warming up is not overloaded) depends from wider
+// ranges than random_deployment(). Shares, sizes and weights vary by a factor of ten, and windows and
+// deadlines vary too. RandomScenario::step draws the sizes and deadlines for each request.
 inline Deployment wide_random_deployment() {
     Deployment settings = random_deployment();
     settings.gateways_in_location = random_int(1, 8);
@@ -113,7 +113,7 @@
     RouterHarness harness_;
     int requests_made_ = 0, replacements_ = 0;
     bool cache_is_failing_ = random_bool();  // only one draw in five ends an attempt at e1, so most end late
-    std::vector<EndpointUpdate> endpoints_;  // true state; the endpoint list may name it later
+    std::vector<EndpointUpdate> endpoints_;  // the true state, which the endpoint list may name later
     bool wide_ = false;
     std::multimap<TimePoint, EndpointUpdate> late_updates_;  // updates by the time when the router gets them
     std::map<CacheId, TimePoint> down_until_;
@@ -139,8 +139,8 @@
     }
 
     // An endpoint that is down refuses connections. A cache that refused a connection while none of its other
-    // attempts was in flight warms up from its first response on, even if the endpoint list names no new
-    // start.
+    // attempts was in flight warms up from its first response on, even if the endpoint list does not name the
+    // new process.
     void end_attempt_by_endpoint_state(std::size_t position, Outcome outcome, CacheStatus cache_status) {
         const CacheId cache = harness_.callbacks.attempts[position].plan.cache;
         if (const auto down = down_until_.find(cache);
@@ -186,7 +186,7 @@
             return harness_.update_endpoints({all[0], all[1]});
         }
         EndpointUpdate endpoint = all[static_cast<std::size_t>(random_int(0, 4))];
-        if (choice <= 2) {  // an endpoint drains or is removed, and one with a new id replaces it
+        if (choice <= 2) {  // an endpoint drains or is removed, and an endpoint with a new id replaces it
             endpoint.status = random_bool() ? EndpointStatus::draining : EndpointStatus::removed;
             EndpointUpdate replacement =
                 endpoint_update(endpoint.cache.raw() + std::to_string(++replacements_), endpoint.machine_type,
@@ -206,8 +206,9 @@
         harness_.update_endpoints({endpoint});
     }
 
-    // Restarts one endpoint or all caches of the location, possibly during a warm-up. The endpoint list names
-    // the start at once, late, twice, with two different start times, or never.
+    // Restarts one endpoint or all caches of the location, possibly during a warm-up. The endpoint list may
+    // name the start of the new process at once, late or never. It may also name the start twice, with equal
+    // or different start times.
     void change_starts() {
         const int choice = random_int(0, 9);
         const std::size_t first = choice <= 1 ? 0 : static_cast<std::size_t>(random_int(0, 4));
@@ -229,7 +230,7 @@
             endpoint.started_at =
                 harness_.now + Duration::seconds(random_bool() ? 0 : random_int(0, 20) / 10.0);
             down_until_[endpoint.cache] = endpoint.started_at;
-            if (choice == 4) continue;  // the list never names the start
+            if (choice == 4) continue;  // the list never names the new process
             const TimePoint listed_at =
                 endpoint.started_at + Duration::seconds(random_bool() ? 0 : random_int(0, 80) / 10.0);
             late_updates_.emplace(listed_at, endpoint);
