--- a/tests/registry_cli_test.cpp
+++ b/tests/registry_cli_test.cpp
@@ -24,7 +24,7 @@
     EventLoop loop;
     test_support::FakeRegistry registry{loop, 2, ms * 20};
     fs::path folder = fs::temp_directory_path() / ("irismux_cli." + std::to_string(::getpid()));
-    // Declared last, so that it is destroyed before the members above, which the running loop uses.
+    // Declared last, so that it is destroyed before the fields above, which the running loop uses.
     test_support::LoopRunner loop_runner{loop};
 
     void SetUp() override {
@@ -81,8 +81,8 @@
 }
 
 // The first registry member accepts connections but reads nothing, so that the write does not arrive; reads
-// go to the second member. The command must report that nothing was written. Once the first member is down,
-// the command must write to the second member.
+// go to the second registry member. The command must report that nothing was written. Once the first registry
+// member is down, the command must write to the second registry member.
 TEST_F(RegistryCommands, AWriteThatDidNotArriveIsReported) {
     registry.faults(0).unresponsive = true;
     const auto [code, output] = run({"drain", "c1"});
--- a/tests/registry_client_test.cpp
+++ b/tests/registry_client_test.cpp
@@ -25,7 +25,7 @@
     test_support::KnownEndpoints endpoints;
     std::vector<SyncState> states;
     std::vector<WatchWarning> warnings;
-    // Declared last, so that it is destroyed before the members above, which the running loop uses.
+    // Declared last, so that it is destroyed before the fields above, which the running loop uses.
     test_support::LoopRunner loop_runner{loop};
 
     void SetUp() override { log::set_level(log::Level::error); }
@@ -89,8 +89,8 @@
     EXPECT_EQ(registry->ledger.reads, 2);
 }
 
-// Two of three members have the same fault when all connections break and a drain is published. For each kind
-// of fault the drain must arrive, and the client must follow the registry again.
+// Two of three registry members have the same fault when all connections break and a drain is published. For
+// each kind of fault the drain must arrive, and the client must follow the registry again.
 TEST_F(RegistryClientOnSockets, ADrainArrivesDespiteEachFault) {
     using Faults = test_support::FakeRegistry::Faults;
     const std::vector<std::pair<const char*, std::function<void(Faults&)>>> faults = {
@@ -108,7 +108,8 @@
         client.reset();
         create_client();
         start_and_follow();
-        // Two of three members get the fault. All connections break once, so that the client must reconnect.
+        // Two of three registry members get the fault. All connections break once, so that the client must
+        // reconnect.
         for (std::size_t member = 0; member < 2; ++member) inject(registry->faults(member));
         for (std::size_t member = 0; member < 3; ++member) registry->break_connections(member);
         registry->model.commit({{RecordKey{prefix + "c1"}, endpoint_value("c1", "Terminating")},
@@ -120,7 +121,7 @@
 }
 
 // The registry changes and compacts while the client cannot reach it, so that a watch cannot deliver the
-// changes. The former list must stay in force until one full read delivers the differences.
+// changes. The former endpoint list must stay in force until one full read delivers the differences.
 TEST_F(RegistryClientOnSockets, ACompactionDuringAnOutageLeadsToOneFullRead) {
     create_client(1);
     start_and_follow();
@@ -156,8 +157,8 @@
     EXPECT_EQ(client->watch().cluster(), registry->model.cluster());
 }
 
-// The registry revokes its tokens. The client must fetch exactly one new token to replace the refused token.
-// A client with a wrong password must go on trying, and no warning may contain the password.
+// The registry revokes its authentication tokens. The client must fetch exactly one new token to replace the
+// refused token. A client with a wrong password must go on trying, and no warning may contain the password.
 TEST_F(RegistryClientOnSockets, ARefusedTokenIsRenewedOnce) {
     create_client(2);
     registry->user = "gateway";
@@ -235,9 +236,9 @@
     EXPECT_EQ(client->watch().full_reads(), 2u);
 }
 
-// One record alone exceeds the reply limit, so that no page can contain the record. The former list must stay
-// in force, the client must make requests as rarely as after other failures, and must follow the list again
-// once the record is erased.
+// One record alone exceeds the reply limit, so that no page can contain the record. The former endpoint list
+// must stay in force, and the client must make requests as rarely as after other failures. Once the record is
+// erased, the client must follow the list again.
 TEST_F(RegistryClientWithLongRecords, ARecordOverTheReplyLimitLeavesTheListInForce) {
     start_with_long_records(3, 10, 40);
     ASSERT_TRUE(follows(3));
@@ -351,8 +352,8 @@
     }
 };
 
-// Members of the registry drop connections, lag, corrupt replies and send fragments, and the registry
-// compacts its history, at random from a seed. Once the faults end, the client must have the newest list.
+// Registry members drop connections, lag, corrupt replies and send fragments, and the registry compacts its
+// history, at random from a seed. Once the faults end, the client must have the newest list.
 TEST_F(RegistryClientUnderRandomFaults, EndsAtTheNewestList) {
     for (std::uint32_t seed = 1; seed <= 6; ++seed) {
         SCOPED_TRACE(seed);
--- a/tests/registry_watch_test.cpp
+++ b/tests/registry_watch_test.cpp
@@ -27,8 +27,8 @@
     }
 };
 
-// A change that leaves no active endpoint (two drained, two deleted) must be applied without a confirmation;
-// only full reads need a confirmation.
+// A change that leaves no active endpoint (two drained, two deleted) must be applied without a confirmation
+// by a second registry member. Only the list of a full read needs one.
 TEST_F(WatchFollowing, ADrainOfAllEndpointsIsAppliedAtOnce) {
     registry.commit({{RecordKey{"c1"}, endpoint_value("c1", "Terminating")},
                      {RecordKey{"c2"}, endpoint_value("c2", "Terminating")},
@@ -39,8 +39,8 @@
     for (const auto& [id, endpoint] : harness.endpoints) EXPECT_EQ(endpoint.status, EndpointStatus::draining);
 }
 
-// A watch whose connection breaks must resume from the next revision at another member, after a pause of at
-// most backoff_base and without a full read.
+// A watch whose connection breaks must resume from the next revision at another registry member, after a
+// pause of at most backoff_base and without a full read.
 TEST_F(WatchFollowing, ABrokenWatchResumesAtAnotherMember) {
     const MemberIndex first = harness.member;
     harness.advance(ms * 500);
@@ -52,7 +52,7 @@
     EXPECT_EQ(harness.pending_request, WatchHarness::Request::watch);
     EXPECT_NE(harness.member, first);
     EXPECT_EQ(harness.requested_revision, registry.newest());
-    EXPECT_LE(harness.now - start_time(), ms * 551) << "the first pause must be at most backoff_base";
+    EXPECT_LE(harness.now - start_time(), ms * 551) << "the first pause was longer than backoff_base";
     harness.watch.on_watch_opened(harness.now, harness.header(registry));
     harness.deliver_changes(registry);
     EXPECT_FALSE(harness.endpoints.contains(CacheId{"c1"}));
@@ -72,14 +72,14 @@
     harness.advance_to_request();
     harness.watch.on_compacted(harness.now);
     ASSERT_EQ(harness.pending_request, WatchHarness::Request::read_page)
-        << "the full read must start without a pause";
-    EXPECT_EQ(harness.endpoints.size(), 4u) << "the former list must stay in force during the full read";
+        << "the Watch did not start the full read at once";
+    EXPECT_EQ(harness.endpoints.size(), 4u) << "the former list did not stay in force during the full read";
     harness.watch.on_page(harness.now, harness.page(registry));
     EXPECT_FALSE(harness.endpoints.contains(CacheId{"c1"}));
     EXPECT_TRUE(harness.endpoints.contains(CacheId{"c5"}));
     EXPECT_EQ(harness.endpoints.at(CacheId{"c2"}).started_at, harness.now);
     EXPECT_EQ(harness.endpoints.at(CacheId{"c3"}).started_at, TimePoint{})
-        << "an unchanged record keeps its start";
+        << "the start time of an unchanged record has changed";
 }
 
 // All pages of a full read are read at one revision. If this revision is compacted between two pages, the
@@ -90,14 +90,15 @@
     harness.watch.on_page(harness.now, harness.page(registry, 2));
     ASSERT_EQ(harness.pending_request, WatchHarness::Request::read_page);
     EXPECT_EQ(harness.requested_revision, registry.newest())
-        << "the second page must be read at the revision of the first page";
+        << "the second page was not requested at the revision of the first page";
     EXPECT_EQ(harness.after_key, RecordKey{"c2"});
     registry.erase("c1");
     registry.compact(registry.newest());
     TimePoint last_read = harness.now;
     for (int n = 0; n < 12; ++n) {
         harness.watch.on_compacted(harness.now);
-        EXPECT_EQ(harness.pending_request, WatchHarness::Request::none) << "each restart must follow a pause";
+        EXPECT_EQ(harness.pending_request, WatchHarness::Request::none)
+            << "the Watch restarted the read without a pause";
         harness.advance_to_request();
         EXPECT_LE(harness.now - last_read, WatchHarness::policy(3).backoff_cap);
         last_read = harness.now;
@@ -110,8 +111,8 @@
     EXPECT_EQ(harness.endpoints.size(), 3u);
 }
 
-// A watch resumes at a member whose revision is lower than that of the view. The Watch must try another
-// member. A full read from the lagging member would bring the deleted endpoint c1 back.
+// A watch resumes at a registry member whose revision is lower than that of the view. The Watch must try
+// another registry member. A full read from the lagging one would bring the deleted endpoint c1 back.
 TEST_F(WatchFollowing, AMemberOlderThanTheViewIsSkipped) {
     RegistryModel outdated = registry;
     registry.erase("c1");
@@ -126,8 +127,7 @@
     ASSERT_EQ(harness.pending_request, WatchHarness::Request::watch);
     harness.watch.on_watch_opened(harness.now, harness.header(registry));
     EXPECT_EQ(harness.watch.sync_state(), SyncState::following);
-    EXPECT_FALSE(harness.endpoints.contains(CacheId{"c1"}))
-        << "a full read from the lagging member would bring c1 back";
+    EXPECT_FALSE(harness.endpoints.contains(CacheId{"c1"})) << "the deleted endpoint c1 is in force again";
     EXPECT_EQ(harness.watch.full_reads(), 1u);
 }
 
@@ -135,7 +135,7 @@
 
 // A registry is restored from a backup, as the same cluster or as another cluster. A Watch that only went on
 // watching would keep the endpoint c9, which the restored registry does not have. The Watch must make a full
-// read, but only after most members have been older than the view for the watch timeout.
+// read, but only after most registry members have had a lower revision than the view for the watch timeout.
 TEST_P(RolledBackRegistry, IsReadAgainOnceMostMembersAreOlderThanTheView) {
     for (const std::size_t members : {1u, 3u}) {
         RegistryModel registry = model_of(4);
@@ -155,7 +155,7 @@
             else if (harness.pending_request == WatchHarness::Request::watch)
                 harness.watch.on_watch_opened(harness.now, harness.header(registry));
             EXPECT_TRUE(harness.endpoints.contains(CacheId{"c9"}))
-                << "c9 must stay until most members have confirmed the restore";
+                << "c9 was removed before most registry members had confirmed the restore";
         }
         ASSERT_EQ(harness.pending_request, WatchHarness::Request::read_page);
         EXPECT_GE(harness.now - since, WatchHarness::policy(members).watch_timeout);
@@ -171,7 +171,7 @@
 INSTANTIATE_TEST_SUITE_P(SameOrAnotherCluster, RolledBackRegistry, ::testing::Bool());
 
 // A full read that returns an empty list, or a list of unreadable records, must not be applied until a read
-// from another member confirms it. Otherwise one faulty member could remove all endpoints.
+// from another registry member confirms it. Otherwise one faulty registry member could remove all endpoints.
 TEST_F(WatchFollowing, AnEmptyOrUnreadableListNeedsAConfirmation) {
     for (const bool empty : {true, false}) {
         RegistryModel faulty = registry;
@@ -185,7 +185,7 @@
         harness.watch.on_page(harness.now, harness.page(faulty));
         EXPECT_EQ(harness.endpoints.size(), 4u);
         EXPECT_EQ(harness.pending_request, WatchHarness::Request::none);
-        // The next member returns the former list, so the endpoints stay as they are.
+        // The next registry member returns the former list, so the endpoints stay as they are.
         read_again();
         harness.watch.on_watch_opened(harness.now, harness.header(registry));
         EXPECT_EQ(harness.endpoints.size(), 4u);
@@ -197,7 +197,7 @@
     EXPECT_EQ(harness.endpoints.size(), 4u);
     read_again();
     EXPECT_TRUE(harness.endpoints.empty())
-        << "a second member has confirmed the empty list, so it must be applied";
+        << "the empty list was not applied although a second registry member had confirmed it";
 }
 
 // A watch that delivers nothing for the watch timeout must be reported as disconnected. The list must stay in
@@ -234,9 +234,9 @@
 }
 
 // A registry is restored from a backup and then grows past the revision of the view, so that its revision
-// does not show the restore. A Watch that only resumed from the revision of the view would keep the endpoint
-// c9, which the backup lacks, and would miss c7, which was added since the restore at a revision that the
-// view already covers. The history check after the disconnection must lead to a full read instead.
+// does not show the restore. The backup lacks the endpoint c9, and c7 was added after the restore at a
+// revision that the view already covers. The history check after the disconnection must lead to a full read;
+// a Watch that only resumed from the view's revision would keep c9 and miss c7.
 TEST_F(WatchFollowing, TheHistoryCheckDetectsARestoredRegistryPastTheView) {
     const Revision backup = registry.newest();
     registry.put("c9", endpoint_value("c9", "Ready"));
@@ -255,9 +255,9 @@
     EXPECT_TRUE(harness.endpoints.contains(CacheId{"c7"}));
 }
 
-// A progress notification announces 50 changes outside of the prefix, which the registry does not deliver to
-// the watch and then compacts. A watch that breaks must resume after the announced revision; an earlier
-// revision would be compacted.
+// A progress notification announces the revision after 50 changes outside of the prefix. The registry does
+// not deliver these changes to the watch, and then compacts them. A watch that breaks must resume after the
+// announced revision; an earlier revision would be compacted.
 TEST_F(WatchFollowing, ProgressNoticesMoveTheRevisionToResumeFrom) {
     for (int n = 0; n < 50; ++n) registry.put("elsewhere", "x");  // outside of the prefix, so not delivered
     harness.watch.on_changes(harness.now, harness.header(registry), {}, false);
@@ -267,8 +267,8 @@
     EXPECT_EQ(harness.requested_revision, Revision{registry.newest().raw() + 1});
 }
 
-// The connection breaks between two fragments of one revision. Nothing of the revision may be applied, and
-// the whole revision must be requested again.
+// The connection breaks between two fragments of one revision. The Watch must apply no part of the revision,
+// and must request the whole revision again.
 TEST_F(WatchFollowing, FragmentsOfARevisionAreAppliedTogether) {
     const Revision revision =
         registry.commit({{RecordKey{"c1"}, std::nullopt}, {RecordKey{"c2"}, std::nullopt}});
@@ -277,7 +277,7 @@
     EXPECT_EQ(harness.endpoints.size(), 4u);
     harness.watch.on_request_failed(harness.now, {RequestFailureReason::connection_lost, {}});
     harness.advance_to_request();
-    EXPECT_EQ(harness.requested_revision, revision) << "the whole revision must be requested again";
+    EXPECT_EQ(harness.requested_revision, revision) << "the Watch did not request the whole revision again";
     harness.watch.on_watch_opened(harness.now, harness.header(registry));
     harness.watch.on_changes(harness.now, harness.header(registry), {all[0]}, true);
     harness.watch.on_changes(harness.now, harness.header(registry), {all[1]}, false);
@@ -285,7 +285,7 @@
 }
 
 // A change with too many entries and a list with too many records must be rejected, and the former list must
-// stay in force. A list that stays too long must be reported once, not at each attempt.
+// stay in force. If the list is still too long in later attempts, this must not be reported again.
 TEST_F(WatchFollowing, TooManyFragmentsOrRecordsAreRefused) {
     std::vector<Change> many(WatchHarness::policy(3).max_pending_changes, {record("c1", "", 0, 100), true});
     harness.watch.on_changes(harness.now, {registry.cluster(), Revision{100}}, many, true);
@@ -307,9 +307,9 @@
         std::count(harness.warnings.begin(), harness.warnings.end(), WatchWarningKind::too_many_records), 1);
 }
 
-// A registry that was down for ten seconds must not be hit by all clients at once when it is up again. Less
-// than a tenth of a thousand clients may reconnect within any slot of 100 ms, and all must reconnect within
-// the cap of the pauses.
+// When a registry that was down for ten seconds is up again, its clients must not all reconnect at once. Of a
+// thousand clients, fewer than a hundred must reconnect within any one slot of 100 ms, and all must reconnect
+// within the cap of the pauses.
 TEST(Watch, AThousandClientsDoNotReconnectAtOnce) {
     std::map<int, int> clients_by_slot;  // slots of 100 ms
     for (std::uint64_t seed = 0; seed < 1000; ++seed) {
@@ -329,8 +329,8 @@
     }
     int most = 0;
     for (const auto& [slot, clients] : clients_by_slot) most = std::max(most, clients);
-    EXPECT_LT(most, 1000 / 10) << "clients of a thousand that reconnected in the worst 100 ms";
-    EXPECT_LE(clients_by_slot.rbegin()->first, 50) << "no pause may be longer than backoff_cap";
+    EXPECT_LT(most, 1000 / 10) << "too many of a thousand clients reconnected within the same 100 ms";
+    EXPECT_LE(clients_by_slot.rbegin()->first, 50) << "a pause was longer than backoff_cap";
 }
 
 // A Watch that starts from a stored list must put the list in force at once and report the state
@@ -347,7 +347,8 @@
     EXPECT_EQ(harness.watch.sync_state(), SyncState::disconnected);
     harness.watch.start(harness.now);
     ASSERT_EQ(harness.pending_request, WatchHarness::Request::check_revision)
-        << "the registry may have been restored since the list was stored";
+        << "the Watch made no history check, but the registry could have been restored since the list was "
+           "stored";
     harness.reply_to_check(registry);
     registry.erase("c1");
     harness.watch.on_watch_opened(harness.now, harness.header(registry));
--- a/tests/watch_harness.hpp
+++ b/tests/watch_harness.hpp
@@ -84,7 +84,7 @@
         ASSERT_NE(pending_request, Request::none);
     }
 
-    // Builds the reply of a member that has the newest revision.
+    // Builds the reply header of a registry member that has the newest revision.
     ReplyHeader header(const RegistryModel& registry) const {
         return {registry.cluster(), registry.newest()};
     }
--- a/tests/watch_random_test.cpp
+++ b/tests/watch_random_test.cpp
@@ -189,9 +189,9 @@
 };
 
 // A view that mixes the records of several revisions is a list that the registry never had. The registry
-// changes, compacts and is restored at random and its members lag, while replies are lost, repeated,
-// fragmented and late. After each step the view must be the state of exactly one revision, and once the
-// faults end it must become the state of the newest revision.
+// changes, compacts and is restored at random and registry members lag, while replies are lost, repeated,
+// split into fragments and late. After each step the view must be the state of exactly one revision, and once
+// the faults end it must become the state of the newest revision.
 TEST(WatchUnderRandomFaults, TheViewIsAlwaysOneRevisionAndEndsAtTheNewest) {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
