--- a/tests/fleet_digest_test.cpp
+++ b/tests/fleet_digest_test.cpp
@@ -1,5 +1,5 @@
-// Tests the applied revisions of one member, the digest of a site, and the verdict of a reader. Whole
-// installations are tested in fleet_in_force_test.cpp.
+// Tests the applied revisions that one gateway reports, the digest of a site, and the verdict that a reader
+// derives from the digests of all sites. fleet_in_force_test.cpp tests whole installations.
 #include <gtest/gtest.h>
 
 #include "fleet/fleet_status.hpp"
@@ -17,8 +17,8 @@
 
 // --- applied revisions of one member ---------------------------------------------------------------------
 
-// Completes a poll with the number of the board's newest event. `asked_from` is the number of the last event
-// that the poll named, or zero.
+// Completes a poll of the notice board whose response has the number of the board's newest event.
+// `asked_from` is the number of the last event that the poll named, or zero.
 void poll_completed(AppliedRevisionTracker& tracker, std::int64_t newest, std::int64_t asked_from = 0) {
     tracker.on_poll_completed(event(newest), event(asked_from));
 }
@@ -67,10 +67,10 @@
     EXPECT_EQ(tracker.applied_revisions()->event, event(5));
 }
 
-// After a restore the board assigns the lost numbers again, to other events. A tracker that went on counting
-// would report events that its process has not applied. The process has applied event 100, and the board is
-// restored to event 85. The tracker must report no event until the next generation begins and the process has
-// read the full history.
+// A board that was restored from a backup assigns the numbers of lost events again, to other events. In the
+// test the process has applied event 100 when the board is restored to event 85. The tracker must report no
+// event until the next generation begins and the process has read the full history; otherwise it would report
+// events that the process has not applied.
 TEST(AppliedRevisionTracking, AfterTheBoardIsRestoredEventsCountAgainOnlyInTheNextGeneration) {
     AppliedRevisionTracker tracker = tracker_at(first, 100);
     tracker.on_poll_started(false);
@@ -191,7 +191,7 @@
         std::string id;
         std::optional<Generation> generation = first;
     };
-    std::map<MemberName, Member> members;  // without the owner
+    std::map<MemberName, Member> members;  // all members of the site except the owner
     std::int64_t own_event = 0;
     std::optional<std::string> former;
 
@@ -240,8 +240,8 @@
     EXPECT_TRUE(builder.has_lagging_members());
 }
 
-// A single heartbeat may arrive late, from a process that ended long ago. A member must therefore count as
-// live only after two new heartbeats.
+// A single new heartbeat can be a late message of a process that ended long ago. A fleet member must
+// therefore count as live only after two new heartbeats.
 TEST_F(SiteDigest, AMemberCountsOnceTwoNewHeartbeatsOfItWereSeen) {
     join("m1", 10);
     EXPECT_EQ(take_snapshot().live_count, 1u);
@@ -249,8 +249,8 @@
     EXPECT_EQ(take_snapshot().live_count, 2u);
 }
 
-// A member whose process sends no more heartbeats must be listed as absent, with the time since when the
-// member is absent. Later snapshots must not change this time.
+// A fleet member whose process sends no more heartbeats must be listed as absent, with the time since when
+// the member is absent. Later snapshots must not change this time.
 TEST_F(SiteDigest, AMemberWithoutNewHeartbeatsIsAbsentSinceThen) {
     join("m1", 10);
     take_snapshots(5);
@@ -261,19 +261,19 @@
     EXPECT_EQ(digest.absent[0].member, MemberName{"m1"});
     const std::int64_t since = digest.absent[0].since_ms;
     EXPECT_EQ(take_snapshots(10).absent[0].since_ms, since);
-    EXPECT_EQ(take_snapshots(1).highest, event(10));  // the absent member's last event still counts
+    EXPECT_EQ(take_snapshots(1).highest, event(10));  // includes the last event of the absent member
 }
 
-// The owner is stopped during its next snapshot, which therefore takes two terms. The member's heartbeats in
-// this snapshot are too old to show that the member is live.
+// The digest's owner is stopped while it takes its next snapshot of the heartbeats, so that the snapshot
+// takes two terms. The member's heartbeats in this snapshot are too old to show that the member is live.
 TEST_F(SiteDigest, AnOwnerThatWasStoppedCountsNoMemberByOldSnapshots) {
     join("m1", 10);
     take_snapshots(5);
     EXPECT_EQ(take_snapshot(term * 2).live_count, 1u);
 }
 
-// The process of a member has ended, and a restored registry shows an earlier heartbeat of this process. The
-// member must not count as live.
+// The process of a fleet member has ended, and a restored registry shows an earlier heartbeat of this
+// process. The member must not count as live.
 TEST_F(SiteDigest, AHeartbeatOfARestoredRegistryDoesNotCount) {
     join("m1", 10);
     take_snapshots(5);
@@ -409,8 +409,8 @@
         digest.lowest = digest.highest = event(10);
         return digest;
     }
-    // Passes a reading of the registry to the status. If `moves` is set, each owner has sent a new heartbeat
-    // and written a new digest since the last reading.
+    // Passes a reading of the registry to the FleetStatus under test. If `moves` is set, each owner has sent
+    // a new heartbeat and written a new digest since the last reading.
     void read(bool moves = true) {
         FleetStatus::RegistryReading reading;
         reading.requested_at = now;
@@ -545,7 +545,8 @@
 }
 
 // The board was restored and its newest event now has a lower number than an event that a gateway has
-// reported. No gateway has detected the restore yet.
+// reported. No gateway has detected the restore yet. The verdict must name the unknown newest event as the
+// reason why it is not `everywhere`.
 TEST_F(FleetStatusReader, ABoardBelowAReportedEventIsNotYet) {
     newest_event = event(9);
     EXPECT_EQ(reasons_of(verdict(8)), std::vector{Reason::newest_event_unknown});
--- a/tests/fleet_in_force_test.cpp
+++ b/tests/fleet_in_force_test.cpp
@@ -1,5 +1,6 @@
-// Simulates all sites of an installation in virtual time and tests that the verdict `everywhere` is never
-// given while a gateway acts without the event, whatever faults occur.
+// Simulates all sites of an installation in virtual time. A reader gives a verdict on whether an event of the
+// notice board is in force at all gateways. The tests check that the verdict is never `everywhere` while a
+// gateway acts without the event, whatever faults occur.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -41,15 +42,15 @@
             .board_restore = 0.02};
 }
 
-// Expects the verdict `everywhere` for the newest event within the given time.
+// Expects that the readers' verdict on the newest event becomes `everywhere` within the given time.
 void expect_everywhere(SiteSimulation& w, Duration within) {
     const TimePoint by = w.now() + within;
     const std::int64_t event = w.newest();
     while (w.verdict_of(event).reach != Reach::everywhere && w.now() < by) w.run(ms * 500);
     ASSERT_EQ(w.verdict_of(event).reach, Reach::everywhere) << event << '\n' << w.debug_state();
 }
-// Pauses publishing for 6 s, so that gateways have time to apply the newest event, and returns the verdict on
-// this event.
+// Pauses publishing for 6 s, so that gateways have time to apply the newest event. Returns the first reader's
+// last verdict on this event.
 Reach reach_at_rest(SiteSimulation& w) {
     w.set_publishing(false);
     w.run(ms * 6'000);
@@ -85,7 +86,7 @@
     }
 }
 
-// Simulates sites without faults for 25 s. The readers then report `everywhere` for the events.
+// A simulation that has run without faults for 25 s. The readers' verdict on the events is then `everywhere`.
 struct AtRest : SiteSimulation {
     AtRest(std::uint32_t seed, const Options& shape)
         : SiteSimulation(seed, shape, shared_config(shape.drift)) {
@@ -95,17 +96,17 @@
     }
 };
 
-// A digest owner that was stopped must not make a reader count an old digest as new when the owner is
-// resumed. The digest's owner and another member are cut off from the board and lack the newest events, and
-// the owner is stopped and resumed. The verdict must not be `everywhere` until all members have applied the
-// events.
+// A reader must not take an old digest for a new one when the digest's owner, which was stopped, is resumed.
+// The test cuts the digest's owner and another gateway off from the board, so that they lack the newest
+// events, and stops and resumes the owner. The readers' verdict must not be `everywhere` until all gateways
+// have applied the events.
 TEST(SimulatedSites, ADigestOwnerThatIsStoppedAndResumedAnswersNothingUntrue) {
     for (std::uint32_t seed = 1; seed <= 20; ++seed) {
         SCOPED_TRACE(seed);
         AtRest w(seed, {.sites = {3, 1, 2}});
         for (const std::size_t site : {0u, 1u}) {
             // The owner is cut off from the board, so that it lacks the events published while it is stopped.
-            // Another member is cut off from the board too.
+            // Another gateway is cut off from the board too.
             const std::size_t owner = w.owner(site);
             ASSERT_LT(owner, w.members()) << w.debug_state();
             w.partition_board(owner, true);
@@ -124,8 +125,8 @@
     }
 }
 
-// The link between the digest's owner and the registry is cut in one or both directions. The verdict must
-// become `all_but` and name the owner that was cut off.
+// The link between the owner of a site's digest and the registry is cut in one or both directions. The
+// readers' verdict must become `all_but` and name the owner that was cut off.
 TEST(SimulatedSites, ADigestOwnerThatIsCutOffIsNamed) {
     enum { out, in, both };
     for (const int ways : {out, in, both})
@@ -137,7 +138,7 @@
             w.partition(owner, ways != out, ways != in);
             w.partition_board(owner, true);
             w.run(ms * 30'000);
-            // By now another member of the site owns the duty, and its digest names the former owner as
+            // By now another gateway of the site owns the duty, and its digest names the former owner as
             // absent.
             ASSERT_EQ(w.last_verdict().verdict.reach, Reach::all_but) << w.debug_state();
             ASSERT_EQ(w.last_verdict().verdict.missing.size(), 1u);
@@ -149,10 +150,10 @@
         }
 }
 
-// The reports of a site's former processes must not count for new processes that lack an event. A site is cut
-// off from the registry and the board while events are published, and its gateways are restarted with older
-// state. After the links return, the verdict must not be `everywhere` until the gateways have applied the
-// newest event.
+// When a site's gateways are restarted with older state, reports of their former processes must not be taken
+// for reports of the new processes, which lack an event. The test cuts a site off from the registry and the
+// board while events are published, and restarts its gateways with older state. After the links return, the
+// readers' verdict must not be `everywhere` until the gateways have applied the newest event.
 TEST(SimulatedSites, ASiteThatReturnsWithOldStateDoesNotCount) {
     for (std::uint32_t seed = 1; seed <= 20; ++seed) {
         SCOPED_TRACE(seed);
@@ -170,8 +171,8 @@
             w.kill(m);
             w.start(m, 60);
             if (seed % 3 != 0) return;
-            // With every third seed the link to the registry returns right after the restart, so that the new
-            // process can reach the registry with its old state for at least a second.
+            // If the seed is divisible by three, the link to the registry returns right after the restart, so
+            // that the new process can reach the registry with its old state for at least a second.
             w.partition(m, false, false);
         });
         w.run(ms * 1'000);
@@ -187,9 +188,10 @@
     }
 }
 
-// A report of a dead process must not count for its successor without limit. A member that has reported an
-// event is killed and restarted at once with older state, at different times within a heartbeat interval.
-// Once the former process's report has expired, the verdict must not be `everywhere`.
+// A reader must stop counting the last report of a dead process for its successor after a limited time. The
+// test kills a gateway that has reported an event and restarts it at once with older state, at different
+// times within a heartbeat interval. Once the former process's report has expired, the readers' verdict must
+// not be `everywhere`.
 TEST(SimulatedSites, AMemberThatReturnsWithOldStateAfterItsReportDoesNotCount) {
     for (std::uint32_t seed = 1; seed <= 40; ++seed) {
         SCOPED_TRACE(seed);
@@ -202,7 +204,7 @@
         if (seed % 2 == 0) w.partition(victim, true, true);
         w.run(ms * (seed % 7));
         w.start(victim, 5);
-        w.run(ms * 40'000);  // longer than the former process's report may count
+        w.run(ms * 40'000);  // longer than a reader counts the former process's report
         EXPECT_NE(w.last_verdict().verdict.reach, Reach::everywhere) << w.debug_state();
         EXPECT_FALSE(w.in_force_everywhere());
         w.recover(victim);
@@ -211,9 +213,9 @@
     }
 }
 
-// A member leaves the fleet, and a new process with the member's name starts but cannot reach the registry.
-// The verdict must name the member until the new process joins or an operator removes the name from the
-// roster.
+// A gateway leaves the fleet, and a new process with the gateway's name starts but cannot reach the registry.
+// The readers' verdict must name the gateway as missing until the new process joins or an operator removes
+// the name from the site's roster.
 TEST(SimulatedSites, AMemberThatLeftIsNamedUntilItReturnsOrIsForgotten) {
     AtRest w(3, {.sites = {3, 2}});
     const std::size_t gone = w.member(0, 1);
@@ -237,10 +239,10 @@
     EXPECT_EQ(w.violations, std::vector<std::string>{});
 }
 
-// A restored board assigns event numbers again, so a number alone must not show that a gateway has applied an
-// event. A gateway is cut off and lacks the board's last events; the board is restored and assigns the
-// numbers of these events to other events. The verdict must not be `everywhere` until this gateway has read
-// the board's full history again.
+// A board that was restored from a backup assigns the numbers of lost events to other events, so a number
+// alone must not show that a gateway has applied an event. The test cuts a gateway off from the board before
+// the last events, and then restores the board. The readers' verdict must not be `everywhere` until this
+// gateway has read the board's full history again.
 TEST(SimulatedSites, ARestoredBoardBeginsANewGeneration) {
     for (const bool announced : {true, false})
         for (std::uint32_t seed = 1; seed <= 20; ++seed) {
@@ -260,9 +262,9 @@
         }
 }
 
-// A member is cut off and restarted with old state. The board is restored, which begins a new generation, and
-// then the registry is restored to a backup from before the new generation. The verdict must not be
-// `everywhere` until the member has applied the newest event.
+// A gateway is cut off and restarted with old state. The board is restored, which begins a new generation,
+// and then the registry is restored to a backup from before the new generation. The readers' verdict must not
+// be `everywhere` until the gateway has applied the newest event.
 TEST(SimulatedSites, ARestoredRegistryAnswersNothingUntrue) {
     for (std::uint32_t seed = 1; seed <= 20; ++seed) {
         SCOPED_TRACE(seed);
@@ -290,7 +292,7 @@
     expect_everywhere(one, settled);
     one.kill(0);
     one.run(ms * 15'000);
-    // No member of the site is left to write the site's digest, so the verdict names the whole site.
+    // No gateway of the site is left to write the site's digest, so the verdict names the whole site.
     ASSERT_EQ(reach_at_rest(one), Reach::all_but);
     EXPECT_EQ(one.last_verdict().verdict.missing[0].site.raw(), "s0");
     EXPECT_EQ(one.last_verdict().verdict.missing[0].reason, FleetStatus::MissingReason::stale_digest);
@@ -315,8 +317,8 @@
 }
 
 // Two of four sites are cut off from the registry and the board for an hour, while events are published and
-// some gateways of these two sites are restarted. The verdict must name the two sites during the whole hour,
-// and must be `everywhere` after the sites return.
+// some gateways of these two sites are restarted. The readers' verdict must name the two sites during the
+// whole hour, and must be `everywhere` after the sites return.
 TEST(SimulatedSites, ARegionCutOffForAnHourIsNamedAndReturns) {
     AtRest w(6, {.sites = {2, 3, 2, 3}, .publish_every = ms * 5'000});
     const auto region = [&](auto action) {
@@ -353,8 +355,8 @@
     for (std::size_t n = 0; n < w.members(); ++n) w.start(n, n % 5);
     w.run(ms * 20'000);
     expect_everywhere(w, settled);
-    // Members receive no records of other sites, so the number of deliveries grows with the size of a site,
-    // not with the size of the installation.
+    // Gateways receive no fleet records of other sites, so the number of deliveries grows with the size of a
+    // site, not with the size of the installation.
     EXPECT_LE(w.deliveries - before, 570u * 15 * 12);
     EXPECT_EQ(w.violations, std::vector<std::string>{});
 }
--- a/tests/fleet_process_test.cpp
+++ b/tests/fleet_process_test.cpp
@@ -75,8 +75,8 @@
     }
 };
 
-// The owner of garbage collection is killed, and another member must take the duty over. After the first
-// member is restarted, the duty must be handed back to the first member under a higher token and incarnation.
+// The owner of garbage collection is killed, and another gateway must take the duty over. After the killed
+// gateway is restarted, the duty must be handed back to the gateway's new incarnation under a higher token.
 TEST_F(FleetOfProcesses, AKilledOwnerIsReplacedAndGetsItsDutyBack) {
     begin();
     const std::size_t first = *a->owner(sweep);
@@ -162,7 +162,7 @@
 }
 
 // The owner is killed, and the next two claimants are killed when the registry commits their claims. The
-// fourth member must take the duty over.
+// fourth gateway must take the duty over.
 TEST_F(FleetOfProcesses, ASuccessorKilledAsItsClaimLandsIsReplaced) {
     shape.gateways = 4;
     begin();
@@ -192,10 +192,10 @@
 class OwnerCutOffFromTheRegistry : public FleetOfProcesses,
                                    public ::testing::WithParamInterface<std::pair<bool, bool>> {};
 
-// A member that is cut off from the registry must neither write as owner nor fail its clients. The owner's
-// link to the registry is cut in one or both directions. Another member must take the duty over, the registry
-// must accept no further write of the former owner's old incarnation, and the former owner must serve all its
-// clients.
+// A gateway that is cut off from the registry must neither write as owner nor fail its clients. The owner's
+// link to the registry is cut in one or both directions. Another gateway must take the duty over, the
+// registry must accept no further write of the former owner's old incarnation, and the former owner must
+// serve all its clients.
 TEST_P(OwnerCutOffFromTheRegistry, StopsActingAndServesOn) {
     begin();
     const std::size_t first = *a->owner(sweep);
@@ -255,8 +255,9 @@
             return a->fenced_writes.size() > before && a->owner(sweep) == first_of(sweep) && working();
         }));
     }
-    // The owner changes are counted from the first start on. At each start some member claims the duty and
-    // may hand it on to the first member in the order, but the duty must not move back and forth.
+    // The count of owner changes includes the first start of the fleet. After each start of all gateways,
+    // some gateway claims the duty and can hand it on to the first gateway in the duty's order, but the duty
+    // must not move back and forth.
     EXPECT_LE(a->ownership_changes.size(), 3u * 4u);
 }
 
@@ -325,10 +326,10 @@
     a->run_for(shape.term * 4);  // two eviction timeouts and a garbage collection pass
     for (const auto& [key, value] : odd) EXPECT_TRUE(key == "seen/c9" || a->record(key) == value) << key;
     EXPECT_FALSE(a->record("seen/c9"))
-        << "the result of a health check without a duty record must be removed";
+        << "the result of a health check without a duty record was not removed";
 }
 
-// The registry is restored from a backup, so it shows lower tokens again. Members that have seen a higher
+// The registry is restored from a backup, so it shows lower tokens again. Gateways that have seen a higher
 // token must refuse the lower tokens, and an owner must claim the duty again under a higher token.
 class RestoredRegistry : public FleetOfProcesses, public ::testing::WithParamInterface<bool> {};
 
@@ -359,9 +360,10 @@
 
 INSTANTIATE_TEST_SUITE_P(ClusterIds, RestoredRegistry, ::testing::Values(false, true));
 
-// A gateway must not renew its lease by the outdated records of a registry member that lags, since it may
-// have been replaced as owner. All members of the registry but one lag by 40 revisions. An owner that is
-// stopped, replaced and resumed must write nothing until it has joined again.
+// A registry member that lags can still show a gateway as the owner of a duty after the gateway was replaced.
+// The gateway must not renew its lease by such outdated records. In the test all registry members but one lag
+// by 40 revisions; an owner that is stopped, replaced and resumed must write nothing until it has joined
+// again.
 TEST_F(FleetOfProcesses, LaggingRegistryMembersRenewNoLease) {
     begin();
     const std::size_t first = *a->owner(sweep);
@@ -392,11 +394,10 @@
     EXPECT_TRUE(a->wait_until([&] { return another_works(first); }));
 }
 
-// With inaccurate clocks, a duty could have two owners: a former owner whose clock is slow could still regard
-// its lease as valid after members with fast clocks have replaced it. The test gives the owner the slowest
-// and the other gateways the fastest clock that the drift setting allows, and cuts the owner off from the
-// registry. A successor must take over the health checks of the cache, and once it has checked the cache, the
-// former owner must start no further check.
+// A former owner whose clock is slow could still regard its lease as valid after gateways with fast clocks
+// have replaced it, so that a duty would have two owners. The test gives the owner the slowest and the other
+// gateways the fastest clock that the drift setting allows, and cuts the owner off from the registry. Once a
+// successor has checked the cache, the former owner must start no further health check of the cache.
 TEST_F(FleetOfProcesses, ClocksAtTheLimitOfTheirDriftNeverHaveTwoOwners) {
     shape.drift = 0.25;
     shape.clock_library = IRISMUX_SKEWED_CLOCK;
@@ -542,7 +543,7 @@
 // --- refused joins and reloads ---------------------------------------------------------------------------
 
 // A gateway whose name is used by another live gateway, and a gateway of another installation, must not join.
-// The log of each must have the reason.
+// Each of them must log the reason.
 TEST_F(FleetOfProcesses, ANameInUseAndAnotherInstallationStayOutAndAreLogged) {
     begin();
     const std::size_t owner = *a->owner(sweep), n = (owner + 1) % 3, m = (n + 1) % 3;
--- a/tests/fleet_sites_test.cpp
+++ b/tests/fleet_sites_test.cpp
@@ -1,6 +1,6 @@
-// Tests `irismux fleet in-force` with gateway processes and faults on their links. There are two sites:
-// gateways g1 and g2 are in site `a`, and g3 is alone in site `b`. The polls at the boards show which events
-// each gateway has applied.
+// Tests the command `irismux fleet in-force`, which gives a verdict on whether an event is in force at all
+// sites. The tests use gateway processes with faults on their links: gateways g1 and g2 are in site `a`, and
+// g3 is alone in site `b`. The polls at the boards show which events each gateway has applied.
 #include <gtest/gtest.h>
 
 #include <sys/wait.h>
@@ -74,8 +74,8 @@
         return run({"in-force", "--event", std::to_string(event), "--board",
                     a->gateways[0].notice_board->address(), "--wait", std::to_string(wait_s)});
     }
-    // Repeats the command until its verdict is `answer` and its output contains `words`. Returns false if an
-    // earlier verdict is `everywhere` or after 60 s. The command is repeated because the time until the
+    // Repeats the command until its verdict is `answer` and its output contains `words`. Returns false if the
+    // verdict is `everywhere`, or if 60 s have passed. The command is repeated because the time until the
     // digests are fresh depends on the machine.
     bool eventually_answers(int answer, const std::string& words, const std::vector<std::string>& question) {
         const TimePoint by = a->loop.now() + ms * 60'000;
@@ -145,7 +145,7 @@
 }
 
 // The digest's owner is cut off from its board, so that it does not receive a purge, and is stopped and
-// resumed. The verdict must not be `everywhere` until the owner has applied the purge.
+// resumed. The command's verdict must not be `everywhere` until the owner has applied the purge.
 TEST_F(SitesOfProcesses, ADigestOwnerThatIsStoppedAndResumedAnswersNothingUntrue) {
     ASSERT_EQ(in_force(1, 30), everywhere) << output;
     const std::size_t first = owner();
@@ -164,8 +164,8 @@
                           public ::testing::WithParamInterface<std::pair<bool, bool>> {};
 
 // The digest's owner is cut off from its board, so that it does not receive a purge, and its link to the
-// registry is cut in one or both directions. The verdict must name the owner, and must not be `everywhere`
-// until the owner has applied the purge.
+// registry is cut in one or both directions. The command's verdict must name the owner, and must not be
+// `everywhere` until the owner has applied the purge.
 TEST_P(DigestOwnerCutOff, IsNamedAndNothingUntrueIsAnswered) {
     ASSERT_EQ(in_force(1, 30), everywhere) << output;
     const std::size_t first = owner();
@@ -173,7 +173,7 @@
     a->partition_registry(first, GetParam().first, GetParam().second);
     const std::int64_t event = purge();
     EXPECT_NE(in_force(event, some_terms), everywhere) << output;
-    // The site's other member takes the duty over after a while, and its digest names the former owner as
+    // The site's other gateway takes the duty over after a while, and its digest names the former owner as
     // absent.
     EXPECT_TRUE(
         eventually_answers(all_but,
@@ -193,8 +193,8 @@
                                            std::pair{false, true}));
 
 // A site is cut off from the registry and the board while a purge is published, and its gateway is restarted
-// with old state. After the link to the registry returns, the verdict must not be `everywhere` until the
-// gateway has applied the purge.
+// with old state. After the link to the registry returns, the command's verdict must not be `everywhere`
+// until the gateway has applied the purge.
 TEST_F(SitesOfProcesses, ASiteThatReturnsWithOldStateDoesNotCount) {
     ASSERT_EQ(in_force(1, 30), everywhere) << output;
     set_board_cut_off(2, true);
@@ -210,8 +210,8 @@
     EXPECT_EQ(in_force(event, 30), everywhere) << output;
 }
 
-// A member that has reported a purge is killed and restarted at once without the purge. The new process must
-// accept no requests while the former process's report may still count.
+// A gateway that has reported a purge is killed and restarted at once without the purge. The new process must
+// accept no requests for as long as a reader can count the former process's report.
 TEST_F(SitesOfProcesses, AMemberThatDiesAfterItsReportTakesNoRequestsWithOldState) {
     const std::int64_t event = purge();
     ASSERT_EQ(in_force(event, 30), everywhere) << output;
@@ -231,7 +231,7 @@
 
 TEST_F(SitesOfProcesses, AForgottenMemberIsNotWaitedForAndAGenerationBeginsAnew) {
     ASSERT_EQ(in_force(1, 30), everywhere) << output;
-    EXPECT_EQ(run({"forget", "a", "g2"}), 1) << output;  // refused, since the member is live
+    EXPECT_EQ(run({"forget", "a", "g2"}), 1) << output;  // refused, since the gateway is live
     a->kill(1);
     ASSERT_TRUE(a->wait_until([&] { return !record("site/a/roll/member/g2"); }));
     EXPECT_TRUE(eventually_answers(all_but, "site a g2", question_of(1))) << output;
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,5 +1,5 @@
-// Tests that each duty has at most one owner: fences, leases, single members, transactions that are committed
-// late, and whole fleets in virtual time.
+// Tests that each duty has at most one owner. The tests cover fences, leases, single fleet members,
+// transactions that arrive late, and whole fleets in virtual time.
 #include <gtest/gtest.h>
 
 #include "fleet/garbage_collector.hpp"
@@ -131,8 +131,8 @@
               MemberName{});
 }
 
-// Runs one member with a registry that replies at once. The time advances in steps of a tenth of a heartbeat
-// interval.
+// Runs one fleet member with a registry that replies at once. The time advances in steps of a tenth of a
+// heartbeat interval.
 class SingleMember : public ::testing::Test, public AgentTransport, public AgentObserver {
 protected:
     test_support::TransactionLedger ledger;
@@ -177,8 +177,8 @@
     void on_event(const FleetEvent& event) override { events.push_back(event); }
 };
 
-// The registry has the shared configuration of another installation. A member that starts must write nothing,
-// own no duty and report the reason once.
+// The registry has the shared configuration of another installation. A fleet member that starts must write
+// nothing, own no duty and report the reason once.
 TEST_F(SingleMember, ARegistryOfAnotherInstallationIsNotWritten) {
     put("about", serialize(SharedConfig{"other", ms * 4000, 0.05}));
     const auto before = ledger.records();
@@ -191,8 +191,8 @@
     EXPECT_FALSE(agent->may_act(now, DutyName{"d"}));
 }
 
-// Another live gateway uses the member's name. The member must report that the name is in use, and must not
-// join until the other gateway sends no more heartbeats.
+// Another live gateway uses the name of a fleet member. The member must report that the name is in use, and
+// must not join until the other gateway sends no more heartbeats.
 TEST_F(SingleMember, ANameInUseIsReportedAndTakenOnceItsHolderIsGone) {
     put("about", serialize(shared_config()));
     put("member/m", serialize(MemberRecord{Incarnation{4}, InstanceId{"other"}, "1", {}}));
@@ -209,8 +209,9 @@
     EXPECT_GT(agent->incarnation(), Incarnation{4});
 }
 
-// The registry has a record of the member's duty in a newer format, and the record of a duty that the member
-// does not know. The member must report the record in the newer format, and must change neither record.
+// The registry has a record of a duty of a fleet member in a newer format, and the record of a duty that the
+// member does not know. The member must report the record in the newer format, and must change neither
+// record.
 TEST_F(SingleMember, AnUnreadableDutyRecordIsNotClaimedAndUnknownDutiesStay) {
     put("duty/d", "{\"format\":9}");
     put("duty/newer", serialize(DutyRecord{FencingToken{3}, MemberName{"gone"}, Incarnation{1}}));
@@ -223,8 +224,8 @@
     EXPECT_EQ(parse_duty(ledger.records().at(Key{"duty/newer"}))->owner, MemberName{"gone"});
 }
 
-// A member has seen token 40 of a duty when a restored registry shows token 7. The member must report the
-// lower token and publish token 40 in its own record, and the duty must be claimed under token 41.
+// A fleet member has seen token 40 of a duty when a restored registry shows token 7. The member must report
+// the lower token and publish token 40 in its own record, and the duty must be claimed under token 41.
 TEST_F(SingleMember, ATokenBelowASeenOneIsRefusedUntilTheOwnerTakesAHigherOne) {
     start("m", shared_config());
     EXPECT_TRUE(agent->accepts_holder(DutyName{"d"}, {FencingToken{40}, MemberName{"x"}, Incarnation{1}}));
@@ -268,10 +269,10 @@
     EXPECT_FALSE(ledger.records().contains(Key{"beat/m"}));
 }
 
-// A member owns the health checks of a cache. The checks are no longer wanted, and then wanted again while a
-// lagging watch shows the record that still names the member. The member must give the duty up and must not
-// act by this record. Garbage collection must remove the records of the unwanted duty after two eviction
-// timeouts, and the next claim must have a token above the former one.
+// A fleet member owns the health checks of a cache. The agent's duties no longer include these checks, and
+// then include them again while a lagging watch shows the record that still names the member as owner. The
+// member must give the duty up and must not act by this record. Garbage collection must remove the records of
+// the unwanted duty after two eviction timeouts, and the next claim must have a token above the former one.
 TEST_F(SingleMember, AnUnwantedDutyIsGivenUpAndRemovedAndItsTokensDoNotComeAgain) {
     const DutyName w = health_check_duty(CacheId{"c"});
     start("m", shared_config());
@@ -381,8 +382,8 @@
     });
     EXPECT_TRUE(health_record()->healthy);
     EXPECT_GE(health_record()->streak, 2);
-    // A check that was started within the term must not be sent after the process was stopped beyond the
-    // term.
+    // If the process is stopped beyond the end of the lease's term, it must not send a check that it started
+    // within the term.
     health_monitor.run_due_checks(now + ms * 500, *agent);
     EXPECT_TRUE(health_monitor.may_check(now + ms * 500, c, *agent));
     EXPECT_FALSE(health_monitor.may_check(now + ms * 5'000, c, *agent));
@@ -395,7 +396,8 @@
     start("m", shared_config());
     health_monitor.on_published_result(now, c, {FencingToken{1}, {MemberName{"x"}, Incarnation{1}}, false, 1},
                                        *agent);
-    EXPECT_TRUE(postponements.empty()) << "this gateway has not ejected the cache";
+    EXPECT_TRUE(postponements.empty())
+        << "a recovery probe was postponed although this gateway has not ejected the cache";
     health_monitor.on_ejection_changed(c, true);
     health_monitor.on_published_result(now, c, {FencingToken{1}, {MemberName{"x"}, Incarnation{1}}, false, 1},
                                        *agent);
@@ -405,7 +407,7 @@
         health_monitor.on_published_result(
             now, c, {FencingToken{1}, {MemberName{"x"}, Incarnation{1}}, true, streak}, *agent);
         EXPECT_EQ(postponements.size(), streak < 2 ? 1u : 2u)
-            << "the probe must be brought forward once, at the second healthy result";
+            << "the recovery probe was not brought forward exactly once, at the second healthy result";
     }
     ASSERT_EQ(postponements.size(), 2u);
     EXPECT_LE(postponements[1].second - now, ms * 500);
@@ -566,7 +568,7 @@
 };
 Duration without(std::size_t members) { return longest_without_owner(shared_config(), ms * 300, members); }
 
-// The owner of a duty is stopped for longer than its term and resumed. Another member must own the duty
+// The owner of a duty is stopped for longer than its term and resumed. Another fleet member must own the duty
 // within the time that longest_without_owner() states, and the former owner must write nothing.
 TEST(SimulatedFleet, AnOwnerStoppedPastItsTermIsReplacedAndHarmlessWhenResumed) {
     for (std::uint32_t seed = 1; seed <= 20; ++seed) {
