--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -1,5 +1,5 @@
-// Tests that fits match known curves, that extrapolated estimates are marked, and that docs/CAPACITY.md
-// matches the committed figures.
+// Tests that fits of points match known curves, that estimates far beyond the measured sizes are marked, and
+// that docs/CAPACITY.md matches the committed figures.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -40,8 +40,9 @@
     EXPECT_EQ(f.freedom, 2u);
 }
 
-// Compares the fit of four points with their least-squares line, which was calculated by hand: y = 1.5 + 0.8
-// x, residuals -0.3 0.9 -0.9 0.3, sum of squares 1.8, standard error of the slope sqrt(1.8 / 2 / 5).
+// Compares the fit of four points with their least-squares line, which was calculated by hand. The line is
+// y = 1.5 + 0.8x, the residuals are -0.3 0.9 -0.9 0.3, the sum of squares is 1.8, and the standard error of
+// the slope is sqrt(1.8 / 2 / 5).
 TEST(Fit, MatchesALineCalculatedByHand) {
     const Fit f = fit({{0, 1.2}, {1, 3.2}, {2, 2.2}, {3, 4.2}});
     EXPECT_NEAR(f.intercept, 1.5, 1e-12);
@@ -67,7 +68,7 @@
     EXPECT_EQ(one_size.slope, 0);
     EXPECT_FALSE(one_size.bends);
     EXPECT_FALSE(fit({{1, 1}, {2, 4}, {3, 9}}).bends)
-        << "three points leave no degree of freedom to test for a bend";
+        << "a bend was found in three points, which leave no degree of freedom to test for one";
 }
 
 // A quadratic term that makes up only a small share of the value at the largest size does not count as a
@@ -82,7 +83,8 @@
 TEST(Fit, FollowsTheParabolaBeyondItsPointsAndInterpolatesBetween) {
     const auto points = points_of([](double n) { return 3 + 2 * n + 0.01 * n * n; });
     EXPECT_NEAR(value_at(points, 2000), 3 + 4000 + 40'000, 1e-3);
-    EXPECT_NEAR(value_at(points, 60), 3 + 120 + 36, 1e-9) << "60 is a measured size";
+    EXPECT_NEAR(value_at(points, 60), 3 + 120 + 36, 1e-9)
+        << "the value at 60, which is a measured size, is not the measured value";
     EXPECT_NEAR(value_at(points, 120), (159 + 687) / 2.0, 1e-9);
     EXPECT_NEAR(value_at({{1, 2}, {2, 4}, {3, 6}, {4, 8}, {8, 16}}, 100), 200, 1e-9);
 }
@@ -134,7 +136,8 @@
 
 TEST(CapacityPage, MatchesTheCommittedFigures) {
     EXPECT_EQ(content_of(root / capacity_page_file), capacity_page_of(root))
-        << "run build/capacity and commit docs/CAPACITY.md";
+        << "docs/CAPACITY.md differs from the page that the committed figures give; run build/capacity and "
+           "commit docs/CAPACITY.md";
 }
 
 // Each source file that the capacity page names as a mechanism must exist.
@@ -191,9 +194,9 @@
             {"events", {event}}};
 }
 
-// The page must show a cost that grows with the square of the fleet's size as a bend, and must list it as
-// over its budget. In the test's figures every gateway sends records to every other gateway, so that the
-// traffic of a gateway exceeds 15 KB a second long before 570 gateways.
+// The capacity page must show a cost that grows with the square of the fleet's size as a bend, and must list
+// it as over its budget. In the test's figures every gateway sends records to every other gateway, so that
+// the traffic of each gateway exceeds 15 KB a second long before 570 gateways.
 TEST(CapacityPage, ReadsControlFiguresAndFindsTheQuadraticTerm) {
     nlohmann::json all = {{"runs", nlohmann::json::array()}};
     for (const int n : {20, 60, 180, 360, 570})
@@ -210,7 +213,7 @@
     const std::string page = capacity_page(read_targets(root / targets_file), nullptr, variants);
     EXPECT_NE(page.find("KB a second at the mean: 2.20 times its budget"), std::string::npos) << page;
     EXPECT_NE(page.find("bends, t "), std::string::npos);
-    EXPECT_TRUE(read_control_results(file).empty()) << "a missing file must give no figures";
+    EXPECT_TRUE(read_control_results(file).empty()) << "figures were read from a file that does not exist";
 }
 
 TEST(Targets, NameTheMissingFigure) {
--- a/tests/endpoint_snapshot_test.cpp
+++ b/tests/endpoint_snapshot_test.cpp
@@ -12,9 +12,9 @@
 
 const Duration ms = Duration::micros(1000);
 
-// A gateway must not start from a wrong endpoint list. A snapshot must contain only the records that were
-// readable. Parsing must reject a snapshot with the matching reason if the snapshot has another owner, is too
-// old, is from the future, is truncated, or has any changed byte.
+// A gateway must not start from a wrong endpoint list. A snapshot of the list must contain only the records
+// that were readable. Parsing must reject a snapshot with the matching reason if the snapshot has another
+// owner, is too old, has a time in the future, is truncated, or has any changed byte.
 TEST(EndpointSnapshot, IsParsedCompletelyOrRejectedWithAReason) {
     const TimePoint stored_at = TimePoint::at_seconds(1000);
     EndpointView view;
@@ -35,7 +35,8 @@
     EXPECT_EQ(snapshot->cluster, ClusterId{"77"});
     EXPECT_EQ(snapshot->revision, Revision{9});
     EXPECT_EQ(snapshot->as_of, stored_at);
-    ASSERT_EQ(snapshot->records.size(), 2u) << "a record that was never readable must not be stored";
+    ASSERT_EQ(snapshot->records.size(), 2u)
+        << "the snapshot does not hold exactly the two readable records of the three";
     EXPECT_EQ(snapshot->records[1].modified, Revision{9});
     EXPECT_EQ(error_of(bytes, "there /caches/", stored_at), SnapshotError::other_owner);
     EXPECT_EQ(error_of(bytes, owner, stored_at + Duration::seconds(61)), SnapshotError::too_old);
--- a/tests/endpoint_table_test.cpp
+++ b/tests/endpoint_table_test.cpp
@@ -1,5 +1,5 @@
-// Tests the purges of the endpoint table: to which requests a purge applies, for how long, and how many
-// purges are stored unmerged.
+// Tests to which requests a purge in the endpoint table applies, for how long it applies, and how many purges
+// the table stores unmerged.
 #include "endpoint/endpoint_table.hpp"
 
 #include "router_test_support.hpp"
--- a/tests/endpoint_view_test.cpp
+++ b/tests/endpoint_view_test.cpp
@@ -45,7 +45,7 @@
     EXPECT_EQ(updates[2].first.cache, CacheId{"c"});
     EXPECT_EQ(updates[2].first.status, EndpointStatus::active);
     EXPECT_EQ(updates[2].first.started_at, now + ms)
-        << "a new process whose record has no start time counts as started now";
+        << "a new process whose record has no start time does not count as started now";
     EXPECT_EQ(updates[3].first.status, EndpointStatus::draining);
 }
 
--- a/tests/golden.hpp
+++ b/tests/golden.hpp
@@ -28,7 +28,7 @@
 
 // Expects `bytes` to equal the contents of the golden file.
 inline void expect_golden(const std::string& name, const std::string& bytes) {
-    EXPECT_EQ(bytes, golden(name)) << "differs from tests/data/" << name;
+    EXPECT_EQ(bytes, golden(name)) << "the bytes differ from tests/data/" << name;
 }
 
 // A list of names with their values. A golden file has one pair per line: "NAME<tab>VALUE".
--- a/tests/interleaving_explorer_main.cpp
+++ b/tests/interleaving_explorer_main.cpp
@@ -17,9 +17,10 @@
     for (const bool slow : {true, false}) {
         bounds.first_is_slow = slow;
         const irismux::test_support::ExplorationResult result = irismux::test_support::explore(bounds);
-        std::cout << bounds.members << " members, the first with a " << (slow ? "slow" : "fast") << " clock, "
-                  << bounds.faults << " faults, " << bounds.ticks << " ticks: " << result.states
-                  << " states, " << (result.complete ? "complete" : "stopped at the maximum number of states")
+        std::cout << bounds.members << " fleet members, the first with a " << (slow ? "slow" : "fast")
+                  << " clock, at most " << bounds.faults << " faults in " << bounds.ticks
+                  << " ticks: the search visited " << result.states << " states and "
+                  << (result.complete ? "did not reach" : "stopped at") << " the maximum number of states"
                   << '\n';
         for (const std::string& line : result.path) std::cout << line << '\n';
         passed = passed && result.path.empty() && result.complete;
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -36,7 +36,7 @@
 
 struct Ledger {
     double transactions = 0;
-    double delivered_changes = 0;  // changes, counted once for each watch that they were delivered to
+    double delivered_changes = 0;  // each change counts once for each watch that received it
 };
 
 Ledger ledger_of(Rig& rig) {
@@ -44,7 +44,7 @@
     return {l["transactions"].get<double>(), l["told"].get<double>()};
 }
 
-// Runs until the gateways have made another `a_gateway` registry transactions each, on average.
+// Runs until the gateways have made `a_gateway` further registry transactions each, on average.
 void run_for_transactions(Rig& rig, double a_gateway) {
     const double upto =
         ledger_of(rig).transactions + a_gateway * static_cast<double>(rig.topology().gateways);
@@ -113,12 +113,14 @@
         EXPECT_LE(c.changes_at_rest, 4)
             << "at rest the gateways write records that the registry delivers to all of them";
         EXPECT_GE(c.changes_by_list, 1);
-        EXPECT_LE(c.changes_by_list, 1 + 2) << "one change of the endpoint list";
+        EXPECT_LE(c.changes_by_list, 1 + 2)
+            << "the registry delivered too many changes to a gateway for one change of the endpoint list";
         // Each ejecting gateway publishes its ejection. The registry also delivers the claim of the health
         // check duty, and the results that the duty's owner publishes until each ejecting gateway has
         // received one.
         EXPECT_GE(c.changes_by_ejections, 10);
-        EXPECT_LE(c.changes_by_ejections, 10 + 10) << "ten gateways eject one cache";
+        EXPECT_LE(c.changes_by_ejections, 10 + 10) << "the registry delivered too many changes to a gateway "
+                                                      "for the ejections of one cache by ten gateways";
         EXPECT_LE(c.bytes_per_transaction, 6'000);
         EXPECT_LE(c.bytes_per_poll, 400);
     }
@@ -193,7 +195,7 @@
         std::uint64_t found = 0;
         for (std::size_t at = 0; at < back.size(); at += piece)
             found += scanner.scan(std::string_view(back).substr(at, piece));
-        EXPECT_EQ(found, 5u) << "in pieces of " << piece;
+        EXPECT_EQ(found, 5u) << "the scanner did not find five messages in pieces of " << piece << " bytes";
     }
 }
 
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -26,7 +26,7 @@
         ASSERT_TRUE(std::holds_alternative<StoreError>(refused));
         EXPECT_EQ(std::get<StoreError>(refused).code, StoreError::Code::write_failed);
         EXPECT_EQ(store.read("list"), std::string(100'000, 'x'))
-            << "the failed write must keep the former value";
+            << "the failed write has changed the former value";
     }
     auto reopened = Store::open(folder.string(), 1 << 20);
     EXPECT_EQ(std::get<Store>(reopened).read("list"), std::string(100'000, 'x'));
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -59,17 +59,20 @@
         return fence.conflicting_token(DutyName{duty},
                                        {FencingToken{token}, MemberName{owner}, Incarnation{start}});
     };
-    EXPECT_EQ(conflict("sweep", 5, "g1", 101), FencingToken{}) << "the holder itself";
-    EXPECT_EQ(conflict("sweep", 5, "g2", 101), FencingToken{5}) << "another owner";
+    EXPECT_EQ(conflict("sweep", 5, "g1", 101), FencingToken{})
+        << "the fence reports a conflict for the holder itself";
+    EXPECT_EQ(conflict("sweep", 5, "g2", 101), FencingToken{5})
+        << "the fence does not report token 5 as the conflict of another owner";
     EXPECT_EQ(conflict("watch/c1", 9, "g2", 102), FencingToken{});
-    EXPECT_EQ(conflict("watch/c1", 9, "g2", 103), FencingToken{9}) << "another start";
+    EXPECT_EQ(conflict("watch/c1", 9, "g2", 103), FencingToken{9})
+        << "the fence does not report token 9 as the conflict of another incarnation";
     EXPECT_EQ(conflict("digest", 3, "", 0), FencingToken{});
 }
 
 void expect_floor_of_forgotten_duties(const Fence& fence) {
     Fence later = fence;
     EXPECT_FALSE(later.accepts(DutyName{"new"}, {FencingToken{8}, MemberName{"g1"}, Incarnation{101}}))
-        << "8 is the highest token of the duties that were forgotten";
+        << "the fence accepted token 8, which is not above the highest token of the forgotten duties";
     EXPECT_TRUE(later.accepts(DutyName{"new"}, {FencingToken{9}, MemberName{"g1"}, Incarnation{101}}));
 }
 
@@ -104,7 +107,7 @@
 }
 
 // A saved endpoint list must be refused if one of its bytes has changed, if it belongs to another owner, if
-// it is too old, or if it is from the future.
+// it is too old, or if its time is in the future.
 TEST(StoredData, AKeptListThatIsDamagedOrAnothersIsRefused) {
     const std::string bytes = golden("stored/kept_list.bin");
     for (std::size_t n = 0; n < bytes.size(); ++n) {
@@ -113,7 +116,7 @@
         EXPECT_EQ(
             std::get<registry::SnapshotError>(registry::parse_snapshot(damaged, kept_owner, kept_at, hour)),
             registry::SnapshotError::checksum_mismatch)
-            << "byte " << n;
+            << "the change of byte " << n << " was not reported as a wrong checksum";
     }
     const auto why = [&](const std::string& owner, TimePoint now) {
         const auto read = registry::parse_snapshot(bytes, owner, now, hour);
@@ -391,7 +394,7 @@
     TemporaryFolder folder;
     std::unique_ptr<test_support::Process> gateway;
     test_support::LoopRunner stretches{
-        loop};  // declared last: no member above may be destroyed while the loop runs
+        loop};  // declared last: no field above may be destroyed while the loop runs
 
     std::string value(const std::string& key) const {
         const auto* state = registry_.model.at(registry_.model.newest());
--- a/tests/wire_names_test.cpp
+++ b/tests/wire_names_test.cpp
@@ -401,8 +401,8 @@
     const Deployment& d = c.settings.deployment;
 };
 
-// The fields outside of "settings" must be read under their names. settings/configuration.json, which the
-// tests of this fixture read, has every field.
+// The program must read the fields of the configuration outside of "settings" under their names. The file
+// settings/configuration.json, which the tests of this fixture read, has every field.
 TEST_F(ConfigurationFields, ReadsTheFieldsOutsideOfSettings) {
     EXPECT_EQ(c.name, "try");
     EXPECT_EQ(c.listen, "127.0.0.1:7100");
@@ -417,7 +417,7 @@
             {"pages", ObjectKindIndex{0}}, {"keyed", ObjectKindIndex{1}}, {"orders", ObjectKindIndex{2}}}));
 }
 
-// The fields of the object kinds must be read under their names.
+// The program must read the fields of the configuration's object kinds under their names.
 TEST_F(ConfigurationFields, ReadsTheObjectKinds) {
     ASSERT_EQ(d.kinds.size(), 3u);
     const ObjectKind &pages = d.kinds[0], &keyed = d.kinds[1], &orders = d.kinds[2];
@@ -440,8 +440,8 @@
     EXPECT_TRUE(keyed.uncacheable);
 }
 
-// The fields that describe the gateway's place in the deployment and the permitted features must be read
-// under their names.
+// The program must read the fields that describe the gateway's place in the deployment, and the fields of the
+// permitted features, under their names.
 TEST_F(ConfigurationFields, ReadsTheDeploymentAndItsCapabilities) {
     EXPECT_EQ(d.gateways, 7);
     EXPECT_EQ(d.gateways_in_location, 3);
@@ -460,7 +460,7 @@
     EXPECT_TRUE(d.weights_known);
 }
 
-// The fields with capacities and times must be read under their names.
+// The program must read the fields with capacities and times under their names.
 TEST_F(ConfigurationFields, ReadsCapacitiesAndTimes) {
     EXPECT_EQ(d.edge_slow_start.initial_capacity_share, 0.2);
     EXPECT_EQ(d.edge_slow_start.window, Duration::seconds(18));
@@ -525,7 +525,7 @@
     std::optional<AttemptEnd> attempt_end;
     std::optional<Outcome> health_check_outcome;
     std::string transcript;
-    // Declared last, as no member above may be destroyed while the loop runs.
+    // Declared last, as no field above may be destroyed while the loop runs.
     test_support::LoopRunner loop_runner{loop};
 
     void SetUp() override {
@@ -544,7 +544,7 @@
     void on_health_check_result(const HealthCheckResult& a) override { health_check_outcome = a.outcome; }
     bool may_begin_attempt(ActiveRequest&, std::size_t) override { return true; }
     void on_request_id_in_use(ActiveRequest&, std::size_t) override {
-        ADD_FAILURE() << "each id is used once";
+        ADD_FAILURE() << "a request id was reported as in use, but each id is used once";
     }
     void send_response(const ClientStream&, std::string_view, bool) override {}
     void send_rejection(const ClientStream&, Duration) override {}
@@ -678,7 +678,7 @@
     std::shared_ptr<test_support::TestConnection> client;
     std::string received_by_client;  // bytes that the client has received
     std::string transcript;          // all messages so far
-    // Declared last, as no member above may be destroyed while the loop runs.
+    // Declared last, as no field above may be destroyed while the loop runs.
     test_support::LoopRunner loop_runner{loop};
 
     virtual void modify(json&) const {}
