--- a/bench/fit.cpp
+++ b/bench/fit.cpp
@@ -21,7 +21,7 @@
     double spread = 0;
 };
 
-constexpr double least_share = 0.1;  // smallest share of a quadratic term that counts as a bend
+constexpr double least_share = 0.1;  // smallest share of the quadratic term for which Fit::bends can be true
 
 using Matrix = std::array<std::array<double, 3>, 3>;
 
--- a/bench/fit.hpp
+++ b/bench/fit.hpp
@@ -41,9 +41,12 @@
 /// needs four points with three different sizes. Fields that can't be fitted stay 0.
 Fit fit(const std::vector<Point>& points);
 
-/// Estimates the value at a size. Returns the mean of the values measured at this size if there are any,
-/// otherwise the value of the fitted line. If the points bend, interpolates between the two neighbouring
-/// measured sizes instead; beyond the largest measured size, returns the higher of line and parabola.
+/// Estimates the value at a size:
+/// - If values were measured at this size, returns their mean.
+/// - Otherwise, if Fit::bends is false for the points, returns the value of the fitted line.
+/// - Otherwise, interpolates between the two neighbouring measured sizes. Beyond the largest measured size,
+///   returns the value of the fitted line or of the fitted parabola, whichever is higher. Below the smallest
+///   measured size, returns the value of the parabola.
 double value_at(const std::vector<Point>& points, double size);
 
 /// Returns the two-sided 5% bound of Student's t for this number of degrees of freedom.
--- a/bench/scale/events.cpp
+++ b/bench/scale/events.cpp
@@ -85,7 +85,8 @@
             result_.bytes_per_real_gateway =
                 static_cast<double>(resident.at("real")) / static_cast<double>(real);
         }
-        // Waits for the relays, which report the traffic of a second right after this second has ended.
+        // Waits until the relays have reported the traffic of the last measured second. A relay reports the
+        // traffic of each second right after that second has ended.
         rig_.run_for(one_second * 1.2);
         result_.stubs = rate_over(rig_.traffic(), from_, until, real, stubs);
         if (real > 0) {
--- a/bench/scale/rig.cpp
+++ b/bench/scale/rig.cpp
@@ -218,7 +218,7 @@
         Topology::cache_name(cache), "node",
         reachable ? real_zone : "zone-" + std::to_string(cache / Topology::zone_caches),
         reachable ? cache_addresses_[cache] : "10.0.0.1:6379", "Ready");
-    // The weight of the first cache carries the version of the endpoint list, in thousandths.
+    // The weight of the first cache in the endpoint list is the list's version divided by 1000.
     if (cache == 0) line["weight"] = static_cast<double>(list_version_) / 1000;
     return line;
 }
--- a/bench/scale/roles.cpp
+++ b/bench/scale/roles.cpp
@@ -281,7 +281,7 @@
         Slot& slot = slots_.at(numbers_.at(gateway));
         if (!slot.gateway) return;
         std::int64_t version = 0;
-        // The weight of the first cache carries the version of the endpoint list, in thousandths.
+        // The weight of the first cache in the endpoint list is the list's version divided by 1000.
         const auto first = slot.gateway->endpoints().find(CacheId{Topology::cache_name(0)});
         if (first != slot.gateway->endpoints().end()) version = std::llround(first->second.weight * 1000);
         if (version <= slot.list_version) return;
