--- a/src/cli/registry_queries.cpp
+++ b/src/cli/registry_queries.cpp
@@ -38,7 +38,7 @@
 
 ValuesByKey read_keys(RegistrySession& session, const registry::Settings& settings,
                       const std::vector<std::string>& keys) {
-    constexpr std::size_t max_reads = 120;  // per transaction, of which a registry accepts up to 128
+    constexpr std::size_t max_reads = 120;  // per transaction; a registry accepts up to 128
     ValuesByKey values;
     for (std::size_t first = 0; first < keys.size(); first += max_reads) {
         std::vector<std::string> reads;
--- a/src/fleet/agent.hpp
+++ b/src/fleet/agent.hpp
@@ -141,7 +141,7 @@
         FencedWrite write_request;
     };
 
-    // agent.cpp
+    // Functions that are defined in agent.cpp.
     void advance(TimePoint now);
     void submit_next(TimePoint now);
     void submit_next_of_term(TimePoint now);
@@ -152,7 +152,7 @@
     void on_full_list(TimePoint now, const std::vector<KeyValue>& records);
     void apply_records(TimePoint now, registry::Revision at, const std::vector<KeyValue>& records);
 
-    // agent_join.cpp
+    // Functions that are defined in agent_join.cpp.
     void read_own_records(TimePoint now);
     void on_own_records(TimePoint now, registry::Revision at, const std::vector<KeyValue>& records);
     void on_own_instance_found(TimePoint now, Incarnation incarnation, const RecordValue& member,
@@ -168,7 +168,7 @@
     void refuse_to_join(JoinRefusal reason, std::string registry_config = {});
     MemberRecord own_record() const;
 
-    // agent_heartbeat.cpp
+    // Functions that are defined in agent_heartbeat.cpp.
     void send_heartbeat(TimePoint now);
     void on_heartbeat_landed(TimePoint now);
     void check_own_heartbeat(TimePoint now, const std::vector<KeyValue>& records);
@@ -179,7 +179,7 @@
     bool reads_all_heartbeats() const;
     bool next_eviction(TimePoint now);
 
-    // agent_leases.cpp
+    // Functions that are defined in agent_leases.cpp.
     void on_duty_record(const DutyName&, const Duties::Duty&);
     void on_lower_token(const DutyName&, FencingToken shown, FencingToken seen);
     void update_leases(TimePoint now);
@@ -197,12 +197,12 @@
     // true, counts only members that have been in the fleet for long enough to be handed a duty.
     std::size_t rank(TimePoint now, const DutyName&, const Duties::Duty&, bool settled) const;
 
-    // agent_writes.cpp
+    // Functions that are defined in agent_writes.cpp.
     bool next_publication(TimePoint now);
     bool next_write(TimePoint now);
     void finish_write(WriteOutcome outcome);
 
-    // agent_debug.cpp
+    // Functions that are defined in agent_debug.cpp.
     std::string debug_members(TimePoint now) const;
     std::string debug_duties(TimePoint now) const;
     std::string debug_age(TimePoint now, TimePoint since) const;
--- a/src/fleet/digest.cpp
+++ b/src/fleet/digest.cpp
@@ -72,9 +72,10 @@
     return true;
 }
 
-// Adds to the digest the lowest revisions of the live members, and the list of the live members that have not
-// applied the event or the configuration with the highest number in the site. Members with the lowest event
-// numbers come first in the list.
+// Adds to the digest the lowest event number and the lowest configuration number of the live members. Also
+// adds the list of the lagging members. A live member lags if it lacks the event with the highest number in
+// the site, the configuration with the highest number of a live member, or both. Members with the lowest
+// event numbers come first in the list.
 void add_lagging(Digest& digest, std::vector<Digest::LaggingMember> live) {
     if (live.empty()) return;
     std::sort(live.begin(), live.end(), [](const auto& a, const auto& b) {
--- a/src/fleet/digest.hpp
+++ b/src/fleet/digest.hpp
@@ -69,8 +69,8 @@
     ConfigurationNumber lowest_configuration;
     std::vector<AbsentMember> absent;
     std::size_t absent_count = 0;
-    /// Live members that have not applied the event or the configuration with the highest number in the site.
-    /// Members with the lowest event numbers come first.
+    /// Live members that lack the event with the highest number in the site, the configuration with the
+    /// highest number of a live member, or both. Members with the lowest event numbers come first.
     std::vector<LaggingMember> lagging;
     std::size_t lagging_count = 0;
     bool roster_incomplete = false;
--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -91,7 +91,8 @@
         subcommand->callback([this, command = std::move(command)] { command_ = command; });
         return subcommand;
     }
-    // Adds a group of subcommands, one of which must be given, that use a parts file.
+    // Adds a group of subcommands that use a parts file. The command line must contain one subcommand of the
+    // group.
     CLI::App* add_group(const char* name, const char* help) {
         CLI::App* const group = app_.add_subcommand(name, help);
         group->require_subcommand(1);
--- a/src/net/cache_connection.cpp
+++ b/src/net/cache_connection.cpp
@@ -201,9 +201,10 @@
     cancelled.request->delay_reuse_until(loop_.now() + context_.limits.reuse_delay);
 }
 
-// Writes attempts only when the socket can take their first byte, and checks each attempt against the
-// endpoint list and the observer at this moment. An attempt of which the socket takes nothing is queued
-// again. An attempt that the socket has taken in part stays in the output.
+// Writes attempts only when the socket can take their first byte. Right before an attempt is written, the
+// endpoint list must still name the process that the connection leads to, the endpoints of the attempt must
+// be active, and the observer must allow the attempt to begin. If the socket takes no byte of a written
+// attempt, the attempt is queued again. If the socket takes only a part, the attempt stays in the output.
 void CacheConnection::on_write_ready() {
     // Avoids writing attempts to an idle connection that the cache has just closed: an attempt that was not
     // written can be sent on another connection, but an attempt that was written may have run.
@@ -288,7 +289,7 @@
     if (!unwritten_.empty()) record_progress(unwritten_.front(), TransmitProgress::partially_written);
 }
 
-// Removes the last attempt, of which the socket has taken nothing, from the output and queues it again.
+// Removes the last attempt from the output and queues it again. The socket has taken no byte of this attempt.
 void CacheConnection::take_back_last_written() {
     const WriteRange range = std::move(unwritten_.back());
     unwritten_.pop_back();
--- a/src/net/cache_connection_pool.cpp
+++ b/src/net/cache_connection_pool.cpp
@@ -95,8 +95,8 @@
     }
 }
 
-// Closes the connection, so that the cache does not receive the rest of the attempt. A connection that
-// carries other attempts stays open.
+// Closes the connection that carries the attempt, so that the cache does not receive the rest of the attempt,
+// but only if the connection carries no other attempt.
 void CacheConnectionPool::withdraw_partially_written(const Attempt& attempt) {
     for (const ConnectionPtr& connection : connections_to(attempt.cache)) {
         if (connection->number() != attempt.connection || connection->load() != 1) continue;
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -181,9 +181,10 @@
 }
 
 // Prevents a busy loop: after one of a socket's two handlers is removed, POCO 1.11 still polls the socket for
-// the events of the removed handler. It stops only when the socket has no handler left. Both handlers are
-// therefore removed, and the handler that is still needed is added again. If the socket has an error, the
-// loop calls the registered handler, for input or for output.
+// the events of the removed handler. POCO stops this polling only when the socket has no handler left. Both
+// handlers are therefore removed, and the handler that is still needed is added again. This one handler is
+// enough to detect errors: POCO reports a socket error to the registered handler, whether this handler is for
+// input or for output.
 void Connection::update_watch() {
     const Events wanted{.readable = wanted_.readable && !read_pause_.pending(),
                         .writable = wanted_.writable && !write_pause_.pending()};
--- a/src/net/event_time_estimator.hpp
+++ b/src/net/event_time_estimator.hpp
@@ -1,16 +1,17 @@
 // Estimates when the events of the notice board happened, on this process's steady clock. Each event has a
-// timestamp of its writer's Unix clock. Any wall clock may be wrong by seconds or by an hour. This applies to
-// the writer's clock and also to this process's wall clock, which was read once at the start.
+// timestamp of its writer's Unix clock. All writers are treated as if they shared one clock. Any wall clock
+// may be wrong by seconds or by an hour. This applies to the writers' clock and also to this process's wall
+// clock, which was read once at the start.
 //
-// - No event is received before it has happened. The timestamp of a purge therefore yields a lower bound of
-//   the offset by which the writer's clock is ahead of this process's clock. The largest lower bound is
-//   applied to all other timestamps. The result is the latest time at which an event can have happened, which
-//   is needed to bound the age of copies.
+// - No event is received before it has happened. The timestamp of each purge therefore yields a lower bound
+//   of the offset by which the writers' clock is ahead of this process's clock. The largest of these lower
+//   bounds is subtracted from the timestamp of every event, whoever wrote the event. The difference is the
+//   latest time at which the event can have happened, which is needed to bound the age of copies.
 // - Live events, received by a poll, are not older than the previous poll. A timestamp of an earlier time
 //   shows that its writer's clock has been stepped back, and the offset measured so far is discarded.
-// - History, which is received as a whole, may be of any age. An event of the history is dated no earlier
-//   than its timestamp, read as a time of this process's clock, but no later than the time at which the
-//   history was received.
+// - The history of the notice board is received as a whole, and its events may have happened at any earlier
+//   time. The estimated time of such an event is at least the event's timestamp, taken as a time of this
+//   process's clock without a correction. It is at most the time at which the history was received.
 // - The start times of caches come from the caches' clocks. If the start time in a live event does not fit
 //   between the previous poll and the current time, the current time is used as the start time, so that the
 //   cache gets a slow start.
@@ -64,10 +65,10 @@
 
     Period period_ = Period::history;
     TimePoint now_, earliest_;
-    // Minimum time by which the clock of the events' writers is ahead of this process's clock, and the time
-    // at which this minimum was observed. clock_offset_ is std::nullopt if nothing was observed.
+    // Largest lower bound found so far of the offset by which the writers' clock is ahead of this process's
+    // clock. std::nullopt if no lower bound is known.
     std::optional<Duration> clock_offset_;
-    TimePoint clock_offset_seen_at_;
+    TimePoint clock_offset_seen_at_;  // time at which clock_offset_ was found
     std::map<CacheId, Start> starts_;
 };
 
--- a/src/net/fastcgi_server.cpp
+++ b/src/net/fastcgi_server.cpp
@@ -211,8 +211,8 @@
     return true;
 }
 
-// Closes the connection that has been idle for the longest time, while there is still time to close it
-// gracefully.
+// Closes the connection that has been idle for the longest time if few connections are free. A graceful close
+// takes time, so the close begins before all connections are in use.
 void FastCgiServer::keep_connections_free() {
     const std::size_t limit = context_.limits.connections;
     const std::size_t kept_free = limit / free_connections_divisor;
--- a/src/registry/registry_client.cpp
+++ b/src/registry/registry_client.cpp
@@ -77,7 +77,8 @@
     const Page& page = range.page;
     if (operation == Operation::check_revision)
         return watch_.on_check_result(event_loop_.now(), page.header, range.count, page.records);
-    // The page size that on_reply_too_long() has halved grows again once the replies are far below the limit.
+    // Doubles the page size, up to the configured size, if on_reply_too_long() has halved it before and this
+    // reply is far below the length limit.
     constexpr std::size_t small_reply_bytes = max_reply_bytes / 4;
     if (reply_bytes < small_reply_bytes) page_size_ = std::min(page_size_ * 2, settings_.page_size);
     watch_.on_page(event_loop_.now(), page);
--- a/src/routing/congestion.hpp
+++ b/src/routing/congestion.hpp
@@ -29,8 +29,8 @@
     static void count_as_late(Attempt& attempt, EndpointState& cache);
     /// Stops counting an attempt as late after the attempt or its request has ended.
     static void stop_counting_as_late(Attempt& attempt, EndpointState& cache);
-    /// Sums the late attempts at caches that respond and don't lose attempts. Late attempts at other caches
-    /// say nothing about fills.
+    /// Sums the late attempts at the caches that have responded recently and don't lose attempts. At other
+    /// caches, attempts can be late even if no fill is slow, so these late attempts are not counted.
     void recount_late_attempts(TimePoint now);
 
     /// @return true if the fills behind the caches neither complete nor fail, whatever the cause. Further
--- a/src/routing/idempotency.hpp
+++ b/src/routing/idempotency.hpp
@@ -1,5 +1,6 @@
-// Ensures that a request with an effect is never run twice. The possible effects of earlier attempts
-// determine whether further attempts are allowed and whether the request may be rejected.
+// Ensures that a non-idempotent request is never run twice, and that repeated attempts of a request with an
+// idempotency key have no further effect. The possible effects of earlier attempts determine whether further
+// attempts are allowed and whether the request may be rejected.
 #pragma once
 
 #include "irismux/deployment.hpp"
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -12,9 +12,10 @@
 constexpr double rate_share_of_overload = 0.5;
 // Maximum unused budget that is kept, as a share of the budget that accrues in one overload window.
 constexpr double burst_share_of_window = 0.15;
-// While all gateways are idle, they are allowed to accumulate, together, this share of the headroom as
-// budget. The headroom is the difference between the load that stops the endpoint (the overload multiple of
-// its capacity) and the load that the growth of the budgets permits.
+// A load above the overload multiple of the endpoint's current capacity stops the endpoint. The budgets of
+// all gateways together grow at rate_multiple() times this capacity, and this growth permits a lower load.
+// The headroom is the difference between the two loads in one overload window. Idle gateways keep unused
+// budget. All gateways together may keep unused budget up to this share of the headroom.
 constexpr double headroom_share = 0.7;
 // Limit on the sum of the transfer times of all requests that this gateway sends to an endpoint within one
 // overload window. The limit is a multiple of the endpoint's budget that this gateway accrues in the same
@@ -85,9 +86,9 @@
     warm_up.budget += (rate_at(warm_up.accrued_until, since, full_capacity, settings) - rate) / 2 * elapsed;
     warm_up.budget += rate * elapsed;
     warm_up.accrued_until = now;
-    // Discards accumulated budget above the headroom. All gateways accumulate budget while they are idle. If
-    // each gateway could accumulate enough for a request, all gateways could send a request to the warming
-    // endpoint at the same time and overload the endpoint.
+    // Discards accumulated budget above this gateway's share of the headroom. All gateways accumulate budget
+    // while they are idle. If each gateway could accumulate enough for a request, all gateways could send a
+    // request to the warming endpoint at the same time and overload the endpoint.
     const double excess = warm_up.budget - transfer_seconds * warm_up.required_share - headroom;
     if (headroom < transfer_seconds && excess > 0)
         warm_up.budget -= std::ceil(excess / transfer_seconds) * transfer_seconds;
