--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -76,7 +76,7 @@
             if (const auto exit_code = on_no_reply()) return *exit_code;
         }
         return print_error("no reply to " + std::to_string(max_writes) +
-                           " writes; the last read showed that none had taken effect");
+                           " writes; the last read showed that no write had taken effect");
     }
 
 private:
--- a/src/cli/registry_commands.cpp
+++ b/src/cli/registry_commands.cpp
@@ -36,7 +36,7 @@
             if (const auto exit_code = on_no_reply(value, unchanged_since)) return *exit_code;
         }
         return print_error("no reply to " + std::to_string(max_writes) + " writes of " + id_ +
-                           "; the last read showed that none had taken effect");
+                           "; the last read showed that no write had taken effect");
     }
 
 private:
--- a/tests/registry_cli_test.cpp
+++ b/tests/registry_cli_test.cpp
@@ -87,7 +87,8 @@
     registry.faults(0).unresponsive = true;
     const auto [code, output] = run({"drain", "c1"});
     EXPECT_EQ(code, 1);
-    EXPECT_NE(output.find("the last read showed that none had taken effect"), std::string::npos) << output;
+    EXPECT_NE(output.find("the last read showed that no write had taken effect"), std::string::npos)
+        << output;
     EXPECT_FALSE(draining("c1"));
     registry.faults(0).unresponsive = false;
     registry.stop_member(0);
