--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -140,7 +140,7 @@
            "commit docs/CAPACITY.md";
 }
 
-// Each source file that the capacity page names as a mechanism must exist.
+// Each source file whose path stands in the capacity page must exist.
 TEST(CapacityPage, NamesFilesThatExist) {
     const std::string page = capacity_page_of(root);
     std::size_t named = 0;
--- a/tests/fleet_in_force_test.cpp
+++ b/tests/fleet_in_force_test.cpp
@@ -150,10 +150,11 @@
         }
 }
 
-// When a site's gateways are restarted with older state, reports of their former processes must not be taken
-// for reports of the new processes, which lack an event. The test cuts a site off from the registry and the
-// board while events are published, and restarts its gateways with older state. After the links return, the
-// readers' verdict must not be `everywhere` until the gateways have applied the newest event.
+// A gateway that restarts with older state has not yet applied the newest events again. A reader must not
+// take a report of the gateway's former process for a report of the new process. The test cuts a site off
+// from the registry and the board while events are published, and restarts the site's gateways with older
+// state. After the links return, the readers' verdict must not be `everywhere` until the gateways have
+// applied the newest event.
 TEST(SimulatedSites, ASiteThatReturnsWithOldStateDoesNotCount) {
     for (std::uint32_t seed = 1; seed <= 20; ++seed) {
         SCOPED_TRACE(seed);
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -134,7 +134,7 @@
         if (request.answered) add_violation("an attempt arrives after the final response");
         if (request.in_flight > 0) add_violation("two attempts of a request are in flight at the same time");
         if (request.may_have_run && request.kind == 1)
-            add_violation("a request with an effect is retried after it may have run");
+            add_violation("a non-idempotent request is retried although an earlier attempt may have run");
         for (const std::string& endpoint : {cache, via})
             if (withdrawn.contains(endpoint) && drain_known_at > TimePoint{} &&
                 now > drain_known_at + Duration::seconds(0.25))
@@ -295,7 +295,7 @@
         } else if (answer.find("Status: 503") == 0) {
             ++rejected;
             if (request.kind == 1 && request.may_have_run)
-                add_violation("a request with an effect is rejected though it may have run");
+                add_violation("a non-idempotent request is rejected although an attempt may have run");
         } else {
             ++failed;
         }
--- a/tests/notice_catch_up_test.cpp
+++ b/tests/notice_catch_up_test.cpp
@@ -15,7 +15,7 @@
 using test_support::SingleProcess;
 
 #if defined(__SANITIZE_ADDRESS__)
-constexpr bool memory_is_returned = false;  // the sanitizer does not return freed memory to the system
+constexpr bool memory_is_returned = false;  // the sanitizer does not return freed memory to the kernel
 #else
 constexpr bool memory_is_returned = true;
 #endif
--- a/tests/notice_client_test.cpp
+++ b/tests/notice_client_test.cpp
@@ -21,10 +21,10 @@
     return "{\"rev\":" + std::to_string(rev) + ",\"flush\":{\"asset\":\"" + object + "\",\"ms\":1}}";
 }
 
-// The client must lose no event if a response breaks off, if a response contains an unreadable event, or if
-// the board's address changes. In each of these cases the client must poll again at once. It must request the
-// unreadable event once more before it skips the event, and at the new address it must continue from its last
-// revision.
+// The client must lose no readable event if a response breaks off, if a response contains an unreadable
+// event, or if the board's address changes. In each of these cases the client must poll again at once. The
+// client may skip the unreadable event only if the event is unreadable again in the response to the next
+// poll. At the new address the client must continue from its last revision.
 TEST(NoticeClient, LosesNoEventByABreakAnUnreadableEventOrAnAddressChange) {
     log::set_level(log::Level::error);
     EventLoop loop;
--- a/tests/random_gateway_scenario.hpp
+++ b/tests/random_gateway_scenario.hpp
@@ -66,7 +66,7 @@
     return all;
 }
 
-// Plays random events on one router, which is new when the scenario starts.
+// Delivers random events to one router, which is new when the scenario starts.
 class RandomScenario {
 public:
     RandomScenario(const Deployment& settings, std::uint64_t seed)
--- a/tests/repeated_id_test.cpp
+++ b/tests/repeated_id_test.cpp
@@ -125,7 +125,7 @@
     };
 }
 
-// Checks, by the attempts that the caches have received whole, that no request with an effect has run twice.
+// Checks, by the attempts that the caches have received whole, that no non-idempotent request has run twice.
 // Two requests are equal if everything that a client can choose is equal. If at least the longest deadline
 // lies between two equal requests, the second one counts as a new request.
 void expect_no_second_run(const SingleProcess& gateway) {
@@ -282,7 +282,7 @@
     EXPECT_EQ(fixture.cache.received.size(), 2u);
 }
 
-// Clients repeat a request that has an effect, before and after the first request gets its response. The
+// Clients repeat a non-idempotent request, before and after the first request gets its response. The
 // repeated request must be refused each time. A request with the same id and another body is another request,
 // and must run.
 TEST(RepeatedId, ARequestWithAnEffectRunsOnce) {
--- a/tests/router_fixture.hpp
+++ b/tests/router_fixture.hpp
@@ -1,4 +1,4 @@
-// Fixture with a router in the test deployment, and helpers that play whole requests.
+// Fixture with a router in the test deployment, and helpers that simulate whole requests.
 #pragma once
 
 #include "router_test_support.hpp"
@@ -15,7 +15,7 @@
     Request new_request(const std::string& object, std::size_t kind = 0) {
         return request_for("l" + std::to_string(made++), object, harness.now + second * 5, kind);
     }
-    // Plays a request. Its first attempt ends with `outcome`, and the client then has its final response.
+    // Simulates a request. Its first attempt ends with `outcome`, and the client then has its final response.
     // @return the first attempt, or an empty StartedAttempt if the request is rejected
     StartedAttempt request_and_end(const std::string& object, Outcome outcome,
                                    CacheStatus status = CacheStatus::none) {
@@ -25,7 +25,7 @@
         harness.end_attempt(harness.callbacks.attempts.size() - 1, outcome, status, true);
         return copy;
     }
-    // Plays a request for an object of which no cache has a copy.
+    // Simulates a request for an object of which no cache has a copy.
     // @return the attempt that fills the object, or an empty StartedAttempt if the request is rejected
     StartedAttempt request_fill(const std::string& object, CacheStatus status = CacheStatus::filled) {
         std::vector<StartedAttempt>& attempts = harness.callbacks.attempts;
--- a/tests/router_slow_start_test.cpp
+++ b/tests/router_slow_start_test.cpp
@@ -24,8 +24,8 @@
 }
 
 // A gateway without a budget would overload a parent that has just started, and a gateway that avoided the
-// parent would leave its capacity unused. The test plays 400 fills after the start of p1. The parent must get
-// at least one fill, and fewer than 30.
+// parent would leave its capacity unused. The test simulates 400 fills after the start of p1. The parent must
+// get at least one fill, and fewer than 30.
 TEST_F(RouterSlowStartTest, AWarmingParentGetsOnlyItsBudget) {
     EndpointUpdate parent = endpoint_update("p1", parent_machine, 30);
     parent.started_at = harness.now;
@@ -69,7 +69,7 @@
     EXPECT_FALSE(harness.callbacks.rejected.empty()) << "the budget of the origin does not limit the fills";
 }
 
-// Plays a new request. Each cache-only attempt of the request misses, and each attempt with a source
+// Simulates a new request. Each cache-only attempt of the request misses, and each attempt with a source
 // completes its fill.
 // @return the sum of the transfer times of the attempts that fill from p1, in seconds
 double transfer_time_sent_to_p1(RouterHarness& harness, const Deployment& settings, int number) {
@@ -126,7 +126,7 @@
 
 class StartListedLate : public RouterTest, public ::testing::WithParamInterface<const char*> {
 protected:
-    // Plays `requests` requests at intervals of `each`.
+    // Simulates `requests` requests at intervals of `each`.
     // @return the number of attempts that use the tested endpoint as cache or as source
     int attempts_during(int requests, Duration each) {
         const CacheId endpoint{GetParam()};
--- a/tests/router_test_support.hpp
+++ b/tests/router_test_support.hpp
@@ -158,7 +158,8 @@
 
     bool may_have_run(const RequestId& id) const { return !attempts_that_may_have_run(id).empty(); }
 
-    // @return positions in `attempts`, including attempts in flight
+    // Returns the positions in `attempts` of those attempts of the request that may have run. An attempt in
+    // flight counts as an attempt that may have run.
     std::vector<std::size_t> attempts_that_may_have_run(const RequestId& id) const {
         std::vector<std::size_t> positions;
         const auto it = attempts_of.find(id);
--- a/tests/routing/freshness_test.cpp
+++ b/tests/routing/freshness_test.cpp
@@ -26,8 +26,9 @@
 };
 
 // A gateway that did not limit the age of copies after a purge would let caches serve copies from before the
-// purge. The test purges all copies that are older than 0.2 s. One second later, a served copy must be at
-// most 1.2 s old, minus the resolution of timers.
+// purge. The test purges all copies that are older than 0.2 s. One second later, each purged copy is more
+// than 0.2 s + 1 s = 1.2 s old. The maximum age for a served copy must then be 1.2 s minus
+// Deployment::timer_resolution, which is the maximum delay of timers and of reports.
 TEST_F(FreshnessTest, APurgeLimitsTheAgeWhileOldCopiesMayRemain) {
     purge(Duration::seconds(0.2));
     EXPECT_EQ(freshness_.max_age(request_, false, now_ + one_second),
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -17,8 +17,8 @@
 constexpr double acceptance_period_s = 0.7, sigkill_after_s = 3 + acceptance_period_s;
 
 // Two requests wait at caches that do not respond, with deadlines after the earliest SIGKILL. After SIGTERM
-// both requests must get a response before SIGKILL can be sent: the request without an effect is rejected,
-// and the request with an effect fails. The process must then exit by itself (Shutdown::begin,
+// both requests must get a response before SIGKILL can be sent: the idempotent request is rejected, and
+// the non-idempotent request fails. The process must then exit by itself (Shutdown::begin,
 // Router::on_drain).
 TEST(Shutdown, AnswersBeforeItCanBeKilled) {
     SingleProcess gateway(process_options(2));
--- a/tests/slow_start_fleet_test.cpp
+++ b/tests/slow_start_fleet_test.cpp
@@ -204,15 +204,17 @@
             sent += fleet.sent.size();
             ++plays;
         }
-    std::printf("%d gateways sent at most %.2f times the allowed transfers, in %zu plays\n", GetParam(),
-                worst, plays);
+    std::printf(
+        "%d gateways together started at most %.2f times the allowed number of transfers, in %zu simulated "
+        "runs\n",
+        GetParam(), worst, plays);
     EXPECT_GT(sent, plays * 5) << "too few attempts reached the endpoint for a meaningful check";
 }
 INSTANTIATE_TEST_SUITE_P(Sizes, RestartInAFleet, ::testing::Values(3, 20, 30, 300));
 
-// Plays a location with three caches. One cache restarts, the two other caches leave the endpoint list, and
-// then a burst of requests arrives. The link weights of the caches are unknown, so each gateway estimates the
-// capacity of a cache from the link capacity of the location. The restarted cache must not be overloaded.
+// Simulates a location with three caches. One cache restarts, the two other caches leave the endpoint list,
+// and then a burst of requests arrives. The link weights of the caches are unknown, so each gateway estimates
+// the capacity of a cache from the link capacity of the location. The restarted cache must not be overloaded.
 struct LocationWithRestart : FleetWithRestart {
     // The cause for which a gateway removes the peers. Either an update of the endpoint list removes them, or
     // the gateway restarts and its first endpoint list has them as draining.
@@ -317,10 +319,13 @@
             sent += location.sent.size();
             ++plays;
         }
-    std::printf("%d gateways, %s, sent at most %.2f times the allowed transfers, in %zu plays\n", gateways,
-                source == LocationWithRestart::LearnsFrom::update ? "with the peers removed by an update"
-                                                                  : "restarted with the peers draining",
-                worst, plays);
+    std::printf(
+        "%d gateways, %s, together started at most %.2f times the allowed number of transfers, in %zu "
+        "simulated runs\n",
+        gateways,
+        source == LocationWithRestart::LearnsFrom::update ? "with the peers removed by an update"
+                                                          : "restarted with the peers draining",
+        worst, plays);
     EXPECT_GT(sent, plays * 50) << "too few attempts reached the endpoint for a meaningful check";
 }
 INSTANTIATE_TEST_SUITE_P(Sizes, RestartInALocation,
--- a/tests/wire_names_test.cpp
+++ b/tests/wire_names_test.cpp
@@ -614,7 +614,8 @@
     EXPECT_EQ(health_check_outcome, Outcome::completed);
 }
 
-// Each result of a cache's response must map to its outcome.
+// A cache's response contains a result word, for example NONE. The gateway must translate each result word to
+// the Outcome value for this word, for example Outcome::cache_miss.
 TEST_F(CacheProtocol, ReadsEachResultOfAResponse) {
     const std::vector<std::pair<std::string, Outcome>> results = {{"NONE", Outcome::cache_miss},
                                                                   {"SHED", Outcome::overloaded},
@@ -635,7 +636,8 @@
     EXPECT_TRUE(valid.not_modified);
 }
 
-// The note of a cache's response must map to its CacheStatus.
+// A cache's response can contain a note, for example past_fresh. The gateway must translate each note to the
+// CacheStatus value for this note, for example CacheStatus::stale.
 TEST_F(CacheProtocol, ReadsEachNoteOfAResponse) {
     const std::vector<std::pair<std::string, CacheStatus>> notes = {
         {"cached", CacheStatus::hit},
