--- a/bench/scale/output.cpp
+++ b/bench/scale/output.cpp
@@ -25,7 +25,7 @@
     return out.data();
 }
 
-// The runs with one setting of [fleet]. The first variant is the one with the program's defaults.
+// All runs that used the same [fleet] settings. The variant with the program's default settings comes first.
 struct Variant {
     std::string name;
     std::vector<json> runs;  // ordered by number of gateways
@@ -64,8 +64,8 @@
     return run["gateways"].get<double>() - run["real_gateways"].get<double>();
 }
 
-// A fitted quantity: the total over all stub gateways, so that traffic from every gateway to every other
-// shows as a quadratic term.
+// A fitted quantity. The fit uses the total over all stub gateways, so that traffic that every gateway sends
+// to every other shows as a quadratic term.
 struct Quantity {
     std::string name, unit;
     double scale;
@@ -144,7 +144,7 @@
     return rows;
 }
 
-// The quadratic term at the largest size, as a share of the line's value there.
+// Returns the quadratic term at the largest size as a share of the fitted line's value at this size.
 double quadratic_share_at_largest(const bench::Fit& f) {
     const double value = f.line(f.largest);
     return value != 0 ? f.quadratic * f.largest * f.largest / value : 0;
@@ -152,7 +152,7 @@
 
 std::string fits_of(const Variant& v) {
     constexpr double min_share = 0.1;
-    // With fewer degrees of freedom, the test would miss a quadratic term of relevant size.
+    // A test with fewer degrees of freedom would miss a quadratic term of relevant size.
     constexpr std::size_t min_degrees_of_freedom = 2;
     std::string rows;
     for (const std::string& name : order)
--- a/bench/scale/roles.cpp
+++ b/bench/scale/roles.cpp
@@ -28,7 +28,8 @@
 
 std::int64_t unix_us(TimePoint at) { return (at - TimePoint{}).micros(); }
 
-// Base of all roles: an event loop, and the control channel on which each order is answered with its id.
+// Base of all roles. It has an event loop and the control channel, and confirms each order with the id of the
+// order.
 class Role {
 public:
     virtual ~Role() = default;
@@ -55,8 +56,8 @@
 
 // --- the registry ----------------------------------------------------------------------------------------
 
-// All registry members share one history, so one process runs all of them; each has its own listener and
-// connections.
+// All registry members share one history, so one process runs all of them. Each registry member has its own
+// listener and connections.
 class RegistryRole final : public Role {
     static constexpr std::int64_t min_history = 600;  // minimum number of revisions kept
 
@@ -106,7 +107,7 @@
 
 // --- relays ----------------------------------------------------------------------------------------------
 
-// Runs one relay per gateway and control machine, and counts the traffic through each.
+// Runs one relay per gateway and control machine, and counts the traffic through each relay.
 class RelayRole final : public Role {
     json handle_order(const json& order) override {
         if (order.contains("targets")) {
@@ -152,7 +153,7 @@
                 relay.faults(way).bytes_per_second = order["bytes_a_second"].get<std::size_t>();
         }
     }
-    // Reports at each full second the traffic of the previous one.
+    // Reports at each full second the traffic of the previous second.
     void report_traffic() {
         const std::int64_t second = unix_us(loop_.now()) / 1'000'000;
         if (reported_second_ > 0 && second > reported_second_)
@@ -169,7 +170,8 @@
 
 // --- stub gateways ---------------------------------------------------------------------------------------
 
-// index and number of the listed caches that change_ejections() cycles through
+// change_ejections() cycles through a range of listed caches; the constants are the index of the first cache
+// and the number of caches.
 constexpr std::size_t first_ejected_cache = 50, ejected_caches = 40;
 
 class StubGatewayRole final : public Role, public test_support::StubGatewayObserver {
@@ -235,7 +237,9 @@
             if (s.gateway) s.gateway->set_ejected(cache, order["is"].get<bool>());
         });
     }
-    // Each gateway ejects a different cache, and every second the next one.
+    // Once per second, makes each stub gateway readmit the cache that it has ejected and eject the next one,
+    // so that each stub gateway ejects exactly one cache at a time. Gateways with consecutive numbers eject
+    // different caches. If `enabled` is false, all these caches are readmitted and no more are ejected.
     void change_ejections(bool enabled) {
         loop_.cancel(ejection_timer_);
         for (auto& [number, slot] : slots_) {
@@ -272,12 +276,12 @@
         return all;
     }
 
-    // test_support::StubGatewayObserver
+    // Functions of test_support::StubGatewayObserver:
     void on_endpoints_applied(const std::string& gateway, TimePoint at) override {
         Slot& slot = slots_.at(numbers_.at(gateway));
         if (!slot.gateway) return;
         std::int64_t version = 0;
-        // The list version is encoded as the weight of the first cache, in thousandths.
+        // The weight of the first cache in the endpoint list is the list's version divided by 1000.
         const auto first = slot.gateway->endpoints().find(CacheId{Topology::cache_name(0)});
         if (first != slot.gateway->endpoints().end()) version = std::llround(first->second.weight * 1000);
         if (version <= slot.list_version) return;
@@ -365,7 +369,7 @@
     if (role == "relay") made = std::make_unique<RelayRole>();
     if (role == "hollow") made = std::make_unique<StubGatewayRole>();
     if (role == "data") made = std::make_unique<DataPathRole>();
-    if (!made) return std::cerr << "scale: no such role: " << role << '\n', 2;
+    if (!made) return std::cerr << "scale: the rig has no role named " << role << '\n', 2;
     try {
         made->run(control, role, number);
     } catch (const std::exception& e) {
--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -76,7 +76,7 @@
             if (const auto exit_code = on_no_reply()) return *exit_code;
         }
         return print_error("no reply to " + std::to_string(max_writes) +
-                           " writes; the last read showed that none had taken effect");
+                           " writes; the last read showed that no write had taken effect");
     }
 
 private:
@@ -89,22 +89,22 @@
         for (const auto& record : result.records)
             if (reply_lost_before && record.key.raw() == path_of(key_) && after_ == record.value) return 0;
         return print_error(
-            "the records changed after they were read; nothing was written, check them and try again");
+            "the records changed after they were read; nothing was written; check the records and try again");
     }
 
-    // Reads the record after a lost reply. Returns std::nullopt if the record is unchanged and can be written
-    // again, and otherwise the exit code.
+    // Reads the record after the reply to a write was lost. Returns std::nullopt if the record is unchanged
+    // and can be written again. In all other cases returns the exit code.
     std::optional<int> on_no_reply() {
         const auto read = read_records(session_, settings_);
         if (const auto* error = std::get_if<etcd::Error>(&read))
             return print_error("no reply to the write, and the record could not be read: " + error->message +
-                               "; the write may or may not have taken effect");
+                               "; it is unknown whether the write took effect");
         const RecordValue now = text_of(std::get<Records>(read), key_);
         if (now == after_) return 0;
         if (now == before_) return std::nullopt;
         return print_error(
-            "no reply to the write, and another writer changed the record; the write may or may not have "
-            "taken effect before that");
+            "no reply to the write, and another writer has changed the record since; it is unknown whether "
+            "this write took effect before that change; check the record");
     }
 
     std::string path(const Key& key) const { return settings_.prefix + path_of(key); }
@@ -116,7 +116,7 @@
     std::vector<KeyValue> conditions_;
 };
 
-// Prints one line for each record of one kind, in the order of their names.
+// Prints one line for each record of one kind, in the order of the records' names.
 template <class NameOf, class Parse, class Print>
 void print_each(const Records& records, NameOf name_of, Parse parse, Print print) {
     for (const auto& [key, text] : records) {
@@ -170,7 +170,8 @@
     print_health(records, name);
 }
 
-// Waits until a member other than the owner in `former` owns the duty. An owner releases one duty per round.
+// Waits until a member other than the owner in `former` owns the duty. An owner releases at most one duty per
+// heartbeat interval.
 int wait_for_next_owner(RegistrySession& session, const Settings& settings, const DutyName& name,
                         const DutyRecord& former) {
     constexpr double wait_per_term = 3;
@@ -182,16 +183,19 @@
         const RecordValue text = records ? text_of(*records, duty_key(name)) : RecordValue{};
         const auto duty = text ? parse_duty(*text) : std::nullopt;
         if (duty && !duty->owner.raw().empty() && duty->token > former.token && duty->owner != former.owner) {
-            std::cout << name.raw() << " is now owned by " << duty->owner.raw() << " under epoch "
+            std::cout << name.raw() << " is now owned by " << duty->owner.raw() << " under fencing token "
                       << duty->token.raw() << '\n';
             return 0;
         }
         std::this_thread::sleep_for(std::chrono::microseconds((term * poll_interval_per_term).micros()));
     }
     return print_error(
-        "release requested from " + former.owner.raw() +
-        ", but no other member has taken the duty yet; check that another member has been in the "
-        "fleet for two terms. The request stays until it is withdrawn with 'restore'");
+        former.owner.raw() + " was asked to release " + name.raw() +
+        ", but no other member has taken the duty yet; check that another member has been in the fleet for "
+        "two terms. The request to release the duty stays in effect until " +
+        former.owner.raw() +
+        " leaves the fleet or joins it again, for example after a restart, or until 'irismux fleet restore " +
+        name.raw() + "' withdraws the request");
 }
 
 }  // namespace
--- a/src/cli/fleet_in_force_command.cpp
+++ b/src/cli/fleet_in_force_command.cpp
@@ -49,8 +49,9 @@
         reading.owner_heartbeats[sites.at(path)] = text;
 }
 
-// Reads the generation last, so that digests of a former generation can be told from digests of this
-// generation.
+// Reads the records with several requests, which may see different revisions. Reads the generation after the
+// digests: if a new generation begins between the two reads, the digests name the former generation and are
+// not mistaken for digests of the new generation.
 FleetStatus::RegistryReading read_status(RegistrySession& session, const Settings& settings,
                                          const FleetStatus& status) {
     FleetStatus::RegistryReading reading;
@@ -72,7 +73,8 @@
 // Throws Poco::Exception if the notice board does not reply.
 std::optional<EventNumber> read_newest_event(const std::string& address) {
     constexpr Duration reply_timeout = Duration::micros(2'000'000);
-    // Polls from a number above the numbers of all events: the reply has the newest number and no events.
+    // Polls for events above a number that no event has, so that the reply contains the newest event number
+    // and no events.
     constexpr const char* target = "/board/poll?watch=9007199254740991&linger=0";
     const Poco::Net::SocketAddress board(address);
     Poco::Net::HTTPClientSession session(board.host().toString(), board.port());
@@ -100,7 +102,7 @@
         case Reason::never_reported:
             return "named in 'sites', but has no readable digest";
         case Reason::too_few_members:
-            return "has fewer known gateways than 'sites' states";
+            return "has fewer gateways in its roster than 'sites' states";
         case Reason::too_many_members:
             return "has more gateways than its records can name";
         case Reason::other_generation:
@@ -108,10 +110,11 @@
         case Reason::outside_all_sites:
             return "a gateway without the setting 'site'";
         case Reason::no_inventory:
-            return "[fleet] has no 'sites'";
+            return "the table [fleet] of the parts file has no 'sites', which must name each site with its "
+                   "number of gateways";
         case Reason::newest_event_unknown:
-            return "the newest event of the notice board is unknown, or older than the queried event or one "
-                   "that a gateway reports";
+            return "the number of the notice board's newest event is unknown, or it is lower than the number "
+                   "of the queried event or of an event that a gateway reports";
     }
     return "";
 }
@@ -121,11 +124,11 @@
         case FleetStatus::Reach::everywhere:
             return "in force everywhere\n";
         case FleetStatus::Reach::all_but:
-            return "in force at all but\n";
+            return "in force at all gateways except these gateways and sites:\n";
         case FleetStatus::Reach::not_yet:
             break;
     }
-    return "not yet\n";
+    return "not in force everywhere yet:\n";
 }
 
 int exit_code(FleetStatus::Reach reach) {
@@ -152,11 +155,12 @@
     }
 }
 
-// Reads the status repeatedly until the query is in force everywhere or the wait is over.
+// Reads the status repeatedly until the queried event and configuration are in force everywhere or the time
+// to wait is over.
 FleetStatus::Verdict poll_status(RegistrySession& session, const Settings& settings,
                                  const InForceQuery& query) {
-    // All gateways of a site report within a quarter of a term; after this wait every live site has been
-    // read.
+    // Minimum wait as a share of a term. All gateways of a site report within a quarter of a term, so after
+    // this wait the digest of every live site has been read.
     constexpr double min_wait_per_term = 0.75;
     constexpr double poll_interval_per_term = 1.0 / 24;
     const FleetStatus::Query status_query{EventNumber{query.event}, ConfigurationNumber{query.configuration}};
--- a/src/cli/fleet_repair_commands.cpp
+++ b/src/cli/fleet_repair_commands.cpp
@@ -13,20 +13,21 @@
 namespace etcd = registry::etcd;
 using namespace fleet;
 
-// Writes once, if all compared records have the given values. Prints `success` or an error, and returns the
-// exit code.
+// Sends one write, which takes effect only if all compared records have the given values. Prints `success` or
+// an error, and returns the exit code.
 int write_once(RegistrySession& session, const registry::Settings& settings,
                const std::vector<etcd::KeyValue>& compares, const std::vector<etcd::KeyValue>& writes,
                const std::string& success) {
     const auto outcome = session.request_once(etcd::transaction(compares, writes, {}));
     const auto* reply = std::get_if<Reply>(&outcome);
     if (!reply)
-        return print_error("no reply to the write; it may or may not have taken effect, check the records");
+        return print_error(
+            "no reply to the write; it is unknown whether the write took effect; check the records");
     const auto result =
         value_or_throw(etcd::read_transaction_result(reply->status, reply->body, settings.prefix));
     if (!result.succeeded)
         return print_error(
-            "the records changed after they were read; nothing was written, check them and try again");
+            "the records changed after they were read; nothing was written; check the records and try again");
     std::cout << success << '\n';
     return 0;
 }
@@ -40,7 +41,8 @@
         const ValuesByKey found = read_keys(session, settings.registry, {roster, record});
         const auto known = found.contains(roster) ? parse_site_roster(found.at(roster)) : std::nullopt;
         if (!known || !known->names.contains(MemberName{member}))
-            return print_error("no gateway " + member + " is known in site " + site);
+            return print_error("the roster of site " + site + " does not name a gateway " + member +
+                               "; check both names");
         if (found.contains(record))
             return print_error(member + " is still a member of the fleet; stop it first");
         SiteRoster remaining = *known;
@@ -49,7 +51,8 @@
         const std::string& prefix = settings.registry.prefix;
         std::vector<etcd::KeyValue> writes;
         writes.emplace_back(prefix + roster, site_empty ? RecordValue{} : RecordValue{serialize(remaining)});
-        // An empty site has no gateway that would update its digest.
+        // Deletes the digest of a site that becomes empty, since the site has no gateway that would update
+        // the digest.
         if (site_empty) writes.emplace_back(prefix + path_of(digest_key(), SiteName{site}), std::nullopt);
         const std::vector<etcd::KeyValue> compares{{prefix + roster, found.at(roster)},
                                                    {prefix + record, std::nullopt}};
--- a/src/cli/registry_commands.cpp
+++ b/src/cli/registry_commands.cpp
@@ -36,7 +36,7 @@
             if (const auto exit_code = on_no_reply(value, unchanged_since)) return *exit_code;
         }
         return print_error("no reply to " + std::to_string(max_writes) + " writes of " + id_ +
-                           "; the last read showed that none had taken effect");
+                           "; the last read showed that no write had taken effect");
     }
 
 private:
@@ -48,12 +48,13 @@
         if (reply_lost_ && result.conflicting_value == value)
             return print_written("; the reply to the write was lost");
         const char* const outcome =
-            reply_lost_ ? "the write may or may not have taken effect before that" : "nothing was written";
-        return print_error(id_ + " was changed by another writer; " + outcome);
+            reply_lost_ ? "it is unknown whether this write took effect before that change; check the record"
+                        : "nothing was written";
+        return print_error("another writer has changed " + id_ + " since it was read; " + outcome);
     }
 
-    // Reads the record after a lost reply. Returns std::nullopt if the record is unchanged and can be written
-    // again, and otherwise the exit code.
+    // Reads the record after the reply to a write was lost. Returns std::nullopt if the record is unchanged
+    // and can be written again. In all other cases returns the exit code.
     std::optional<int> on_no_reply(const std::string& value, Revision unchanged_since) {
         etcd::ReadResult<Record> found;
         try {
@@ -66,12 +67,14 @@
         if (record.modified == unchanged_since) return std::nullopt;
         if (record.value == value) return print_written("; the reply to the write was lost");
         return print_error(
-            id_ + " was changed by another writer; the write may or may not have taken effect before that");
+            "no reply to the write of " + id_ +
+            ", and another writer has changed the record since; it is unknown whether this write took effect "
+            "before that change; check the record");
     }
 
     int print_unknown(const std::string& why) const {
         return print_error("no reply to the write of " + id_ + ", and the record could not be read: " + why +
-                           "; the write may or may not have taken effect");
+                           "; it is unknown whether the write took effect");
     }
     static int print_written(const char* how) {
         std::cout << "written" << how << '\n';
@@ -113,7 +116,8 @@
     EventLoop& loop_;
 };
 
-// Registers a listening socket that no client connects to, since a reactor without sockets runs no timers.
+// Registers a listening socket that no client connects to. Without any socket the event loop would run no
+// timers.
 class ReactorKeepAlive {
 public:
     explicit ReactorKeepAlive(EventLoop& loop) : socket_(Poco::Net::SocketAddress("127.0.0.1:0")) {
@@ -161,7 +165,7 @@
         return print_error("the record must be a JSON object with a string \"id\"");
     const auto id = record["id"].get<std::string>();
     if (!registry::parse_endpoint({registry::RecordKey{id}, line, {}, {}}))
-        return print_error("the record is not an endpoint record that gateways can read");
+        return print_error("gateways cannot read the given record as an endpoint record");
     return with_session(settings, [&](RegistrySession& session) {
         const Record present = value_or_throw(read_record(session, settings, id));
         return RecordWriter(session, settings, id).write(line, present.modified);
@@ -173,7 +177,7 @@
         const Record present = value_or_throw(read_record(session, settings, id));
         auto fields = nlohmann::json::parse(present.value, nullptr, false);
         if (present.created == Revision{} || !fields.is_object())
-            return print_error("the record is missing or is not a JSON object: " + id);
+            return print_error("the registry's record of " + id + " is missing or is not a JSON object");
         fields["state"] = state;
         return RecordWriter(session, settings, id).write(fields.dump(), present.modified);
     });
--- a/src/fleet/transaction_client.hpp
+++ b/src/fleet/transaction_client.hpp
@@ -10,7 +10,8 @@
 
 namespace irismux::fleet {
 
-/// Observer of a TransactionClient's transactions. It is never called from within submit().
+/// Observer of a TransactionClient's transactions. The observer's functions are never called from within
+/// submit().
 class TransactionObserver {
 public:
     virtual ~TransactionObserver() = default;
@@ -18,20 +19,21 @@
     /// the result, see Transaction.
     virtual void on_transaction_result(registry::Revision, bool succeeded,
                                        const std::vector<KeyValue>& records) = 0;
-    /// Called if there will be no reply: the transaction may be committed, may still be committed, or never
-    /// will be.
+    /// Called if the transaction will have no result, because the request has failed or the reply reports an
+    /// error. The registry may have committed the transaction, may commit it later, or may never commit it.
     virtual void on_transaction_lost() = 0;
 };
 
-/// After a lost connection or a missing reply the next transaction is sent to the registry's next member.
+/// After a lost connection or a missing reply the next transaction is sent to the next registry member.
 class TransactionClient final : private registry::ReplyHandler {
 public:
-    /// The settings and the observer must outlive the client. `first_member` is the member of the registry
-    /// that gets the first transaction.
+    /// The settings and the observer must outlive the client. `first_member` is the registry member that gets
+    /// the first transaction.
     TransactionClient(EventLoop& loop, TransactionObserver& observer, const registry::Settings& settings,
                       SiteName site, registry::MemberIndex first_member);
 
-    /// Submits a transaction. It replaces the one in flight, whose result is no longer delivered.
+    /// Submits a transaction, which replaces the transaction in flight. The result of the replaced
+    /// transaction is no longer delivered.
     void submit(const Transaction& transaction);
 
 private:
--- a/src/gateway/listener_start.cpp
+++ b/src/gateway/listener_start.cpp
@@ -10,7 +10,8 @@
 namespace irismux {
 namespace {
 
-// The platform expects a gateway to be ready 10 s after its start.
+// Time after start() from which on a failed attempt to open the listener is not repeated. The platform
+// expects a gateway to be ready 10 s after its start.
 constexpr Duration max_start_time = Duration::micros(8'000'000);
 constexpr Duration retry_interval = Duration::micros(50'000);
 
@@ -42,8 +43,8 @@
     retry_timer_ = ScopedTimer(event_loop_, due, [this] { try_now(); });
 }
 
-// Retries, because the previous process may still hold the address, or descriptors may be exhausted for a
-// moment.
+// Tries again after a pause, because the previous process may still use the address, or because the file
+// descriptors may be temporarily exhausted.
 void ListenerStart::on_listen_failed(const std::string& reason) {
     const TimePoint now = event_loop_.now();
     if (now >= give_up_at_) {
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -19,20 +19,25 @@
 // Minimum free room in the input buffer for a read. If the buffer has grown, a read may fill all of its free
 // room.
 constexpr std::size_t min_read_bytes = 4'096;
-// Limits the reads from one connection per iteration, so that a busy connection does not delay the others.
+// Limits the reads from one connection per iteration, so that a busy connection does not delay other
+// connections.
 constexpr int max_reads_per_iteration = 4;
-// A lingering connection that sends more than this is closed. Enough for a few of the largest requests.
+// A lingering connection that sends more than this is closed. The limit allows a few requests of the maximum
+// size.
 constexpr std::size_t max_discarded_bytes = 262'144;
 // A system call that failed because the system was out of memory is retried after this delay.
 constexpr Duration memory_retry_delay = Duration::micros(2'000);
 constexpr int max_option_attempts = 3;
 
-// POCO 1.11 throws where a non-blocking socket would have to wait, so the system is called directly.
+// POCO 1.11 throws an exception where a non-blocking socket would have to wait, so this file makes the system
+// calls directly.
 bool would_block() { return errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR; }
-// A failure that does not concern the connection itself.
+// Returns whether the last system call failed for lack of memory, which is no failure of the connection
+// itself.
 bool out_of_memory() { return errno == ENOMEM || errno == ENOBUFS; }
 
-// Only logs repeated failures, since the connection works without the option, only slower.
+// Sets a socket option. If this fails repeatedly, the failure is only logged, since the connection also works
+// without the option, but more slowly.
 template <class Set>
 void set_option_if_possible(std::string_view option, Set set) {
     for (int attempt = 1; attempt <= max_option_attempts; ++attempt) {
@@ -80,8 +85,8 @@
     }
 }
 
-// Detects a connection for which no local port was free: it appears to be connecting and then ends without an
-// error.
+// Detects a connection for which no local port was free. Such a connection appears to be connecting and then
+// ends without an error.
 bool Connection::is_connected() const {
     sockaddr_storage peer{};
     socklen_t size = sizeof peer;
@@ -121,7 +126,7 @@
         const auto alive = shared_from_this();
         on_broken();
     });
-    // Deferred to the loop, because linger() may have been called from within a handler.
+    // The write is deferred to the loop, because linger() may have been called from within a handler.
     run_soon([this] {
         if (state_ == ConnectionState::closed) return;
         write_pending();
@@ -175,9 +180,11 @@
     update_watch();
 }
 
-// Prevents a busy loop: POCO 1.11 reduces the events that it polls a socket for only when the socket's last
-// handler is removed, so both handlers are removed and the one that is still needed is added again. Either
-// handler is called on an error.
+// Prevents a busy loop: after one of a socket's two handlers is removed, POCO 1.11 still polls the socket for
+// the events of the removed handler. POCO stops this polling only when the socket has no handler left. Both
+// handlers are therefore removed, and the handler that is still needed is added again. This one handler is
+// enough to detect errors: POCO reports a socket error to the registered handler, whether this handler is for
+// input or for output.
 void Connection::update_watch() {
     const Events wanted{.readable = wanted_.readable && !read_pause_.pending(),
                         .writable = wanted_.writable && !write_pause_.pending()};
@@ -309,7 +316,8 @@
         const auto alive = self.lock();
         if (!alive) return;
         write_scheduled_ = false;
-        // While the socket is full, on_writable() will be called once it has room again.
+        // If the socket is full, nothing is written now: on_writable() is called as soon as the socket has
+        // room.
         if (state_ == ConnectionState::open && !wanted_.writable && !lingering()) on_write_ready();
     });
 }
@@ -331,8 +339,8 @@
     watch({.readable = read_state_ != ReadState::pause, .writable = !output_.empty()});
 }
 
-// Reports the failure from the loop, because the caller may be a handler. Nothing more is written until then:
-// a caller that writes as long as there is output would never finish.
+// Reports the failure from the loop, because the caller of write_pending() may be a handler. Nothing more is
+// written before the report. Otherwise a caller that writes as long as there is output would never finish.
 void Connection::on_write_failed() {
     write_state_ = WriteState::failed;
     run_soon([this] { on_broken(); });
--- a/src/net/event_time_estimator.hpp
+++ b/src/net/event_time_estimator.hpp
@@ -1,16 +1,20 @@
 // Estimates when the events of the notice board happened, on this process's steady clock. Each event has a
-// timestamp of its writer's Unix clock, but any wall clock may be wrong by seconds or by an hour: the
-// writer's, and this process's, which was read once at the start.
+// timestamp of its writer's Unix clock. All writers are treated as if they shared one clock. Any wall clock
+// may be wrong by seconds or by an hour. This applies to the writers' clock and also to this process's wall
+// clock, which was read once at the start.
 //
-// - No event is received before it has happened. So each purge shows a minimum by which its writer's clock is
-//   ahead of this process's clock. The largest such minimum is applied to all other timestamps. It yields the
-//   latest time at which an event can have happened, which is needed to bound the age of copies.
-// - Live events, received by a poll, are not older than the previous poll. A timestamp that contradicts this
-//   shows that its writer's clock has been stepped, and the known offset is discarded.
-// - History, received as a whole, may be of any age; its events are not older than their timestamps, read as
-//   times of this process's clock.
-// - The timestamps of starts come from the caches' clocks. A start whose timestamp does not fit between the
-//   two polls is dated to the current time, so that the cache gets a slow start.
+// - No event is received before it has happened. The timestamp of each purge therefore yields a lower bound
+//   of the offset by which the writers' clock is ahead of this process's clock. The largest of these lower
+//   bounds is subtracted from the timestamp of every event, whoever wrote the event. The difference is the
+//   latest time at which the event can have happened, which is needed to bound the age of copies.
+// - Live events, received by a poll, are not older than the previous poll. A timestamp of an earlier time
+//   shows that its writer's clock has been stepped back, and the offset measured so far is discarded.
+// - The history of the notice board is received as a whole, and its events may have happened at any earlier
+//   time. The estimated time of such an event is at least the event's timestamp, taken as a time of this
+//   process's clock without a correction. It is at most the time at which the history was received.
+// - The start times of caches come from the caches' clocks. If the start time in a live event does not fit
+//   between the previous poll and the current time, the current time is used as the start time, so that the
+//   cache gets a slow start.
 //
 // Performs no I/O.
 #pragma once
@@ -26,21 +30,24 @@
 
 class EventTimeEstimator {
 public:
-    /// Number of starts that are remembered, so that a start that is announced again keeps its time. When
-    /// this many are stored, the older half is discarded; a discarded start that is announced again would be
-    /// dated to that announcement.
+    /// Maximum number of cache starts whose estimated times are stored, so that a start keeps its estimated
+    /// time when a later event reports this start again. When this many starts are stored, the older half is
+    /// discarded. If a later event reports a discarded start again, the time of the later event is used as
+    /// the start time.
     static constexpr std::size_t max_starts = 16'384;
 
-    /// The events that follow belong to the history that was known at `known_at`.
-    /// @param newest the newest timestamp of a purge in the history, or of a start if there is no purge; zero
-    /// if there is neither.
+    /// Begins a period whose events belong to the history, which had happened by `known_at`.
+    /// @param newest the newest timestamp of a purge in the history, or of a cache's start if there is no
+    /// purge; zero if there is neither.
     void begin_history(TimePoint known_at, TimePoint newest);
-    /// The events that follow have happened since `earliest`, the time at which the previous poll was sent.
+    /// Begins a period whose events have happened since `earliest`, the time at which the previous poll was
+    /// sent.
     void begin_live(TimePoint now, TimePoint earliest);
 
-    /// The latest time at which a purge whose event has this timestamp can have happened.
+    /// @return the latest time at which a purge whose event has this timestamp can have happened
     [[nodiscard]] TimePoint purge_time(TimePoint timestamp);
-    /// The time of a cache's start whose event has this timestamp. Zero, which means long ago, stays zero.
+    /// @return the estimated time of a cache's start whose event has this timestamp. Zero, which means long
+    /// ago, stays zero.
     [[nodiscard]] TimePoint start_time(const CacheId& cache, TimePoint timestamp);
 
 private:
@@ -58,10 +65,10 @@
 
     Period period_ = Period::history;
     TimePoint now_, earliest_;
-    // Minimum time by which the clock of the events' writers is ahead of this process's clock, and the time
-    // at which this minimum was observed. clock_offset_ is std::nullopt if nothing was observed.
+    // Largest lower bound found so far of the offset by which the writers' clock is ahead of this process's
+    // clock. std::nullopt if no lower bound is known.
     std::optional<Duration> clock_offset_;
-    TimePoint clock_offset_seen_at_;
+    TimePoint clock_offset_seen_at_;  // time at which clock_offset_ was found
     std::map<CacheId, Start> starts_;
 };
 
--- a/src/registry/registry_socket.cpp
+++ b/src/registry/registry_socket.cpp
@@ -46,7 +46,7 @@
         fail(RequestFailureReason::malformed_http);
         return Progress::needs_input;
     }
-    // A member that refuses a stream sends a whole reply instead.
+    // A registry member that refuses a stream sends a whole reply instead.
     if (head_.status != 200 || !head_.chunked) form_ = ReplyForm::whole;
     if (head_.has_content_length && head_.length > max_reply_bytes) {
         reject_long_reply();
@@ -94,7 +94,8 @@
     handler_->on_reply(head_.status, text);
 }
 
-// One message per line; a chunk may hold a part of one, or several. The handler may close this socket.
+// Each line is one message. A chunk may contain a part of a message or several messages. The handler may
+// close this socket.
 void RegistrySocket::deliver_messages() {
     std::size_t begin = 0;
     while (handler_) {
--- a/src/routing/endpoint_set.hpp
+++ b/src/routing/endpoint_set.hpp
@@ -24,18 +24,19 @@
     /// Rebuilds the lists of active endpoints. Called after the last update of a list.
     void finish_updates(TimePoint now);
 
-    /// @return null if there is no such endpoint
+    /// @return null if there is no endpoint with this id
     [[nodiscard]] EndpointState* find(const CacheId& id);
-    /// Returns an endpoint that must exist, such as one with attempts in flight, which is never erased.
+    /// Returns an endpoint that must exist. An endpoint with attempts in flight always exists, because it is
+    /// never erased.
     [[nodiscard]] EndpointState& at(const CacheId& id) { return endpoints_.at(id); }
     /// @return the endpoints of the role that accept new requests
     [[nodiscard]] const std::vector<EndpointState*>& active(EndpointRole role) const;
     /// @return the active endpoints of the role in the object's order of preference
     [[nodiscard]] std::vector<EndpointState*> ranked(const ObjectName& object, EndpointRole role) const;
 
-    /// @return the largest number of edge caches that have been active at once, at least 1
+    /// @return the largest number of edge caches that have been active at the same time, at least 1
     [[nodiscard]] std::size_t max_active_edges() const { return max_active_edges_; }
-    /// @return the largest number of parents that have been active at once, at least 1
+    /// @return the largest number of parents that have been active at the same time, at least 1
     [[nodiscard]] std::size_t max_active_parents() const { return max_active_parents_; }
 
 private:
--- a/src/routing/fill_source.hpp
+++ b/src/routing/fill_source.hpp
@@ -1,5 +1,5 @@
-// Selects the source from which a cache fills a miss: the object's parent, the origin in its place, or none
-// (a cache-only attempt).
+// Selects the source from which a cache fills a miss: the object's parent, the origin in place of the parent,
+// or no source. Without a source, the cache may serve only its own copies (a cache-only attempt).
 #pragma once
 
 #include "irismux/deployment.hpp"
@@ -27,14 +27,15 @@
     FillSourceSelection(const Deployment& deployment, const FillSourceDependencies& dependencies);
 
     /// Sets the fill source of the request's plan for the cache that has been selected.
-    /// @return false if the miss is known and cannot be filled now
+    /// @return false if an earlier attempt found no copy and the miss cannot be filled now
     [[nodiscard]] bool select(PendingRequest& request, const EndpointState& cache, TimePoint now);
-    /// Updates the limits of fills from the source and of fetches from the origin, which select() reads, and
-    /// decides whether the request avoids the source from now on.
+    /// Updates the limit on fills from the source and the limit on fetches from the origin; select() reads
+    /// both limits. Also decides whether the request avoids the source from now on.
     /// @param source null for attempts without a fill source
     void on_result(PendingRequest& request, const Attempt& attempt, const AttemptResult& result,
                    EndpointState* source, TimePoint now);
-    /// Records a fill that has passed its latency limit, as on_result() would.
+    /// Updates the limit on fills from the source as soon as a fill from this source is late, before the
+    /// result of the late attempt arrives.
     void on_late_attempt(EndpointState& source, TimePoint now) const;
 
 private:
@@ -63,7 +64,7 @@
     bool has_parents_;
     Duration longest_latency_objective_;
     AdaptiveLimit fetch_limit_;            // limit of fetches from the origin by caches and parents
-    double mean_origin_wait_seconds_ = 0;  // mean over fetches by parents and by caches; 0: none yet
+    double mean_origin_wait_seconds_ = 0;  // mean over fetches by parents and by caches; 0: no fetch yet
 };
 
 }  // namespace irismux::routing
--- a/src/routing/link_capacity.hpp
+++ b/src/routing/link_capacity.hpp
@@ -1,5 +1,6 @@
-// The number of concurrent transfers at full rate that the links of endpoints and locations carry. It is
-// taken or derived from the deployment as far as possible.
+// The number of concurrent transfers, each at the maximum rate of one transfer, that the links of endpoints
+// and locations carry. The numbers are taken from the deployment or derived from it. Where the deployment
+// does not give enough data, they are assumed.
 #pragma once
 
 #include "irismux/deployment.hpp"
@@ -11,18 +12,20 @@
 public:
     LinkCapacity(const Deployment& deployment, const EndpointSet& endpoints);
 
-    /// @return link capacity of an endpoint, in transfers. For the origin this is the number of transfers
-    /// that all gateways together may request from it in place of parents. The capacity does not grow when
-    /// other endpoints leave.
+    /// @return link capacity of an endpoint, in transfers. For the origin, the result is the number of
+    /// transfers that all gateways together may request from the origin in place of parents. The capacity
+    /// does not grow when other endpoints leave.
     [[nodiscard]] double endpoint(const EndpointState& endpoint) const;
-    /// @return capacity of the link into this location, in transfers; at least 1 if it is derived
+    /// @return capacity of the link into this location, in transfers. If the deployment does not specify this
+    /// capacity, it is derived from the link capacities of the location's active caches, and the result is at
+    /// least 1.
     [[nodiscard]] double location_link() const;
 
 private:
     const EndpointSet& endpoints_;
     bool weights_known_;
     int locations_;
-    double location_link_ = 0, all_links_ = 0;  // in transfers; 0: unknown
+    double location_link_ = 0, all_links_ = 0;  // in concurrent transfers; 0: unknown
 };
 
 }  // namespace irismux::routing
--- a/src/routing/outlier_detector.cpp
+++ b/src/routing/outlier_detector.cpp
@@ -11,19 +11,19 @@
 constexpr Duration first_backoff = Duration::micros(2'000'000);
 constexpr Duration longest_backoff = Duration::micros(30'000'000);
 constexpr int max_backoff_doublings = 8;
-// An endpoint is unresponsive after a silence of this many mean gaps. If responses were independent, such a
-// silence would occur by chance once in e^14 cases.
+// An endpoint is unresponsive after a silence of this many mean gaps between its responses. If responses were
+// independent, such a silence would occur by chance once in e^14 cases.
 constexpr double unresponsive_after_gaps = 14;
-// Approximate numbers of responses over which gaps and lost attempts are averaged, and of results over which
-// errors are averaged.
+// Gaps and lost attempts are averaged over approximately `gap_averaging_responses` responses, and errors over
+// approximately `error_averaging_results` results.
 constexpr double gap_averaging_responses = 16;
 constexpr double error_averaging_results = 10;
-// An endpoint is ejected if its error share exceeds the sum of the first value, about two errors in ten
-// results, and the second value times the mean error share of its peers.
+// An endpoint is ejected if its error share exceeds `ejection_error_share` (about two errors in ten results)
+// plus `ejection_multiple_of_peers` times the mean error share of its peers.
 constexpr double ejection_error_share = 0.17;
 constexpr double ejection_multiple_of_peers = 1.5;
-// A share of lost attempts above the limit is not explained by chance if some peer has less than a third of
-// that share.
+// Chance does not explain a share of lost attempts above `lost_share_limit` if some peer has less than a
+// third of this share.
 constexpr double lost_share_limit = 0.085;
 constexpr double lost_multiple_of_peer = 3;
 // How long an endpoint is treated as losing attempts.
@@ -88,8 +88,10 @@
     if (endpoint.health.recovery_probe_in_flight()) endpoint.health.ejection = EjectionState::ejected;
 }
 
-// The gateway that checks on behalf of all may have lost its connection to an endpoint that this gateway can
-// reach. It can therefore postpone the probe by at most the longest backoff.
+// Postpones the recovery probe of an ejected endpoint, but by at most the longest backoff beyond this
+// gateway's own backoff. The postponement comes from the gateway that checks the health of endpoints on
+// behalf of all gateways. The limit is needed because the checking gateway may have lost its connection to an
+// endpoint that this gateway can reach.
 void OutlierDetector::postpone_recovery_probe(EndpointState& endpoint, TimePoint not_before) {
     if (endpoint.health.ejection != EjectionState::ejected) return;
     endpoint.health.next_probe_at = std::min(not_before, endpoint.health.backoff_ends_at + longest_backoff);
@@ -114,8 +116,8 @@
            peer_has_responded_since(endpoint);
 }
 
-// Prevents ejections because of a slow origin or a full link. No endpoint responds in that case, and ejecting
-// one would only shift its load to the others.
+// Prevents ejections because of a slow origin or a full link. In both cases no endpoint responds, and the
+// ejection of one endpoint would only shift its load to the other endpoints.
 bool OutlierDetector::peer_has_responded_since(const EndpointState& endpoint) const {
     const TimePoint since = silent_since(endpoint);
     const std::vector<EndpointState*>& peers = endpoints_.active(endpoint.role);
@@ -132,8 +134,8 @@
     if (health.error_share < ejection_error_share / error_averaging_results) health.consecutive_ejections = 0;
 }
 
-// Ejects an endpoint that fails fast, which would otherwise seem to be the least loaded. Its error share must
-// be an outlier, since errors at all endpoints have a common cause.
+// Ejects an endpoint that fails fast, which would otherwise seem to be the least loaded. The endpoint's error
+// share must be an outlier, since errors at all endpoints have a common cause.
 void OutlierDetector::record_error(EndpointState& endpoint, TimePoint now) const {
     EndpointHealth& health = endpoint.health;
     health.error_share += (1.0 - health.error_share) / error_averaging_results;
@@ -164,7 +166,8 @@
     if (cache.health.last_seen > attempt.started_at && !attempt.has_source()) record_lost_attempt(cache, now);
 }
 
-// A late response reverts what on_late_attempt() has counted.
+// If an attempt that on_late_attempt() has counted as lost gets a response after all, the attempt is no
+// longer counted as lost.
 void OutlierDetector::record_lost_or_answered(EndpointState& cache, const Attempt& attempt,
                                               const AttemptResult& result, TimePoint now) const {
     const bool counted_as_lost = attempt.counted_as_late && !attempt.has_source();
@@ -180,8 +183,8 @@
 }
 
 // Detects a cache that responds to most attempts, and therefore is neither silent nor failing, but loses the
-// rest. A cache with more attempts than its link carries is excluded, since it may be overloaded. If all
-// caches lose attempts, the cause lies behind them.
+// other attempts. A cache with more attempts than its link carries is excluded, since it may be overloaded.
+// If all caches lose attempts, the cause lies behind the caches.
 void OutlierDetector::record_lost_attempt(EndpointState& cache, TimePoint now) const {
     if ((cache.load.in_flight - cache.load.late) * gateways_in_location_ > links_.endpoint(cache)) return;
     double& lost_share = cache.health.lost_share;
@@ -243,9 +246,9 @@
     if (attempt.probes_source) end_recovery_probe(source);
 }
 
-// If the cache rejects the attempt at once, it has no connection to the source. If the fill broke off early,
-// that is an error of the source. Otherwise the fill timed out, which also happens to the fills of all
-// parents if the origin is slow or a link is full.
+// A cache that rejects the attempt immediately has no connection to the source. A fill that broke off early
+// is an error of the source. Otherwise the fill timed out. A timeout alone does not show that the source is
+// at fault: if the origin is slow or a link is full, the fills of all parents time out.
 void OutlierDetector::on_source_unreachable(EndpointState& source, const Attempt& attempt,
                                             const AttemptResult& result, TimePoint now) const {
     if (result.outcome == Outcome::overloaded) {
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -6,16 +6,20 @@
 namespace irismux::routing {
 namespace {
 
-// The budget grows at this multiple of the current capacity, limited to this share of the overload multiple.
+// The budget of an endpoint that is warming up grows at `rate_per_capacity` times the endpoint's current
+// capacity. This multiple is limited to `rate_share_of_overload` times the overload multiple.
 constexpr double rate_per_capacity = 1.2;
 constexpr double rate_share_of_overload = 0.5;
-// Maximum budget that accumulates, as a share of the budget that accrues in an overload window.
+// Maximum unused budget that is kept, as a share of the budget that accrues in one overload window.
 constexpr double burst_share_of_window = 0.15;
-// Share of the capacity between the budget's rate and the overload multiple that all gateways together may
-// accumulate while they are idle.
+// A load above the overload multiple of the endpoint's current capacity stops the endpoint. The budgets of
+// all gateways together grow at rate_multiple() times this capacity, and this growth permits a lower load.
+// The headroom is the difference between the two loads in one overload window. Idle gateways keep unused
+// budget. All gateways together may keep unused budget up to this share of the headroom.
 constexpr double headroom_share = 0.7;
-// Maximum transfer time of the requests sent to an endpoint in an overload window, as a multiple of the
-// budget that accrues in it.
+// Limit on the sum of the transfer times of all requests that this gateway sends to an endpoint within one
+// overload window. The limit is a multiple of the endpoint's budget that this gateway accrues in the same
+// time.
 constexpr double max_sent_per_window = 1.3;
 
 double rate_multiple(const SlowStart& settings) {
@@ -44,8 +48,8 @@
 
 // All gateways detect the start of an endpoint's process at the same time. If the budget of each gateway is
 // less than the transfer time of one request, all gateways would also have the budget for their first request
-// at the same time. To spread the first requests, the budget needs to cover only a share of the transfer
-// time, which each gateway chooses at random.
+// at the same time. To spread the first requests, each gateway chooses a random share, and the gateway's
+// budget needs to cover only this share of the transfer time.
 void SlowStartPolicy::begin(EndpointState& endpoint, TimePoint since, TimePoint now) const {
     EndpointWarmUp& warm_up = endpoint.warm_up;
     warm_up.refused_while_idle = false;
@@ -77,19 +81,20 @@
     const double max_budget = std::max(budget_per_window * burst_share_of_window, transfer_seconds);
     const double elapsed = (now - warm_up.accrued_until).seconds();
 
-    // The rate has risen linearly since the last accrual.
+    // The rate has risen linearly since the budget was last accrued, so the mean of the old and the new rate
+    // applies.
     warm_up.budget += (rate_at(warm_up.accrued_until, since, full_capacity, settings) - rate) / 2 * elapsed;
     warm_up.budget += rate * elapsed;
     warm_up.accrued_until = now;
-    // Discards accumulated budget above the headroom. Otherwise gateways that have all been idle would each
-    // have the budget for a request and overload a warming endpoint by sending these requests at the same
-    // time.
+    // Discards accumulated budget above this gateway's share of the headroom. All gateways accumulate budget
+    // while they are idle. If each gateway could accumulate enough for a request, all gateways could send a
+    // request to the warming endpoint at the same time and overload the endpoint.
     const double excess = warm_up.budget - transfer_seconds * warm_up.required_share - headroom;
     if (headroom < transfer_seconds && excess > 0)
         warm_up.budget -= std::ceil(excess / transfer_seconds) * transfer_seconds;
     warm_up.budget = std::min(max_budget, warm_up.budget);
-    // Transfer time sent before the router detected the start counts too, as does that of objects larger than
-    // estimated.
+    // The sum includes requests that were sent before the router detected the start of the endpoint. It also
+    // includes the actual transfer time of objects that are larger than estimated.
     if (warm_up.sent_transfer_time.since(since, now, overload_window_) >
         budget_per_window * max_sent_per_window)
         return false;
@@ -120,9 +125,9 @@
     return true;
 }
 
-// Detects a restart before the endpoint list reports it. When a whole rack restarts, its caches respond again
-// before that, and full traffic would overload them. A full connection table also refuses connections, but
-// then attempts are in flight.
+// Detects a restart before the endpoint list names the new process. When a whole rack restarts, its caches
+// respond again before the list names their new processes, and full traffic would overload these caches. A
+// cache with a full connection table also refuses connections, but then attempts are in flight at this cache.
 void SlowStartPolicy::on_cache_result(EndpointState& cache, const AttemptResult& result,
                                       TimePoint now) const {
     EndpointWarmUp& warm_up = cache.warm_up;
--- a/src/routing/slow_start.hpp
+++ b/src/routing/slow_start.hpp
@@ -1,9 +1,10 @@
-// Prevents overload of an endpoint that is warming up (rule 4).
+// Ensures that a starting cache or parent (an endpoint that is warming up) is not overloaded by all gateways
+// together.
 //
-// Each gateway limits the requests that it sends to the endpoint: the sum of their transfer times is limited
-// by the gateway's even share of a budget. This budget grows at the rate of the slowest warm-up that the
-// settings allow. Requests that go to the origin in place of parents are limited by a budget of the same
-// form.
+// Each gateway limits the requests that it sends to such an endpoint: the sum of their transfer times is
+// limited by the gateway's even share of a budget. The rate at which this budget grows is based on the
+// slowest warm-up that the settings allow. Requests that go to the origin in place of parents are limited by
+// a budget of the same form.
 #pragma once
 
 #include "irismux/deployment.hpp"
@@ -24,8 +25,9 @@
     /// Checks whether a request with this transfer time may be sent to the endpoint. Always true for edge
     /// caches and parents that have warmed up. Accrues the budget, but does not charge it.
     [[nodiscard]] bool has_budget(EndpointState& endpoint, double transfer_seconds, TimePoint now) const;
-    /// Counts the transfer time of a request that is sent to the endpoint, even if the endpoint is not known
-    /// to be warming up, and charges this time to the endpoint's budget, if any.
+    /// Counts the transfer time of a request that is sent to the endpoint, even if the router has not
+    /// detected that the endpoint is warming up. If the endpoint has a budget, the transfer time is charged
+    /// to the budget.
     void charge(EndpointState& endpoint, double transfer_seconds, TimePoint now) const;
     /// Rechecks an attempt that has waited, right before its first byte is written. If the router has
     /// detected a start of the endpoint since the last check, the attempt must fit the new budget and is
@@ -33,8 +35,8 @@
     /// @return false if the attempt does not fit the new budget
     [[nodiscard]] bool recheck(EndpointState& endpoint, const Attempt& attempt, TimePoint now) const;
 
-    /// Detects from attempt results that a cache has stopped, and begins its slow start with the first
-    /// response of the new process, before the endpoint list reports the start.
+    /// Detects from attempt results that a cache's process has stopped. Begins the cache's slow start with
+    /// the first response of the new process, before the endpoint list names this process.
     void on_cache_result(EndpointState& cache, const AttemptResult& result, TimePoint now) const;
 
 private:
--- a/tests/cache_connection_pool_test.cpp
+++ b/tests/cache_connection_pool_test.cpp
@@ -1,4 +1,4 @@
-// CacheConnectionPool with caches that close their connections, stall, or send invalid responses.
+// Tests CacheConnectionPool with caches that close their connections, stall, or send invalid responses.
 #include <deque>
 
 #include "base/log.hpp"
@@ -25,7 +25,7 @@
     std::map<std::string, Outcome> outcomes;
     std::map<std::string, Duration> elapsed;
     std::deque<std::shared_ptr<ActiveRequest>> requests;
-    bool caches_close_gracefully = false;  // otherwise they close with a reset
+    bool caches_close_gracefully = false;  // if not set, the caches reset their connections
     bool caches_read = true;
     int health_checks_received = 0;
     bool expect_no_result = false;  // while set, an attempt that ends fails the test
@@ -96,8 +96,8 @@
         loop.schedule_at(loop.now() + Duration::seconds(seconds), [this] { loop.stop(); });
         loop.run();
     }
-    // An action that runs once its condition holds; then the next step begins. run_steps() stops the loop
-    // after the last step, and at the latest after 10 s.
+    // A step runs its action as soon as its condition holds; then the next step begins. run_steps() stops the
+    // loop after the last step, and at the latest after 10 s.
     struct Step {
         std::function<bool()> condition;
         std::function<void()> action;
@@ -203,9 +203,10 @@
     for (const auto& [id, o] : scenario.outcomes) EXPECT_EQ(o, Outcome::completed) << id;
 }
 
-// With one connection for two caches: an attempt must end as overloaded or connection_reset if its cache
-// accepts and resets, and as connection_refused if its cache refuses. An attempt for which no connection is
-// left must wait for one, and the shortage must not count against its cache.
+// The pool has two caches but is allowed only one connection. If a cache accepts the connection and resets
+// it, the attempt must end as overloaded or connection_reset. If a cache refuses the connection, the attempt
+// must end as connection_refused. If the other cache uses the only connection, the attempt must wait, and the
+// wait must not count as a failure of the attempt's cache.
 TEST(CacheConnectionPool, DistinguishesResetsRefusalsAndConnectionShortage) {
     PoolScenario scenario(1);
     bool resetting = true;
@@ -225,7 +226,7 @@
             });
         };
         scenario.start("b2", "e1");
-        scenario.start("b3", "e2");  // the one connection is in use
+        scenario.start("b3", "e2");  // the only connection is in use
     });
     scenario.loop.schedule_at(scenario.loop.now() + Duration::seconds(0.8), [&] {
         EXPECT_EQ(scenario.outcomes.at("b2"), Outcome::cache_miss);
@@ -239,8 +240,8 @@
     EXPECT_EQ(scenario.outcomes.at("b4"), Outcome::connection_refused);
 }
 
-// An attempt must not wait for a new connection that is not established while the cache responds on another
-// one: it must be sent on that one after the next response.
+// If a new connection is not established while the cache responds on another connection, an attempt must not
+// wait for the new connection. The attempt must be sent on the other connection after the next response.
 TEST(CacheConnectionPool, MovesQueuedAttemptsToAConnectionThatResponds) {
     PoolScenario scenario(8, 0);
     std::vector<Poco::Net::StreamSocket> backlog(3);
@@ -254,13 +255,14 @@
         for (auto& s : backlog) s.connectNB(Poco::Net::SocketAddress(scenario.listeners.at("e1")->address()));
         scenario.start("b2");
     });
-    scenario.run(0.18);  // before the connect timeout
+    scenario.run(0.18);  // ends before the connect timeout
     EXPECT_EQ(scenario.received, (std::vector<std::string>{"b1", "b2"}));
     EXPECT_EQ(scenario.ended, (std::vector<std::string>{"b1", "b2"}));
 }
 
-// An attempt must not end as connection_reset because the cache closed the idle connection just before the
-// attempt was written: it must be sent on another connection. CacheConnection::on_write_ready ensures this.
+// The cache may close an idle connection just before an attempt is written to it. The attempt must then be
+// sent on another connection and must not end as connection_reset. CacheConnection::on_write_ready ensures
+// this.
 TEST(CacheConnectionPool, DoesNotWriteToAConnectionThatWasJustClosed) {
     PoolScenario scenario(4);
     scenario.caches_close_gracefully = true;
@@ -268,7 +270,7 @@
     scenario.run_steps(
         {{[&] { return scenario.ended.size() == 1; },
           [&] {
-              scenario.connections.at(0)->close();  // the close arrives, but is not read in this iteration
+              scenario.connections.at(0)->close();  // the pool reads the close in a later iteration
               scenario.start("b2");
           }},
          {[&] { return scenario.ended.size() == 2; }, [] {}}});
@@ -276,16 +278,18 @@
     EXPECT_EQ(scenario.outcomes.at("b2"), Outcome::cache_miss);
 }
 
-// Attempts whose clients have closed must not reach the cache unless they were written completely. The cache
-// does not read; the first attempt is too large for the socket and the second one waits behind it.
-// CacheConnectionPool::withdraw_unstarted_attempts withdraws both.
+// Attempts whose clients have closed their connections must not reach the cache unless they were written
+// completely. In the test, the cache does not read. The first attempt is too large for the socket, and the
+// second attempt waits behind the first. CacheConnectionPool::withdraw_unstarted_attempts must withdraw both
+// attempts.
 TEST(CacheConnectionPool, WithdrawsAttemptsThatAreNotWrittenWhole) {
     PoolScenario scenario(1);
     scenario.caches_read = false;
     scenario.start("b1", "e1", std::string(16 << 20, 'w'));
     const auto close_client = [&](std::size_t n) {
         scenario.requests.at(n)->on_client_closed();
-        // This call must not report a result, as the observer may release the request when it gets one.
+        // This call must not report a result, since the observer may release the request when it gets a
+        // result.
         scenario.expect_no_result = true;
         scenario.pool->withdraw_unstarted_attempts(*scenario.requests.at(n));
         scenario.expect_no_result = false;
@@ -313,14 +317,15 @@
         bool is_wanted = true;
         scenario.pool->start_health_check(CacheId{"e1"}, [&] { return is_wanted; });
         is_wanted = still_wanted;
-        scenario.start("b1");  // on the same connection, behind it
+        scenario.start("b1");  // on the same connection, behind the health check
         scenario.run_steps({{[&] { return scenario.ended.size() == 1; }, [] {}}});
         EXPECT_EQ(scenario.health_checks_received, still_wanted ? 1 : 0);
         EXPECT_EQ(scenario.connections.size(), 1u);
     }
 }
 
-// A queued attempt that may no longer begin must end as overloaded, and the attempt behind it must be sent.
+// A queued attempt that may no longer begin must end as overloaded, and the next attempt in the queue must be
+// sent.
 TEST(CacheConnectionPool, DoesNotSendAnAttemptThatMayNoLongerBegin) {
     PoolScenario scenario(1);
     scenario.start("b1");
--- a/tests/interleaving_explorer_main.cpp
+++ b/tests/interleaving_explorer_main.cpp
@@ -1,5 +1,5 @@
-// Explores every interleaving of a few fleet members and faults within the bounds given as arguments. Exits
-// with 1 if an invariant was violated or the search stopped at MAX_STATES.
+// Explores every interleaving of the steps of a few fleet members and of a few faults, within the bounds
+// given as arguments. Exits with 1 if an invariant was violated or the search stopped at MAX_STATES.
 //
 //   irismux_explore [MEMBERS] [FAULTS] [TICKS] [MAX_STATES]
 #include <cstdlib>
@@ -17,9 +17,10 @@
     for (const bool slow : {true, false}) {
         bounds.first_is_slow = slow;
         const irismux::test_support::ExplorationResult result = irismux::test_support::explore(bounds);
-        std::cout << bounds.members << " members, the first " << (slow ? "slow" : "fast") << ", "
-                  << bounds.faults << " faults, " << bounds.ticks << " ticks: " << result.states
-                  << " states, " << (result.complete ? "complete" : "stopped at the maximum number of states")
+        std::cout << bounds.members << " fleet members, the first with a " << (slow ? "slow" : "fast")
+                  << " clock, at most " << bounds.faults << " faults in " << bounds.ticks
+                  << " ticks: the search visited " << result.states << " states and "
+                  << (result.complete ? "did not reach" : "stopped at") << " the maximum number of states"
                   << '\n';
         for (const std::string& line : result.path) std::cout << line << '\n';
         passed = passed && result.path.empty() && result.complete;
--- a/tests/routing/adaptive_limit_test.cpp
+++ b/tests/routing/adaptive_limit_test.cpp
@@ -25,8 +25,9 @@
     EXPECT_EQ(limit.share(start + second * 60), 1);
 }
 
-// Guards against a limit that many bad results of one moment reduce more than once: ten bad results at the
-// same time reduce the share as much as one.
+// If each bad result reduced the limit, the limit of a busy gateway would fall far more than the limit of an
+// idle gateway. The test records ten bad results at the same time, and expects that AdaptiveLimit::share
+// returns the same value as after a single bad result.
 TEST(AdaptiveLimit, BadResultsAtTheSameTimeReduceTheLimitOnce) {
     AdaptiveLimit ten_results;
     AdaptiveLimit one_result;
--- a/tests/slow_start_fleet_test.cpp
+++ b/tests/slow_start_fleet_test.cpp
@@ -1,6 +1,6 @@
-// Rule 4 for a whole fleet: compares the transfers of all gateways to a restarted endpoint with what the
-// settings allow, plus a margin for random variation. Runs many routers in virtual time and counts at the
-// endpoint.
+// Tests rule 4 (an endpoint that is warming up is not overloaded) for a whole fleet. Runs many routers in
+// virtual time, sums the transfers of all gateways to a restarted endpoint, and compares the sum with what
+// the settings allow, plus a margin for random variation.
 #include <cmath>
 #include <deque>
 #include <queue>
@@ -57,7 +57,8 @@
 
 struct FleetWithRestart {
     static constexpr double transfer_seconds = 0.2;  // transfer time of each object
-    // Small enough that, with many gateways, the share of each gateway is far below one request.
+    // The link weight of a parent. The weight is so small that, with many gateways, each gateway's share of
+    // the budget is far below one request.
     static constexpr double parent_weight = 10;
     Deployment settings = deployment();
     std::ranlux24_base random;
@@ -68,7 +69,8 @@
     std::vector<std::unique_ptr<Router>> routers;
     std::vector<TimePoint> learns_at;
     TimePoint restarted_at = TimePoint::at_seconds(1001);
-    // The largest ratio of the transfers in an overload window to the number that the window allows.
+    // The largest ratio of the number of transfers in an overload window to the number that is allowed in
+    // this window.
     double worst = 0;
     std::uint64_t requests = 0;
 
@@ -99,7 +101,8 @@
         routers[gateway] = std::make_unique<Router>(gateway_callbacks, settings, random(), now);
         routers[gateway]->on_endpoint_updates(now, endpoint_list(knows), true);
     }
-    // Sends few requests until `burst_after` seconds after the restart, when all gateways get many at once.
+    // Sends few requests at first. `burst_after` seconds after the restart, all gateways get many requests at
+    // once.
     void play(double burst_after) {
         const TimePoint burst = restarted_at + Duration::seconds(burst_after),
                         end = burst + Duration::seconds(3);
@@ -131,7 +134,8 @@
                     gateway_callbacks.knows_of_start = true;
                     routers[gateway]->on_endpoint_updates(now, endpoint_list(true), true);
                 }
-                // Gateways restart at random and lose their state: about half of them over the whole run.
+                // Gateways restart at random and lose their state. About half of the gateways restart during
+                // the whole run.
                 if (now > restarted_at + Duration::seconds(2) &&
                     random_fraction() < 0.01 * 0.5 / std::max(1.0, burst_after))
                     start(gateway, now, true);
@@ -156,8 +160,8 @@
         next.size_kb = transfer_seconds * settings.transfer_rate_kb_per_s;
         routers[gateway]->on_request(now, next);
     }
-    // Checks the transfers by gateways that knew of the start in each overload window that ends with an
-    // attempt.
+    // Checks each overload window that ends with an attempt. Counts only attempts of gateways whose endpoint
+    // list had named the start of the endpoint.
     void check() { check(settings.parent_slow_start, parent_weight); }
     void check(const SlowStart& slow_start, double capacity) {
         for (std::size_t last = 0, first = 0; last < sent.size(); ++last) {
@@ -181,8 +185,9 @@
 
 class RestartInAFleet : public ::testing::TestWithParam<int> {};
 
-// Guards against a fleet that overloads a restarted parent because idle gateways accumulate budget. During
-// the parent's warm-up all gateways get many requests at once; together they stay below its overload multiple
+// Gateways that are idle while a parent warms up accumulate budget. Without a bound, they could spend this
+// budget at the same time and overload the parent. In the test, all gateways get many requests at once during
+// the warm-up of a restarted parent. Together the gateways must stay below the parent's overload multiple
 // plus a margin for random variation. SlowStartPolicy::has_budget ensures this: it bounds the budget that an
 // idle gateway accumulates. docs/crossings.md quotes the printed figures.
 TEST_P(RestartInAFleet, AllGatewaysTogetherStayBelowTheOverloadMultiple) {
@@ -193,25 +198,30 @@
             FleetWithRestart fleet(GetParam(), seed);
             fleet.play(after);
             fleet.check();
-            EXPECT_LE(fleet.worst, 1) << "burst after " << after << " s, seed " << seed;
+            EXPECT_LE(fleet.worst, 1)
+                << "the parent is overloaded by the burst after " << after << " s, seed " << seed;
             worst = std::max(worst, fleet.worst);
             sent += fleet.sent.size();
             ++plays;
         }
-    std::printf("%d gateways: %.2f of what is allowed at most, in %zu plays\n", GetParam(), worst, plays);
+    std::printf(
+        "%d gateways together started at most %.2f times the allowed number of transfers, in %zu simulated "
+        "runs\n",
+        GetParam(), worst, plays);
     EXPECT_GT(sent, plays * 5) << "too few attempts reached the endpoint for a meaningful check";
 }
 INSTANTIATE_TEST_SUITE_P(Sizes, RestartInAFleet, ::testing::Values(3, 20, 30, 300));
 
-// One of the three caches of a location restarts, its peers leave the list, and then a burst of requests
-// arrives. Weights are unknown, so the capacity of a cache is derived from the link of the location.
+// Simulates a location with three caches. One cache restarts, the two other caches leave the endpoint list,
+// and then a burst of requests arrives. The link weights of the caches are unknown, so each gateway estimates
+// the capacity of a cache from the link capacity of the location. The restarted cache must not be overloaded.
 struct LocationWithRestart : FleetWithRestart {
-    // How gateways learn that the peers leave: from an update, or by a restart with a list on which the peers
-    // drain.
+    // The cause for which a gateway removes the peers. Either an update of the endpoint list removes them, or
+    // the gateway restarts and its first endpoint list has them as draining.
     enum class LearnsFrom { update, first_list };
     static constexpr double cache_capacity = 10;
     static constexpr double leave_before_burst = 0.5, all_learn_within = 0.3, drain = 0.2;
-    // The duration of the burst in seconds; the rates are requests per second at the whole location.
+    // The burst lasts `burst_lasts` seconds. The rates are requests per second at the whole location.
     static constexpr double burst_lasts = 2, burst_rate = 400, quiet_rate = 8;
 
     LocationWithRestart(int gateways, std::uint32_t seed) : FleetWithRestart(gateways, seed) {
@@ -290,9 +300,11 @@
 class RestartInALocation : public ::testing::TestWithParam<std::tuple<int, LocationWithRestart::LearnsFrom>> {
 };
 
-// Guards against overloading a restarted cache when its peers leave. Dividing the link by the number of
-// remaining caches would add the peers' part to its capacity; EndpointSet::max_active_edges prevents this.
-// docs/crossings.md quotes the printed figures.
+// If a gateway divided the link of a location by the number of remaining caches, the estimated capacity of a
+// restarted cache would grow when its peers leave, and the gateways would overload this cache.
+// EndpointSet::max_active_edges prevents this. In the test, both peers of a restarted cache leave, and then a
+// burst of requests arrives. The transfers to the restarted cache must stay below its overload multiple plus
+// a margin for random variation. docs/crossings.md quotes the printed figures.
 TEST_P(RestartInALocation, TheRestartedCacheGetsNoMoreWhenItsPeersLeave) {
     const auto [gateways, source] = GetParam();
     std::size_t sent = 0, plays = 0;
@@ -301,15 +313,19 @@
         for (const std::uint32_t seed : {1u, 2u, 3u}) {
             LocationWithRestart location(gateways, seed);
             location.play_peers_leave(after, source);
-            EXPECT_LE(location.worst, 1) << "burst after " << after << " s, seed " << seed;
+            EXPECT_LE(location.worst, 1)
+                << "the cache is overloaded by the burst after " << after << " s, seed " << seed;
             worst = std::max(worst, location.worst);
             sent += location.sent.size();
             ++plays;
         }
-    std::printf("%d gateways, %s: %.2f of what is allowed at most, in %zu plays\n", gateways,
-                source == LocationWithRestart::LearnsFrom::update ? "peers removed by an update"
-                                                                  : "restarted with the peers draining",
-                worst, plays);
+    std::printf(
+        "%d gateways, %s, together started at most %.2f times the allowed number of transfers, in %zu "
+        "simulated runs\n",
+        gateways,
+        source == LocationWithRestart::LearnsFrom::update ? "with the peers removed by an update"
+                                                          : "restarted with the peers draining",
+        worst, plays);
     EXPECT_GT(sent, plays * 50) << "too few attempts reached the endpoint for a meaningful check";
 }
 INSTANTIATE_TEST_SUITE_P(Sizes, RestartInALocation,
--- a/tests/watch_harness.hpp
+++ b/tests/watch_harness.hpp
@@ -1,5 +1,5 @@
 // Runs a Watch without a registry. The harness records the pending request of the Watch and keeps the
-// endpoints that it reports; the test supplies the replies and the time.
+// endpoints that the Watch reports; the test supplies the replies and the time.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -84,7 +84,7 @@
         ASSERT_NE(pending_request, Request::none);
     }
 
-    // Builds the reply of a member that has the newest revision.
+    // Builds the reply header of a registry member that has the newest revision.
     ReplyHeader header(const RegistryModel& registry) const {
         return {registry.cluster(), registry.newest()};
     }
