--- a/testing/soak.cpp
+++ b/testing/soak.cpp
@@ -111,35 +111,18 @@
         cache.answer(attempt, word, word == "HIT" ? soak_bytes(resp::field(attempt.fields, "asset")) : "");
     }
 
-    // Returns the longest delay with which a cache may respond to an attempt that the cache has just
-    // received: the attempt's time limit, which ends no later than the request's deadline, and the connection
-    // timeout, less the slack. A response identifies its request by the client's id only. Once the connection
-    // timeout has passed after the deadline, the gateway allows the connection to carry the id for another
-    // request. A cache that responds later violates the protocol, which forbids a response after KILL.
-    Duration max_delay_of_response(const ScriptedCache::ReceivedAttempt& attempt) const {
-        const std::string patience(resp::field(attempt.fields, "patience"));
-        const json& timeout_s = gateway_->configuration_json["settings"]["ceilings"]["connectTimeoutS"];
-        return Duration::seconds(std::atof(patience.c_str()) / 1000 + timeout_s.get<double>()) - slack;
-    }
-
     void misbehave(ScriptedCache& cache) {
         cache.on_attempt = [this, &cache](const ScriptedCache::ReceivedAttempt& attempt) {
-            const auto draw_delay = [&](int least_ms, int most_ms) {
-                return Duration::micros(std::int64_t{1000} * pick(least_ms, most_ms));
-            };
-            const auto answer_after = [&](Duration delay) {
-                gateway_->loop.schedule_at(gateway_->loop.now() + delay, [this, &cache, attempt] {
-                    answer_attempt(cache, attempt, "HIT");
-                });
-            };
             const auto later = [&](int least_ms, int most_ms) {
-                answer_after(draw_delay(least_ms, most_ms));
+                gateway_->loop.schedule_at(
+                    gateway_->loop.now() + Duration::micros(std::int64_t{1000} * pick(least_ms, most_ms)),
+                    [this, &cache, attempt] { answer_attempt(cache, attempt, "HIT"); });
             };
             if (hanging_) return;
             if (pick(1, 100) > script_.misbehaving) return later(0, 8);
             switch (pick(1, 8)) {
                 case 1:
-                    return answer_after(std::min(draw_delay(50, 1500), max_delay_of_response(attempt)));
+                    return later(50, 1500);
                 case 2:
                     return answer_attempt(cache, attempt, "FAULT");
                 case 3:
